--- a/src/main/java/io/pineladder/Leader.java
+++ b/src/main/java/io/pineladder/Leader.java
@@ -5,6 +5,7 @@
 import io.pineladder.delivery.Outbox;
 import io.pineladder.delivery.Subscriptions;
 import io.pineladder.fleet.Fleet;
+import io.pineladder.membership.Membership;
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
@@ -17,6 +18,7 @@
 import io.pineladder.recovery.Adoption;
 import io.pineladder.recovery.LiveCopy;
 import io.pineladder.recovery.OldGenerations;
+import io.pineladder.recovery.Prerequisites;
 import io.pineladder.recovery.Takeovers;
 import io.pineladder.recovery.TermLoader;
 import io.pineladder.scheduling.Cluster;
@@ -26,6 +28,8 @@
 import io.pineladder.store.Mutation;
 import io.pineladder.store.Records;
 import io.pineladder.store.StoreClient;
+import io.pineladder.upgrade.ClusterVersion;
+import io.pineladder.upgrade.VersionRaiser;
 import io.pineladder.wire.JobWire;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
@@ -77,6 +81,14 @@
 
     void onFinal(String job, JobWire.Status status);
 
+    /** A final state that this node knows, or null. */
+    JobWire.Status finalState(String job);
+
+    /** The version of the records that is in force. */
+    ClusterVersion version();
+
+    List<Membership.View> peers();
+
     List<MachineType> types();
 
     /** Stored settings were read. */
@@ -138,6 +150,7 @@
   private final Notes notes;
   private final TermLoader loader;
   private final Adoption adoption;
+  private final Prerequisites prerequisites;
   private final Instant begunAt;
   private State state = State.LOADING;
 
@@ -219,10 +232,32 @@
               public void resign(String reason) {
                 host.resign(reason);
               }
+
+              @Override
+              public void onReady(Job job) {
+                fleet().accepted(job);
+              }
+
+              @Override
+              public void onCancellationDerived(Job job) {
+                host.onFinal(job.spec.id(), JobWire.Status.CANCELLED);
+              }
+
+              @Override
+              public Job.State knownEnd(String job) {
+                return finalState(job);
+              }
+
+              @Override
+              public void lookUp(String job) {
+                prerequisites().lookUp(job);
+              }
             });
     this.records =
         new Records(
             valueBytes,
+            settings.storeInForce().valueBytes(),
+            host.version(),
             time,
             committer::submit,
             new Records.Listener() {
@@ -252,6 +287,14 @@
     scheduler.useRecords(records);
     this.loader = new TermLoader(store, time, cluster, committer, records, outbox, new Loading());
     this.adoption = new Adoption(store, cluster, committer, records, new Adopting());
+    this.prerequisites =
+        new Prerequisites(
+            cluster.jobs::get,
+            this::finalState,
+            adoption,
+            time,
+            () -> state == State.LEADING,
+            scheduler::dependencies);
     BooleanSupplier mayAct = this::mayAct;
     this.workers =
         new Workers(
@@ -362,6 +405,12 @@
       host.onLost(reason);
     }
 
+    @Override
+    public void onLimitsLowered() {
+      // Operators lower them only after all controllers are upgraded (docs/upgrades.md).
+      shrinkPages();
+    }
+
     @Override
     public void onStored(String key, JsonNode value, long revision) {
       copy.put(key, value, revision, false);
@@ -399,6 +448,33 @@
     return committer.waiting();
   }
 
+  private Prerequisites prerequisites() {
+    return prerequisites;
+  }
+
+  /** A final state that is known without a read, or null. */
+  private Job.State finalState(String id) {
+    Job.State ended = copy.end(id);
+    if (ended != null) {
+      return ended;
+    }
+    JobWire.Status known = host.finalState(id);
+    return known == null
+        ? null
+        : known == JobWire.Status.DONE ? Job.State.DONE : Job.State.CANCELLED;
+  }
+
+  /** Has what earlier leaders stored in values that are too large stored in smaller ones. */
+  private void shrinkPages() {
+    records.shrinkPages(() -> state == State.LEADING, committer::releaseHeld);
+  }
+
+  private void onVersion() {
+    if (host.version().inForce() >= ClusterVersion.CHAINED_JOBS) {
+      shrinkPages();
+    }
+  }
+
   private boolean mayAct() {
     return state == State.LEADING && host.mayAct();
   }
@@ -541,7 +617,7 @@
     @Override
     public void onAdopted(Job job) {
       scheduler.add(job);
-      fleet.accepted(job);
+      countArrival(job);
     }
 
     @Override
@@ -635,6 +711,15 @@
         cluster.jobs.size(),
         cluster.machines().size());
     adoption.start(inbox);
+    new VersionRaiser(
+            host.version(),
+            host::peers,
+            time,
+            committer::submit,
+            () -> state == State.LEADING,
+            this::onVersion)
+        .review();
+    onVersion();
     fleet.start();
     notes.start(() -> state == State.OVER);
     new OldGenerations(store, time, version, this::mayAct).start();
@@ -661,7 +746,7 @@
 
   /** The state of a job in memory, or null when it is not there. */
   private View viewOf(Job job) {
-    if (!job.isActive() && job.endStored) {
+    if (job.cancellationDerived || (!job.isActive() && job.endStored)) {
       return new View(toStatus(job.state()), job.done.cardinality(), 0);
     }
     int running = Scheduler.running(job);
@@ -674,11 +759,19 @@
   /**
    * Tells a job's state. While its final state is on its way to the store, another node may read it
    * there before this one hears of the commit; an answer that is not final would then be older than
-   * what a user has been told already. So the answer waits for the commit.
+   * what a user has been told already. So the answer waits for the commit, also where the final state would
+   * follow from that of a job before it.
    */
   private void tell(Job job, Consumer<View> onDone) {
-    if (job.ending && !job.endStored) {
+    Job before = job.endingPrerequisite;
+    if (job.cancellationDerived) {
+      onDone.accept(viewOf(job));
+    } else if (job.ending && !job.endStored) {
       job.endWaiters.add(() -> onDone.accept(viewOf(job)));
+    } else if (before != null && !before.endStored) {
+      before.endWaiters.add(() -> onDone.accept(viewOf(job)));
+    } else if (scheduler.dependencies().isUncertain(job)) {
+      onDone.accept(View.UNKNOWN);
     } else {
       onDone.accept(viewOf(job));
     }
@@ -689,6 +782,11 @@
     return cluster.jobs.containsKey(id) || accepting.containsKey(id);
   }
 
+  /** Tells whether the jobs that a submission names were accepted. */
+  public void verifyPrerequisites(JobSpec spec, Consumer<Prerequisites.Known> onDone) {
+    prerequisites.verify(spec.prerequisites(), onDone);
+  }
+
   /** Stores a new job; the answer follows the commit. Null: nothing certain can be said. */
   public void submit(JobSpec spec, Consumer<JobWire.Status> onDone, Consumer<View> onKnown) {
     String id = spec.id();
@@ -731,8 +829,17 @@
       return;
     }
     scheduler.add(job);
-    fleet.accepted(job);
-    all.forEach(each -> each.accept(JobWire.Status.PENDING));
+    countArrival(job);
+    JobWire.Status status =
+        job.cancellationDerived ? JobWire.Status.CANCELLED : JobWire.Status.PENDING;
+    all.forEach(each -> each.accept(status));
+  }
+
+  /** What waits for others counts as an arrival once it may start. */
+  private void countArrival(Job job) {
+    if (job.isActive() && !job.waitsForOthers) {
+      fleet.accepted(job);
+    }
   }
 
   private void acceptedElsewhere(String id) {
@@ -804,7 +911,7 @@
   }
 
   private void cancelKnown(Job job, Consumer<View> onDone) {
-    if (job.endStored) {
+    if (job.endStored || job.cancellationDerived) {
       onDone.accept(viewOf(job));
       return;
     }
@@ -812,6 +919,23 @@
     scheduler.cancel(job);
   }
 
+  /**
+   * The least time that is left to a job of a chain until it should have started for the jobs that need it, in
+   * seconds, negative when it should have; null when nothing is expected of any chain.
+   */
+  public Double leastChainSlackSeconds() {
+    Instant now = time.timeOfDay();
+    Double least = null;
+    for (Job job : cluster.jobs.values()) {
+      if (job.isActive() && job.finishTimes != null) {
+        Instant start = job.finishTimes.target().minus(job.spec.estimate());
+        double slack = Duration.between(now, start).toMillis() / 1000.0;
+        least = least == null ? slack : Double.valueOf(Math.min(least, slack));
+      }
+    }
+    return least;
+  }
+
   /** A request of a user was answered here. */
   public void answered() {
     takeover.passed(Takeovers.Phase.FIRST_ANSWER);
--- a/src/main/java/io/pineladder/Node.java
+++ b/src/main/java/io/pineladder/Node.java
@@ -21,6 +21,7 @@
 import io.pineladder.store.JobIndex;
 import io.pineladder.store.Keys;
 import io.pineladder.store.StoreClient;
+import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.BeatWire;
 import io.pineladder.wire.CloudWire;
 import io.pineladder.wire.JobWire;
@@ -68,6 +69,7 @@
   private final RecordKeeping records;
   private final Keeping keeping;
 
+  private final ClusterVersion version;
   private Leader leader;
   private List<MachineType> types = List.of();
   private OperatorSettings operator = OperatorSettings.DEFAULTS;
@@ -91,6 +93,24 @@
       Delivery delivery,
       Shelf shelf,
       Background background) {
+    this(settings, time, http, nonce, delivery, shelf, background, new ClusterVersion());
+  }
+
+  /**
+   * A controller that may support an older cluster version than this software does.
+   *
+   * @param version what it supports
+   */
+  public Node(
+      Settings settings,
+      Timeline time,
+      HttpCaller http,
+      String nonce,
+      Delivery delivery,
+      Shelf shelf,
+      Background background,
+      ClusterVersion version) {
+    this.version = version;
     this.settings = settings;
     this.delivery = delivery;
     this.time = time;
@@ -127,7 +147,12 @@
    * seen, or a process that has just begun would lead in a store that has lost its data.
    */
   private boolean mayStand() {
-    return membership.hasAskedAll() && records.mayStand();
+    return membership.hasAskedAll() && records.mayStand() && !version.isUnsupported();
+  }
+
+  /** The version of the records that is in force, as far as this node knows. */
+  public ClusterVersion version() {
+    return version;
   }
 
   private final class RecordsHost implements RecordKeeping.Host {
@@ -174,7 +199,8 @@
     return new Membership.Own(
         store.isHealthy(),
         election.isValid() ? election.term() : 0,
-        records.told());
+        records.told(),
+        version.supported());
   }
 
   /** Ends all activity, as a killed process would. */
@@ -319,6 +345,21 @@
       finals.put(job, status);
     }
 
+    @Override
+    public JobWire.Status finalState(String job) {
+      return finals.getIfPresent(job);
+    }
+
+    @Override
+    public ClusterVersion version() {
+      return version;
+    }
+
+    @Override
+    public List<Membership.View> peers() {
+      return membership.view();
+    }
+
     @Override
     public List<MachineType> types() {
       return types;
@@ -436,6 +477,12 @@
     if (entry.value() == null) {
       return;
     }
+    if (entry.key().equals(Keys.VERSION)) {
+      version.learn(entry.value());
+      if (version.isUnsupported() && leader != null) {
+        election.yield("the records have a version that this controller does not support");
+      }
+    }
     try {
       if (entry.key().equals(Keys.TYPES)) {
         learnTypes(RecordWire.parseTypes(entry.value()));
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -10,11 +10,13 @@
 import io.pineladder.membership.Membership;
 import io.pineladder.model.Machine;
 import io.pineladder.model.OperatorSettings;
+import io.pineladder.model.Settings;
 import io.pineladder.net.Answers;
 import io.pineladder.net.HttpAnswer;
 import io.pineladder.recovery.Generations;
 import io.pineladder.recovery.LiveCopy;
 import io.pineladder.recovery.Takeovers;
+import io.pineladder.scheduling.Dependencies;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.MalformedException;
 import io.pineladder.wire.RecordWire;
@@ -121,13 +123,38 @@
           .put("unheard_s", peer.unheard() == null ? null : peer.unheard().toMillis() / 1e3)
           .put("store_healthy", peer.storeOk())
           .put("term", peer.term())
-          .put("changes", peer.changes());
+          .put("changes", peer.changes())
+          .put("supported_version", peer.version());
     }
+    out.set("version", version());
+    out.set("store_limits", storeLimits());
     out.set("records", records());
     out.set("sockets", metrics.sockets());
     return out;
   }
 
+  /** Which version of the records is in force, and what this controller supports. */
+  private ObjectNode version() {
+    return Json.object()
+        .put("in_force", node.version().inForce())
+        .put("supported", node.version().supported());
+  }
+
+  /** The state service's limits that this controller keeps to, and what it asked for in the last second. */
+  private ObjectNode storeLimits() {
+    Settings.StoreLimits kept = node.store().limits();
+    Settings.StoreLimits inForce = node.settings().storeInForce();
+    return Json.object()
+        .put("requests_per_second", kept.requestsPerSecond())
+        .put("changes_per_second", kept.writesPerSecond())
+        .put("value_bytes", kept.valueBytes())
+        .put("transaction_changes", kept.transactionOps())
+        .put("change_announced", !kept.equals(inForce))
+        .put("requests", node.store().sent())
+        .put("refused_for_rate", node.store().refusedForRate())
+        .put("changes_left", node.store().writes().available(node.time().now()));
+  }
+
   private ObjectNode metrics() {
     ObjectNode out = metrics.read();
     Leader leader = node.actingLeader();
@@ -186,6 +213,11 @@
         .sizes()
         .forEach((place, size) -> places.put(place.name().toLowerCase(Locale.ROOT), size));
     ObjectNode parked = out.putObject("parked");
+    Dependencies dependencies = leader.scheduler().dependencies();
+    out.putObject("chains")
+        .put("waiting", dependencies.waiting())
+        .put("longest", dependencies.longestChain())
+        .put("least_slack_s", leader.leastChainSlackSeconds());
     leader
         .scheduler()
         .queue()
--- a/src/main/java/io/pineladder/fleet/Demand.java
+++ b/src/main/java/io/pineladder/fleet/Demand.java
@@ -238,7 +238,7 @@
           entry.rejectedBy() != null
               && switch (entry.rejectedBy()) {
                 case FIT, PLACE, SPREAD, TOGETHER -> true;
-                case TEAM_LIMIT, PREDECESSOR, FAILING, PACE -> false;
+                case TEAM_LIMIT, PREDECESSOR, FAILING, PACE, DEPENDENCY -> false;
               };
       if (!lacksRoom || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
         continue;
@@ -261,7 +261,7 @@
       }
     }
     waiting.sort(
-        Comparator.<Waiting, Rank>comparing(w -> w.job.spec.rank()).thenComparing(Waiting::due));
+        Comparator.<Waiting, Rank>comparing(w -> w.job.rank()).thenComparing(Waiting::due));
     return waiting;
   }
 
@@ -333,7 +333,7 @@
         run,
         within,
         seconds(ready),
-        arriving.applyAsDouble(spec.rank()));
+        arriving.applyAsDouble(waiting.job.rank()));
     if (pressing == null && backlog.lacking() > lacked) {
       pressing = spec;
     }
--- a/src/main/java/io/pineladder/fleet/Renting.java
+++ b/src/main/java/io/pineladder/fleet/Renting.java
@@ -133,7 +133,7 @@
     return type.fetchTime(meanImageGb);
   }
 
-  /** A job has come in: it counts for the forecast. */
+  /** A job may start from now on: it counts for the forecast. */
   void accepted(Job job) {
     JobSpec spec = job.spec;
     MachineType type = cheapest(false, spec, true);
@@ -145,8 +145,8 @@
     // A job is patient if it can wait for a machine to boot and to fetch its image there.
     Duration ready = type.boot().plus(type.fetchTime(spec.imageGb()));
     boolean patient =
-        spec.rank() != Rank.PRODUCTION
-            && cluster.allowance(job, time.timeOfDay()).compareTo(ready) > 0;
+        job.rank() != Rank.PRODUCTION
+            && cluster.slack(job, time.timeOfDay()).compareTo(ready) > 0;
     if (spec.spotAllowed()) {
       (patient ? patientSpot : tightSpot).add(worth, now);
     } else {
@@ -154,7 +154,7 @@
     }
     if (cluster.canWait(job)) {
       double work = worth * spec.estimate().toMillis() / 1000.0;
-      arrivals.computeIfAbsent(spec.rank(), r -> new Forecast(LONG_MEMORY)).add(work, now);
+      arrivals.computeIfAbsent(job.rank(), r -> new Forecast(LONG_MEMORY)).add(work, now);
     }
     meanImageGb = meanImageGb == 0 ? spec.imageGb() : 0.9 * meanImageGb + 0.1 * spec.imageGb();
   }
--- a/src/main/java/io/pineladder/fleet/ZonePlan.java
+++ b/src/main/java/io/pineladder/fleet/ZonePlan.java
@@ -97,7 +97,7 @@
     for (Attempt attempt : machine.attempts.values()) {
       Job job = attempt.job;
       if (attempt.holdsRoom() && attempt.isWanted() && job.isActive() && mayMove(job, machine)) {
-        int rank = job.spec.rank().ordinal();
+        int rank = job.rank().ordinal();
         best = best < 0 ? rank : Math.min(best, rank);
       }
     }
--- a/src/main/java/io/pineladder/front/Front.java
+++ b/src/main/java/io/pineladder/front/Front.java
@@ -60,6 +60,10 @@
 
   /** What users, workers and the load balancer ask. */
   public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> onAnswer) {
+    if (node.version().isUnsupported()) {
+      onAnswer.accept(later("the records have a version that this controller does not support"));
+      return;
+    }
     Instant begun = node.time().now();
     Consumer<HttpAnswer> answer =
         http -> {
@@ -358,10 +362,7 @@
       }
       String never = leaderless.neverRuns(spec);
       if (never != null) {
-        // What was accepted once stays accepted, whatever is judged now.
-        leader.view(
-            spec.id(),
-            view -> answer.accept(view == null ? error(422, never) : toAnswer(spec.id(), view)));
+        refuse(leader, spec, never, answer);
         return;
       }
     }
@@ -369,6 +370,34 @@
       answer.accept(later("the state service is not available"));
       return;
     }
+    if (spec.prerequisites().isEmpty() || leader.knows(spec.id())) {
+      store(leader, spec, answer);
+      return;
+    }
+    if (!node.version().allowsChainedJobs()) {
+      answer.accept(later(Leaderless.NOT_UPGRADED));
+      return;
+    }
+    leader.verifyPrerequisites(
+        spec,
+        known -> {
+          switch (known) {
+            case ALL -> store(leader, spec, answer);
+            case UNCERTAIN -> answer.accept(later("not certain yet"));
+            case NOT_ALL -> refuse(leader, spec, Leaderless.UNKNOWN_PREREQUISITE, answer);
+          }
+        });
+  }
+
+  /** Refuses a job, unless it was accepted once: then it stays so, whatever is judged now. */
+  private static void refuse(
+      Leader leader, JobSpec spec, String reason, Consumer<HttpAnswer> answer) {
+    leader.view(
+        spec.id(),
+        view -> answer.accept(view == null ? error(422, reason) : toAnswer(spec.id(), view)));
+  }
+
+  private void store(Leader leader, JobSpec spec, Consumer<HttpAnswer> answer) {
     leader.submit(
         spec,
         status ->
--- a/src/main/java/io/pineladder/front/Leaderless.java
+++ b/src/main/java/io/pineladder/front/Leaderless.java
@@ -13,6 +13,7 @@
 import io.pineladder.model.Team;
 import io.pineladder.net.HttpAnswer;
 import io.pineladder.recovery.LiveCopy;
+import io.pineladder.store.JobIndex;
 import io.pineladder.store.Keys;
 import io.pineladder.store.Records;
 import io.pineladder.wire.JobWire;
@@ -28,12 +29,19 @@
 
 /** What a node that reaches no leader can do for users: store submissions, and read. */
 final class Leaderless {
+  /** Why a job that names others is not accepted before all controllers can deal with it. */
+  static final String NOT_UPGRADED = "not all controllers are upgraded";
+
+  static final String UNKNOWN_PREREQUISITE = "it waits for a job that was never accepted";
+
   private static final Logger log = LoggerFactory.getLogger(Leaderless.class);
 
   private final Node node;
+  private final ChainReader chains;
 
   Leaderless(Node node) {
     this.node = node;
+    this.chains = new ChainReader(node);
   }
 
   /** Why a job can never run, or null. */
@@ -91,10 +99,41 @@
       return;
     }
     if (never != null) {
-      read(
-          id, false, found -> answer.accept(found.status() == 404 ? error(422, never) : found));
+      refuse(id, never, answer);
+      return;
+    }
+    if (spec.prerequisites().isEmpty()) {
+      store(spec, JobWire.Status.PENDING, answer);
+      return;
+    }
+    if (!node.version().allowsChainedJobs()) {
+      answer.accept(later(NOT_UPGRADED));
       return;
     }
+    chains.review(
+        spec.prerequisites(),
+        outcome -> {
+          switch (outcome) {
+            case UNKNOWN_JOB -> refuse(id, UNKNOWN_PREREQUISITE, answer);
+            case UNCERTAIN -> answer.accept(later("no leader"));
+            case NONE_CANCELLED -> store(spec, JobWire.Status.PENDING, answer);
+            case CANCELLED -> store(spec, JobWire.Status.CANCELLED, answer);
+          }
+        });
+  }
+
+  /** Refuses a job, unless it was accepted once: then it stays so, whatever is judged now. */
+  private void refuse(String id, String reason, Consumer<HttpAnswer> answer) {
+    read(id, false, found -> answer.accept(found.status() == 404 ? error(422, reason) : found));
+  }
+
+  /**
+   * Stores a job.
+   *
+   * @param status what its user is told of it: one that names a cancelled job is accepted and cancelled
+   */
+  private void store(JobSpec spec, JobWire.Status status, Consumer<HttpAnswer> answer) {
+    String id = spec.id();
     JsonNode record = RecordWire.job(spec, node.time().timeOfDay(), Job.State.ACTIVE);
     JsonNode note = Json.object().put("by", node.settings().member());
     byte[] body =
@@ -116,7 +155,7 @@
             copy.put(Keys.INBOX + id, note, 0, true);
             node.records().acceptedHere(() -> submit(spec, again -> {}));
             answer.accept(
-                new HttpAnswer(201, JobWire.view(id, JobWire.Status.PENDING)));
+                new HttpAnswer(201, JobWire.view(id, status)));
           } else if (reply.is(409)) {
             read(id, false, answer);
           } else {
@@ -159,9 +198,9 @@
                 answer.accept(later("no leader"));
                 return;
               }
-              Job.State found = node.accepted().find(id);
+              JobIndex.Found found = node.accepted().find(id);
               if (found != null) {
-                tellState(id, cancel, found, answer);
+                tellAccepted(id, cancel, found, answer);
               } else {
                 readEnd(id, answer);
               }
@@ -187,12 +226,32 @@
   private void tellStored(
       String id, boolean cancel, StoreWire.Entry entry, Consumer<HttpAnswer> answer) {
     try {
-      tellState(id, cancel, RecordWire.parseJob(entry.value()).state(), answer);
+      RecordWire.StoredJob job = RecordWire.parseJob(entry.value());
+      tellAccepted(
+          id, cancel, new JobIndex.Found(job.state(), job.spec().prerequisites()), answer);
     } catch (MalformedException e) {
       answer.accept(later("the stored job cannot be read"));
     }
   }
 
+  /** A job whose record names no final state may be cancelled with one before it. */
+  private void tellAccepted(
+      String id, boolean cancel, JobIndex.Found job, Consumer<HttpAnswer> answer) {
+    if (job.state() != Job.State.ACTIVE || job.prerequisites().isEmpty()) {
+      tellState(id, cancel, job.state(), answer);
+      return;
+    }
+    chains.review(
+        job.prerequisites(),
+        outcome -> {
+          switch (outcome) {
+            case CANCELLED -> tellState(id, cancel, Job.State.CANCELLED, answer);
+            case NONE_CANCELLED -> tellState(id, cancel, Job.State.ACTIVE, answer);
+            case UNKNOWN_JOB, UNCERTAIN -> answer.accept(later("no leader"));
+          }
+        });
+  }
+
   private void tellState(
       String id, boolean cancel, Job.State state, Consumer<HttpAnswer> answer) {
     JobWire.Status status = Leader.toStatus(state);
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -2,6 +2,7 @@
 
 import io.pineladder.model.Settings;
 import io.pineladder.net.Timeline;
+import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.BeatWire;
 import io.pineladder.wire.BeatWire.Beat;
 import io.pineladder.wire.BeatWire.Heard;
@@ -93,7 +94,7 @@
   }
 
   /** What this node tells about itself. */
-  public record Own(boolean storeOk, long term, BeatWire.Stored stored) {}
+  public record Own(boolean storeOk, long term, BeatWire.Stored stored, int version) {}
 
   /** One peer, as it stands now. */
   public record View(
@@ -104,7 +105,8 @@
       long term,
       int changes,
       String nonce,
-      BeatWire.Stored stored) {}
+      BeatWire.Stored stored,
+      int version) {}
 
   private static final class Peer {
     final Settings.Peer at;
@@ -128,6 +130,9 @@
     int answers;
     int changes;
 
+    /** The cluster version that its software supports, by the newest beat of its present process. */
+    int version = ClusterVersion.UNVERSIONED;
+
     /** What it told in the newest beat. */
     Beat told;
 
@@ -230,7 +235,14 @@
     made[(int) (++sequence % REMEMBERED)] = now;
     Own mineNow = own.get();
     return new Beat(
-        self, nonce, sequence, mineNow.storeOk(), mineNow.term(), heard, mineNow.stored());
+        self,
+        nonce,
+        sequence,
+        mineNow.storeOk(),
+        mineNow.term(),
+        heard,
+        mineNow.stored(),
+        mineNow.version());
   }
 
   /** When this process made its beat of that number; null if that is too long ago, or never was. */
@@ -288,6 +300,7 @@
     if (newer && (proven != null || peer.nonce == null)) {
       peer.nonce = beat.nonce();
       peer.sequence = beat.sequence();
+      peer.version = beat.version();
     }
     if (proven != null && (peer.heardAt == null || proven.isAfter(peer.heardAt))) {
       met = true;
@@ -508,7 +521,8 @@
               peer.told == null ? 0 : peer.told.term(),
               peer.changes,
               peer.nonce,
-              peer.told == null ? BeatWire.Stored.NOTHING : peer.told.stored()));
+              peer.told == null ? BeatWire.Stored.NOTHING : peer.told.stored(),
+              peer.version));
     }
     return views;
   }
--- /dev/null
+++ b/src/main/java/io/pineladder/model/FinishTimes.java
@@ -0,0 +1,27 @@
+package io.pineladder.model;
+
+import java.time.Duration;
+import java.time.Instant;
+
+/**
+ * When a job should be over for the sake of the jobs that need it, by the time of day.
+ *
+ * @param target by then the last job of the chain can keep its deadline
+ * @param latest by then it can keep the latest time that is expected of it, which is not before the target
+ */
+public record FinishTimes(Instant target, Instant latest) {
+  /** The earlier of each; {@code null} stands for no bound. */
+  public static FinishTimes earlier(FinishTimes one, FinishTimes other) {
+    if (one == null || other == null) {
+      return one == null ? other : one;
+    }
+    return new FinishTimes(
+        one.target.isBefore(other.target) ? one.target : other.target,
+        one.latest.isBefore(other.latest) ? one.latest : other.latest);
+  }
+
+  /** The same, so much earlier. */
+  public FinishTimes minus(Duration time) {
+    return new FinishTimes(target.minus(time), latest.minus(time));
+  }
+}
--- a/src/main/java/io/pineladder/model/Job.java
+++ b/src/main/java/io/pineladder/model/Job.java
@@ -25,6 +25,24 @@
 
   private State state;
 
+  /** The rank that it is treated as having: its own, or that of a job that needs it. */
+  private Rank rank;
+
+  /** When it should be over for the jobs that need it; null when nothing is expected of those. */
+  public FinishTimes finishTimes;
+
+  /** When it could first start, by the time of day: once accepted, or once all that it needs was done. */
+  public Instant readyAt;
+
+  /** Some job that it needs is not known to be done: no task of it may start. */
+  public boolean waitsForOthers;
+
+  /** It is cancelled because a job that it needs is stored as cancelled; told without a record of its own. */
+  public boolean cancellationDerived;
+
+  /** A job before it whose cancellation is on its way to the store, or was; null for none. */
+  public Job endingPrerequisite;
+
   /** Tasks that are complete. */
   public final BitSet done = new BitSet();
 
@@ -62,6 +80,18 @@
     this.spec = spec;
     this.acceptedAt = acceptedAt;
     this.state = state;
+    this.rank = spec.rank();
+    this.readyAt = acceptedAt;
+  }
+
+  public Rank rank() {
+    return rank;
+  }
+
+  /** The one place where its urgency changes. */
+  public void treatAs(Rank highest, FinishTimes times) {
+    rank = highest;
+    finishTimes = times;
   }
 
   public State state() {
--- a/src/main/java/io/pineladder/queue/Check.java
+++ b/src/main/java/io/pineladder/queue/Check.java
@@ -17,5 +17,7 @@
   /** The job fails wherever it is tried, and as much of it as may be tried at a time is out. */
   FAILING,
   /** As many tasks of large jobs have been started of late as may be. */
-  PACE
+  PACE,
+  /** A job that it needs is not done; the end of the last one wakes it, and nothing else. */
+  DEPENDENCY
 }
--- a/src/main/java/io/pineladder/queue/QueueEntry.java
+++ b/src/main/java/io/pineladder/queue/QueueEntry.java
@@ -1,6 +1,7 @@
 package io.pineladder.queue;
 
 import io.pineladder.model.Job;
+import io.pineladder.model.Rank;
 import java.time.Instant;
 
 /** A job's pending tasks in the queue: one entry whatever their number, a gang placed as a whole. */
@@ -26,11 +27,13 @@
   Instant expiry = Instant.MIN;
   /** Sort keys, fixed while the entry is in the heap. */
   boolean guaranteed;
+  Rank rank;
   Instant due = Instant.MAX;
   long arrival;
 
   public QueueEntry(Job job) {
     this.job = job;
+    this.rank = job.rank();
   }
 
   public Place place() {
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -21,7 +21,7 @@
 public final class SchedulingQueue {
   private static final Comparator<QueueEntry> BY_PRIORITY =
       Comparator.<QueueEntry, Boolean>comparing(e -> !e.guaranteed)
-          .thenComparing(e -> e.job.spec.rank())
+          .thenComparing(e -> e.rank)
           .thenComparing(e -> e.due)
           .thenComparing(e -> e.arrival);
   private static final Comparator<QueueEntry> BY_EXPIRY =
@@ -75,6 +75,7 @@
     switch (next) {
       case ACTIVE -> {
         entry.guaranteed = ordering.isGuaranteed(entry);
+        entry.rank = entry.job.rank();
         entry.due = ordering.due(entry);
         active.add(entry);
       }
@@ -260,12 +261,25 @@
    * @param most so many of each check at the most, so that a full fleet's backlog costs a bounded number of tries
    */
   public void flushLeftover(Instant before, int most) {
-    for (Set<QueueEntry> parked : unschedulable.values()) {
-      parked.stream()
-          .limit(most)
-          .filter(entry -> entry.triedAt.isBefore(before))
-          .toList()
-          .forEach(entry -> moveTo(entry, QueueEntry.Place.ACTIVE));
+    unschedulable.forEach(
+        (check, parked) -> {
+          // That the last prerequisite is done is told for certain.
+          if (check != Check.DEPENDENCY) {
+            parked.stream()
+                .limit(most)
+                .filter(entry -> entry.triedAt.isBefore(before))
+                .toList()
+                .forEach(entry -> moveTo(entry, QueueEntry.Place.ACTIVE));
+          }
+        });
+  }
+
+  /** An entry's place among the others has changed. */
+  public void reorder(QueueEntry entry) {
+    if (entry.place == QueueEntry.Place.ACTIVE) {
+      moveTo(entry, QueueEntry.Place.ACTIVE);
+    } else {
+      entry.rank = entry.job.rank();
     }
   }
 
--- a/src/main/java/io/pineladder/recovery/Generations.java
+++ b/src/main/java/io/pineladder/recovery/Generations.java
@@ -525,7 +525,7 @@
   }
 
   private void write(Generation target) {
-    List<StoreWire.Entry> image = host.copy().image();
+    List<StoreWire.Entry> image = host.copy().image(store.limits().valueBytes());
     log.info(
         "generation {} is written with {} records from a copy of revision {}{}",
         target.base(),
--- a/src/main/java/io/pineladder/recovery/LiveCopy.java
+++ b/src/main/java/io/pineladder/recovery/LiveCopy.java
@@ -41,6 +41,12 @@
   /** Bytes of final states in one value when a generation is written. */
   private static final int ENDS_BYTES = 6 * 1024;
 
+  /** What such a value takes beside the ids. */
+  private static final int ENDS_FRAME_BYTES = 64;
+
+  /** An id in JSON with its comma at the most. */
+  private static final int LONGEST_ID_BYTES = 128;
+
   /** What belongs to a leader's lease, to no generation or to another one is not copied. */
   private static final Pattern LEFT_OUT =
       Pattern.compile("(g[0-9]+|lead|generation|damaged|apart)/.*");
@@ -505,6 +511,17 @@
 
   /** Everything that is to be written when these records are to count in another generation. */
   public List<StoreWire.Entry> image() {
+    return image(Integer.MAX_VALUE);
+  }
+
+  /** The same, in values of at most so many bytes. */
+  List<StoreWire.Entry> image(int valueBytes) {
+    List<StoreWire.Entry> image = ImagePages.divide(recordImage(), valueBytes);
+    addEnds(image, Math.min(ENDS_BYTES, valueBytes - ENDS_FRAME_BYTES));
+    return image;
+  }
+
+  private List<StoreWire.Entry> recordImage() {
     List<StoreWire.Entry> image = new ArrayList<>();
     records.forEach(
         (key, value) -> {
@@ -514,6 +531,10 @@
             log.error("the copy of {} cannot be read and is left out", key);
           }
         });
+    return image;
+  }
+
+  private void addEnds(List<StoreWire.Entry> image, int mostBytes) {
     Map<String, Job.State> all = allEnds();
     int pages = 0;
     for (Job.State state : List.of(Job.State.DONE, Job.State.CANCELLED)) {
@@ -525,7 +546,7 @@
         }
         ids.add(end.getKey());
         bytes += end.getKey().length() + 3;
-        if (bytes >= ENDS_BYTES) {
+        if (bytes + LONGEST_ID_BYTES >= mostBytes) {
           image.add(new StoreWire.Entry(Keys.ENDS + pages++, RecordWire.ends(state, ids), 0));
           ids = new ArrayList<>();
           bytes = 0;
@@ -535,6 +556,5 @@
         image.add(new StoreWire.Entry(Keys.ENDS + pages++, RecordWire.ends(state, ids), 0));
       }
     }
-    return image;
   }
 }
--- a/src/main/java/io/pineladder/recovery/TermLoader.java
+++ b/src/main/java/io/pineladder/recovery/TermLoader.java
@@ -22,9 +22,11 @@
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -247,9 +249,19 @@
         }
       }
       outbox.loaded();
+      Set<String> accepted = new HashSet<>();
+      stored.accepted.entries().forEach(page -> accepted.add(page.key()));
       for (Paged<JsonNode> record : readPages(stored.accepted, entry -> entry)) {
+        String source = RecordWire.source(record.entry);
+        if (source != null && accepted.contains(source)) {
+          records.knownCopy(record.page, source);
+          continue;
+        }
+        if (source != null) {
+          records.knownDivided(source);
+        }
         Job job = known(toJob(record.entry));
-        records.knownJob(record.page, job, record.entry);
+        records.knownJob(record.page, job, RecordWire.withoutSource(record.entry));
         found.put(job.spec.id(), job);
         ordered.add(job);
       }
--- /dev/null
+++ b/src/main/java/io/pineladder/scheduling/ClassTimes.java
@@ -0,0 +1,36 @@
+package io.pineladder.scheduling;
+
+import io.pineladder.model.Job;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * How long jobs of a class take from when they may start until they are done, beyond their estimate: waiting,
+ * fetching, the slowest task, storing. Learned from the jobs that end, as an exponentially weighted mean.
+ */
+final class ClassTimes {
+  /** Taken for a class of which none has ended yet. */
+  static final Duration UNKNOWN = Duration.ofSeconds(10);
+
+  /** The weight of the latest job. */
+  private static final double WEIGHT = 0.2;
+
+  private final Map<String, Double> overheadSeconds = new HashMap<>();
+
+  /** A job was done at this time of day. */
+  void done(Job job, Instant at) {
+    Duration took = Duration.between(job.readyAt, at).minus(job.spec.estimate());
+    double seconds = Math.max(0, took.toMillis() / 1000.0);
+    overheadSeconds.merge(
+        job.spec.jobClass(), seconds, (mean, latest) -> mean + WEIGHT * (latest - mean));
+  }
+
+  /** How long the job is expected to take once it may start. */
+  Duration expected(Job job) {
+    Double seconds = overheadSeconds.get(job.spec.jobClass());
+    Duration overhead = seconds == null ? UNKNOWN : Duration.ofMillis((long) (seconds * 1000));
+    return job.spec.estimate().plus(overhead);
+  }
+}
--- a/src/main/java/io/pineladder/scheduling/Cluster.java
+++ b/src/main/java/io/pineladder/scheduling/Cluster.java
@@ -1,6 +1,7 @@
 package io.pineladder.scheduling;
 
 import io.pineladder.model.Attempt;
+import io.pineladder.model.FinishTimes;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
@@ -58,7 +59,7 @@
   /** Attempts that wait for their image, by image. */
   private final Map<String, Set<Attempt>> fetching = new HashMap<>();
 
-  /** How many attempts hold room, by rank. */
+  /** How many attempts hold room, by the rank that their users chose; what a chain adds is left out. */
   private final EnumMap<Rank, Integer> holding = new EnumMap<>(Rank.class);
 
   /** Machines that keep room for a job, by job. */
@@ -95,6 +96,11 @@
     return objectives.allowance(job, timeOfDay);
   }
 
+  /** When a job should be over by its own deadline; null without one. */
+  FinishTimes finishTimes(Job job) {
+    return objectives.finishTimes(job);
+  }
+
   /** How long the job may still wait before it should have started; negative when it should have. */
   public Duration slack(Job job, Instant timeOfDay) {
     return Duration.between(timeOfDay, job.acceptedAt.plus(allowance(job, timeOfDay)));
@@ -149,7 +155,10 @@
     JobSpec spec = job.spec;
     return spec.shape() == Shape.ARRAY
         && spec.spotAllowed()
-        && allowance(job, job.acceptedAt).compareTo(soonestElsewhere(spec).multipliedBy(2)) >= 0;
+        && allowance(job, job.readyAt)
+                .minus(Objectives.waited(job))
+                .compareTo(soonestElsewhere(spec).multipliedBy(2))
+            >= 0;
   }
 
   /**
@@ -157,10 +166,10 @@
    * Found on colombo-ops: a guest's work for idle time had every ordinary machine rented.
    */
   public boolean isForIdleTime(Job job, Instant timeOfDay) {
-    return job.spec.rank() == Rank.LOW
+    return job.rank() == Rank.LOW
         && job.spec.deadline() == null
         && hasNoObjective(job)
-        && job.acceptedAt.plus(IDLE_TIME_WAITS).isAfter(timeOfDay);
+        && job.readyAt.plus(IDLE_TIME_WAITS).isAfter(timeOfDay);
   }
 
   public Team team(String name) {
@@ -226,7 +235,7 @@
       of.guaranteed.clear();
       Resources sum = Resources.NONE;
       for (Job each : of.jobs.values()) {
-        if (!each.isActive()) {
+        if (!each.isActive() || each.waitsForOthers) {
           continue;
         }
         sum = sum.plus(each.spec.each().times(each.spec.tasks() - each.done.cardinality()));
@@ -402,7 +411,7 @@
       return true;
     }
     return holding.entrySet().stream()
-        .anyMatch(e -> e.getValue() > 0 && job.spec.rank().isAbove(e.getKey()));
+        .anyMatch(e -> e.getValue() > 0 && job.rank().isAbove(e.getKey()));
   }
 
   private void followFetch(Attempt attempt, Attempt.State before, Attempt.State next) {
--- a/src/main/java/io/pineladder/scheduling/HeldRoom.java
+++ b/src/main/java/io/pineladder/scheduling/HeldRoom.java
@@ -79,14 +79,14 @@
   }
 
   private boolean isItsTurn(Job job) {
-    if (job.atFault || job.acceptedAt.plus(LONG_WAIT).isAfter(time.timeOfDay())) {
+    if (job.atFault || job.readyAt.plus(LONG_WAIT).isAfter(time.timeOfDay())) {
       return false;
     }
     boolean free = holder == null || !holder.isActive() || holder.pending.isEmpty();
     return free
         || holder == job
-        || job.spec.rank().isAbove(holder.spec.rank())
-        || (job.spec.rank() == holder.spec.rank() && job.acceptedAt.isBefore(holder.acceptedAt));
+        || job.rank().isAbove(holder.rank())
+        || (job.rank() == holder.rank() && job.acceptedAt.isBefore(holder.acceptedAt));
   }
 
   private void letGo() {
--- a/src/main/java/io/pineladder/scheduling/Objectives.java
+++ b/src/main/java/io/pineladder/scheduling/Objectives.java
@@ -1,10 +1,12 @@
 package io.pineladder.scheduling;
 
+import io.pineladder.model.FinishTimes;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Settings;
 import java.time.Duration;
 import java.time.Instant;
+import java.util.List;
 
 /** What the settings expect of a job's class, and what that means for one job now. */
 final class Objectives {
@@ -23,9 +25,9 @@
    */
   Duration allowance(Job job, Instant timeOfDay) {
     Duration age = Duration.between(job.acceptedAt, timeOfDay);
-    Duration allowance = NO_HURRY;
+    Duration allowance = NO_HURRY.plus(waited(job));
     for (Settings.Objective objective : settings.objectives()) {
-      Duration until = until(job.spec, objective);
+      Duration until = until(job, objective);
       if (until == null) {
         continue;
       }
@@ -35,11 +37,55 @@
         allowance = start;
       }
     }
+    if (job.finishTimes != null) {
+      for (Instant end : List.of(job.finishTimes.target(), job.finishTimes.latest())) {
+        Duration start = Duration.between(job.acceptedAt, end).minus(job.spec.estimate());
+        if (start.compareTo(allowance) < 0 && start.compareTo(age) > 0) {
+          allowance = start;
+        }
+      }
+    }
     return allowance;
   }
 
+  /** How long the job waited for others before it could start. */
+  static Duration waited(Job job) {
+    return Duration.between(job.acceptedAt, job.readyAt);
+  }
+
   boolean expectNothingOf(Job job) {
-    return settings.objectives().stream().noneMatch(o -> until(job.spec, o) != null);
+    return job.finishTimes == null
+        && settings.objectives().stream().noneMatch(o -> until(job, o) != null);
+  }
+
+  /**
+   * When a job should be over by its deadline, and when at the latest by what the operators expect of its class;
+   * null without a deadline.
+   */
+  FinishTimes finishTimes(Job job) {
+    JobSpec spec = job.spec;
+    if (spec.deadline() == null) {
+      return null;
+    }
+    double least = Double.MAX_VALUE;
+    double most = 0;
+    for (Settings.Objective objective : settings.objectives()) {
+      if (spec.jobClass().equals(objective.jobClass()) && objective.within() == null) {
+        least = Math.min(least, objective.times());
+        most = Math.max(most, objective.times());
+      }
+    }
+    if (most == 0) {
+      least = 1;
+      most = 1;
+    }
+    return new FinishTimes(
+        job.acceptedAt.plus(times(spec.deadline(), least)),
+        job.acceptedAt.plus(times(spec.deadline(), most)));
+  }
+
+  private static Duration times(Duration duration, double factor) {
+    return Duration.ofMillis((long) (duration.toMillis() * factor));
   }
 
   /**
@@ -54,25 +100,30 @@
         settings.cloud().listLag().multipliedBy(2).plus(settings.workers().report());
     Duration twice = through.plus(again).plus(job.spec.estimate());
     for (Settings.Objective objective : settings.objectives()) {
-      Duration until = objective.kind().equals("wait") ? null : until(job.spec, objective);
+      Duration until = objective.kind().equals("wait") ? null : until(job, objective);
       if (until != null && through.compareTo(until) < 0 && twice.compareTo(until) > 0) {
         return true;
       }
     }
-    return false;
+    if (job.finishTimes == null) {
+      return false;
+    }
+    Duration until = Duration.between(job.acceptedAt, job.finishTimes.latest());
+    return through.compareTo(until) < 0 && twice.compareTo(until) > 0;
   }
 
-  /** The time from the submission that the objective speaks of, or null if it is not for the job. */
-  private static Duration until(JobSpec spec, Settings.Objective objective) {
+  /**
+   * The time from the submission that the objective speaks of, or null if it is not for the job. A deadline counts
+   * from the submission, all else from when the job could start.
+   */
+  private static Duration until(Job job, Settings.Objective objective) {
+    JobSpec spec = job.spec;
     if (!spec.jobClass().equals(objective.jobClass())) {
       return null;
     }
     if (objective.within() != null) {
-      return objective.within();
+      return objective.within().plus(waited(job));
     }
-    Duration deadline = spec.deadline();
-    return deadline == null
-        ? null
-        : Duration.ofMillis((long) (deadline.toMillis() * objective.times()));
+    return spec.deadline() == null ? null : times(spec.deadline(), objective.times());
   }
 }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -210,7 +210,7 @@
         machine.reservedFor != null
             && machine.reservedFor != job
             && machine.reservedUntil.isAfter(now)
-            && !job.spec.rank().isAbove(machine.reservedFor.spec.rank())
+            && !job.rank().isAbove(machine.reservedFor.rank())
             && !endsBefore(job, machine, now);
     return kept ? free.minus(machine.reserved) : free;
   }
--- a/src/main/java/io/pineladder/scheduling/Preemptor.java
+++ b/src/main/java/io/pineladder/scheduling/Preemptor.java
@@ -197,7 +197,7 @@
   /** A higher rank, or a guarantee against what another team has beyond its own. */
   private boolean mayDisplace(Job job, Job victim, boolean guaranteed) {
     boolean victimGuaranteed = cluster.isGuaranteed(victim);
-    if (job.spec.rank().isAbove(victim.spec.rank())) {
+    if (job.rank().isAbove(victim.rank())) {
       return guaranteed || !victimGuaranteed;
     }
     return guaranteed && !victimGuaranteed && !victim.spec.team().equals(job.spec.team());
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -85,6 +85,18 @@
      */
     boolean mayStart();
 
+    /** A job that waited for others may start from now on. */
+    void onReady(Job job);
+
+    /** A job is cancelled because one that it needs is stored as cancelled. */
+    void onCancellationDerived(Job job);
+
+    /** The final state of a job that is not in memory, if it is known without a read; or null. */
+    Job.State knownEnd(String job);
+
+    /** A job that others need is not in memory: its state is to be told to the dependencies. */
+    void lookUp(String job);
+
     /** Orders for this machine are ready to go out. */
     void ordersDue(Machine machine);
 
@@ -105,6 +117,7 @@
   private final RateBudget large;
 
   private final Failures failures = new Failures(new Verdicts());
+  private final Dependencies dependencies;
 
   /** Machines on which room came free, with how many tries there had been by then. */
   private final Map<Machine, Long> roomy = new LinkedHashMap<>();
@@ -126,6 +139,9 @@
     this.starvation = new StarvationBound(cluster, placer);
     // A back-off with its window may last for two seconds, and what comes up in them is not lost.
     this.large = new RateBudget(LARGE_A_SECOND, 2 * LARGE_A_SECOND, time.now());
+    this.dependencies =
+        new Dependencies(
+            cluster.jobs::get, time::timeOfDay, cluster::finishTimes, new DependencyEvents());
     this.queue = new SchedulingQueue(Hints.table(cluster, time), new ByObjective(), operator);
   }
 
@@ -141,6 +157,54 @@
     return failures;
   }
 
+  /** Which jobs wait for which others. */
+  public Dependencies dependencies() {
+    return dependencies;
+  }
+
+  /** What follows when a job that others need is over. */
+  private final class DependencyEvents implements Dependencies.Listener {
+    @Override
+    public void onReady(Job job) {
+      job.readyAt = time.timeOfDay();
+      cluster.demandChanged(job);
+      QueueEntry entry = entries.get(job.spec.id());
+      if (entry != null) {
+        queue.wake(entry);
+      }
+      effects.onReady(job);
+      kick();
+    }
+
+    @Override
+    public void onCancelled(Job job) {
+      cluster.demandChanged(job);
+      leaveQueue(job);
+      runEndWaiters(job);
+      effects.onCancellationDerived(job);
+      killAll(job, Duration.ZERO);
+      endIfQuiet(job);
+    }
+
+    @Override
+    public void onUrgencyChanged(Job job) {
+      QueueEntry entry = entries.get(job.spec.id());
+      if (entry != null) {
+        queue.reorder(entry);
+      }
+    }
+
+    @Override
+    public Job.State knownEnd(String id) {
+      return effects.knownEnd(id);
+    }
+
+    @Override
+    public void lookUp(String id) {
+      effects.lookUp(id);
+    }
+  }
+
   /** What follows when a job or a machine is found to be at fault, or not to be. */
   private final class Verdicts implements Failures.Listener {
     @Override
@@ -189,7 +253,8 @@
             : cluster.objectives().allowance(job, time.timeOfDay());
     Duration due = allowance.plus(turn(job));
     boolean begun = job.attempts.size() + job.done.cardinality() > 0;
-    return begun || job.atFault || due.compareTo(LATEST_START) < 0 ? due : LATEST_START;
+    Duration latest = LATEST_START.plus(Objectives.waited(job));
+    return begun || job.atFault || due.compareTo(latest) < 0 ? due : latest;
   }
 
   /**
@@ -218,6 +283,10 @@
       forgetIfOver(job);
       return;
     }
+    dependencies.add(job);
+    if (!job.isActive()) {
+      return;
+    }
     if (job.atFault) {
       failures.inherit(job);
     }
@@ -274,6 +343,7 @@
     job.moveTo(Job.State.CANCELLED);
     cluster.demandChanged(job);
     leaveQueue(job);
+    dependencies.leave(job);
     killAll(job, Duration.ZERO);
     endIfQuiet(job);
   }
@@ -291,10 +361,17 @@
     boolean quiet =
         job.attempts.values().stream().allMatch(of -> of.stream().noneMatch(Attempt::holdsRoom));
     if (quiet) {
+      dependencies.endUnderWay(job);
       records.end(job);
     }
   }
 
+  private static void runEndWaiters(Job job) {
+    List<Runnable> waiting = List.copyOf(job.endWaiters);
+    job.endWaiters.clear();
+    waiting.forEach(Runnable::run);
+  }
+
   private void leaveQueue(Job job) {
     job.pending.clear();
     starvation.moved(job);
@@ -308,8 +385,9 @@
   /** The job's final state is stored. */
   public void onEndStored(Job job) {
     log.debug("job {} is {}", job, job.state());
-    List.copyOf(job.endWaiters).forEach(Runnable::run);
-    job.endWaiters.clear();
+    // Those who wait for this end may ask about a job that is cancelled with it.
+    dependencies.ended(job);
+    runEndWaiters(job);
     killAll(job, Duration.ZERO);
     forgetIfOver(job);
   }
@@ -713,6 +791,10 @@
       entries.remove(job.spec.id());
       return;
     }
+    if (job.waitsForOthers) {
+      queue.park(entry, Check.DEPENDENCY, now);
+      return;
+    }
     if (job.spec.shape() == Shape.GANG) {
       if (!job.attempts.isEmpty()) {
         queue.park(entry, Check.PREDECESSOR, now);
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -12,6 +12,7 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Deque;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -63,6 +64,10 @@
   private final TreeMap<String, Long> versions = new TreeMap<>();
   private final EnumMap<Mutation.Priority, Deque<Mutation>> queues =
       new EnumMap<>(Mutation.Priority.class);
+
+  /** Mutations of pages that are being divided. */
+  private final Deque<Mutation> held = new ArrayDeque<>();
+
   private State state = State.IDLE;
   private Batch batch;
   private final Backoff retry;
@@ -82,6 +87,9 @@
      */
     void onLost(String reason);
 
+    /** A value that the limits before allowed was refused: the announced limits are in force. */
+    void onLimitsLowered();
+
     /** This value is stored; null for a key that is gone. */
     void onStored(String key, JsonNode value, long revision);
   }
@@ -144,7 +152,7 @@
   }
 
   public int waiting() {
-    int count = batch == null ? 0 : batch.mutations.size();
+    int count = held.size() + (batch == null ? 0 : batch.mutations.size());
     for (Deque<Mutation> queue : queues.values()) {
       count += queue.size();
     }
@@ -177,10 +185,21 @@
     sendBatch();
   }
 
+  /** A page was divided: what waited for that goes on, in the order in which it came. */
+  public void releaseHeld() {
+    List<Mutation> released = new ArrayList<>(held);
+    held.clear();
+    requeue(released);
+    if (state == State.IDLE) {
+      moveTo(State.WAITING);
+      time.after(Duration.ofMillis(1), this::next);
+    }
+  }
+
   private Integer leastWaiting() {
     for (Deque<Mutation> queue : queues.values()) {
       if (!queue.isEmpty()) {
-        return cost(queue.peekFirst(), Map.of());
+        return cost(queue.peekFirst(), Collections.emptyMap());
       }
     }
     return null;
@@ -190,7 +209,7 @@
   private static int cost(Mutation mutation, Map<JobPages.Page, List<JobPages.Edit>> pages) {
     long more =
         mutation.edits().stream()
-            .map(e -> e.page)
+            .map(JobPages.Edit::page)
             .filter(page -> !pages.containsKey(page))
             .distinct()
             .count();
@@ -212,6 +231,11 @@
           queue.pollFirst();
           continue;
         }
+        if (mutation.edits().stream().anyMatch(JobPages.Edit::mustWait)) {
+          // Whoever divides the page has it tried again; what does not touch the page need not wait.
+          held.addLast(queue.pollFirst());
+          continue;
+        }
         int wants = cost(mutation, made.pages);
         boolean repeats = mutation.writes().stream().anyMatch(w -> keys.contains(w.key()));
         if (wants > left || repeats || wants + mutation.absent().size() > conditions) {
@@ -226,7 +250,7 @@
           size += value == null ? 0 : Json.bytes(value).length;
         }
         for (JobPages.Edit edit : mutation.edits()) {
-          size += made.pages.containsKey(edit.page) ? 0 : edit.page.bytes();
+          size += made.pages.containsKey(edit.page()) ? 0 : edit.page().bytes();
         }
         if (!made.mutations.isEmpty() && bytes + size > MAX_BYTES) {
           return finish(made, transaction);
@@ -239,7 +263,7 @@
         made.values.putAll(values);
         for (JobPages.Edit edit : mutation.edits()) {
           edit.fix();
-          made.pages.computeIfAbsent(edit.page, p -> new ArrayList<>()).add(edit);
+          made.pages.computeIfAbsent(edit.page(), p -> new ArrayList<>()).add(edit);
         }
         for (String key : mutation.absent()) {
           transaction.require(key, 0);
@@ -309,6 +333,16 @@
     } catch (MalformedException e) {
       log.warn("the store answered {}", reply);
     }
+    if (reply.is(400) && exceedsLimits()) {
+      // A value as an earlier leader left it: the announced limits are in force by now.
+      log.warn("the store refused a transaction that exceeds the announced limits");
+      requeue(batch.mutations);
+      batch = null;
+      moveTo(State.WAITING);
+      listener.onLimitsLowered();
+      store.retry(retry, this::next);
+      return;
+    }
     if (reply.is(400)) {
       fenced("the store refused a transaction as malformed: " + reply);
       return;
@@ -326,6 +360,15 @@
     store.retry(retry, this::next);
   }
 
+  /** Whether the transaction under way holds more than the announced limits allow. */
+  private boolean exceedsLimits() {
+    return !batch.ambiguous
+        && batch.values.values().stream()
+            .anyMatch(
+                value ->
+                    value != null && Json.bytes(value).length > store.limits().valueBytes());
+  }
+
   private void requeue(List<Mutation> mutations) {
     for (int i = mutations.size() - 1; i >= 0; i--) {
       Mutation mutation = mutations.get(i);
@@ -365,7 +408,7 @@
     for (Mutation mutation : over.mutations) {
       boolean changed =
           mutation.writes().stream().anyMatch(w -> failed.contains(w.key()))
-              || mutation.edits().stream().anyMatch(e -> failed.contains(e.page.key));
+              || mutation.edits().stream().anyMatch(e -> failed.contains(e.page().key));
       if (changed) {
         String reason = "a record changed under its owner: " + failed;
         if (onlyByLoss(failed)) {
--- a/src/main/java/io/pineladder/store/JobIndex.java
+++ b/src/main/java/io/pineladder/store/JobIndex.java
@@ -39,7 +39,7 @@
 
   private final StoreClient store;
   private final Timeline time;
-  private final Map<String, Map<String, Job.State>> pages = new HashMap<>();
+  private final Map<String, Map<String, Found>> pages = new HashMap<>();
   private State state = State.EMPTY;
   private long revision;
   private Instant usedAt;
@@ -71,10 +71,13 @@
     }
   }
 
-  /** The job's state as last read, or null when no page holds it. */
-  public Job.State find(String id) {
-    for (Map<String, Job.State> page : pages.values()) {
-      Job.State found = page.get(id);
+  /** A job in a page, with the jobs that it needs. */
+  public record Found(Job.State state, List<String> prerequisites) {}
+
+  /** The job as last read, or null when no page holds it. */
+  public Found find(String id) {
+    for (Map<String, Found> page : pages.values()) {
+      Found found = page.get(id);
       if (found != null) {
         return found;
       }
@@ -117,7 +120,14 @@
               return;
             }
             revision = listing.revision();
-            finish(take(listing.entries()) ? State.KNOWN : State.EMPTY, asked);
+            if (!take(listing.entries())) {
+              finish(State.EMPTY, asked);
+              return;
+            }
+            // A job may have moved between pages while they were read one after another.
+            moveTo(State.KNOWN);
+            next.addAll(0, asked);
+            read();
           });
       return;
     }
@@ -170,11 +180,11 @@
   private boolean take(List<StoreWire.Entry> entries) {
     try {
       for (StoreWire.Entry entry : entries) {
-        Map<String, Job.State> jobs = new HashMap<>();
+        Map<String, Found> jobs = new HashMap<>();
         if (entry.value() != null) {
           for (JsonNode record : RecordWire.entries(entry.value())) {
             RecordWire.StoredJob job = RecordWire.parseJob(record);
-            jobs.put(job.spec().id(), job.state());
+            jobs.put(job.spec().id(), new Found(job.state(), job.spec().prerequisites()));
           }
         }
         pages.put(entry.key(), jobs);
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -7,11 +7,13 @@
 import io.pineladder.wire.RecordWire;
 import java.time.Instant;
 import java.util.ArrayDeque;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import java.util.function.Supplier;
 
 /**
@@ -25,6 +27,11 @@
  *
  * <p>The notice that a job is over takes its record's place in the page, in that same transaction,
  * and so costs no change of its own. It stays until all subscribers are known to have it.
+ *
+ * <p>A page that an earlier leader left larger than a value may be now cannot be stored with fewer jobs as long as
+ * the rest is still too large. {@link #divide} copies its jobs to other pages in bounded steps and removes it
+ * in the last one. Until then the page counts and the copies, which name it, do not; so each step is safe
+ * when it is the last, and what changes the page waits.
  */
 final class JobPages {
   /** What a record may still grow by: a final state, a verdict. */
@@ -46,6 +53,15 @@
     /** What is in it takes, that included which is still on its way there. */
     private int bytes;
 
+    /** The jobs in it that are not over, by id. */
+    private final Map<String, Job> jobs = new LinkedHashMap<>();
+
+    /** An earlier leader left it larger than a value may be. */
+    private boolean inheritedTooLarge;
+
+    /** It is being divided: no transaction may change it but the one that removes it. */
+    private boolean dividing;
+
     private Page(String key) {
       this.key = key;
     }
@@ -75,6 +91,8 @@
     ADD,
     REPLACE,
     REMOVE,
+    /** A record of a page that is being divided is copied, with the name of that page. */
+    COPY,
     /** Its notice is added. */
     NOTE,
     /** Nothing changes: the page is stored anew. */
@@ -83,8 +101,17 @@
 
   /** A change of one job's record, made in the same transaction as a mutation's other writes. */
   final class Edit {
-    final Page page;
+    /** Where the change is made; null for the job's page at the time. */
+    private final Page fixed;
+
     private final Kind kind;
+
+    /** Whose record it is; null for a change of none. */
+    private final Job job;
+
+    /** The page that a copy is made of. */
+    private Page source;
+
     private final String id;
     private final Supplier<JsonNode> value;
 
@@ -99,17 +126,36 @@
 
     private int room;
 
-    private Edit(Page page, Kind kind, String id, Supplier<JsonNode> value) {
-      this.page = page;
+    private Edit(Page fixed, Kind kind, Job job, Supplier<JsonNode> value) {
+      this.fixed = fixed;
       this.kind = kind;
-      this.id = id;
+      this.job = job;
+      this.id = job == null ? "" : job.spec.id();
       this.value = value;
     }
 
+    /** The page that it changes, as things stand: a job's record moves when its page is divided. */
+    Page page() {
+      return fixed != null ? fixed : homes.get(job);
+    }
+
+    /** Whether it has to wait until its page is divided. */
+    boolean mustWait() {
+      Page page = page();
+      if (page == null || page.dividing || !page.inheritedTooLarge) {
+        return page != null && page.dividing;
+      }
+      int leaves = kind == Kind.REMOVE ? sizes.get(job) : 0;
+      return page.bytes - leaves > capacity;
+    }
+
     /** Asks for the record as it is now; called once for each transaction it is put into. */
     void fix() {
       if (kind == Kind.NOTE) {
         notice = book.next(over);
+      } else if (kind == Kind.COPY) {
+        JsonNode record = source.entries.get(id);
+        rendered = record == null ? null : RecordWire.copied(record, source.key);
       } else if (kind != Kind.REMOVE && kind != Kind.TOUCH) {
         rendered = value.get();
       }
@@ -120,6 +166,11 @@
         case ADD -> records.put(id, rendered);
         case REPLACE -> records.computeIfPresent(id, (same, old) -> rendered);
         case REMOVE -> records.remove(id);
+        case COPY -> {
+          if (rendered != null) {
+            records.put(id, rendered);
+          }
+        }
         case TOUCH -> {}
         case NOTE -> {
           if (notice != null) {
@@ -134,6 +185,7 @@
         return;
       }
       notes.remove(over);
+      Page page = fixed;
       if (notice == null) {
         page.bytes -= room;
       } else {
@@ -153,6 +205,9 @@
   /** Notices that wait to be stored. */
   private final Map<Job, Edit> notes = new HashMap<>();
 
+  /** Pages that hold copies which do not count, by the page that was to be divided. */
+  private final Map<String, List<Page>> unfinished = new HashMap<>();
+
   private Page open;
   private long pages;
 
@@ -217,6 +272,7 @@
     page.bytes += size;
     homes.put(job, page);
     sizes.put(job, size);
+    page.jobs.put(job.spec.id(), job);
   }
 
   /** A new job's record, in a page that has room for it. */
@@ -225,7 +281,7 @@
     int size = size(record);
     Page page = open(size);
     settle(page, job, record);
-    return new Edit(page, Kind.ADD, job.spec.id(), value);
+    return new Edit(page, Kind.ADD, job, value);
   }
 
   private Page open(int size) {
@@ -244,7 +300,7 @@
   Edit note(Job job, boolean leaves) {
     Edit before = notes.remove(job);
     if (before != null) {
-      before.page.bytes -= before.room;
+      before.fixed.bytes -= before.room;
     }
     // Numbers are given when a transaction is put together; none is longer than this one.
     int room =
@@ -258,10 +314,11 @@
                 job.spec.tasks(),
                 LATEST));
     Page home = homes.get(job);
-    Page page =
-        home != null && (leaves || home.bytes + room <= capacity) ? home : open(room);
+    // What leaves a page makes room for its notice there, unless the page is too large all the same.
+    boolean fits = home != null && (leaves ? !home.inheritedTooLarge : home.bytes + room <= capacity);
+    Page page = fits ? home : open(room);
     page.bytes += room;
-    Edit edit = new Edit(page, Kind.NOTE, job.spec.id(), null);
+    Edit edit = new Edit(page, Kind.NOTE, job, null);
     edit.over = job;
     edit.room = room;
     notes.put(job, edit);
@@ -282,16 +339,16 @@
   }
 
   Edit replace(Job job, Supplier<JsonNode> value) {
-    return new Edit(homes.get(job), Kind.REPLACE, job.spec.id(), value);
+    return new Edit(null, Kind.REPLACE, job, value);
   }
 
   Edit remove(Job job) {
-    return new Edit(homes.get(job), Kind.REMOVE, job.spec.id(), null);
+    return new Edit(null, Kind.REMOVE, job, null);
   }
 
   /** The page is stored anew as it should be. */
   Edit touch(String key) {
-    return new Edit(known(key), Kind.TOUCH, "", null);
+    return new Edit(known(key), Kind.TOUCH, null, null);
   }
 
   /** The job's record is not there, or no more. */
@@ -299,6 +356,105 @@
     Page page = homes.remove(job);
     if (page != null) {
       page.bytes -= sizes.remove(job);
+      page.jobs.remove(job.spec.id(), job);
+    }
+  }
+
+  // ---- pages that are larger than a value may be
+
+  /** Takes in a copy read at the start of a term whose page was not removed: it does not count. */
+  void knownCopy(String key, String source) {
+    unfinished.computeIfAbsent(source, s -> new ArrayList<>(2)).add(known(key));
+    reserveNumber(source);
+  }
+
+  /** No new page may have the name of one that was divided, or copies of it would seem unfinished. */
+  void reserveNumber(String source) {
+    pages = Math.max(pages, Keys.number(source, Keys.ACCEPTED) + 1);
+  }
+
+  /** From here on a page that is too large is not stored again, but divided. */
+  void shrink() {
+    ring.forEach(page -> page.inheritedTooLarge = page.bytes > capacity);
+  }
+
+  /**
+   * A page that has to be divided and can be, or null: one that is too large, holds no notice and no record
+   * that takes more than a value by itself.
+   */
+  Page tooLarge() {
+    for (Page page : ring) {
+      boolean large = page.inheritedTooLarge && page.bytes > capacity;
+      boolean free = page.notices.isEmpty() && !page.dividing;
+      if (large && free && page.jobs.values().stream().allMatch(job -> sizes.get(job) <= capacity)) {
+        return page;
+      }
+    }
+    return null;
+  }
+
+  /** Where a record of a page that is being divided goes, and the room kept for it there. */
+  private record Target(Page page, int size) {}
+
+  /**
+   * Divides a page: from here on nothing else may change it.
+   *
+   * @param mostEdits jobs copied by one mutation at the most
+   * @param commit takes the mutations, which have to be carried out in their order
+   * @param onDivided called when the page is gone; what waited may go on
+   */
+  void divide(Page page, int mostEdits, Consumer<Mutation> commit, Runnable onDivided) {
+    page.dividing = true;
+    Map<Job, Target> targets = new LinkedHashMap<>();
+    Map<Page, List<Edit>> copies = new LinkedHashMap<>();
+    // Earlier copies of it would count as soon as it is gone.
+    for (Page stale : unfinished.getOrDefault(page.key, List.of())) {
+      copies.computeIfAbsent(stale, s -> new ArrayList<>()).add(new Edit(stale, Kind.TOUCH, null, null));
+    }
+    for (Job job : page.jobs.values()) {
+      int size = sizes.get(job);
+      Page target = open(size);
+      target.bytes += size;
+      targets.put(job, new Target(target, size));
+      Edit copy = new Edit(target, Kind.COPY, job, null);
+      copy.source = page;
+      copies.computeIfAbsent(target, t -> new ArrayList<>()).add(copy);
     }
+    for (List<Edit> edits : copies.values()) {
+      for (int from = 0; from < edits.size(); from += mostEdits) {
+        List<Edit> part = edits.subList(from, Math.min(edits.size(), from + mostEdits));
+        commit.accept(
+            Mutation.editing(
+                Mutation.Priority.END, List.of(), List.copyOf(part), List.of(), () -> {}, null));
+      }
+    }
+    commit.accept(
+        Mutation.of(
+            Mutation.Priority.END,
+            List.of(new Mutation.Write(page.key, () -> null)),
+            () -> {
+              divided(page, targets);
+              onDivided.run();
+            }));
+  }
+
+  /** The page is gone: the copies of its records count from here on. */
+  private void divided(Page page, Map<Job, Target> targets) {
+    unfinished.remove(page.key);
+    ring.remove(page);
+    targets.forEach(
+        (job, planned) -> {
+          String id = job.spec.id();
+          Page target = planned.page;
+          JsonNode copy = target.entries.get(id);
+          if (homes.get(job) == page && copy != null) {
+            target.entries.put(id, RecordWire.withoutSource(copy));
+            target.jobs.put(id, job);
+            homes.put(job, target);
+          } else {
+            // It was over before the first copy was made.
+            target.bytes -= planned.size;
+          }
+        });
   }
 }
--- a/src/main/java/io/pineladder/store/Keys.java
+++ b/src/main/java/io/pineladder/store/Keys.java
@@ -48,6 +48,9 @@
   public static final String TYPES = "conf/types";
   public static final String OPERATOR = "conf/operator";
 
+  /** Which version of the records is in force in the whole cluster; absent in the oldest. */
+  public static final String VERSION = "conf/version";
+
   /** Who is to be told of final states; a value each. */
   public static final String SUBSCRIPTION = "conf/subscription/";
 
--- a/src/main/java/io/pineladder/store/Pages.java
+++ b/src/main/java/io/pineladder/store/Pages.java
@@ -24,6 +24,9 @@
  * tasks. An entry that is new or has changed goes to whichever page is written next; older copies
  * of it stay in their pages until those are written for other entries. So readers must not mind an
  * old copy: what is packed here is either immutable or only ever grows.
+ *
+ * <p>A page that an earlier leader left larger than a value may be now is not stored again as long as what is
+ * live in it is still too large: its entries are stored in other pages first.
  */
 final class Pages<T> {
   /** Small pages cost little to write again for a few entries; many go into one transaction. */
@@ -44,6 +47,9 @@
 
     boolean queued;
 
+    /** It is too large: its entries are being stored elsewhere. */
+    boolean emptying;
+
     Page(String key) {
       this.key = key;
     }
@@ -149,14 +155,41 @@
         touched.add(page);
       }
     }
-    touched.forEach(page -> queue(page, Priority.TIDY));
+    touched.forEach(this::storeAgain);
   }
 
   /** Writes the page again as it should be. */
   void rewrite(String key) {
     Page<T> page = knownPage(key);
     if (!page.queued) {
+      storeAgain(page);
+    }
+  }
+
+  private void storeAgain(Page<T> page) {
+    if (prune(page) <= capacity) {
       queue(page, Priority.TIDY);
+    } else {
+      empty(page);
+    }
+  }
+
+  /** Has one page that is too large stored as pages that are not; false when there is none. */
+  boolean emptyTooLarge() {
+    for (Page<T> page : ring) {
+      if (!page.queued && !page.emptying && prune(page) > capacity) {
+        empty(page);
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Has what is live in the page stored elsewhere, after which it can be stored again. */
+  private void empty(Page<T> page) {
+    if (!page.emptying) {
+      page.emptying = true;
+      List.copyOf(page.entries.keySet()).forEach(this::due);
     }
   }
 
@@ -220,6 +253,7 @@
     if (page == next) {
       next = null;
     }
+    page.emptying = false;
     int bytes = prune(page);
     var left = waiting.iterator();
     while (left.hasNext()) {
@@ -232,6 +266,10 @@
       Packed before = page.entries.get(entry);
       int more = packed.bytes - (before == null ? 0 : before.bytes);
       if (bytes + more > capacity) {
+        if (packed.bytes > capacity) {
+          // Of completions, a pattern that no value holds: it becomes shorter as its gaps close.
+          continue;
+        }
         break;
       }
       left.remove();
@@ -257,9 +295,13 @@
     Set<T> added = page.adding;
     page.adding = new LinkedHashSet<>();
     for (T entry : added) {
-      homes.put(entry, page);
+      Page<T> before = homes.put(entry, page);
       adding.remove(entry, page);
       onStored.accept(entry);
+      if (before != null && before.emptying && prune(before) <= capacity) {
+        before.emptying = false;
+        queue(before, Priority.TIDY);
+      }
     }
   }
 }
--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -10,6 +10,7 @@
 import io.pineladder.net.Timeline;
 import io.pineladder.store.Mutation.Priority;
 import io.pineladder.store.Mutation.Write;
+import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.time.Instant;
@@ -22,7 +23,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
  * Keeps the durable records in step with the leader's memory. Jobs, placements, completions and
@@ -30,6 +34,8 @@
  * a leader has a record of its own.
  */
 public final class Records {
+  private static final Logger log = LoggerFactory.getLogger(Records.class);
+
   /** The longest range of completions in JSON, with its commas. */
   private static final int RANGE_BYTES = 16;
 
@@ -42,6 +48,18 @@
   private static final Duration DONE_PACE = Duration.ofMillis(300);
   private static final Duration IMAGES_PACE = Duration.ofSeconds(2);
 
+  /** Jobs copied in one change of a page at the most. */
+  private static final int MOST_COPIES = 64;
+
+  /** Between two looks for pages that are too large. */
+  private static final Duration SHRINK_PACE = Duration.ofSeconds(5);
+
+  /** Between two pages of jobs: their changes yield to those that users wait for. */
+  private static final Duration DIVIDE_PACE = Duration.ofMillis(200);
+
+  /** Between two pages of placements, completions or images. */
+  private static final Duration EMPTY_PACE = Duration.ofSeconds(3);
+
   /** What follows when records are stored. */
   public interface Listener {
     void onPlacementStored(Attempt attempt);
@@ -59,6 +77,7 @@
     void onStoredTwice(Job job, Runnable again);
   }
 
+  private final Timeline time;
   private final Consumer<Mutation> commit;
   private final Listener listener;
   private final NoticeBook book;
@@ -68,12 +87,27 @@
   /** Jobs in a page that have a record of their own as well. */
   private final Set<Job> twice = new HashSet<>();
 
+  private final ClusterVersion version;
+
+  /** Tasks of a chunk in entries that do not tell it. */
+  private final int unversionedChunkTasks;
+
   private final int chunkTasks;
+
+  /** How completions are divided into chunks, by job: all entries of a job are divided alike. */
+  private final Map<Job, Chunking> chunkings = new HashMap<>();
+
   private final Pages<Attempt> placements;
   private final Pages<Chunk> completions;
   private final Pages<Machine> images;
   private final Map<Job, Map<Integer, Chunk>> chunks = new HashMap<>();
 
+  /** Pages that are too large are being stored anew. */
+  private boolean shrinking;
+
+  /** How many tasks a chunk of a job has, and whether its entries tell it. */
+  private record Chunking(int tasks, boolean told) {}
+
   /** So many tasks of a job that their completions fit into one entry, whatever their pattern. */
   private static final class Chunk {
     final Job job;
@@ -87,13 +121,25 @@
     }
   }
 
+  /**
+   * The records of one term.
+   *
+   * @param valueBytes the most bytes of a value that is written
+   * @param unversionedValueBytes the limit by which software without a cluster version divided completions
+   * @param version the cluster version, which says what may be written
+   */
   public Records(
       int valueBytes,
+      int unversionedValueBytes,
+      ClusterVersion version,
       Timeline time,
       Consumer<Mutation> commit,
       Listener listener,
       NoticeBook book) {
     this.book = book;
+    this.time = time;
+    this.version = version;
+    this.unversionedChunkTasks = chunkTasks(unversionedValueBytes);
     this.commit = commit;
     this.listener = listener;
     this.valueBytes = valueBytes;
@@ -194,13 +240,22 @@
 
   /** A task of the job is complete, as {@code attempt} reported. */
   public void taskDone(Job job, Attempt attempt) {
-    Chunk chunk = chunk(job, attempt.task / chunkTasks);
+    Chunk chunk = chunk(job, attempt.task / chunkingOf(job).tasks);
     chunk.waiting.add(attempt);
     if (!job.ending) {
       completions.due(chunk);
     }
   }
 
+  private Chunking chunkingOf(Job job) {
+    return chunkings.computeIfAbsent(
+        job,
+        j ->
+            version.inForce() >= ClusterVersion.CHAINED_JOBS
+                ? new Chunking(chunkTasks, true)
+                : new Chunking(unversionedChunkTasks, false));
+  }
+
   private Chunk chunk(Job job, int number) {
     return chunks
         .computeIfAbsent(job, j -> new HashMap<>())
@@ -214,8 +269,11 @@
       done = (BitSet) done.clone();
       done.andNot(chunk.job.unproven);
     }
-    return RecordWire.done(
-        chunk.job.spec.id(), done, chunk.number, chunkTasks);
+    Chunking chunking = chunkingOf(chunk.job);
+    String id = chunk.job.spec.id();
+    return chunking.told
+        ? RecordWire.sizedDone(id, done, chunk.number, chunking.tasks)
+        : RecordWire.done(id, done, chunk.number, chunking.tasks);
   }
 
   private void completionsStored(Chunk chunk) {
@@ -230,9 +288,22 @@
 
   /**
    * An entry read at the start of a term, once the job holds the completions of all entries. Of a
-   * chunk's copies the newest holds everything, and only that one must not be lost.
+   * chunk's copies the newest holds everything, and only that one must not be lost. Entries that are
+   * divided otherwise than the job's first one are stored anew as that one is.
    */
   public void knownDone(String page, Job job, RecordWire.StoredDone entry) {
+    Chunking stored =
+        entry.chunkTasks() == 0
+            ? new Chunking(unversionedChunkTasks, false)
+            : new Chunking(entry.chunkTasks(), true);
+    Chunking chunking = chunkings.computeIfAbsent(job, j -> stored);
+    if (!chunking.equals(stored)) {
+      int last = job.spec.tasks() / chunking.tasks;
+      for (int number = 0; number <= last; number++) {
+        completions.due(chunk(job, number));
+      }
+      return;
+    }
     Chunk chunk = chunk(job, entry.chunk());
     JsonNode all = encode(chunk);
     if (entry.json().equals(all)) {
@@ -255,6 +326,54 @@
     }
   }
 
+  // ---- values that are larger than they may be now
+
+  /**
+   * Stores what earlier leaders left too large as values that are not, a page at a time. Pages of jobs are
+   * divided only once no software of before reads them, which would take up a copied job twice.
+   *
+   * @param wanted whether the term goes on
+   * @param onDivided called when a page of jobs is divided: what waited for it may go on
+   */
+  public void shrinkPages(BooleanSupplier wanted, Runnable onDivided) {
+    if (shrinking) {
+      return;
+    }
+    shrinking = true;
+    jobs.shrink();
+    dividePages(wanted, onDivided);
+    emptyPages(wanted);
+  }
+
+  private void dividePages(BooleanSupplier wanted, Runnable onDivided) {
+    if (!wanted.getAsBoolean()) {
+      return;
+    }
+    JobPages.Page page = jobs.tooLarge();
+    if (page == null) {
+      time.after(SHRINK_PACE, () -> dividePages(wanted, onDivided));
+      return;
+    }
+    log.info("{} is divided, since it is larger than a value may be", page.key);
+    jobs.divide(
+        page,
+        MOST_COPIES,
+        commit,
+        () -> {
+          onDivided.run();
+          time.after(DIVIDE_PACE, () -> dividePages(wanted, onDivided));
+        });
+  }
+
+  private void emptyPages(BooleanSupplier wanted) {
+    if (wanted.getAsBoolean()) {
+      // One of any kind at a time: what the store takes in a second is needed for service.
+      boolean any =
+          placements.emptyTooLarge() || completions.emptyTooLarge() || images.emptyTooLarge();
+      time.after(any ? EMPTY_PACE : SHRINK_PACE, () -> emptyPages(wanted));
+    }
+  }
+
   // ---- jobs
 
   private static JsonNode jobValue(Job job) {
@@ -296,6 +415,19 @@
     jobs.known(jobs.known(page), job, record);
   }
 
+  /**
+   * A copy of a job's record, read at the start of a term, that does not count: the page which it was made of
+   * is there.
+   */
+  public void knownCopy(String page, String source) {
+    jobs.knownCopy(page, source);
+  }
+
+  /** A copy of a job's record that counts, since the page that it was made of is gone. */
+  public void knownDivided(String source) {
+    jobs.reserveNumber(source);
+  }
+
   /** A notice in a page read at the start of a term. */
   public void knownNotice(String page, Notice notice) {
     jobs.known(jobs.known(page), notice);
@@ -345,7 +477,7 @@
     if (jobs.homeOf(job) == null) {
       commit.accept(
           Mutation.editing(
-              Priority.END, List.of(ownRecord(job)), note(job, false), List.of(), onStored, null));
+              endPriority(job), List.of(ownRecord(job)), note(job, false), List.of(), onStored, null));
     } else {
       // The final state has its own key at once: nodes without a leader look for it there.
       endPaged(
@@ -371,7 +503,7 @@
     if (jobs.homeOf(job) == null) {
       commit.accept(
           Mutation.editing(
-              Priority.END,
+              endPriority(job),
               List.of(finalState(job), noOwnRecord(job)),
               note(job, true),
               List.of(),
@@ -409,7 +541,7 @@
     boolean copy = twice.contains(job);
     commit.accept(
         Mutation.editing(
-            Priority.END,
+            endPriority(job),
             copy ? List.of(finalState(job), noOwnRecord(job)) : List.of(finalState(job)),
             edits.get(),
             copy ? List.of() : List.of(Keys.JOB + job.spec.id()),
@@ -420,6 +552,11 @@
             () -> listener.onStoredTwice(job, () -> endPaged(job, edits, onStored))));
   }
 
+  /** A final state that follows from another one is known without its record, which can wait. */
+  private static Priority endPriority(Job job) {
+    return job.cancellationDerived ? Priority.TIDY : Priority.END;
+  }
+
   private static Write finalState(Job job) {
     return new Write(Keys.END + job.spec.id(), () -> RecordWire.end(job.state()));
   }
@@ -431,6 +568,7 @@
   private void endStored(Job job) {
     boolean first = !job.endStored;
     job.endStored = true;
+    chunkings.remove(job);
     Map<Integer, Chunk> of = chunks.remove(job);
     if (of != null) {
       of.values().forEach(chunk -> chunk.waiting.forEach(a -> a.forgettable = true));
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -55,6 +55,8 @@
   private final Deque<Waiting> waiting = new ArrayDeque<>();
   private boolean pumpSet;
   private final RetryBudget retries;
+  private long sent;
+  private long refusedForRate;
   private Instant answeredAt;
   private boolean healthy;
   private Generation generation = Generation.FIRST;
@@ -172,8 +174,20 @@
     return answeredAt;
   }
 
+  /** Requests sent so far. */
+  public long sent() {
+    return sent;
+  }
+
+  /** Requests that were refused because too many were sent. */
+  public long refusedForRate() {
+    return refusedForRate;
+  }
+
   private Consumer<Reply> observed(Consumer<Reply> onReply) {
+    sent++;
     return reply -> {
+      refusedForRate += reply.is(429) ? 1 : 0;
       boolean executed = reply.isAnswered() && reply.status() < 429;
       if (executed) {
         answeredAt = time.now();
--- a/src/main/java/io/pineladder/wire/BeatWire.java
+++ b/src/main/java/io/pineladder/wire/BeatWire.java
@@ -1,5 +1,6 @@
 package io.pineladder.wire;
 
+import io.pineladder.upgrade.ClusterVersion;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.LinkedHashMap;
@@ -57,6 +58,7 @@
    * @param term the term that it leads in with a valid lease; 0 when it does not lead
    * @param heard what it has of each of its peers, by name
    * @param stored what it knows of the records
+   * @param version the newest cluster version that its software supports
    */
   public record Beat(
       String member,
@@ -65,7 +67,8 @@
       boolean storeOk,
       long term,
       Map<String, Heard> heard,
-      Stored stored) {}
+      Stored stored,
+      int version) {}
 
   public static byte[] write(Beat beat) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
@@ -90,6 +93,8 @@
       out.packBoolean(stored.complete());
       out.packLong(stored.token());
       out.packBoolean(stored.lost());
+      // Readers of before stop here and ignore what follows.
+      out.packInt(beat.version());
       return out.toByteArray();
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -132,7 +137,8 @@
                   in.unpackLong(),
                   in.unpackBoolean())
               : Stored.NOTHING;
-      return new Beat(member, nonce, sequence, storeOk, term, heard, stored);
+      int version = in.hasNext() ? in.unpackInt() : ClusterVersion.UNVERSIONED;
+      return new Beat(member, nonce, sequence, storeOk, term, heard, stored, version);
     } catch (IOException | RuntimeException e) {
       throw new MalformedException("not a beat");
     }
--- a/src/main/java/io/pineladder/wire/JobWire.java
+++ b/src/main/java/io/pineladder/wire/JobWire.java
@@ -18,6 +18,7 @@
 
   private static final int MAX_TASKS = 100_000;
   private static final int MAX_NAME = 200;
+  private static final String PREREQUISITES = "waits_on";
   private static final double MAX_AMOUNT = 1e6;
   private static final Pattern ID = Pattern.compile("req-[0-9]{1,120}");
   private static final Map<String, Shape> SHAPES =
@@ -70,7 +71,22 @@
         in.seconds("guess_s"),
         in.seconds("mark_every_s"),
         in.seconds("stow_s"),
-        in.secondsOrNull("due_s"));
+        in.secondsOrNull("due_s"),
+        prerequisites(in));
+  }
+
+  /** The jobs that this one waits for, each once; none where the field is null or absent. */
+  private static List<String> prerequisites(Fields in) throws MalformedException {
+    List<String> ids = in.textsOrNull(PREREQUISITES);
+    if (ids == null) {
+      return List.of();
+    }
+    for (String id : ids) {
+      if (!isId(id)) {
+        throw new MalformedException(PREREQUISITES + " holds something that is not a job id");
+      }
+    }
+    return ids.stream().distinct().toList();
   }
 
   private static String name(Fields in, String field) throws MalformedException {
@@ -119,6 +135,10 @@
     if (spec.deadline() != null) {
       out.put("due_s", seconds(spec.deadline()));
     }
+    if (!spec.prerequisites().isEmpty()) {
+      ArrayNode prerequisites = out.putArray(PREREQUISITES);
+      spec.prerequisites().forEach(prerequisites::add);
+    }
     return out;
   }
 
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -25,6 +25,9 @@
 public final class RecordWire {
   private static final long ANY = Long.MAX_VALUE;
 
+  /** Names the page that counts instead of this copy of a record, as long as it is there. */
+  private static final String COPIED_FROM = "copied_from";
+
   private RecordWire() {}
 
   /** A stored job; its completions are kept apart. */
@@ -42,8 +45,12 @@
       int task,
       long attempt) {}
 
-  /** Completions of one chunk of a job's tasks, as they were when it was stored. */
-  public record StoredDone(String job, int chunk, BitSet done, JsonNode json) {}
+  /**
+   * Completions of one chunk of a job's tasks, as they were when it was stored.
+   *
+   * @param chunkTasks how many tasks a chunk of the job has; 0 where the entry does not tell
+   */
+  public record StoredDone(String job, int chunk, BitSet done, int chunkTasks, JsonNode json) {}
 
   /** Images that a machine had cached, with their sizes. */
   public record StoredImages(String machine, Map<String, Double> images) {}
@@ -86,6 +93,21 @@
         value.path("at_fault").asBoolean(false));
   }
 
+  /** A job's record as it is copied while the page that it stands in is divided. */
+  public static JsonNode copied(JsonNode record, String page) {
+    return ((ObjectNode) record).deepCopy().put(COPIED_FROM, page);
+  }
+
+  /** A job's record without the name of the page that it was copied from. */
+  public static JsonNode withoutSource(JsonNode record) {
+    return record.has(COPIED_FROM) ? ((ObjectNode) record).deepCopy().without(COPIED_FROM) : record;
+  }
+
+  /** The page that a job's record was copied from; null for a record that was not copied. */
+  public static String source(JsonNode record) {
+    return record.path(COPIED_FROM).textValue();
+  }
+
   /** Completed tasks in {@code [from, from + count)} as inclusive ranges. */
   public static ArrayNode ranges(BitSet done, int from, int count) {
     ArrayNode out = Json.array();
@@ -207,11 +229,21 @@
     return Json.array().add(job).add(chunk).add(ranges(done, chunk * chunkTasks, chunkTasks));
   }
 
+  /** The same, telling how many tasks a chunk has; since cluster version 2. */
+  public static JsonNode sizedDone(String job, BitSet done, int chunk, int chunkTasks) {
+    return ((ArrayNode) done(job, done, chunk, chunkTasks)).add(chunkTasks);
+  }
+
   public static StoredDone parseDone(JsonNode entry) throws MalformedException {
-    sized(entry, 3);
+    boolean tellsSize = entry.isArray() && entry.size() == 4;
+    sized(entry, tellsSize ? 4 : 3);
     BitSet done = new BitSet();
     addRanges(entry.get(2), done);
-    return new StoredDone(entry.get(0).asText(), entry.get(1).asInt(), done, entry);
+    int chunkTasks = tellsSize ? entry.get(3).asInt() : 0;
+    if (tellsSize && chunkTasks < 1) {
+      throw new MalformedException("a chunk has no tasks");
+    }
+    return new StoredDone(entry.get(0).asText(), entry.get(1).asInt(), done, chunkTasks, entry);
   }
 
   public static JsonNode images(String machine, Map<String, Double> images) {
@@ -229,6 +261,16 @@
     return new StoredImages(entry.get(0).asText(), images);
   }
 
+  /** The record of the cluster version that is in force. */
+  public static ObjectNode version(int version) {
+    return Json.object().put("version", version);
+  }
+
+  /** The cluster version that such a record names. */
+  public static int parseVersion(JsonNode value) throws MalformedException {
+    return (int) Fields.of(value).whole("version", 1, Integer.MAX_VALUE);
+  }
+
   public static ObjectNode end(Job.State state) {
     return Json.object().put("state", word(state));
   }
--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -19,6 +19,9 @@
       Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:([1-9]\\d{0,4}|0)");
   private static final double MAX = 1e9;
 
+  /** The largest transaction that is not cut into steps changes so many keys (docs/upgrades.md). */
+  private static final int LEAST_TRANSACTION_OPS = 4;
+
   /** What a process is taken to be allowed where the platform does not say. */
   private static final int USUAL_SOCKETS = 1000;
 
@@ -100,6 +103,9 @@
               item.has("share") ? item.number("share", 0, 1) : 1,
               item.has("times") ? item.number("times", 0, MAX) : 1));
     }
+    Settings.StoreLimits inForce = limits(state, null);
+    Settings.StoreLimits toCome =
+        state.has("next") ? limits(state.table("next"), inForce) : inForce;
     return new Settings(
         member,
         zone,
@@ -117,11 +123,8 @@
             workers.seconds("gang_wait_s", 0.01),
             workers.seconds("gang_peer_s", 0.01),
             workers.seconds("cancel_s", 0.01)),
-        new Settings.StoreLimits(
-            state.number("rps", 1, MAX),
-            state.number("write_rps", 1, MAX),
-            (int) (state.number("value_kb", 1, 1e5) * 1024),
-            (int) state.number("txn_ops", 3, MAX)),
+        inForce.within(toCome),
+        inForce,
         new Settings.CloudLimits(cloud.number("rps", 0.01, MAX), cloud.seconds("list_lag_s", 0)),
         deployment.has("resources")
             ? (int) deployment.table("resources").number("max_sockets", 64, MAX)
@@ -131,6 +134,26 @@
             : 1);
   }
 
+  /**
+   * The state service's limits.
+   *
+   * @param otherwise holds where the table names no limit; null where it has to name all of them
+   */
+  private static Settings.StoreLimits limits(Table table, Settings.StoreLimits otherwise) {
+    boolean all = otherwise == null;
+    return new Settings.StoreLimits(
+        all || table.has("rps") ? table.number("rps", 1, MAX) : otherwise.requestsPerSecond(),
+        all || table.has("write_rps")
+            ? table.number("write_rps", 1, MAX)
+            : otherwise.writesPerSecond(),
+        all || table.has("value_kb")
+            ? (int) (table.number("value_kb", 1, 1e5) * 1024)
+            : otherwise.valueBytes(),
+        all || table.has("txn_ops")
+            ? (int) table.number("txn_ops", LEAST_TRANSACTION_OPS, MAX)
+            : otherwise.transactionOps());
+  }
+
   /** One table of the file, with its place for messages. */
   private final class Table {
     private final String place;
--- /dev/null
+++ b/src/test/java/io/pineladder/scheduling/DependenciesTest.java
@@ -0,0 +1,219 @@
+package io.pineladder.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.pineladder.model.FinishTimes;
+import io.pineladder.model.Job;
+import io.pineladder.model.JobSpec;
+import io.pineladder.model.Rank;
+import io.pineladder.model.Resources;
+import io.pineladder.model.Shape;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import java.util.random.RandomGeneratorFactory;
+import org.junit.jupiter.api.Test;
+
+/** The index of chains beside a model that works everything out from the history, in arbitrary orders. */
+class DependenciesTest {
+  private final Map<String, Job> memory = new LinkedHashMap<>();
+  private final Map<String, Job.State> stored = new HashMap<>();
+  private final Map<String, Job> all = new LinkedHashMap<>();
+  private final Set<Job> ready = new HashSet<>();
+  private final Set<Job> cancelled = new HashSet<>();
+  private final Instant now = Instant.EPOCH.plusSeconds(1_000);
+
+  private final Dependencies dependencies =
+      new Dependencies(
+          memory::get,
+          () -> now,
+          DependenciesTest::own,
+          new Dependencies.Listener() {
+            @Override
+            public void onReady(Job job) {
+              assertTrue(ready.add(job), "told once");
+            }
+
+            @Override
+            public void onCancelled(Job job) {
+              assertTrue(cancelled.add(job), "told once");
+            }
+
+            @Override
+            public void onUrgencyChanged(Job job) {}
+
+            @Override
+            public Job.State knownEnd(String id) {
+              return stored.get(id);
+            }
+
+            @Override
+            public void lookUp(String id) {}
+          });
+
+  private static FinishTimes own(Job job) {
+    Duration deadline = job.spec.deadline();
+    Instant end = deadline == null ? null : job.acceptedAt.plus(deadline);
+    return end == null ? null : new FinishTimes(end, end.plus(deadline));
+  }
+
+  private Job job(int number, Rank rank, Duration deadline, List<String> needs) {
+    JobSpec spec =
+        new JobSpec(
+            "req-" + number,
+            "work",
+            "red",
+            Shape.ARRAY,
+            rank,
+            1,
+            Resources.of(1, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            true,
+            "img",
+            1,
+            Duration.ofSeconds(5),
+            Duration.ZERO,
+            Duration.ZERO,
+            deadline,
+            needs);
+    return new Job(spec, now, Job.State.ACTIVE);
+  }
+
+  private Job add(int number, Rank rank, Duration deadline, String... needs) {
+    Job job = job(number, rank, deadline, List.of(needs));
+    memory.put(job.spec.id(), job);
+    all.put(job.spec.id(), job);
+    dependencies.add(job);
+    return job;
+  }
+
+  /** The job's final state is stored, and it leaves the memory. */
+  private void end(Job job, Job.State state) {
+    job.moveTo(state);
+    if (state == Job.State.CANCELLED) {
+      dependencies.leave(job);
+      dependencies.endUnderWay(job);
+    }
+    job.endStored = true;
+    stored.put(job.spec.id(), state);
+    dependencies.ended(job);
+    memory.remove(job.spec.id());
+  }
+
+  // ---- the model
+
+  private boolean isCancelled(String id) {
+    return stored.get(id) == Job.State.CANCELLED
+        || all.get(id).spec.prerequisites().stream().anyMatch(this::isCancelled);
+  }
+
+  private boolean mayStart(Job job) {
+    return job.spec.prerequisites().stream().allMatch(id -> stored.get(id) == Job.State.DONE);
+  }
+
+  private Rank rank(Job job) {
+    Rank highest = job.spec.rank();
+    for (Job other : memory.values()) {
+      if (other.isActive() && other.spec.prerequisites().contains(job.spec.id())) {
+        Rank of = rank(other);
+        highest = of.isAbove(highest) ? of : highest;
+      }
+    }
+    return highest;
+  }
+
+  private FinishTimes before(Job job) {
+    FinishTimes earliest = null;
+    for (Job other : memory.values()) {
+      if (other.isActive() && other.spec.prerequisites().contains(job.spec.id())) {
+        FinishTimes of = FinishTimes.earlier(before(other), own(other));
+        Duration expected = other.spec.estimate().plus(ClassTimes.UNKNOWN);
+        earliest = FinishTimes.earlier(earliest, of == null ? null : of.minus(expected));
+      }
+    }
+    return earliest;
+  }
+
+  private void compare() {
+    for (Job job : all.values()) {
+      String id = job.spec.id();
+      boolean byOthers = !stored.containsKey(id) && isCancelled(id);
+      assertEquals(byOthers, job.cancellationDerived && !stored.containsKey(id), id);
+      if (job.isActive() && !byOthers) {
+        assertEquals(!mayStart(job), job.waitsForOthers, id);
+        assertEquals(rank(job), job.rank(), id);
+        assertEquals(before(job), job.finishTimes, id);
+      }
+    }
+  }
+
+  @Test
+  void theIndexSaysWhatTheHistorySays() {
+    for (int seed = 0; seed < 60; seed++) {
+      RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+      List.of(memory, stored, all).forEach(Map::clear);
+      ready.clear();
+      cancelled.clear();
+      for (int number = 0; number < 40; number++) {
+        List<String> needs = new ArrayList<>();
+        for (int i = random.nextInt(4); i > 0 && number > 0; i--) {
+          String id = "req-" + random.nextInt(number);
+          if (!needs.contains(id)) {
+            needs.add(id);
+          }
+        }
+        Rank rank = Rank.values()[random.nextInt(4)];
+        Duration deadline = random.nextInt(3) == 0 ? Duration.ofSeconds(200 + number) : null;
+        add(number, rank, deadline, needs.toArray(String[]::new));
+        compare();
+        for (Job job : List.copyOf(memory.values())) {
+          if (job.isActive() && random.nextInt(12) == 0) {
+            end(job, Job.State.CANCELLED);
+          } else if (job.isActive() && !job.waitsForOthers && random.nextInt(3) == 0) {
+            // A completion's time would be learned, which the model does not follow.
+            job.readyAt = now.minus(job.spec.estimate()).minus(ClassTimes.UNKNOWN);
+            end(job, Job.State.DONE);
+          }
+          compare();
+        }
+      }
+    }
+  }
+
+  @Test
+  void aLongChainIsFollowedWithoutRecursion() {
+    add(0, Rank.LOW, null);
+    for (int number = 1; number <= 5_000; number++) {
+      add(number, Rank.LOW, null, "req-" + (number - 1));
+    }
+    assertEquals(5_000, dependencies.waiting());
+    assertEquals(5_001, dependencies.longestChain());
+    Job last = add(5_001, Rank.HIGH, Duration.ofHours(100), "req-5000");
+    assertEquals(Rank.HIGH, all.get("req-0").rank());
+    assertEquals(
+        own(last).minus(Duration.ofSeconds(15 * 5_001)), all.get("req-0").finishTimes);
+    end(all.get("req-0"), Job.State.CANCELLED);
+    assertEquals(5_001, cancelled.size());
+    assertEquals(0, dependencies.waiting());
+  }
+
+  /** What is being looked up may turn out to be cancelled, so nothing is told of what waits for it. */
+  @Test
+  void aPrerequisiteThatIsLookedUpLeavesTheAnswerOpen() {
+    Job job = add(2, Rank.LOW, null, "req-1");
+    assertTrue(dependencies.isUncertain(job));
+    dependencies.settled("req-1", Job.State.DONE);
+    assertTrue(!dependencies.isUncertain(job) && ready.contains(job));
+  }
+}
--- /dev/null
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -0,0 +1,358 @@
+package io.pineladder.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pineladder.model.Settings;
+import io.pineladder.net.HttpCaller;
+import io.pineladder.upgrade.ClusterVersion;
+import io.pineladder.wire.Json;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Jobs that wait for others, and the rolling upgrade with which they come. Controllers that are not upgraded
+ * support the version before, know no announced limits, and so store large values.
+ */
+class ChainedJobsTest extends TroubledCluster {
+  private static final int NEXT_VALUE_BYTES = 2048;
+  private static final int NEXT_OPS = 4;
+  private static final double NEXT_CHANGES = 28;
+
+  private boolean[] upgraded = new boolean[5];
+
+  @Override
+  Settings settings(int index) {
+    Settings of = super.settings(index);
+    Settings.StoreLimits next =
+        new Settings.StoreLimits(
+            of.store().requestsPerSecond(), NEXT_CHANGES, NEXT_VALUE_BYTES, NEXT_OPS);
+    return new Settings(
+        of.member(),
+        of.zone(),
+        of.frontAddress(),
+        of.clusterAddress(),
+        of.peers(),
+        of.cloudAddress(),
+        of.storeAddress(),
+        of.zones(),
+        of.teams(),
+        of.objectives(),
+        of.workers(),
+        upgraded[index] ? of.store().within(next) : of.store(),
+        of.storeInForce(),
+        of.cloud(),
+        of.maxSockets(),
+        of.coreShare());
+  }
+
+  @Override
+  ClusterVersion version(int index) {
+    return new ClusterVersion(
+        upgraded[index] ? ClusterVersion.SUPPORTED : ClusterVersion.UNVERSIONED);
+  }
+
+  private void beginUpgraded(Layout of, long seed) {
+    upgraded = new boolean[] {true, true, true, true, true};
+    begin(of, seed);
+    world.runFor(Duration.ofSeconds(10));
+    assertEquals(
+        ClusterVersion.CHAINED_JOBS, store.value("conf/version").get("version").asInt());
+  }
+
+  /** An array that runs for some seconds and waits for these. */
+  private ObjectNode after(int tasks, List<Rules.Known> needed) {
+    ObjectNode spec = work("array", tasks).put("guess_s", some(2, 9));
+    ArrayNode ids = spec.putArray("waits_on");
+    needed.forEach(each -> ids.add(each.id));
+    return spec;
+  }
+
+  private Rules.Known submitAfter(int tasks, Rules.Known... needed) {
+    return submit(after(tasks, List.of(needed)));
+  }
+
+  /** Has the stages of a pipeline submitted one after another, each once what it needs is accepted. */
+  private void pipeline(int fan) {
+    Rules.Known first = submit(after(2, List.of()));
+    List<Rules.Known> middle = new ArrayList<>();
+    whenAccepted(
+        List.of(first),
+        () -> {
+          for (int i = 0; i < fan; i++) {
+            middle.add(submitAfter(1 + i % 3, first));
+          }
+          whenAccepted(
+              middle,
+              () -> {
+                ObjectNode last = after(1, middle).put("due_s", 120.0).put("rank", "urgent");
+                at(world.random.nextInt(4) == 0 ? 40_000 : 0, () -> submit(last));
+              });
+        });
+  }
+
+  private void whenAccepted(List<Rules.Known> jobs, Runnable then) {
+    if (jobs.stream().allMatch(job -> job.accepted)) {
+      then.run();
+    } else {
+      at(100, () -> whenAccepted(jobs, then));
+    }
+  }
+
+  /** By definition: cancelled with any before it that a user was told is cancelled, else done. */
+  private void assertFinalStates() {
+    for (Rules.Known job : rules.jobs.values()) {
+      boolean cancelled =
+          job.cancelled != null || rules.anyBefore(job, each -> each.cancelled != null);
+      assertEquals(cancelled, job.cancelled != null, job.id + " " + job.spec);
+    }
+  }
+
+  private int status(ObjectNode spec) {
+    return ask(fronts.get(0), "POST", "/v1/jobs", Json.bytes(spec));
+  }
+
+  private int ask(String node, String method, String path, byte[] body) {
+    int[] status = new int[1];
+    world
+        .caller("user", () -> true)
+        .call(
+            new HttpCaller.Request(node, method, path, body, Duration.ofSeconds(5)),
+            reply -> status[0] = reply.status());
+    world.runFor(Duration.ofSeconds(6));
+    return status[0];
+  }
+
+  @Test
+  void eachStageStartsOnceAllThatItNeedsAreDone() {
+    beginUpgraded(Layout.FLEET, 1);
+    Rules.Known first = submitAfter(3);
+    Rules.Known second = submit(work("array", 2).put("guess_s", 20));
+    world.runFor(Duration.ofSeconds(2));
+    Rules.Known third = submitAfter(2, first, second);
+    world.runFor(Duration.ofSeconds(2));
+    Rules.Known last = submitAfter(1, third, first);
+    world.runFor(Duration.ofSeconds(90));
+    assertTrue(last.done);
+    assertTrue(third.begun.isAfter(first.begun.plusSeconds(2)));
+    settle(Duration.ofSeconds(20));
+    assertFinalStates();
+  }
+
+  @Test
+  void whatIsSubmittedIsChecked() {
+    beginUpgraded(Layout.FLEET, 2);
+    Rules.Known known = submit(work("array", 1));
+    world.runFor(Duration.ofSeconds(40));
+    ObjectNode spec = work("array", 1);
+    rules.jobs.remove(spec.get("ref").asText());
+    assertEquals(400, status(spec.deepCopy().put("waits_on", known.id)));
+    assertEquals(400, status(spec.deepCopy().set("waits_on", Json.array().add(7))));
+    assertEquals(400, status(spec.deepCopy().set("waits_on", Json.array().add("job-1"))));
+    assertEquals(422, status(spec.deepCopy().set("waits_on", Json.array().add("req-999999"))));
+    ObjectNode itself = spec.deepCopy();
+    itself.set("waits_on", Json.array().add(spec.get("ref").asText()));
+    assertEquals(422, status(itself));
+    ObjectNode good = spec.deepCopy();
+    good.set("waits_on", Json.array().add(known.id).add(known.id));
+    Rules.Known job = known(good);
+    assertEquals(201, status(good));
+    job.accepted = true;
+    // A repeat gets the state, whatever its list names now.
+    assertEquals(200, status(itself));
+    ObjectNode nothing = work("array", 1).putNull("waits_on");
+    known(nothing).accepted = true;
+    assertEquals(201, status(nothing));
+    rules.jobs.values().forEach(this::poll);
+    settle(Duration.ofSeconds(60));
+  }
+
+  /** A user is told of the one job; all after it follow, at every node, without a leader and after a takeover. */
+  @Test
+  void aCancellationReachesAllThatNeedTheJob() {
+    beginUpgraded(Layout.FLEET, 3);
+    Rules.Known root = submit(work("array", 2).put("guess_s", 60));
+    world.runFor(Duration.ofSeconds(2));
+    List<Rules.Known> tree = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      Rules.Known needed = i < 4 ? root : tree.get(i / 4 - 1);
+      tree.add(submitAfter(1, needed));
+      world.runFor(Duration.ofMillis(500));
+    }
+    world.runFor(Duration.ofSeconds(15));
+    cancel(root);
+    while (root.cancelled == null) {
+      world.runFor(Duration.ofMillis(20));
+    }
+    killLeader(6_000);
+    Rules.Known late = submitAfter(1, tree.get(39));
+    world.runFor(Duration.ofSeconds(60));
+    tree.forEach(job -> assertTrue(job.cancelled != null, job.id));
+    assertTrue(late.cancelled != null);
+    settle(Duration.ofSeconds(60));
+    assertFinalStates();
+  }
+
+  /** A job that ends by itself just as its user cancels it is called done, and what needs it goes on. */
+  @Test
+  void whatIsDoneBeforeItsCancellationIsFollowed() {
+    beginUpgraded(Layout.FLEET, 4);
+    Rules.Known first = submit(work("array", 1).put("guess_s", 3));
+    world.runFor(Duration.ofSeconds(2));
+    Rules.Known second = submitAfter(1, first);
+    while (!first.done) {
+      world.runFor(Duration.ofMillis(100));
+    }
+    cancel(first);
+    settle(Duration.ofSeconds(60));
+    assertTrue(second.done);
+  }
+
+  /** Without the last controller upgraded nothing of the new version is used, and jobs that name others wait. */
+  @Test
+  void theVersionIsRaisedOnceAllControllersSupportIt() {
+    upgraded = new boolean[] {true, true, false};
+    begin(Layout.FLEET, 5);
+    Rules.Known job = submit(work("array", 1));
+    world.runFor(Duration.ofSeconds(60));
+    assertTrue(store.value("conf/version") == null);
+    ObjectNode chained = after(1, List.of(job));
+    Rules.Known second = known(chained);
+    assertEquals(503, status(chained));
+    upgraded[2] = true;
+    kill(controllers.get(2), 3_000);
+    world.runFor(Duration.ofSeconds(12));
+    assertEquals(2, store.value("conf/version").get("version").asInt());
+    send(second, "POST", "/v1/jobs", Json.bytes(chained));
+    settle(Duration.ofSeconds(60));
+    assertTrue(second.done);
+  }
+
+  /** A controller whose software is older than the records serves nothing and never leads. */
+  @Test
+  void aControllerThatIsTooOldServesNothing() {
+    beginUpgraded(Layout.FLEET, 6);
+    upgraded[1] = false;
+    kill(controllers.get(1), 1_000);
+    world.runFor(Duration.ofSeconds(30));
+    assertEquals(503, ask(fronts.get(1), "GET", "/ready", null));
+    assertEquals(200, ask(fronts.get(0), "GET", "/ready", null));
+    kill(controllers.get(0), 60_000);
+    kill(controllers.get(2), 60_000);
+    world.runFor(Duration.ofSeconds(40));
+    assertEquals(null, store.value("lead/holder"));
+  }
+
+  /** All seeds; more by hand with {@code -Dpineladder.chains=100}. */
+  static Stream<Arguments> days() {
+    return Stream.of(Layout.values())
+        .flatMap(
+            layout ->
+                IntStream.range(0, Integer.getInteger("pineladder.chains", 2))
+                    .mapToObj(seed -> Arguments.of(layout, seed)));
+  }
+
+  private void arrivals(int steps, boolean chained) {
+    for (int i = 0; i < steps; i++) {
+      if (chained && i % 3 == 0) {
+        pipeline(1 + world.random.nextInt(3));
+      }
+      submit(work(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3)).put("owner", i % 6 == 5 ? "red" : "blue"));
+      if (world.random.nextInt(4) == 0) {
+        cancelSome(chained ? 0.08 : 0.03);
+      }
+      List.copyOf(rules.jobs.values()).stream()
+          .filter(job -> world.random.nextInt(12) == 0)
+          .forEach(this::ask);
+      world.runFor(Duration.ofMillis(1_500));
+    }
+  }
+
+  /** Large values of the version before, a roll with a crash in it, limits lowered at once, then pipelines. */
+  @ParameterizedTest
+  @MethodSource("days")
+  void anUpgradeAndChainsKeepTheRules(Layout layout, int seed) {
+    begin(layout, 40_000 + 10L * seed + layout.ordinal());
+    for (int i = 0; i < 30; i++) {
+      submit(work(i % 8 == 0 ? "service" : "array", 1 + i % 2).put("guess_s", i % 8 == 0 ? 0 : some(5, 100)));
+      if (i % 10 == 0) {
+        world.runFor(Duration.ofMillis(700));
+      }
+    }
+    arrivals(8, false);
+    for (Controller each : controllers) {
+      upgraded[each.index] = true;
+      kill(each, some(2_000, 7_000));
+      if (world.random.nextInt(3) == 0) {
+        at(some(0, 8_000), () -> kill(controllers.get(world.random.nextInt(layout.nodes)), some(500, 6_000)));
+      }
+      arrivals(6, false);
+    }
+    world.runFor(Duration.ofMillis(some(0, 6_000)));
+    store.lower(NEXT_OPS, NEXT_VALUE_BYTES, NEXT_CHANGES);
+    at(some(0, 12_000), () -> killLeader(some(500, 6_000)));
+    at(some(0, 40_000), () -> killLeader(some(500, 6_000)));
+    if (world.random.nextBoolean()) {
+      at(some(0, 30_000), () -> outage(some(2_000, 20_000)));
+    }
+    store.lateWrites = world.random.nextInt(3) == 0 ? 0.1 : 0;
+    arrivals(25, true);
+    store.lateWrites = 0;
+    looksClosely = world.random.nextBoolean();
+    arrivals(10, true);
+    looksClosely = false;
+    world.runFor(Duration.ofSeconds(60));
+    rules.calmSince = world.now();
+    settle(Duration.ofSeconds(400));
+    assertFinalStates();
+    assertEquals(2, store.value("conf/version").get("version").asInt());
+    assertEquals(List.of(), store.largeValues());
+    // Before the members know of one another's versions a leader may try what an earlier one left.
+    assertTrue(store.tooLarge < 20, store.tooLarge + " values were too large");
+  }
+
+  // ---- the checks, each seen to fail on a run that is wrong
+
+  @Test
+  void aStartBeforeWhatItNeedsIsDoneIsSeen() {
+    beginUpgraded(Layout.FLEET, 7);
+    Rules.Known first = submit(work("array", 1).put("guess_s", 500));
+    world.runFor(Duration.ofSeconds(30));
+    Rules.Known second = submitAfter(1, first);
+    world.runFor(Duration.ofSeconds(5));
+    FleetStandIn.Worker on = fleet.up().get(0);
+    rules.placed = null;
+    AssertionError seen =
+        assertThrows(
+            AssertionError.class,
+            () -> rules.started(new FleetStandIn.Task(second.id + "/0", 1), on));
+    assertTrue(seen.getMessage().startsWith("too_early"), seen.getMessage());
+  }
+
+  @Test
+  void anOrphanIsSeen() {
+    beginUpgraded(Layout.FLEET, 8);
+    Rules.Known first = known(work("array", 1));
+    Rules.Known second = known(after(1, List.of(first)));
+    first.cancelAsked = true;
+    rules.told(first, "aborted");
+    rules.told(second, "pending");
+    world.runFor(Duration.ofSeconds(41));
+    AssertionError seen =
+        assertThrows(AssertionError.class, () -> rules.told(second, "pending"));
+    assertTrue(seen.getMessage().startsWith("orphaned"), seen.getMessage());
+    rules.told(second, "aborted");
+    assertFalse(second.cancelled == null);
+  }
+}
--- a/src/test/java/io/pineladder/sim/CommitterTest.java
+++ b/src/test/java/io/pineladder/sim/CommitterTest.java
@@ -64,6 +64,11 @@
       ended.add(reason);
     }
 
+    @Override
+    public void onLimitsLowered() {
+      ended.add("limits lowered");
+    }
+
     @Override
     public void onStored(String key, JsonNode value, long revision) {}
   }
--- a/src/test/java/io/pineladder/sim/LaidOutCluster.java
+++ b/src/test/java/io/pineladder/sim/LaidOutCluster.java
@@ -66,6 +66,7 @@
                 Duration.ofSeconds(41))
             : of.workers(),
         fast ? new Settings.StoreLimits(80, 30, 8192, 12) : of.store(),
+        fast ? new Settings.StoreLimits(80, 30, 8192, 12) : of.storeInForce(),
         fast ? new Settings.CloudLimits(1.5, Duration.ofSeconds(8)) : of.cloud(),
         of.maxSockets(),
         of.coreShare());
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -94,6 +94,11 @@
   /** It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a machine. */
   private boolean waits(Rules.Known job) {
     boolean wanted = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
+    for (String id : job.prerequisites()) {
+      Rules.Known needed = rules.jobs.get(id);
+      // A completion is seen, stored and told before what needs it can start.
+      wanted &= needed.done;
+    }
     Map<Integer, Worker> there = places.getOrDefault(job.id, Map.of());
     Set<Integer> known = new HashSet<>(job.completed);
     known.addAll(there.keySet());
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -42,6 +42,7 @@
         of.objectives(),
         of.workers(),
         of.store(),
+        of.storeInForce(),
         of.cloud(),
         of.maxSockets(),
         of.coreShare());
--- a/src/test/java/io/pineladder/store/PagesTest.java
+++ b/src/test/java/io/pineladder/store/PagesTest.java
@@ -14,6 +14,7 @@
 import io.pineladder.model.Shape;
 import io.pineladder.net.Timeline;
 import io.pineladder.store.Mutation.Priority;
+import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.MalformedException;
 import io.pineladder.wire.RecordWire;
@@ -215,6 +216,8 @@
     Records records =
         new Records(
             VALUE_BYTES,
+            VALUE_BYTES,
+            new ClusterVersion(),
             store,
             store.pending::add,
             new Records.Listener() {
--- /dev/null
+++ b/src/test/java/io/pineladder/upgrade/FormatsTest.java
@@ -0,0 +1,239 @@
+package io.pineladder.upgrade;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pineladder.model.Attempt;
+import io.pineladder.model.Generation;
+import io.pineladder.model.Job;
+import io.pineladder.model.JobSpec;
+import io.pineladder.model.Machine;
+import io.pineladder.model.MachineType;
+import io.pineladder.model.Notice;
+import io.pineladder.model.OperatorSettings;
+import io.pineladder.model.Rank;
+import io.pineladder.model.Resources;
+import io.pineladder.model.Shape;
+import io.pineladder.net.HttpAnswer;
+import io.pineladder.wire.BeatWire;
+import io.pineladder.wire.Json;
+import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.PeerWire;
+import io.pineladder.wire.RecordWire;
+import java.io.IOException;
+import java.io.InputStream;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.Arrays;
+import java.util.BitSet;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/**
+ * The formats of cluster version 1, as its software wrote them ({@code upgrade/version-1.json}, recorded from
+ * production): this software reads each, and before the version is raised writes the same, since controllers
+ * of version 1 read it.
+ */
+class FormatsTest {
+  private static final Instant AT = Instant.ofEpochMilli(1_764_655_200_123L);
+
+  private static final MachineType TYPE =
+      new MachineType(
+          "g8",
+          Resources.of(96, 8, 768),
+          200,
+          1,
+          12,
+          4.5,
+          Duration.ofSeconds(45),
+          List.of("a", "b"));
+
+  private static final JobSpec GANG =
+      new JobSpec(
+          "req-000412",
+          "train",
+          "vision",
+          Shape.GANG,
+          Rank.HIGH,
+          16,
+          Resources.of(8, 1, 64),
+          List.of("g8"),
+          null,
+          true,
+          false,
+          true,
+          "img-07",
+          6.2,
+          Duration.ofSeconds(240),
+          Duration.ofSeconds(30),
+          Duration.ofSeconds(4),
+          Duration.ofSeconds(900));
+
+  private static final JobSpec SERVICE =
+      new JobSpec(
+          "req-000413",
+          "serve",
+          "vision",
+          Shape.SERVICE,
+          Rank.PRODUCTION,
+          3,
+          Resources.of(4, 1, 29),
+          null,
+          "a",
+          false,
+          false,
+          false,
+          "img-08",
+          3.5,
+          Duration.ZERO,
+          Duration.ZERO,
+          Duration.ZERO,
+          null);
+
+  private final ObjectNode recorded = load();
+
+  private static ObjectNode load() {
+    try (InputStream in = FormatsTest.class.getResourceAsStream("/upgrade/version-1.json")) {
+      return Json.parseObject(in.readAllBytes());
+    } catch (IOException | MalformedException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  private JsonNode record(String key) {
+    return recorded.get("records").get(key);
+  }
+
+  private byte[] message(String name) {
+    return HexFormat.of().parseHex(recorded.at("/messages/" + name).asText());
+  }
+
+  private static BitSet done() {
+    BitSet done = new BitSet();
+    done.set(0, 3);
+    done.set(5);
+    done.set(380, 390);
+    return done;
+  }
+
+  private static Attempt attempt() {
+    Machine machine = new Machine("m-000231", TYPE, "a", true, Instant.EPOCH);
+    machine.address = "10.1.0.232:9000";
+    Job job = new Job(GANG, AT, Job.State.ACTIVE);
+    return new Attempt(job, 4, (412L << 20) + 3, machine, Instant.EPOCH, Attempt.State.STORED);
+  }
+
+  @Test
+  void recordsAreWrittenAsBefore() {
+    Map<String, JsonNode> written = new LinkedHashMap<>();
+    written.put("job/req-000412", RecordWire.job(GANG, AT, Job.State.ACTIVE));
+    Notice notice = new Notice(17, "req-000399", "vision", "train", Job.State.DONE, 4, AT);
+    written.put(
+        "accepted/0",
+        RecordWire.page(
+            Stream.of(
+                RecordWire.job(GANG, AT, Job.State.ACTIVE),
+                RecordWire.job(SERVICE, AT, Job.State.CANCELLED).put("at_fault", true)),
+            List.of(notice)));
+    written.put(
+        "done/0",
+        RecordWire.page(
+            Stream.of(
+                RecordWire.done("req-000412", done(), 0, 374),
+                RecordWire.done("req-000412", done(), 1, 374))));
+    written.put("placed/0", RecordWire.page(Stream.of(RecordWire.placement(attempt()))));
+    written.put(
+        "images/0", RecordWire.page(Stream.of(RecordWire.images("m-000231", Map.of("img-07", 6.2)))));
+    written.put("end/req-000399", RecordWire.end(Job.State.DONE));
+    written.put(
+        "lead/holder",
+        RecordWire.leader(new RecordWire.LeaderRecord("rung-1", "10.0.0.2:8081", "nonce-1")));
+    written.put(
+        "generation/current",
+        RecordWire.generation(
+            new Generation(
+                900, 0, Generation.Phase.WHOLE, true, new Generation.Writer("rung-0", "nonce-0"))));
+    written.put("conf/types", RecordWire.types(List.of(TYPE)));
+    written.put("conf/operator", RecordWire.operator(OperatorSettings.DEFAULTS));
+    written.put(
+        "ends/0", RecordWire.ends(Job.State.CANCELLED, List.of("req-000001", "req-000002")));
+    written.forEach((key, value) -> assertEquals(record(key).toString(), value.toString(), key));
+    assertEquals(recorded.get("records").size(), written.size());
+  }
+
+  @Test
+  void recordsOfBeforeAreRead() throws MalformedException {
+    List<JsonNode> jobs = RecordWire.entries(record("accepted/0"));
+    RecordWire.StoredJob gang = RecordWire.parseJob(jobs.get(0));
+    assertEquals(GANG, gang.spec());
+    assertTrue(gang.spec().prerequisites().isEmpty());
+    assertNull(RecordWire.source(jobs.get(0)));
+    assertEquals(SERVICE, RecordWire.parseJob(jobs.get(1)).spec());
+    assertTrue(RecordWire.parseJob(jobs.get(1)).atFault());
+    assertEquals(17, RecordWire.notices(record("accepted/0")).get(0).number());
+    RecordWire.StoredDone chunk =
+        RecordWire.parseDone(RecordWire.entries(record("done/0")).get(1));
+    assertEquals(1, chunk.chunk());
+    assertEquals(0, chunk.chunkTasks());
+    assertEquals(10, chunk.done().cardinality());
+    RecordWire.Placement placement =
+        RecordWire.parsePlacement(RecordWire.entries(record("placed/0")).get(0));
+    assertEquals("m-000231", placement.machine());
+    assertEquals((412L << 20) + 3, placement.attempt());
+    assertEquals(Job.State.DONE, RecordWire.parseEnd(record("end/req-000399")));
+    assertEquals("rung-1", RecordWire.parseLeader(record("lead/holder")).member());
+    assertEquals(900, RecordWire.parseGeneration(record("generation/current"), 3).base());
+    assertEquals(List.of(TYPE), RecordWire.parseTypes(record("conf/types")));
+    assertEquals(2, RecordWire.parseEnds(record("ends/0")).size());
+  }
+
+  /** Readers of version 1 stop where its messages end, so what is added stands behind. */
+  @Test
+  void messagesBeginAsBefore() throws MalformedException {
+    Map<String, BeatWire.Heard> heard = new LinkedHashMap<>();
+    heard.put("rung-1", new BeatWire.Heard(Duration.ofMillis(812), "nonce-1", 44));
+    heard.put("rung-2", new BeatWire.Heard(Duration.ofMillis(90), "nonce-2", 7));
+    BeatWire.Stored stored = new BeatWire.Stored(0, 950, 0, 949, true, 412, false);
+    byte[] before = message("beat");
+    byte[] beat =
+        BeatWire.write(
+            new BeatWire.Beat("rung-0", "nonce-0", 91, true, 412, heard, stored, 2));
+    assertArrayEquals(before, Arrays.copyOf(beat, before.length));
+    assertEquals(ClusterVersion.UNVERSIONED, BeatWire.parse(before).version());
+    assertEquals(2, BeatWire.parse(beat).version());
+    assertEquals(stored, BeatWire.parse(before).stored());
+    PeerWire.Forward forward =
+        new PeerWire.Forward("POST", "/v1/jobs", "{\"ref\":\"req-7\"}".getBytes(), 1);
+    assertArrayEquals(message("forward"), PeerWire.write(forward));
+    PeerWire.Answer answer =
+        new PeerWire.Answer(true, new HttpAnswer(201, "{}".getBytes(), 0), "rung-1");
+    assertArrayEquals(message("answer"), PeerWire.write(answer));
+    assertEquals("/v1/jobs", PeerWire.parseForward(message("forward")).path());
+    assertEquals("rung-1", PeerWire.parseAnswer(message("answer")).leader());
+  }
+
+  @Test
+  void whatVersionTwoAddsIsReadBack() throws MalformedException {
+    RecordWire.StoredDone chunk =
+        RecordWire.parseDone(RecordWire.sizedDone("req-000412", done(), 7, 54));
+    assertEquals(54, chunk.chunkTasks());
+    assertEquals(7, chunk.chunk());
+    assertThrows(
+        MalformedException.class,
+        () -> RecordWire.parseDone(RecordWire.sizedDone("req-000412", done(), 0, 0)));
+    JsonNode job = RecordWire.job(GANG, AT, Job.State.ACTIVE);
+    JsonNode copy = RecordWire.copied(job, "accepted/3");
+    assertEquals("accepted/3", RecordWire.source(copy));
+    assertEquals(job, RecordWire.withoutSource(copy));
+    assertEquals(2, RecordWire.parseVersion(RecordWire.version(2)));
+  }
+}
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -17,6 +17,7 @@
 import io.pineladder.scheduling.Scheduler;
 import io.pineladder.store.NoticeBook;
 import io.pineladder.store.Records;
+import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import io.pineladder.wire.WorkerWire;
@@ -102,10 +103,26 @@
               public void resign(String reason) {
                 resigned.add(reason);
               }
+
+              @Override
+              public void onReady(Job job) {}
+
+              @Override
+              public void onCancellationDerived(Job job) {}
+
+              @Override
+              public Job.State knownEnd(String job) {
+                return null;
+              }
+
+              @Override
+              public void lookUp(String job) {}
             });
     Records records =
         new Records(
             8192,
+            8192,
+            new ClusterVersion(),
             this,
             mutation -> {
               mutation.writes().forEach(w -> w.value().get());
