--- a/src/main/java/io/pineladder/front/Front.java
+++ b/src/main/java/io/pineladder/front/Front.java
@@ -339,6 +339,11 @@
       answer.accept(ok(JobWire.view(spec.id(), known)));
       return;
     }
+    if (!spec.prerequisites().isEmpty() && !node.version().allowsChainedJobs()) {
+      // Handed on to a leader of the version before, it would be accepted without its prerequisites.
+      answer.accept(later(Leaderless.NOT_UPGRADED));
+      return;
+    }
     Instant begun = node.time().now();
     Consumer<HttpAnswer> logged =
         http -> {
