--- a/src/test/java/io/pineladder/sim/FleetStandIn.java
+++ b/src/test/java/io/pineladder/sim/FleetStandIn.java
@@ -28,7 +28,7 @@
   private static final long RESPONSE_MILLIS = 4_000;
 
   private final World world;
-  private final Rules rules;
+  private final TaskWatcher rules;
   private final List<String> controllers;
   private final Map<String, ObjectNode> answered = new HashMap<>();
   final TreeMap<String, Worker> machines = new TreeMap<>();
@@ -60,6 +60,9 @@
   /** The part of reports of which a copy comes late, up to three leases, at any controller. */
   double copies;
 
+  /** Reports are sent as soon as a task has exited too, and not only from time to time. */
+  boolean reportsChanges;
+
   /** Copies of such reports are kept until {@link #deliverKept}. */
   boolean keepsCopies;
 
@@ -71,10 +74,25 @@
   /** Tasks that ended with their worker's lease. */
   int endedByLease;
 
+  /** One of so many tasks that are no gang's fails; 0 for none. */
+  int failsOneOf = 40;
+
+  /** Where workers run that this stand-in rents out and does not run itself; null for none. */
+  interface Launcher {
+    /** Where a worker with this number is reached. */
+    String address(int number);
+
+    void boot(Worker worker);
+
+    void end(Worker worker);
+  }
+
+  Launcher launcher;
+
   /** Half of the machines come up late or never. */
   boolean badBoots;
 
-  FleetStandIn(World world, Rules rules, List<String> controllers) {
+  FleetStandIn(World world, TaskWatcher rules, List<String> controllers) {
     this.world = world;
     this.rules = rules;
     this.controllers = controllers;
@@ -156,7 +174,7 @@
 
   private String create(String type, String zone, boolean spot) {
     String name = String.format("m-%06d", ++names);
-    Worker worker = new Worker(name, "10.1.0." + names + ":9000", type, zone, spot);
+    Worker worker = new Worker(name, address(), type, zone, spot);
     machines.put(name, worker);
     // Some come up at once, some take several times as long, and a few never come.
     if (quickBoots) {
@@ -171,13 +189,24 @@
     return name;
   }
 
+  private String address() {
+    return launcher == null ? "10.1.0." + names + ":9000" : launcher.address(names);
+  }
+
+  /** A worker that another process rents out and this one runs. */
+  void run(String name, String address, String type, String zone, boolean spot) {
+    Worker worker = new Worker(name, address, type, zone, spot);
+    machines.put(name, worker);
+    worker.boot();
+  }
+
   /** Ordinary machines that are up from the start. */
   void addUp(int count) {
+    List<String> zones = types.get(0).zones;
     for (int i = 0; i < count; i++) {
       String name = String.format("m-%06d", ++names);
-      Worker worker = 
-          new Worker(
-              name, "10.1.0." + names + ":9000", types.get(0).name, i % 2 == 0 ? "a" : "b", false);
+      Worker worker =
+          new Worker(name, address(), types.get(0).name, zones.get(i % zones.size()), false);
       machines.put(name, worker);
       world.after(world.random.nextInt(3_000), worker::boot);
     }
@@ -244,6 +273,8 @@
     private int at;
     private long answeredSentMillis;
     private long reportRound;
+    private boolean reportUnderWay;
+    private boolean changeSent;
 
     Worker(String name, String address, String type, String zone, boolean spot) {
       this.name = name;
@@ -258,6 +289,10 @@
         return;
       }
       up = true;
+      if (launcher != null) {
+        launcher.boot(this);
+        return;
+      }
       world.serve(address, this);
       answeredSentMillis = world.now().toEpochMilli();
       at = world.random.nextInt(controllers.size());
@@ -269,6 +304,10 @@
     void end() {
       ended = true;
       up = false;
+      if (launcher != null) {
+        launcher.end(this);
+        return;
+      }
       world.stop(address);
       List.copyOf(tasks.values()).forEach(this::leave);
       tasks.clear();
@@ -327,6 +366,7 @@
         return;
       }
       long round = ++reportRound;
+      reportUnderWay = true;
       long sentSession = session;
       long sentMillis = world.now().toEpochMilli();
       byte[] body = Json.bytes(report());
@@ -344,6 +384,7 @@
               controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
           reply -> {
             if (round == reportRound) {
+              reportUnderWay = false;
               onReply(reply, sentSession, sentMillis);
             }
           });
@@ -361,22 +402,33 @@
             answeredSentMillis = sentMillis;
             execute(response.get("orders"));
           }
-          world.after(higher
-                  ? 500
-                  : reportMillis * 3 / 4 + world.random.nextInt((int) reportMillis / 2), this::send);
+          sendAfter(
+              higher ? 500 : reportMillis * 3 / 4 + world.random.nextInt((int) reportMillis / 2));
           return;
         }
         JsonNode leader = reply.is(421) ? Json.parseObject(reply.body()).get("foreman") : null;
         if (leader != null) {
           at = Integer.parseInt(leader.asText().substring("rung-".length()));
-          world.after(world.random.nextInt(500), this::send);
+          sendAfter(world.random.nextInt(500));
           return;
         }
       } catch (MalformedException e) {
         throw new AssertionError(e);
       }
       at = (at + 1) % controllers.size();
-      world.after(1_000, this::send);
+      sendAfter(1_000);
+    }
+
+    /** Sends the next report, unless another one has been sent by then. */
+    private void sendAfter(long millis) {
+      long round = reportRound;
+      world.after(
+          millis,
+          () -> {
+            if (round == reportRound) {
+              send();
+            }
+          });
     }
 
     private void execute(JsonNode orders) {
@@ -440,7 +492,9 @@
               if (!ended && tasks.get(key) == task && task.status.equals("running")) {
                 boolean fails =
                     rules.isBroken(task)
-                        || world.random.nextInt(40) == 0 && !rules.isGang(task);
+                        || failsOneOf > 0
+                            && world.random.nextInt(failsOneOf) == 0
+                            && !rules.isGang(task);
                 if (!fails) {
                   rules.completed(task);
                 }
@@ -454,6 +508,21 @@
       task.status = "ended";
       task.cause = cause;
       leave(task);
+      if (reportsChanges && !changeSent) {
+        // A change is told at once, though not more often than every half second.
+        changeSent = true;
+        long last = answeredSentMillis;
+        long wait = Math.max(0, last + 500 - world.now().toEpochMilli());
+        world.after(wait, this::tellChange);
+      }
+    }
+
+    private void tellChange() {
+      changeSent = false;
+      if (!ended && !reportUnderWay) {
+        reportRound++;
+        send();
+      }
     }
 
     @Override
--- a/src/test/java/io/pineladder/sim/Rules.java
+++ b/src/test/java/io/pineladder/sim/Rules.java
@@ -23,7 +23,7 @@
 import java.util.function.Predicate;
 
 /** The rules at the end of the protocol, checked at every start, exit and answer. */
-final class Rules {
+final class Rules implements TaskWatcher {
   /** What some user of a job has been told: of two answers the higher may not come before the lower is asked for. */
   enum Told {
     NOTHING,
@@ -101,6 +101,11 @@
   /** Where each task is. */
   private final Map<String, Worker> places = new HashMap<>();
 
+  /** What the tasks of each team use, and how many of each job's are in each zone. */
+  private final Map<String, Resources> usage = new HashMap<>();
+
+  private final Map<String, Map<String, Integer>> zonesOf = new HashMap<>();
+
   /** Told of each job whose last task has just completed. */
   Consumer<Known> onLastDone = job -> {};
 
@@ -137,21 +142,25 @@
     return new AssertionError(rule + " at " + world.now() + ": " + what);
   }
 
-  boolean isBroken(Task task) {
+  @Override
+  public boolean isBroken(Task task) {
     return jobs.get(task.job()).broken;
   }
 
-  boolean isGang(Task task) {
+  @Override
+  public boolean isGang(Task task) {
     return jobs.get(task.job()).spec.get("shape").asText().equals("group");
   }
 
-  long runMillis(Task task) {
+  @Override
+  public long runMillis(Task task) {
     ObjectNode spec = jobs.get(task.job()).spec;
     long apart = task.index() * spec.path("apart_ms").asLong();
-    return spec.get("shape").asText().equals("service") ? 0 : spec.get("guess_s").asLong() * 1000 + apart;
+    return spec.get("shape").asText().equals("service") ? 0 : (long) (spec.get("guess_s").asDouble() * 1000) + apart;
   }
 
-  void commanded(Task task, Worker on) {
+  @Override
+  public void commanded(Task task, Worker on) {
     Known job = jobs.get(task.job());
     if (job == null) {
       throw broken("unknown job started", task.piece);
@@ -164,7 +173,8 @@
     }
   }
 
-  void started(Task task, Worker on) {
+  @Override
+  public void started(Task task, Worker on) {
     starts++;
     Known job = jobs.get(task.job());
     job.begun = job.begun == null ? world.now() : job.begun;
@@ -191,20 +201,17 @@
     if (spec.hasNonNull("yard") && !spec.get("yard").asText().equals(on.zone)) {
       throw broken("wrong_place", task.piece + " in zone " + on.zone);
     }
-    int inZone = 0;
-    Resources used = Resources.NONE;
+    Resources each = StarvationCheck.each(spec);
     String owner = spec.get("owner").asText();
-    for (var place : places.entrySet()) {
-      String id = place.getKey().substring(0, place.getKey().indexOf('/'));
-      if (id.equals(job.id)) {
-        inZone += place.getValue().zone.equals(on.zone) ? 1 : 0;
-        if (spec.get("together").asBoolean() && !place.getValue().zone.equals(on.zone)) {
-          throw broken("wrong_place", task.piece + " apart from the others");
-        }
-      }
-      if (jobs.get(id).spec.get("owner").asText().equals(owner)) {
-        used = used.plus(StarvationCheck.each(jobs.get(id).spec));
-      }
+    Map<String, Integer> zones = zonesOf.computeIfAbsent(job.id, id -> new TreeMap<>());
+    if (other == null) {
+      usage.merge(owner, each, Resources::plus);
+      zones.merge(on.zone, 1, Integer::sum);
+    }
+    Resources used = usage.get(owner);
+    int inZone = zones.get(on.zone);
+    if (spec.get("together").asBoolean() && zones.size() > 1) {
+      throw broken("wrong_place", task.piece + " apart from the others");
     }
     if (spec.get("spread").asBoolean() && inZone > (job.tasks() + 1) / 2) {
       throw broken("wrong_place", task.piece + " is one too many in zone " + on.zone);
@@ -216,8 +223,13 @@
     }
   }
 
-  void left(Task task, Worker from) {
-    places.remove(task.piece, from);
+  @Override
+  public void left(Task task, Worker from) {
+    if (places.remove(task.piece, from)) {
+      ObjectNode spec = jobs.get(task.job()).spec;
+      usage.merge(spec.get("owner").asText(), StarvationCheck.each(spec), Resources::minus);
+      zonesOf.get(task.job()).computeIfPresent(from.zone, (zone, n) -> n == 1 ? null : n - 1);
+    }
     Map<String, Worker> of = gathered.get(task.job() + "#" + task.attempt);
     if (of != null) {
       of.remove(task.piece);
@@ -225,7 +237,8 @@
   }
 
   /** A gang's tasks start together once all of one attempt are there. */
-  void gather(Task task) {
+  @Override
+  public void gather(Task task) {
     String key = task.job() + "#" + task.attempt;
     Map<String, Worker> of = gathered.computeIfAbsent(key, k -> new HashMap<>());
     of.put(task.piece, places.get(task.piece));
@@ -237,7 +250,8 @@
     }
   }
 
-  void completed(Task task) {
+  @Override
+  public void completed(Task task) {
     Known job = jobs.get(task.job());
     job.completed.add(task.index());
     if (isGang(task)) {
--- /dev/null
+++ b/src/test/java/io/pineladder/sim/ScaleRunTest.java
@@ -0,0 +1,77 @@
+package io.pineladder.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import picocli.CommandLine;
+
+/** The scale run at a small size, judged by counts and rules, and never by times. */
+class ScaleRunTest {
+  private static ScaleRun run(String... args) {
+    ScaleRun run = new ScaleRun();
+    new CommandLine(run).parseArgs(args);
+    return run;
+  }
+
+  @Test
+  void aSmallRunKeepsTheRulesAndEndsWhatItStarted() throws Exception {
+    ScaleRun run =
+        run(
+            "--workers", "60",
+            "--per-process", "59",
+            "--single", "1",
+            "--running", "150",
+            "--starts", "10",
+            "--tasks", "10",
+            "--report-seconds", "2",
+            "--lease-seconds", "20",
+            "--warm-up", "4",
+            "--seconds", "5",
+            "--settings-per-minute", "20",
+            "--heap-mb", "128");
+    int exit = run.call();
+    JsonNode figures = run.figures();
+    assertNull(run.failure());
+    assertEquals(0, exit);
+    assertEquals(0, figures.get("rules_broken").asInt());
+    assertTrue(figures.get("starts_a_second").asDouble() > 0, figures.toString());
+    assertTrue(figures.at("/roles/single-0/cores").asDouble() > 0, figures.toString());
+    assertTrue(figures.at("/roles/leader/resident_mb").asLong() > 0, figures.toString());
+    assertTrue(figures.at("/store_changes_a_second/placed~1").asDouble() > 0, figures.toString());
+    assertTrue(figures.at("/settings_in_force_s/count").asLong() > 0, figures.toString());
+    assertEquals(
+        0,
+        ProcessHandle.current()
+            .descendants()
+            .filter(
+                each ->
+                    each.info().commandLine().orElse("").contains(HollowWorkers.class.getName()))
+            .filter(ProcessHandle::isAlive)
+            .count());
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "--workers, 0",
+    "--workers, 5000",
+    "--controllers, 1",
+    "--zones, 21",
+    "--teams, 0",
+    "--starts, -1",
+    "--running, 1",
+    "--single, 33",
+    "--per-process, 0",
+    "--memory-mb, 20000",
+    "--run-seconds, 0",
+    "--jar, /nowhere/controller.jar"
+  })
+  void aBadSizeIsNamed(String argument, String value) {
+    ScaleRun run = run(argument, value);
+    assertTrue(run.options().fault().startsWith(argument), run.options().fault());
+  }
+}
--- a/src/test/java/io/pineladder/sim/StoreStandIn.java
+++ b/src/test/java/io/pineladder/sim/StoreStandIn.java
@@ -90,6 +90,15 @@
   /** Requests that were over a limit. */
   int overLimit;
 
+  /** Entries of a listing in one answer: few, so that reading on is part of every test. */
+  int pageEntries = 20;
+
+  /** Changes that are kept for those who follow; by the protocol 10,000. */
+  int mostLogged = Integer.MAX_VALUE;
+
+  /** The revision up to which changes are no longer kept. */
+  private long forgotten;
+
   /** Answers take up to so long. */
   int slowMillis;
 
@@ -445,12 +454,15 @@
     ObjectNode out = Json.object().put("epoch", revision);
     ArrayNode entries = out.putArray("entries");
     boolean more = false;
-    for (var found : keys.tailMap(query.getOrDefault("since", ""), false).entrySet()) {
-      if (!found.getKey().startsWith(query.get("prefix"))) {
-        continue;
+    String prefix = query.get("prefix");
+    String since = query.getOrDefault("since", "");
+    // Keys are in order, so those with the prefix stand together.
+    boolean inside = since.compareTo(prefix) > 0;
+    for (var found : keys.tailMap(inside ? since : prefix, !inside).entrySet()) {
+      if (!found.getKey().startsWith(prefix)) {
+        break;
       }
-      // Small pages, so that reading on is part of every test.
-      if (entries.size() == 20) {
+      if (entries.size() == pageEntries) {
         more = true;
         break;
       }
@@ -519,6 +531,10 @@
   private void follow(Map<String, String> query, Consumer<HttpAnswer> answer) {
     long wait = Long.parseLong(query.get("wait_ms"));
     long since = Long.parseLong(query.get("since"));
+    if (since < forgotten) {
+      answer.accept(answer(410, Json.object().put("epoch", revision)));
+      return;
+    }
     int from = log.size();
     while (from > 0 && log.get(from - 1).get("stamp").asLong() > since) {
       from--;
@@ -529,7 +545,17 @@
     world.after(wait, () -> tryAnswer(watch, true));
   }
 
+  private void trimLog() {
+    if (log.size() > 2L * mostLogged) {
+      int over = log.size() - mostLogged;
+      forgotten = log.get(over - 1).get("stamp").asLong();
+      log.subList(0, over).clear();
+      watches.forEach(watch -> watch.from = Math.max(0, watch.from - over));
+    }
+  }
+
   private void wake() {
+    trimLog();
     List.copyOf(watches).forEach(w -> tryAnswer(w, false));
   }
 
--- /dev/null
+++ b/src/test/java/io/pineladder/sim/TaskWatcher.java
@@ -0,0 +1,29 @@
+package io.pineladder.sim;
+
+import io.pineladder.sim.FleetStandIn.Task;
+import io.pineladder.sim.FleetStandIn.Worker;
+
+/** Follows what becomes of tasks on workers, and knows what kind of task each is. */
+interface TaskWatcher {
+  /** Every attempt of the task fails. */
+  boolean isBroken(Task task);
+
+  boolean isGang(Task task);
+
+  /** How long the task runs; 0 until it is stopped. */
+  long runMillis(Task task);
+
+  /** A start was executed. */
+  void commanded(Task task, Worker on);
+
+  /** The task is on its machine with its image. */
+  void started(Task task, Worker on);
+
+  /** The task is on its machine no more. */
+  void left(Task task, Worker from);
+
+  /** A task of a gang waits for the others. */
+  void gather(Task task);
+
+  void completed(Task task);
+}
--- a/src/test/java/io/pineladder/sim/World.java
+++ b/src/test/java/io/pineladder/sim/World.java
@@ -77,12 +77,29 @@
     nowMillis = end;
   }
 
+  /** The network outside, where this world is run beside real processes; null in a simulation. */
+  interface Outside {
+    void serve(String address, HttpHandlerAsync handler);
+
+    void stop(String address);
+
+    HttpCaller caller();
+  }
+
+  Outside outside;
+
   void serve(String address, HttpHandlerAsync handler) {
     servers.put(address, handler);
+    if (outside != null) {
+      outside.serve(address, handler);
+    }
   }
 
   void stop(String address) {
     servers.remove(address);
+    if (outside != null) {
+      outside.stop(address);
+    }
   }
 
   /** Cuts two hosts from one another; packets on the way are lost or come late. */
@@ -176,6 +193,18 @@
 
   /** The network as one process on {@code from} uses it. */
   HttpCaller caller(String from, BooleanSupplier alive) {
+    if (outside != null) {
+      return (request, onReply) ->
+          outside
+              .caller()
+              .call(
+                  request,
+                  reply -> {
+                    if (alive.getAsBoolean()) {
+                      onReply.accept(reply);
+                    }
+                  });
+    }
     return (request, onReply) -> {
       boolean[] over = new boolean[1];
       Consumer<HttpCaller.Reply> once =
