--- a/src/main/java/io/pineladder/Leader.java
+++ b/src/main/java/io/pineladder/Leader.java
@@ -835,9 +835,9 @@
     all.forEach(each -> each.accept(status));
   }
 
-  /** What waits for others counts as an arrival once it may start. */
+  /** What waits for others counts as an arrival once it may start, which the scheduler tells. */
   private void countArrival(Job job) {
-    if (job.isActive() && !job.waitsForOthers) {
+    if (job.spec.prerequisites().isEmpty()) {
       fleet.accepted(job);
     }
   }
--- a/src/main/java/io/pineladder/scheduling/Cluster.java
+++ b/src/main/java/io/pineladder/scheduling/Cluster.java
@@ -15,6 +15,7 @@
 import java.time.Instant;
 import java.util.Collection;
 import java.util.Collections;
+import java.util.Comparator;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -22,8 +23,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
+import java.util.NavigableSet;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 
 /**
  * What the leader knows: teams, types, jobs, machines, and what each of them uses. Beside them it
@@ -56,8 +59,13 @@
   /** How many machines there are of each kind. */
   private final Map<Kind, Integer> kinds = new HashMap<>();
 
-  /** Attempts that wait for their image, by image. */
-  private final Map<String, Set<Attempt>> fetching = new HashMap<>();
+  /** Attempts that wait for their image, by image; the one that gets it last comes first. */
+  private final Map<String, NavigableSet<Attempt>> fetching = new HashMap<>();
+
+  private static final Comparator<Attempt> LAST_READY_FIRST =
+      Comparator.<Attempt, Instant>comparing(attempt -> attempt.readyAt)
+          .reversed()
+          .thenComparing(attempt -> attempt.key);
 
   /** How many attempts hold room, by the rank that their users chose; what a chain adds is left out. */
   private final EnumMap<Rank, Integer> holding = new EnumMap<>(Rank.class);
@@ -363,9 +371,10 @@
     return reservations.getOrDefault(job, Set.of());
   }
 
-  /** Attempts that wait for this image, on whatever machine. */
-  Set<Attempt> fetching(String image) {
-    return fetching.getOrDefault(image, Set.of());
+  /** Attempts that wait for this image, on whatever machine; the one that gets it last comes first. */
+  Collection<Attempt> fetching(String image) {
+    NavigableSet<Attempt> of = fetching.get(image);
+    return of == null ? List.of() : of;
   }
 
   // ---- attempts
@@ -417,7 +426,7 @@
   private void followFetch(Attempt attempt, Attempt.State before, Attempt.State next) {
     String image = attempt.job.spec.image();
     if (next == Attempt.State.FETCHING) {
-      fetching.computeIfAbsent(image, i -> new LinkedHashSet<>()).add(attempt);
+      fetching.computeIfAbsent(image, i -> new TreeSet<>(LAST_READY_FIRST)).add(attempt);
     } else if (before == Attempt.State.FETCHING) {
       Set<Attempt> of = fetching.get(image);
       if (of != null && of.remove(attempt) && of.isEmpty()) {
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -13,12 +13,16 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.Comparator;
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.PriorityQueue;
 import java.util.Set;
+import java.util.function.Supplier;
 
 /** The checks that a placement must pass, and the choice among the machines that pass them. */
 public final class Placer {
@@ -77,7 +81,8 @@
     }
     int most = (int) Math.min(wanted, within);
     boolean avoidsSpot = cluster.avoidsSpot(job, time.timeOfDay());
-    List<Candidate> candidates = new ArrayList<>();
+    // Of thousands of machines a job takes a few: a heap gives those without putting all in order.
+    PriorityQueue<Candidate> candidates = new PriorityQueue<>(BY_COST);
     for (Machine machine : cluster.openFor(job)) {
       consider(job, machine, wanted, byRules, avoidsSpot, now, candidates);
     }
@@ -89,13 +94,20 @@
     if (candidates.isEmpty()) {
       return Decision.no(anyAllowed(spec) ? Check.FIT : Check.PLACE);
     }
-    candidates.sort(BY_COST);
     Decision decision =
-        spec.together() ? together(job, most, candidates, whole) : free(job, most, candidates, whole);
+        spec.together()
+            ? together(job, most, inOrder(candidates), whole)
+            : free(job, most, candidates, whole);
     boolean limited = decision.isPlaced() && most < wanted;
     return limited ? new Decision(decision.machines(), Check.TEAM_LIMIT) : decision;
   }
 
+  private static List<Candidate> inOrder(PriorityQueue<Candidate> candidates) {
+    List<Candidate> sorted = new ArrayList<>(candidates);
+    sorted.sort(BY_COST);
+    return sorted;
+  }
+
   /** Adds a machine that passes the checks and has room, once or in two parts of different cost. */
   private void consider(
       Job job,
@@ -104,7 +116,7 @@
       boolean byRules,
       boolean avoidsSpot,
       Instant now,
-      List<Candidate> candidates) {
+      Collection<Candidate> candidates) {
     boolean may =
         byRules
             ? machine.mayTakeWork() && isLegal(job.spec, machine)
@@ -248,10 +260,11 @@
     List<Machine> best = List.of();
     double bestCost = Double.MAX_VALUE;
     for (String zone : zones) {
-      List<Candidate> inside =
-          candidates.stream().filter(c -> c.machine.zone.equals(zone)).toList();
+      Iterator<Candidate> inside =
+          candidates.stream().filter(c -> c.machine.zone.equals(zone)).iterator();
       // One that is to be spread as well runs half at a time; a gang of several never does.
-      List<Machine> chosen = take(wanted, inside, there, mostInZone(job));
+      List<Machine> chosen =
+          take(wanted, () -> inside.hasNext() ? inside.next() : null, there, mostInZone(job));
       if (chosen.isEmpty() || (whole && chosen.size() < wanted)) {
         continue;
       }
@@ -270,22 +283,27 @@
     return new Decision(best, whole && taken.isEmpty() ? Check.FIT : Check.TOGETHER);
   }
 
-  private Decision free(Job job, int wanted, List<Candidate> candidates, boolean whole) {
+  private Decision free(
+      Job job, int wanted, PriorityQueue<Candidate> candidates, boolean whole) {
     boolean spread = job.spec.spread();
     Map<String, Integer> zones = spread ? byZone(job) : Map.of();
-    List<Machine> chosen = take(wanted, candidates, zones, mostInZone(job));
+    List<Machine> chosen = take(wanted, candidates::poll, zones, mostInZone(job));
     if (chosen.size() == wanted) {
       return new Decision(chosen, null);
     }
     return new Decision(whole ? List.of() : chosen, spread ? Check.SPREAD : Check.FIT);
   }
 
-  /** Fills the cheapest machine, then the next, until enough tasks have a place. */
+  /**
+   * Fills the cheapest machine, then the next, until enough tasks have a place.
+   *
+   * @param cheapest gives the next machine by cost; null when there is none left
+   */
   private static List<Machine> take(
-      int wanted, List<Candidate> candidates, Map<String, Integer> zones, int mostInZone) {
+      int wanted, Supplier<Candidate> cheapest, Map<String, Integer> zones, int mostInZone) {
     Map<String, Integer> inZone = new HashMap<>(zones);
     List<Machine> chosen = new ArrayList<>();
-    for (Candidate candidate : candidates) {
+    for (Candidate candidate = cheapest.get(); candidate != null; candidate = cheapest.get()) {
       int there = inZone.getOrDefault(candidate.machine.zone, 0);
       int count = Math.min(wanted - chosen.size(), Math.min(candidate.count, mostInZone - there));
       for (int i = 0; i < count; i++) {
--- a/src/main/java/io/pineladder/scheduling/RoomMaker.java
+++ b/src/main/java/io/pineladder/scheduling/RoomMaker.java
@@ -20,6 +20,9 @@
   /** A fetch that takes longer yet is worth a new start where the image is. */
   private static final Duration WORTH_MOVING = Duration.ofSeconds(6);
 
+  /** Tasks that fetch one image of which the last ones are looked at for one machine at the most. */
+  private static final int MOST_LOOKED = 64;
+
   /** Room that others made way for is kept so long. */
   static final Duration RESERVATION = Duration.ofSeconds(20);
 
@@ -134,11 +137,15 @@
     Attempt best = null;
     Instant latest = now.plus(WORTH_MOVING);
     for (String image : machine.images.keySet()) {
+      int looked = 0;
       for (Attempt attempt : cluster.fetching(image)) {
+        if (!attempt.readyAt.isAfter(latest) || ++looked > MOST_LOOKED) {
+          // Whatever follows is ready sooner yet.
+          break;
+        }
         Job job = attempt.job;
         if (attempt.machine != machine
             && attempt.isWanted()
-            && attempt.readyAt.isAfter(latest)
             && (job.spec.shape() != Shape.GANG || job.spec.tasks() == 1)
             && job.spec.each().fitsIn(room)
             && job.spec.each().fitsIn(Placer.room(job, machine, now))
--- a/src/scale/java/io/pineladder/sim/HollowTasks.java
+++ b/src/scale/java/io/pineladder/sim/HollowTasks.java
@@ -44,7 +44,8 @@
 
   /** What has happened since this was last asked, and the jobs whose descriptions are wanted. */
   ObjectNode take() {
-    ObjectNode out = Json.object();
+    // All that comes later than this is in later batches.
+    ObjectNode out = Json.object().put("until", System.nanoTime());
     ArrayNode list = out.putArray("events");
     events.forEach(list::add);
     events = new ArrayList<>();
--- a/src/scale/java/io/pineladder/sim/ScaleCluster.java
+++ b/src/scale/java/io/pineladder/sim/ScaleCluster.java
@@ -19,6 +19,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import java.util.stream.IntStream;
 
 /**
  * The processes of a scale run: controllers, hollow workers, and in this one state service and cloud. All listen on
@@ -27,10 +28,9 @@
 final class ScaleCluster implements AutoCloseable, FleetStandIn.Launcher {
   private static final Duration PATIENCE = Duration.ofSeconds(4);
   private static final long BOOT_MILLIS = 50;
-  private static final int FIRST_PORT = 21_000;
 
-  /** Workers' addresses are 127.A.B.C, each with the port of the protocol. */
-  private static final int WORKER_PORT = 9_000;
+  /** Workers' addresses are 127.A.B.C, each with the port that comes so much before the others. */
+  private static final int WORKER_PORTS_BEFORE = 1_000;
 
   private final ScaleOptions options;
   private final Path folder;
@@ -44,7 +44,7 @@
   private final Map<String, FleetStandIn.Worker> workers = new HashMap<>();
   private final List<String> fronts = new ArrayList<>();
   private final List<String> clusters = new ArrayList<>();
-  private final String control = local(2);
+  private final String control;
   private final Map<String, ArrayNode> toBoot = new LinkedHashMap<>();
   private final Map<String, Integer> reported = new HashMap<>();
   private final List<Process> controllers = new ArrayList<>();
@@ -58,12 +58,17 @@
    */
   ScaleCluster(ScaleOptions options, Path folder, RealTimeWorld real, Consumer<Throwable> onFailure) {
     this.options = options;
+    this.control = local(2);
     this.folder = folder;
     this.real = real;
     this.onFailure = onFailure;
     World world = real.world();
     this.rules = new Rules(world, ScaleSettings.teams(options));
-    this.history = new TaskHistory(rules, workers);
+    this.history =
+        new TaskHistory(
+            rules,
+            workers,
+            IntStream.range(0, options.processes()).mapToObj(this::hollowControl).toList());
     this.store = new StoreStandIn(world, options.txnOps, (int) (options.valueKb * 1024));
     store.pageEntries = 1_000;
     store.mostLogged = 10_000;
@@ -90,8 +95,8 @@
     }
   }
 
-  private static String local(int offset) {
-    return "127.0.0.1:" + (FIRST_PORT + offset);
+  private String local(int offset) {
+    return "127.0.0.1:" + (options.port + offset);
   }
 
   RealTimeWorld real() {
@@ -231,7 +236,7 @@
     }
   }
 
-  private static String hollowControl(int process) {
+  private String hollowControl(int process) {
     return local(100 + process);
   }
 
@@ -285,7 +290,7 @@
   @Override
   public String address(int number) {
     return "127." + (10 + processOf(number)) + "." + number / 250 + "." + (1 + number % 250) + ":"
-        + WORKER_PORT;
+        + (options.port - WORKER_PORTS_BEFORE);
   }
 
   @Override
--- a/src/scale/java/io/pineladder/sim/ScaleOptions.java
+++ b/src/scale/java/io/pineladder/sim/ScaleOptions.java
@@ -98,6 +98,11 @@
   @Option(names = "--heap-mb", description = "a controller's heap at the most (default: ${DEFAULT-VALUE})")
   int heapMb = 512;
 
+  @Option(
+      names = "--port",
+      description = "the first of the ports on loopback, for runs beside one another (default: ${DEFAULT-VALUE})")
+  int port = 21_000;
+
   @Option(names = "--jar", description = "the packaged controller; without it this program's own classes are started")
   Path jar;
 
--- a/src/scale/java/io/pineladder/sim/TaskHistory.java
+++ b/src/scale/java/io/pineladder/sim/TaskHistory.java
@@ -9,6 +9,7 @@
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
@@ -17,12 +18,10 @@
 
 /**
  * What all hollow workers have recorded, brought into the order of the machine's steady clock and given to the rules.
- * Events come in batches from several processes, so each waits until nothing earlier can come.
+ * Events come in batches from several processes, each with the time up to which it holds everything; so an event
+ * waits until every process has handed over what came before it.
  */
 final class TaskHistory {
-  /** No batch comes later than that after what is in it; one that did is seen, and ends the run. */
-  private static final long ORDER_NANOS = 2_000_000_000L;
-
   private static final long MOST_MICROS = 600_000_000L;
 
   /** What a worker recorded, or with an action what a user was told. */
@@ -46,6 +45,10 @@
   private final Map<String, String> processOf = new HashMap<>();
   private final Map<String, Histogram> waits = new TreeMap<>();
   private final Set<String> running = new HashSet<>();
+
+  /** Up to which time each process has handed over everything. */
+  private final Map<String, Long> handedOver = new HashMap<>();
+
   private long applied;
   private long starts;
   private long measuredStarts;
@@ -53,9 +56,15 @@
   private long measuredSamples;
   private boolean measuring;
 
-  TaskHistory(Rules rules, Map<String, Worker> workers) {
+  /**
+   * An empty history.
+   *
+   * @param processes all processes of hollow workers
+   */
+  TaskHistory(Rules rules, Map<String, Worker> workers, List<String> processes) {
     this.rules = rules;
     this.workers = workers;
+    processes.forEach(process -> handedOver.put(process, 0L));
   }
 
   void submitted(String job) {
@@ -73,6 +82,7 @@
 
   /** Takes in a batch of a process; the answer to it. */
   ObjectNode take(String process, JsonNode batch) {
+    handedOver.put(process, batch.get("until").asLong());
     for (JsonNode each : batch.get("events")) {
       Event event =
           new Event(
@@ -83,7 +93,7 @@
               each.get(4).asLong(),
               null);
       if (event.nanos < applied) {
-        throw new AssertionError("events came too late to be put in order");
+        throw new AssertionError("events came after later ones of their process");
       }
       gather(event);
       waiting.add(event);
@@ -139,8 +149,9 @@
 
   /** Gives the rules what has its place in the order by now. */
   void apply(boolean all) {
-    long until = all ? Long.MAX_VALUE : System.nanoTime() - ORDER_NANOS;
-    while (!waiting.isEmpty() && waiting.peek().nanos <= until) {
+    long until =
+        all ? Long.MAX_VALUE : handedOver.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    while (!waiting.isEmpty() && waiting.peek().nanos < until) {
       Event event = waiting.poll();
       applied = event.nanos;
       if (event.action != null) {
--- /dev/null
+++ b/src/test/java/io/pineladder/scheduling/RoomMakerTest.java
@@ -0,0 +1,182 @@
+package io.pineladder.scheduling;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.pineladder.model.Attempt;
+import io.pineladder.model.Job;
+import io.pineladder.model.JobSpec;
+import io.pineladder.model.Machine;
+import io.pineladder.model.MachineType;
+import io.pineladder.model.Rank;
+import io.pineladder.model.Resources;
+import io.pineladder.model.Shape;
+import io.pineladder.net.Timeline;
+import io.pineladder.wire.SettingsReader;
+import io.pineladder.wire.SettingsReaderTest;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.random.RandomGenerator;
+import java.util.random.RandomGeneratorFactory;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Which fetching task moves to a machine that has its image, beside a model that looks at all of them. */
+class RoomMakerTest {
+  private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
+
+  private static final MachineType TYPE =
+      new MachineType(
+          "g4", Resources.of(16, 4, 64), 500, 1, 4, 1, Duration.ofSeconds(10), List.of("a"));
+
+  private Cluster cluster;
+
+  private RoomMaker rooms;
+  private int numbers;
+
+  private static final Timeline TIME =
+      new Timeline() {
+        @Override
+        public Instant now() {
+          return NOW;
+        }
+
+        @Override
+        public Instant timeOfDay() {
+          return NOW;
+        }
+
+        @Override
+        public RandomGenerator random() {
+          throw new AssertionError("moving leaves nothing to chance");
+        }
+
+        @Override
+        public void after(Duration delay, Runnable action) {
+          throw new UnsupportedOperationException();
+        }
+      };
+
+  @BeforeEach
+  void begin() throws SettingsReader.BadSettingsException {
+    cluster = new Cluster(SettingsReader.parse(SettingsReaderTest.GOOD));
+    cluster.setTypes(List.of(TYPE));
+    rooms = new RoomMaker(cluster, TIME, attempt -> {});
+  }
+
+  private Machine machine(String name) {
+    Machine machine = new Machine(name, TYPE, "a", false, NOW);
+    machine.moveTo(Machine.State.HEARD);
+    machine.moveTo(Machine.State.CONFIRMED);
+    cluster.addMachine(machine);
+    return machine;
+  }
+
+  private Attempt fetching(Machine on, String image, double cpus, Duration ready) {
+    JobSpec spec =
+        new JobSpec(
+            "req-" + ++numbers,
+            "work",
+            "red",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            1,
+            Resources.of(cpus, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            true,
+            image,
+            5,
+            Duration.ofSeconds(10),
+            Duration.ZERO,
+            Duration.ZERO,
+            null);
+    Job job = new Job(spec, NOW, Job.State.ACTIVE);
+    Attempt attempt = cluster.addAttempt(job, 0, numbers, on, NOW, Attempt.State.STORING);
+    attempt.readyAt = NOW.plus(ready);
+    cluster.move(attempt, Attempt.State.STORED);
+    cluster.move(attempt, Attempt.State.FETCHING);
+    return attempt;
+  }
+
+  private List<Attempt> moved(Machine to) {
+    List<Attempt> moved = new ArrayList<>();
+    rooms.shortenFetches(
+        List.of(to),
+        NOW,
+        attempt -> {
+          moved.add(attempt);
+          // Stopped, it is gone at once, as one that has not begun is.
+          cluster.move(attempt, Attempt.State.GONE);
+        });
+    return moved;
+  }
+
+  /** The time that the model's best choice would still wait; null when none is worth moving. */
+  private static Instant best(List<Attempt> all, Machine to, Resources room) {
+    Instant latest = null;
+    for (Attempt attempt : all) {
+      boolean worth =
+          attempt.holdsRoom()
+              && attempt.machine != to
+              && to.images.containsKey(attempt.job.spec.image())
+              && attempt.readyAt.isAfter(NOW.plusSeconds(6))
+              && attempt.job.spec.each().fitsIn(room);
+      if (worth && (latest == null || attempt.readyAt.isAfter(latest))) {
+        latest = attempt.readyAt;
+      }
+    }
+    return latest;
+  }
+
+  @Test
+  void theTaskThatWouldWaitLongestMoves() throws SettingsReader.BadSettingsException {
+    int moves = 0;
+    for (int seed = 0; seed < 40; seed++) {
+      begin();
+      RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+      Machine to = machine("m-0");
+      to.touchImage("img-0", 5);
+      to.touchImage("img-1", 5);
+      List<Attempt> all = new ArrayList<>();
+      for (int i = 1; i <= 2 + seed; i++) {
+        Duration ready = Duration.ofMillis(random.nextInt(12_000));
+        all.add(
+            fetching(
+                machine("m-" + i), "img-" + random.nextInt(3), 1 + random.nextInt(20), ready));
+      }
+      Instant expected = best(all, to, to.free());
+      List<Attempt> moved = moved(to);
+      assertEquals(expected, moved.isEmpty() ? null : moved.get(0).readyAt, "seed " + seed);
+      moves += moved.isEmpty() ? 0 : 1;
+    }
+    assertTrue(moves > 10 && moves < 40, "moves: " + moves);
+  }
+
+  /** Thousands of short fetches cost a machine that comes free no look at each of them. */
+  @Test
+  void fetchesThatEndSoonAreNotLookedAt() {
+    Machine to = machine("m-0");
+    for (int i = 0; i < 20; i++) {
+      to.touchImage("img-" + i, 1);
+    }
+    Machine on = machine("m-1");
+    List<Attempt> looked = new ArrayList<>();
+    for (int i = 0; i < 3_000; i++) {
+      looked.add(fetching(on, "img-" + i % 20, 0, Duration.ofMillis(1_000 + i)));
+    }
+    assertTrue(moved(to).isEmpty());
+    for (int i = 0; i < 20; i++) {
+      // The first in order is the last to be ready, so one look an image tells.
+      Attempt first = cluster.fetching("img-" + i).iterator().next();
+      assertTrue(
+          looked.stream()
+              .filter(attempt -> attempt.job.spec.image().equals(first.job.spec.image()))
+              .noneMatch(attempt -> attempt.readyAt.isAfter(first.readyAt)));
+    }
+  }
+}
