--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.net.HttpCaller;
 import io.pineladder.wire.Json;
+import io.pineladder.wire.MalformedException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -58,6 +59,9 @@
   private final Map<Long, Long> mostResident = new LinkedHashMap<>();
   private long mostTogether;
   private long startsBefore;
+  private long begunNanos;
+  private int requestsBefore;
+  private Map<String, Integer> changesBefore = Map.of();
 
   /** Runs it. */
   public static void main(String[] args) {
@@ -171,13 +175,13 @@
     on(real, load::stop);
     on(real, settings::stop);
     pass(cluster, DRAIN_SECONDS, false);
-    on(real, () -> cluster.history().apply(true));
+    on(real, () -> cluster.history().apply());
   }
 
   /** Has the rules see what has its place in the order, again and again. */
   private void apply(ScaleCluster cluster) {
     try {
-      cluster.history().apply(false);
+      cluster.history().apply();
       cluster.rules().watchCancelled();
     } catch (AssertionError e) {
       fail(e);
@@ -224,7 +228,7 @@
     try {
       HttpCaller.Reply reply = ask(real, address, path);
       return reply.is(200) ? Json.parseObject(reply.body()) : null;
-    } catch (io.pineladder.wire.MalformedException e) {
+    } catch (MalformedException e) {
       throw new AssertionError(e);
     }
   }
@@ -315,9 +319,6 @@
     }
   }
 
-  private long begunNanos;
-  private int requestsBefore;
-  private Map<String, Integer> changesBefore = Map.of();
 
   private void begin(ScaleCluster cluster)
       throws InterruptedException, ExecutionException, TimeoutException {
