--- a/src/main/java/io/pineladder/delivery/Deliveries.java
+++ b/src/main/java/io/pineladder/delivery/Deliveries.java
@@ -193,9 +193,9 @@
     public List<byte[]> secrets(Subscription subscription) {
       return subscription.secrets().stream()
           .map(
-              sealed ->
+              encrypted ->
                   opened.computeIfAbsent(
-                      sealed, s -> delivery.box().open(subscription.name(), s)))
+                      encrypted, s -> delivery.box().open(subscription.name(), s)))
           .toList();
     }
 
--- a/src/main/java/io/pineladder/delivery/Outbox.java
+++ b/src/main/java/io/pineladder/delivery/Outbox.java
@@ -165,7 +165,7 @@
   private State state = State.READING_JOBS;
 
   /** Pages of notices that wait for long, with the highest number in each. */
-  private final TreeMap<Long, Long> sealed = new TreeMap<>();
+  private final TreeMap<Long, Long> backlogPages = new TreeMap<>();
 
   /** Notices up to this one have left the pages of jobs. */
   private long sealedTo;
@@ -242,7 +242,7 @@
               leaveJobs(twice);
             }
           }
-          sealed.put(Long.parseLong(key.substring(Keys.BACKLOG.length())), last);
+          backlogPages.put(Long.parseLong(key.substring(Keys.BACKLOG.length())), last);
           sealedTo = Math.max(sealedTo, last);
         });
     entries.sort(BY_NUMBER);
@@ -452,7 +452,7 @@
     if (chunk.isEmpty()) {
       return;
     }
-    long page = sealed.isEmpty() ? 0 : sealed.lastKey() + 1;
+    long page = backlogPages.isEmpty() ? 0 : backlogPages.lastKey() + 1;
     long last = chunk.get(chunk.size() - 1).number();
     sealing = true;
     commit.accept(
@@ -464,7 +464,7 @@
                     Keys.BACKLOG + page, () -> RecordWire.page(Stream.of(), chunk))),
             () -> {
               sealing = false;
-              sealed.put(page, last);
+              backlogPages.put(page, last);
               for (Notice notice : chunk) {
                 if (notice.number() >= first()) {
                   leaveJobs(entry(notice.number()));
@@ -486,8 +486,8 @@
 
   /** Deletes pages of which nothing is wanted any more. */
   private void dropPages() {
-    while (!sealed.isEmpty() && sealed.firstEntry().getValue() < first()) {
-      long page = sealed.pollFirstEntry().getKey();
+    while (!backlogPages.isEmpty() && backlogPages.firstEntry().getValue() < first()) {
+      long page = backlogPages.pollFirstEntry().getKey();
       commit.accept(
           Mutation.of(
               Mutation.Priority.TIDY,
--- a/src/main/java/io/pineladder/delivery/SecretBox.java
+++ b/src/main/java/io/pineladder/delivery/SecretBox.java
@@ -46,8 +46,8 @@
   public String seal(String purpose, byte[] secret) {
     byte[] nonce = new byte[NONCE_BYTES];
     random.nextBytes(nonce);
-    byte[] sealed = apply(Cipher.ENCRYPT_MODE, nonce, purpose, secret);
-    ByteBuffer both = ByteBuffer.allocate(NONCE_BYTES + sealed.length).put(nonce).put(sealed);
+    byte[] encrypted = apply(Cipher.ENCRYPT_MODE, nonce, purpose, secret);
+    ByteBuffer both = ByteBuffer.allocate(NONCE_BYTES + encrypted.length).put(nonce).put(encrypted);
     return Base64.getEncoder().encodeToString(both.array());
   }
 
@@ -56,8 +56,8 @@
    *
    * @throws IllegalArgumentException when it was not encrypted with this key for this purpose
    */
-  public byte[] open(String purpose, String sealed) {
-    byte[] both = Base64.getDecoder().decode(sealed);
+  public byte[] open(String purpose, String encrypted) {
+    byte[] both = Base64.getDecoder().decode(encrypted);
     if (both.length < NONCE_BYTES) {
       throw new IllegalArgumentException("a sealed secret is too short");
     }
--- a/src/main/java/io/pineladder/delivery/Subscriptions.java
+++ b/src/main/java/io/pineladder/delivery/Subscriptions.java
@@ -371,12 +371,12 @@
 
   private void apply(
       String name, ObjectNode wanted, boolean isNew, Consumer<HttpAnswer> answer) {
-    List<String> sealed = new ArrayList<>();
+    List<String> encrypted = new ArrayList<>();
     wanted
         .path("secrets")
         .forEach(
             secret ->
-                sealed.add(delivery.box().seal(name, Signature.secret(secret.textValue()))));
+                encrypted.add(delivery.box().seal(name, Signature.secret(secret.textValue()))));
     String incarnation = HexFormat.of().toHexDigits(time.random().nextInt());
     String url = wanted.get("url").textValue();
     Set<String> owners = DeliveryWire.texts(wanted.path("owners"));
@@ -395,7 +395,7 @@
                 url,
                 outbox.last(),
                 List.of(filter),
-                List.copyOf(sealed),
+                List.copyOf(encrypted),
                 Subscription.Status.ACTIVE,
                 null);
           }
@@ -409,7 +409,7 @@
               url,
               now.since(),
               List.copyOf(filters),
-              sealed.isEmpty() ? now.secrets() : List.copyOf(sealed),
+              encrypted.isEmpty() ? now.secrets() : List.copyOf(encrypted),
               now.status(),
               now.reason());
         };
--- a/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
+++ b/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
@@ -51,13 +51,13 @@
   void aSealedSecretOpensForItsPurposeOnly() {
     SecretBox box = new SecretBox(new byte[32]);
     byte[] secret = {1, 2, 3};
-    String sealed = box.seal("desk", secret);
-    assertArrayEquals(secret, box.open("desk", sealed));
-    assertThrows(IllegalArgumentException.class, () -> box.open("other", sealed));
+    String encrypted = box.seal("desk", secret);
+    assertArrayEquals(secret, box.open("desk", encrypted));
+    assertThrows(IllegalArgumentException.class, () -> box.open("other", encrypted));
     byte[] key = new byte[32];
     key[31] = 1;
     assertThrows(
-        IllegalArgumentException.class, () -> new SecretBox(key).open("desk", sealed));
+        IllegalArgumentException.class, () -> new SecretBox(key).open("desk", encrypted));
   }
 
   @ParameterizedTest
