--- a/src/main/java/io/pineladder/Leader.java
+++ b/src/main/java/io/pineladder/Leader.java
@@ -120,8 +120,8 @@
   private static final Duration AUDIT = Duration.ofSeconds(1);
 
   /**
-   * A term that begins so long after an incomplete rebuild need not hold again: the terms before have
-   * heard all machines, or have returned them.
+   * A term that begins so long after an incomplete rebuild need not hold again: the terms before
+   * have heard all machines, or have returned them.
    */
   private static final Duration MOST_HOLDING = Duration.ofMinutes(5);
 
@@ -642,8 +642,9 @@
   }
 
   /**
-   * Whether the store was empty when this term began, and workers that know better have not had the time
-   * to report: a cluster that begins for the first time looks like one that has lost everything.
+   * Whether the store was empty when this term began, and workers that know better have not had the
+   * time to report: a cluster that begins for the first time looks like one that has lost
+   * everything.
    */
   private boolean mayHaveBegunAnew() {
     Duration report = settings.workers().report();
@@ -675,7 +676,9 @@
     records.rewrite(damaged.key());
   }
 
-  /** Has the records compared with what was stored, some at a time, for as long as the term lasts. */
+  /**
+   * Has the records compared with what was stored, some at a time, for as long as the term lasts.
+   */
   private void audit(String after) {
     if (state == State.LEADING) {
       committer.audit(after, last -> time.after(AUDIT, () -> audit(last)));
@@ -759,8 +762,8 @@
   /**
    * Tells a job's state. While its final state is on its way to the store, another node may read it
    * there before this one hears of the commit; an answer that is not final would then be older than
-   * what a user has been told already. So the answer waits for the commit, also where the final state would
-   * follow from that of a job before it.
+   * what a user has been told already. So the answer waits for the commit, also where the final
+   * state would follow from that of a job before it.
    */
   private void tell(Job job, Consumer<View> onDone) {
     Job before = job.endingPrerequisite;
@@ -920,8 +923,8 @@
   }
 
   /**
-   * The least time that is left to a job of a chain until it should have started for the jobs that need it, in
-   * seconds, negative when it should have; null when nothing is expected of any chain.
+   * The least time that is left to a job of a chain until it should have started for the jobs that
+   * need it, in seconds, negative when it should have; null when nothing is expected of any chain.
    */
   public Double leastChainSlackSeconds() {
     Instant now = time.timeOfDay();
--- a/src/main/java/io/pineladder/Node.java
+++ b/src/main/java/io/pineladder/Node.java
@@ -125,8 +125,7 @@
     this.election = new Election(store, time, settings, nonce, this::mayStand, new Part());
     this.records =
         new RecordKeeping(settings, store, time, nonce, shelf, background, new RecordsHost());
-    this.keeping =
-        new Keeping(store, time, settings.member(), settings.workers().report());
+    this.keeping = new Keeping(store, time, settings.member(), settings.workers().report());
   }
 
   public void start() {
@@ -143,8 +142,8 @@
   }
 
   /**
-   * Whether a missing leader may be replaced: not before the peers were asked which revisions they have
-   * seen, or a process that has just begun would lead in a store that has lost its data.
+   * Whether a missing leader may be replaced: not before the peers were asked which revisions they
+   * have seen, or a process that has just begun would lead in a store that has lost its data.
    */
   private boolean mayStand() {
     return membership.hasAskedAll() && records.mayStand() && !version.isUnsupported();
@@ -410,7 +409,9 @@
     return leading && election.isValid() ? leader : null;
   }
 
-  /** The leader's memory while this node may answer reports, certain of its lease or not; or null. */
+  /**
+   * The leader's memory while this node may answer reports, certain of its lease or not; or null.
+   */
   public Leader termHolder() {
     return election.mayKeepAlive() ? leader : null;
   }
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -76,7 +76,8 @@
               PREFIX + "settings",
               PREFIX + SNAPSHOT,
               PREFIX + "queue",
-              PREFIX + "machines" -> true;
+              PREFIX + "machines" ->
+              true;
           default -> false;
         };
     if (!known) {
@@ -140,7 +141,10 @@
         .put("supported", node.version().supported());
   }
 
-  /** The state service's limits that this controller keeps to, and what it asked for in the last second. */
+  /**
+   * The state service's limits that this controller keeps to, and what it asked for in the last
+   * second.
+   */
   private ObjectNode storeLimits() {
     Settings.StoreLimits kept = node.store().limits();
     Settings.StoreLimits inForce = node.settings().storeInForce();
--- a/src/main/java/io/pineladder/cli/AdminCommand.java
+++ b/src/main/java/io/pineladder/cli/AdminCommand.java
@@ -88,9 +88,9 @@
                     .auxiliaryTypes(String.class)
                     .arity("0..*")
                     .description(
-                        "with subscriptions: nothing for all, schema, or show, put, pause, resume or"
-                            + " delete with a name; with networks: nothing to show them, none, or"
-                            + " all that notices may be sent to; with snapshot: fetch or handin")
+                        "with subscriptions: nothing for all, schema, or show, put, pause, resume"
+                            + " or delete with a name; with networks: nothing to show them, none,"
+                            + " or all that notices may be sent to; with snapshot: fetch or handin")
                     .build());
     spec.usageMessage()
         .description("Asks a controller, or changes the operators' settings and subscriptions.");
@@ -105,8 +105,7 @@
   }
 
   /** The call that the words ask for, or null when they ask for none. */
-  private static Call subscriptions(List<String> words, Path file, Long from)
-      throws IOException {
+  private static Call subscriptions(List<String> words, Path file, Long from) throws IOException {
     String path = "subscriptions";
     if (words.isEmpty()) {
       return new Call("GET", path, null);
@@ -161,8 +160,7 @@
                     words,
                     parsed.matchedOptionValue("--file", null),
                     parsed.matchedOptionValue("--from", null));
-            case "networks" ->
-                words.isEmpty() ? new Call("GET", topic, null) : networks(words);
+            case "networks" -> words.isEmpty() ? new Call("GET", topic, null) : networks(words);
             case "snapshot" -> snapshot(words, parsed.matchedOptionValue("--file", null));
             default -> {
               ObjectNode body = Json.object();
@@ -195,8 +193,7 @@
         Files.write(parsed.matchedOptionValue("--file", Path.of("")), response.body());
         return Main.EXIT_OK;
       }
-      (good ? System.out : System.err)
-          .println(new String(response.body(), StandardCharsets.UTF_8));
+      (good ? System.out : System.err).println(new String(response.body(), StandardCharsets.UTF_8));
       return good ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException | IllegalArgumentException e) {
       System.err.println(address + ": " + e.getMessage());
--- a/src/main/java/io/pineladder/cli/Controller.java
+++ b/src/main/java/io/pineladder/cli/Controller.java
@@ -26,9 +26,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves as a controller; its only argument is the settings file. The platform starts this class and
- * not {@link Main}: reading a command line takes a fifth of a start's processor time, because picocli's
- * classes are of a format that no class-data archive takes, and small nodes have a seventh of a core.
+ * Serves as a controller; its only argument is the settings file. The platform starts this class
+ * and not {@link Main}: reading a command line takes a fifth of a start's processor time, because
+ * picocli's classes are of a format that no class-data archive takes, and small nodes have a
+ * seventh of a core.
  */
 public final class Controller {
   private static final int EXIT_FAILURE = 1;
@@ -41,7 +42,8 @@
   /**
    * What a controller does beyond what the settings file says.
    *
-   * @param deliveryKey the file with the key for subscribers' secrets; null: notices are not delivered
+   * @param deliveryKey the file with the key for subscribers' secrets; null: notices are not
+   *     delivered
    * @param snapshots the directory for snapshots of the records; null: none are written
    */
   record Extras(Path deliveryKey, Path snapshots) {
@@ -61,8 +63,7 @@
       System.err.println("usage: Controller [--delivery KEYFILE] [--snapshots DIR] SETTINGS");
       System.exit(EXIT_USAGE);
     }
-    int code =
-        serve(Path.of(args[at]), new Extras(options.get(DELIVERY), options.get(SNAPSHOTS)));
+    int code = serve(Path.of(args[at]), new Extras(options.get(DELIVERY), options.get(SNAPSHOTS)));
     if (code >= 0) {
       System.exit(code);
     }
@@ -148,23 +149,17 @@
             runtime,
             http,
             HexFormat.of().formatHex(nonce),
-            extras.deliveryKey == null
-                ? null
-                : delivery(settings, runtime, extras.deliveryKey),
+            extras.deliveryKey == null ? null : delivery(settings, runtime, extras.deliveryKey),
             extras.snapshots == null
                 ? null
-                : new SnapshotDirectory(
-                    extras.snapshots.resolve(settings.member()), runtime),
+                : new SnapshotDirectory(extras.snapshots.resolve(settings.member()), runtime),
             runtime);
     Metrics metrics = new Metrics();
     metrics.watch(runtime.sockets());
     Front front = new Front(node, metrics);
     runtime.serve(
         new XnioRuntime.Listener(
-            settings.frontAddress(),
-            front::handle,
-            Sockets.Part.ARRIVING,
-            Controller::frontPart));
+            settings.frontAddress(), front::handle, Sockets.Part.ARRIVING, Controller::frontPart));
     runtime.serve(
         new XnioRuntime.Listener(
             settings.clusterAddress(),
--- a/src/main/java/io/pineladder/cli/KeygenCommand.java
+++ b/src/main/java/io/pineladder/cli/KeygenCommand.java
@@ -7,7 +7,9 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.ParseResult;
 
-/** {@code pineladder keygen}: a new key for the controllers, or a signing secret for a subscriber. */
+/**
+ * {@code pineladder keygen}: a new key for the controllers, or a signing secret for a subscriber.
+ */
 final class KeygenCommand {
   private static final int BYTES = 32;
 
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/Training.java
@@ -15,8 +15,8 @@
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
 /**
@@ -99,9 +99,10 @@
 
   private static final byte[] JOB =
       """
-      {"ref":"req-1","jobclass":"c","owner":"t","shape":"array","rank":"low","pieces":2,
-       "vcpus":1.0,"cards":0.0,"memory_gb":1.0,"bundle":"i","image_gb":1.0,"hulls":["t"],
-       "together":false,"spread":false,"loaners":false,"guess_s":1.0,"mark_every_s":0.0,"stow_s":0.0}"""
+{"ref":"req-1","jobclass":"c","owner":"t","shape":"array","rank":"low","pieces":2,
+ "vcpus":1.0,"cards":0.0,"memory_gb":1.0,"bundle":"i","image_gb":1.0,"hulls":["t"],
+ "together":false,"spread":false,"loaners":false,"guess_s":1.0,"mark_every_s":0.0,"stow_s":0.0}\
+"""
           .getBytes(StandardCharsets.UTF_8);
 
   /** The state service's revision; a first leader's key has the next one. */
@@ -145,45 +146,45 @@
 
   private static String toml(String front, String cluster, String outside) {
     return """
-        member = "n"
-        area = "z"
-        front = "%s"
-        cluster_listen = "%s"
-        [[seeds]]
-        member = "m"
-        area = "z"
-        address = "127.0.0.1:1"
-        [external]
-        cloud = "%s"
-        state = "%s"
-        [deployment]
-        zones = ["z"]
-        [[deployment.teams]]
-        name = "t"
-        cpus = 0.0
-        cpus_max = 0.0
-        gpus = 0.0
-        gpus_max = 0.0
-        [[deployment.objectives]]
-        kind = "wait"
-        class = "c"
-        within_s = 6.0
-        share = 0.9
-        [deployment.workers]
-        report_s = 3.0
-        lease_s = 20.0
-        gang_wait_s = 20.0
-        gang_peer_s = 5.0
-        cancel_s = 20.0
-        [deployment.state]
-        rps = 100.0
-        write_rps = 100.0
-        value_kb = 8.0
-        txn_ops = 12
-        [deployment.cloud]
-        rps = 5.0
-        list_lag_s = 1.0
-        """
+    member = "n"
+    area = "z"
+    front = "%s"
+    cluster_listen = "%s"
+    [[seeds]]
+    member = "m"
+    area = "z"
+    address = "127.0.0.1:1"
+    [external]
+    cloud = "%s"
+    state = "%s"
+    [deployment]
+    zones = ["z"]
+    [[deployment.teams]]
+    name = "t"
+    cpus = 0.0
+    cpus_max = 0.0
+    gpus = 0.0
+    gpus_max = 0.0
+    [[deployment.objectives]]
+    kind = "wait"
+    class = "c"
+    within_s = 6.0
+    share = 0.9
+    [deployment.workers]
+    report_s = 3.0
+    lease_s = 20.0
+    gang_wait_s = 20.0
+    gang_peer_s = 5.0
+    cancel_s = 20.0
+    [deployment.state]
+    rps = 100.0
+    write_rps = 100.0
+    value_kb = 8.0
+    txn_ops = 12
+    [deployment.cloud]
+    rps = 5.0
+    list_lag_s = 1.0
+    """
         .formatted(front, cluster, outside, outside);
   }
 }
--- a/src/main/java/io/pineladder/delivery/Deliveries.java
+++ b/src/main/java/io/pineladder/delivery/Deliveries.java
@@ -14,9 +14,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The sending to all subscribers in one term. They take turns, and there is a bound on what is under
- * way and on the rate, so that scheduling goes on beside it; those whose last try failed have only a
- * part of the turns, so that the dead do not delay the others.
+ * The sending to all subscribers in one term. They take turns, and there is a bound on what is
+ * under way and on the rate, so that scheduling goes on beside it; those whose last try failed have
+ * only a part of the turns, so that the dead do not delay the others.
  */
 public final class Deliveries {
   /** The part of the turns that receivers which fail have. */
@@ -52,11 +52,7 @@
   private final Histogram delays = new Histogram(TimeUnit.DAYS.toMillis(2), 2);
 
   Deliveries(
-      Delivery delivery,
-      Outbox outbox,
-      Timeline time,
-      BooleanSupplier mayAct,
-      Settling settling) {
+      Delivery delivery, Outbox outbox, Timeline time, BooleanSupplier mayAct, Settling settling) {
     this.delivery = delivery;
     this.outbox = outbox;
     this.time = time;
--- a/src/main/java/io/pineladder/delivery/Delivery.java
+++ b/src/main/java/io/pineladder/delivery/Delivery.java
@@ -37,11 +37,7 @@
    * @param sockets how many sockets there are for it
    */
   public Delivery(
-      Background background,
-      SecretBox box,
-      Collection<String> own,
-      double coreShare,
-      int sockets) {
+      Background background, SecretBox box, Collection<String> own, double coreShare, int sockets) {
     // The rest is for connections that are being closed, or kept for the next notice.
     this.underWay = Math.max(1, Math.min(MOST_UNDER_WAY, sockets * 3 / 4));
     this.background = background;
--- a/src/main/java/io/pineladder/delivery/Destinations.java
+++ b/src/main/java/io/pineladder/delivery/Destinations.java
@@ -13,8 +13,8 @@
 /**
  * Which addresses notices may be sent to: those of listed networks. Whoever may subscribe could
  * otherwise have a controller send requests to what only controllers reach. So loopback, link-local
- * and the cluster's own addresses are denied even within a wider network that is listed; they must be
- * listed by themselves.
+ * and the cluster's own addresses are denied even within a wider network that is listed; they must
+ * be listed by themselves.
  */
 public final class Destinations {
   private static final IPAddressStringParameters PLAIN =
--- a/src/main/java/io/pineladder/delivery/Outbox.java
+++ b/src/main/java/io/pineladder/delivery/Outbox.java
@@ -36,10 +36,10 @@
  * notices. What all have confirmed leaves the log once that is stored, or a later leader could not
  * count on from where the record of a subscriber stands.
  *
- * <p>A notice stands in its job's page at first. Where many wait they move, the oldest first, to pages of
- * their own: job pages that are full of notices take in no jobs, and a new leader would have to read them
- * all before it begins. It needs the newest only, from which it counts on, and reads the rest once it
- * leads.
+ * <p>A notice stands in its job's page at first. Where many wait they move, the oldest first, to
+ * pages of their own: job pages that are full of notices take in no jobs, and a new leader would
+ * have to read them all before it begins. It needs the newest only, from which it counts on, and
+ * reads the rest once it leads.
  */
 public final class Outbox implements NoticeBook {
   private static final Logger log = LoggerFactory.getLogger(Outbox.class);
@@ -51,8 +51,9 @@
   private static final int PARTS = 64;
 
   /**
-   * A page of progress is stored once its subscribers are so many notices further on average, for each
-   * page there is. By the one that is furthest, a hundred who take turns would each have it stored.
+   * A page of progress is stored once its subscribers are so many notices further on average, for
+   * each page there is. By the one that is furthest, a hundred who take turns would each have it
+   * stored.
    */
   private static final int PACE = 50;
 
@@ -66,8 +67,8 @@
   private static final int PROGRESS_BYTES = 180;
 
   /**
-   * So large a part of one value may wait in the pages of jobs. With more the page that takes in new jobs
-   * would fill up, and jobs that end together would be in several pages.
+   * So large a part of one value may wait in the pages of jobs. With more the page that takes in
+   * new jobs would fill up, and jobs that end together would be in several pages.
    */
   private static final double IN_JOBS = 0.5;
 
@@ -222,8 +223,8 @@
   }
 
   /**
-   * All else has been read: notices that wait for long, and where the subscribers are, each by their
-   * pages' keys.
+   * All else has been read: notices that wait for long, and where the subscribers are, each by
+   * their pages' keys.
    */
   public void complete(
       Map<String, List<Notice>> backlog, Map<String, Map<String, Progress>> progress) {
@@ -433,7 +434,9 @@
     onStored.run();
   }
 
-  /** Moves the oldest notices in pages of jobs to a page of their own, where too many wait there. */
+  /**
+   * Moves the oldest notices in pages of jobs to a page of their own, where too many wait there.
+   */
   private void seal() {
     if (sealing || bytesInJobs <= valueBytes * IN_JOBS) {
       return;
@@ -460,8 +463,7 @@
             // Among the ends: put off in a rush it would leave them ever more pages to change.
             Mutation.Priority.END,
             List.of(
-                new Mutation.Write(
-                    Keys.BACKLOG + page, () -> RecordWire.page(Stream.of(), chunk))),
+                new Mutation.Write(Keys.BACKLOG + page, () -> RecordWire.page(Stream.of(), chunk))),
             () -> {
               sealing = false;
               backlogPages.put(page, last);
@@ -589,7 +591,9 @@
 
   // ---- progress
 
-  /** The oldest notices are kept no longer: whoever has not confirmed them will be told of a loss. */
+  /**
+   * The oldest notices are kept no longer: whoever has not confirmed them will be told of a loss.
+   */
   private void giveUp(long before) {
     for (Subscription subscription : subscriptions.values()) {
       Cursor cursor = cursor(subscription);
--- a/src/main/java/io/pineladder/delivery/SecretBox.java
+++ b/src/main/java/io/pineladder/delivery/SecretBox.java
@@ -13,9 +13,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Encrypts signing secrets for the state service: to sign, the secret itself is needed, so a hash of
- * it would not do. AES-256 in GCM mode with a key that only the controllers' machines have; what the
- * secret is for is bound to it, so that a stored secret cannot be moved to another subscription.
+ * Encrypts signing secrets for the state service: to sign, the secret itself is needed, so a hash
+ * of it would not do. AES-256 in GCM mode with a key that only the controllers' machines have; what
+ * the secret is for is bound to it, so that a stored secret cannot be moved to another
+ * subscription.
  */
 public final class SecretBox {
   private static final int KEY_BYTES = 32;
--- a/src/main/java/io/pineladder/delivery/Signature.java
+++ b/src/main/java/io/pineladder/delivery/Signature.java
@@ -66,7 +66,9 @@
     return out.toString();
   }
 
-  /** Whether one of the signatures in the header is by one of the secrets; in constant time each. */
+  /**
+   * Whether one of the signatures in the header is by one of the secrets; in constant time each.
+   */
   public static boolean verify(
       List<byte[]> secrets, String id, String seconds, byte[] body, String header) {
     boolean found = false;
--- a/src/main/java/io/pineladder/delivery/Subscriptions.java
+++ b/src/main/java/io/pineladder/delivery/Subscriptions.java
@@ -32,7 +32,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Subscriptions in one term: the administration of them, and the sending where it is switched on. */
+/**
+ * Subscriptions in one term: the administration of them, and the sending where it is switched on.
+ */
 public final class Subscriptions {
   private static final Logger log = LoggerFactory.getLogger(Subscriptions.class);
 
@@ -80,9 +82,7 @@
     this.time = time;
     this.commit = commit;
     this.deliveries =
-        delivery == null
-            ? null
-            : new Deliveries(delivery, outbox, time, mayAct, this::settle);
+        delivery == null ? null : new Deliveries(delivery, outbox, time, mayAct, this::settle);
   }
 
   /** Whether subscriptions can be administered and are served here. */
@@ -123,14 +123,13 @@
                     () -> {
                       Subscription before = outbox.subscriptions().get(name);
                       rendered[0] = change.apply(before);
-                      return rendered[0] == null
-                          ? null
-                          : DeliveryWire.subscription(rendered[0]);
+                      return rendered[0] == null ? null : DeliveryWire.subscription(rendered[0]);
                     })),
             List.of(),
             List.of(),
-            () -> change.apply(outbox.subscriptions().get(name)) != null
-                || outbox.subscriptions().containsKey(name),
+            () ->
+                change.apply(outbox.subscriptions().get(name)) != null
+                    || outbox.subscriptions().containsKey(name),
             () -> {
               stored(name, rendered[0]);
               onStored.run();
@@ -194,8 +193,7 @@
 
   /** Answers at the first of both: the change is stored, or has taken too long. */
   private Runnable within(Consumer<HttpAnswer> answer, Supplier<HttpAnswer> good) {
-    Consumer<HttpAnswer> first =
-        Answers.once(time, answer, STORE_TIMEOUT, later("not stored yet"));
+    Consumer<HttpAnswer> first = Answers.once(time, answer, STORE_TIMEOUT, later("not stored yet"));
     return () -> first.accept(good.get());
   }
 
@@ -212,8 +210,7 @@
     } else if (path.equals(PATH + "/schema")) {
       answer.accept(
           method.equals("GET")
-              ? new HttpAnswer(
-                  200, SubscriptionSchema.text().getBytes(StandardCharsets.UTF_8))
+              ? new HttpAnswer(200, SubscriptionSchema.text().getBytes(StandardCharsets.UTF_8))
               : error(405, "use GET"));
     } else {
       String[] parts = path.substring(PATH.length() + 1).split("/", -1);
@@ -264,8 +261,7 @@
   }
 
   private ObjectNode show(Subscription subscription) {
-    ObjectNode out =
-        Json.object().put("name", subscription.name()).put("url", subscription.url());
+    ObjectNode out = Json.object().put("name", subscription.name()).put("url", subscription.url());
     ArrayNode owners = out.putArray("owners");
     subscription.filter().owners().stream().sorted().forEach(owners::add);
     ArrayNode classes = out.putArray("classes");
@@ -369,8 +365,7 @@
     return faults;
   }
 
-  private void apply(
-      String name, ObjectNode wanted, boolean isNew, Consumer<HttpAnswer> answer) {
+  private void apply(String name, ObjectNode wanted, boolean isNew, Consumer<HttpAnswer> answer) {
     List<String> encrypted = new ArrayList<>();
     wanted
         .path("secrets")
@@ -386,8 +381,7 @@
           if (now == null && !isNew) {
             return null;
           }
-          Subscription.Filter filter =
-              new Subscription.Filter(outbox.last(), owners, classes);
+          Subscription.Filter filter = new Subscription.Filter(outbox.last(), owners, classes);
           if (now == null) {
             return new Subscription(
                 name,
@@ -488,8 +482,7 @@
     try {
       wanted = DeliveryWire.parseNetworks(Json.parseObject(body));
     } catch (MalformedException e) {
-      answer.accept(
-          faulty(List.of(new SubscriptionSchema.Fault("/networks", e.getMessage()))));
+      answer.accept(faulty(List.of(new SubscriptionSchema.Fault("/networks", e.getMessage()))));
       return;
     }
     List<SubscriptionSchema.Fault> faults = new ArrayList<>();
--- a/src/main/java/io/pineladder/delivery/receiver/Journal.java
+++ b/src/main/java/io/pineladder/delivery/receiver/Journal.java
@@ -39,8 +39,7 @@
    */
   public Journal(Path file) throws IOException {
     this.file = file;
-    this.channel =
-        FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    this.channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       lock();
       long good = read();
--- a/src/main/java/io/pineladder/delivery/receiver/NoticeStore.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NoticeStore.java
@@ -5,17 +5,17 @@
 import java.io.IOException;
 
 /**
- * Where a receiver keeps what notices cause, together with how far it is. Exactly once rests on both
- * being one step: with an effect that is there without its position, a crash has it repeated, and
- * with a position that is there without its effect, a crash has it left out.
+ * Where a receiver keeps what notices cause, together with how far it is. Exactly once rests on
+ * both being one step: with an effect that is there without its position, a crash has it repeated,
+ * and with a position that is there without its effect, a crash has it left out.
  */
 public interface NoticeStore extends Closeable {
   /** The last sequence of a source whose effect is durable; 0 for none. */
   long position(String source);
 
   /**
-   * Makes the event's effect and its position durable in one step that is there as a whole or not at
-   * all after a crash.
+   * Makes the event's effect and its position durable in one step that is there as a whole or not
+   * at all after a crash.
    *
    * @throws IOException when it is not known to be durable; nothing more is applied after that
    */
--- a/src/main/java/io/pineladder/delivery/receiver/Receiver.java
+++ b/src/main/java/io/pineladder/delivery/receiver/Receiver.java
@@ -62,7 +62,8 @@
     }
     Instant signedAt = Instant.ofEpochSecond(Long.parseLong(seconds));
     if (Duration.between(signedAt, clock.instant()).abs().compareTo(TOLERANCE) > 0) {
-      // Not for good: a packet that was held back is of no use any more, but one of the clocks may be
+      // Not for good: a packet that was held back is of no use any more, but one of the clocks may
+      // be
       // wrong, and then what is signed anew is taken once it is right.
       return Reply.error(425, "the notice was signed at another time");
     }
--- a/src/main/java/io/pineladder/fleet/Backlog.java
+++ b/src/main/java/io/pineladder/fleet/Backlog.java
@@ -4,10 +4,11 @@
 import java.util.List;
 
 /**
- * Whether arrays that wait start in time on the machines there are. Work is worth times seconds: tasks times
- * their run time times what each takes of a machine at its list price, so machines of all types compare. It is
- * taken to flow through all of the capacity in the order of priority; the last of it starts once capacity
- * times seconds is its sum, since what runs by then has as much left to do as what runs now.
+ * Whether arrays that wait start in time on the machines there are. Work is worth times seconds:
+ * tasks times their run time times what each takes of a machine at its list price, so machines of
+ * all types compare. It is taken to flow through all of the capacity in the order of priority; the
+ * last of it starts once capacity times seconds is its sum, since what runs by then has as much
+ * left to do as what runs now.
  */
 final class Backlog {
   /**
@@ -18,7 +19,9 @@
    * @param rate the work that comes before it each second
    */
   private record Due(double sum, double within, double rate) {
-    /** The capacity beyond that given which would start all in time, had it been there from now on. */
+    /**
+     * The capacity beyond that given which would start all in time, had it been there from now on.
+     */
     double lacks(double capacity) {
       return sum / within + rate - capacity;
     }
@@ -35,7 +38,8 @@
   }
 
   /**
-   * Adds tasks that come after what was added before; what cannot be helped any more presses no more.
+   * Adds tasks that come after what was added before; what cannot be helped any more presses no
+   * more.
    *
    * @param run the seconds that each of them runs
    * @param within the seconds left to start them
@@ -58,7 +62,8 @@
   }
 
   /**
-   * How much of the part {@code of} of the capacity is needed for all to start in time, and for what comes.
+   * How much of the part {@code of} of the capacity is needed for all to start in time, and for
+   * what comes.
    *
    * @param rate all work that comes each second
    */
--- a/src/main/java/io/pineladder/fleet/BootTimes.java
+++ b/src/main/java/io/pineladder/fleet/BootTimes.java
@@ -108,7 +108,8 @@
     boolean slow = usual(of) >= SLOW;
     if (slow != of.slow) {
       of.slow = slow;
-      log.info("machines of {} boot {}: {}", type.name(), slow ? "slowly" : "as usual", usual(type));
+      log.info(
+          "machines of {} boot {}: {}", type.name(), slow ? "slowly" : "as usual", usual(type));
     }
   }
 
--- a/src/main/java/io/pineladder/fleet/Cloud.java
+++ b/src/main/java/io/pineladder/fleet/Cloud.java
@@ -71,7 +71,7 @@
 
   /** Whether there is no capacity, which is no trouble. */
   static boolean isRefusal(Reply reply) {
-    return reply.is(503) && new String(reply.body(), StandardCharsets.UTF_8)
-        .contains("no capacity");
+    return reply.is(503)
+        && new String(reply.body(), StandardCharsets.UTF_8).contains("no capacity");
   }
 }
--- a/src/main/java/io/pineladder/fleet/Demand.java
+++ b/src/main/java/io/pineladder/fleet/Demand.java
@@ -25,11 +25,11 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What machines the jobs that found no room want, as seen at one moment. Each takes what it lacks from the
- * machines that boot, then from the cheapest kind for it that can be had. Jobs that can wait do so for room
- * that comes free: an ordinary machine, several times as dear, is worth its price only if they would be late
- * without it. Found on galleharbour, where most of the money went to ordinary
- * machines for work that had minutes left.
+ * What machines the jobs that found no room want, as seen at one moment. Each takes what it lacks
+ * from the machines that boot, then from the cheapest kind for it that can be had. Jobs that can
+ * wait do so for room that comes free: an ordinary machine, several times as dear, is worth its
+ * price only if they would be late without it. Found on galleharbour, where most of the money went
+ * to ordinary machines for work that had minutes left.
  */
 final class Demand {
   /** The last task of an array takes so much longer than the estimate, as a part of it. */
@@ -73,7 +73,10 @@
   /** The first job that an ordinary machine would help, or null. */
   private JobSpec pressing;
 
-  /** At list prices an hour: what is wanted, boots, and is free; of ordinary machines, then of spot ones. */
+  /**
+   * At list prices an hour: what is wanted, boots, and is free; of ordinary machines, then of spot
+   * ones.
+   */
   private final double[] wanted = new double[2];
 
   private final double[] coming = new double[2];
@@ -83,13 +86,16 @@
    * A look at the cluster.
    *
    * @param freePart the part of a machine that is free
-   * @param arraysWait whether arrays that can wait do; not where work comes that may use ordinary machines
-   *     only: what arrays hold of those is the room that it finds at once, by stopping them
-   * @param arriving the work above a rank, or all if it is null, that comes each second and can wait
-   * @param best the type that would serve a job best if all could be had; what waits counts whether or not
-   *     machines are refused at the moment, or those it needs would be given up with each refusal
-   * @param cheapest the type that serves a job best of those that can be had, spot machines or not; null
-   *     for none
+   * @param arraysWait whether arrays that can wait do; not where work comes that may use ordinary
+   *     machines only: what arrays hold of those is the room that it finds at once, by stopping
+   *     them
+   * @param arriving the work above a rank, or all if it is null, that comes each second and can
+   *     wait
+   * @param best the type that would serve a job best if all could be had; what waits counts whether
+   *     or not machines are refused at the moment, or those it needs would be given up with each
+   *     refusal
+   * @param cheapest the type that serves a job best of those that can be had, spot machines or not;
+   *     null for none
    */
   Demand(
       Cluster cluster,
@@ -142,8 +148,9 @@
   }
 
   /**
-   * What is to be added in ordinary machines for arrays that would be late, at list prices an hour. Spot
-   * machines that are asked for now may well be had: what is refused of them lacks the next time.
+   * What is to be added in ordinary machines for arrays that would be late, at list prices an hour.
+   * Spot machines that are asked for now may well be had: what is refused of them lacks the next
+   * time.
    */
   double lacking() {
     double asked = 0;
@@ -158,7 +165,9 @@
     return pressing;
   }
 
-  /** Ordinary machines that serve only arrays that can wait, and how much of them is needed in time. */
+  /**
+   * Ordinary machines that serve only arrays that can wait, and how much of them is needed in time.
+   */
   List<Machine> flexible() {
     return flexible;
   }
@@ -177,8 +186,7 @@
     return spot ? 1 : 0;
   }
 
-  private void count(
-      Machine machine, BootTimes boots, ToDoubleFunction<Machine> freePart) {
+  private void count(Machine machine, BootTimes boots, ToDoubleFunction<Machine> freePart) {
     double price = machine.type.price();
     switch (machine.state()) {
       case EXPECTED, HEARD -> {
@@ -202,8 +210,8 @@
   /**
    * Takes what cannot wait from the capacity.
    *
-   * @param works whether anything is there that it is worth to; an idle one is kept for its images as long as
-   *     that is worth it
+   * @param works whether anything is there that it is worth to; an idle one is kept for its images
+   *     as long as that is worth it
    */
   private void countWork(Machine machine, boolean works) {
     boolean canWait = works && !machine.spot;
@@ -274,7 +282,8 @@
     }
     MachineType type = cheapest.apply(false, spec);
     boolean canWait = canWait(job);
-    // Those that can wait would all come to avoid them while they do so, and have dear machines at once.
+    // Those that can wait would all come to avoid them while they do so, and have dear machines at
+    // once.
     boolean avoidsSpot = type != null && !canWait && cluster.avoidsSpot(job, today);
     boolean maySpot = spec.spotAllowed() && !avoidsSpot;
     boolean forIdleTime = cluster.isForIdleTime(job, today);
--- a/src/main/java/io/pineladder/fleet/Fleet.java
+++ b/src/main/java/io/pineladder/fleet/Fleet.java
@@ -27,7 +27,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents machines for what waits and what is likely to come, and returns those that are not needed. */
+/**
+ * Rents machines for what waits and what is likely to come, and returns those that are not needed.
+ */
 public final class Fleet {
   private static final Logger log = LoggerFactory.getLogger(Fleet.class);
   private static final Duration TICK = Duration.ofSeconds(1);
@@ -162,7 +164,8 @@
   // ---- what there is
 
   private void list(Instant now) {
-    // A list of many pages takes its part of the calls; a short one is asked for as often as it ages.
+    // A list of many pages takes its part of the calls; a short one is asked for as often as it
+    // ages.
     long pages = 1 + cluster.machines().size() / CloudWire.PAGE;
     Duration every = cluster.settings.cloud().listLag().dividedBy(2).plusSeconds(pages / 2);
     if (listing || now.isBefore(listedAt.plus(every))) {
@@ -259,8 +262,9 @@
   }
 
   /**
-   * Whether all machines that were there when this term began are known, and what is on them: a list
-   * that is no older than the term has named them, and each was heard or its return was answered.
+   * Whether all machines that were there when this term began are known, and what is on them: a
+   * list that is no older than the term has named them, and each was heard or its return was
+   * answered.
    */
   public boolean isAllHeard() {
     Duration lag = cluster.settings.cloud().listLag();
@@ -304,8 +308,7 @@
     if (releasing || toRelease.isEmpty() || !effects.mayAct()) {
       return;
     }
-    List<String> names =
-        toRelease.stream().limit(CloudWire.MOST_RELEASED).toList();
+    List<String> names = toRelease.stream().limit(CloudWire.MOST_RELEASED).toList();
     releasing =
         cloud.post(
             "/rentals/release",
@@ -348,9 +351,7 @@
       boots.observe(machine, now);
       switch (machine.state()) {
         case EXPECTED -> {
-          if (!machine.listedRunning
-              && machine.attempts.isEmpty()
-              && boots.isLost(machine, now)) {
+          if (!machine.listedRunning && machine.attempts.isEmpty() && boots.isLost(machine, now)) {
             log.info("machine {} never came up", machine);
             release(machine);
           }
@@ -383,8 +384,7 @@
     for (Machine machine : idle) {
       double left = spare.get(machine.spot) - machine.type.price();
       double ready = renting.headroom(machine.spot);
-      boolean surplus =
-          roomIsCheap(machine.type) && left >= SURPLUS * ready + machine.type.price();
+      boolean surplus = roomIsCheap(machine.type) && left >= SURPLUS * ready + machine.type.price();
       Duration keep = quiet ? operator.idleRelease() : keepIdle(machine.type);
       boolean waited = machine.idleSince.plus(keep).isBefore(now);
       if (quiet ? waited : surplus || (waited && left >= ready)) {
@@ -395,8 +395,8 @@
   }
 
   /**
-   * A machine that is to go is emptied after the time for which policy may keep a job from room: what is left
-   * on a faulty one may be a service, which never ends by itself.
+   * A machine that is to go is emptied after the time for which policy may keep a job from room:
+   * what is left on a faulty one may be a service, which never ends by itself.
    */
   private boolean drainsForLong(Machine machine, Instant now) {
     if (!machine.draining) {
@@ -407,8 +407,8 @@
   }
 
   /**
-   * Whether a machine that hears nothing has been waited for as long as another takes, and a lease, by the
-   * end of which nothing of before runs there any more.
+   * Whether a machine that hears nothing has been waited for as long as another takes, and a lease,
+   * by the end of which nothing of before runs there any more.
    */
   private boolean isDeafForLong(Machine machine, Instant now) {
     if (machine.relayed || zones.isGone(machine.zone)) {
--- a/src/main/java/io/pineladder/fleet/Renting.java
+++ b/src/main/java/io/pineladder/fleet/Renting.java
@@ -33,7 +33,10 @@
   /** The part of the cloud's calls that may go into asking again what was refused. */
   private static final double ASKED_AGAIN = 0.4;
 
-  /** A machine costs as much as if it had been kept for so long; returned much sooner it is money lost. */
+  /**
+   * A machine costs as much as if it had been kept for so long; returned much sooner it is money
+   * lost.
+   */
   private static final Duration PAID_FOR = Duration.ofSeconds(45);
 
   /** The last of some tasks runs for about so many times their estimate. */
@@ -42,7 +45,10 @@
   /** A smaller part of a machine is not worth renting one. */
   private static final double LITTLE = 0.05;
 
-  /** How much longer than its tasks run a machine is kept by the last of them, for e times as many tasks. */
+  /**
+   * How much longer than its tasks run a machine is kept by the last of them, for e times as many
+   * tasks.
+   */
   private static final double TAIL = 0.15;
 
   private static final Duration MEMORY = Duration.ofSeconds(60);
@@ -145,8 +151,7 @@
     // A job is patient if it can wait for a machine to boot and to fetch its image there.
     Duration ready = type.boot().plus(type.fetchTime(spec.imageGb()));
     boolean patient =
-        job.rank() != Rank.PRODUCTION
-            && cluster.slack(job, time.timeOfDay()).compareTo(ready) > 0;
+        job.rank() != Rank.PRODUCTION && cluster.slack(job, time.timeOfDay()).compareTo(ready) > 0;
     if (spec.spotAllowed()) {
       (patient ? patientSpot : tightSpot).add(worth, now);
     } else {
@@ -186,7 +191,8 @@
   }
 
   /**
-   * The type whose machines cost the job's tasks least, of those that the cloud has not refused lately.
+   * The type whose machines cost the job's tasks least, of those that the cloud has not refused
+   * lately.
    *
    * @param spec null for any job
    * @param all whether those refused count as well
@@ -202,7 +208,8 @@
       if (spec == null) {
         price /= type.price();
       } else {
-        // What a machine holds beyond one small job's tasks serves others, but not at once; and it is
+        // What a machine holds beyond one small job's tasks serves others, but not at once; and it
+        // is
         // paid for until the last of its tasks ends.
         long tasks = Math.min(spec.each().countIn(type.size()), spec.tasks());
         price *= (1 + TAIL * Math.log(tasks)) / tasks;
@@ -225,7 +232,8 @@
     }
     return !machine.spot
         && machine.attempts.values().stream()
-            .allMatch(a -> a.job.spec.savesWork() && cluster.isForIdleTime(a.job, time.timeOfDay()));
+            .allMatch(
+                a -> a.job.spec.savesWork() && cluster.isForIdleTime(a.job, time.timeOfDay()));
   }
 
   /** The part of a machine that is free. */
@@ -269,7 +277,8 @@
       MachineType type = ready > 0 ? cheapest(spot, null, false) : null;
       if (type != null) {
         wants.computeIfAbsent(new Demand.Kind(type.name(), spot), k -> new Demand.Want())
-            .machines += ready / type.price();
+                .machines +=
+            ready / type.price();
       }
     }
     wants.forEach(
@@ -283,8 +292,9 @@
   }
 
   /**
-   * Whether hardly anything comes that may use ordinary machines only. Found on colombo-ops: with few of them
-   * rented for arrays replicas found no room at once, and 0.85 of them started in time instead of 0.97.
+   * Whether hardly anything comes that may use ordinary machines only. Found on colombo-ops: with
+   * few of them rented for arrays replicas found no room at once, and 0.85 of them started in time
+   * instead of 0.97.
    */
   private boolean arraysWait() {
     double least =
@@ -293,9 +303,9 @@
   }
 
   /**
-   * Ordinary machines with nothing on them but jobs that would be in time without them take no more work
-   * and are returned as it ends; they take work again when it is needed after all. Without this what was
-   * rented in a rush was kept as long as anything waited.
+   * Ordinary machines with nothing on them but jobs that would be in time without them take no more
+   * work and are returned as it ends; they take work again when it is needed after all. Without
+   * this what was rented in a rush was kept as long as anything waited.
    *
    * @return what is still to be rented for arrays that would be late, at list prices an hour
    */
@@ -346,8 +356,13 @@
       }
     }
     log.debug(
-        "ordinary machines: lacking {}, wanted {}, flexible {}, of which to keep {}, spared before {}",
-        demand.lacking(), wanted, of, keep, spared.size());
+        "ordinary machines: lacking {}, wanted {}, flexible {}, of which to keep {}, spared before"
+            + " {}",
+        demand.lacking(),
+        wanted,
+        of,
+        keep,
+        spared.size());
     if (wanted <= 0 && lacking <= 0) {
       emptySpared(demand.free(true) - headroom(true), now);
     }
@@ -355,9 +370,9 @@
   }
 
   /**
-   * The last tasks on a machine that is to go start anew on spot machines with room for them if that loses
-   * less than the machine costs until they end. Found on galleharbour, where a hundred ordinary machines
-   * were each kept for two minutes by a few long tasks.
+   * The last tasks on a machine that is to go start anew on spot machines with room for them if
+   * that loses less than the machine costs until they end. Found on galleharbour, where a hundred
+   * ordinary machines were each kept for two minutes by a few long tasks.
    *
    * @param room what is free on spot machines, at list prices an hour
    */
--- a/src/main/java/io/pineladder/fleet/Silence.java
+++ b/src/main/java/io/pineladder/fleet/Silence.java
@@ -40,13 +40,12 @@
 
   /**
    * Since when this leader has taken in what came for it. After it stood still, what its workers
-   * sent is yet to be read; in a long doubt of its lease they were answered without it, or went to other
-   * nodes. Their silence is its own.
+   * sent is yet to be read; in a long doubt of its lease they were answered without it, or went to
+   * other nodes. Their silence is its own.
    */
   private Instant listeningSince;
 
-  Silence(
-      Cluster cluster, Renting renting, Zones zones, Fleet.Effects effects, Instant now) {
+  Silence(Cluster cluster, Renting renting, Zones zones, Fleet.Effects effects, Instant now) {
     this.cluster = cluster;
     this.renting = renting;
     this.zones = zones;
@@ -82,9 +81,9 @@
   /**
    * Machines that have stopped reporting are cut off by returning them, which is the proof that
    * their tasks are gone. When nearly all of a zone is silent the fault is likely between us and
-   * them, and a node in the zone may keep their workers' leases; then they get that time. Hundreds of
-   * machines that are silent while others of their zone are heard are no such cut: their leases end,
-   * and the longer they are waited for the later their tasks start elsewhere.
+   * them, and a node in the zone may keep their workers' leases; then they get that time. Hundreds
+   * of machines that are silent while others of their zone are heard are no such cut: their leases
+   * end, and the longer they are waited for the later their tasks start elsewhere.
    *
    * @return the machines to return
    */
@@ -105,7 +104,8 @@
       }
       up++;
       if (since.isAfter(now)) {
-        // It need not report yet, so it says nothing of its zone. Found on laval-fleet: right after a
+        // It need not report yet, so it says nothing of its zone. Found on laval-fleet: right after
+        // a
         // takeover idle machines hid that none of those with tasks was heard, which were given up.
         continue;
       }
@@ -210,8 +210,7 @@
   private Duration longestLife(String zone, boolean anyHeard) {
     // Where no zone is heard nothing tells a cut from machines that have all died.
     boolean controller =
-        anyHeard
-            && cluster.settings.peers().stream().anyMatch(peer -> peer.zone().equals(zone));
+        anyHeard && cluster.settings.peers().stream().anyMatch(peer -> peer.zone().equals(zone));
     if (controller) {
       // It keeps the leases there for as long as it lives.
       return KEPT_INSIDE;
--- a/src/main/java/io/pineladder/fleet/ZonePlan.java
+++ b/src/main/java/io/pineladder/fleet/ZonePlan.java
@@ -15,10 +15,11 @@
 import java.util.Map;
 
 /**
- * What to do about the machines of a zone that is gone. A task starts elsewhere only once its machine is
- * proven gone, and the proof is the machine's return, which throws away warm images and paid boots. So a
- * machine goes only if what is on it can go elsewhere and would serve there sooner than the zone is
- * likely to be back, production first, and no more at a time than the zones that live can take.
+ * What to do about the machines of a zone that is gone. A task starts elsewhere only once its
+ * machine is proven gone, and the proof is the machine's return, which throws away warm images and
+ * paid boots. So a machine goes only if what is on it can go elsewhere and would serve there sooner
+ * than the zone is likely to be back, production first, and no more at a time than the zones that
+ * live can take.
  */
 final class ZonePlan {
   /** A zone that is gone for longer is given up with all that is in it. */
@@ -37,7 +38,10 @@
     this.zones = zones;
   }
 
-  /** Of the machines that nobody has heard for longer than their tasks can live, those to return now. */
+  /**
+   * Of the machines that nobody has heard for longer than their tasks can live, those to return
+   * now.
+   */
   List<Machine> toGiveUp(List<Machine> lost, Instant now) {
     if (lost.isEmpty()) {
       return List.of();
--- a/src/main/java/io/pineladder/front/ChainReader.java
+++ b/src/main/java/io/pineladder/front/ChainReader.java
@@ -17,9 +17,10 @@
 import java.util.function.Consumer;
 
 /**
- * Finds out, without a leader, what follows for a job from the jobs before it. A job is cancelled with any of
- * those, though no record of its own may say so yet. All reads begin after the question: the index of accepted
- * jobs is made fresh first, and what it does not hold is read by itself.
+ * Finds out, without a leader, what follows for a job from the jobs before it. A job is cancelled
+ * with any of those, though no record of its own may say so yet. All reads begin after the
+ * question: the index of accepted jobs is made fresh first, and what it does not hold is read by
+ * itself.
  */
 final class ChainReader {
   /** Reads for one question at the most; what needs more is asked again, or of a leader. */
@@ -115,7 +116,10 @@
       return node.records().copy().end(id);
     }
 
-    /** A job moves from its own record to its final state in one transaction, so this order misses none. */
+    /**
+     * A job moves from its own record to its final state in one transaction, so this order misses
+     * none.
+     */
     private void readOwn(String id) {
       if (++reads > MOST_READS) {
         onDone.accept(Outcome.UNCERTAIN);
--- a/src/main/java/io/pineladder/front/Front.java
+++ b/src/main/java/io/pineladder/front/Front.java
@@ -186,30 +186,31 @@
       return;
     }
     String way = ways.get(from);
-    node.http().call(
-        Request.post(
-            way,
-            PeerWire.PATH,
-            PeerWire.write(forward),
-            isSubmission(forward.path()) ? SUBMIT_TIMEOUT : FORWARD_TIMEOUT),
-        reply -> {
-          try {
-            if (reply.is(200)) {
-              PeerWire.Answer got = PeerWire.parseAnswer(reply.body());
-              if (got.decided()) {
-                answer.accept(got.answer());
-                return;
+    node.http()
+        .call(
+            Request.post(
+                way,
+                PeerWire.PATH,
+                PeerWire.write(forward),
+                isSubmission(forward.path()) ? SUBMIT_TIMEOUT : FORWARD_TIMEOUT),
+            reply -> {
+              try {
+                if (reply.is(200)) {
+                  PeerWire.Answer got = PeerWire.parseAnswer(reply.body());
+                  if (got.decided()) {
+                    answer.accept(got.answer());
+                    return;
+                  }
+                }
+              } catch (MalformedException e) {
+                log.warn("a peer's answer is malformed");
               }
-            }
-          } catch (MalformedException e) {
-            log.warn("a peer's answer is malformed");
-          }
-          RecordWire.LeaderRecord known = node.election().known();
-          if (known != null && known.address().equals(way)) {
-            leaderFailedAt = node.time().now();
-          }
-          forwardTo(ways, from + 1, forward, answer, alone);
-        });
+              RecordWire.LeaderRecord known = node.election().known();
+              if (known != null && known.address().equals(way)) {
+                leaderFailedAt = node.time().now();
+              }
+              forwardTo(ways, from + 1, forward, answer, alone);
+            });
   }
 
   /** A request that a peer hands on. */
@@ -227,8 +228,7 @@
         http -> answer.accept(ok(PeerWire.write(new PeerWire.Answer(true, http, name))));
     Runnable undecided =
         () ->
-            answer.accept(
-                ok(PeerWire.write(new PeerWire.Answer(false, later("no leader"), name))));
+            answer.accept(ok(PeerWire.write(new PeerWire.Answer(false, later("no leader"), name))));
     // A submission that this node cannot take is better tried by the next one than given up.
     Consumer<HttpAnswer> taken =
         isSubmission(forward.path())
@@ -340,7 +340,8 @@
       return;
     }
     if (!spec.prerequisites().isEmpty() && !node.version().allowsChainedJobs()) {
-      // Handed on to a leader of the version before, it would be accepted without its prerequisites.
+      // Handed on to a leader of the version before, it would be accepted without its
+      // prerequisites.
       answer.accept(later(Leaderless.NOT_UPGRADED));
       return;
     }
--- a/src/main/java/io/pineladder/front/Leaderless.java
+++ b/src/main/java/io/pineladder/front/Leaderless.java
@@ -69,7 +69,8 @@
       return "a task fits no allowed machine type";
     }
     if (spec.isGangOfSeveral() && spec.spread() && (spec.together() || zones.size() == 1)) {
-      // Accepted it would wait for ever: all of it runs at once, and no more than half may in one zone.
+      // Accepted it would wait for ever: all of it runs at once, and no more than half may in one
+      // zone.
       return "all of its tasks can't be in one zone and spread over several";
     }
     return team.allows(spec.least()) ? null : "beyond the team's limit";
@@ -130,7 +131,8 @@
   /**
    * Stores a job.
    *
-   * @param status what its user is told of it: one that names a cancelled job is accepted and cancelled
+   * @param status what its user is told of it: one that names a cancelled job is accepted and
+   *     cancelled
    */
   private void store(JobSpec spec, JobWire.Status status, Consumer<HttpAnswer> answer) {
     String id = spec.id();
@@ -145,23 +147,23 @@
             .put(Keys.INBOX + id, note)
             .bytes();
     LiveCopy copy = node.records().copy();
-    node.store().changeForUser(
-        node.store().post("/multi", body),
-        2,
-        reply -> {
-          if (reply.is(200)) {
-            log.debug("job {} accepted without a leader", id);
-            copy.put(Keys.JOB + id, record, 0, true);
-            copy.put(Keys.INBOX + id, note, 0, true);
-            node.records().acceptedHere(() -> submit(spec, again -> {}));
-            answer.accept(
-                new HttpAnswer(201, JobWire.view(id, status)));
-          } else if (reply.is(409)) {
-            read(id, false, answer);
-          } else {
-            answer.accept(later("no leader"));
-          }
-        });
+    node.store()
+        .changeForUser(
+            node.store().post("/multi", body),
+            2,
+            reply -> {
+              if (reply.is(200)) {
+                log.debug("job {} accepted without a leader", id);
+                copy.put(Keys.JOB + id, record, 0, true);
+                copy.put(Keys.INBOX + id, note, 0, true);
+                node.records().acceptedHere(() -> submit(spec, again -> {}));
+                answer.accept(new HttpAnswer(201, JobWire.view(id, status)));
+              } else if (reply.is(409)) {
+                read(id, false, answer);
+              } else {
+                answer.accept(later("no leader"));
+              }
+            });
   }
 
   /** Answers from a fresh read of the store; a cancel gets an answer only when the job is over. */
@@ -177,17 +179,18 @@
     }
     // A job goes from its own key or its page to its final state in one transaction, so this order
     // misses none.
-    node.store().readForUser(
-        Keys.JOB + id,
-        read -> {
-          if (!read.certain()) {
-            answer.accept(later("no leader"));
-          } else if (read.found()) {
-            tellStored(id, cancel, read.entry(), answer);
-          } else {
-            readAccepted(id, cancel, answer);
-          }
-        });
+    node.store()
+        .readForUser(
+            Keys.JOB + id,
+            read -> {
+              if (!read.certain()) {
+                answer.accept(later("no leader"));
+              } else if (read.found()) {
+                tellStored(id, cancel, read.entry(), answer);
+              } else {
+                readAccepted(id, cancel, answer);
+              }
+            });
   }
 
   private void readAccepted(String id, boolean cancel, Consumer<HttpAnswer> answer) {
@@ -208,27 +211,27 @@
   }
 
   private void readEnd(String id, Consumer<HttpAnswer> answer) {
-    node.store().readForUser(
-        Keys.END + id,
-        end -> {
-          if (!end.certain()) {
-            answer.accept(later("no leader"));
-          } else if (!end.found() && node.records().mayBeLost(id)) {
-            answer.accept(later("not certain yet"));
-          } else if (!end.found()) {
-            answer.accept(error(404, "no such job"));
-          } else {
-            tellEnd(id, end.entry(), answer);
-          }
-        });
+    node.store()
+        .readForUser(
+            Keys.END + id,
+            end -> {
+              if (!end.certain()) {
+                answer.accept(later("no leader"));
+              } else if (!end.found() && node.records().mayBeLost(id)) {
+                answer.accept(later("not certain yet"));
+              } else if (!end.found()) {
+                answer.accept(error(404, "no such job"));
+              } else {
+                tellEnd(id, end.entry(), answer);
+              }
+            });
   }
 
   private void tellStored(
       String id, boolean cancel, StoreWire.Entry entry, Consumer<HttpAnswer> answer) {
     try {
       RecordWire.StoredJob job = RecordWire.parseJob(entry.value());
-      tellAccepted(
-          id, cancel, new JobIndex.Found(job.state(), job.spec().prerequisites()), answer);
+      tellAccepted(id, cancel, new JobIndex.Found(job.state(), job.spec().prerequisites()), answer);
     } catch (MalformedException e) {
       answer.accept(later("the stored job cannot be read"));
     }
@@ -252,8 +255,7 @@
         });
   }
 
-  private void tellState(
-      String id, boolean cancel, Job.State state, Consumer<HttpAnswer> answer) {
+  private void tellState(String id, boolean cancel, Job.State state, Consumer<HttpAnswer> answer) {
     JobWire.Status status = Leader.toStatus(state);
     if (status.isFinal()) {
       node.learnFinal(id, status);
--- a/src/main/java/io/pineladder/front/Reports.java
+++ b/src/main/java/io/pineladder/front/Reports.java
@@ -55,10 +55,7 @@
   interface Forwarding {
     /** Tries the addresses in turn; {@code alone} when none has decided. */
     void forward(
-        List<String> ways,
-        PeerWire.Forward request,
-        Consumer<HttpAnswer> answer,
-        Runnable alone);
+        List<String> ways, PeerWire.Forward request, Consumer<HttpAnswer> answer, Runnable alone);
   }
 
   Reports(Node node, Forwarding forwarding) {
@@ -82,9 +79,9 @@
     }
     node.records().generations().learnToken(report.token());
     long keeping =
-        node.records().generations()
-            .keepingToken(
-                report.token(), Election.longestKeepAlive(node.settings().workers()));
+        node.records()
+            .generations()
+            .keepingToken(report.token(), Election.longestKeepAlive(node.settings().workers()));
     if (keeping >= report.token() && keeping > 0) {
       // Nobody leads while the records are rebuilt; what runs must live through it.
       answer.accept(ok(WorkerWire.reportResponse(keeping, new WorkerWire.Orders())));
@@ -153,11 +150,11 @@
   }
 
   /**
-   * The token with which this node keeps a worker's lease in a leader's place; 0 when it does not. Any
-   * node may answer with a token that the worker has seen, and orders go with it only for what is over.
+   * The token with which this node keeps a worker's lease in a leader's place; 0 when it does not.
+   * Any node may answer with a token that the worker has seen, and orders go with it only for what
+   * is over.
    */
-  private long keptWith(
-      WorkerWire.Report report, RecordWire.LeaderRecord known, boolean other) {
+  private long keptWith(WorkerWire.Report report, RecordWire.LeaderRecord known, boolean other) {
     Election election = node.election();
     long theirs = Math.max(report.token(), election.knownTerm());
     boolean stored = node.store().isHealthy();
@@ -165,11 +162,13 @@
       if (!node.membership().isUnreachable(known.member())) {
         return 0;
       }
-      boolean follows = report.token() <= election.knownTerm() && node.records().follower().isFresh();
+      boolean follows =
+          report.token() <= election.knownTerm() && node.records().follower().isFresh();
       return follows || keepsAlive(known, report) ? theirs : 0;
     }
     if (election.holdsTerm()) {
-      // The leader itself is cut off with the zone: it decides nothing, and what runs goes on. A later
+      // The leader itself is cut off with the zone: it decides nothing, and what runs goes on. A
+      // later
       // leader's command that was held up may have shown the worker a higher token.
       return !stored && keepsZone(report, election.certainUntil()) ? theirs : 0;
     }
@@ -180,9 +179,9 @@
 
   /**
    * Ends what is left there of jobs that are over. These are the only orders that a node gives in a
-   * leader's place: a final state is stored and never undone, so no leader wants such a task to run on.
-   * With them a worker can be kept for as long as this node's copy of the records is in step with the
-   * store, since what a user cancels ends in time without the end of the worker's lease.
+   * leader's place: a final state is stored and never undone, so no leader wants such a task to run
+   * on. With them a worker can be kept for as long as this node's copy of the records is in step
+   * with the store, since what a user cancels ends in time without the end of the worker's lease.
    */
   private WorkerWire.Orders endsOf(WorkerWire.Report report) {
     WorkerWire.Orders orders = new WorkerWire.Orders();
@@ -196,9 +195,9 @@
   }
 
   /**
-   * Whether this node answers a report in place of a leader that it cannot reach: without that a zone
-   * cut off from its leader would lose all its tasks. It gives no orders. No leader ever takes the
-   * end of a worker's lease as proof, so prolonging it is safe.
+   * Whether this node answers a report in place of a leader that it cannot reach: without that a
+   * zone cut off from its leader would lose all its tasks. It gives no orders. No leader ever takes
+   * the end of a worker's lease as proof, so prolonging it is safe.
    *
    * <p>The store need not confirm the term to a node of the worker's own zone: such a node is most
    * likely cut off along with the worker, and the next one is out of reach for both. Found on
@@ -216,14 +215,16 @@
   }
 
   /**
-   * Whether this node, which reaches neither leader nor store, keeps a worker: of its own zone, since both
-   * are most likely cut off together, or of any zone where most controllers say that the store is out. For
-   * as long as that lasts, since no user is told that a job is cancelled before nothing of it is anywhere.
+   * Whether this node, which reaches neither leader nor store, keeps a worker: of its own zone,
+   * since both are most likely cut off together, or of any zone where most controllers say that the
+   * store is out. For as long as that lasts, since no user is told that a job is cancelled before
+   * nothing of it is anywhere.
    *
-   * <p>But it may be this node alone that is cut off, peers and all, and the worker could reach a leader: so
-   * after a while each is sent to the others now and then, and comes back if nobody answers, well before its
-   * lease ends. Not in an outage for all: workers outside the leader's zone were sent to and fro between a
-   * leader that did not keep them and nodes that sent them back to it, until their leases ended.
+   * <p>But it may be this node alone that is cut off, peers and all, and the worker could reach a
+   * leader: so after a while each is sent to the others now and then, and comes back if nobody
+   * answers, well before its lease ends. Not in an outage for all: workers outside the leader's
+   * zone were sent to and fro between a leader that did not keep them and nodes that sent them back
+   * to it, until their leases ended.
    */
   private boolean keepsZone(WorkerWire.Report report, Instant since) {
     Instant now = node.time().now();
@@ -244,7 +245,8 @@
       return true;
     }
     Duration round =
-        ELSEWHERE.multipliedBy(node.settings().peers().size())
+        ELSEWHERE
+            .multipliedBy(node.settings().peers().size())
             .plus(workers.report().multipliedBy(5).dividedBy(4))
             .plusSeconds(3);
     if (round.compareTo(workers.lease()) > 0) {
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -48,8 +48,8 @@
     LEADING,
     /**
      * Holds the leader's key as far as it knows, but its lease may have run out. It decides
-     * nothing. When the state service had an outage, the next renewal shows that the lease is
-     * still there and the term goes on.
+     * nothing. When the state service had an outage, the next renewal shows that the lease is still
+     * there and the term goes on.
      */
     IN_DOUBT
   }
@@ -92,6 +92,7 @@
   private Instant standFrom = Instant.MIN;
   private LeaderRecord known;
   private long knownTerm;
+
   /** Changes with every new try, so that late replies of an older one are told apart. */
   private int round;
 
@@ -180,8 +181,8 @@
   }
 
   /**
-   * Whether no other can have been elected yet, as far as the lease goes that this node holds or that
-   * it found gone too soon.
+   * Whether no other can have been elected yet, as far as the lease goes that this node holds or
+   * that it found gone too soon.
    */
   public boolean leaseHolds() {
     return !released && time.now().isBefore(leaseUntil);
@@ -241,8 +242,8 @@
 
   /**
    * Ends the lease that the process before this one held. After an outage of the state service it
-   * has its full time again although nobody is left to use it, and that time is what workers' leases
-   * lack then. Two processes of one controller cannot run at once, since they have the same
+   * has its full time again although nobody is left to use it, and that time is what workers'
+   * leases lack then. Two processes of one controller cannot run at once, since they have the same
    * addresses; were it so, the older one's transactions and orders would be refused all the same.
    */
   private void endLeaseOfBefore(int of, long left) {
@@ -310,8 +311,7 @@
             .put(Keys.LEADER, RecordWire.leader(self), lease)
             .bytes();
     long seen = store.seen();
-    store.urgent(
-        store.post("/multi", body), reply -> onClaim(of, leaseSent, again, seen, reply));
+    store.urgent(store.post("/multi", body), reply -> onClaim(of, leaseSent, again, seen, reply));
   }
 
   private void onClaim(int of, Instant leaseSent, boolean again, long seen, Reply reply) {
@@ -351,9 +351,9 @@
   }
 
   /**
-   * Our record may have been written by a claim of an earlier round that was carried out late. It goes
-   * with that round's lease, and this node would take itself for the leader for as long as it renews
-   * the other one.
+   * Our record may have been written by a claim of an earlier round that was carried out late. It
+   * goes with that round's lease, and this node would take itself for the leader for as long as it
+   * renews the other one.
    */
   private void onOwnClaimRead(int of, Instant leaseSent, StoreClient.Read read, Reply reply) {
     if (of != round) {
@@ -431,8 +431,8 @@
   }
 
   /**
-   * The lease was renewed after it had run out here. Where data was lost meanwhile, leases are numbered
-   * anew and it may be another's; so the leader's key tells.
+   * The lease was renewed after it had run out here. Where data was lost meanwhile, leases are
+   * numbered anew and it may be another's; so the leader's key tells.
    */
   private void makeSure(int of, Instant sent) {
     store.urgentRead(
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -19,18 +19,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What this controller makes of the others: who is up, whom it reaches, who reaches the state service.
+ * What this controller makes of the others: who is up, whom it reaches, who reaches the state
+ * service.
  *
  * <p>Each sends every other a beat once a second, which is answered by one; both carry how long ago
- * their sender heard the rest. Suspicion comes before a verdict, and doubt of oneself before both: a
- * node that hears nobody, or that stood still itself, calls nobody down.
+ * their sender heard the rest. Suspicion comes before a verdict, and doubt of oneself before both:
+ * a node that hears nobody, or that stood still itself, calls nobody down.
  *
- * <p>A message may be minutes late, so that one comes says nothing. Beats are numbered, and each tells
- * the number of the newest one that its sender has: it was made after that one was sent, and so is no
- * older. What counts as heard is that.
+ * <p>A message may be minutes late, so that one comes says nothing. Beats are numbered, and each
+ * tells the number of the newest one that its sender has: it was made after that one was sent, and
+ * so is no older. What counts as heard is that.
  *
- * <p>Nothing that a rule rests on is decided here. The lease says who leads, and proofs from workers
- * say where tasks are; this says where to turn first.
+ * <p>Nothing that a rule rests on is decided here. The lease says who leads, and proofs from
+ * workers say where tasks are; this says where to turn first.
  */
 public final class Membership {
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
@@ -112,6 +113,7 @@
     final Settings.Peer at;
     State state = State.UNKNOWN;
     Instant changedAt;
+
     /** Not earlier than this it made a beat that was heard; null for never. */
     Instant heardAt;
 
@@ -130,7 +132,9 @@
     int answers;
     int changes;
 
-    /** The cluster version that its software supports, by the newest beat of its present process. */
+    /**
+     * The cluster version that its software supports, by the newest beat of its present process.
+     */
     int version = ClusterVersion.UNVERSIONED;
 
     /** What it told in the newest beat. */
@@ -227,8 +231,7 @@
     Map<String, Heard> heard = new LinkedHashMap<>();
     for (Peer peer : peers.values()) {
       if (peer.nonce != null) {
-        Duration ago =
-            peer.heardAt == null ? NEVER : Duration.between(peer.heardAt, now);
+        Duration ago = peer.heardAt == null ? NEVER : Duration.between(peer.heardAt, now);
         heard.put(peer.at.member(), new Heard(ago, peer.nonce, peer.sequence));
       }
     }
@@ -444,7 +447,9 @@
     };
   }
 
-  /** Whether each peer has answered a beat or failed to, so that what they know has been asked for. */
+  /**
+   * Whether each peer has answered a beat or failed to, so that what they know has been asked for.
+   */
   public boolean hasAskedAll() {
     return peers.values().stream().allMatch(p -> p.answeredAt != null || p.misses > 0);
   }
@@ -456,8 +461,9 @@
   }
 
   /**
-   * Whether half of the peers or more tell that the state service does not answer them, and none that it
-   * does. A leader with a certain lease could then be only among the rest, of whom nothing is heard.
+   * Whether half of the peers or more tell that the state service does not answer them, and none
+   * that it does. A leader with a certain lease could then be only among the rest, of whom nothing
+   * is heard.
    */
   public boolean isStoreOutForMost() {
     long without =
--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -69,6 +69,7 @@
 
   /** A kill with the present grace has reached the worker, as far as is known. */
   public boolean killSent;
+
   public Instant runningSince;
 
   /** When its image should be there. */
--- a/src/main/java/io/pineladder/model/FinishTimes.java
+++ b/src/main/java/io/pineladder/model/FinishTimes.java
@@ -7,7 +7,8 @@
  * When a job should be over for the sake of the jobs that need it, by the time of day.
  *
  * @param target by then the last job of the chain can keep its deadline
- * @param latest by then it can keep the latest time that is expected of it, which is not before the target
+ * @param latest by then it can keep the latest time that is expected of it, which is not before the
+ *     target
  */
 public record FinishTimes(Instant target, Instant latest) {
   /** The earlier of each; {@code null} stands for no bound. */
--- a/src/main/java/io/pineladder/model/Job.java
+++ b/src/main/java/io/pineladder/model/Job.java
@@ -31,13 +31,19 @@
   /** When it should be over for the jobs that need it; null when nothing is expected of those. */
   public FinishTimes finishTimes;
 
-  /** When it could first start, by the time of day: once accepted, or once all that it needs was done. */
+  /**
+   * When it could first start, by the time of day: once accepted, or once all that it needs was
+   * done.
+   */
   public Instant readyAt;
 
   /** Some job that it needs is not known to be done: no task of it may start. */
   public boolean waitsForOthers;
 
-  /** It is cancelled because a job that it needs is stored as cancelled; told without a record of its own. */
+  /**
+   * It is cancelled because a job that it needs is stored as cancelled; told without a record of
+   * its own.
+   */
   public boolean cancellationDerived;
 
   /** A job before it whose cancellation is on its way to the store, or was; null for none. */
@@ -46,13 +52,17 @@
   /** Tasks that are complete. */
   public final BitSet done = new BitSet();
 
-  /** Complete tasks that were started anew and may still run; they are not stored as complete yet. */
+  /**
+   * Complete tasks that were started anew and may still run; they are not stored as complete yet.
+   */
   public final BitSet unproven = new BitSet();
 
   /** Tasks that wait to be placed; a bit each, whatever the job's size. */
   public final BitSet pending = new BitSet();
 
-  /** Attempts that may be on a machine, by task; one that was superseded stays until proven gone. */
+  /**
+   * Attempts that may be on a machine, by task; one that was superseded stays until proven gone.
+   */
   public final Map<Integer, Set<Attempt>> attempts = new HashMap<>();
 
   /** Machines on which it failed of late. */
@@ -61,7 +71,9 @@
   /** When it was last looked at what policy alone keeps from it; null for never. */
   public Instant reviewedAt;
 
-  /** It fails wherever it is tried, so its user has made a mistake: it is tried now and then only. */
+  /**
+   * It fails wherever it is tried, so its user has made a mistake: it is tried now and then only.
+   */
   public boolean atFault;
 
   /** The final state is on its way to the store; other records of the job no longer matter. */
--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -22,7 +22,9 @@
     GONE
   }
 
-  /** Whether what is sent to a machine arrives there. That its reports arrive here does not tell. */
+  /**
+   * Whether what is sent to a machine arrives there. That its reports arrive here does not tell.
+   */
   public enum Hearing {
     HEARS,
     /** A direct order got no answer, though it reports: none of its orders may arrive. */
@@ -55,7 +57,10 @@
   /** Since when it is draining with work on it, as far as that was noticed; or null. */
   public Instant drainsSince;
 
-  /** Its price is worth more than it: no new work, and it is returned once empty unless it is needed. */
+  /**
+   * Its price is worth more than it: no new work, and it is returned once empty unless it is
+   * needed.
+   */
   public boolean spared;
 
   /** An ordinary machine that was rented only because arrays would have been late without it. */
@@ -82,7 +87,10 @@
   public Resources reserved = Resources.NONE;
   public Instant reservedUntil;
 
-  /** When the job it is kept for is thought to start: what ends sooner may run there until then; or null. */
+  /**
+   * When the job it is kept for is thought to start: what ends sooner may run there until then; or
+   * null.
+   */
   public Instant reservedStart;
 
   /** Images thought to be cached, the most recently used last, with their size. */
@@ -105,7 +113,9 @@
 
   private Hearing hearing = Hearing.HEARS;
 
-  /** Since when it has reported without being known to hear; null while it is, or does not report. */
+  /**
+   * Since when it has reported without being known to hear; null while it is, or does not report.
+   */
   private Instant deafSince;
 
   /** When its newest report was answered with our token last; null for never. */
@@ -138,7 +148,8 @@
       return;
     }
     if (next == State.SILENT) {
-      // That it hears nothing says no more than that it is cut off; a late report is no sign of life.
+      // That it hears nothing says no more than that it is cut off; a late report is no sign of
+      // life.
       deafSince = null;
     }
     state = next;
@@ -165,10 +176,9 @@
     return Duration.between(deafSince, now);
   }
 
-
   /**
-   * Whether orders may reach it. One whose reports come through a peer gets its orders with the responses,
-   * so that direct ones fail says nothing more.
+   * Whether orders may reach it. One whose reports come through a peer gets its orders with the
+   * responses, so that direct ones fail says nothing more.
    */
   private boolean mayHear() {
     return switch (hearing) {
@@ -189,8 +199,8 @@
   }
 
   /**
-   * Whether it is of this type. Only the name tells: spot prices move, so the type as the cloud last
-   * described it is seldom the one that the machine was rented as.
+   * Whether it is of this type. Only the name tells: spot prices move, so the type as the cloud
+   * last described it is seldom the one that the machine was rented as.
    */
   public boolean isOf(MachineType other) {
     return type.name().equals(other.name());
--- a/src/main/java/io/pineladder/model/Settings.java
+++ b/src/main/java/io/pineladder/model/Settings.java
@@ -6,8 +6,8 @@
 /**
  * The platform's settings file, checked.
  *
- * @param store the limits that every request to the state service keeps to: those in force and, where a
- *     change of them is announced, those to come as well
+ * @param store the limits that every request to the state service keeps to: those in force and,
+ *     where a change of them is announced, those to come as well
  * @param storeInForce the limits of the state service that are in force until the announced change
  */
 public record Settings(
--- a/src/main/java/io/pineladder/net/Connector.java
+++ b/src/main/java/io/pineladder/net/Connector.java
@@ -19,10 +19,10 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * Makes connections that can be given up. Undertow's client keeps to itself the connection that it is
- * making, and the system goes on trying for minutes: to machines that are cut off that used up all
- * sockets of the process. So the client is given this stand-in for the I/O thread, which does what
- * the real one does and takes hold of what is made.
+ * Makes connections that can be given up. Undertow's client keeps to itself the connection that it
+ * is making, and the system goes on trying for minutes: to machines that are cut off that used up
+ * all sockets of the process. So the client is given this stand-in for the I/O thread, which does
+ * what the real one does and takes hold of what is made.
  */
 final class Connector extends XnioIoThread {
   private final XnioIoThread real;
@@ -79,8 +79,7 @@
       ChannelListener<? super StreamConnection> openListener,
       ChannelListener<? super BoundChannel> bindListener,
       OptionMap options) {
-    made =
-        real.openStreamConnection(bindAddress, destination, openListener, bindListener, options);
+    made = real.openStreamConnection(bindAddress, destination, openListener, bindListener, options);
     return made;
   }
 
--- a/src/main/java/io/pineladder/net/OutwardCaller.java
+++ b/src/main/java/io/pineladder/net/OutwardCaller.java
@@ -35,9 +35,9 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * Posts to receivers outside the cluster. A name is looked up for each connection, the address found
- * is checked, and that very address is connected to, so that a name which changes in between does not
- * lead past the check. Redirects are answers like any other and are not followed.
+ * Posts to receivers outside the cluster. A name is looked up for each connection, the address
+ * found is checked, and that very address is connected to, so that a name which changes in between
+ * does not lead past the check. Redirects are answers like any other and are not followed.
  */
 public final class OutwardCaller implements Outward {
   /** A receiver's answer is a few words; the rest is not wanted in memory. */
@@ -62,6 +62,7 @@
 
   /** A connection for each origin, the longest idle first. */
   private final Map<String, Idle> idle = new LinkedHashMap<>();
+
   private XnioSsl ssl;
 
   private record Made(
@@ -98,9 +99,7 @@
     if (ssl == null) {
       ssl =
           new UndertowXnioSsl(
-              runtime.xnio(),
-              OptionMap.EMPTY,
-              context == null ? SSLContext.getDefault() : context);
+              runtime.xnio(), OptionMap.EMPTY, context == null ? SSLContext.getDefault() : context);
     }
     return ssl;
   }
@@ -210,7 +209,9 @@
       if (to == null) {
         finish(
             Answer.notAllowed(
-                "no address of " + host + " is in an allowed network: "
+                "no address of "
+                    + host
+                    + " is in an allowed network: "
                     + addresses[0].getHostAddress()));
         return;
       }
--- a/src/main/java/io/pineladder/net/Sockets.java
+++ b/src/main/java/io/pineladder/net/Sockets.java
@@ -12,14 +12,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owner of the process's sockets. A process at its limit refuses whoever comes next, be it a probe, a
- * user or the state service, so each part of the traffic has a share that is kept for it and a most
- * that it may take; what nobody has a share of goes to whoever comes first. So the sockets in use and
- * those kept never exceed the limit, and no part can take another's.
+ * Owner of the process's sockets. A process at its limit refuses whoever comes next, be it a probe,
+ * a user or the state service, so each part of the traffic has a share that is kept for it and a
+ * most that it may take; what nobody has a share of goes to whoever comes first. So the sockets in
+ * use and those kept never exceed the limit, and no part can take another's.
  *
- * <p>A part at its bound closes the longest idle of its own sockets if that one is stale, which means
- * that its peer has most likely gone without a word. If none is, an accepted connection gets its
- * answer and is closed, and a call waits for one of its part's to end.
+ * <p>A part at its bound closes the longest idle of its own sockets if that one is stale, which
+ * means that its peer has most likely gone without a word. If none is, an accepted connection gets
+ * its answer and is closed, and a call waits for one of its part's to end.
  */
 public final class Sockets {
   private static final Logger log = LoggerFactory.getLogger(Sockets.class);
@@ -45,6 +45,7 @@
 
     private final double kept;
     private final double most;
+
     /** An idle socket is stale after that; null: after two reports. */
     private final Duration stale;
 
@@ -235,8 +236,7 @@
         (part, share) ->
             usage.put(
                 part,
-                new Usage(
-                    share.open, share.idle.size(), share.peak, share.most, share.refused)));
+                new Usage(share.open, share.idle.size(), share.peak, share.most, share.refused)));
     return usage;
   }
 
--- a/src/main/java/io/pineladder/net/UndertowCaller.java
+++ b/src/main/java/io/pineladder/net/UndertowCaller.java
@@ -51,9 +51,10 @@
   /** Calls without a socket, by part. */
   private final Map<Sockets.Part, Deque<Call>> waiting = new EnumMap<>(Sockets.Part.class);
 
-  /** A connection; {@code raw} is what closes it at once, where the client would wait for its peer. */
-  private record Made(
-      ClientConnection connection, Sockets.Socket socket, StreamConnection raw) {}
+  /**
+   * A connection; {@code raw} is what closes it at once, where the client would wait for its peer.
+   */
+  private record Made(ClientConnection connection, Sockets.Socket socket, StreamConnection raw) {}
 
   private record Idle(String address, Made made, Instant since) {}
 
@@ -244,9 +245,7 @@
       made = on;
       state = State.SENT;
       ClientRequest out =
-          new ClientRequest()
-              .setMethod(new HttpString(request.method()))
-              .setPath(request.path());
+          new ClientRequest().setMethod(new HttpString(request.method())).setPath(request.path());
       out.getRequestHeaders().put(Headers.HOST, request.address());
       byte[] body = request.body();
       if (body != null) {
@@ -262,7 +261,8 @@
             @Override
             public void answered(ClientResponse response, byte[] answer) {
               if (state != State.DONE) {
-                // Let the client finish its own end of the exchange before the connection is reused.
+                // Let the client finish its own end of the exchange before the connection is
+                // reused.
                 runtime.execute(() -> giveBack(request.address(), made));
               }
               finish(Reply.answered(response.getResponseCode(), answer));
--- a/src/main/java/io/pineladder/net/XnioRuntime.java
+++ b/src/main/java/io/pineladder/net/XnioRuntime.java
@@ -39,6 +39,7 @@
 /** The one XNIO thread, on which everything runs: servers, the client, timers, the core. */
 public final class XnioRuntime implements Timeline, Background {
   private static final Logger log = LoggerFactory.getLogger(XnioRuntime.class);
+
   /** Larger bodies than a user may send; reports of full machines stay below it. */
   private static final int MAX_BODY = 1 << 20;
 
@@ -106,7 +107,8 @@
 
   @Override
   public void after(Duration delay, Runnable action) {
-    thread.executeAfter(() -> guarded(action), Math.max(0, delay.toMillis()), TimeUnit.MILLISECONDS);
+    thread.executeAfter(
+        () -> guarded(action), Math.max(0, delay.toMillis()), TimeUnit.MILLISECONDS);
   }
 
   /** Runs {@code action} on the event thread. */
@@ -231,7 +233,9 @@
     };
   }
 
-  /** Counts the connection to its part; one that finds no room there gets its answer and is closed. */
+  /**
+   * Counts the connection to its part; one that finds no room there gets its answer and is closed.
+   */
   private void occupy(Listener listener, HttpServerExchange exchange) {
     StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
     Sockets.Socket socket = accepted.get(connection);
--- a/src/main/java/io/pineladder/queue/QueueEntry.java
+++ b/src/main/java/io/pineladder/queue/QueueEntry.java
@@ -4,7 +4,9 @@
 import io.pineladder.model.Rank;
 import java.time.Instant;
 
-/** A job's pending tasks in the queue: one entry whatever their number, a gang placed as a whole. */
+/**
+ * A job's pending tasks in the queue: one entry whatever their number, a gang placed as a whole.
+ */
 public final class QueueEntry {
   /** Where an entry is. */
   public enum Place {
@@ -22,11 +24,15 @@
   Check rejectedBy;
   int attempts;
   Instant triedAt = Instant.MIN;
+
   /** Which try of the whole queue was this entry's last. */
   long triedAs;
+
   Instant expiry = Instant.MIN;
+
   /** Sort keys, fixed while the entry is in the heap. */
   boolean guaranteed;
+
   Rank rank;
   Instant due = Instant.MAX;
   long arrival;
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -255,10 +255,12 @@
   }
 
   /**
-   * Moves entries to the active heap that no event has woken since {@code before}, those parked first: events
-   * tell of room that comes, and not that what kept an entry from room has passed, as a reservation that ends.
+   * Moves entries to the active heap that no event has woken since {@code before}, those parked
+   * first: events tell of room that comes, and not that what kept an entry from room has passed, as
+   * a reservation that ends.
    *
-   * @param most so many of each check at the most, so that a full fleet's backlog costs a bounded number of tries
+   * @param most so many of each check at the most, so that a full fleet's backlog costs a bounded
+   *     number of tries
    */
   public void flushLeftover(Instant before, int most) {
     unschedulable.forEach(
--- a/src/main/java/io/pineladder/recovery/Adoption.java
+++ b/src/main/java/io/pineladder/recovery/Adoption.java
@@ -17,7 +17,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes up jobs that are in the store and not in the leader's memory: other nodes accepted them. */
+/**
+ * Takes up jobs that are in the store and not in the leader's memory: other nodes accepted them.
+ */
 public final class Adoption {
   private static final Logger log = LoggerFactory.getLogger(Adoption.class);
   private static final Duration WATCH = Duration.ofSeconds(20);
@@ -41,7 +43,9 @@
     /** A record of another node was read. */
     void onRead(StoreWire.Entry entry);
 
-    /** Whether a job that nothing is known of may have been lost: then nothing certain can be said. */
+    /**
+     * Whether a job that nothing is known of may have been lost: then nothing certain can be said.
+     */
     boolean mayBeLost();
   }
 
@@ -56,11 +60,7 @@
   private long removals;
 
   public Adoption(
-      StoreClient store,
-      Cluster cluster,
-      Committer committer,
-      Records records,
-      Listener listener) {
+      StoreClient store, Cluster cluster, Committer committer, Records records, Listener listener) {
     this.store = store;
     this.cluster = cluster;
     this.committer = committer;
@@ -138,9 +138,7 @@
   private void remove(String key) {
     committer.submit(
         Mutation.of(
-            Mutation.Priority.TIDY,
-            List.of(new Mutation.Write(key, () -> null)),
-            () -> {}));
+            Mutation.Priority.TIDY, List.of(new Mutation.Write(key, () -> null)), () -> {}));
   }
 
   private void removeOwn(String id) {
--- a/src/main/java/io/pineladder/recovery/Follower.java
+++ b/src/main/java/io/pineladder/recovery/Follower.java
@@ -15,8 +15,9 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a controller's copy of the records in step with the store, by a request a second. A leader's
- * copy is fed by its own reads and commits; here only the final states of before are read for it.
+ * Keeps a controller's copy of the records in step with the store, by a request a second. A
+ * leader's copy is fed by its own reads and commits; here only the final states of before are read
+ * for it.
  */
 public final class Follower {
   /** A start and a new term have better things to do first. */
@@ -116,7 +117,9 @@
     after(SOON, of, () -> list(of, "", null));
   }
 
-  /** This node leads from now on, and feeds the copy; final states stored before are read for it. */
+  /**
+   * This node leads from now on, and feeds the copy; final states stored before are read for it.
+   */
   public void lead(LiveCopy fed) {
     boolean followed = state == State.FOLLOWING && fed == copy;
     copy = fed;
@@ -259,14 +262,13 @@
   }
 
   /**
-   * Compares pages with the store in a transaction that changes nothing. One that differs was written
-   * meanwhile, or is lost: what differs twice while this copy has no newer one is read.
+   * Compares pages with the store in a transaction that changes nothing. One that differs was
+   * written meanwhile, or is lost: what differs twice while this copy has no newer one is read.
    */
   private void compare(int of) {
     int most = Math.min(MOST_COMPARED, 4 * store.limits().transactionOps() - 1);
     SortedMap<String, Long> asked = copy.pages(comparedTo, most);
-    comparedTo =
-        asked.size() < most ? null : asked.lastKey();
+    comparedTo = asked.size() < most ? null : asked.lastKey();
     StoreWire.Transaction compare = store.transaction();
     asked.forEach(compare::require);
     store.compare(
@@ -288,7 +290,9 @@
         });
   }
 
-  /** Reads a record that seems to be older than this revision, or missing; what it tells is certain. */
+  /**
+   * Reads a record that seems to be older than this revision, or missing; what it tells is certain.
+   */
   private void confirm(int of, String key, long known) {
     store.read(
         key,
--- a/src/main/java/io/pineladder/recovery/Generations.java
+++ b/src/main/java/io/pineladder/recovery/Generations.java
@@ -18,19 +18,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which generation of the records counts, and what one controller does when the state service has lost
- * data: it is noticed, held, and written anew from a controller's copy (docs/state-loss.md).
+ * Which generation of the records counts, and what one controller does when the state service has
+ * lost data: it is noticed, held, and written anew from a controller's copy (docs/state-loss.md).
  *
- * <p>Whoever rebuilds names a new generation in one transaction, writes its records under names that no
- * transaction of an earlier generation has, and then says that it is whole. Until then nobody leads.
+ * <p>Whoever rebuilds names a new generation in one transaction, writes its records under names
+ * that no transaction of an earlier generation has, and then says that it is whole. Until then
+ * nobody leads.
  */
 public final class Generations {
   private static final Logger log = LoggerFactory.getLogger(Generations.class);
   private static final Duration WATCH = Duration.ofSeconds(20);
 
   /**
-   * Before this a controller that did not lead names no generation: the leader of before may not have
-   * noticed the loss, and what it tells must be over when another begins. No lease lasts longer.
+   * Before this a controller that did not lead names no generation: the leader of before may not
+   * have noticed the loss, and what it tells must be over when another begins. No lease lasts
+   * longer.
    */
   static final Duration LEASE = Duration.ofSeconds(4);
 
@@ -135,8 +137,7 @@
    *
    * @param self this controller, with its process
    */
-  public Generations(
-      StoreClient store, Timeline time, Generation.Writer self, Host host) {
+  public Generations(StoreClient store, Timeline time, Generation.Writer self, Host host) {
     this.store = store;
     this.time = time;
     this.self = self;
@@ -208,10 +209,11 @@
   }
 
   /**
-   * The token with which this controller keeps a worker's lease while nobody leads, without orders; 0
-   * when it does not. While data is lost that is the worker's own, which any node may answer with;
-   * while this controller rebuilds it is one above all that were used and below that of the leader to
-   * come. What was cancelled right before has to end by the end of the lease, so the time is bounded.
+   * The token with which this controller keeps a worker's lease while nobody leads, without orders;
+   * 0 when it does not. While data is lost that is the worker's own, which any node may answer
+   * with; while this controller rebuilds it is one above all that were used and below that of the
+   * leader to come. What was cancelled right before has to end by the end of the lease, so the time
+   * is bounded.
    *
    * @param seen the highest token that the worker has seen
    * @param longest for how long leases may be kept
@@ -294,8 +296,7 @@
       store.watchGeneration(
           revision,
           WATCH,
-          reply ->
-              time.after(reply.is(200) ? Duration.ZERO : retry.pause(), () -> read(of)));
+          reply -> time.after(reply.is(200) ? Duration.ZERO : retry.pause(), () -> read(of)));
     } else {
       time.after(LOOK, () -> read(of));
     }
@@ -367,8 +368,8 @@
   // ---- a loss
 
   /**
-   * A worker has seen a token above ours, while our key as the leader still stands. No later leader can
-   * have been elected in this store, so the token is of one whose key was lost.
+   * A worker has seen a token above ours, while our key as the leader still stands. No later leader
+   * can have been elected in this store, so the token is of one whose key was lost.
    */
   public void tokenAbove(long token) {
     learnToken(token);
@@ -414,8 +415,8 @@
   }
 
   /**
-   * Reads what the store still holds. A leader's copy holds all that anybody acted upon; any other lacks
-   * the last moments, and where only a part was lost the rest of the store has them.
+   * Reads what the store still holds. A leader's copy holds all that anybody acted upon; any other
+   * lacks the last moments, and where only a part was lost the rest of the store has them.
    */
   private void collect(int of, List<StoreWire.Entry> found, String after) {
     if (of != round || stopped || state != State.LOST) {
@@ -494,7 +495,8 @@
       boolean newer =
           told.copyBase() > mine.base()
               || (told.copyBase() == mine.base() && told.copied() > mine.revision());
-      // A copy that is not whole is still more than one that has less. Found with real processes: in a
+      // A copy that is not whole is still more than one that has less. Found with real processes:
+      // in a
       // cluster's first seconds none is, and one that had read nothing yet wrote that.
       boolean better = told.complete() == mine.isComplete() ? newer : told.complete();
       if (peer.state() == Membership.State.UP && better) {
@@ -551,7 +553,9 @@
     writer.next();
   }
 
-  /** A controller that rebuilds may end or be cut off; then another names a generation of its own. */
+  /**
+   * A controller that rebuilds may end or be cut off; then another names a generation of its own.
+   */
   private void watchRebuild() {
     if (stopped) {
       return;
--- a/src/main/java/io/pineladder/recovery/ImagePages.java
+++ b/src/main/java/io/pineladder/recovery/ImagePages.java
@@ -1,7 +1,6 @@
 package io.pineladder.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.store.Keys;
 import io.pineladder.wire.Json;
@@ -11,9 +10,9 @@
 import java.util.List;
 
 /**
- * Divides the pages of a copy of the records that were stored under a larger limit, so that each fits into a
- * value when a generation is written. A generation counts only once it is whole, so the parts of a page come
- * to count together.
+ * Divides the pages of a copy of the records that were stored under a larger limit, so that each
+ * fits into a value when a generation is written. A generation counts only once it is whole, so the
+ * parts of a page come to count together.
  */
 final class ImagePages {
   /** What a page takes beside its items. */
@@ -32,7 +31,10 @@
     this.valueBytes = valueBytes;
   }
 
-  /** The same records in values of at most so many bytes each; an item that takes more stays as it is. */
+  /**
+   * The same records in values of at most so many bytes each; an item that takes more stays as it
+   * is.
+   */
   static List<StoreWire.Entry> divide(List<StoreWire.Entry> image, int valueBytes) {
     ImagePages pages = new ImagePages(valueBytes);
     for (String kind : PAGED) {
@@ -87,7 +89,7 @@
           part = emptyPart();
           bytes = 0;
         }
-        ((ArrayNode) part.withArray(list)).add(item);
+        part.withArray(list).add(item);
         bytes += size;
       }
     }
--- a/src/main/java/io/pineladder/recovery/ImageWriter.java
+++ b/src/main/java/io/pineladder/recovery/ImageWriter.java
@@ -12,8 +12,8 @@
 
 /**
  * Writes the records of a new generation, and says that it is whole once all are stored. Every
- * transaction asks that the generation is still the one being rebuilt, so nothing of a writer that was
- * given up is stored later; one without a reply is sent again, which stores the same.
+ * transaction asks that the generation is still the one being rebuilt, so nothing of a writer that
+ * was given up is stored later; one without a reply is sent again, which stores the same.
  */
 final class ImageWriter {
   /** The service takes 64 KiB; the rest is for names and conditions. */
@@ -100,8 +100,7 @@
 
   private void finish() {
     Generation whole =
-        new Generation(
-            target.base(), 0, Generation.Phase.WHOLE, target.exact(), target.by());
+        new Generation(target.base(), 0, Generation.Phase.WHOLE, target.exact(), target.by());
     send(
         new StoreWire.Transaction("")
             .requireGeneration(target.version())
--- a/src/main/java/io/pineladder/recovery/LiveCopy.java
+++ b/src/main/java/io/pineladder/recovery/LiveCopy.java
@@ -28,9 +28,9 @@
 
 /**
  * The records of one generation as one controller has seen them stored, from which they are written
- * anew when the state service has lost them. A leader feeds it with what it reads and commits; others
- * follow the store. Values stand as they are in the store: a leader's share what its memory holds
- * anyway, a follower's are kept as bytes.
+ * anew when the state service has lost them. A leader feeds it with what it reads and commits;
+ * others follow the store. Values stand as they are in the store: a leader's share what its memory
+ * holds anyway, a follower's are kept as bytes.
  */
 public final class LiveCopy {
   private static final Logger log = LoggerFactory.getLogger(LiveCopy.class);
@@ -68,7 +68,9 @@
 
   private final TreeMap<String, Value> records = new TreeMap<>();
 
-  /** Final states that have a key of their own, and those of earlier generations that share values. */
+  /**
+   * Final states that have a key of their own, and those of earlier generations that share values.
+   */
   private final TreeMap<String, Job.State> ends = new TreeMap<>();
 
   private final Map<String, Job.State> packed = new HashMap<>();
@@ -96,8 +98,7 @@
     snapshot
         .records()
         .forEach(
-            (key, entry) ->
-                copy.records.put(key, new Value(entry.version(), null, entry.json())));
+            (key, entry) -> copy.records.put(key, new Value(entry.version(), null, entry.json())));
     copy.packed.putAll(snapshot.ends());
     copy.revision = snapshot.revision();
     for (Change change : found.changes()) {
@@ -214,8 +215,7 @@
       records.remove(key);
     } else {
       records.put(
-          key,
-          new Value(version, asBytes ? null : value, asBytes ? Json.bytes(value) : null));
+          key, new Value(version, asBytes ? null : value, asBytes ? Json.bytes(value) : null));
     }
   }
 
@@ -244,8 +244,8 @@
   }
 
   /**
-   * Pages that only leaders write and never remove, in the order of their keys: one that is missing or
-   * older was lost.
+   * Pages that only leaders write and never remove, in the order of their keys: one that is missing
+   * or older was lost.
    */
   private static final List<String> NEVER_REMOVED = List.of(Keys.ACCEPTED, Keys.DONE, Keys.PLACED);
 
@@ -265,8 +265,8 @@
   }
 
   /**
-   * What a newer copy of the same generation lacks of what this one saw stored and nobody removes; null
-   * when it lacks nothing.
+   * What a newer copy of the same generation lacks of what this one saw stored and nobody removes;
+   * null when it lacks nothing.
    */
   public String lackedBy(LiveCopy newer) {
     if (newer.base != base) {
@@ -286,9 +286,9 @@
   }
 
   /**
-   * Takes in records of before that this copy's generation began without: jobs that it does not know,
-   * with their completions and placements, and final states. Pages of both have the same names, so those
-   * of before get numbers far above.
+   * Takes in records of before that this copy's generation began without: jobs that it does not
+   * know, with their completions and placements, and final states. Pages of both have the same
+   * names, so those of before get numbers far above.
    *
    * @return how many jobs have come back
    */
@@ -389,8 +389,8 @@
   public record Damaged(StoreWire.Entry entry, boolean mended) {}
 
   /**
-   * Takes in what was read under a prefix. A value that cannot be read is replaced by the one that this
-   * copy has of the same revision, or left out.
+   * Takes in what was read under a prefix. A value that cannot be read is replaced by the one that
+   * this copy has of the same revision, or left out.
    */
   public Reading read(String prefix, List<StoreWire.Entry> listed) {
     List<StoreWire.Entry> good = new ArrayList<>(listed.size());
@@ -420,8 +420,7 @@
       return null;
     }
     try {
-      StoreWire.Entry entry =
-          new StoreWire.Entry(damaged.key(), known.read(), damaged.version());
+      StoreWire.Entry entry = new StoreWire.Entry(damaged.key(), known.read(), damaged.version());
       return readable(entry) ? entry : null;
     } catch (MalformedException e) {
       return null;
--- a/src/main/java/io/pineladder/recovery/OldGenerations.java
+++ b/src/main/java/io/pineladder/recovery/OldGenerations.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Clears away what earlier generations of the records have left, for one leader. Each step removes a few
- * keys in a transaction that asks for the leader's key and the generation, so a leader that was replaced
- * removes nothing, and its successor goes on from whatever is left.
+ * Clears away what earlier generations of the records have left, for one leader. Each step removes
+ * a few keys in a transaction that asks for the leader's key and the generation, so a leader that
+ * was replaced removes nothing, and its successor goes on from whatever is left.
  */
 public final class OldGenerations {
   private static final Logger log = LoggerFactory.getLogger(OldGenerations.class);
@@ -51,8 +51,7 @@
    *
    * @param version the revision of the leader's key
    */
-  public OldGenerations(
-      StoreClient store, Timeline time, long version, BooleanSupplier leads) {
+  public OldGenerations(StoreClient store, Timeline time, long version, BooleanSupplier leads) {
     this.store = store;
     this.time = time;
     this.version = version;
--- a/src/main/java/io/pineladder/recovery/Prerequisites.java
+++ b/src/main/java/io/pineladder/recovery/Prerequisites.java
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds the jobs that others need, in the leader's memory or by reads that begin after the question. */
+/**
+ * Finds the jobs that others need, in the leader's memory or by reads that begin after the
+ * question.
+ */
 public final class Prerequisites {
   private static final Logger log = LoggerFactory.getLogger(Prerequisites.class);
 
@@ -95,7 +98,9 @@
     return jobs.apply(id) != null || ended.apply(id) != null;
   }
 
-  /** Tells the dependencies of a job that others need, once the present event has been dealt with. */
+  /**
+   * Tells the dependencies of a job that others need, once the present event has been dealt with.
+   */
   public void lookUp(String id) {
     time.after(Duration.ZERO, () -> resolve(id));
   }
--- a/src/main/java/io/pineladder/recovery/RecordKeeping.java
+++ b/src/main/java/io/pineladder/recovery/RecordKeeping.java
@@ -26,8 +26,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What one controller keeps of the records beside the state service, whether it leads or not: a live
- * copy, snapshots, and what it has itself stored for others of late; and its part in a rebuild.
+ * What one controller keeps of the records beside the state service, whether it leads or not: a
+ * live copy, snapshots, and what it has itself stored for others of late; and its part in a
+ * rebuild.
  */
 public final class RecordKeeping {
   private static final Logger log = LoggerFactory.getLogger(RecordKeeping.class);
@@ -81,8 +82,8 @@
   private LiveCopy ledWith;
 
   /**
-   * When this node last was elected it could compare the store with a copy of its own, or no other could
-   * either: it knows all that anybody does.
+   * When this node last was elected it could compare the store with a copy of its own, or no other
+   * could either: it knows all that anybody does.
    */
   private boolean soundStart;
 
@@ -240,15 +241,15 @@
     store.urgentRead(
         Keys.LEADER,
         (read, reply) -> {
-          boolean stands =
-              read.found() && store.generation().token(read.entry().version()) == term;
+          boolean stands = read.found() && store.generation().token(read.entry().version()) == term;
           if (leads.getAsBoolean() && stands) {
             generations.tokenAbove(token);
             return;
           }
           generations.cleared();
           if (leads.getAsBoolean()) {
-            // Also where the store does not tell: whoever has the higher token leads, and not this node.
+            // Also where the store does not tell: whoever has the higher token leads, and not this
+            // node.
             lose.run();
           }
         });
@@ -311,11 +312,12 @@
   }
 
   /**
-   * Takes in a snapshot of records that the cluster has lost: its jobs come back in a new generation,
-   * beside those that were accepted since. Only the leader can.
+   * Takes in a snapshot of records that the cluster has lost: its jobs come back in a new
+   * generation, beside those that were accepted since. Only the leader can.
    *
    * @return how many jobs come back
-   * @throws MalformedException when it is no snapshot of this cluster, or this node cannot take it now
+   * @throws MalformedException when it is no snapshot of this cluster, or this node cannot take it
+   *     now
    */
   public int handIn(byte[] bytes) throws MalformedException {
     Snapshot snapshot = Snapshot.decode(bytes);
@@ -391,8 +393,8 @@
   }
 
   /**
-   * Stores again what this node accepted without a leader of late: whoever rebuilt the records may not
-   * have had it yet. A job that is there twice is still one job.
+   * Stores again what this node accepted without a leader of late: whoever rebuilt the records may
+   * not have had it yet. A job that is there twice is still one job.
    */
   private void acceptAgain() {
     Instant from = time.now().minus(ACCEPTED_AGAIN);
@@ -401,8 +403,8 @@
   }
 
   /**
-   * Stores final states that this node has seen and that whoever rebuilt the records had not: they are
-   * united, and never undone.
+   * Stores final states that this node has seen and that whoever rebuilt the records had not: they
+   * are united, and never undone.
    */
   private void storeEnds(Deque<Map.Entry<String, Job.State>> left) {
     Map.Entry<String, Job.State> next = left.peekFirst();
@@ -411,11 +413,7 @@
     }
     String key = Keys.END + next.getKey();
     byte[] body =
-        store
-            .transaction()
-            .require(key, 0)
-            .put(key, RecordWire.end(next.getValue()))
-            .bytes();
+        store.transaction().require(key, 0).put(key, RecordWire.end(next.getValue())).bytes();
     store.changeForUser(
         store.post("/multi", body),
         1,
@@ -439,8 +437,8 @@
   private record Accepted(Instant at, Runnable again) {}
 
   /**
-   * Whether nothing certain can be said of a job that the store does not hold: it may have been lost.
-   * What this node itself has seen stored was not removed, or the copy would know of it.
+   * Whether nothing certain can be said of a job that the store does not hold: it may have been
+   * lost. What this node itself has seen stored was not removed, or the copy would know of it.
    */
   public boolean mayBeLost(String job) {
     if (!generations.isTrusted() || !copy.isComplete()) {
@@ -453,9 +451,9 @@
   }
 
   /**
-   * Whether a record that is not there may yet come: something may be missing from a rebuild, what other
-   * controllers accepted without a leader right before it they are storing again, and controllers that
-   * begin with their snapshots have yet to compare them with the store.
+   * Whether a record that is not there may yet come: something may be missing from a rebuild, what
+   * other controllers accepted without a leader right before it they are storing again, and
+   * controllers that begin with their snapshots have yet to compare them with the store.
    */
   public boolean mayLack() {
     if (restoredAt != null && restoredAt.plus(COMPARED).isAfter(time.now())) {
--- a/src/main/java/io/pineladder/recovery/TermLoader.java
+++ b/src/main/java/io/pineladder/recovery/TermLoader.java
@@ -50,8 +50,8 @@
     /**
      * A prefix was read.
      *
-     * @return the listing to go on with, mended where this controller's copy can; null when the term
-     *     cannot go on
+     * @return the listing to go on with, mended where this controller's copy can; null when the
+     *     term cannot go on
      */
     StoreClient.Listing onRead(String prefix, StoreClient.Listing listing);
 
@@ -107,8 +107,7 @@
         });
   }
 
-  private void list(
-      String prefix, BooleanSupplier wanted, Consumer<StoreClient.Listing> onDone) {
+  private void list(String prefix, BooleanSupplier wanted, Consumer<StoreClient.Listing> onDone) {
     store.list(
         prefix,
         wanted,
@@ -167,8 +166,9 @@
   }
 
   /**
-   * Reads what subscribers are still to be told and where they are; the term has begun by then. Read in
-   * any case where one may subscribe: what earlier subscribers left behind has revisions too.
+   * Reads what subscribers are still to be told and where they are; the term has begun by then.
+   * Read in any case where one may subscribe: what earlier subscribers left behind has revisions
+   * too.
    */
   public void loadBacklog(BooleanSupplier wanted, Runnable onDone) {
     list(
@@ -316,8 +316,8 @@
    * Takes up the placements of tasks that are still wanted. An attempt is stored only when all
    * earlier ones of its task are proven gone, so of a task's placements those with the highest
    * number count; the others are merely old. So is one whose job is gone, since a job's record goes
-   * only when none of its tasks can be anywhere, and one of a task of an active job that is complete:
-   * it is stored as complete only when no other attempt of it can be anywhere.
+   * only when none of its tasks can be anywhere, and one of a task of an active job that is
+   * complete: it is stored as complete only when no other attempt of it can be anywhere.
    */
   private void restorePlacements(
       List<Paged<RecordWire.Placement>> placements, Map<String, Job> jobs) {
@@ -339,8 +339,7 @@
       Machine machine = cluster.machine(placement.machine());
       if (machine == null) {
         MachineType type = cluster.type(placement.type());
-        machine =
-            new Machine(placement.machine(), type, placement.zone(), placement.spot(), now);
+        machine = new Machine(placement.machine(), type, placement.zone(), placement.spot(), now);
         machine.address = placement.address();
         machine.recorded = true;
         cluster.addMachine(machine);
@@ -349,18 +348,15 @@
       if (!machine.attempts.containsKey(key)) {
         Attempt attempt =
             cluster.addAttempt(
-                job,
-                placement.task(),
-                placement.attempt(),
-                machine,
-                now,
-                Attempt.State.RECORDED);
+                job, placement.task(), placement.attempt(), machine, now, Attempt.State.RECORDED);
         records.knownPlacement(paged.page, attempt);
       }
     }
   }
 
-  /** A final state is never undone, also where an older record of the job came back with a rebuild. */
+  /**
+   * A final state is never undone, also where an older record of the job came back with a rebuild.
+   */
   private Job known(Job job) {
     Job.State ended = listener.ended(job.spec.id());
     if (job.isActive() && ended != null) {
--- a/src/main/java/io/pineladder/retry/Backoff.java
+++ b/src/main/java/io/pineladder/retry/Backoff.java
@@ -4,8 +4,8 @@
 import java.time.Duration;
 
 /**
- * Pauses between tries of one thing: they double up to a cap, and each is drawn from its upper half,
- * so that those who failed together do not come back together.
+ * Pauses between tries of one thing: they double up to a cap, and each is drawn from its upper
+ * half, so that those who failed together do not come back together.
  */
 public final class Backoff {
   private final Timeline time;
--- a/src/main/java/io/pineladder/retry/Breaker.java
+++ b/src/main/java/io/pineladder/retry/Breaker.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps from calling a party that refuses: after a few failures in a row nothing is sent for a pause,
- * then one call shows whether it is better. The longer it lasts, the longer the pauses.
+ * Keeps from calling a party that refuses: after a few failures in a row nothing is sent for a
+ * pause, then one call shows whether it is better. The longer it lasts, the longer the pauses.
  */
 public final class Breaker {
   private static final Logger log = LoggerFactory.getLogger(Breaker.class);
@@ -37,8 +37,7 @@
    * @param party its name in the log
    * @param failuresAllowed how many in a row open it
    */
-  public Breaker(
-      String party, Timeline time, int failuresAllowed, Duration first, Duration most) {
+  public Breaker(String party, Timeline time, int failuresAllowed, Duration first, Duration most) {
     this.party = party;
     this.time = time;
     this.failuresAllowed = failuresAllowed;
--- a/src/main/java/io/pineladder/retry/RateBudget.java
+++ b/src/main/java/io/pineladder/retry/RateBudget.java
@@ -3,7 +3,9 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** A token bucket with a burst of one second's worth, kept a little below what the service allows. */
+/**
+ * A token bucket with a burst of one second's worth, kept a little below what the service allows.
+ */
 public final class RateBudget {
   private final double perSecond;
   private final double burst;
--- a/src/main/java/io/pineladder/retry/RetryBudget.java
+++ b/src/main/java/io/pineladder/retry/RetryBudget.java
@@ -5,8 +5,8 @@
 import java.time.Instant;
 
 /**
- * How many tries may be made again: a share of the calls that succeed, and a few each second, so that
- * when everything fails the tries do not make up most of what is sent.
+ * How many tries may be made again: a share of the calls that succeed, and a few each second, so
+ * that when everything fails the tries do not make up most of what is sent.
  */
 public final class RetryBudget {
   private final Timeline time;
--- a/src/main/java/io/pineladder/scheduling/ClassTimes.java
+++ b/src/main/java/io/pineladder/scheduling/ClassTimes.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * How long jobs of a class take from when they may start until they are done, beyond their estimate: waiting,
- * fetching, the slowest task, storing. Learned from the jobs that end, as an exponentially weighted mean.
+ * How long jobs of a class take from when they may start until they are done, beyond their
+ * estimate: waiting, fetching, the slowest task, storing. Learned from the jobs that end, as an
+ * exponentially weighted mean.
  */
 final class ClassTimes {
   /** Taken for a class of which none has ended yet. */
--- a/src/main/java/io/pineladder/scheduling/Cluster.java
+++ b/src/main/java/io/pineladder/scheduling/Cluster.java
@@ -67,7 +67,9 @@
           .reversed()
           .thenComparing(attempt -> attempt.key);
 
-  /** How many attempts hold room, by the rank that their users chose; what a chain adds is left out. */
+  /**
+   * How many attempts hold room, by the rank that their users chose; what a chain adds is left out.
+   */
   private final EnumMap<Rank, Integer> holding = new EnumMap<>(Rank.class);
 
   /** Machines that keep room for a job, by job. */
@@ -109,7 +111,9 @@
     return objectives.finishTimes(job);
   }
 
-  /** How long the job may still wait before it should have started; negative when it should have. */
+  /**
+   * How long the job may still wait before it should have started; negative when it should have.
+   */
   public Duration slack(Job job, Instant timeOfDay) {
     return Duration.between(timeOfDay, job.acceptedAt.plus(allowance(job, timeOfDay)));
   }
@@ -133,7 +137,9 @@
     return spotRisk.likelihood(machines, spec.estimate()) > LIKELY;
   }
 
-  /** Whether the job keeps an objective if its tasks run through, and not if one has to start anew. */
+  /**
+   * Whether the job keeps an objective if its tasks run through, and not if one has to start anew.
+   */
   public boolean breaksByRestart(Job job, Instant timeOfDay) {
     return objectives.breaksByRestart(job, timeOfDay);
   }
@@ -143,7 +149,9 @@
     return objectives.expectNothingOf(job);
   }
 
-  /** How soon a machine rented now that the job may use would have its image; zero if there is none. */
+  /**
+   * How soon a machine rented now that the job may use would have its image; zero if there is none.
+   */
   public Duration soonestElsewhere(JobSpec spec) {
     Duration soonest = null;
     for (MachineType type : types.values()) {
@@ -156,8 +164,9 @@
   }
 
   /**
-   * Whether a job can wait for room that comes free: an array that may use spot machines, with twice the time
-   * at its submission that another machine takes to be ready. Others get machines at once.
+   * Whether a job can wait for room that comes free: an array that may use spot machines, with
+   * twice the time at its submission that another machine takes to be ready. Others get machines at
+   * once.
    */
   public boolean canWait(Job job) {
     JobSpec spec = job.spec;
@@ -204,10 +213,7 @@
 
   public void addJob(Job job) {
     jobs.put(job.spec.id(), job);
-    jobsByTeam
-        .computeIfAbsent(job.spec.team(), t -> new TeamJobs())
-        .jobs
-        .put(job.spec.id(), job);
+    jobsByTeam.computeIfAbsent(job.spec.team(), t -> new TeamJobs()).jobs.put(job.spec.id(), job);
     demandChanged(job);
   }
 
@@ -336,7 +342,9 @@
     return withheld;
   }
 
-  /** Whether policy may keep any room from the job; not which, which takes a look at the machines. */
+  /**
+   * Whether policy may keep any room from the job; not which, which takes a look at the machines.
+   */
   boolean policyKeeps(Job job) {
     return !withheld.isEmpty() || !reservations.isEmpty() || !job.avoid.isEmpty() || canWait(job);
   }
@@ -371,7 +379,9 @@
     return reservations.getOrDefault(job, Set.of());
   }
 
-  /** Attempts that wait for this image, on whatever machine; the one that gets it last comes first. */
+  /**
+   * Attempts that wait for this image, on whatever machine; the one that gets it last comes first.
+   */
   Collection<Attempt> fetching(String image) {
     NavigableSet<Attempt> of = fetching.get(image);
     return of == null ? List.of() : of;
@@ -414,7 +424,9 @@
     }
   }
 
-  /** Whether there is any work that could make way for the job; where, a look at the fleet tells. */
+  /**
+   * Whether there is any work that could make way for the job; where, a look at the fleet tells.
+   */
   boolean mayDisplaceAny(Job job) {
     if (isGuaranteed(job)) {
       return true;
--- a/src/main/java/io/pineladder/scheduling/Dependencies.java
+++ b/src/main/java/io/pineladder/scheduling/Dependencies.java
@@ -21,17 +21,18 @@
 /**
  * Which jobs wait for which others, and what follows when one of those is over.
  *
- * <p>A job waits until each of its prerequisites is <em>stored</em> as done, so no start can come before a
- * completion that may yet be lost. It is cancelled once one of them is stored as cancelled, directly or
- * through others: that follows from the stored state of the one job whose user asked for it, so nothing else has
- * to be stored before it is told, and any controller comes to the same conclusion.
+ * <p>A job waits until each of its prerequisites is <em>stored</em> as done, so no start can come
+ * before a completion that may yet be lost. It is cancelled once one of them is stored as
+ * cancelled, directly or through others: that follows from the stored state of the one job whose
+ * user asked for it, so nothing else has to be stored before it is told, and any controller comes
+ * to the same conclusion.
  *
- * <p>The index is kept from the needed job to those that need it, with what each still waits for. So an end costs
- * work for the jobs that need it only, however many others wait. A prerequisite was accepted before the job that
- * names it, hence there are no cycles.
+ * <p>The index is kept from the needed job to those that need it, with what each still waits for.
+ * So an end costs work for the jobs that need it only, however many others wait. A prerequisite was
+ * accepted before the job that names it, hence there are no cycles.
  *
- * <p>Rank and finishing times go back along the chain: a job is treated as having the highest rank of those
- * that need it, and is to be over in time for all of them.
+ * <p>Rank and finishing times go back along the chain: a job is treated as having the highest rank
+ * of those that need it, and is to be over in time for all of them.
  */
 public final class Dependencies {
   /** What follows for a job. */
@@ -48,7 +49,10 @@
     /** The final state of a job that is not in memory, if it is known without a read; or null. */
     Job.State knownEnd(String id);
 
-    /** A prerequisite is not in memory and its state not known: {@link #found} or {@link #settled} is to be called for it. */
+    /**
+     * A prerequisite is not in memory and its state not known: {@link #found} or {@link #settled}
+     * is to be called for it.
+     */
     void lookUp(String id);
   }
 
@@ -99,7 +103,10 @@
     return longest;
   }
 
-  /** The jobs from this one back to the first of its chain; without recursion, since chains may be long. */
+  /**
+   * The jobs from this one back to the first of its chain; without recursion, since chains may be
+   * long.
+   */
   private int depth(Job from, Map<Job, Integer> depths) {
     Deque<Job> stack = new ArrayDeque<>(List.of(from));
     while (!stack.isEmpty()) {
@@ -124,8 +131,8 @@
   }
 
   /**
-   * Whether nothing certain can be said of a waiting job: a prerequisite is being looked up, of this job or of
-   * one before it, and may turn out to be cancelled.
+   * Whether nothing certain can be said of a waiting job: a prerequisite is being looked up, of
+   * this job or of one before it, and may turn out to be cancelled.
    */
   public boolean isUncertain(Job job) {
     return !lookups.isEmpty() && unmet.containsKey(job);
@@ -172,7 +179,9 @@
     }
   }
 
-  /** A prerequisite that was looked up is in memory; its end will be told, if it is not known yet. */
+  /**
+   * A prerequisite that was looked up is in memory; its end will be told, if it is not known yet.
+   */
   public void found(Job needed) {
     lookups.remove(needed.spec.id());
     if (needed.endStored || needed.cancellationDerived) {
@@ -261,8 +270,8 @@
   }
 
   /**
-   * The cancellation of a job is on its way to the store: other controllers may read it there before this one
-   * hears of the commit, and call the jobs cancelled that need it.
+   * The cancellation of a job is on its way to the store: other controllers may read it there
+   * before this one hears of the commit, and call the jobs cancelled that need it.
    */
   void endUnderWay(Job cancelled) {
     endUnderWay(cancelled, cancelled);
@@ -300,7 +309,10 @@
     }
   }
 
-  /** Computes a job's urgency anew from all that need it, and that of the jobs before it where it changed. */
+  /**
+   * Computes a job's urgency anew from all that need it, and that of the jobs before it where it
+   * changed.
+   */
   private void review(Job job) {
     if (job.isActive() && reviewOne(job)) {
       reviewBefore(job);
@@ -333,7 +345,9 @@
   private boolean set(Job job, Rank rank, FinishTimes finishTimes) {
     boolean same =
         rank == job.rank()
-            && (finishTimes == null ? job.finishTimes == null : finishTimes.equals(job.finishTimes));
+            && (finishTimes == null
+                ? job.finishTimes == null
+                : finishTimes.equals(job.finishTimes));
     if (same) {
       return false;
     }
--- a/src/main/java/io/pineladder/scheduling/HeldRoom.java
+++ b/src/main/java/io/pineladder/scheduling/HeldRoom.java
@@ -18,17 +18,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Room held for a gang that has waited for long while freed pieces went to others of its rank. It is held on
- * the machines that are thought to have it first, for one gang at a time: the highest rank, then whichever
- * came first. What ends before the gang can start may run there meanwhile; nothing is stopped for it, so only
- * what would have been placed there later is lost, and higher ranks are not held up.
+ * Room held for a gang that has waited for long while freed pieces went to others of its rank. It
+ * is held on the machines that are thought to have it first, for one gang at a time: the highest
+ * rank, then whichever came first. What ends before the gang can start may run there meanwhile;
+ * nothing is stopped for it, so only what would have been placed there later is lost, and higher
+ * ranks are not held up.
  */
 final class HeldRoom {
   private static final Logger log = LoggerFactory.getLogger(HeldRoom.class);
 
   /**
-   * A gang that has waited so long has room held for it. It must begin within four minutes; what is left of
-   * those is for the tasks that run on its machines, and for its images.
+   * A gang that has waited so long has room held for it. It must begin within four minutes; what is
+   * left of those is for the tasks that run on its machines, and for its images.
    */
   static final Duration LONG_WAIT = Duration.ofSeconds(60);
 
@@ -95,7 +96,9 @@
     }
   }
 
-  /** As many machines as the gang has tasks, of one zone if they must be together; empty if too few. */
+  /**
+   * As many machines as the gang has tasks, of one zone if they must be together; empty if too few.
+   */
   private List<Soon> first(Job job, Instant now) {
     JobSpec spec = job.spec;
     Map<String, List<Soon>> zones = new LinkedHashMap<>();
--- a/src/main/java/io/pineladder/scheduling/Objectives.java
+++ b/src/main/java/io/pineladder/scheduling/Objectives.java
@@ -31,8 +31,7 @@
       if (until == null) {
         continue;
       }
-      Duration start =
-          objective.kind().equals("wait") ? until : until.minus(job.spec.estimate());
+      Duration start = objective.kind().equals("wait") ? until : until.minus(job.spec.estimate());
       if (start.compareTo(allowance) < 0 && start.compareTo(age) > 0) {
         allowance = start;
       }
@@ -59,8 +58,8 @@
   }
 
   /**
-   * When a job should be over by its deadline, and when at the latest by what the operators expect of its class;
-   * null without a deadline.
+   * When a job should be over by its deadline, and when at the latest by what the operators expect
+   * of its class; null without a deadline.
    */
   FinishTimes finishTimes(Job job) {
     JobSpec spec = job.spec;
@@ -96,8 +95,7 @@
     Duration age = Duration.between(job.acceptedAt, timeOfDay);
     Duration through = age.plus(job.spec.estimate());
     // Until a loss is noticed and its task is placed again.
-    Duration again =
-        settings.cloud().listLag().multipliedBy(2).plus(settings.workers().report());
+    Duration again = settings.cloud().listLag().multipliedBy(2).plus(settings.workers().report());
     Duration twice = through.plus(again).plus(job.spec.estimate());
     for (Settings.Objective objective : settings.objectives()) {
       Duration until = objective.kind().equals("wait") ? null : until(job, objective);
@@ -113,8 +111,8 @@
   }
 
   /**
-   * The time from the submission that the objective speaks of, or null if it is not for the job. A deadline counts
-   * from the submission, all else from when the job could start.
+   * The time from the submission that the objective speaks of, or null if it is not for the job. A
+   * deadline counts from the submission, all else from when the job could start.
    */
   private static Duration until(Job job, Settings.Objective objective) {
     JobSpec spec = job.spec;
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -183,9 +183,10 @@
   }
 
   /**
-   * Whether a task would keep a dear machine for long: it takes a small part of it for twice the time that
-   * another machine takes, and has time to wait. The last of such tasks kept each for minutes after the rush
-   * that it was rented for; the others leave it soon, and spot machines to them.
+   * Whether a task would keep a dear machine for long: it takes a small part of it for twice the
+   * time that another machine takes, and has time to wait. The last of such tasks kept each for
+   * minutes after the rush that it was rented for; the others leave it soon, and spot machines to
+   * them.
    */
   static boolean keepsLong(Cluster cluster, Job job, Machine machine, Instant timeOfDay) {
     Duration ready = cluster.soonestElsewhere(job.spec);
@@ -283,8 +284,7 @@
     return new Decision(best, whole && taken.isEmpty() ? Check.FIT : Check.TOGETHER);
   }
 
-  private Decision free(
-      Job job, int wanted, PriorityQueue<Candidate> candidates, boolean whole) {
+  private Decision free(Job job, int wanted, PriorityQueue<Candidate> candidates, boolean whole) {
     boolean spread = job.spec.spread();
     Map<String, Integer> zones = spread ? byZone(job) : Map.of();
     List<Machine> chosen = take(wanted, candidates::poll, zones, mostInZone(job));
--- a/src/main/java/io/pineladder/scheduling/Preemptor.java
+++ b/src/main/java/io/pineladder/scheduling/Preemptor.java
@@ -53,8 +53,7 @@
    *
    * @param presses whether work of which something is expected may be stopped for it
    */
-  List<Plan> plans(
-      Job job, int wanted, double mostFetchSeconds, boolean presses, Instant now) {
+  List<Plan> plans(Job job, int wanted, double mostFetchSeconds, boolean presses, Instant now) {
     Look look = new Look(job, presses, now);
     List<Plan> plans = new ArrayList<>();
     for (Machine machine : cluster.machines()) {
@@ -143,8 +142,7 @@
     }
 
     private double penalty(Job victim) {
-      if (!mayDisplace(job, victim, guaranteed)
-          || !(presses || cluster.hasNoObjective(victim))) {
+      if (!mayDisplace(job, victim, guaranteed) || !(presses || cluster.hasNoObjective(victim))) {
         return Double.POSITIVE_INFINITY;
       }
       return cluster.breaksByRestart(victim, time.timeOfDay()) ? LATE : 0;
--- a/src/main/java/io/pineladder/scheduling/RoomMaker.java
+++ b/src/main/java/io/pineladder/scheduling/RoomMaker.java
@@ -13,14 +13,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes room where there is none, or where it would come too late: work of less weight makes way. */
+/**
+ * Makes room where there is none, or where it would come too late: work of less weight makes way.
+ */
 final class RoomMaker {
   private static final Logger log = LoggerFactory.getLogger(RoomMaker.class);
 
   /** A fetch that takes longer yet is worth a new start where the image is. */
   private static final Duration WORTH_MOVING = Duration.ofSeconds(6);
 
-  /** Tasks that fetch one image of which the last ones are looked at for one machine at the most. */
+  /**
+   * Tasks that fetch one image of which the last ones are looked at for one machine at the most.
+   */
   private static final int MOST_LOOKED = 64;
 
   /** Room that others made way for is kept so long. */
@@ -50,8 +54,9 @@
   }
 
   /**
-   * Stops work for as many of the job's tasks as still lack a place, in one look at the fleet, which
-   * no index answers. Looks take a bounded part of the time, and the first by priority get them.
+   * Stops work for as many of the job's tasks as still lack a place, in one look at the fleet,
+   * which no index answers. Looks take a bounded part of the time, and the first by priority get
+   * them.
    */
   boolean makeRoom(Job job, double mostFetchSeconds, Instant now) {
     int lacking = job.pending.cardinality() - preemptor.waiting(job, now);
@@ -79,10 +84,10 @@
   }
 
   /**
-   * Whether the job cannot wait until other room is had. The tasks of an array can: room comes free all
-   * the time, and another machine boots. So those that have longer than that until they should start stop
-   * only work of which nothing is expected. Found on galleharbour, where two of five tasks of low rank were
-   * stopped, many of them several times, for jobs that had minutes left.
+   * Whether the job cannot wait until other room is had. The tasks of an array can: room comes free
+   * all the time, and another machine boots. So those that have longer than that until they should
+   * start stop only work of which nothing is expected. Found on galleharbour, where two of five
+   * tasks of low rank were stopped, many of them several times, for jobs that had minutes left.
    */
   private boolean presses(Job job) {
     if (job.spec.shape() != Shape.ARRAY || cluster.isGuaranteed(job)) {
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -26,7 +26,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The scheduling loop: takes entries from the queue, places their tasks, and follows their ends. */
+/**
+ * The scheduling loop: takes entries from the queue, places their tasks, and follows their ends.
+ */
 public final class Scheduler {
   private static final Logger log = LoggerFactory.getLogger(Scheduler.class);
 
@@ -46,15 +48,18 @@
   private static final double LARGE_A_SECOND = 120;
 
   /**
-   * A job of which nothing has begun goes before others of its rank by then: the largest, and those whose
-   * objectives are missed, must begin within four minutes too.
+   * A job of which nothing has begun goes before others of its rank by then: the largest, and those
+   * whose objectives are missed, must begin within four minutes too.
    */
   private static final Duration LATEST_START = Duration.ofSeconds(200);
 
   /** Tasks of a job at fault that are tried at a time. */
   private static final int PROBES = 2;
 
-  /** What no event has woken for so long is tried again: a third of the starvation bound is left for it. */
+  /**
+   * What no event has woken for so long is tried again: a third of the starvation bound is left for
+   * it.
+   */
   static final Duration LEFTOVER = Duration.ofSeconds(15);
 
   /** The part of the parked entries that is tried again in a second at the most. */
@@ -80,8 +85,8 @@
     boolean mayAct();
 
     /**
-     * Whether tasks may be started: not while an earlier attempt may be somewhere that no record and no
-     * report has told of yet.
+     * Whether tasks may be started: not while an earlier attempt may be somewhere that no record
+     * and no report has told of yet.
      */
     boolean mayStart();
 
@@ -248,9 +253,7 @@
   private Duration allowance(Job job) {
     // What fails wherever it is tried makes no other job wait.
     Duration allowance =
-        job.atFault
-            ? Objectives.NO_HURRY
-            : cluster.objectives().allowance(job, time.timeOfDay());
+        job.atFault ? Objectives.NO_HURRY : cluster.objectives().allowance(job, time.timeOfDay());
     Duration due = allowance.plus(turn(job));
     boolean begun = job.attempts.size() + job.done.cardinality() > 0;
     Duration latest = LATEST_START.plus(Objectives.waited(job));
@@ -313,8 +316,8 @@
   }
 
   /**
-   * Takes an attempt for wanted that a worker reports and no record tells of, if its task needs one:
-   * after a loss of data that is where the task runs. False when it is to be ended.
+   * Takes an attempt for wanted that a worker reports and no record tells of, if its task needs
+   * one: after a loss of data that is where the task runs. False when it is to be ended.
    */
   public boolean keep(Attempt attempt) {
     Job job = attempt.job;
@@ -351,8 +354,8 @@
   /**
    * Stores that a job is cancelled once nothing of it holds room anywhere, so that no user is told
    * sooner. Were it told at once its tasks would have to be gone in time, also where nobody can be
-   * reached, and no lease could be kept for longer than that: a zone that is cut off would lose all that
-   * runs in it for the few jobs that may have been cancelled.
+   * reached, and no lease could be kept for longer than that: a zone that is cut off would lose all
+   * that runs in it for the few jobs that may have been cancelled.
    */
   private void endIfQuiet(Job job) {
     if (job.state() != Job.State.CANCELLED || job.ending) {
@@ -393,10 +396,10 @@
   }
 
   /**
-   * Stops everything of a job that may be somewhere. All of it is unwanted before any is gone: those
-   * that never started are gone at once, and were taken for tasks lost by a gang that still gathers
-   * and started anew, all but one for which there was no room. Found by the simulation, as a gang
-   * that waited for its last task for ever.
+   * Stops everything of a job that may be somewhere. All of it is unwanted before any is gone:
+   * those that never started are gone at once, and were taken for tasks lost by a gang that still
+   * gathers and started anew, all but one for which there was no room. Found by the simulation, as
+   * a gang that waited for its last task for ever.
    */
   public void killAll(Job job, Duration grace) {
     List<Attempt> all = new ArrayList<>();
@@ -703,9 +706,7 @@
       job.avoid.remove(job.avoid.iterator().next());
     }
     Duration ran =
-        attempt.runningSince == null
-            ? Duration.ZERO
-            : Duration.between(attempt.runningSince, now);
+        attempt.runningSince == null ? Duration.ZERO : Duration.between(attempt.runningSince, now);
     failures.failed(job, attempt.machine, ran, now);
   }
 
@@ -862,8 +863,9 @@
   }
 
   /**
-   * Tries again what no event has woken for long, and what policy keeps from room; once a second. Without it a
-   * job waited for as long as nothing else happened on the machine whose room had been reserved for another.
+   * Tries again what no event has woken for long, and what policy keeps from room; once a second.
+   * Without it a job waited for as long as nothing else happened on the machine whose room had been
+   * reserved for another.
    */
   public void review(Instant now) {
     int parked = queue.sizes().get(QueueEntry.Place.UNSCHEDULABLE);
@@ -926,8 +928,7 @@
     starvation.moved(job);
     double fetch = Placer.fetchSeconds(job, machine);
     log.debug("{}/{} goes to {} ({} s of fetching)", job, task, machine, fetch);
-    Attempt attempt =
-        cluster.addAttempt(job, task, number, machine, now, Attempt.State.STORING);
+    Attempt attempt = cluster.addAttempt(job, task, number, machine, now, Attempt.State.STORING);
     attempt.readyAt = now.plusMillis((long) (fetch * 1000));
     records.placementDue(attempt);
   }
--- a/src/main/java/io/pineladder/scheduling/StarvationBound.java
+++ b/src/main/java/io/pineladder/scheduling/StarvationBound.java
@@ -10,25 +10,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Policy may delay a job, not starve it. Machines that are spared or under suspicion, room reserved for others,
- * machines that a job failed on, dear machines kept from long tasks, room where an image is: each leaves room
- * unused for a good reason, and none of them is a rule. What a job could have had but for them for {@link #MOST}
- * it gets: from then on it meets only the checks that the rules need. A wait for room that is not there, or for
- * the team's limit, does not count.
+ * Policy may delay a job, not starve it. Machines that are spared or under suspicion, room reserved
+ * for others, machines that a job failed on, dear machines kept from long tasks, room where an
+ * image is: each leaves room unused for a good reason, and none of them is a rule. What a job could
+ * have had but for them for {@link #MOST} it gets: from then on it meets only the checks that the
+ * rules need. A wait for room that is not there, or for the team's limit, does not count.
  *
- * <p>Found by the simulation as a gang of three that waited for as long as others' room was reserved anew on the
- * machines that it needed, and as a job that kept off the only two machines, on which it had failed by chance.
+ * <p>Found by the simulation as a gang of three that waited for as long as others' room was
+ * reserved anew on the machines that it needed, and as a job that kept off the only two machines,
+ * on which it had failed by chance.
  */
 final class StarvationBound {
   /**
-   * Users are promised that no job waits for 90 s while a machine that fits has room. What is left of those is
-   * for finding out that it does ({@link Scheduler#LEFTOVER}) and for the order to get there.
+   * Users are promised that no job waits for 90 s while a machine that fits has room. What is left
+   * of those is for finding out that it does ({@link Scheduler#LEFTOVER}) and for the order to get
+   * there.
    */
   static final Duration MOST = Duration.ofSeconds(55);
 
   /**
-   * Room that policy keeps from a job may seem gone for so long and be the same: reports lag, and what one machine
-   * has taken another has left.
+   * Room that policy keeps from a job may seem gone for so long and be the same: reports lag, and
+   * what one machine has taken another has left.
    */
   private static final Duration LAPSE = Duration.ofSeconds(12);
 
@@ -40,7 +42,9 @@
   private final Cluster cluster;
   private final Placer placer;
 
-  /** Since when policy keeps a job from room that it could have, and when there was such room last. */
+  /**
+   * Since when policy keeps a job from room that it could have, and when there was such room last.
+   */
   private record Withheld(Instant since, Instant seen) {}
 
   private final Map<Job, Withheld> withheld = new LinkedHashMap<>();
@@ -72,7 +76,8 @@
   }
 
   /**
-   * What becomes of a job that was turned away: the same, or a place that only policy kept from it for long.
+   * What becomes of a job that was turned away: the same, or a place that only policy kept from it
+   * for long.
    *
    * @param rejected what the checks with all policy said
    */
--- a/src/main/java/io/pineladder/snapshot/Change.java
+++ b/src/main/java/io/pineladder/snapshot/Change.java
@@ -9,8 +9,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * One change of a record after a snapshot, as it stands in the file of changes: a length, a checksum
- * and the change. A last one that was cut short in writing ends the file.
+ * One change of a record after a snapshot, as it stands in the file of changes: a length, a
+ * checksum and the change. A last one that was cut short in writing ends the file.
  *
  * @param json the new value, or null for a key that is gone
  */
--- a/src/main/java/io/pineladder/snapshot/Snapshot.java
+++ b/src/main/java/io/pineladder/snapshot/Snapshot.java
@@ -18,8 +18,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * All records as of one revision, as bytes: a head in MessagePack, then sections, each compressed and
- * with a checksum of its content. Immutable, so that it can be encoded beside the event thread.
+ * All records as of one revision, as bytes: a head in MessagePack, then sections, each compressed
+ * and with a checksum of its content. Immutable, so that it can be encoded beside the event thread.
  *
  * @param cluster whose records these are
  * @param base the generation, as its base
@@ -149,8 +149,8 @@
   /**
    * Reads a snapshot.
    *
-   * @throws MalformedException when it is none, is damaged or cut short, or is of a newer version; the
-   *     message says which
+   * @throws MalformedException when it is none, is damaged or cut short, or is of a newer version;
+   *     the message says which
    */
   public static Snapshot decode(byte[] bytes) throws MalformedException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
--- a/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Snapshots in a directory, written beside the event thread, one call after the other. A disk that is
- * full or gone costs a log line and a count, and never what the controller serves.
+ * Snapshots in a directory, written beside the event thread, one call after the other. A disk that
+ * is full or gone costs a log line and a count, and never what the controller serves.
  */
 public final class SnapshotDirectory implements Shelf {
   private static final Logger log = LoggerFactory.getLogger(SnapshotDirectory.class);
@@ -95,9 +95,7 @@
         () -> {
           try (FileChannel out =
               FileChannel.open(
-                  directory.resolve(name),
-                  StandardOpenOption.CREATE,
-                  StandardOpenOption.APPEND)) {
+                  directory.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             write(out, bytes);
           }
         });
--- a/src/main/java/io/pineladder/snapshot/Snapshots.java
+++ b/src/main/java/io/pineladder/snapshot/Snapshots.java
@@ -18,8 +18,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller's snapshots: one now and then, and between them each change as it is seen stored, so that
- * what is read back lacks the last moments only.
+ * A controller's snapshots: one now and then, and between them each change as it is seen stored, so
+ * that what is read back lacks the last moments only.
  */
 public final class Snapshots {
   private static final Logger log = LoggerFactory.getLogger(Snapshots.class);
@@ -36,8 +36,7 @@
   /** Changes in bytes after which a snapshot is made sooner. */
   private static final long MOST_CHANGES = 16L << 20;
 
-  private static final Pattern NAME =
-      Pattern.compile("(snapshot|changes)-([0-9]{19})-([0-9]{19})");
+  private static final Pattern NAME = Pattern.compile("(snapshot|changes)-([0-9]{19})-([0-9]{19})");
 
   /** What was read back: a snapshot, and the changes after it in their order. */
   public record Found(Snapshot snapshot, List<Change> changes) {}
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -82,8 +82,8 @@
     void onKeyGone();
 
     /**
-     * A record that only this leader writes is not as it stored it, though its key as the leader still
-     * stands: the state service has lost data.
+     * A record that only this leader writes is not as it stored it, though its key as the leader
+     * still stands: the state service has lost data.
      */
     void onLost(String reason);
 
@@ -232,7 +232,8 @@
           continue;
         }
         if (mutation.edits().stream().anyMatch(JobPages.Edit::mustWait)) {
-          // Whoever divides the page has it tried again; what does not touch the page need not wait.
+          // Whoever divides the page has it tried again; what does not touch the page need not
+          // wait.
           held.addLast(queue.pollFirst());
           continue;
         }
@@ -365,8 +366,7 @@
     return !batch.ambiguous
         && batch.values.values().stream()
             .anyMatch(
-                value ->
-                    value != null && Json.bytes(value).length > store.limits().valueBytes());
+                value -> value != null && Json.bytes(value).length > store.limits().valueBytes());
   }
 
   private void requeue(List<Mutation> mutations) {
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -21,17 +21,17 @@
  * submissions does not cost a change of the store each.
  *
  * <p>Unlike the entries of {@link Pages} a job stands in one page only and leaves it in the very
- * transaction that stores its final state: a copy left behind would bring a job that is over back to
- * life. So a page's next value is made from the changes of one transaction, and what this class
+ * transaction that stores its final state: a copy left behind would bring a job that is over back
+ * to life. So a page's next value is made from the changes of one transaction, and what this class
  * holds to be stored changes only when that transaction has committed.
  *
  * <p>The notice that a job is over takes its record's place in the page, in that same transaction,
  * and so costs no change of its own. It stays until all subscribers are known to have it.
  *
- * <p>A page that an earlier leader left larger than a value may be now cannot be stored with fewer jobs as long as
- * the rest is still too large. {@link #divide} copies its jobs to other pages in bounded steps and removes it
- * in the last one. Until then the page counts and the copies, which name it, do not; so each step is safe
- * when it is the last, and what changes the page waits.
+ * <p>A page that an earlier leader left larger than a value may be now cannot be stored with fewer
+ * jobs as long as the rest is still too large. {@link #divide} copies its jobs to other pages in
+ * bounded steps and removes it in the last one. Until then the page counts and the copies, which
+ * name it, do not; so each step is safe when it is the last, and what changes the page waits.
  */
 final class JobPages {
   /** What a record may still grow by: a final state, a verdict. */
@@ -292,8 +292,8 @@
   }
 
   /**
-   * The notice that a job is over: in the page of its record, so that one value changes and not two,
-   * or where there is room.
+   * The notice that a job is over: in the page of its record, so that one value changes and not
+   * two, or where there is room.
    *
    * @param leaves whether the record leaves its page in the same transaction
    */
@@ -314,8 +314,10 @@
                 job.spec.tasks(),
                 LATEST));
     Page home = homes.get(job);
-    // What leaves a page makes room for its notice there, unless the page is too large all the same.
-    boolean fits = home != null && (leaves ? !home.inheritedTooLarge : home.bytes + room <= capacity);
+    // What leaves a page makes room for its notice there, unless the page is too large all the
+    // same.
+    boolean fits =
+        home != null && (leaves ? !home.inheritedTooLarge : home.bytes + room <= capacity);
     Page page = fits ? home : open(room);
     page.bytes += room;
     Edit edit = new Edit(page, Kind.NOTE, job, null);
@@ -368,7 +370,9 @@
     reserveNumber(source);
   }
 
-  /** No new page may have the name of one that was divided, or copies of it would seem unfinished. */
+  /**
+   * No new page may have the name of one that was divided, or copies of it would seem unfinished.
+   */
   void reserveNumber(String source) {
     pages = Math.max(pages, Keys.number(source, Keys.ACCEPTED) + 1);
   }
@@ -379,14 +383,16 @@
   }
 
   /**
-   * A page that has to be divided and can be, or null: one that is too large, holds no notice and no record
-   * that takes more than a value by itself.
+   * A page that has to be divided and can be, or null: one that is too large, holds no notice and
+   * no record that takes more than a value by itself.
    */
   Page tooLarge() {
     for (Page page : ring) {
       boolean large = page.inheritedTooLarge && page.bytes > capacity;
       boolean free = page.notices.isEmpty() && !page.dividing;
-      if (large && free && page.jobs.values().stream().allMatch(job -> sizes.get(job) <= capacity)) {
+      if (large
+          && free
+          && page.jobs.values().stream().allMatch(job -> sizes.get(job) <= capacity)) {
         return page;
       }
     }
@@ -409,7 +415,9 @@
     Map<Page, List<Edit>> copies = new LinkedHashMap<>();
     // Earlier copies of it would count as soon as it is gone.
     for (Page stale : unfinished.getOrDefault(page.key, List.of())) {
-      copies.computeIfAbsent(stale, s -> new ArrayList<>()).add(new Edit(stale, Kind.TOUCH, null, null));
+      copies
+          .computeIfAbsent(stale, s -> new ArrayList<>())
+          .add(new Edit(stale, Kind.TOUCH, null, null));
     }
     for (Job job : page.jobs.values()) {
       int size = sizes.get(job);
--- a/src/main/java/io/pineladder/store/Mutation.java
+++ b/src/main/java/io/pineladder/store/Mutation.java
@@ -46,7 +46,6 @@
       List<String> absent,
       Runnable onCommitted,
       Runnable onExists) {
-    return new Mutation(
-        priority, writes, edits, absent, () -> true, onCommitted, onExists);
+    return new Mutation(priority, writes, edits, absent, () -> true, onCommitted, onExists);
   }
 }
--- a/src/main/java/io/pineladder/store/Pages.java
+++ b/src/main/java/io/pineladder/store/Pages.java
@@ -8,7 +8,6 @@
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -25,8 +24,8 @@
  * of it stay in their pages until those are written for other entries. So readers must not mind an
  * old copy: what is packed here is either immutable or only ever grows.
  *
- * <p>A page that an earlier leader left larger than a value may be now is not stored again as long as what is
- * live in it is still too large: its entries are stored in other pages first.
+ * <p>A page that an earlier leader left larger than a value may be now is not stored again as long
+ * as what is live in it is still too large: its entries are stored in other pages first.
  */
 final class Pages<T> {
   /** Small pages cost little to write again for a few entries; many go into one transaction. */
--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -22,8 +22,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -125,7 +125,8 @@
    * The records of one term.
    *
    * @param valueBytes the most bytes of a value that is written
-   * @param unversionedValueBytes the limit by which software without a cluster version divided completions
+   * @param unversionedValueBytes the limit by which software without a cluster version divided
+   *     completions
    * @param version the cluster version, which says what may be written
    */
   public Records(
@@ -288,8 +289,8 @@
 
   /**
    * An entry read at the start of a term, once the job holds the completions of all entries. Of a
-   * chunk's copies the newest holds everything, and only that one must not be lost. Entries that are
-   * divided otherwise than the job's first one are stored anew as that one is.
+   * chunk's copies the newest holds everything, and only that one must not be lost. Entries that
+   * are divided otherwise than the job's first one are stored anew as that one is.
    */
   public void knownDone(String page, Job job, RecordWire.StoredDone entry) {
     Chunking stored =
@@ -329,8 +330,9 @@
   // ---- values that are larger than they may be now
 
   /**
-   * Stores what earlier leaders left too large as values that are not, a page at a time. Pages of jobs are
-   * divided only once no software of before reads them, which would take up a copied job twice.
+   * Stores what earlier leaders left too large as values that are not, a page at a time. Pages of
+   * jobs are divided only once no software of before reads them, which would take up a copied job
+   * twice.
    *
    * @param wanted whether the term goes on
    * @param onDivided called when a page of jobs is divided: what waited for it may go on
@@ -416,8 +418,8 @@
   }
 
   /**
-   * A copy of a job's record, read at the start of a term, that does not count: the page which it was made of
-   * is there.
+   * A copy of a job's record, read at the start of a term, that does not count: the page which it
+   * was made of is there.
    */
   public void knownCopy(String page, String source) {
     jobs.knownCopy(page, source);
@@ -477,13 +479,15 @@
     if (jobs.homeOf(job) == null) {
       commit.accept(
           Mutation.editing(
-              endPriority(job), List.of(ownRecord(job)), note(job, false), List.of(), onStored, null));
+              endPriority(job),
+              List.of(ownRecord(job)),
+              note(job, false),
+              List.of(),
+              onStored,
+              null));
     } else {
       // The final state has its own key at once: nodes without a leader look for it there.
-      endPaged(
-          job,
-          () -> with(jobs.replace(job, () -> jobValue(job)), note(job, false)),
-          onStored);
+      endPaged(job, () -> with(jobs.replace(job, () -> jobValue(job)), note(job, false)), onStored);
     }
   }
 
@@ -525,8 +529,8 @@
   }
 
   /**
-   * The notice of a final state, for the transaction that stores that state first: in one of its own
-   * either could be there without the other.
+   * The notice of a final state, for the transaction that stores that state first: in one of its
+   * own either could be there without the other.
    */
   private List<JobPages.Edit> note(Job job, boolean leaves) {
     return job.endStored || !book.isWanted() ? List.of() : List.of(jobs.note(job, leaves));
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -100,7 +100,9 @@
     return generation;
   }
 
-  /** From here on the records of this generation count; what is under way belongs to the one before. */
+  /**
+   * From here on the records of this generation count; what is under way belongs to the one before.
+   */
   public void use(Generation next) {
     if (next.base() != generation.base()) {
       seen = next.version();
@@ -130,8 +132,8 @@
     }
 
     /**
-     * The service tells its revision in an answer. It is strongly consistent, so no answer to a request
-     * that was sent after a revision was seen can be below that one, unless data was lost.
+     * The service tells its revision in an answer. It is strongly consistent, so no answer to a
+     * request that was sent after a revision was seen can be below that one, unless data was lost.
      */
     boolean isGood(long revision) {
       if (in.base() != generation.base()) {
@@ -148,8 +150,7 @@
 
   /** A transaction on records of this generation, which fails once another one counts. */
   public StoreWire.Transaction transaction() {
-    return new StoreWire.Transaction(generation.prefix())
-        .requireGeneration(generation.version());
+    return new StoreWire.Transaction(generation.prefix()).requireGeneration(generation.version());
   }
 
   public String keyPath(String key) {
@@ -220,8 +221,8 @@
 
   /**
    * Changes something for a user, at once or not at all: a user is told to come back rather than
-   * kept waiting, and what users ask for never stands before this node's own requests. Reads have
-   * a budget of their own: many poll, and a submission must not wait for them.
+   * kept waiting, and what users ask for never stands before this node's own requests. Reads have a
+   * budget of their own: many poll, and a submission must not wait for them.
    *
    * @param changes puts and deletes in the request
    */
@@ -266,8 +267,7 @@
         reply -> onReply.accept(toFollowed(reply, sent)));
   }
 
-  private void sendForUser(
-      RateBudget budget, int cost, Request request, Consumer<Reply> onReply) {
+  private void sendForUser(RateBudget budget, int cost, Request request, Consumer<Reply> onReply) {
     Instant now = time.now();
     if (budget.available(now) < cost) {
       onReply.accept(Reply.NOT_SENT);
@@ -335,8 +335,8 @@
   }
 
   /**
-   * Reads which generation counts, at once: everything waits for that. That the service went back makes
-   * this answer no less certain, since whoever rebuilds has to know what stands there now.
+   * Reads which generation counts, at once: everything waits for that. That the service went back
+   * makes this answer no less certain, since whoever rebuilds has to know what stands there now.
    */
   public void readGeneration(Consumer<Read> onRead) {
     Sent sent = new Sent();
@@ -422,8 +422,7 @@
     /** The request for the next page. */
     String path(String prefix) {
       sent = new Sent();
-      return StoreWire.listPath(
-          sent.space() + prefix, after == null ? null : sent.space() + after);
+      return StoreWire.listPath(sent.space() + prefix, after == null ? null : sent.space() + after);
     }
 
     /** Takes in an answer; false when it is no page. */
@@ -452,7 +451,9 @@
     }
   }
 
-  /** How changes were followed: the reply, and what changed, or null when it tells of no changes. */
+  /**
+   * How changes were followed: the reply, and what changed, or null when it tells of no changes.
+   */
   public record Followed(Reply reply, StoreWire.Changes changes) {}
 
   private static Followed toFollowed(Reply reply, Sent sent) {
@@ -481,8 +482,7 @@
   private void follow(String path, long after, Duration wait, Consumer<Reply> onReply) {
     requests.take(1, time.now());
     http.call(
-        Request.get(address, StoreWire.watchPath(path, after, wait), wait.plusSeconds(5)),
-        onReply);
+        Request.get(address, StoreWire.watchPath(path, after, wait), wait.plusSeconds(5)), onReply);
   }
 
   /** Everything that changed up to now, for a node that keeps a copy; when the budget allows. */
@@ -562,7 +562,9 @@
         });
   }
 
-  /** A transaction has committed at this revision; false when that is not above all that was seen. */
+  /**
+   * A transaction has committed at this revision; false when that is not above all that was seen.
+   */
   public boolean isAhead(long before, long revision) {
     if (revision <= before) {
       onWentBack.accept(revision);
--- a/src/main/java/io/pineladder/upgrade/ClusterVersion.java
+++ b/src/main/java/io/pineladder/upgrade/ClusterVersion.java
@@ -7,11 +7,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The version of records and semantics that is in force in the whole cluster, as one controller knows it.
+ * The version of records and semantics that is in force in the whole cluster, as one controller
+ * knows it.
  *
- * <p>A durable record names it. It is raised once every configured controller has shown software that
- * supports the next version, and never falls, so whoever knows a version to be in force knows it for good.
- * A controller that has not read the record yet takes the oldest version to be in force.
+ * <p>A durable record names it. It is raised once every configured controller has shown software
+ * that supports the next version, and never falls, so whoever knows a version to be in force knows
+ * it for good. A controller that has not read the record yet takes the oldest version to be in
+ * force.
  */
 public final class ClusterVersion {
   private static final Logger log = LoggerFactory.getLogger(ClusterVersion.class);
@@ -20,8 +22,8 @@
   public static final int UNVERSIONED = 1;
 
   /**
-   * Jobs may name prerequisites, pages of accepted jobs may be divided, and completions name the size of
-   * their chunk.
+   * Jobs may name prerequisites, pages of accepted jobs may be divided, and completions name the
+   * size of their chunk.
    */
   public static final int CHAINED_JOBS = 2;
 
@@ -56,7 +58,9 @@
     return inForce >= CHAINED_JOBS;
   }
 
-  /** Whether this software is too old for the records: it must neither read nor write any of them. */
+  /**
+   * Whether this software is too old for the records: it must neither read nor write any of them.
+   */
   public boolean isUnsupported() {
     return inForce > supported;
   }
--- a/src/main/java/io/pineladder/upgrade/VersionRaiser.java
+++ b/src/main/java/io/pineladder/upgrade/VersionRaiser.java
@@ -12,8 +12,9 @@
 import java.util.function.Supplier;
 
 /**
- * Raises the cluster version while this controller leads, once every configured controller has shown software
- * that supports it. The record is written in a transaction of the leader, so no older leader writes it late.
+ * Raises the cluster version while this controller leads, once every configured controller has
+ * shown software that supports it. The record is written in a transaction of the leader, so no
+ * older leader writes it late.
  */
 public final class VersionRaiser {
   private static final Duration REVIEW = Duration.ofMillis(500);
@@ -45,7 +46,10 @@
     this.onRaised = onRaised;
   }
 
-  /** Looks at the members now and from time to time, until the version is raised or the term is over. */
+  /**
+   * Looks at the members now and from time to time, until the version is raised or the term is
+   * over.
+   */
   public void review() {
     if (!leading.getAsBoolean() || version.inForce() >= version.supported()) {
       return;
@@ -58,8 +62,7 @@
         Mutation.of(
             Mutation.Priority.ACCEPT,
             List.of(
-                new Mutation.Write(
-                    Keys.VERSION, () -> RecordWire.version(version.supported()))),
+                new Mutation.Write(Keys.VERSION, () -> RecordWire.version(version.supported()))),
             this::raised));
   }
 
--- a/src/main/java/io/pineladder/upgrade/package-info.java
+++ b/src/main/java/io/pineladder/upgrade/package-info.java
@@ -1,2 +1,4 @@
-/** Versions of the records and messages of a cluster, and how a rolling upgrade moves between them. */
+/**
+ * Versions of the records and messages of a cluster, and how a rolling upgrade moves between them.
+ */
 package io.pineladder.upgrade;
--- a/src/main/java/io/pineladder/wire/BeatWire.java
+++ b/src/main/java/io/pineladder/wire/BeatWire.java
@@ -33,7 +33,8 @@
    *
    * @param base the generation that counts for it
    * @param seen the highest revision that it knows the service to have had in that generation
-   * @param copied up to which revision it has a copy of the records, in the generation {@code copyBase}
+   * @param copied up to which revision it has a copy of the records, in the generation {@code
+   *     copyBase}
    * @param complete whether nothing is missing from that copy
    * @param token the highest token that it knows anybody to have used
    * @param lost whether it knows that records of that generation were lost
@@ -122,8 +123,7 @@
         if (millis < 0) {
           throw new MalformedException("heard in the future");
         }
-        heard.put(
-            peer, new Heard(Duration.ofMillis(millis), in.unpackString(), in.unpackLong()));
+        heard.put(peer, new Heard(Duration.ofMillis(millis), in.unpackString(), in.unpackLong()));
       }
       // Controllers of before tell nothing of the records.
       Stored stored =
--- a/src/main/java/io/pineladder/wire/DeliveryWire.java
+++ b/src/main/java/io/pineladder/wire/DeliveryWire.java
@@ -103,11 +103,7 @@
     ArrayNode list = out.putArray("progress");
     entries.forEach(
         (source, at) ->
-            list.addArray()
-                .add(source)
-                .add(at.number())
-                .add(at.sequence())
-                .add(at.lostFrom()));
+            list.addArray().add(source).add(at.number()).add(at.sequence()).add(at.lostFrom()));
     return out;
   }
 
@@ -187,7 +183,9 @@
     return Json.bytes(event);
   }
 
-  /** An event as its receiver sees it; {@code first} is its own sequence unless it tells of a loss. */
+  /**
+   * An event as its receiver sees it; {@code first} is its own sequence unless it tells of a loss.
+   */
   public record Event(String source, String type, long first, long sequence, ObjectNode json) {}
 
   /** Reads an event; the reason names what of it is wrong. */
--- a/src/main/java/io/pineladder/wire/JobWire.java
+++ b/src/main/java/io/pineladder/wire/JobWire.java
@@ -62,7 +62,8 @@
             in.number("memory_gb", 0, MAX_AMOUNT)),
         types == null ? null : List.copyOf(types),
         in.textOr("yard", null),
-        // Only fields that may be null may be absent: taken for false they had jobs accepted that lack one.
+        // Only fields that may be null may be absent: taken for false they had jobs accepted that
+        // lack one.
         in.flag("together"),
         in.flag("spread"),
         in.flag("loaners"),
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -31,8 +31,7 @@
   private RecordWire() {}
 
   /** A stored job; its completions are kept apart. */
-  public record StoredJob(
-      JobSpec spec, Instant acceptedAt, Job.State state, boolean atFault) {}
+  public record StoredJob(JobSpec spec, Instant acceptedAt, Job.State state, boolean atFault) {}
 
   /** A stored placement, with what is needed to reach its machine. */
   public record Placement(
@@ -290,15 +289,12 @@
   }
 
   /** Reads such a record, whose revision is part of the generation. */
-  public static Generation parseGeneration(JsonNode value, long version)
-      throws MalformedException {
+  public static Generation parseGeneration(JsonNode value, long version) throws MalformedException {
     Fields in = Fields.of(value);
     return new Generation(
         in.whole("base", 1, ANY),
         version,
-        value.path("whole").asBoolean(false)
-            ? Generation.Phase.WHOLE
-            : Generation.Phase.REBUILDING,
+        value.path("whole").asBoolean(false) ? Generation.Phase.WHOLE : Generation.Phase.REBUILDING,
         value.path("exact").asBoolean(false),
         new Generation.Writer(in.text("member"), in.text("nonce")));
   }
--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -45,7 +45,8 @@
     try {
       root = new TomlMapper().readTree(toml);
     } catch (IOException e) {
-      throw new BadSettingsException(List.of("not TOML: " + e.getMessage().lines().findFirst().orElse("")));
+      throw new BadSettingsException(
+          List.of("not TOML: " + e.getMessage().lines().findFirst().orElse("")));
     }
     SettingsReader reader = new SettingsReader();
     Settings settings = reader.settings(reader.new Table("", root));
@@ -70,15 +71,15 @@
     }
     List<Settings.Peer> peers = new ArrayList<>();
     for (Table peer : root.tables("seeds")) {
-      peers.add(
-          new Settings.Peer(peer.text("member"), peer.text("area"), peer.address("address")));
+      peers.add(new Settings.Peer(peer.text("member"), peer.text("area"), peer.address("address")));
     }
     if (peers.isEmpty()) {
       faults.add("seeds names no other controller");
     }
     Duration report = workers.seconds("report_s", 0.01);
     Duration lease = workers.seconds("lease_s", 0.1);
-    // A report comes up to a quarter late: with a shorter lease every task would end between two of them.
+    // A report comes up to a quarter late: with a shorter lease every task would end between two of
+    // them.
     if (workers.has("report_s")
         && workers.has("lease_s")
         && lease.compareTo(report.plus(report.dividedBy(4))) <= 0) {
--- a/src/main/java/io/pineladder/wire/WorkerWire.java
+++ b/src/main/java/io/pineladder/wire/WorkerWire.java
@@ -65,8 +65,7 @@
   }
 
   /** One task in a report; {@code cause} is null unless exited. */
-  public record TaskReport(
-      TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {
+  public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {
 
     /** What the attempt is listed by on its machine. */
     public String key() {
--- a/src/main/java/io/pineladder/workers/Workers.java
+++ b/src/main/java/io/pineladder/workers/Workers.java
@@ -115,7 +115,8 @@
    */
   public Orders onReport(Report report, boolean relayed) {
     Machine known = cluster.machine(report.machine());
-    // A copy of a report may come long after it: nobody waits for its answer, so no order goes with it.
+    // A copy of a report may come long after it: nobody waits for its answer, so no order goes with
+    // it.
     boolean first = known == null || isNewer(report, known);
     Machine machine = take(report, relayed, true);
     if (report.token() > term) {
@@ -143,10 +144,10 @@
   }
 
   /**
-   * Finds out whether orders reach a machine that reports. An order that got no answer is asked after with
-   * an empty one at its next report, so a lost packet costs it no more than that. One whose session ended
-   * although it was answered in time has heard nothing for a whole lease. Without this it took new tasks
-   * with each new session, of which none ever started.
+   * Finds out whether orders reach a machine that reports. An order that got no answer is asked
+   * after with an empty one at its next report, so a lost packet costs it no more than that. One
+   * whose session ended although it was answered in time has heard nothing for a whole lease.
+   * Without this it took new tasks with each new session, of which none ever started.
    */
   private void hear(Machine machine, Machine.Hearing next) {
     if (machine.hearing() == next) {
@@ -174,8 +175,8 @@
   /**
    * Takes in what a report, or the body of a command's response, says.
    *
-   * @param reported whether it is a report, which its worker sends only once it has taken in or given up
-   *     the response to the one before
+   * @param reported whether it is a report, which its worker sends only once it has taken in or
+   *     given up the response to the one before
    */
   private Machine take(Report report, boolean relayed, boolean reported) {
     if (report.token() > term) {
@@ -326,12 +327,7 @@
     }
     Attempt attempt =
         cluster.addAttempt(
-            job,
-            task.task().index(),
-            task.attempt(),
-            machine,
-            time.now(),
-            Attempt.State.RECORDED);
+            job, task.task().index(), task.attempt(), machine, time.now(), Attempt.State.RECORDED);
     attempt.sentSession = machine.session;
     if (task.state() != TaskState.EXITED
         && !(listener.recordsIncomplete() && scheduler.keep(attempt))) {
@@ -352,7 +348,8 @@
           return;
         }
         if (!reported || attempt.sentInReport >= report.sequence()) {
-          // What a worker answers to a command is newer than its report before it, and yet older than
+          // What a worker answers to a command is newer than its report before it, and yet older
+          // than
           // that report's response, which may be on its way for 4 s. Taken for proof it had tasks
           // started elsewhere, and jobs told cancelled, whose starts were still to arrive.
           return;
@@ -429,10 +426,7 @@
     long session = machine.session;
     http.call(
         Request.post(
-            machine.address,
-            "/do",
-            WorkerWire.command(term, session, orders),
-            DIRECT_TIMEOUT),
+            machine.address, "/do", WorkerWire.command(term, session, orders), DIRECT_TIMEOUT),
         reply -> onDirectReply(machine, started, reply));
   }
 
--- a/src/main/java/io/pineladder/zones/Keeping.java
+++ b/src/main/java/io/pineladder/zones/Keeping.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * What a controller tells the leader of the workers whose leases it keeps in the leader's place: a note
- * in the state service, which both reach although they do not reach one another.
+ * What a controller tells the leader of the workers whose leases it keeps in the leader's place: a
+ * note in the state service, which both reach although they do not reach one another.
  */
 public final class Keeping {
   /** Between two notes while there is anything to tell. */
@@ -31,7 +31,10 @@
   private final Map<String, Kept> kept = new LinkedHashMap<>();
   private boolean told;
 
-  /** The revision of this controller's note as it is stored, 0 for none; null while that is not known. */
+  /**
+   * The revision of this controller's note as it is stored, 0 for none; null while that is not
+   * known.
+   */
   private Long stored;
 
   /**
@@ -81,8 +84,9 @@
   }
 
   /**
-   * The note follows the one that is known to be stored: without that condition a transaction that got no answer
-   * and was carried out late took the place of a newer note, and a second copy of it had effect again.
+   * The note follows the one that is known to be stored: without that condition a transaction that
+   * got no answer and was carried out late took the place of a newer note, and a second copy of it
+   * had effect again.
    */
   private void write(Map<String, Integer> zones) {
     var value = Json.object();
--- a/src/main/java/io/pineladder/zones/Zone.java
+++ b/src/main/java/io/pineladder/zones/Zone.java
@@ -51,7 +51,9 @@
       return inside * 2 >= up;
     }
 
-    /** Some are heard again: that fewer are overdue may only mean that more have to report by now. */
+    /**
+     * Some are heard again: that fewer are overdue may only mean that more have to report by now.
+     */
     boolean isHeardAgain() {
       return up > 0 && lately * 5 >= up;
     }
@@ -121,9 +123,7 @@
             if (counts.isCut()) {
               yield counts.isHeardInside() ? State.APART : State.CUT;
             }
-            yield counts.isBack() || since.plus(RETURNING).isBefore(now)
-                ? State.PROBATION
-                : state;
+            yield counts.isBack() || since.plus(RETURNING).isBefore(now) ? State.PROBATION : state;
           }
         };
     if (next != state) {
@@ -147,8 +147,8 @@
   }
 
   /**
-   * How much longer it is likely to stay away: as long as it has been, which holds for faults of all
-   * lengths alike, but where it was away before no longer than it was then on average.
+   * How much longer it is likely to stay away: as long as it has been, which holds for faults of
+   * all lengths alike, but where it was away before no longer than it was then on average.
    */
   Duration expectedAway(Instant now) {
     Duration gone = goneFor(now);
--- a/src/main/java/io/pineladder/zones/Zones.java
+++ b/src/main/java/io/pineladder/zones/Zones.java
@@ -7,7 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The zones as one leader sees them: where machines may be rented, and what of them is waited for. */
+/**
+ * The zones as one leader sees them: where machines may be rented, and what of them is waited for.
+ */
 public final class Zones {
   private final Map<String, Zone> zones = new TreeMap<>();
 
@@ -58,8 +60,8 @@
   }
 
   /**
-   * Where machines may be rented, those first that are up: not where none is heard. Where that holds for
-   * all of them nothing tells them apart.
+   * Where machines may be rented, those first that are up: not where none is heard. Where that
+   * holds for all of them nothing tells them apart.
    */
   public List<String> rentable(List<String> wanted) {
     List<String> good = new ArrayList<>();
@@ -87,8 +89,7 @@
     List<View> views = new ArrayList<>();
     zones.forEach(
         (name, zone) ->
-            views.add(
-                new View(name, zone.state().name(), zone.losses(), zone.goneFor(now))));
+            views.add(new View(name, zone.state().name(), zone.losses(), zone.goneFor(now))));
     return views;
   }
 }
--- a/src/scale/java/io/pineladder/sim/HollowTasks.java
+++ b/src/scale/java/io/pineladder/sim/HollowTasks.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * What becomes of the tasks on one process's hollow workers, recorded with the time of the machine's steady clock,
- * which all processes share, for the process that checks the rules.
+ * What becomes of the tasks on one process's hollow workers, recorded with the time of the
+ * machine's steady clock, which all processes share, for the process that checks the rules.
  */
 final class HollowTasks implements TaskWatcher {
   /** What happened to a task. */
--- a/src/scale/java/io/pineladder/sim/HollowWorkers.java
+++ b/src/scale/java/io/pineladder/sim/HollowWorkers.java
@@ -12,14 +12,16 @@
 import java.util.function.Consumer;
 
 /**
- * A process of hollow workers: each speaks the protocol of a worker with a session, a lease and tasks of its own,
- * and runs nothing. One event thread and timers serve all of them.
+ * A process of hollow workers: each speaks the protocol of a worker with a session, a lease and
+ * tasks of its own, and runs nothing. One event thread and timers serve all of them.
  */
 public final class HollowWorkers {
   private static final Duration PATIENCE = Duration.ofSeconds(4);
   private static final long FLUSH_MILLIS = 50;
 
-  /** Without an answer for so long the process that rents the workers is gone, and this one ends. */
+  /**
+   * Without an answer for so long the process that rents the workers is gone, and this one ends.
+   */
   private static final long ORPHANED_MILLIS = 15_000;
 
   private final RealTimeWorld real;
@@ -54,8 +56,8 @@
   /**
    * Runs hollow workers until the process that rents them is gone.
    *
-   * @param args the address of that process, this one's, the controllers', and how often workers report and how
-   *     long their leases last, in milliseconds
+   * @param args the address of that process, this one's, the controllers', and how often workers
+   *     report and how long their leases last, in milliseconds
    */
   public static void main(String[] args) throws IOException {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
--- a/src/scale/java/io/pineladder/sim/LoadGenerator.java
+++ b/src/scale/java/io/pineladder/sim/LoadGenerator.java
@@ -210,7 +210,8 @@
             String state = good ? state(reply.body()) : null;
             if (state != null) {
               boolean over = state.equals("done") || state.equals("aborted");
-              told.merge(job.id, over ? Rules.Told.OVER : Rules.Told.ACCEPTED, LoadGenerator::later);
+              told.merge(
+                  job.id, over ? Rules.Told.OVER : Rules.Told.ACCEPTED, LoadGenerator::later);
             }
             history.now(() -> rules.answered(job, before, reply.status(), state));
           }
--- a/src/scale/java/io/pineladder/sim/ProcessFigures.java
+++ b/src/scale/java/io/pineladder/sim/ProcessFigures.java
@@ -17,7 +17,8 @@
     try {
       String stat = Files.readString(folder.resolve("stat"));
       String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-      double ticks = Double.parseDouble(fields[USER_TIME]) + Double.parseDouble(fields[SYSTEM_TIME]);
+      double ticks =
+          Double.parseDouble(fields[USER_TIME]) + Double.parseDouble(fields[SYSTEM_TIME]);
       long resident = 0;
       for (String line : Files.readAllLines(folder.resolve("status"))) {
         if (line.startsWith("VmRSS:")) {
--- a/src/scale/java/io/pineladder/sim/ScaleCluster.java
+++ b/src/scale/java/io/pineladder/sim/ScaleCluster.java
@@ -22,8 +22,8 @@
 import java.util.stream.IntStream;
 
 /**
- * The processes of a scale run: controllers, hollow workers, and in this one state service and cloud. All listen on
- * loopback addresses, and all are ended with this object.
+ * The processes of a scale run: controllers, hollow workers, and in this one state service and
+ * cloud. All listen on loopback addresses, and all are ended with this object.
  */
 final class ScaleCluster implements AutoCloseable, FleetStandIn.Launcher {
   private static final Duration PATIENCE = Duration.ofSeconds(4);
@@ -56,7 +56,8 @@
    *
    * @param onFailure told of what ends the run
    */
-  ScaleCluster(ScaleOptions options, Path folder, RealTimeWorld real, Consumer<Throwable> onFailure) {
+  ScaleCluster(
+      ScaleOptions options, Path folder, RealTimeWorld real, Consumer<Throwable> onFailure) {
     this.options = options;
     this.control = local(2);
     this.folder = folder;
@@ -140,7 +141,9 @@
   Map<String, List<Long>> pids() {
     Map<String, List<Long>> found = new LinkedHashMap<>();
     found.put("controller", controllers.stream().map(Process::pid).toList());
-    found.put("hollow", hollow.subList(options.single, hollow.size()).stream().map(Process::pid).toList());
+    found.put(
+        "hollow",
+        hollow.subList(options.single, hollow.size()).stream().map(Process::pid).toList());
     found.put("single", hollow.subList(0, options.single).stream().map(Process::pid).toList());
     found.put("services", List.of(ProcessHandle.current().pid()));
     return found;
@@ -172,8 +175,7 @@
   }
 
   void startControllers() throws IOException {
-    ScaleSettings settings =
-        new ScaleSettings(options, local(0), local(1), fronts, clusters);
+    ScaleSettings settings = new ScaleSettings(options, local(0), local(1), fronts, clusters);
     for (int i = 0; i < options.controllers; i++) {
       Files.writeString(settingsOf(i), settings.toml(i));
       controllers.add(startController(i));
@@ -289,7 +291,13 @@
 
   @Override
   public String address(int number) {
-    return "127." + (10 + processOf(number)) + "." + number / 250 + "." + (1 + number % 250) + ":"
+    return "127."
+        + (10 + processOf(number))
+        + "."
+        + number / 250
+        + "."
+        + (1 + number % 250)
+        + ":"
         + (options.port - WORKER_PORTS_BEFORE);
   }
 
@@ -337,8 +345,7 @@
             });
   }
 
-  private void handleControl(
-      String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+  private void handleControl(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
     try {
       JsonNode batch = Json.parseObject(body);
       String process = batch.get("process").asText();
--- a/src/scale/java/io/pineladder/sim/ScaleOptions.java
+++ b/src/scale/java/io/pineladder/sim/ScaleOptions.java
@@ -7,10 +7,14 @@
 
 /** The sizes of a scale run. */
 final class ScaleOptions {
-  @Option(names = "--controllers", description = "controllers, from 2 to 9 (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--controllers",
+      description = "controllers, from 2 to 9 (default: ${DEFAULT-VALUE})")
   int controllers = 3;
 
-  @Option(names = "--workers", description = "hollow workers, up to 4,000 (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--workers",
+      description = "hollow workers, up to 4,000 (default: ${DEFAULT-VALUE})")
   int workers = 200;
 
   @Option(
@@ -20,7 +24,8 @@
 
   @Option(
       names = "--single",
-      description = "of the workers so many have a process of their own (default: ${DEFAULT-VALUE})")
+      description =
+          "of the workers so many have a process of their own (default: ${DEFAULT-VALUE})")
   int single = 2;
 
   @Option(names = "--zones", description = "zones, from 1 to 20 (default: ${DEFAULT-VALUE})")
@@ -43,7 +48,9 @@
   @Option(names = "--tasks", description = "tasks of an array (default: ${DEFAULT-VALUE})")
   int tasks = 25;
 
-  @Option(names = "--gang", description = "tasks of a gang, 0 for no gangs (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--gang",
+      description = "tasks of a gang, 0 for no gangs (default: ${DEFAULT-VALUE})")
   int gang = 4;
 
   @Option(
@@ -53,7 +60,8 @@
 
   @Option(
       names = "--kept",
-      description = "jobs that are accepted and wait for one that never ends (default: ${DEFAULT-VALUE})")
+      description =
+          "jobs that are accepted and wait for one that never ends (default: ${DEFAULT-VALUE})")
   int kept = 0;
 
   @Option(
@@ -61,53 +69,82 @@
       description = "changes of the operators' settings a minute (default: ${DEFAULT-VALUE})")
   double settingsPerMinute = 6;
 
-  @Option(names = "--cancelled", description = "the part of the jobs that are cancelled (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--cancelled",
+      description = "the part of the jobs that are cancelled (default: ${DEFAULT-VALUE})")
   double cancelled = 0.02;
 
-  @Option(names = "--report-seconds", description = "how often a worker reports (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--report-seconds",
+      description = "how often a worker reports (default: ${DEFAULT-VALUE})")
   double reportSeconds = 5;
 
   @Option(names = "--lease-seconds", description = "a worker's lease (default: ${DEFAULT-VALUE})")
   double leaseSeconds = 30;
 
-  @Option(names = "--store-changes", description = "changes a second that the state service takes (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--store-changes",
+      description = "changes a second that the state service takes (default: ${DEFAULT-VALUE})")
   double storeChanges = 1000;
 
-  @Option(names = "--store-requests", description = "requests a second that it takes (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--store-requests",
+      description = "requests a second that it takes (default: ${DEFAULT-VALUE})")
   double storeRequests = 2000;
 
-  @Option(names = "--value-kb", description = "KiB of a value at the most (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--value-kb",
+      description = "KiB of a value at the most (default: ${DEFAULT-VALUE})")
   double valueKb = 32;
 
-  @Option(names = "--txn-ops", description = "changes of a transaction at the most (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--txn-ops",
+      description = "changes of a transaction at the most (default: ${DEFAULT-VALUE})")
   int txnOps = 32;
 
-  @Option(names = "--seconds", description = "how long the load lasts, after it has built up (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--seconds",
+      description = "how long the load lasts, after it has built up (default: ${DEFAULT-VALUE})")
   int seconds = 30;
 
-  @Option(names = "--warm-up", description = "seconds from the first job until it is measured (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--warm-up",
+      description = "seconds from the first job until it is measured (default: ${DEFAULT-VALUE})")
   int warmUp = 20;
 
   @Option(
       names = "--kill-leader",
-      description = "so many seconds after the warm-up the leader is killed; 0 for never (default: ${DEFAULT-VALUE})")
+      description =
+          "so many seconds after the warm-up the leader is killed; 0 for never (default:"
+              + " ${DEFAULT-VALUE})")
   int killLeader = 0;
 
-  @Option(names = "--memory-mb", description = "resident memory of all processes together at the most (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--memory-mb",
+      description =
+          "resident memory of all processes together at the most (default: ${DEFAULT-VALUE})")
   int memoryMb = 11_000;
 
-  @Option(names = "--heap-mb", description = "a controller's heap at the most (default: ${DEFAULT-VALUE})")
+  @Option(
+      names = "--heap-mb",
+      description = "a controller's heap at the most (default: ${DEFAULT-VALUE})")
   int heapMb = 512;
 
   @Option(
       names = "--port",
-      description = "the first of the ports on loopback, for runs beside one another (default: ${DEFAULT-VALUE})")
+      description =
+          "the first of the ports on loopback, for runs beside one another (default:"
+              + " ${DEFAULT-VALUE})")
   int port = 21_000;
 
-  @Option(names = "--jar", description = "the packaged controller; without it this program's own classes are started")
+  @Option(
+      names = "--jar",
+      description = "the packaged controller; without it this program's own classes are started")
   Path jar;
 
-  @Option(names = "--out", description = "a folder for the report as JSON, as a table and as a plot")
+  @Option(
+      names = "--out",
+      description = "a folder for the report as JSON, as a table and as a plot")
   Path out;
 
   /** The first fault of the sizes, naming its argument; null when there is none. */
