--- a/src/scale/java/io/pineladder/sim/ScaleReport.java
+++ b/src/scale/java/io/pineladder/sim/ScaleReport.java
@@ -1,8 +1,8 @@
 package io.pineladder.sim;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.wire.Json;
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -28,15 +28,16 @@
 import picocli.CommandLine.Mixin;
 
 /**
- * Real controllers beside hollow workers, stand-ins of state service and cloud and a load of jobs, all on loopback:
- * measured by role, and judged by the rules over the whole history.
+ * Real controllers beside hollow workers, stand-ins of state service and cloud and a load of jobs,
+ * all on loopback: measured by role, and judged by the rules over the whole history.
  */
 @Command(
     name = "scale-run",
     mixinStandardHelpOptions = true,
     description =
-        "Runs controllers with hollow workers and a load of jobs on this machine, and reports what each role"
-            + " takes. Exit codes: 0 good, 1 a rule broken or a failure, 2 a bad argument.")
+        "Runs controllers with hollow workers and a load of jobs on this machine, and reports what"
+            + " each role takes. Exit codes: 0 good, 1 a rule broken or a failure, 2 a bad"
+            + " argument.")
 public final class ScaleRun implements Callable<Integer> {
   private static final int EXIT_OK = 0;
   private static final int EXIT_FAILURE = 1;
@@ -149,14 +150,12 @@
     cluster.startHollowWorkers();
     waitFor(cluster, "controllers", () -> isReady(cluster));
     on(real, () -> cluster.bootWorkers());
-    waitFor(
-        cluster, "workers", () -> get(real, cluster::workersUp) == options.workers);
+    waitFor(cluster, "workers", () -> get(real, cluster::workersUp) == options.workers);
     Thread.sleep(2 * options.report().toMillis());
     say(options.workers + " workers report");
     SettingsChanges settings = new SettingsChanges(real, cluster.clusters());
     LoadGenerator load =
-        new LoadGenerator(
-            options, real, cluster.rules(), cluster.history(), cluster.fronts());
+        new LoadGenerator(options, real, cluster.rules(), cluster.history(), cluster.fronts());
     on(real, () -> apply(cluster));
     on(real, () -> settings.start(options.settingsPerMinute));
     on(real, load::start);
@@ -219,8 +218,7 @@
     real.runtime()
         .execute(
             () ->
-                real.caller()
-                    .call(HttpCaller.Request.get(address, path, PATIENCE), got::complete));
+                real.caller().call(HttpCaller.Request.get(address, path, PATIENCE), got::complete));
     return got.join();
   }
 
@@ -234,8 +232,7 @@
   }
 
   private boolean isReady(ScaleCluster cluster) {
-    return cluster.fronts().stream()
-            .allMatch(front -> ask(cluster.real(), front, "/ready").is(200))
+    return cluster.fronts().stream().allMatch(front -> ask(cluster.real(), front, "/ready").is(200))
         && leader(cluster) >= 0;
   }
 
@@ -315,15 +312,18 @@
     }
     mostTogether = Math.max(mostTogether, together);
     if (together > (long) options.memoryMb << 20) {
-      throw new IllegalStateException("--memory-mb: the processes hold " + together / (1 << 20) + " MB");
+      throw new IllegalStateException(
+          "--memory-mb: the processes hold " + together / (1 << 20) + " MB");
     }
   }
 
-
   private void begin(ScaleCluster cluster)
       throws InterruptedException, ExecutionException, TimeoutException {
     begunNanos = System.nanoTime();
-    cluster.pids().values().forEach(all -> all.forEach(pid -> before.put(pid, ProcessFigures.of(pid))));
+    cluster
+        .pids()
+        .values()
+        .forEach(all -> all.forEach(pid -> before.put(pid, ProcessFigures.of(pid))));
     on(
         cluster.real(),
         () -> {
@@ -382,13 +382,16 @@
           addTraffic(out.putObject("services_a_second"), cluster.storeTraffic(), seconds);
         });
     JsonNode takeovers =
-        leader < 0 ? null : askJson(cluster.real(), cluster.clusters().get(leader), "/admin/v1/takeovers");
+        leader < 0
+            ? null
+            : askJson(cluster.real(), cluster.clusters().get(leader), "/admin/v1/takeovers");
     if (takeovers != null) {
       out.set("takeovers", takeovers.get("latest"));
     }
     out.put("resident_mb_together", mostTogether / (1 << 20));
     report.series("starts", startsEachSecond);
-    report.series("tasks running / 10", runningEachSecond.stream().map(value -> value / 10).toList());
+    report.series(
+        "tasks running / 10", runningEachSecond.stream().map(value -> value / 10).toList());
   }
 
   private void addSizes(ObjectNode out) {
@@ -424,7 +427,8 @@
               ObjectNode each = out.putObject(kind.getKey());
               kind.getValue()
                   .properties()
-                  .forEach(figure -> each.put(figure.getKey(), figure.getValue().asLong() / seconds));
+                  .forEach(
+                      figure -> each.put(figure.getKey(), figure.getValue().asLong() / seconds));
             });
   }
 }
--- a/src/scale/java/io/pineladder/sim/ScaleSeries.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSeries.java
@@ -16,13 +16,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Scale runs in which one size is varied: each figure's lowest, median and highest, and its slope. */
+/**
+ * Scale runs in which one size is varied: each figure's lowest, median and highest, and its slope.
+ */
 @Command(
     name = "scale-series",
     mixinStandardHelpOptions = true,
     description =
-        "Repeats scale runs at several sizes of one argument and fits a line through the medians. What follows"
-            + " the options is handed on to each run.")
+        "Repeats scale runs at several sizes of one argument and fits a line through the medians."
+            + " What follows the options is handed on to each run.")
 public final class ScaleSeries implements Callable<Integer> {
   private static final int EXIT_OK = 0;
   private static final int EXIT_FAILURE = 1;
@@ -47,7 +49,10 @@
           "/workers_a_second/out report/answer_bytes",
           "/workers_a_second/in do/messages");
 
-  @Option(names = "--vary", required = true, description = "the argument of the scale run that is varied")
+  @Option(
+      names = "--vary",
+      required = true,
+      description = "the argument of the scale run that is varied")
   private String vary;
 
   @Option(names = "--sizes", required = true, split = ",", description = "its values")
@@ -56,7 +61,10 @@
   @Option(names = "--repeat", description = "runs of each size (default: ${DEFAULT-VALUE})")
   private int repeat = 3;
 
-  @Option(names = "--report", required = true, description = "the file that the series is written to, as JSON")
+  @Option(
+      names = "--report",
+      required = true,
+      description = "the file that the series is written to, as JSON")
   private Path file;
 
   @Parameters(description = "arguments of each scale run")
--- a/src/scale/java/io/pineladder/sim/ScaleSettings.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSettings.java
@@ -24,7 +24,11 @@
   private final List<String> clusters;
 
   ScaleSettings(
-      ScaleOptions options, String state, String cloud, List<String> fronts, List<String> clusters) {
+      ScaleOptions options,
+      String state,
+      String cloud,
+      List<String> fronts,
+      List<String> clusters) {
     this.options = options;
     this.state = state;
     this.cloud = cloud;
@@ -36,10 +40,13 @@
     return IntStream.range(0, count).mapToObj(i -> "z" + i).toList();
   }
 
-  /** Teams whose limits hold a fifth more than their share of the load; the largest part guaranteed. */
+  /**
+   * Teams whose limits hold a fifth more than their share of the load; the largest part guaranteed.
+   */
   static List<Team> teams(ScaleOptions options) {
     List<Team> teams = new ArrayList<>();
-    double each = 1.2 * options.running / options.teams + 2.0 * Math.max(options.tasks, options.gang);
+    double each =
+        1.2 * options.running / options.teams + 2.0 * Math.max(options.tasks, options.gang);
     for (int i = 0; i < options.teams; i++) {
       teams.add(new Team("team-" + i, Resources.of(each / 2, 0, 0), each, 0));
     }
--- a/src/scale/java/io/pineladder/sim/SettingsChanges.java
+++ b/src/scale/java/io/pineladder/sim/SettingsChanges.java
@@ -11,7 +11,10 @@
 import java.util.Set;
 import org.HdrHistogram.Histogram;
 
-/** Changes the operators' settings at a rate, and sees how long each takes to be in force at every controller. */
+/**
+ * Changes the operators' settings at a rate, and sees how long each takes to be in force at every
+ * controller.
+ */
 final class SettingsChanges {
   private static final String PATH = "/admin/v1/settings";
   private static final String FIELD = "idle_release_s";
--- a/src/scale/java/io/pineladder/sim/TaskHistory.java
+++ b/src/scale/java/io/pineladder/sim/TaskHistory.java
@@ -17,16 +17,21 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What all hollow workers have recorded, brought into the order of the machine's steady clock and given to the rules.
- * Events come in batches from several processes, each with the time up to which it holds everything; so an event
- * waits until every process has handed over what came before it.
+ * What all hollow workers have recorded, brought into the order of the machine's steady clock and
+ * given to the rules. Events come in batches from several processes, each with the time up to which
+ * it holds everything; so an event waits until every process has handed over what came before it.
  */
 final class TaskHistory {
   private static final long MOST_MICROS = 600_000_000L;
 
   /** What a worker recorded, or with an action what a user was told. */
   private record Event(
-      long nanos, HollowTasks.Kind kind, String host, String piece, long attempt, Runnable action) {}
+      long nanos,
+      HollowTasks.Kind kind,
+      String host,
+      String piece,
+      long attempt,
+      Runnable action) {}
 
   private final Rules rules;
   private final Map<String, Worker> workers;
@@ -119,7 +124,9 @@
     waiting.add(new Event(System.nanoTime(), null, "", "", 0, action));
   }
 
-  /** A gang runs once all of one attempt are there: its workers are told with their next answers. */
+  /**
+   * A gang runs once all of one attempt are there: its workers are told with their next answers.
+   */
   private void gather(Event event) {
     String gang = event.piece.substring(0, event.piece.indexOf('/')) + "#" + event.attempt;
     if (event.kind == HollowTasks.Kind.LEFT) {
@@ -175,7 +182,8 @@
           Rules.Known job = rules.jobs.get(task.job());
           long micros = (event.nanos - submitted.get(job.id)) / 1_000;
           waits
-              .computeIfAbsent(job.spec.get("jobclass").asText(), c -> new Histogram(MOST_MICROS, 3))
+              .computeIfAbsent(
+                  job.spec.get("jobclass").asText(), c -> new Histogram(MOST_MICROS, 3))
               .recordValue(Math.min(MOST_MICROS, micros));
         }
       }
--- a/src/scale/java/io/pineladder/sim/Traffic.java
+++ b/src/scale/java/io/pineladder/sim/Traffic.java
@@ -27,7 +27,8 @@
     }
     String plain = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
     String[] words = plain.split("/");
-    String last = words.length > 2 && words[1].equals("v1") ? words[2] : words.length > 1 ? words[1] : plain;
+    String last =
+        words.length > 2 && words[1].equals("v1") ? words[2] : words.length > 1 ? words[1] : plain;
     return path.contains("?") ? last + "?" : last;
   }
 
--- a/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
+++ b/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
@@ -27,8 +27,7 @@
     byte[] secret = Signature.secret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
     byte[] body = "{\"test\": 2432232314}".getBytes(StandardCharsets.UTF_8);
     String id = "msg_p5jXN8AQM9LWM0D4loKWxJek";
-    String signed =
-        Signature.sign(List.of(secret), id, Instant.ofEpochSecond(1614265330), body);
+    String signed = Signature.sign(List.of(secret), id, Instant.ofEpochSecond(1614265330), body);
     assertEquals("v1,g0hM9SsE+OTPJTGt/tmIKtSyZlE3uFJELVlNIOLJ1OE=", signed);
   }
 
@@ -42,7 +41,9 @@
     String signed = Signature.sign(List.of(old, fresh), "id", Instant.ofEpochSecond(9), body);
     assertTrue(Signature.verify(List.of(old), "id", "9", body, signed));
     assertTrue(Signature.verify(List.of(fresh), "id", "9", body, signed));
-    assertFalse(Signature.verify(List.of("another secret".getBytes(StandardCharsets.UTF_8)), "id", "9", body, signed));
+    assertFalse(
+        Signature.verify(
+            List.of("another secret".getBytes(StandardCharsets.UTF_8)), "id", "9", body, signed));
     assertFalse(Signature.verify(List.of(old), "id", "8", body, signed));
     assertFalse(Signature.verify(List.of(old), "id", "9", body, "v1,*** v2,AAAA"));
   }
@@ -56,16 +57,27 @@
     assertThrows(IllegalArgumentException.class, () -> box.open("other", encrypted));
     byte[] key = new byte[32];
     key[31] = 1;
-    assertThrows(
-        IllegalArgumentException.class, () -> new SecretBox(key).open("desk", encrypted));
+    assertThrows(IllegalArgumentException.class, () -> new SecretBox(key).open("desk", encrypted));
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {
-        "10.1.2.3/24", "010.0.0.0/8", "10.0.0.0/8 ", "2001:DB8::/32", "2001:db8:0::/48", "*", "",
-        "10.*.*.*", "10.0.0.0/255.0.0.0", "example.org", "::ffff:10.0.0.1/33", "0x7f.1", "10.1",
-        "0.0.0.0", "10.0.0.0/33"
+        "10.1.2.3/24",
+        "010.0.0.0/8",
+        "10.0.0.0/8 ",
+        "2001:DB8::/32",
+        "2001:db8:0::/48",
+        "*",
+        "",
+        "10.*.*.*",
+        "10.0.0.0/255.0.0.0",
+        "example.org",
+        "::ffff:10.0.0.1/33",
+        "0x7f.1",
+        "10.1",
+        "0.0.0.0",
+        "10.0.0.0/33"
       })
   void whatIsNoNetworkInCanonicalFormIsRefused(String text) {
     assertThrows(
@@ -97,12 +109,21 @@
     Destinations wide = new Destinations(all, Set.of("10.0.0.1"));
     assertTrue(allows(wide, "10.0.0.2"));
     for (String denied :
-        List.of("10.0.0.1", "127.0.0.1", "127.8.8.8", "::1", "169.254.169.254", "fe80::1",
-            "0.0.0.0", "::", "224.0.0.1", "ff02::1", "::ffff:127.0.0.1")) {
+        List.of(
+            "10.0.0.1",
+            "127.0.0.1",
+            "127.8.8.8",
+            "::1",
+            "169.254.169.254",
+            "fe80::1",
+            "0.0.0.0",
+            "::",
+            "224.0.0.1",
+            "ff02::1",
+            "::ffff:127.0.0.1")) {
       assertFalse(allows(wide, denied), denied);
     }
-    Destinations listed =
-        new Destinations(List.of("10.0.0.1", "127.0.0.0/8"), Set.of("10.0.0.1"));
+    Destinations listed = new Destinations(List.of("10.0.0.1", "127.0.0.0/8"), Set.of("10.0.0.1"));
     assertTrue(allows(listed, "10.0.0.1"));
     assertTrue(allows(listed, "127.8.8.8"));
   }
@@ -116,8 +137,7 @@
 
   @Test
   void everyFaultIsNamedAtItsPointer() throws MalformedException {
-    assertEquals(
-        Set.of(), faults("{\"url\":\"https://example.org/x?y=z\",\"owners\":[\"red\"]}"));
+    assertEquals(Set.of(), faults("{\"url\":\"https://example.org/x?y=z\",\"owners\":[\"red\"]}"));
     assertEquals(Set.of("/url"), faults("{}"));
     assertEquals(
         Set.of("/url", "/owners/1", "/secrets/0", "/colour"),
--- a/src/test/java/io/pineladder/delivery/JournalTest.java
+++ b/src/test/java/io/pineladder/delivery/JournalTest.java
@@ -80,8 +80,7 @@
       assertEquals(2, DeliveryWire.parsePosition(repeat.body()));
       assertThrows(IOException.class, () -> new Journal(file), "it is in use");
       byte[] lost = DeliveryWire.lost(DESK, 2, 5);
-      assertEquals(
-          200, send(receiver, DeliveryWire.id(DESK, 5), lost, NOW, SECRET).status());
+      assertEquals(200, send(receiver, DeliveryWire.id(DESK, 5), lost, NOW, SECRET).status());
     }
     try (Journal journal = new Journal(file)) {
       assertEquals(5, journal.position(DESK.source()));
@@ -89,7 +88,9 @@
     assertEquals(3, Files.readAllLines(file).size());
   }
 
-  /** Whatever part of the last line a crash leaves, the lines before it stand and it is sent again. */
+  /**
+   * Whatever part of the last line a crash leaves, the lines before it stand and it is sent again.
+   */
   @Test
   void aTornLastLineIsCutOff() throws IOException {
     Path file = folder.resolve("journal");
--- a/src/test/java/io/pineladder/delivery/OutboxTest.java
+++ b/src/test/java/io/pineladder/delivery/OutboxTest.java
@@ -91,7 +91,10 @@
     // Pages come in no order of numbers.
     while (!notices.isEmpty()) {
       Notice notice = notices.remove(random.nextInt(notices.size()));
-      outbox.stored(notice, Json.bytes(RecordWire.notice(notice)).length + 1, () -> dropped.add(notice.number()));
+      outbox.stored(
+          notice,
+          Json.bytes(RecordWire.notice(notice)).length + 1,
+          () -> dropped.add(notice.number()));
     }
     outbox.loaded();
     dropped.clear();
@@ -141,9 +144,7 @@
         "1",
         "http://192.0.2.1/",
         since,
-        List.of(
-            new Subscription.Filter(
-                since, owner == null ? Set.of() : Set.of(owner), Set.of())),
+        List.of(new Subscription.Filter(since, owner == null ? Set.of() : Set.of(owner), Set.of())),
         List.of(),
         Subscription.Status.ACTIVE,
         null);
@@ -160,13 +161,32 @@
         outbox.next(
             new Job(
                 new io.pineladder.model.JobSpec(
-                    job, "work", owner, null, null, 1, null, null, null, false, false, false,
-                    "img", 1, Duration.ZERO, Duration.ZERO, Duration.ZERO, null),
+                    job,
+                    "work",
+                    owner,
+                    null,
+                    null,
+                    1,
+                    null,
+                    null,
+                    null,
+                    false,
+                    false,
+                    false,
+                    "img",
+                    1,
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    Duration.ZERO,
+                    null),
                 Instant.EPOCH,
                 Job.State.DONE));
     if (notice != null) {
       storedNotices.put(notice.number(), notice);
-      outbox.stored(notice, Json.bytes(RecordWire.notice(notice)).length + 1, () -> dropped.add(notice.number()));
+      outbox.stored(
+          notice,
+          Json.bytes(RecordWire.notice(notice)).length + 1,
+          () -> dropped.add(notice.number()));
       outbox.committed();
     }
     return notice;
@@ -320,7 +340,9 @@
     assertEquals("job-2", outbox.next(desk).job());
   }
 
-  /** Seen by hand: the leader that stored it told the time to the nanosecond, the next one did not. */
+  /**
+   * Seen by hand: the leader that stored it told the time to the nanosecond, the next one did not.
+   */
   @Test
   void aLaterLeaderTellsTheSameToTheByte() throws io.pineladder.wire.MalformedException {
     subscribe(subscription("desk", outbox.last(), null));
@@ -328,8 +350,7 @@
     JsonNode page = RecordWire.page(java.util.stream.Stream.of(), List.of(first));
     Notice later = RecordWire.notices(page).get(0);
     Subscription desk = outbox.subscriptions().get("desk");
-    assertArrayEquals(
-        DeliveryWire.event(desk, 1, first), DeliveryWire.event(desk, 1, later));
+    assertArrayEquals(DeliveryWire.event(desk, 1, first), DeliveryWire.event(desk, 1, later));
   }
 
   @Test
--- a/src/test/java/io/pineladder/fleet/BacklogTest.java
+++ b/src/test/java/io/pineladder/fleet/BacklogTest.java
@@ -9,14 +9,19 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** What would be late, against a plain model that lets the work flow through the machines step by step. */
+/**
+ * What would be late, against a plain model that lets the work flow through the machines step by
+ * step.
+ */
 class BacklogTest {
   private static final double STEP = 0.05;
 
   /** Tasks with the time left to start them, and the work that comes before them each second. */
   private record Piece(double worth, double run, double within, double ready, double rate) {}
 
-  /** Whether the last of each piece has started in time on the capacity, with more of it once ready. */
+  /**
+   * Whether the last of each piece has started in time on the capacity, with more of it once ready.
+   */
   private static boolean inTime(List<Piece> pieces, double capacity, double extra) {
     double before = 0;
     for (Piece piece : pieces) {
@@ -41,7 +46,10 @@
       within += random.nextInt(40);
       pieces.add(
           new Piece(
-              1 + random.nextInt(60), 5 + random.nextInt(80), within, 10 + random.nextInt(20),
+              1 + random.nextInt(60),
+              5 + random.nextInt(80),
+              within,
+              10 + random.nextInt(20),
               random.nextInt(6)));
     }
     return pieces;
--- a/src/test/java/io/pineladder/fleet/BootTimesTest.java
+++ b/src/test/java/io/pineladder/fleet/BootTimesTest.java
@@ -73,7 +73,9 @@
     assertTrue(boots.comingPart(TYPE) >= 0.5);
   }
 
-  /** Found on colombo-ops: after a takeover all boots looked slow, from what the old leader rented. */
+  /**
+   * Found on colombo-ops: after a takeover all boots looked slow, from what the old leader rented.
+   */
   @Test
   void machinesThatWereUpBeforeDoNotCount() {
     Machine old = new Machine("m-0", TYPE, "a", false, START);
--- a/src/test/java/io/pineladder/front/FrontHttpTest.java
+++ b/src/test/java/io/pineladder/front/FrontHttpTest.java
@@ -15,7 +15,6 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.URI;
-import java.time.Duration;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
@@ -120,7 +119,8 @@
         """
         {"ref":"req-1","jobclass":"c","owner":"red","shape":"array","rank":"low","pieces":2,
          "vcpus":1.0,"cards":0.0,"memory_gb":1.0,"together":false,"spread":false,"loaners":true,
-         "bundle":"i","image_gb":1.0,"guess_s":1.0,"mark_every_s":0.0,"stow_s":0.0}""";
+         "bundle":"i","image_gb":1.0,"guess_s":1.0,"mark_every_s":0.0,"stow_s":0.0}\
+        """;
     HttpResponse<String> response = send(front, "POST", "/v1/jobs", job);
     assertEquals(503, response.statusCode());
     assertEquals("1", response.headers().firstValue("Retry-After").orElse(""));
@@ -132,7 +132,8 @@
     String report =
         """
         {"host":"m-1","addr":"10.1.0.1:9000","hull":"g4","yard":"a","loaners":false,"shift":1,
-         "tally":1,"baton":0,"recall_s":null,"pieces":[]}""";
+         "tally":1,"baton":0,"recall_s":null,"pieces":[]}\
+        """;
     assertEquals(421, send(front, "POST", "/v1/report", report).statusCode());
   }
 
--- a/src/test/java/io/pineladder/net/OutwardCallerTest.java
+++ b/src/test/java/io/pineladder/net/OutwardCallerTest.java
@@ -105,8 +105,7 @@
   @Test
   void whatIsNotAllowedIsNotConnectedTo() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-      Answer answer =
-          post(address -> false, "http://localhost:" + server.getLocalPort() + "/");
+      Answer answer = post(address -> false, "http://localhost:" + server.getLocalPort() + "/");
       assertEquals(Outcome.NOT_ALLOWED, answer.outcome());
       server.setSoTimeout(300);
       boolean connected;
@@ -179,8 +178,7 @@
 
   private int open() throws Exception {
     CompletableFuture<Integer> got = new CompletableFuture<>();
-    runtime.execute(
-        () -> got.complete(runtime.sockets().usage().get(Sockets.Part.NOTICES).open()));
+    runtime.execute(() -> got.complete(runtime.sockets().usage().get(Sockets.Part.NOTICES).open()));
     return got.get(5, TimeUnit.SECONDS);
   }
 
@@ -190,9 +188,23 @@
     Process keytool =
         new ProcessBuilder(
                 System.getProperty("java.home") + File.separator + "bin/keytool",
-                "-genkeypair", "-alias", "a", "-keyalg", "EC", "-dname", "CN=localhost", "-ext",
-                "san=dns:localhost", "-validity", "2", "-storetype", "PKCS12", "-keystore",
-                file.toString(), "-storepass", new String(PASSWORD))
+                "-genkeypair",
+                "-alias",
+                "a",
+                "-keyalg",
+                "EC",
+                "-dname",
+                "CN=localhost",
+                "-ext",
+                "san=dns:localhost",
+                "-validity",
+                "2",
+                "-storetype",
+                "PKCS12",
+                "-keystore",
+                file.toString(),
+                "-storepass",
+                new String(PASSWORD))
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
             .start();
@@ -201,8 +213,7 @@
     try (InputStream in = Files.newInputStream(file)) {
       store.load(in, PASSWORD);
     }
-    KeyManagerFactory keys =
-        KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
+    KeyManagerFactory keys = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
     keys.init(store, PASSWORD);
     TrustManagerFactory trust =
         TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
--- a/src/test/java/io/pineladder/net/SocketsTest.java
+++ b/src/test/java/io/pineladder/net/SocketsTest.java
@@ -30,18 +30,54 @@
   private static final Map<Part, Integer> KEPT =
       new EnumMap<>(
           Map.of(
-              Part.ARRIVING, 12, Part.USERS, 24, Part.REPORTS, 40, Part.PEERS, 12,
-              Part.SERVICES, 8, Part.ORDERS, 16, Part.NOTICES, 0));
+              Part.ARRIVING,
+              12,
+              Part.USERS,
+              24,
+              Part.REPORTS,
+              40,
+              Part.PEERS,
+              12,
+              Part.SERVICES,
+              8,
+              Part.ORDERS,
+              16,
+              Part.NOTICES,
+              0));
   private static final Map<Part, Integer> MOST =
       new EnumMap<>(
           Map.of(
-              Part.ARRIVING, 40, Part.USERS, 80, Part.REPORTS, 150, Part.PEERS, 30,
-              Part.SERVICES, 24, Part.ORDERS, 30, Part.NOTICES, 6));
+              Part.ARRIVING,
+              40,
+              Part.USERS,
+              80,
+              Part.REPORTS,
+              150,
+              Part.PEERS,
+              30,
+              Part.SERVICES,
+              24,
+              Part.ORDERS,
+              30,
+              Part.NOTICES,
+              6));
   private static final Map<Part, Integer> STALE_SECONDS =
       new EnumMap<>(
           Map.of(
-              Part.ARRIVING, 5, Part.USERS, 20, Part.REPORTS, 12, Part.PEERS, 30,
-              Part.SERVICES, 20, Part.ORDERS, 20, Part.NOTICES, 20));
+              Part.ARRIVING,
+              5,
+              Part.USERS,
+              20,
+              Part.REPORTS,
+              12,
+              Part.PEERS,
+              30,
+              Part.SERVICES,
+              20,
+              Part.ORDERS,
+              20,
+              Part.NOTICES,
+              20));
 
   private static final class Clock implements Timeline {
     Instant now = Instant.EPOCH;
@@ -51,8 +87,7 @@
       return now;
     }
 
-    private final RandomGenerator random =
-        RandomGeneratorFactory.of("L64X128MixRandom").create(1);
+    private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
 
     @Override
     public Instant timeOfDay() {
@@ -307,7 +342,9 @@
     }
   }
 
-  /** Connections that send nothing use up their own part; other controllers are served all the same. */
+  /**
+   * Connections that send nothing use up their own part; other controllers are served all the same.
+   */
   @Test
   void connectionsThatSayNothingShutNoPeerOut() throws Exception {
     XnioRuntime runtime = new XnioRuntime(100, Duration.ofSeconds(1));
@@ -317,10 +354,8 @@
         (method, path, body, answer) -> answer.accept(new HttpAnswer(200, new byte[0]));
     List<Socket> silent = new ArrayList<>();
     try {
-      runtime.serve(
-          new XnioRuntime.Listener(front, handler, Part.ARRIVING, path -> Part.USERS));
-      runtime.serve(
-          new XnioRuntime.Listener(cluster, handler, Part.PEERS, path -> Part.PEERS));
+      runtime.serve(new XnioRuntime.Listener(front, handler, Part.ARRIVING, path -> Part.USERS));
+      runtime.serve(new XnioRuntime.Listener(cluster, handler, Part.PEERS, path -> Part.PEERS));
       int port = Integer.parseInt(front.substring(front.indexOf(':') + 1));
       for (int i = 0; i < 120; i++) {
         silent.add(new Socket(InetAddress.getLoopbackAddress(), port));
@@ -330,8 +365,7 @@
       runtime.execute(
           () ->
               caller.call(
-                  HttpCaller.Request.get(cluster, "/peer", Duration.ofSeconds(5)),
-                  got::complete));
+                  HttpCaller.Request.get(cluster, "/peer", Duration.ofSeconds(5)), got::complete));
       assertEquals(200, got.get(10, TimeUnit.SECONDS).status());
       Map<Part, Sockets.Usage> usage = onThread(runtime, () -> runtime.sockets().usage());
       Sockets.Usage arriving = usage.get(Part.ARRIVING);
--- a/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
+++ b/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
@@ -40,8 +40,24 @@
   static Job job(String id, String team, Rank rank, Instant acceptedAt) {
     JobSpec spec =
         new JobSpec(
-            id, "class", team, Shape.ARRAY, rank, 1, Resources.of(1, 0, 1), null, null, false,
-            false, false, "image", 1, Duration.ofSeconds(10), Duration.ZERO, Duration.ZERO, null);
+            id,
+            "class",
+            team,
+            Shape.ARRAY,
+            rank,
+            1,
+            Resources.of(1, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            false,
+            "image",
+            1,
+            Duration.ofSeconds(10),
+            Duration.ZERO,
+            Duration.ZERO,
+            null);
     return new Job(spec, acceptedAt, Job.State.ACTIVE);
   }
 
@@ -95,8 +111,7 @@
       switch (random.nextInt(6)) {
         case 0 -> {
           Rank rank = Rank.values()[random.nextInt(4)];
-          QueueEntry entry =
-              new QueueEntry(job("req-" + step, "t" + random.nextInt(3), rank, now));
+          QueueEntry entry = new QueueEntry(job("req-" + step, "t" + random.nextInt(3), rank, now));
           queue.add(entry);
           model.add(new Plain(entry));
         }
--- a/src/test/java/io/pineladder/recovery/LiveCopyTest.java
+++ b/src/test/java/io/pineladder/recovery/LiveCopyTest.java
@@ -25,10 +25,11 @@
   private static final List<String> PAGES =
       List.of("accepted/0", "accepted/1", "done/0", "done/1", "placed/0", "placed/1", "conf/types");
 
-  private final RandomGenerator random =
-      RandomGeneratorFactory.of("L64X128MixRandom").create(31);
+  private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(31);
 
-  /** What is stored under each key in the end: the highest revision wins, final states are united. */
+  /**
+   * What is stored under each key in the end: the highest revision wins, final states are united.
+   */
   private static final class Model {
     final Map<String, Entry> records = new TreeMap<>();
     final Map<String, Job.State> ends = new TreeMap<>();
@@ -126,14 +127,12 @@
     copy.put("placed/0", page, 7, false);
     copy.put("placed/1", page, 9, false);
     copy.begun();
-    List<Entry> whole =
-        List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
+    List<Entry> whole = List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
     assertEquals(null, copy.missing(Keys.PLACED, whole));
     assertEquals("placed/1", copy.missing(Keys.PLACED, whole.subList(0, 1)));
     assertEquals(
         "placed/0",
         copy.missing(
-            Keys.PLACED,
-            List.of(new Entry("placed/0", page, 6), new Entry("placed/1", page, 9))));
+            Keys.PLACED, List.of(new Entry("placed/0", page, 6), new Entry("placed/1", page, 9))));
   }
 }
--- a/src/test/java/io/pineladder/scheduling/DependenciesTest.java
+++ b/src/test/java/io/pineladder/scheduling/DependenciesTest.java
@@ -22,7 +22,10 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** The index of chains beside a model that works everything out from the history, in arbitrary orders. */
+/**
+ * The index of chains beside a model that works everything out from the history, in arbitrary
+ * orders.
+ */
 class DependenciesTest {
   private final Map<String, Job> memory = new LinkedHashMap<>();
   private final Map<String, Job.State> stored = new HashMap<>();
@@ -201,14 +204,15 @@
     assertEquals(5_001, dependencies.longestChain());
     Job last = add(5_001, Rank.HIGH, Duration.ofHours(100), "req-5000");
     assertEquals(Rank.HIGH, all.get("req-0").rank());
-    assertEquals(
-        own(last).minus(Duration.ofSeconds(15 * 5_001)), all.get("req-0").finishTimes);
+    assertEquals(own(last).minus(Duration.ofSeconds(15 * 5_001)), all.get("req-0").finishTimes);
     end(all.get("req-0"), Job.State.CANCELLED);
     assertEquals(5_001, cancelled.size());
     assertEquals(0, dependencies.waiting());
   }
 
-  /** What is being looked up may turn out to be cancelled, so nothing is told of what waits for it. */
+  /**
+   * What is being looked up may turn out to be cancelled, so nothing is told of what waits for it.
+   */
   @Test
   void aPrerequisiteThatIsLookedUpLeavesTheAnswerOpen() {
     Job job = add(2, Rank.LOW, null, "req-1");
--- a/src/test/java/io/pineladder/scheduling/FailuresTest.java
+++ b/src/test/java/io/pineladder/scheduling/FailuresTest.java
@@ -64,9 +64,24 @@
   private static Job job(int number) {
     return new Job(
         new JobSpec(
-            "req-" + number, "class", "red", Shape.ARRAY, Rank.LOW, 4, Resources.of(2, 1, 4),
-            null, null, false, false, true, "i", 5, Duration.ofSeconds(30), Duration.ZERO,
-            Duration.ZERO, null),
+            "req-" + number,
+            "class",
+            "red",
+            Shape.ARRAY,
+            Rank.LOW,
+            4,
+            Resources.of(2, 1, 4),
+            null,
+            null,
+            false,
+            false,
+            true,
+            "i",
+            5,
+            Duration.ofSeconds(30),
+            Duration.ZERO,
+            Duration.ZERO,
+            null),
         Instant.EPOCH,
         Job.State.ACTIVE);
   }
@@ -112,8 +127,7 @@
       while (changed) {
         changed = false;
         for (Machine machine : machines) {
-          boolean proven =
-              isSuspect(machine) && blaming(machine).stream().anyMatch(good::contains);
+          boolean proven = isSuspect(machine) && blaming(machine).stream().anyMatch(good::contains);
           changed |= proven && faulty.add(machine);
         }
       }
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -64,10 +64,10 @@
         within_s = 120.0
         share = 0.9
 
-        [deployment.workers]""";
+        [deployment.workers]\
+        """;
     return new Cluster(
-        SettingsReader.parse(
-            SettingsReaderTest.GOOD.replace("[deployment.workers]", objective)));
+        SettingsReader.parse(SettingsReaderTest.GOOD.replace("[deployment.workers]", objective)));
   }
 
   private static JobSpec randomSpec(RandomGenerator random, int id) {
@@ -151,7 +151,10 @@
     return job.spec.together() ? inOne : sum >= wanted;
   }
 
-  /** With policy in the way as well: by the rules alone what the model places is placed, and else no more. */
+  /**
+   * With policy in the way as well: by the rules alone what the model places is placed, and else no
+   * more.
+   */
   @ParameterizedTest
   @CsvSource({"1,false", "2,false", "3,false", "4,false", "5,false", "6,true", "7,true", "8,true"})
   void placesJustWhenThePlainModelCan(long seed, boolean policy)
@@ -221,8 +224,24 @@
     Cluster cluster = new Cluster(SettingsReader.parse(SettingsReaderTest.GOOD));
     JobSpec spec =
         new JobSpec(
-            "req-1", "class", "blue", Shape.GANG, Rank.NORMAL, 9, Resources.of(1, 1, 1), null, null,
-            false, false, true, "i", 1, Duration.ZERO, Duration.ZERO, Duration.ZERO, null);
+            "req-1",
+            "class",
+            "blue",
+            Shape.GANG,
+            Rank.NORMAL,
+            9,
+            Resources.of(1, 1, 1),
+            null,
+            null,
+            false,
+            false,
+            true,
+            "i",
+            1,
+            Duration.ZERO,
+            Duration.ZERO,
+            Duration.ZERO,
+            null);
     Placer.Decision decision =
         new Placer(cluster, new FixedTime(NOW)).place(new Job(spec, NOW, Job.State.ACTIVE), 9, NOW);
     assertEquals(Check.TEAM_LIMIT, decision.rejectedBy());
@@ -250,9 +269,24 @@
     for (int seconds : List.of(20, 80, 130)) {
       JobSpec spec =
           new JobSpec(
-              "req-1", "class", "red", Shape.ARRAY, Rank.NORMAL, 12, Resources.of(1, 1, 1), null,
-              null, false, false, true, "img", 1, Duration.ofSeconds(seconds), Duration.ZERO,
-              Duration.ZERO, null);
+              "req-1",
+              "class",
+              "red",
+              Shape.ARRAY,
+              Rank.NORMAL,
+              12,
+              Resources.of(1, 1, 1),
+              null,
+              null,
+              false,
+              false,
+              true,
+              "img",
+              1,
+              Duration.ofSeconds(seconds),
+              Duration.ZERO,
+              Duration.ZERO,
+              null);
       Placer.Decision decision = placer.place(new Job(spec, NOW, Job.State.ACTIVE), 1, NOW);
       // A short one can start anew in time, and the longest is late whatever happens.
       assertEquals(seconds != 80, decision.machines().get(0).spot, seconds + " s");
@@ -260,8 +294,8 @@
   }
 
   /**
-   * Found on galleharbour: two of five tasks of low rank were stopped, many of them several times, for arrays
-   * with minutes left. Work of which nothing is expected makes way at once all the same.
+   * Found on galleharbour: two of five tasks of low rank were stopped, many of them several times,
+   * for arrays with minutes left. Work of which nothing is expected makes way at once all the same.
    */
   @Test
   void anArrayWithTimeLeftStopsOnlyWorkOfWhichNothingIsExpected()
@@ -293,8 +327,24 @@
   private static Job job(String id, String jobClass, Rank rank, Instant accepted) {
     JobSpec spec =
         new JobSpec(
-            id, jobClass, "red", Shape.ARRAY, rank, 1, Resources.of(24, 4, 1), null, null, false,
-            false, true, "img", 1, Duration.ofSeconds(10), Duration.ZERO, Duration.ZERO, null);
+            id,
+            jobClass,
+            "red",
+            Shape.ARRAY,
+            rank,
+            1,
+            Resources.of(24, 4, 1),
+            null,
+            null,
+            false,
+            false,
+            true,
+            "img",
+            1,
+            Duration.ofSeconds(10),
+            Duration.ZERO,
+            Duration.ZERO,
+            null);
     return new Job(spec, accepted, Job.State.ACTIVE);
   }
 }
--- a/src/test/java/io/pineladder/scheduling/RoomMakerTest.java
+++ b/src/test/java/io/pineladder/scheduling/RoomMakerTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which fetching task moves to a machine that has its image, beside a model that looks at all of them. */
+/**
+ * Which fetching task moves to a machine that has its image, beside a model that looks at all of
+ * them.
+ */
 class RoomMakerTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
 
@@ -146,8 +149,7 @@
       for (int i = 1; i <= 2 + seed; i++) {
         Duration ready = Duration.ofMillis(random.nextInt(12_000));
         all.add(
-            fetching(
-                machine("m-" + i), "img-" + random.nextInt(3), 1 + random.nextInt(20), ready));
+            fetching(machine("m-" + i), "img-" + random.nextInt(3), 1 + random.nextInt(20), ready));
       }
       Instant expected = best(all, to, to.free());
       List<Attempt> moved = moved(to);
--- a/src/test/java/io/pineladder/sim/BadInputTest.java
+++ b/src/test/java/io/pineladder/sim/BadInputTest.java
@@ -49,7 +49,8 @@
     return String.valueOf(reply.status());
   }
 
-  private static byte[] report(String host, String hull, long shift, long tally, long baton, String piece) {
+  private static byte[] report(
+      String host, String hull, long shift, long tally, long baton, String piece) {
     ObjectNode out =
         Json.object()
             .put("host", host)
@@ -62,7 +63,12 @@
             .put("baton", baton);
     var pieces = out.putArray("pieces");
     if (piece != null) {
-      pieces.addObject().put("piece", piece).put("try", 1).put("status", "ended").put("cause", "done");
+      pieces
+          .addObject()
+          .put("piece", piece)
+          .put("try", 1)
+          .put("status", "ended")
+          .put("cause", "done");
     }
     return Json.bytes(out);
   }
@@ -81,10 +87,10 @@
 
     String jobs = "/v1/jobs/";
     Map<String, Integer> all = Map.of("200 done", TIMES);
-    assertEquals(all, send("POST", jobs + done.id + "/cancel", null), "a job that is done stays done");
-    assertEquals(all, send("POST", "/v1/jobs", Json.bytes(done.spec)), "and is no new one");
     assertEquals(
-        Map.of("200 aborted", TIMES), send("POST", jobs + cancelled.id + "/cancel", null));
+        all, send("POST", jobs + done.id + "/cancel", null), "a job that is done stays done");
+    assertEquals(all, send("POST", "/v1/jobs", Json.bytes(done.spec)), "and is no new one");
+    assertEquals(Map.of("200 aborted", TIMES), send("POST", jobs + cancelled.id + "/cancel", null));
     assertEquals(
         Map.of("200 aborted", TIMES), send("POST", "/v1/jobs", Json.bytes(cancelled.spec)));
     for (String unknown : List.of("req-999999", "nonsense", "req-1", "..", "req-000001x")) {
@@ -137,8 +143,23 @@
   static {
     List<String> required =
         List.of(
-            "ref", "jobclass", "owner", "shape", "rank", "pieces", "vcpus", "cards", "memory_gb", "together",
-            "spread", "loaners", "bundle", "image_gb", "guess_s", "mark_every_s", "stow_s");
+            "ref",
+            "jobclass",
+            "owner",
+            "shape",
+            "rank",
+            "pieces",
+            "vcpus",
+            "cards",
+            "memory_gb",
+            "together",
+            "spread",
+            "loaners",
+            "bundle",
+            "image_gb",
+            "guess_s",
+            "mark_every_s",
+            "stow_s");
     for (String field : required) {
       // Only a field that may be null may be absent, or null.
       SUBMISSIONS.put(field, 400);
@@ -146,7 +167,8 @@
       SUBMISSIONS.put(field + "=[1]", 400);
       SUBMISSIONS.put(field + "={}", 400);
     }
-    for (String amount : List.of("vcpus", "cards", "memory_gb", "image_gb", "guess_s", "mark_every_s", "stow_s")) {
+    for (String amount :
+        List.of("vcpus", "cards", "memory_gb", "image_gb", "guess_s", "mark_every_s", "stow_s")) {
       for (String value : List.of("-1", "1e400", "\"NaN\"", "\"7\"", "true")) {
         SUBMISSIONS.put(amount + "=" + value, 400);
       }
@@ -156,23 +178,51 @@
     }
     for (String each :
         List.of(
-            "shape=\"heap\"", "rank=\"first\"", "rank=1", "together=\"true\"", "spread=0", "loaners=\"no\"",
-            "ref=\"job-000412\"", "ref=\"req-\"", "ref=\"req-00a412\"", "ref=\"REQ-000412\"", "ref=412",
-            "hulls=\"g4\"", "hulls=[]", "hulls=[4]", "yard=4", "due_s=\"soon\"", "due_s=-1", "owner=\"\"")) {
+            "shape=\"heap\"",
+            "rank=\"first\"",
+            "rank=1",
+            "together=\"true\"",
+            "spread=0",
+            "loaners=\"no\"",
+            "ref=\"job-000412\"",
+            "ref=\"req-\"",
+            "ref=\"req-00a412\"",
+            "ref=\"REQ-000412\"",
+            "ref=412",
+            "hulls=\"g4\"",
+            "hulls=[]",
+            "hulls=[4]",
+            "yard=4",
+            "due_s=\"soon\"",
+            "due_s=-1",
+            "owner=\"\"")) {
       SUBMISSIONS.put(each, 400);
     }
     for (String each :
         List.of(
-            "owner=\"nobody\"", "hulls=[\"none\"]", "yard=\"nowhere\"", "vcpus=17", "cards=5", "memory_gb=65",
-            "owner=\"blue\",shape=\"group\",pieces=9", "owner=\"blue\",shape=\"service\",pieces=9",
-            "shape=\"group\",together=true,spread=true", "shape=\"group\",yard=\"a\",spread=true")) {
+            "owner=\"nobody\"",
+            "hulls=[\"none\"]",
+            "yard=\"nowhere\"",
+            "vcpus=17",
+            "cards=5",
+            "memory_gb=65",
+            "owner=\"blue\",shape=\"group\",pieces=9",
+            "owner=\"blue\",shape=\"service\",pieces=9",
+            "shape=\"group\",together=true,spread=true",
+            "shape=\"group\",yard=\"a\",spread=true")) {
       SUBMISSIONS.put(each, 422);
     }
     for (String each :
         List.of(
-            "hulls=null", "yard=null", "due_s=null", "novelty={}", "owner=\"blue\",shape=\"array\",pieces=9",
-            "shape=\"array\",together=true,spread=true", "shape=\"group\",spread=true",
-            "shape=\"group\",pieces=1,together=true,spread=true", "yard=\"a\"")) {
+            "hulls=null",
+            "yard=null",
+            "due_s=null",
+            "novelty={}",
+            "owner=\"blue\",shape=\"array\",pieces=9",
+            "shape=\"array\",together=true,spread=true",
+            "shape=\"group\",spread=true",
+            "shape=\"group\",pieces=1,together=true,spread=true",
+            "yard=\"a\"")) {
       SUBMISSIONS.put(each, 201);
     }
   }
@@ -187,7 +237,8 @@
     for (String each : how.split(",(?=[a-z_]+=)")) {
       int is = each.indexOf('=');
       String text = spec.toString().replaceAll("\\}$", ",\"" + each.substring(0, is) + "\":");
-      spec = Json.parseObject((text + each.substring(is + 1) + "}").getBytes(StandardCharsets.UTF_8));
+      spec =
+          Json.parseObject((text + each.substring(is + 1) + "}").getBytes(StandardCharsets.UTF_8));
     }
     return spec;
   }
@@ -208,8 +259,12 @@
         world
             .caller("user", () -> true)
             .call(
-                new HttpCaller.Request(node, "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
-                reply -> found.computeIfAbsent(each.getKey(), k -> new ArrayList<>()).add(reply.status()));
+                new HttpCaller.Request(
+                    node, "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
+                reply ->
+                    found
+                        .computeIfAbsent(each.getKey(), k -> new ArrayList<>())
+                        .add(reply.status()));
       }
       world.runFor(Duration.ofMillis(20));
     }
@@ -217,7 +272,8 @@
     return found;
   }
 
-  private static Map<String, List<Integer>> expected(int nodes, Predicate<Integer> which, Integer instead) {
+  private static Map<String, List<Integer>> expected(
+      int nodes, Predicate<Integer> which, Integer instead) {
     Map<String, List<Integer>> all = new LinkedHashMap<>();
     SUBMISSIONS.forEach(
         (how, status) -> {
@@ -242,17 +298,21 @@
     Predicate<Integer> malformed = status -> status == 400;
     assertEquals(expected(2, malformed, null), answers(others, malformed));
     kill(controllers.get(leader()), 500);
-    // Without a leader each takes reads of the state service, of which a node has few: who gets none says 503.
+    // Without a leader each takes reads of the state service, of which a node has few: who gets
+    // none says 503.
     // The one that has just ended refuses connections.
     Predicate<Integer> impossible = status -> status == 422;
     Map<String, List<Integer>> asked = answers(others, impossible);
     assertEquals(expected(2, impossible, null).keySet(), asked.keySet());
-    asked.forEach((how, got) -> assertTrue(Set.of(0, 422, 503).containsAll(got), how + " got " + got));
+    asked.forEach(
+        (how, got) -> assertTrue(Set.of(0, 422, 503).containsAll(got), how + " got " + got));
     world.runFor(Duration.ofSeconds(10));
     assertEquals(expected(2, impossible, null), answers(others, impossible));
   }
 
-  /** No node may judge by types that it does not know; what is malformed is so whatever they are. */
+  /**
+   * No node may judge by types that it does not know; what is malformed is so whatever they are.
+   */
   @Test
   void whereTypesAreNotKnownNothingIsCalledImpossible() throws MalformedException {
     layout = Layout.FLEET;
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Jobs that wait for others, and the rolling upgrade with which they come. Controllers that are not upgraded
- * support the version before, know no announced limits, and so store large values.
+ * Jobs that wait for others, and the rolling upgrade with which they come. Controllers that are not
+ * upgraded support the version before, know no announced limits, and so store large values.
  */
 class ChainedJobsTest extends TroubledCluster {
   private static final int NEXT_VALUE_BYTES = 2048;
@@ -50,8 +50,7 @@
     upgraded = new boolean[] {true, true, true, true, true};
     begin(of, seed);
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(
-        ClusterVersion.CHAINED_JOBS, store.value("conf/version").get("version").asInt());
+    assertEquals(ClusterVersion.CHAINED_JOBS, store.value("conf/version").get("version").asInt());
   }
 
   /** An array that runs for some seconds and waits for these. */
@@ -66,7 +65,9 @@
     return submit(after(tasks, List.of(needed)));
   }
 
-  /** Has the stages of a pipeline submitted one after another, each once what it needs is accepted. */
+  /**
+   * Has the stages of a pipeline submitted one after another, each once what it needs is accepted.
+   */
   private void pipeline(int fan) {
     Rules.Known first = submit(after(2, List.of()));
     List<Rules.Known> middle = new ArrayList<>();
@@ -161,7 +162,10 @@
     settle(Duration.ofSeconds(60));
   }
 
-  /** A user is told of the one job; all after it follow, at every node, without a leader and after a takeover. */
+  /**
+   * A user is told of the one job; all after it follow, at every node, without a leader and after a
+   * takeover.
+   */
   @Test
   void aCancellationReachesAllThatNeedTheJob() {
     beginUpgraded(Layout.FLEET, 3);
@@ -187,7 +191,10 @@
     assertFinalStates();
   }
 
-  /** A job that ends by itself just as its user cancels it is called done, and what needs it goes on. */
+  /**
+   * A job that ends by itself just as its user cancels it is called done, and what needs it goes
+   * on.
+   */
   @Test
   void whatIsDoneBeforeItsCancellationIsFollowed() {
     beginUpgraded(Layout.FLEET, 4);
@@ -202,7 +209,10 @@
     assertTrue(second.done);
   }
 
-  /** Without the last controller upgraded nothing of the new version is used, and jobs that name others wait. */
+  /**
+   * Without the last controller upgraded nothing of the new version is used, and jobs that name
+   * others wait.
+   */
   @Test
   void theVersionIsRaisedOnceAllControllersSupportIt() {
     upgraded = new boolean[] {true, true, false};
@@ -251,7 +261,9 @@
       if (chained && i % 3 == 0) {
         pipeline(1 + world.random.nextInt(3));
       }
-      submit(work(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3)).put("owner", i % 6 == 5 ? "red" : "blue"));
+      submit(
+          work(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3))
+              .put("owner", i % 6 == 5 ? "red" : "blue"));
       if (world.random.nextInt(4) == 0) {
         cancelSome(chained ? 0.08 : 0.03);
       }
@@ -262,13 +274,18 @@
     }
   }
 
-  /** Large values of the version before, a roll with a crash in it, limits lowered at once, then pipelines. */
+  /**
+   * Large values of the version before, a roll with a crash in it, limits lowered at once, then
+   * pipelines.
+   */
   @ParameterizedTest
   @MethodSource("days")
   void anUpgradeAndChainsKeepTheRules(Layout layout, int seed) {
     begin(layout, 40_000 + 10L * seed + layout.ordinal());
     for (int i = 0; i < 30; i++) {
-      submit(work(i % 8 == 0 ? "service" : "array", 1 + i % 2).put("guess_s", i % 8 == 0 ? 0 : some(5, 100)));
+      submit(
+          work(i % 8 == 0 ? "service" : "array", 1 + i % 2)
+              .put("guess_s", i % 8 == 0 ? 0 : some(5, 100)));
       if (i % 10 == 0) {
         world.runFor(Duration.ofMillis(700));
       }
@@ -278,7 +295,9 @@
       upgraded[each.index] = true;
       kill(each, some(2_000, 7_000));
       if (world.random.nextInt(3) == 0) {
-        at(some(0, 8_000), () -> kill(controllers.get(world.random.nextInt(layout.nodes)), some(500, 6_000)));
+        at(
+            some(0, 8_000),
+            () -> kill(controllers.get(world.random.nextInt(layout.nodes)), some(500, 6_000)));
       }
       arrivals(6, false);
     }
@@ -332,8 +351,7 @@
     rules.told(first, "aborted");
     rules.told(second, "pending");
     world.runFor(Duration.ofSeconds(41));
-    AssertionError seen =
-        assertThrows(AssertionError.class, () -> rules.told(second, "pending"));
+    AssertionError seen = assertThrows(AssertionError.class, () -> rules.told(second, "pending"));
     assertTrue(seen.getMessage().startsWith("orphaned"), seen.getMessage());
     rules.told(second, "aborted");
     assertFalse(second.cancelled == null);
--- a/src/test/java/io/pineladder/sim/ChecksTest.java
+++ b/src/test/java/io/pineladder/sim/ChecksTest.java
@@ -41,7 +41,10 @@
     assertBroken("told_too_soon", () -> rules.commanded(task, on));
   }
 
-  /** A task that was fetching when its job was told cancelled, and one that goes on after its machine hung. */
+  /**
+   * A task that was fetching when its job was told cancelled, and one that goes on after its
+   * machine hung.
+   */
   @Test
   void whatStartsOrGoesOnAfterItsUserWasToldIsSeen() {
     Rules.Known job = serving(61);
@@ -76,8 +79,7 @@
     Rules.Known unfit = known(work("array", 1));
     unfit.unfit = true;
     rules.answered(unfit, Rules.Told.NOTHING, 422, null);
-    assertBroken(
-        "accepted_unfit", () -> rules.answered(unfit, Rules.Told.NOTHING, 201, "pending"));
+    assertBroken("accepted_unfit", () -> rules.answered(unfit, Rules.Told.NOTHING, 201, "pending"));
   }
 
   /** Machines with room, and nobody who places anything on them. */
--- a/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Found on the grown colombo: a submission to a node that reached neither the leader nor the store
-   * was refused until the cut was over, though a peer could have stored it.
+   * Found on the grown colombo: a submission to a node that reached neither the leader nor the
+   * store was refused until the cut was over, though a peer could have stored it.
    */
   @Test
   void aPeerStoresWhatANodeWithoutLeaderAndStoreCannot() {
--- a/src/test/java/io/pineladder/sim/CommitterTest.java
+++ b/src/test/java/io/pineladder/sim/CommitterTest.java
@@ -73,11 +73,22 @@
     public void onStored(String key, JsonNode value, long revision) {}
   }
 
-  /** Whether the same bytes go out again, so that the first copy and the second exclude one another. */
+  /**
+   * Whether the same bytes go out again, so that the first copy and the second exclude one another.
+   */
   @ParameterizedTest
   @CsvSource({
-    "500, true", "502, true", "504, true", "404, true", "421, true", "200, true", "409, true", "0, true",
-    "503, false", "429, false", "-1, false"
+    "500, true",
+    "502, true",
+    "504, true",
+    "404, true",
+    "421, true",
+    "200, true",
+    "409, true",
+    "0, true",
+    "503, false",
+    "429, false",
+    "-1, false"
   })
   void onlyARefusalThatTheProtocolNamesLetsItBePutTogetherAnew(int status, boolean unchanged) {
     StoreClient store =
@@ -94,9 +105,8 @@
             List.of(new Mutation.Write("placed/1", this::value)),
             () -> stored++));
     Sent first = next();
-    first
-        .onReply
-        .accept(status == 0 ? Reply.UNKNOWN : status < 0 ? Reply.NOT_SENT : answer(status, "?"));
+    first.onReply.accept(
+        status == 0 ? Reply.UNKNOWN : status < 0 ? Reply.NOT_SENT : answer(status, "?"));
     Sent second = next();
     assertEquals(0, stored, "nothing is told of it yet");
     if (unchanged) {
--- a/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
+++ b/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Measures delivery through one controller process on loopback; not part of the tests. Arguments: the
- * subscribers, the ends, whether receivers are there from the start or only after all ends.
+ * Measures delivery through one controller process on loopback; not part of the tests. Arguments:
+ * the subscribers, the ends, whether receivers are there from the start or only after all ends.
  */
 final class DeliveryMeasurement {
   private static final String SECRET =
@@ -130,8 +130,7 @@
       report("all", late ? wanted : ends, begun, processor, cluster);
       Map<String, Integer> after = cluster.read(() -> Map.copyOf(cluster.store.changes));
       System.out.println("changes before " + before + ", after " + after);
-      System.out.println(
-          cluster.insist(true, "GET", "/admin/v1/metrics", null).get("notices"));
+      System.out.println(cluster.insist(true, "GET", "/admin/v1/metrics", null).get("notices"));
       System.out.println(
           "last errors: "
               + cluster
@@ -140,8 +139,7 @@
                   .stream()
                   .distinct()
                   .toList());
-      System.out.println(
-          "pages of jobs: " + cluster.read(() -> cluster.store.count("accepted/")));
+      System.out.println("pages of jobs: " + cluster.read(() -> cluster.store.count("accepted/")));
     } finally {
       server.stop();
     }
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -48,8 +48,13 @@
         "receiver-" + index,
         "io.pineladder.cli.Main",
         List.of(
-            "receive", "--listen", address, "--journal", journal(index).toString(),
-            "--secrets", folder.resolve("secrets").toString()));
+            "receive",
+            "--listen",
+            address,
+            "--journal",
+            journal(index).toString(),
+            "--secrets",
+            folder.resolve("secrets").toString()));
   }
 
   /** Submits a job that can't be placed, and cancels it: a final answer. */
@@ -102,9 +107,9 @@
     int subscribers = Integer.getInteger("pineladder.subscribers", 2);
     Files.writeString(folder.resolve("key"), Base64.getEncoder().encodeToString(new byte[32]));
     Files.writeString(folder.resolve("secrets"), SECRET + "\n");
-    RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom")
-        .create(
-            Integer.getInteger("pineladder.seed", 5));
+    RandomGenerator random =
+        RandomGeneratorFactory.of("L64X128MixRandom")
+            .create(Integer.getInteger("pineladder.seed", 5));
     try (LoopbackCluster cluster =
         new LoopbackCluster(
             folder, 3, 1, List.of("--delivery", folder.resolve("key").toString()))) {
@@ -190,8 +195,7 @@
 
   private static boolean isDelivered(LoopbackCluster cluster, int index)
       throws InterruptedException {
-    ObjectNode shown =
-        cluster.insist(true, "GET", "/admin/v1/subscriptions/desk-" + index, null);
+    ObjectNode shown = cluster.insist(true, "GET", "/admin/v1/subscriptions/desk-" + index, null);
     return shown.get("backlog").asInt() == 0 && shown.get("confirmed").asInt() > 0;
   }
 }
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -117,8 +117,8 @@
   }
 
   /**
-   * The plain model: every end that the store knows, and that a subscriber wants, has had one effect
-   * there, and effects are in sequence from 1 without a gap.
+   * The plain model: every end that the store knows, and that a subscriber wants, has had one
+   * effect there, and effects are in sequence from 1 without a gap.
    */
   private void check() {
     Map<String, String> ends = store.ends();
@@ -225,7 +225,10 @@
     assertTrue(away < 0.1 * 800, away + " more changes than " + without + " for 800 ends");
   }
 
-  /** Measured on loopback: 100,000 notices that waited made 1,700 pages of jobs to read at a takeover. */
+  /**
+   * Measured on loopback: 100,000 notices that waited made 1,700 pages of jobs to read at a
+   * takeover.
+   */
   @Test
   void whatWaitsForLongLeavesThePagesOfJobs() {
     begin(7);
@@ -248,8 +251,8 @@
   }
 
   /**
-   * Found on rereading: a leader that began without subscribers did not read what earlier ones had left
-   * in the store, and its first page of progress then cost it its term.
+   * Found on rereading: a leader that began without subscribers did not read what earlier ones had
+   * left in the store, and its first page of progress then cost it its term.
    */
   @Test
   void laterSubscribersMeetWhatEarlierOnesLeft() {
--- a/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
+++ b/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
@@ -11,7 +11,6 @@
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -19,13 +18,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Two troubles that meet, while users cancel and ask. Beside the rules each of these days asks for the promise
- * behind them: nothing of a job is on any machine when its user is told that it is cancelled.
+ * Two troubles that meet, while users cancel and ask. Beside the rules each of these days asks for
+ * the promise behind them: nothing of a job is on any machine when its user is told that it is
+ * cancelled.
  */
 class FaultCombinationsTest extends TroubledCluster {
   /** What meets; the rows of docs/fault-combinations.md. */
   enum Combination {
-    /** The leader alone is refused, another confirms cancellations, then nobody is served for long. */
+    /**
+     * The leader alone is refused, another confirms cancellations, then nobody is served for long.
+     */
     GAP,
     /** The state service answers slowly, refuses the leader, then everybody. */
     SLOW_THEN_OUT,
@@ -43,11 +45,19 @@
     UNREACHED,
     /** A leader without state service and peers, while jobs are cancelled through the new one. */
     ALONE,
-    /** Users ask at all nodes within milliseconds of each answer, submit again, some cancel; the leader ends. */
+    /**
+     * Users ask at all nodes within milliseconds of each answer, submit again, some cancel; the
+     * leader ends.
+     */
     CLOSE_LOOKS,
-    /** Transactions are carried out at once and only the answer is lost, while users look closely. */
+    /**
+     * Transactions are carried out at once and only the answer is lost, while users look closely.
+     */
     ANSWERS_LOST,
-    /** Every team is at its limit, jobs are cancelled whose machines are cut off or hang, the leader changes. */
+    /**
+     * Every team is at its limit, jobs are cancelled whose machines are cut off or hang, the leader
+     * changes.
+     */
     AT_LIMIT,
     /** Jobs are cancelled every 100 ms from before the leader changes until after. */
     CANCELS_AT_HANDOVER,
@@ -59,7 +69,10 @@
     SWARM,
     /** Jobs bound to one zone lose machines. */
     BOUND_TO_ZONE,
-    /** Jobs are cancelled as the state service refuses the leader; a second later it is out for long. */
+    /**
+     * Jobs are cancelled as the state service refuses the leader; a second later it is out for
+     * long.
+     */
     CANCELS_AT_REFUSAL,
     /** More work than room, urgent and not, over slow links. */
     PRESSURE,
@@ -84,8 +97,8 @@
   private static final Duration LONGEST = CANCEL.multipliedBy(4);
 
   /**
-   * A cancellation that waits for proof is told so long after the last trouble: a machine that was out of
-   * reach is heard within a few reports, or it is returned.
+   * A cancellation that waits for proof is told so long after the last trouble: a machine that was
+   * out of reach is heard within a few reports, or it is returned.
    */
   private static final Duration TOLD = Duration.ofSeconds(75);
 
@@ -97,8 +110,7 @@
         refuseLeader(before + some(0, 30_000));
         // Some workers are left to the old leader: no other controller reaches them.
         for (String machine : someMachines(3)) {
-          cutFor(
-              List.of(machine), nodes().stream().filter(h -> !h.equals(old)).toList(), 90_000);
+          cutFor(List.of(machine), nodes().stream().filter(h -> !h.equals(old)).toList(), 90_000);
         }
         at(before, () -> outage(some(CANCEL.toMillis() / 2, 3 * CANCEL.toMillis())));
       }
@@ -110,7 +122,8 @@
       }
       case ENDS_FAR_APART -> {
         for (int i = 0; i < 6; i++) {
-          submit(work(i % 3 == 2 ? "group" : "array", 2 + i % 2).put("apart_ms", some(1_000, 25_000)));
+          submit(
+              work(i % 3 == 2 ? "group" : "array", 2 + i % 2).put("apart_ms", some(1_000, 25_000)));
           at(some(3_000, 60_000), () -> killLeader(some(0, 8_000)));
         }
       }
@@ -126,7 +139,9 @@
         world.held = 0.15;
         at(50_000, () -> world.held = 0);
         for (int i = 0; i < 12; i++) {
-          at(some(0, 45_000), () -> someMachines(4).forEach(m -> world.freeze(m, some(500, 9_000))));
+          at(
+              some(0, 45_000),
+              () -> someMachines(4).forEach(m -> world.freeze(m, some(500, 9_000))));
         }
         at(some(5_000, 45_000), () -> killLeader(some(0, 6_000)));
       }
@@ -254,7 +269,8 @@
       case BOUND_TO_ZONE -> {
         for (int i = 0; i < 6; i++) {
           String shape = List.of("array", "service", "group").get(i % 3);
-          ObjectNode spec = work(shape, 2 + i % 2).put("guess_s", shape.equals("service") ? 0 : some(20, 80));
+          ObjectNode spec =
+              work(shape, 2 + i % 2).put("guess_s", shape.equals("service") ? 0 : some(20, 80));
           submit(i % 2 == 0 ? spec.put("yard", layout.zones.get(0)) : spec.put("together", true));
         }
         for (int i = 0; i < 4; i++) {
@@ -298,7 +314,9 @@
         cancelledAtEnd = 0.7;
         meetEnds();
         for (int i = 0; i < 120; i++) {
-          at(some(0, 50_000), () -> submit(work("array", 1 + world.random.nextInt(2)).put("guess_s", 3)));
+          at(
+              some(0, 50_000),
+              () -> submit(work("array", 1 + world.random.nextInt(2)).put("guess_s", 3)));
         }
         at(70_000, () -> cancelledAtEnd = 0);
       }
@@ -359,14 +377,16 @@
     rules.calmSince = world.now();
     world.runFor(TOLD);
     for (Rules.Known job : rules.jobs.values()) {
-      assertTrue(!job.cancelAsked || job.isOver(), job.id + " was asked to be cancelled, and nothing was told");
+      assertTrue(
+          !job.cancelAsked || job.isOver(),
+          job.id + " was asked to be cancelled, and nothing was told");
     }
     settle(Duration.ofSeconds(400));
   }
 
   /**
-   * Has transactions of all kinds committed: work, a change of leader, and two parts apart, so that leases are
-   * kept by one controller and submissions stored by another.
+   * Has transactions of all kinds committed: work, a change of leader, and two parts apart, so that
+   * leases are kept by one controller and submissions stored by another.
    */
   private void changesOfAllKinds() {
     int number = 0;
@@ -384,8 +404,8 @@
   }
 
   /**
-   * A copy of each transaction is carried out again 2 to 12 s after it, the same leader still leading or
-   * another, or none: whatever was executed once has no effect a second time.
+   * A copy of each transaction is carried out again 2 to 12 s after it, the same leader still
+   * leading or another, or none: whatever was executed once has no effect a second time.
    */
   @Test
   void aTransactionThatWasExecutedHasNoEffectASecondTime() {
@@ -395,16 +415,29 @@
     world.runFor(Duration.ofSeconds(60));
     settle(Duration.ofSeconds(400));
     Set<String> kinds =
-        Set.of("accepted/", "placed/", "done/", "images/", "end/", "job/", "-job/", "inbox/", "-inbox/", "lead/", "apart/");
+        Set.of(
+            "accepted/",
+            "placed/",
+            "done/",
+            "images/",
+            "end/",
+            "job/",
+            "-job/",
+            "inbox/",
+            "-inbox/",
+            "lead/",
+            "apart/");
     for (String kind : kinds) {
-      assertTrue(store.repeated.getOrDefault(kind, 0) > 0, "no copy of " + kind + " in " + store.repeated);
+      assertTrue(
+          store.repeated.getOrDefault(kind, 0) > 0, "no copy of " + kind + " in " + store.repeated);
     }
     assertEquals(Map.of(), store.repeatedWithEffect);
   }
 
   /**
-   * Of each kind of transaction some are carried out at once and only the answer is lost, while users look closely at
-   * every node: its sender takes its own work for nobody else's, and no node tells what is older.
+   * Of each kind of transaction some are carried out at once and only the answer is lost, while
+   * users look closely at every node: its sender takes its own work for nobody else's, and no node
+   * tells what is older.
    */
   @Test
   void anAnswerThatIsLostIsNoRefusalAndNobodyElsesWork() {
@@ -419,15 +452,27 @@
     rules.calmSince = world.now();
     settle(Duration.ofSeconds(400));
     Set<String> kinds =
-        Set.of("accepted/", "placed/", "done/", "images/", "end/", "job/", "-job/", "inbox/", "-inbox/", "lead/");
+        Set.of(
+            "accepted/",
+            "placed/",
+            "done/",
+            "images/",
+            "end/",
+            "job/",
+            "-job/",
+            "inbox/",
+            "-inbox/",
+            "lead/");
     for (String kind : kinds) {
-      assertTrue(store.unansweredKinds.getOrDefault(kind, 0) > 0, "none of " + kind + " in " + store.unansweredKinds);
+      assertTrue(
+          store.unansweredKinds.getOrDefault(kind, 0) > 0,
+          "none of " + kind + " in " + store.unansweredKinds);
     }
   }
 
   /**
-   * Found on the gap days of laval and galleharbour: in an outage for all that lasts for longer than leases
-   * are kept from memory, what ran outside the leader's zone ended with its leases.
+   * Found on the gap days of laval and galleharbour: in an outage for all that lasts for longer
+   * than leases are kept from memory, what ran outside the leader's zone ended with its leases.
    */
   @ParameterizedTest
   @EnumSource(
@@ -451,7 +496,10 @@
     settle(Duration.ofSeconds(20));
   }
 
-  /** Milliseconds from the leader's end to that of whoever is there then: before, in and after an election. */
+  /**
+   * Milliseconds from the leader's end to that of whoever is there then: before, in and after an
+   * election.
+   */
   static IntStream steps() {
     return IntStream.rangeClosed(0, 10).map(i -> 400 * i);
   }
@@ -482,7 +530,9 @@
     settle(Duration.ofSeconds(300));
   }
 
-  /** Each combination in two shapes; more seeds by hand with {@code -Dpineladder.combinations=100}. */
+  /**
+   * Each combination in two shapes; more seeds by hand with {@code -Dpineladder.combinations=100}.
+   */
   static Stream<Arguments> alone() {
     return Stream.of(Combination.values())
         .flatMap(m -> Stream.of(Layout.ONE_ZONE, Layout.SHORT).map(of -> List.of(m, of)))
@@ -504,7 +554,8 @@
   static Stream<Arguments> together() {
     return seeds()
         .boxed()
-        .flatMap(s -> IntStream.range(0, Combination.values().length).mapToObj(i -> Arguments.of(i, s)));
+        .flatMap(
+            s -> IntStream.range(0, Combination.values().length).mapToObj(i -> Arguments.of(i, s)));
   }
 
   @ParameterizedTest
--- a/src/test/java/io/pineladder/sim/FleetStandIn.java
+++ b/src/test/java/io/pineladder/sim/FleetStandIn.java
@@ -45,11 +45,17 @@
 
   /** A machine's type. */
   record Type(
-      String name, double cpus, double gpus, double gb, double pull, double price, double spot,
-      double boot, List<String> zones) {}
-
-  List<Type> types =
-      List.of(new Type("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
+      String name,
+      double cpus,
+      double gpus,
+      double gb,
+      double pull,
+      double price,
+      double spot,
+      double boot,
+      List<String> zones) {}
+
+  List<Type> types = List.of(new Type("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
 
   /** What a machine of this type has. */
   Resources size(String type) {
@@ -325,7 +331,8 @@
         return;
       }
       if (world.now().toEpochMilli() - answeredSentMillis > leaseMillis) {
-        endedByLease += (int) tasks.values().stream().filter(t -> !t.status.equals("ended")).count();
+        endedByLease +=
+            (int) tasks.values().stream().filter(t -> !t.status.equals("ended")).count();
         List.copyOf(tasks.values()).forEach(this::leave);
         tasks.clear();
         session++;
@@ -380,8 +387,7 @@
       }
       HttpCaller caller = world.caller(World.host(address), () -> !ended);
       caller.call(
-          HttpCaller.Request.post(
-              controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
+          HttpCaller.Request.post(controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
           reply -> {
             if (round == reportRound) {
               reportUnderWay = false;
@@ -471,11 +477,13 @@
       rules.started(task, this);
       if (rules.isGang(task)) {
         task.status = "gathering";
-        world.after(15_000, () -> {
-          if (tasks.get(key) == task && task.status.equals("gathering")) {
-            exit(task, "incomplete");
-          }
-        });
+        world.after(
+            15_000,
+            () -> {
+              if (tasks.get(key) == task && task.status.equals("gathering")) {
+                exit(task, "incomplete");
+              }
+            });
         rules.gather(task);
       } else {
         run(key, task);
--- a/src/test/java/io/pineladder/sim/LaidOutCluster.java
+++ b/src/test/java/io/pineladder/sim/LaidOutCluster.java
@@ -96,8 +96,7 @@
       fleet.types =
           List.of(
               new FleetStandIn.Type("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, of.zones),
-              new FleetStandIn.Type(
-                  "large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
+              new FleetStandIn.Type("large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
       fleet.leaseMillis = 11_000;
       fleet.reportMillis = 1_000;
     }
@@ -116,7 +115,9 @@
         : host(leader());
   }
 
-  /** Cuts the leader from the state service and the other controllers, not from workers or users. */
+  /**
+   * Cuts the leader from the state service and the other controllers, not from workers or users.
+   */
   void aloneFor(long millis) {
     String alone = leading();
     List<String> others = new ArrayList<>(List.of("10.2.0.1"));
--- a/src/test/java/io/pineladder/sim/LateClaimTest.java
+++ b/src/test/java/io/pineladder/sim/LateClaimTest.java
@@ -39,7 +39,9 @@
             world.after(5, () -> onReply.accept(Reply.answered(answer.status(), answer.body()))));
   }
 
-  /** The first claim is lost, the next one and the end of its lease refused, the third lost again. */
+  /**
+   * The first claim is lost, the next one and the end of its lease refused, the third lost again.
+   */
   private void network(Request request, Consumer<Reply> onReply) {
     Reply refused = Reply.answered(503, new byte[0]);
     Reply instead = null;
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -20,7 +20,9 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Controllers as processes of their own on loopback, with the stand-ins in real time in this one. */
+/**
+ * Controllers as processes of their own on loopback, with the stand-ins in real time in this one.
+ */
 final class LoopbackCluster implements AutoCloseable {
   private static final Duration TICK = Duration.ofMillis(2);
 
@@ -104,8 +106,9 @@
     }
     text.append(good.substring(good.indexOf("[deployment]")));
     return text.toString()
-        .replace("member = \"rung-0\"\narea = \"a\"\nfront", "member = \"rung-" + index
-            + "\"\narea = \"a\"\nfront")
+        .replace(
+            "member = \"rung-0\"\narea = \"a\"\nfront",
+            "member = \"rung-" + index + "\"\narea = \"a\"\nfront")
         .replace("10.0.0.1:8080", fronts.get(index))
         .replace("10.0.0.1:8081", clusters.get(index))
         .replace("write_rps = 60.0", "write_rps = 2000.0")
@@ -139,8 +142,7 @@
   void startController(int index) {
     List<String> arguments = new ArrayList<>(options);
     arguments.add(folder.resolve("settings-" + index + ".toml").toString());
-    processes.set(
-        index, start("controller-" + index, "io.pineladder.cli.Controller", arguments));
+    processes.set(index, start("controller-" + index, "io.pineladder.cli.Controller", arguments));
   }
 
   /** Ends a controller without a word and starts it again. */
@@ -200,8 +202,7 @@
     return insist(admin ? clusters : fronts, method, path, body);
   }
 
-  private ObjectNode insist(
-      List<String> addresses, String method, String path, ObjectNode body)
+  private ObjectNode insist(List<String> addresses, String method, String path, ObjectNode body)
       throws InterruptedException {
     int first = Math.floorMod(path.hashCode(), addresses.size());
     String last = "no answer";
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -26,7 +26,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What controllers make of one another, against a plain model that reads the whole history anew. */
+/**
+ * What controllers make of one another, against a plain model that reads the whole history anew.
+ */
 class MembershipTest {
   private static final int NODES = 3;
 
@@ -71,8 +73,7 @@
                       compare(peer);
                     });
               },
-              () -> new Membership.Own(
-                  true, 0, BeatWire.Stored.NOTHING, ClusterVersion.SUPPORTED));
+              () -> new Membership.Own(true, 0, BeatWire.Stored.NOTHING, ClusterVersion.SUPPORTED));
       world.serve(
           host + ":8081",
           (method, path, body, answer) -> {
@@ -105,8 +106,7 @@
 
     void record(Kind kind, String peer, byte[] body) {
       try {
-        history.add(
-            new Event(time.now(), kind, peer, body == null ? null : BeatWire.parse(body)));
+        history.add(new Event(time.now(), kind, peer, body == null ? null : BeatWire.parse(body)));
       } catch (MalformedException e) {
         throw new AssertionError(e);
       }
@@ -122,8 +122,7 @@
       int n = history.size();
       boolean caused = new Model(this, peer, history, time.now()).allows(state);
       for (int i = Math.max(0, n - 2); i < n && !caused; i++) {
-        caused =
-            new Model(this, peer, history.subList(0, n - 1), history.get(i).at).allows(state);
+        caused = new Model(this, peer, history.subList(0, n - 1), history.get(i).at).allows(state);
       }
       assertTrue(caused, name + " calls " + peer + " " + state);
     }
@@ -172,9 +171,7 @@
           newest = made.isAfter(newest) ? made : newest;
         }
       }
-      return newest.equals(Instant.MIN)
-          ? Duration.ofDays(1)
-          : Duration.between(newest, now);
+      return newest.equals(Instant.MIN) ? Duration.ofDays(1) : Duration.between(newest, now);
     }
 
     /** Nothing that it made in the last second has come here. */
--- a/src/test/java/io/pineladder/sim/ReceiverStandIn.java
+++ b/src/test/java/io/pineladder/sim/ReceiverStandIn.java
@@ -24,7 +24,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** A receiver in virtual time that is killed at random points and keeps what it has made durable. */
+/**
+ * A receiver in virtual time that is killed at random points and keeps what it has made durable.
+ */
 class ReceiverStandIn implements HttpHandlerAsync, NoticeStore {
   private final World world;
   private Receiver receiver;
@@ -153,8 +155,7 @@
           reply ->
               onAnswer.accept(
                   reply.isAnswered()
-                      ? Outward.Answer.answered(
-                          reply.status(), Duration.ofSeconds(1), reply.body())
+                      ? Outward.Answer.answered(reply.status(), Duration.ofSeconds(1), reply.body())
                       : Outward.Answer.failed("no answer")));
     };
   }
--- a/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
@@ -33,7 +33,9 @@
     return Json.parseObject(reply.body()).get("status").asText();
   }
 
-  /** Seen on the larger fleets: each acceptance cost a change of the store, which takes 35 a second. */
+  /**
+   * Seen on the larger fleets: each acceptance cost a change of the store, which takes 35 a second.
+   */
   @Test
   void aBurstOfSubmissionsCostsFewChangesOfTheStore() {
     begin(11);
@@ -55,8 +57,8 @@
   }
 
   /**
-   * Seen on the larger fleets: all controllers ended in an outage of the store, and when it was back
-   * the dead leader's lease had its full time again, in which workers' leases ran out.
+   * Seen on the larger fleets: all controllers ended in an outage of the store, and when it was
+   * back the dead leader's lease had its full time again, in which workers' leases ran out.
    */
   @Test
   void afterAnOutageNobodyWaitsForALeaseThatNobodyHolds() {
@@ -97,7 +99,9 @@
     settle(Duration.ofSeconds(300));
   }
 
-  /** A node that reaches the store and not the leader finds what the leader accepted into a page. */
+  /**
+   * A node that reaches the store and not the leader finds what the leader accepted into a page.
+   */
   @Test
   void aNodeWithoutLeaderAnswersForJobsInPages() throws Exception {
     begin(13);
@@ -117,14 +121,15 @@
     assertEquals("pending", status(known));
     assertEquals(404, ask(alone, "GET", "/v1/jobs/req-999999", null).status());
     job.cancelAsked = true;
-    HttpCaller.Reply cancelled =
-        ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
+    HttpCaller.Reply cancelled = ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
     // The index that it has read by now must not tell what has been overtaken.
     assertEquals("aborted", status(ask(alone, "GET", "/v1/jobs/" + job.id, null)));
   }
 
-  /** A job that another node stores again, while it cannot reach the leader, ends once and for all. */
+  /**
+   * A job that another node stores again, while it cannot reach the leader, ends once and for all.
+   */
   @Test
   void aJobStoredTwiceEndsWithItsCopy() throws Exception {
     begin(14);
@@ -143,8 +148,7 @@
     assertEquals(1, store.count("job/"));
     world.runFor(Duration.ofSeconds(3));
     job.cancelAsked = true;
-    HttpCaller.Reply cancelled =
-        ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
+    HttpCaller.Reply cancelled = ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
     rules.told(job, "aborted");
     controllers.forEach(each -> kill(each, 6_000));
@@ -155,7 +159,9 @@
     assertEquals("aborted", status(ask(alone, "GET", "/v1/jobs/" + job.id, null)));
   }
 
-  /** Sent to the store it was refused as malformed, and each repeat of it ended the leader's term. */
+  /**
+   * Sent to the store it was refused as malformed, and each repeat of it ended the leader's term.
+   */
   @Test
   void aDescriptionThatCannotBeStoredIsRefusedAndEndsNoTerm() throws Exception {
     begin(15);
--- a/src/test/java/io/pineladder/sim/RestartProcessTest.java
+++ b/src/test/java/io/pineladder/sim/RestartProcessTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real processes that end without a word and are started again at once, with the same addresses. */
+/**
+ * Real processes that end without a word and are started again at once, with the same addresses.
+ */
 class RestartProcessTest {
   private static final int ROUNDS = 6;
 
@@ -78,7 +80,8 @@
         continue;
       }
       assertEquals(200, got.statusCode(), id + " at " + node);
-      String status = Json.parseObject(got.body().getBytes(StandardCharsets.UTF_8)).get("status").asText();
+      String status =
+          Json.parseObject(got.body().getBytes(StandardCharsets.UTF_8)).get("status").asText();
       assertTrue(status.equals(expected), id + " is " + status + " at " + node);
     }
   }
--- a/src/test/java/io/pineladder/sim/Rules.java
+++ b/src/test/java/io/pineladder/sim/Rules.java
@@ -24,7 +24,10 @@
 
 /** The rules at the end of the protocol, checked at every start, exit and answer. */
 final class Rules implements TaskWatcher {
-  /** What some user of a job has been told: of two answers the higher may not come before the lower is asked for. */
+  /**
+   * What some user of a job has been told: of two answers the higher may not come before the lower
+   * is asked for.
+   */
   enum Told {
     NOTHING,
     ACCEPTED,
@@ -53,11 +56,14 @@
     /** Its user asks for it every few seconds. */
     boolean polled;
 
-    /** When its user first asked for it, a task of it first began, and a question was answered last. */
+    /**
+     * When its user first asked for it, a task of it first began, and a question was answered last.
+     */
     Instant submitted;
 
     Instant begun;
     Instant answered;
+
     /** How often a task of it began. */
     int begins;
 
@@ -116,9 +122,9 @@
   Instant calmSince;
 
   /**
-   * Which machines hold anything of a job; null where nobody promises that a cancellation is told only
-   * once none does. Leases may be kept without limit because of that promise, so breaking it is as bad
-   * as a task that runs on, which shows only when nobody can be reached.
+   * Which machines hold anything of a job; null where nobody promises that a cancellation is told
+   * only once none does. Leases may be kept without limit because of that promise, so breaking it
+   * is as bad as a task that runs on, which shows only when nobody can be reached.
    */
   Function<String, List<String>> holding;
 
@@ -128,8 +134,8 @@
   }
 
   /**
-   * A start is to be executed only while its placement is stored: one that comes when its attempt is
-   * taken for gone has been given up without proof. Null where the store may lose data.
+   * A start is to be executed only while its placement is stored: one that comes when its attempt
+   * is taken for gone has been given up without proof. Null where the store may lose data.
    */
   Placed placed;
 
@@ -156,7 +162,9 @@
   public long runMillis(Task task) {
     ObjectNode spec = jobs.get(task.job()).spec;
     long apart = task.index() * spec.path("apart_ms").asLong();
-    return spec.get("shape").asText().equals("service") ? 0 : (long) (spec.get("guess_s").asDouble() * 1000) + apart;
+    return spec.get("shape").asText().equals("service")
+        ? 0
+        : (long) (spec.get("guess_s").asDouble() * 1000) + apart;
   }
 
   @Override
@@ -169,7 +177,8 @@
       throw broken("not_stored", task.piece + "#" + task.attempt + " starts on " + on.name);
     }
     if (holding != null && job.cancelled != null) {
-      throw broken("told_too_soon", task.piece + " is sent to " + on.name + ", its job told cancelled");
+      throw broken(
+          "told_too_soon", task.piece + " is sent to " + on.name + ", its job told cancelled");
     }
   }
 
@@ -181,7 +190,8 @@
     job.everStarted.add(task.piece);
     job.begins++;
     if (job.cancelled != null) {
-      throw broken("started_cancelled", task.piece + " starts on " + on.name + " after its user was told");
+      throw broken(
+          "started_cancelled", task.piece + " starts on " + on.name + " after its user was told");
     }
     Worker other = places.get(task.piece);
     if (other != null && other != on) {
@@ -275,8 +285,8 @@
   }
 
   /**
-   * An accepted job that was not cancelled stays known: once all troubles are over some question about it is
-   * answered every 75 s, however others fare. Its user asks more often than that.
+   * An accepted job that was not cancelled stays known: once all troubles are over some question
+   * about it is answered every 75 s, however others fare. Its user asks more often than that.
    */
   void watchKnown() {
     if (calmSince == null) {
@@ -371,7 +381,8 @@
     }
     boolean isOver = status.equals("done") || status.equals("aborted");
     if (!isOver && anyBefore(job, Rules.this::isLongCancelled)) {
-      throw broken("orphaned", job.id + " is called " + status + " after one before it was cancelled");
+      throw broken(
+          "orphaned", job.id + " is called " + status + " after one before it was cancelled");
     }
     if (status.equals("done")) {
       job.done = true;
@@ -385,7 +396,8 @@
   }
 
   /**
-   * An answer of any node: read-your-writes and monotonic reads over all of them, as one history of the job.
+   * An answer of any node: read-your-writes and monotonic reads over all of them, as one history of
+   * the job.
    *
    * @param before what had been told of the job, by whichever node, when the question was sent
    * @param state the state that the answer names, or null
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -30,8 +30,7 @@
 
 /** Several controllers in virtual time among stand-ins that crash, cut, delay and deliver late. */
 abstract class SimulatedCluster {
-  static final List<String> FRONTS =
-      List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
+  static final List<String> FRONTS = List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
   static final String STORE = "10.2.0.1:2379";
 
   /** One controller, from one start to the next. */
@@ -147,10 +146,18 @@
       }
       text =
           text.replace(
-              "member = \"rung-" + i + "\"\narea = \"" + (i == 1 ? "b" : "a")
-                  + "\"\naddress = \"10.0.0." + (i + 1) + ":8081\"",
-              "member = \"RUNG-" + other + "\"\narea = \"a\"\naddress = \"10.0.0."
-                  + (other + 1) + ":8081\"");
+              "member = \"rung-"
+                  + i
+                  + "\"\narea = \""
+                  + (i == 1 ? "b" : "a")
+                  + "\"\naddress = \"10.0.0."
+                  + (i + 1)
+                  + ":8081\"",
+              "member = \"RUNG-"
+                  + other
+                  + "\"\narea = \"a\"\naddress = \"10.0.0."
+                  + (other + 1)
+                  + ":8081\"");
       other++;
     }
     try {
@@ -275,9 +282,16 @@
         });
   }
 
-  /** One request about a job at one node; {@code then} is told whether it was answered as wanted. */
+  /**
+   * One request about a job at one node; {@code then} is told whether it was answered as wanted.
+   */
   void send(
-      Rules.Known job, String node, String method, String path, byte[] body, Consumer<Boolean> then) {
+      Rules.Known job,
+      String node,
+      String method,
+      String path,
+      byte[] body,
+      Consumer<Boolean> then) {
     Rules.Told before = job.told();
     Duration patience = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
     world
@@ -287,8 +301,7 @@
             reply -> {
               boolean good = reply.is(200) || reply.is(201);
               try {
-                String state =
-                    good ? Json.parseObject(reply.body()).get("status").asText() : null;
+                String state = good ? Json.parseObject(reply.body()).get("status").asText() : null;
                 if (reply.isAnswered()) {
                   rules.answered(job, before, reply.status(), state);
                 }
@@ -324,8 +337,7 @@
     for (Rules.Known job : rules.jobs.values()) {
       boolean service = job.spec.get("shape").asText().equals("service");
       assertTrue(job.accepted, job.id + " was not accepted");
-      assertTrue(
-          service || job.broken || job.isOver(), job.id + " did not end: " + job.completed);
+      assertTrue(service || job.broken || job.isOver(), job.id + " did not end: " + job.completed);
     }
     assertTrue(rules.starts > 0);
     assertTrue(losesData || store.space().isEmpty(), "a loss was seen where there was none");
--- a/src/test/java/io/pineladder/sim/SmallJobsTest.java
+++ b/src/test/java/io/pineladder/sim/SmallJobsTest.java
@@ -9,13 +9,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** One-task jobs, four a second for ten minutes, a quarter of them cancelled, within the limits of the smallest site. */
+/**
+ * One-task jobs, four a second for ten minutes, a quarter of them cancelled, within the limits of
+ * the smallest site.
+ */
 class SmallJobsTest extends LaidOutCluster {
   private static final double REQUESTS = 80;
   private static final double CHANGES = 30;
   private static final int JOBS = 2_400;
 
-  /** Changes that a job may cost, its end included, so that the limit serves half as many jobs again. */
+  /**
+   * Changes that a job may cost, its end included, so that the limit serves half as many jobs
+   * again.
+   */
   private static final double MOST_CHANGES = 5;
 
   /** Requests that a job may cost, those that five controllers make without any included. */
@@ -43,7 +49,9 @@
       world.runFor(Duration.ofMillis(250));
     }
     int changes = store.changes.values().stream().mapToInt(Integer::intValue).sum();
-    assertTrue(changes < MOST_CHANGES * JOBS, changes + " changes for " + JOBS + " jobs: " + store.changes);
+    assertTrue(
+        changes < MOST_CHANGES * JOBS,
+        changes + " changes for " + JOBS + " jobs: " + store.changes);
     int asked = store.requests - before;
     assertTrue(asked < MOST_REQUESTS * JOBS, asked + " requests for " + JOBS + " jobs");
     rules.calmSince = world.now();
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -15,8 +15,9 @@
 import java.util.Set;
 
 /**
- * The users' starvation bound: once all troubles are over no job waits for 90 s while a machine that fits has
- * room and its team is under its limit. Asked of what is on the machines, plainly and of all of them.
+ * The users' starvation bound: once all troubles are over no job waits for 90 s while a machine
+ * that fits has room and its team is under its limit. Asked of what is on the machines, plainly and
+ * of all of them.
  */
 final class StarvationCheck {
   static final Duration MOST = Duration.ofSeconds(90);
@@ -26,7 +27,10 @@
   private final FleetStandIn fleet;
   private final List<Team> teams;
 
-  /** Since when each job has waited although it could run, and how many of its tasks were under way then. */
+  /**
+   * Since when each job has waited although it could run, and how many of its tasks were under way
+   * then.
+   */
   private final Map<String, Instant> since = new HashMap<>();
 
   private final Map<String, Integer> underWay = new HashMap<>();
@@ -88,10 +92,15 @@
 
   static Resources each(JsonNode spec) {
     return Resources.of(
-        spec.get("vcpus").asDouble(), spec.get("cards").asDouble(), spec.get("memory_gb").asDouble());
+        spec.get("vcpus").asDouble(),
+        spec.get("cards").asDouble(),
+        spec.get("memory_gb").asDouble());
   }
 
-  /** It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a machine. */
+  /**
+   * It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a
+   * machine.
+   */
   private boolean waits(Rules.Known job) {
     boolean wanted = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
     for (String id : job.prerequisites()) {
@@ -121,7 +130,10 @@
     boolean together = spec.get("together").asBoolean();
     int most = spec.get("spread").asBoolean() ? (job.tasks() + 1) / 2 : Integer.MAX_VALUE;
     Map<String, Integer> inZone = new HashMap<>();
-    places.getOrDefault(job.id, Map.of()).values().forEach(w -> inZone.merge(w.zone, 1, Integer::sum));
+    places
+        .getOrDefault(job.id, Map.of())
+        .values()
+        .forEach(w -> inZone.merge(w.zone, 1, Integer::sum));
     Map<String, Long> room = new HashMap<>();
     free.forEach(
         (worker, left) -> {
--- a/src/test/java/io/pineladder/sim/StarvationTest.java
+++ b/src/test/java/io/pineladder/sim/StarvationTest.java
@@ -16,8 +16,8 @@
 /** Policy may keep a job from room for a while, and not for ever. */
 class StarvationTest extends LaidOutCluster {
   /**
-   * Found by the simulation on 1 of 630 days: a job of one task that failed by chance on the only two machines
-   * with room was taken to be at fault, kept off both, and waited for ever.
+   * Found by the simulation on 1 of 630 days: a job of one task that failed by chance on the only
+   * two machines with room was taken to be at fault, kept off both, and waited for ever.
    */
   @Test
   void aJobThatFailedByChanceWhereverThereIsRoomRunsAllTheSame() {
@@ -44,7 +44,10 @@
     assertTrue(job.done);
   }
 
-  /** Each shape with some seeds; more by hand with {@code -Dpineladder.days=100 -Dpineladder.first=1}. */
+  /**
+   * Each shape with some seeds; more by hand with {@code -Dpineladder.days=100
+   * -Dpineladder.first=1}.
+   */
   static Stream<Arguments> pressed() {
     long first = Long.getLong("pineladder.first", 1);
     return LongStream.range(first, first + Long.getLong("pineladder.days", 2))
@@ -53,8 +56,8 @@
   }
 
   /**
-   * More work than room, with no trouble: small and large, of all ranks and kinds, bound to zones and not. What
-   * waits does so for room or for its team's limit, and nothing of it for good.
+   * More work than room, with no trouble: small and large, of all ranks and kinds, bound to zones
+   * and not. What waits does so for room or for its team's limit, and nothing of it for good.
    */
   @ParameterizedTest
   @MethodSource("pressed")
@@ -70,7 +73,8 @@
       int tasks = 1 + world.random.nextInt(shape.equals("array") ? 9 : 3);
       ObjectNode spec =
           work(shape, tasks)
-              .put("rank", List.of("prod", "urgent", "standard", "low").get(world.random.nextInt(4)))
+              .put(
+                  "rank", List.of("prod", "urgent", "standard", "low").get(world.random.nextInt(4)))
               .put("owner", world.random.nextInt(3) == 0 ? "blue" : "red")
               .put("loaners", !shape.equals("service") && world.random.nextBoolean())
               .put("image_gb", 0.5 + world.random.nextInt(4))
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -220,7 +220,8 @@
     damaged[damaged.length / 2] ^= 1;
     assertThrows(MalformedException.class, () -> leader.records().handIn(damaged));
     assertThrows(
-        MalformedException.class, () -> leader.records().handIn(Arrays.copyOf(kept, kept.length / 2)));
+        MalformedException.class,
+        () -> leader.records().handIn(Arrays.copyOf(kept, kept.length / 2)));
     assertTrue(leader.records().handIn(kept) > 0);
     work(5);
     settle(Duration.ofSeconds(400));
--- a/src/test/java/io/pineladder/sim/StoreStandIn.java
+++ b/src/test/java/io/pineladder/sim/StoreStandIn.java
@@ -54,6 +54,7 @@
 
   /** Transactions refused because they hold more than the lowered limits allow. */
   int tooLarge;
+
   private final TreeMap<String, Value> keys = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<ObjectNode> log = new ArrayList<>();
@@ -82,7 +83,10 @@
 
   final Map<String, Integer> repeatedWithEffect = new TreeMap<>();
 
-  /** Requests and changes a second that are served, with bursts of a second's worth; the rest gets 429. */
+  /**
+   * Requests and changes a second that are served, with bursts of a second's worth; the rest gets
+   * 429.
+   */
   RateBudget requestLimit;
 
   RateBudget changeLimit;
--- a/src/test/java/io/pineladder/sim/TroubledCluster.java
+++ b/src/test/java/io/pineladder/sim/TroubledCluster.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A laid out cluster with the troubles that are not one controller's, and users who go on meanwhile. */
+/**
+ * A laid out cluster with the troubles that are not one controller's, and users who go on
+ * meanwhile.
+ */
 abstract class TroubledCluster extends LaidOutCluster {
   /** The part of the open jobs that are cancelled, a step. */
   private static final double CANCELS = 0.08;
@@ -97,7 +100,10 @@
     }
   }
 
-  /** Asks at every node within milliseconds, submits again, and cancels some that were just accepted. */
+  /**
+   * Asks at every node within milliseconds, submits again, and cancels some that were just
+   * accepted.
+   */
   void lookClosely(Rules.Known job) {
     boolean cancels =
         job.told() == Rules.Told.ACCEPTED && !job.cancelAsked && world.random.nextInt(4) == 0;
@@ -112,7 +118,10 @@
     }
   }
 
-  /** Each of the jobs that end may be cancelled, asked for and submitted again within that very moment. */
+  /**
+   * Each of the jobs that end may be cancelled, asked for and submitted again within that very
+   * moment.
+   */
   void meetEnds() {
     rules.onLastDone =
         job -> {
@@ -127,7 +136,10 @@
         };
   }
 
-  /** What users should not send: jobs that can't run or lack a field, repeats of jobs, cancels of those done. */
+  /**
+   * What users should not send: jobs that can't run or lack a field, repeats of jobs, cancels of
+   * those done.
+   */
   void oddRequests() {
     ObjectNode spec = work("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
@@ -169,7 +181,9 @@
     }
   }
 
-  /** A zone's workers and controllers are cut off from all others and from the regional services. */
+  /**
+   * A zone's workers and controllers are cut off from all others and from the regional services.
+   */
   void cutZone(String zone, long millis) {
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "user"));
@@ -181,5 +195,4 @@
     }
     cutFor(inside, outside, millis);
   }
-
 }
--- a/src/test/java/io/pineladder/sim/UnlistedTroublesTest.java
+++ b/src/test/java/io/pineladder/sim/UnlistedTroublesTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Machines that report and hear nothing, late copies of reports, a controller alone with its workers, and
- * processes that are back at once; each alone and with another trouble, in deployments of several shapes.
+ * Machines that report and hear nothing, late copies of reports, a controller alone with its
+ * workers, and processes that are back at once; each alone and with another trouble, in deployments
+ * of several shapes.
  */
 class UnlistedTroublesTest extends LaidOutCluster {
   private static final Duration TROUBLE = Duration.ofSeconds(40);
@@ -100,8 +101,10 @@
         for (int i = 0; i < layout.nodes; i++) {
           (zoneOf(i).equals("b") ? inside : outside).add(host(i));
         }
-        fleet.machines.values().forEach(
-            w -> (w.zone.equals("b") ? inside : outside).add(World.host(w.address)));
+        fleet
+            .machines
+            .values()
+            .forEach(w -> (w.zone.equals("b") ? inside : outside).add(World.host(w.address)));
         inside.forEach(one -> outside.forEach(other -> world.cut(one, other)));
         world.after(
             25_000, () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other))));
@@ -191,8 +194,8 @@
   }
 
   /**
-   * The design's own known failure: a parked gang loses freed room again and again to small tasks. Room is
-   * held for one that has waited for long.
+   * The design's own known failure: a parked gang loses freed room again and again to small tasks.
+   * Room is held for one that has waited for long.
    */
   @Test
   void aGangBeginsThoughSmallTasksOfItsRankTakeEachFreedPiece() {
--- a/src/test/java/io/pineladder/sim/World.java
+++ b/src/test/java/io/pineladder/sim/World.java
@@ -108,7 +108,9 @@
     cuts.add(other + " " + one);
   }
 
-  /** Keeps {@code one} from reaching the other, as a packet filter does; not the other way round. */
+  /**
+   * Keeps {@code one} from reaching the other, as a packet filter does; not the other way round.
+   */
   void refuse(String one, String other) {
     cuts.add(one + " " + other);
   }
@@ -271,7 +273,9 @@
     };
   }
 
-  /** Delivers a copy of a request later, to whoever is there by then; nobody waits for its answer. */
+  /**
+   * Delivers a copy of a request later, to whoever is there by then; nobody waits for its answer.
+   */
   void deliverCopy(HttpCaller.Request request, long millis) {
     after(millis, () -> deliver(request, answer -> {}));
   }
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Two zones, a controller of which stands in the second, which is cut off, parted, or comes and goes. */
+/**
+ * Two zones, a controller of which stands in the second, which is cut off, parted, or comes and
+ * goes.
+ */
 class ZoneSimulationTest extends SimulatedCluster {
   private static final String INSIDE = "10.0.0.2";
 
--- a/src/test/java/io/pineladder/store/PagesTest.java
+++ b/src/test/java/io/pineladder/store/PagesTest.java
@@ -52,8 +52,7 @@
       return Instant.EPOCH;
     }
 
-    private final RandomGenerator random =
-        RandomGeneratorFactory.of("L64X128MixRandom").create(1);
+    private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
 
     @Override
     public Instant timeOfDay() {
@@ -199,9 +198,24 @@
   private static Job hugeJob() {
     JobSpec spec =
         new JobSpec(
-            "req-000001", "class", "red", Shape.ARRAY, Rank.NORMAL, 100_000, Resources.of(1, 0, 1),
-            null, null, false, false, false, "image", 1, Duration.ofSeconds(10), Duration.ZERO,
-            Duration.ZERO, null);
+            "req-000001",
+            "class",
+            "red",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            100_000,
+            Resources.of(1, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            false,
+            "image",
+            1,
+            Duration.ofSeconds(10),
+            Duration.ZERO,
+            Duration.ZERO,
+            null);
     return new Job(spec, Instant.EPOCH, Job.State.ACTIVE);
   }
 
--- a/src/test/java/io/pineladder/store/StoreClientTest.java
+++ b/src/test/java/io/pineladder/store/StoreClientTest.java
@@ -45,7 +45,8 @@
           public void after(Duration delay, Runnable action) {}
         };
     StoreClient store =
-        new StoreClient(http, time, "10.2.0.1:2379", new Settings.StoreLimits(100, 40, 8192, 12), 3);
+        new StoreClient(
+            http, time, "10.2.0.1:2379", new Settings.StoreLimits(100, 40, 8192, 12), 3);
     int[] refused = new int[1];
     for (int i = 0; i < 1000; i++) {
       store.readForUser(
--- a/src/test/java/io/pineladder/upgrade/FormatsTest.java
+++ b/src/test/java/io/pineladder/upgrade/FormatsTest.java
@@ -39,9 +39,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The formats of cluster version 1, as its software wrote them ({@code upgrade/version-1.json}, recorded from
- * production): this software reads each, and before the version is raised writes the same, since controllers
- * of version 1 read it.
+ * The formats of cluster version 1, as its software wrote them ({@code upgrade/version-1.json},
+ * recorded from production): this software reads each, and before the version is raised writes the
+ * same, since controllers of version 1 read it.
  */
 class FormatsTest {
   private static final Instant AT = Instant.ofEpochMilli(1_764_655_200_123L);
@@ -152,7 +152,8 @@
                 RecordWire.done("req-000412", done(), 1, 374))));
     written.put("placed/0", RecordWire.page(Stream.of(RecordWire.placement(attempt()))));
     written.put(
-        "images/0", RecordWire.page(Stream.of(RecordWire.images("m-000231", Map.of("img-07", 6.2)))));
+        "images/0",
+        RecordWire.page(Stream.of(RecordWire.images("m-000231", Map.of("img-07", 6.2)))));
     written.put("end/req-000399", RecordWire.end(Job.State.DONE));
     written.put(
         "lead/holder",
@@ -180,8 +181,7 @@
     assertEquals(SERVICE, RecordWire.parseJob(jobs.get(1)).spec());
     assertTrue(RecordWire.parseJob(jobs.get(1)).atFault());
     assertEquals(17, RecordWire.notices(record("accepted/0")).get(0).number());
-    RecordWire.StoredDone chunk =
-        RecordWire.parseDone(RecordWire.entries(record("done/0")).get(1));
+    RecordWire.StoredDone chunk = RecordWire.parseDone(RecordWire.entries(record("done/0")).get(1));
     assertEquals(1, chunk.chunk());
     assertEquals(0, chunk.chunkTasks());
     assertEquals(10, chunk.done().cardinality());
@@ -205,8 +205,7 @@
     BeatWire.Stored stored = new BeatWire.Stored(0, 950, 0, 949, true, 412, false);
     byte[] before = message("beat");
     byte[] beat =
-        BeatWire.write(
-            new BeatWire.Beat("rung-0", "nonce-0", 91, true, 412, heard, stored, 2));
+        BeatWire.write(new BeatWire.Beat("rung-0", "nonce-0", 91, true, 412, heard, stored, 2));
     assertArrayEquals(before, Arrays.copyOf(beat, before.length));
     assertEquals(ClusterVersion.UNVERSIONED, BeatWire.parse(before).version());
     assertEquals(2, BeatWire.parse(beat).version());
--- a/src/test/java/io/pineladder/wire/JobWireTest.java
+++ b/src/test/java/io/pineladder/wire/JobWireTest.java
@@ -19,7 +19,8 @@
       {"ref":"req-000412","jobclass":"train","owner":"vision","shape":"group","rank":"urgent",
        "pieces":16,"vcpus":8.5,"cards":1.0,"memory_gb":64.0,"bundle":"img-07","image_gb":6.2,
        "hulls":["g8"],"yard":null,"together":true,"spread":false,"loaners":true,"guess_s":240.0,
-       "mark_every_s":30.0,"stow_s":4.0,"due_s":900.0,"novelty":[1]}""";
+       "mark_every_s":30.0,"stow_s":4.0,"due_s":900.0,"novelty":[1]}\
+      """;
 
   private static byte[] utf8(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
@@ -32,8 +33,7 @@
     done.set(3);
     done.set(5, 9);
     var stored =
-        RecordWire.parseJob(
-            RecordWire.job(spec, Instant.ofEpochMilli(77), Job.State.CANCELLED));
+        RecordWire.parseJob(RecordWire.job(spec, Instant.ofEpochMilli(77), Job.State.CANCELLED));
     assertEquals(spec, stored.spec());
     var completions = RecordWire.parseDone(RecordWire.done("req-1", done, 0, 100));
     assertEquals(done, completions.done());
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -96,8 +96,7 @@
             .replace("max_sockets = 1100", "max_sockets = 3")
             .replace("gpus_max = 8.0", "gpus_max = true");
     var thrown =
-        assertThrows(
-            SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(bad));
+        assertThrows(SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(bad));
     for (String part :
         new String[] {
           "area is missing",
@@ -133,7 +132,8 @@
   @Test
   void servesDeploymentsOfOtherShapes() throws SettingsReader.BadSettingsException {
     String objectives =
-        GOOD.substring(GOOD.indexOf("[[deployment.objectives]]"), GOOD.indexOf("[deployment.workers]"));
+        GOOD.substring(
+            GOOD.indexOf("[[deployment.objectives]]"), GOOD.indexOf("[deployment.workers]"));
     Settings settings =
         SettingsReader.parse(
             GOOD.replace(objectives, "")
@@ -143,8 +143,7 @@
                 .replace("cancel_s = 40.0", "cancel_s = 4.0"));
     assertEquals(4, settings.zones().size());
     assertTrue(settings.objectives().isEmpty());
-    assertEquals(
-        Duration.ZERO, Election.longestKeepAlive(settings.workers()));
+    assertEquals(Duration.ZERO, Election.longestKeepAlive(settings.workers()));
   }
 
   @Test
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -140,8 +140,7 @@
     assertFalse(RecordWire.parseJob(stored).atFault());
     assertTrue(RecordWire.parseJob(stored.put("at_fault", true)).atFault());
     second();
-    Job job =
-        new Job(RecordWire.parseJob(stored).spec(), leader.now(), Job.State.ACTIVE);
+    Job job = new Job(RecordWire.parseJob(stored).spec(), leader.now(), Job.State.ACTIVE);
     job.atFault = true;
     leader.scheduler.add(job);
     second();
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -50,8 +50,7 @@
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
           (a, b) -> a.at.equals(b.at) ? Long.compare(a.order, b.order) : a.at.compareTo(b.at));
-  private final RandomGenerator random =
-      RandomGeneratorFactory.of("L64X128MixRandom").create(1);
+  private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
   private Instant now = Instant.EPOCH.plusSeconds(100);
   private long order;
 
@@ -268,8 +267,24 @@
 
   static JobSpec spec(String id, Shape shape, Rank rank, int tasks, String image) {
     return new JobSpec(
-        id, "class", "red", shape, rank, tasks, Resources.of(2, 1, 4), null, null, false, false,
-        true, image, 5, Duration.ofSeconds(30), Duration.ZERO, Duration.ZERO, null);
+        id,
+        "class",
+        "red",
+        shape,
+        rank,
+        tasks,
+        Resources.of(2, 1, 4),
+        null,
+        null,
+        false,
+        false,
+        true,
+        image,
+        5,
+        Duration.ofSeconds(30),
+        Duration.ZERO,
+        Duration.ZERO,
+        null);
   }
 
   Job accept(JobSpec spec) {
@@ -293,7 +308,15 @@
     WorkerWire.Orders orders =
         workers.onReport(
             new Report(
-                machine, "10.1.0.1:9000", "g4", zone, false, 1, sequence, TERM, null,
+                machine,
+                "10.1.0.1:9000",
+                "g4",
+                zone,
+                false,
+                1,
+                sequence,
+                TERM,
+                null,
                 List.of(tasks)));
     runFor(Duration.ofMillis(60));
     return WorkerWire.reportResponse(TERM, orders);
--- a/src/test/java/io/pineladder/workers/WorkersTest.java
+++ b/src/test/java/io/pineladder/workers/WorkersTest.java
@@ -10,8 +10,6 @@
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
-import java.util.ArrayList;
-import java.time.Instant;
 import io.pineladder.model.MachineType;
 import io.pineladder.model.Rank;
 import io.pineladder.model.Resources;
@@ -24,6 +22,8 @@
 import io.pineladder.wire.WorkerWire.TaskState;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -60,7 +60,8 @@
     leader.report("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
     leader.scheduler.kill(attempt, Duration.ZERO);
     String after = text(leader.report("m-1", 4, exited(attempt, Cause.STOPPED)));
-    assertFalse(after.contains("\"forget\",\"piece\":\"req-1/0\",\"try\":" + attempt.number), after);
+    assertFalse(
+        after.contains("\"forget\",\"piece\":\"req-1/0\",\"try\":" + attempt.number), after);
     leader.workers.onReport(
         new Report(
             "m-1", "10.1.0.1:9000", "g4", "a", false, 2, 1, LeaderHarness.TERM, null, List.of()));
@@ -71,7 +72,15 @@
     WorkerWire.Orders orders =
         leader.workers.onReport(
             new Report(
-                "m-1", "10.1.0.1:9000", "g4", "a", false, session, sequence, token, null,
+                "m-1",
+                "10.1.0.1:9000",
+                "g4",
+                "a",
+                false,
+                session,
+                sequence,
+                token,
+                null,
                 List.of()));
     return text(WorkerWire.reportResponse(LeaderHarness.TERM, orders));
   }
@@ -126,14 +135,19 @@
 
   private static byte[] body(long session, long sequence) {
     return ("{\"host\":\"m-1\",\"addr\":\"10.1.0.1:9000\",\"hull\":\"g4\",\"yard\":\"a\",\"loaners\":false,"
-            + "\"shift\":" + session + ",\"tally\":" + sequence + ",\"baton\":" + LeaderHarness.TERM
+                + "\"shift\":"
+            + session
+            + ",\"tally\":"
+            + sequence
+            + ",\"baton\":"
+            + LeaderHarness.TERM
             + ",\"pieces\":[]}")
         .getBytes(StandardCharsets.UTF_8);
   }
 
   /**
-   * The answer to a command is newer than the report before it and older than that report's response: a
-   * start that went with the response may still arrive. It was taken as dropped.
+   * The answer to a command is newer than the report before it and older than that report's
+   * response: a start that went with the response may still arrive. It was taken as dropped.
    */
   @Test
   void anAnswerToACommandSaysNothingOfAStartThatAResponseCarries() {
@@ -185,9 +199,7 @@
     start
         .onReply()
         .accept(
-            status < 0
-                ? HttpCaller.Reply.NOT_SENT
-                : HttpCaller.Reply.answered(status, body(1, 0)));
+            status < 0 ? HttpCaller.Reply.NOT_SENT : HttpCaller.Reply.answered(status, body(1, 0)));
     leader.runFor(Duration.ofMillis(60));
     assertTrue(job.endStored);
   }
@@ -206,13 +218,22 @@
     assertTrue(machine.takesWork());
   }
 
-  /** The other type's spot machines come before dear ones of the type that is cheapest by list price. */
+  /**
+   * The other type's spot machines come before dear ones of the type that is cheapest by list
+   * price.
+   */
   @Test
   void allTypesSpotMachinesAreAskedForBeforeAnyOrdinaryOne() {
     leader.cluster.setTypes(
         List.of(
             new MachineType(
-                "big", Resources.of(64, 16, 256), 50, 1, 15, 3.9, Duration.ofSeconds(20),
+                "big",
+                Resources.of(64, 16, 256),
+                50,
+                1,
+                15,
+                3.9,
+                Duration.ofSeconds(20),
                 List.of("a"))));
     leader.fleet.start();
     leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.NORMAL, 8, "i"));
@@ -264,7 +285,8 @@
 
   /**
    * Found by the simulation: the leader before knew of the completion and had not stored it, so the
-   * task was started anew. Stored as complete while that start ran, the next leader did not count it.
+   * task was started anew. Stored as complete while that start ran, the next leader did not count
+   * it.
    */
   @Test
   void aCompletionIsStoredOnceNoOtherAttemptOfTheTaskIsAnywhere() {
@@ -303,8 +325,7 @@
     assertTrue(job.attempts.isEmpty());
     Machine machine = leader.cluster.machine("m-1");
     Attempt older =
-        leader.cluster.addAttempt(
-            job, 0, 5, machine, leader.now(), Attempt.State.RECORDED);
+        leader.cluster.addAttempt(job, 0, 5, machine, leader.now(), Attempt.State.RECORDED);
     leader.workers.onReport(
         new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, 3, null, List.of()));
     assertEquals(Attempt.State.RECORDED, older.state());
@@ -341,7 +362,8 @@
 
   /**
    * Found by the simulation: a gang was displaced before its starts went out. Task after task was
-   * taken for lost and started anew, all but the one that had made way, and the gang never completed.
+   * taken for lost and started anew, all but the one that had made way, and the gang never
+   * completed.
    */
   @Test
   void aGangDisplacedBeforeItsStartsWentOutWaitsAsAWhole() {
@@ -421,7 +443,9 @@
     assertTrue(leader.resigned.isEmpty());
   }
 
-  /** Found on laval-fleet: the first machines heard after a cut had all the others given up at once. */
+  /**
+   * Found on laval-fleet: the first machines heard after a cut had all the others given up at once.
+   */
   @Test
   void theRestOfAZoneThatWasCutHasTimeToBeHeardAgain() {
     sixFallSilent("b", Duration.ofSeconds(25));
@@ -454,7 +478,9 @@
     }
   }
 
-  /** Hung machines go on within their lease: where images are slow to come they are worth the wait. */
+  /**
+   * Hung machines go on within their lease: where images are slow to come they are worth the wait.
+   */
   @Test
   void manySilentAtOnceAreWaitedForAsLongAsTheirTasksLiveWhereOthersTakeLong() {
     leader.accept(LeaderHarness.spec("req-1", Shape.SERVICE, Rank.LOW, 1, "i"));
@@ -510,12 +536,13 @@
   }
 
   /**
-   * A leader that stands still keeps its lease when the state service was out meanwhile. Timers fire
-   * before the reports that wait are read: nobody may be given up for this node's own silence.
+   * A leader that stands still keeps its lease when the state service was out meanwhile. Timers
+   * fire before the reports that wait are read: nobody may be given up for this node's own silence.
    */
   /**
-   * Found on the gap day of colombo: the lease held again after an outage of 68 s, in which the workers had
-   * been answered without taking in what they said, and 800 machines of 1,054 were returned for it.
+   * Found on the gap day of colombo: the lease held again after an outage of 68 s, in which the
+   * workers had been answered without taking in what they said, and 800 machines of 1,054 were
+   * returned for it.
    */
   @Test
   void afterALongDoubtTheLeaderGivesNobodyUp() {
@@ -613,8 +640,14 @@
     leader.cluster.setTypes(
         List.of(
             new MachineType(
-                was.name(), was.size(), was.cacheGb(), was.fetchGbPerSecond(), was.price(),
-                was.spotPrice() * 1.1, was.boot(), was.zones())));
+                was.name(),
+                was.size(),
+                was.cacheGb(),
+                was.fetchGbPerSecond(),
+                was.price(),
+                was.spotPrice() * 1.1,
+                was.boot(),
+                was.zones())));
     leader.runFor(Duration.ofSeconds(3));
     assertEquals(0, rentals());
   }
@@ -633,7 +666,10 @@
     assertEquals(Set.of(true, false), kindsAskedFor(other, Duration.ofMinutes(11)));
   }
 
-  /** Found on colombo-ops: a guest's work for idle time kept a thousand machines from being returned. */
+  /**
+   * Found on colombo-ops: a guest's work for idle time kept a thousand machines from being
+   * returned.
+   */
   @Test
   void workForIdleTimeDoesNotKeepAnOrdinaryMachine() {
     for (int i = 0; i < 2; i++) {
@@ -644,9 +680,24 @@
     Job filler =
         leader.accept(
             new JobSpec(
-                like.id(), like.jobClass(), like.team(), like.shape(), like.rank(), 7, like.each(),
-                null, null, false, false, true, "i", 5, Duration.ofSeconds(300),
-                Duration.ofSeconds(30), Duration.ofSeconds(3), null));
+                like.id(),
+                like.jobClass(),
+                like.team(),
+                like.shape(),
+                like.rank(),
+                7,
+                like.each(),
+                null,
+                null,
+                false,
+                false,
+                true,
+                "i",
+                5,
+                Duration.ofSeconds(300),
+                Duration.ofSeconds(30),
+                Duration.ofSeconds(3),
+                null));
     leader.fleet.start();
     assertTrue(filler.pending.isEmpty());
     for (int second = 0; second < 70; second++) {
@@ -735,7 +786,8 @@
       hosts.append(
           """
           {"ref":"%s","addr":"10.1.0.1:9000","hull":"g4","yard":"a","loaners":true,
-           "status":"running","age_s":60}"""
+           "status":"running","age_s":60}\
+          """
               .formatted(machine));
     }
     return ("{\"hosts\":[" + hosts + "],\"truncated\":false}").getBytes(StandardCharsets.UTF_8);
@@ -802,9 +854,24 @@
     Job job =
         leader.accept(
             new JobSpec(
-                service.id(), "serve", "red", service.shape(), service.rank(), 1, service.each(),
-                null, null, false, false, false, "img-s", 5, Duration.ZERO, Duration.ZERO,
-                Duration.ZERO, null));
+                service.id(),
+                "serve",
+                "red",
+                service.shape(),
+                service.rank(),
+                1,
+                service.each(),
+                null,
+                null,
+                false,
+                false,
+                false,
+                "img-s",
+                5,
+                Duration.ZERO,
+                Duration.ZERO,
+                Duration.ZERO,
+                null));
     assertTrue(job.attempts.isEmpty(), "it waits for the warm room");
     Attempt displaced =
         array.attempts.values().stream()
@@ -827,8 +894,8 @@
 
   /** Found on laval: tasks sat out fetches of minutes while machines with the image came free. */
   /**
-   * Found on colombo-ops: a look at the whole fleet for each of a job's tasks stopped the leader for
-   * longer than its lease. And work that holds none of what is lacking was stopped as well.
+   * Found on colombo-ops: a look at the whole fleet for each of a job's tasks stopped the leader
+   * for longer than its lease. And work that holds none of what is lacking was stopped as well.
    */
   @Test
   void oneLookMakesRoomForAllTasksAndStopsOnlyWhatHelps() {
@@ -848,8 +915,8 @@
   }
 
   /**
-   * Found on laval-ops: a guest's work of low rank was on every machine, and gangs of two, for which
-   * nothing made way, waited for minutes until two machines happened to be empty at once.
+   * Found on laval-ops: a guest's work of low rank was on every machine, and gangs of two, for
+   * which nothing made way, waited for minutes until two machines happened to be empty at once.
    */
   @Test
   void lowerWorkMakesWayForAWholeGangOrNotAtAll() {
@@ -863,7 +930,8 @@
     Resources whole = Resources.of(16, 4, 64);
     leader.accept(of(LeaderHarness.spec("req-000002", Shape.GANG, Rank.HIGH, 4, "i"), whole));
     assertEquals(
-        0, low.attempts.values().stream().filter(WorkersTest::isStopped).count(),
+        0,
+        low.attempts.values().stream().filter(WorkersTest::isStopped).count(),
         "three machines are no room for four");
     Job gang =
         leader.accept(of(LeaderHarness.spec("req-000003", Shape.GANG, Rank.HIGH, 2, "i"), whole));
@@ -885,9 +953,24 @@
   /** The same job with other tasks, which a gang must have together. */
   private static JobSpec of(JobSpec like, Resources each) {
     return new JobSpec(
-        like.id(), like.jobClass(), like.team(), like.shape(), like.rank(), like.tasks(), each,
-        null, null, like.shape() == Shape.GANG, false, true, like.image(), 5, like.estimate(),
-        Duration.ZERO, Duration.ZERO, null);
+        like.id(),
+        like.jobClass(),
+        like.team(),
+        like.shape(),
+        like.rank(),
+        like.tasks(),
+        each,
+        null,
+        null,
+        like.shape() == Shape.GANG,
+        false,
+        true,
+        like.image(),
+        5,
+        like.estimate(),
+        Duration.ZERO,
+        Duration.ZERO,
+        null);
   }
 
   private static boolean isStopped(Set<Attempt> attempts) {
