--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -234,6 +234,7 @@
         if (mutation.edits().stream().anyMatch(JobPages.Edit::mustWait)) {
           // Whoever divides the page has it tried again; what does not touch the page need not
           // wait.
+          mutation.edits().forEach(JobPages.Edit::held);
           held.addLast(queue.pollFirst());
           continue;
         }
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -15,6 +15,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import java.util.stream.Stream;
 
 /**
  * The records of the jobs that this leader accepted, many in one value, so that a burst of
@@ -102,7 +103,7 @@
   /** A change of one job's record, made in the same transaction as a mutation's other writes. */
   final class Edit {
     /** Where the change is made; null for the job's page at the time. */
-    private final Page fixed;
+    private Page fixed;
 
     private final Kind kind;
 
@@ -126,6 +127,9 @@
 
     private int room;
 
+    /** It is part of a transaction that is under way, or was when it was last looked at. */
+    private boolean underWay;
+
     private Edit(Page fixed, Kind kind, Job job, Supplier<JsonNode> value) {
       this.fixed = fixed;
       this.kind = kind;
@@ -149,8 +153,14 @@
       return page.bytes - leaves > capacity;
     }
 
+    /** It waits, and is part of no transaction. */
+    void held() {
+      underWay = false;
+    }
+
     /** Asks for the record as it is now; called once for each transaction it is put into. */
     void fix() {
+      underWay = true;
       if (kind == Kind.NOTE) {
         notice = book.next(over);
       } else if (kind == Kind.COPY) {
@@ -382,14 +392,22 @@
     ring.forEach(page -> page.inheritedTooLarge = page.bytes > capacity);
   }
 
+  private Stream<Edit> notesIn(Page page) {
+    return notes.values().stream().filter(note -> note.fixed == page);
+  }
+
   /**
-   * A page that has to be divided and can be, or null: one that is too large, holds no notice and
-   * no record that takes more than a value by itself.
+   * A page that has to be divided and can be, or null: one that is too large, holds no notice, now
+   * or once the transaction under way is stored, and no record that takes more than a value by
+   * itself.
    */
   Page tooLarge() {
     for (Page page : ring) {
       boolean large = page.inheritedTooLarge && page.bytes > capacity;
-      boolean free = page.notices.isEmpty() && !page.dividing;
+      boolean free =
+          page.notices.isEmpty()
+              && !page.dividing
+              && notesIn(page).noneMatch(note -> note.underWay);
       if (large
           && free
           && page.jobs.values().stream().allMatch(job -> sizes.get(job) <= capacity)) {
@@ -411,6 +429,7 @@
    */
   void divide(Page page, int mostEdits, Consumer<Mutation> commit, Runnable onDivided) {
     page.dividing = true;
+    notesIn(page).forEach(this::moveNote);
     Map<Job, Target> targets = new LinkedHashMap<>();
     Map<Page, List<Edit>> copies = new LinkedHashMap<>();
     // Earlier copies of it would count as soon as it is gone.
@@ -446,6 +465,13 @@
             }));
   }
 
+  /** A notice that waits to be stored in a page that is being divided goes to another one. */
+  private void moveNote(Edit note) {
+    note.fixed.bytes -= note.room;
+    note.fixed = open(note.room);
+    note.fixed.bytes += note.room;
+  }
+
   /** The page is gone: the copies of its records count from here on. */
   private void divided(Page page, Map<Job, Target> targets) {
     unfinished.remove(page.key);
