--- a/src/main/java/io/pineladder/Leader.java
+++ b/src/main/java/io/pineladder/Leader.java
@@ -458,10 +458,7 @@
     if (ended != null) {
       return ended;
     }
-    JobWire.Status known = host.finalState(id);
-    return known == null
-        ? null
-        : known == JobWire.Status.DONE ? Job.State.DONE : Job.State.CANCELLED;
+    return toState(host.finalState(id));
   }
 
   /** Has what earlier leaders stored in values that are too large stored in smaller ones. */
@@ -740,6 +737,14 @@
     };
   }
 
+  /** The job's state that a user is told as this final one; null for null. */
+  public static Job.State toState(JobWire.Status ended) {
+    if (ended == null) {
+      return null;
+    }
+    return ended == JobWire.Status.DONE ? Job.State.DONE : Job.State.CANCELLED;
+  }
+
   // ---- users
 
   /** A job's state toward a user; a null status means that nothing certain can be said. */
--- a/src/main/java/io/pineladder/front/ChainReader.java
+++ b/src/main/java/io/pineladder/front/ChainReader.java
@@ -6,7 +6,6 @@
 import io.pineladder.model.Job;
 import io.pineladder.store.JobIndex;
 import io.pineladder.store.Keys;
-import io.pineladder.wire.JobWire;
 import io.pineladder.wire.MalformedException;
 import io.pineladder.wire.RecordWire;
 import java.util.ArrayDeque;
@@ -109,11 +108,8 @@
     }
 
     private Job.State knownEnd(String id) {
-      JobWire.Status known = node.finalState(id);
-      if (known != null) {
-        return known == JobWire.Status.DONE ? Job.State.DONE : Job.State.CANCELLED;
-      }
-      return node.records().copy().end(id);
+      Job.State known = Leader.toState(node.finalState(id));
+      return known != null ? known : node.records().copy().end(id);
     }
 
     /**
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -122,9 +122,7 @@
     /** The notice as last asked for; null when nobody wants it. */
     private Notice notice;
 
-    /** Whose end it tells of, and the room kept for that. */
-    private Job over;
-
+    /** The room kept for a notice. */
     private int room;
 
     /** It is part of a transaction that is under way, or was when it was last looked at. */
@@ -162,7 +160,7 @@
     void fix() {
       underWay = true;
       if (kind == Kind.NOTE) {
-        notice = book.next(over);
+        notice = book.next(job);
       } else if (kind == Kind.COPY) {
         JsonNode record = source.entries.get(id);
         rendered = record == null ? null : RecordWire.copied(record, source.key);
@@ -194,7 +192,7 @@
       if (kind != Kind.NOTE) {
         return;
       }
-      notes.remove(over);
+      notes.remove(job);
       Page page = fixed;
       if (notice == null) {
         page.bytes -= room;
@@ -331,7 +329,6 @@
     Page page = fits ? home : open(room);
     page.bytes += room;
     Edit edit = new Edit(page, Kind.NOTE, job, null);
-    edit.over = job;
     edit.room = room;
     notes.put(job, edit);
     return edit;
