--- a/src/main/java/io/pineladder/front/Reports.java
+++ b/src/main/java/io/pineladder/front/Reports.java
@@ -27,7 +27,12 @@
   /** A worker back so soon after it was sent to the leader has not reached it. */
   private static final Duration BOUNCE = Duration.ofSeconds(12);
 
-  private static final int REDIRECTS_KEPT = 2000;
+  /**
+   * Workers whose way through the nodes is remembered: half as many again as the 4,000 machines of
+   * the largest fleets. A worker that is forgotten is sent to the leader again, or drawn a round
+   * anew.
+   */
+  static final int MAX_TRACKED_WORKERS = 6_000;
 
   /** A zone that is cut off for longer loses what runs in it. */
   private static final Duration MOST_KEPT = Duration.ofMinutes(30);
@@ -123,7 +128,7 @@
     }
     if (other) {
       redirects.put(report.machine(), now);
-      if (redirects.size() > REDIRECTS_KEPT) {
+      if (redirects.size() > MAX_TRACKED_WORKERS) {
         redirects.remove(redirects.keySet().iterator().next());
       }
     }
@@ -263,7 +268,7 @@
       return true;
     }
     rounds.put(report.machine(), now);
-    if (rounds.size() > REDIRECTS_KEPT) {
+    if (rounds.size() > MAX_TRACKED_WORKERS) {
       rounds.remove(rounds.keySet().iterator().next());
     }
     return false;
--- /dev/null
+++ b/src/test/java/io/pineladder/front/ReportsTest.java
@@ -0,0 +1,143 @@
+package io.pineladder.front;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.pineladder.Node;
+import io.pineladder.net.HttpCaller;
+import io.pineladder.net.HttpCaller.Reply;
+import io.pineladder.net.Timeline;
+import io.pineladder.store.Keys;
+import io.pineladder.wire.Json;
+import io.pineladder.wire.RecordWire;
+import io.pineladder.wire.SettingsReader;
+import io.pineladder.wire.SettingsReaderTest;
+import io.pineladder.wire.StoreWire;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.random.RandomGenerator;
+import java.util.random.RandomGeneratorFactory;
+import org.junit.jupiter.api.Test;
+
+/** Reports to a node that does not lead, of more workers than the largest fleets have. */
+class ReportsTest {
+  private static final int WORKERS = 4_200;
+
+  private Instant now = Instant.EPOCH.plusSeconds(100);
+
+  /** The leader that the state service names; null for a service that does not answer. */
+  private RecordWire.LeaderRecord leader;
+
+  private final List<byte[]> handedOn = new ArrayList<>();
+  private final Timeline time =
+      new Timeline() {
+        private final RandomGenerator random =
+            RandomGeneratorFactory.of("L64X128MixRandom").create(1);
+
+        @Override
+        public Instant now() {
+          return now;
+        }
+
+        @Override
+        public Instant timeOfDay() {
+          return now;
+        }
+
+        @Override
+        public RandomGenerator random() {
+          return random;
+        }
+
+        @Override
+        public void after(Duration delay, Runnable action) {}
+      };
+
+  private void store(HttpCaller.Request request, Consumer<Reply> onReply) {
+    if (leader != null && request.path().equals(StoreWire.keyPath(Keys.LEADER))) {
+      onReply.accept(
+          Reply.answered(
+              200,
+              Json.bytes(
+                  Json.object()
+                      .put("path", Keys.LEADER)
+                      .put("stamp", 5)
+                      .set("v", RecordWire.leader(leader)))));
+    }
+  }
+
+  private Node node() {
+    try {
+      return new Node(
+          SettingsReader.parse(SettingsReaderTest.GOOD),
+          time,
+          this::store,
+          "nonce",
+          null,
+          null,
+          null);
+    } catch (SettingsReader.BadSettingsException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  private Reports reports(Node node) {
+    return new Reports(node, (ways, request, answer, alone) -> handedOn.add(request.body()));
+  }
+
+  private static byte[] report(int worker, long token) {
+    String json =
+        """
+        {"host":"m-%d","addr":"10.1.0.1:9000","hull":"g4","yard":"a","loaners":false,"shift":1,
+         "tally":1,"baton":%d,"recall_s":null,"pieces":[]}\
+        """;
+    return json.formatted(worker, token).getBytes(StandardCharsets.UTF_8);
+  }
+
+  /**
+   * A node cut off with its zone: each worker goes the round through the others once in its time.
+   */
+  @Test
+  void eachWorkerOfALargeFleetKeepsItsRound() {
+    Node node = node();
+    Reports reports = reports(node);
+    now = now.plusSeconds(60);
+    int[] sentOn = new int[WORKERS];
+    for (int second = 0; second < 90; second += 3) {
+      for (int worker = 0; worker < WORKERS; worker++) {
+        int of = worker;
+        reports.answer(
+            report(worker, 1), false, http -> sentOn[of] += http.status() == 421 ? 1 : 0);
+      }
+      now = now.plusSeconds(3);
+    }
+    int missed = 0;
+    for (int times : sentOn) {
+      // Of 90 seconds with a round in 40 and a report in 3: two or three.
+      missed += times < 2 ? 1 : 0;
+    }
+    assertEquals(0, missed, "workers that lost their round");
+  }
+
+  /** Workers that are back soon after they were sent to the leader are not sent there again. */
+  @Test
+  void theReportOfEachWorkerThatDoesNotReachTheLeaderIsHandedOn() {
+    leader = new RecordWire.LeaderRecord("rung-1", "10.0.0.2:8081", "theirs");
+    Node node = node();
+    node.election().start();
+    Reports reports = reports(node);
+    int[] sentToLeader = new int[1];
+    for (int time = 0; time < 2; time++) {
+      for (int worker = 0; worker < WORKERS; worker++) {
+        reports.answer(
+            report(worker, 0), false, http -> sentToLeader[0] += http.status() == 421 ? 1 : 0);
+      }
+      now = now.plusSeconds(3);
+    }
+    assertEquals(WORKERS, sentToLeader[0]);
+    assertEquals(WORKERS, handedOn.size());
+  }
+}
