--- a/src/main/java/io/pineladder/fleet/Fleet.java
+++ b/src/main/java/io/pineladder/fleet/Fleet.java
@@ -43,6 +43,12 @@
   /** An idle machine that is not needed even then waits for this part of the usual least time. */
   private static final int SURPLUS_PART = 3;
 
+  /**
+   * Returned machines that are remembered, so that what still names them is known to be late: half
+   * as many again as the 4,000 machines of the largest fleets, which may all go within moments.
+   */
+  static final int MAX_TRACKED_RETURNS = 6_000;
+
   private final Cluster cluster;
   private final Scheduler scheduler;
   private final Records records;
@@ -324,7 +330,7 @@
   private void gone(String name) {
     toRelease.remove(name);
     released.put(name, time.now());
-    if (released.size() > 2000) {
+    if (released.size() > MAX_TRACKED_RETURNS) {
       released.remove(released.keySet().iterator().next());
     }
     Machine machine = cluster.removeMachine(name);
--- /dev/null
+++ b/src/test/java/io/pineladder/workers/LargeFleetTest.java
@@ -0,0 +1,93 @@
+package io.pineladder.workers;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pineladder.model.Machine;
+import io.pineladder.net.HttpCaller.Reply;
+import io.pineladder.wire.CloudWire;
+import io.pineladder.wire.Json;
+import io.pineladder.wire.MalformedException;
+import java.time.Duration;
+import java.util.List;
+import java.util.NavigableSet;
+import java.util.TreeSet;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** A leader with more machines than the largest fleets have. */
+class LargeFleetTest {
+  private static final int MACHINES = 4_200;
+
+  private final LeaderHarness leader = new LeaderHarness();
+
+  /** What the cloud lists. */
+  private final NavigableSet<String> listed = new TreeSet<>();
+
+  /** The machines returned to the cloud, which its list may name for a while yet. */
+  private final NavigableSet<String> returned = new TreeSet<>();
+
+  @BeforeEach
+  void list() {
+    for (int i = 0; i < MACHINES; i++) {
+      listed.add(String.format("m-%04d", i));
+    }
+  }
+
+  private void runFor(int seconds) throws MalformedException {
+    for (int tenth = 0; tenth < 10 * seconds; tenth++) {
+      while (!leader.sent.isEmpty()) {
+        LeaderHarness.Sent sent = leader.sent.poll();
+        String path = sent.request().path();
+        if (path.equals("/rentals/release")) {
+          for (JsonNode name : Json.parseObject(sent.request().body()).get("hosts")) {
+            returned.add(name.textValue());
+          }
+          sent.onReply().accept(Reply.answered(200, Json.bytes(Json.object())));
+        } else if (path.startsWith("/rentals?page=")) {
+          sent.onReply().accept(Reply.answered(200, page(path)));
+        }
+      }
+      leader.runFor(Duration.ofMillis(100));
+    }
+  }
+
+  private byte[] page(String path) {
+    int since = path.indexOf("&since=");
+    String after = since < 0 ? "" : path.substring(since + "&since=".length());
+    ObjectNode out = Json.object();
+    ArrayNode hosts = out.putArray("hosts");
+    List<String> rest = List.copyOf(listed.tailSet(after, false));
+    for (String name : rest.subList(0, Math.min(CloudWire.PAGE, rest.size()))) {
+      hosts
+          .addObject()
+          .put("ref", name)
+          .put("hull", LeaderHarness.TYPE.name())
+          .put("yard", "a")
+          .put("loaners", false)
+          .put("status", "booting")
+          .put("age_s", 1.0);
+    }
+    boolean more = rest.size() > CloudWire.PAGE;
+    return Json.bytes(out.put("truncated", more));
+  }
+
+  /** A machine that was returned is not taken in again from a list that still names it. */
+  @Test
+  void everyReturnedMachineOfALargeFleetStaysReturned() throws MalformedException {
+    for (String name : listed) {
+      leader.cluster.addMachine(new Machine(name, LeaderHarness.TYPE, "a", false, leader.now()));
+    }
+    List.copyOf(leader.cluster.machines()).forEach(leader.fleet::release);
+    leader.fleet.start();
+    runFor(60);
+    assertEquals(MACHINES, returned.size());
+    for (String name : listed) {
+      assertTrue(leader.fleet.wasReleased(name), name);
+    }
+    assertEquals(0, leader.cluster.machines().size());
+  }
+}
