--- a/src/main/java/io/pineladder/Node.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -2,33 +2,33 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import io.pineladder.delivery.Delivery;
+import io.pineladder.delivery.DeliveryContext;
 import io.pineladder.leadership.Election;
 import io.pineladder.membership.Membership;
 import io.pineladder.model.MachineType;
 import io.pineladder.model.OperatorSettings;
 import io.pineladder.model.Settings;
-import io.pineladder.net.Background;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.net.Timeline;
-import io.pineladder.recovery.Generations;
-import io.pineladder.recovery.LiveCopy;
-import io.pineladder.recovery.RecordKeeping;
-import io.pineladder.recovery.Takeovers;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.BackgroundExecutor;
+import io.pineladder.net.EventLoop;
+import io.pineladder.recovery.FailoverTimings;
+import io.pineladder.recovery.GenerationManager;
+import io.pineladder.recovery.RecordReplica;
+import io.pineladder.recovery.ReplicaManager;
 import io.pineladder.retry.Backoff;
-import io.pineladder.snapshot.Shelf;
-import io.pineladder.store.JobIndex;
-import io.pineladder.store.Keys;
+import io.pineladder.snapshot.SnapshotStore;
+import io.pineladder.store.AcceptedJobIndex;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
 import io.pineladder.upgrade.ClusterVersion;
-import io.pineladder.wire.BeatWire;
 import io.pineladder.wire.CloudWire;
+import io.pineladder.wire.GossipWire;
 import io.pineladder.wire.JobWire;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
-import io.pineladder.zones.Keeping;
+import io.pineladder.zones.LeaseKeepAliveWriter;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -38,8 +38,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One controller: its part in the leadership, and what it knows whether it leads or not. */
-public final class Node {
-  private static final Logger log = LoggerFactory.getLogger(Node.class);
+public final class ControllerNode {
+  private static final Logger log = LoggerFactory.getLogger(ControllerNode.class);
   private static final Duration TICK = Duration.ofSeconds(2);
 
   /** A tick that comes so much late is worth a line. */
@@ -52,25 +52,25 @@
   private static final int FINALS_KEPT = 20_000;
 
   private final Settings settings;
-  private final Timeline time;
-  private final HttpCaller http;
-  private final StoreClient store;
+  private final EventLoop eventLoop;
+  private final AsyncHttpClient httpClient;
+  private final StoreClient storeClient;
   private final Election election;
-  private final JobIndex accepted;
+  private final AcceptedJobIndex accepted;
   private final Membership membership;
-  private final Takeovers takeovers;
+  private final FailoverTimings takeovers;
   private final Backoff confRetry;
-  private final Delivery delivery;
+  private final DeliveryContext delivery;
 
   /** Final states never change, so any copy of them may be told. */
   private final Cache<String, JobWire.Status> finals =
       Caffeine.newBuilder().maximumSize(FINALS_KEPT).executor(Runnable::run).build();
 
-  private final RecordKeeping records;
-  private final Keeping keeping;
+  private final ReplicaManager records;
+  private final LeaseKeepAliveWriter keeping;
 
   private final ClusterVersion version;
-  private Leader leader;
+  private LeaderTerm leader;
   private List<MachineType> types = List.of();
   private OperatorSettings operator = OperatorSettings.DEFAULTS;
   private Instant typesAt;
@@ -85,15 +85,23 @@
    * @param shelf where snapshots of the records are kept; null for nowhere
    * @param background where they are made; null without a shelf
    */
-  public Node(
+  public ControllerNode(
       Settings settings,
-      Timeline time,
-      HttpCaller http,
+      EventLoop eventLoop,
+      AsyncHttpClient httpClient,
       String nonce,
-      Delivery delivery,
-      Shelf shelf,
-      Background background) {
-    this(settings, time, http, nonce, delivery, shelf, background, new ClusterVersion());
+      DeliveryContext delivery,
+      SnapshotStore snapshotStore,
+      BackgroundExecutor backgroundExecutor) {
+    this(
+        settings,
+        eventLoop,
+        httpClient,
+        nonce,
+        delivery,
+        snapshotStore,
+        backgroundExecutor,
+        new ClusterVersion());
   }
 
   /**
@@ -101,35 +109,52 @@
    *
    * @param version what it supports
    */
-  public Node(
+  public ControllerNode(
       Settings settings,
-      Timeline time,
-      HttpCaller http,
+      EventLoop eventLoop,
+      AsyncHttpClient httpClient,
       String nonce,
-      Delivery delivery,
-      Shelf shelf,
-      Background background,
+      DeliveryContext delivery,
+      SnapshotStore snapshotStore,
+      BackgroundExecutor backgroundExecutor,
       ClusterVersion version) {
     this.version = version;
     this.settings = settings;
     this.delivery = delivery;
-    this.time = time;
-    this.http = http;
-    this.store =
+    this.eventLoop = eventLoop;
+    this.httpClient = httpClient;
+    this.storeClient =
         new StoreClient(
-            http, time, settings.storeAddress(), settings.store(), settings.peers().size() + 1);
-    this.confRetry = store.backoff();
-    this.accepted = new JobIndex(store, time);
-    this.takeovers = new Takeovers(time);
-    this.membership = new Membership(settings, nonce, time, this::sendBeat, this::own);
-    this.election = new Election(store, time, settings, nonce, this::mayStand, new Part());
+            httpClient,
+            eventLoop,
+            settings.storeAddress(),
+            settings.storeLimits(),
+            settings.peers().size() + 1);
+    this.confRetry = storeClient.backoff();
+    this.accepted = new AcceptedJobIndex(storeClient, eventLoop);
+    this.takeovers = new FailoverTimings(eventLoop);
+    this.membership = new Membership(settings, nonce, eventLoop, this::sendBeat, this::own);
+    this.election =
+        new Election(storeClient, eventLoop, settings, nonce, this::mayStand, new Part());
     this.records =
-        new RecordKeeping(settings, store, time, nonce, shelf, background, new RecordsHost());
-    this.keeping = new Keeping(store, time, settings.member(), settings.workers().report());
+        new ReplicaManager(
+            settings,
+            storeClient,
+            eventLoop,
+            nonce,
+            snapshotStore,
+            backgroundExecutor,
+            new RecordsHost());
+    this.keeping =
+        new LeaseKeepAliveWriter(
+            storeClient,
+            eventLoop,
+            settings.controllerName(),
+            settings.workerTimes().heartbeatInterval());
   }
 
   public void start() {
-    log.info("controller {} starts in zone {}", settings.member(), settings.zone());
+    log.info("controller {} starts in zone {}", settings.controllerName(), settings.zone());
     membership.onStored(records.generations()::heard);
     membership.start();
     tick();
@@ -137,7 +162,7 @@
   }
 
   /** What this node keeps of the records, and does when the state service has lost them. */
-  public RecordKeeping records() {
+  public ReplicaManager records() {
     return records;
   }
 
@@ -154,7 +179,7 @@
     return version;
   }
 
-  private final class RecordsHost implements RecordKeeping.Host {
+  private final class RecordsHost implements ReplicaManager.Host {
     @Override
     public boolean leaseHolds() {
       return election.leaseHolds();
@@ -184,19 +209,19 @@
   }
 
   /** The workers whose leases this node keeps in the leader's place. */
-  public Keeping keeping() {
+  public LeaseKeepAliveWriter keeping() {
     return keeping;
   }
 
   private void sendBeat(String address, byte[] beat, Consumer<byte[]> onAnswer) {
-    http.call(
-        Request.post(address, BeatWire.PATH, beat, Membership.TIMEOUT),
+    httpClient.call(
+        Request.post(address, GossipWire.PATH, beat, Membership.TIMEOUT),
         reply -> onAnswer.accept(reply.is(200) ? reply.body() : null));
   }
 
   private Membership.Own own() {
     return new Membership.Own(
-        store.isHealthy(),
+        storeClient.isHealthy(),
         election.isValid() ? election.term() : 0,
         records.told(),
         version.supported());
@@ -214,14 +239,14 @@
   private final class Part implements Election.Listener {
     @Override
     public void onElected(long term, long version) {
-      Takeovers.Takeover takeover = takeovers.begin(term, membership.ledAt());
-      LiveCopy fed = records.lead();
+      FailoverTimings.OngoingFailover takeover = takeovers.begin(term, membership.ledAt());
+      RecordReplica fed = records.lead();
       leader =
-          new Leader(
+          new LeaderTerm(
               settings,
-              store,
-              http,
-              time,
+              storeClient,
+              httpClient,
+              eventLoop,
               term,
               version,
               fed,
@@ -261,7 +286,7 @@
     }
   }
 
-  private final class LeaderHost implements Leader.Host {
+  private final class LeaderHost implements LeaderTerm.Host {
     @Override
     public boolean mayAct() {
       return !stopped && election.isValid();
@@ -280,7 +305,7 @@
 
     @Override
     public void handOver(String reason) {
-      Instant now = time.now();
+      Instant now = eventLoop.now();
       // Where no other node does better the leadership must not go round and round.
       if (handedOverAt == null || handedOverAt.plus(HAND_OVER_EVERY).isBefore(now)) {
         handedOverAt = now;
@@ -299,13 +324,13 @@
     }
 
     @Override
-    public void onBegun(LiveCopy fed) {
+    public void onBegun(RecordReplica fed) {
       records.begun(fed);
     }
 
     @Override
     public void onLost(String reason) {
-      records.generations().lost(Generations.Evidence.RECORD_MISSING, reason);
+      records.generations().lost(GenerationManager.Evidence.RECORD_MISSING, reason);
     }
 
     @Override
@@ -320,13 +345,13 @@
       records
           .generations()
           .lost(
-              Generations.Evidence.JOB_UNKNOWN,
+              GenerationManager.Evidence.JOB_UNKNOWN,
               "a worker runs " + job + ", of which nothing is stored");
     }
 
     @Override
     public void onDamaged(String key) {
-      records.generations().lost(Generations.Evidence.UNREADABLE, key + " cannot be read");
+      records.generations().lost(GenerationManager.Evidence.UNREADABLE, key + " cannot be read");
     }
 
     @Override
@@ -366,7 +391,7 @@
 
     @Override
     public void onConf(List<StoreWire.Entry> entries) {
-      entries.forEach(Node.this::learnConf);
+      entries.forEach(ControllerNode.this::learnConf);
     }
   }
 
@@ -374,19 +399,19 @@
     return settings;
   }
 
-  public Timeline time() {
-    return time;
+  public EventLoop time() {
+    return eventLoop;
   }
 
-  public HttpCaller http() {
-    return http;
+  public AsyncHttpClient http() {
+    return httpClient;
   }
 
   public StoreClient store() {
-    return store;
+    return storeClient;
   }
 
-  public Takeovers takeovers() {
+  public FailoverTimings takeovers() {
     return takeovers;
   }
 
@@ -395,7 +420,7 @@
   }
 
   /** The jobs that leaders accepted, as this node can read them without one. */
-  public JobIndex accepted() {
+  public AcceptedJobIndex accepted() {
     return accepted;
   }
 
@@ -404,15 +429,15 @@
   }
 
   /** The leader when this node may act as such now, or null. */
-  public Leader actingLeader() {
-    boolean leading = leader != null && leader.state() == Leader.State.LEADING;
+  public LeaderTerm actingLeader() {
+    boolean leading = leader != null && leader.state() == LeaderTerm.State.LEADING;
     return leading && election.isValid() ? leader : null;
   }
 
   /**
    * The leader's memory while this node may answer reports, certain of its lease or not; or null.
    */
-  public Leader termHolder() {
+  public LeaderTerm termHolder() {
     return election.mayKeepAlive() ? leader : null;
   }
 
@@ -435,10 +460,10 @@
   // ---- settings kept in the store
 
   private void readConf() {
-    long of = store.generation().base();
-    BooleanSupplier wanted = () -> !stopped && store.generation().base() == of;
-    store.list(
-        Keys.CONF,
+    long of = storeClient.generation().base();
+    BooleanSupplier wanted = () -> !stopped && storeClient.generation().base() == of;
+    storeClient.list(
+        RecordKeys.CONF,
         wanted,
         listing -> {
           listing.entries().forEach(this::learnConf);
@@ -450,8 +475,8 @@
     if (!wanted.getAsBoolean()) {
       return;
     }
-    store.watch(
-        Keys.CONF,
+    storeClient.watch(
+        RecordKeys.CONF,
         after,
         WATCH,
         followed -> {
@@ -464,7 +489,7 @@
             changes.entries().forEach(this::learnConf);
             watchConf(changes.revision(), wanted);
           } else {
-            store.retry(
+            storeClient.retry(
                 confRetry,
                 followed.reply().is(410) ? this::readConf : () -> watchConf(after, wanted));
           }
@@ -472,28 +497,28 @@
   }
 
   private void learnConf(StoreWire.Entry entry) {
-    if (entry.key().equals(Keys.NETWORKS) && delivery != null) {
+    if (entry.key().equals(RecordKeys.NETWORKS) && delivery != null) {
       delivery.learnNetworks(entry.value());
     }
     if (entry.value() == null) {
       return;
     }
-    if (entry.key().equals(Keys.VERSION)) {
+    if (entry.key().equals(RecordKeys.VERSION)) {
       version.learn(entry.value());
       if (version.isUnsupported() && leader != null) {
         election.yield("the records have a version that this controller does not support");
       }
     }
     try {
-      if (entry.key().equals(Keys.TYPES)) {
+      if (entry.key().equals(RecordKeys.TYPES)) {
         learnTypes(RecordWire.parseTypes(entry.value()));
-      } else if (entry.key().equals(Keys.OPERATOR)) {
+      } else if (entry.key().equals(RecordKeys.OPERATOR)) {
         operator = RecordWire.parseOperator(entry.value(), OperatorSettings.DEFAULTS);
         if (leader != null) {
           leader.configure(operator);
         }
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("{} cannot be read: {}", entry.key(), e.getMessage());
     }
   }
@@ -507,8 +532,8 @@
 
   /** Asks the cloud for its machine types, and keeps them for times when it cannot be asked. */
   private void fetchTypes() {
-    typesAt = time.now();
-    http.call(
+    typesAt = eventLoop.now();
+    httpClient.call(
         Request.get(settings.cloudAddress(), "/flavors", CLOUD_TIMEOUT),
         reply -> {
           try {
@@ -521,7 +546,7 @@
             if (changed && leader != null) {
               leader.storeTypes(known);
             }
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.warn("the cloud's machine types are malformed: {}", e.getMessage());
           }
         });
@@ -531,20 +556,20 @@
     if (stopped) {
       return;
     }
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     if (tickDue != null && tickDue.plus(PAUSE).isBefore(now)) {
       log.warn("this process stood still or fell behind for {}", Duration.between(tickDue, now));
     }
     tickDue = now.plus(TICK);
     if (election.holdsTerm()) {
       Duration every = types.isEmpty() ? TICK : TYPES_EVERY;
-      if (typesAt == null || !typesAt.plus(every).isAfter(time.now())) {
+      if (typesAt == null || !typesAt.plus(every).isAfter(eventLoop.now())) {
         fetchTypes();
       }
     } else {
       // Its watches may wait for long; this tells whether the store still answers this node.
-      store.read(Keys.LEADER, read -> {});
+      storeClient.read(RecordKeys.LEADER, read -> {});
     }
-    time.after(TICK, this::tick);
+    eventLoop.schedule(TICK, this::tick);
   }
 }
--- a/src/main/java/io/pineladder/Leader.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -1,10 +1,10 @@
 package io.pineladder;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.delivery.Delivery;
-import io.pineladder.delivery.Outbox;
-import io.pineladder.delivery.Subscriptions;
-import io.pineladder.fleet.Fleet;
+import io.pineladder.autoscaling.Autoscaler;
+import io.pineladder.delivery.DeliveryContext;
+import io.pineladder.delivery.NotificationOutbox;
+import io.pineladder.delivery.SubscriptionManager;
 import io.pineladder.membership.Membership;
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
@@ -13,19 +13,19 @@
 import io.pineladder.model.MachineType;
 import io.pineladder.model.OperatorSettings;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.Timeline;
-import io.pineladder.recovery.Adoption;
-import io.pineladder.recovery.LiveCopy;
-import io.pineladder.recovery.OldGenerations;
-import io.pineladder.recovery.Prerequisites;
-import io.pineladder.recovery.Takeovers;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.EventLoop;
+import io.pineladder.recovery.FailoverTimings;
+import io.pineladder.recovery.GenerationGarbageCollector;
+import io.pineladder.recovery.JobReconciler;
+import io.pineladder.recovery.PrerequisiteReader;
+import io.pineladder.recovery.RecordReplica;
 import io.pineladder.recovery.TermLoader;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
 import io.pineladder.store.Committer;
-import io.pineladder.store.Keys;
 import io.pineladder.store.Mutation;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.Records;
 import io.pineladder.store.StoreClient;
 import io.pineladder.upgrade.ClusterVersion;
@@ -34,8 +34,8 @@
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 import io.pineladder.wire.WorkerWire;
-import io.pineladder.workers.Workers;
-import io.pineladder.zones.Notes;
+import io.pineladder.workers.WorkerManager;
+import io.pineladder.zones.LeaseKeepAliveReader;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -50,8 +50,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One term of leadership, from reading the store to its end. */
-public final class Leader {
-  private static final Logger log = LoggerFactory.getLogger(Leader.class);
+public final class LeaderTerm {
+  private static final Logger log = LoggerFactory.getLogger(LeaderTerm.class);
 
   /** How long a leader that still reads the store keeps workers' leases without orders. */
   private static final Duration LOADING_KEEPS = Duration.ofSeconds(2);
@@ -95,7 +95,7 @@
     void onConf(List<StoreWire.Entry> entries);
 
     /** The records are read, and this node leads. */
-    void onBegun(LiveCopy copy);
+    void onBegun(RecordReplica replica);
 
     /** This leader's key is gone from the store, or another's. */
     void onKeyGone();
@@ -128,29 +128,29 @@
   /** For so long after an incomplete rebuild what runs is kept, though no record tells of it. */
   private static final Duration KEEPS = Duration.ofSeconds(60);
 
-  private final LiveCopy copy;
+  private final RecordReplica replica;
   private final Settings settings;
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final long term;
 
   /** The revision of this leader's key. */
   private final long version;
 
   private final Host host;
-  private final Takeovers.Takeover takeover;
-  private final Cluster cluster;
+  private final FailoverTimings.OngoingFailover takeover;
+  private final ClusterState cluster;
   private final Committer committer;
-  private final Outbox outbox;
-  private final Subscriptions subscriptions;
+  private final NotificationOutbox outbox;
+  private final SubscriptionManager subscriptions;
   private final Records records;
   private final Scheduler scheduler;
-  private final Workers workers;
-  private final Fleet fleet;
-  private final Notes notes;
+  private final WorkerManager workers;
+  private final Autoscaler fleet;
+  private final LeaseKeepAliveReader notes;
   private final TermLoader loader;
-  private final Adoption adoption;
-  private final Prerequisites prerequisites;
+  private final JobReconciler adoption;
+  private final PrerequisiteReader prerequisites;
   private final Instant begunAt;
   private State state = State.LOADING;
 
@@ -175,57 +175,64 @@
   /** Submissions being stored, with those who wait for the answer. */
   private final Map<String, List<Consumer<JobWire.Status>>> accepting = new HashMap<>();
 
-  Leader(
+  LeaderTerm(
       Settings settings,
-      StoreClient store,
-      HttpCaller http,
-      Timeline time,
+      StoreClient storeClient,
+      AsyncHttpClient httpClient,
+      EventLoop eventLoop,
       long term,
       long version,
-      LiveCopy copy,
+      RecordReplica replica,
       OperatorSettings operator,
-      Takeovers.Takeover takeover,
-      Delivery delivery,
+      FailoverTimings.OngoingFailover takeover,
+      DeliveryContext delivery,
       Host host) {
-    this.copy = copy;
+    this.replica = replica;
     this.settings = settings;
-    this.store = store;
-    this.time = time;
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.term = term;
-    this.begunAt = time.now();
+    this.begunAt = eventLoop.now();
     this.host = host;
     this.takeover = takeover;
-    this.cluster = new Cluster(settings);
+    this.cluster = new ClusterState(settings);
     cluster.setTypes(host.types());
     this.version = version;
-    this.committer = new Committer(store, time, version, new Storing());
-    int valueBytes = settings.store().valueBytes();
+    this.committer = new Committer(storeClient, eventLoop, version, new Storing());
+    int valueBytes = settings.storeLimits().valueBytes();
     this.outbox =
-        new Outbox(Outbox.MOST_KEPT, valueBytes, time, committer::submit, this::onNotices);
+        new NotificationOutbox(
+            NotificationOutbox.MOST_KEPT,
+            valueBytes,
+            eventLoop,
+            committer::submit,
+            this::onNotices);
     committer.number(outbox);
     this.subscriptions =
-        new Subscriptions(delivery, outbox, time, committer::submit, valueBytes, this::mayAct);
-    this.notes = new Notes(store, time, () -> fleet().zones().isAnyGone());
+        new SubscriptionManager(
+            delivery, outbox, eventLoop, committer::submit, valueBytes, this::mayAct);
+    this.notes =
+        new LeaseKeepAliveReader(storeClient, eventLoop, () -> fleet().zones().isAnyGone());
     this.scheduler =
         new Scheduler(
             cluster,
-            time,
+            eventLoop,
             term,
             operator,
             new Scheduler.Effects() {
               @Override
               public boolean mayAct() {
-                return Leader.this.mayAct();
+                return LeaderTerm.this.mayAct();
               }
 
               @Override
               public void ordersDue(Machine machine) {
-                Leader.this.ordersDue(machine);
+                LeaderTerm.this.ordersDue(machine);
               }
 
               @Override
               public boolean mayStart() {
-                return !holding && Leader.this.mayAct();
+                return !holding && LeaderTerm.this.mayAct();
               }
 
               @Override
@@ -256,20 +263,20 @@
     this.records =
         new Records(
             valueBytes,
-            settings.storeInForce().valueBytes(),
+            settings.currentStoreLimits().valueBytes(),
             host.version(),
-            time,
+            eventLoop,
             committer::submit,
             new Records.Listener() {
               @Override
               public void onPlacementStored(Attempt attempt) {
-                takeover.passed(Takeovers.Phase.FIRST_PLACEMENT);
+                takeover.passed(FailoverTimings.Phase.FIRST_PLACEMENT);
                 scheduler.onPlacementStored(attempt);
               }
 
               @Override
               public void onEndStored(Job job) {
-                Leader.this.onEndStored(job);
+                LeaderTerm.this.onEndStored(job);
               }
 
               @Override
@@ -285,26 +292,27 @@
             },
             outbox);
     scheduler.useRecords(records);
-    this.loader = new TermLoader(store, time, cluster, committer, records, outbox, new Loading());
-    this.adoption = new Adoption(store, cluster, committer, records, new Adopting());
+    this.loader =
+        new TermLoader(storeClient, eventLoop, cluster, committer, records, outbox, new Loading());
+    this.adoption = new JobReconciler(storeClient, cluster, committer, records, new Adopting());
     this.prerequisites =
-        new Prerequisites(
+        new PrerequisiteReader(
             cluster.jobs::get,
             this::finalState,
             adoption,
-            time,
+            eventLoop,
             () -> state == State.LEADING,
             scheduler::dependencies);
     BooleanSupplier mayAct = this::mayAct;
     this.workers =
-        new Workers(
+        new WorkerManager(
             cluster,
             scheduler,
-            http,
-            time,
+            httpClient,
+            eventLoop,
             term,
             mayAct,
-            new Workers.Listener() {
+            new WorkerManager.Listener() {
               @Override
               public void onSuperseded(long token) {
                 log.warn("a worker has seen token {}, ours is {}", token, term);
@@ -331,34 +339,34 @@
               public void onStranger(String job) {
                 if (!strangerAsked && host.incompleteFor() == null && !host.recordsMayLack()) {
                   strangerAsked = true;
-                  time.after(AUDIT, () -> strangerAsked = false);
+                  eventLoop.schedule(AUDIT, () -> strangerAsked = false);
                   adoption.ifUnknown(job, () -> host.onUnknownJob(job));
                 }
               }
 
               @Override
               public boolean isOver(String job) {
-                return copy.end(job) != null;
+                return replica.end(job) != null;
               }
 
               @Override
               public void onUnprovable(Machine machine) {
-                time.after(Duration.ZERO, () -> fleet.release(machine));
+                eventLoop.schedule(Duration.ZERO, () -> fleet.release(machine));
               }
             });
     this.fleet =
-        new Fleet(
+        new Autoscaler(
             cluster,
             scheduler,
             records,
-            http,
-            time,
+            httpClient,
+            eventLoop,
             term,
             operator,
-            new Fleet.Effects() {
+            new Autoscaler.Effects() {
               @Override
               public boolean mayAct() {
-                return Leader.this.mayAct();
+                return LeaderTerm.this.mayAct();
               }
 
               @Override
@@ -413,7 +421,7 @@
 
     @Override
     public void onStored(String key, JsonNode value, long revision) {
-      copy.put(key, value, revision, false);
+      replica.put(key, value, revision, false);
     }
   }
 
@@ -431,7 +439,7 @@
     return term;
   }
 
-  public Cluster cluster() {
+  public ClusterState cluster() {
     return cluster;
   }
 
@@ -440,7 +448,7 @@
   }
 
   /** The machines, and the zones that they are in. */
-  public Fleet fleet() {
+  public Autoscaler fleet() {
     return fleet;
   }
 
@@ -448,13 +456,13 @@
     return committer.waiting();
   }
 
-  private Prerequisites prerequisites() {
+  private PrerequisiteReader prerequisites() {
     return prerequisites;
   }
 
   /** A final state that is known without a read, or null. */
   private Job.State finalState(String id) {
-    Job.State ended = copy.end(id);
+    Job.State ended = replica.end(id);
     if (ended != null) {
       return ended;
     }
@@ -481,7 +489,7 @@
   }
 
   /** Who is told of final states. */
-  public Subscriptions subscriptions() {
+  public SubscriptionManager subscriptions() {
     return subscriptions;
   }
 
@@ -530,7 +538,7 @@
     committer.submit(
         Mutation.of(
             Mutation.Priority.TIDY,
-            List.of(new Mutation.Write(Keys.TYPES, () -> RecordWire.types(types))),
+            List.of(new Mutation.Write(RecordKeys.TYPES, () -> RecordWire.types(types))),
             () -> {}));
   }
 
@@ -539,7 +547,7 @@
     committer.submit(
         Mutation.of(
             Mutation.Priority.ACCEPT,
-            List.of(new Mutation.Write(Keys.OPERATOR, () -> RecordWire.operator(operator))),
+            List.of(new Mutation.Write(RecordKeys.OPERATOR, () -> RecordWire.operator(operator))),
             onStored));
   }
 
@@ -566,13 +574,13 @@
 
     @Override
     public StoreClient.Listing onRead(String prefix, StoreClient.Listing listing) {
-      String missing = copy.missing(prefix, listing.entries());
+      String missing = replica.missing(prefix, listing.entries());
       if (missing != null) {
         host.onLost(missing + " is missing or older than it was seen");
         return null;
       }
-      LiveCopy.Reading reading = copy.read(prefix, listing.entries());
-      for (LiveCopy.Damaged each : reading.damaged()) {
+      RecordReplica.Reading reading = replica.read(prefix, listing.entries());
+      for (RecordReplica.Damaged each : reading.damaged()) {
         if (each.mended()) {
           log.warn("{} cannot be read and is mended from the copy", each.entry().key());
           mended.add(each.entry());
@@ -586,7 +594,7 @@
 
     @Override
     public Job.State ended(String id) {
-      return copy.end(id);
+      return replica.end(id);
     }
 
     @Override
@@ -600,7 +608,7 @@
     }
   }
 
-  private final class Adopting implements Adoption.Listener {
+  private final class Adopting implements JobReconciler.Listener {
     @Override
     public boolean isLeading() {
       return state == State.LEADING;
@@ -624,17 +632,17 @@
 
     @Override
     public Job.State ended(String id) {
-      return copy.end(id);
+      return replica.end(id);
     }
 
     @Override
     public void onRead(StoreWire.Entry entry) {
-      copy.put(entry.key(), entry.value(), entry.version(), false);
+      replica.put(entry.key(), entry.value(), entry.version(), false);
     }
 
     @Override
     public boolean mayBeLost() {
-      return host.recordsMayLack() || !copy.isComplete() || mayHaveBegunAnew();
+      return host.recordsMayLack() || !replica.isComplete() || mayHaveBegunAnew();
     }
   }
 
@@ -644,9 +652,9 @@
    * everything.
    */
   private boolean mayHaveBegunAnew() {
-    Duration report = settings.workers().report();
+    Duration report = settings.workerTimes().heartbeatInterval();
     Duration reported = report.plus(report.dividedBy(4)).plusSeconds(2);
-    return beganEmpty && time.now().isBefore(begunAt.plus(reported));
+    return beganEmpty && eventLoop.now().isBefore(begunAt.plus(reported));
   }
 
   /** Ends the hold once nothing can be anywhere that is not known. */
@@ -660,7 +668,7 @@
       scheduler.kick();
       return;
     }
-    time.after(AUDIT, this::reviewHold);
+    eventLoop.schedule(AUDIT, this::reviewHold);
   }
 
   /** Keeps what could not be read aside, and stores the record anew. */
@@ -668,7 +676,7 @@
     committer.submit(
         Mutation.of(
             Mutation.Priority.TIDY,
-            List.of(new Mutation.Write(Keys.DAMAGED + damaged.key(), damaged::value)),
+            List.of(new Mutation.Write(RecordKeys.DAMAGED + damaged.key(), damaged::value)),
             () -> {}));
     records.rewrite(damaged.key());
   }
@@ -678,21 +686,21 @@
    */
   private void audit(String after) {
     if (state == State.LEADING) {
-      committer.audit(after, last -> time.after(AUDIT, () -> audit(last)));
+      committer.audit(after, last -> eventLoop.schedule(AUDIT, () -> audit(last)));
     }
   }
 
   private void begin(List<Job> jobs, StoreClient.Listing inbox) {
     moveTo(State.LEADING);
-    beganEmpty = jobs.isEmpty() && cluster.machines().isEmpty() && copy.ends() == 0;
-    host.onBegun(copy);
-    takeover.passed(Takeovers.Phase.STORE_READ);
-    time.after(AUDIT, () -> audit(null));
+    beganEmpty = jobs.isEmpty() && cluster.machines().isEmpty() && replica.ends() == 0;
+    host.onBegun(replica);
+    takeover.passed(FailoverTimings.Phase.STORE_READ);
+    eventLoop.schedule(AUDIT, () -> audit(null));
     takeover.awaits(cluster.machines().size());
     for (Job job : jobs) {
       scheduler.add(job);
       if (job.isActive() && job.done.cardinality() == job.spec.tasks()) {
-        job.moveTo(Job.State.DONE);
+        job.transitionTo(Job.State.DONE);
         records.end(job);
       }
     }
@@ -703,7 +711,7 @@
     holding = host.incompleteFor() != null && host.incompleteFor().compareTo(MOST_HOLDING) < 0;
     if (holding) {
       log.info("nothing is started until all machines were heard: records may be missing");
-      time.after(AUDIT, this::reviewHold);
+      eventLoop.schedule(AUDIT, this::reviewHold);
     }
     log.info(
         "term {} begins with {} jobs and {} machines",
@@ -714,7 +722,7 @@
     new VersionRaiser(
             host.version(),
             host::peers,
-            time,
+            eventLoop,
             committer::submit,
             () -> state == State.LEADING,
             this::onVersion)
@@ -722,7 +730,7 @@
     onVersion();
     fleet.start();
     notes.start(() -> state == State.OVER);
-    new OldGenerations(store, time, version, this::mayAct).start();
+    new GenerationGarbageCollector(storeClient, eventLoop, version, this::mayAct).start();
     if (subscriptions.isOn() || outbox.isWanted()) {
       loader.loadBacklog(() -> state == State.LEADING, subscriptions::start);
     }
@@ -754,7 +762,7 @@
 
   /** The state of a job in memory, or null when it is not there. */
   private View viewOf(Job job) {
-    if (job.cancellationDerived || (!job.isActive() && job.endStored)) {
+    if (job.cancelledByDependency || (!job.isActive() && job.finalStateStored)) {
       return new View(toStatus(job.state()), job.done.cardinality(), 0);
     }
     int running = Scheduler.running(job);
@@ -771,13 +779,13 @@
    * state would follow from that of a job before it.
    */
   private void tell(Job job, Consumer<View> onDone) {
-    Job before = job.endingPrerequisite;
-    if (job.cancellationDerived) {
+    Job before = job.cancellingPrerequisite;
+    if (job.cancelledByDependency) {
       onDone.accept(viewOf(job));
-    } else if (job.ending && !job.endStored) {
-      job.endWaiters.add(() -> onDone.accept(viewOf(job)));
-    } else if (before != null && !before.endStored) {
-      before.endWaiters.add(() -> onDone.accept(viewOf(job)));
+    } else if (job.finalStatePending && !job.finalStateStored) {
+      job.finalStateCallbacks.add(() -> onDone.accept(viewOf(job)));
+    } else if (before != null && !before.finalStateStored) {
+      before.finalStateCallbacks.add(() -> onDone.accept(viewOf(job)));
     } else if (scheduler.dependencies().isUncertain(job)) {
       onDone.accept(View.UNKNOWN);
     } else {
@@ -791,7 +799,7 @@
   }
 
   /** Tells whether the jobs that a submission names were accepted. */
-  public void verifyPrerequisites(JobSpec spec, Consumer<Prerequisites.Known> onDone) {
+  public void verifyPrerequisites(JobSpec spec, Consumer<PrerequisiteReader.Known> onDone) {
     prerequisites.verify(spec.prerequisites(), onDone);
   }
 
@@ -808,7 +816,7 @@
       waiting.add(onDone);
       return;
     }
-    Job.State ended = copy.end(id);
+    Job.State ended = replica.end(id);
     if (ended != null) {
       // Its own record of that may be lost, or be one of many in a value of the generation before.
       onKnown.accept(new View(toStatus(ended), 0, 0));
@@ -817,7 +825,7 @@
     List<Consumer<JobWire.Status>> first = new ArrayList<>();
     first.add(onDone);
     accepting.put(id, first);
-    Job job = new Job(spec, time.timeOfDay(), Job.State.ACTIVE);
+    Job job = new Job(spec, eventLoop.wallClock(), Job.State.ACTIVE);
     records.accept(job, () -> accepted(job), () -> acceptedElsewhere(id));
   }
 
@@ -828,7 +836,7 @@
         "job {} accepted: {} x {} of {} for {}",
         id,
         job.spec.tasks(),
-        job.spec.shape(),
+        job.spec.kind(),
         job.spec.jobClass(),
         job.spec.team());
     if (cluster.jobs.containsKey(id)) {
@@ -839,7 +847,7 @@
     scheduler.add(job);
     countArrival(job);
     JobWire.Status status =
-        job.cancellationDerived ? JobWire.Status.CANCELLED : JobWire.Status.PENDING;
+        job.cancelledByDependency ? JobWire.Status.CANCELLED : JobWire.Status.PENDING;
     all.forEach(each -> each.accept(status));
   }
 
@@ -919,11 +927,11 @@
   }
 
   private void cancelKnown(Job job, Consumer<View> onDone) {
-    if (job.endStored || job.cancellationDerived) {
+    if (job.finalStateStored || job.cancelledByDependency) {
       onDone.accept(viewOf(job));
       return;
     }
-    job.endWaiters.add(() -> onDone.accept(viewOf(job)));
+    job.finalStateCallbacks.add(() -> onDone.accept(viewOf(job)));
     scheduler.cancel(job);
   }
 
@@ -932,11 +940,11 @@
    * need it, in seconds, negative when it should have; null when nothing is expected of any chain.
    */
   public Double leastChainSlackSeconds() {
-    Instant now = time.timeOfDay();
+    Instant now = eventLoop.wallClock();
     Double least = null;
     for (Job job : cluster.jobs.values()) {
-      if (job.isActive() && job.finishTimes != null) {
-        Instant start = job.finishTimes.target().minus(job.spec.estimate());
+      if (job.isActive() && job.chainDeadlines != null) {
+        Instant start = job.chainDeadlines.target().minus(job.spec.estimatedRunTime());
         double slack = Duration.between(now, start).toMillis() / 1000.0;
         least = least == null ? slack : Double.valueOf(Math.min(least, slack));
       }
@@ -946,7 +954,7 @@
 
   /** A request of a user was answered here. */
   public void answered() {
-    takeover.passed(Takeovers.Phase.FIRST_ANSWER);
+    takeover.passed(FailoverTimings.Phase.FIRST_ANSWER);
   }
 
   // ---- workers
@@ -967,7 +975,7 @@
       // The store is still being read: the lease is kept and our token learned, nothing more.
       return state == State.LOADING
               && host.mayAct()
-              && time.now().isBefore(begunAt.plus(LOADING_KEEPS))
+              && eventLoop.now().isBefore(begunAt.plus(LOADING_KEEPS))
           ? WorkerWire.reportResponse(term, new WorkerWire.Orders())
           : null;
     }
@@ -978,8 +986,8 @@
     WorkerWire.Orders orders = workers.onReport(report, relayed);
     Machine machine = cluster.machine(report.machine());
     if (orders != null) {
-      takeover.passed(Takeovers.Phase.FIRST_REPORT);
-      if (takeover.awaitsMore() && machine != null && machine.recorded) {
+      takeover.passed(FailoverTimings.Phase.FIRST_REPORT);
+      if (takeover.awaitsMore() && machine != null && machine.knownFromPlacements) {
         countHeard(machine);
       }
     }
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -1,24 +1,24 @@
 package io.pineladder.admin;
 
-import static io.pineladder.net.Answers.error;
+import static io.pineladder.net.HttpResponses.error;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.Leader;
-import io.pineladder.Node;
-import io.pineladder.delivery.Subscriptions;
+import io.pineladder.ControllerNode;
+import io.pineladder.LeaderTerm;
+import io.pineladder.delivery.SubscriptionManager;
 import io.pineladder.membership.Membership;
 import io.pineladder.model.Machine;
 import io.pineladder.model.OperatorSettings;
 import io.pineladder.model.Settings;
-import io.pineladder.net.Answers;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.recovery.Generations;
-import io.pineladder.recovery.LiveCopy;
-import io.pineladder.recovery.Takeovers;
-import io.pineladder.scheduling.Dependencies;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.net.HttpResponses;
+import io.pineladder.recovery.FailoverTimings;
+import io.pineladder.recovery.GenerationManager;
+import io.pineladder.recovery.RecordReplica;
+import io.pineladder.scheduling.JobDependencies;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.zones.Zones;
 import java.time.Duration;
@@ -36,10 +36,10 @@
 
   private static final Duration STORE_TIMEOUT = Duration.ofSeconds(3);
 
-  private final Node node;
+  private final ControllerNode node;
   private final Metrics metrics;
 
-  public AdminApi(Node node, Metrics metrics) {
+  public AdminApi(ControllerNode node, Metrics metrics) {
     this.node = node;
     this.metrics = metrics;
   }
@@ -57,17 +57,17 @@
   }
 
   private static boolean isAboutSubscriptions(String path) {
-    return path.equals(PREFIX + Subscriptions.PATH)
-        || path.startsWith(PREFIX + Subscriptions.PATH + "/")
-        || path.equals(PREFIX + Subscriptions.NETWORKS_PATH);
+    return path.equals(PREFIX + SubscriptionManager.PATH)
+        || path.startsWith(PREFIX + SubscriptionManager.PATH + "/")
+        || path.equals(PREFIX + SubscriptionManager.NETWORKS_PATH);
   }
 
-  private static HttpAnswer json(int status, ObjectNode body) {
-    return new HttpAnswer(status, Json.bytes(body));
+  private static HttpResponse json(int status, ObjectNode body) {
+    return new HttpResponse(status, Json.bytes(body));
   }
 
   /** What any node can answer itself. */
-  public void handle(String method, String path, Consumer<HttpAnswer> answer) {
+  public void handle(String method, String path, Consumer<HttpResponse> answer) {
     boolean known =
         switch (path) {
           case PREFIX + "status",
@@ -89,7 +89,7 @@
       answer.accept(
           snapshot == null
               ? error(503, "this node has not read all records yet")
-              : new HttpAnswer(200, snapshot));
+              : new HttpResponse(200, snapshot));
     } else {
       answer.accept(
           json(
@@ -105,9 +105,9 @@
 
   private ObjectNode status() {
     var known = node.election().known();
-    Leader leader = node.termHolder();
+    LeaderTerm leader = node.termHolder();
     ObjectNode out = Json.object();
-    out.put("member", node.settings().member())
+    out.put("member", node.settings().controllerName())
         .put("zone", node.settings().zone())
         .put("leadership", node.election().state().name().toLowerCase(Locale.ROOT))
         .put("leader", known == null ? null : known.member())
@@ -147,7 +147,7 @@
    */
   private ObjectNode storeLimits() {
     Settings.StoreLimits kept = node.store().limits();
-    Settings.StoreLimits inForce = node.settings().storeInForce();
+    Settings.StoreLimits inForce = node.settings().currentStoreLimits();
     return Json.object()
         .put("requests_per_second", kept.requestsPerSecond())
         .put("changes_per_second", kept.writesPerSecond())
@@ -161,7 +161,7 @@
 
   private ObjectNode metrics() {
     ObjectNode out = metrics.read();
-    Leader leader = node.actingLeader();
+    LeaderTerm leader = node.actingLeader();
     if (leader != null) {
       out.set("notices", leader.subscriptions().figures());
     }
@@ -172,14 +172,14 @@
   private ObjectNode takeovers() {
     ObjectNode out = Json.object();
     ObjectNode phases = out.putObject("phases_s");
-    for (Takeovers.Phase phase : Takeovers.Phase.values()) {
+    for (FailoverTimings.Phase phase : FailoverTimings.Phase.values()) {
       Histogram histogram = node.takeovers().histogram(phase);
       if (histogram != null) {
         Metrics.percentiles(phases.putObject(phase.word()), histogram, 1e3);
       }
     }
     ArrayNode latest = out.putArray("latest");
-    for (Takeovers.Taken taken : node.takeovers().latest()) {
+    for (FailoverTimings.CompletedFailover taken : node.takeovers().latest()) {
       ObjectNode one = latest.addObject().put("term", taken.term());
       taken.phases().forEach((phase, took) -> one.put(phase.word(), took.toMillis() / 1e3));
     }
@@ -188,7 +188,7 @@
 
   /** What only the leader can answer. */
   public void lead(
-      Leader leader, String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+      LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (isAboutSubscriptions(path)) {
       leader.subscriptions().handle(method, path.substring(PREFIX.length()), body, answer);
       return;
@@ -202,7 +202,7 @@
     }
   }
 
-  private static ObjectNode queue(Leader leader) {
+  private static ObjectNode queue(LeaderTerm leader) {
     ObjectNode out =
         Json.object()
             .put("term", leader.term())
@@ -217,7 +217,7 @@
         .sizes()
         .forEach((place, size) -> places.put(place.name().toLowerCase(Locale.ROOT), size));
     ObjectNode parked = out.putObject("parked");
-    Dependencies dependencies = leader.scheduler().dependencies();
+    JobDependencies dependencies = leader.scheduler().dependencies();
     out.putObject("chains")
         .put("waiting", dependencies.waiting())
         .put("longest", dependencies.longestChain())
@@ -230,7 +230,7 @@
     return out;
   }
 
-  private ObjectNode machines(Leader leader) {
+  private ObjectNode machines(LeaderTerm leader) {
     ObjectNode out = Json.object();
     ArrayNode zones = out.putArray("zones");
     for (Zones.View zone : leader.fleet().zones().view(node.time().now())) {
@@ -252,26 +252,26 @@
           .put("used_cpus", machine.used.cpus())
           .put("used_gpus", machine.used.gpus())
           .put("attempts", machine.attempts.size())
-          .put("suspect", machine.suspect)
+          .put("suspect", machine.quarantined)
           .put("draining", machine.draining)
           .put("images", machine.images.size());
     }
     return out;
   }
 
-  private void handIn(byte[] body, Consumer<HttpAnswer> answer) {
+  private void handIn(byte[] body, Consumer<HttpResponse> answer) {
     try {
       answer.accept(json(200, Json.object().put("jobs", node.records().handIn(body))));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
     }
   }
 
   /** Where the records stand, as this node knows it. */
   private ObjectNode records() {
-    Generations generations = node.records().generations();
-    LiveCopy copy = node.records().copy();
-    Generations.Evidence evidence = generations.evidence();
+    GenerationManager generations = node.records().generations();
+    RecordReplica replica = node.records().copy();
+    GenerationManager.Evidence evidence = generations.evidence();
     ObjectNode out =
         Json.object()
             .put("state", generations.state().name().toLowerCase(Locale.ROOT))
@@ -282,11 +282,11 @@
             .put("rebuilt", generations.progress());
     out.putObject("copy")
         .put("state", node.records().follower().state().name().toLowerCase(Locale.ROOT))
-        .put("generation", copy.base())
-        .put("revision", copy.revision())
-        .put("whole", copy.isComplete())
-        .put("records", copy.size())
-        .put("final_states", copy.ends());
+        .put("generation", replica.base())
+        .put("revision", replica.revision())
+        .put("whole", replica.isComplete())
+        .put("records", replica.size())
+        .put("final_states", replica.ends());
     if (node.records().snapshots() != null) {
       out.putObject("snapshots")
           .put("kept", node.records().snapshots().kept())
@@ -296,16 +296,16 @@
   }
 
   /** Checks new settings, stores them, and answers when they are stored. */
-  private void change(Leader leader, byte[] body, Consumer<HttpAnswer> answer) {
+  private void change(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
     OperatorSettings wanted;
     try {
       wanted = RecordWire.parseOperator(Json.parseObject(body), node.operator());
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    Consumer<HttpAnswer> first =
-        Answers.once(node.time(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
+    Consumer<HttpResponse> first =
+        HttpResponses.once(node.time(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
     leader.storeOperator(wanted, () -> first.accept(json(200, RecordWire.operator(wanted))));
   }
 }
--- a/src/main/java/io/pineladder/admin/Metrics.java
+++ b/src/main/java/io/pineladder/admin/Metrics.java
@@ -6,7 +6,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.Tag;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
-import io.pineladder.net.Sockets;
+import io.pineladder.net.ConnectionLimiter;
 import io.pineladder.wire.Json;
 import java.time.Duration;
 import java.util.EnumMap;
@@ -48,7 +48,7 @@
   private MeterRegistry registry;
 
   /** The process's sockets; null where it has no network of its own. */
-  private Sockets sockets;
+  private ConnectionLimiter sockets;
 
   private final Map<Operation, Map<Integer, Counter>> counters = new EnumMap<>(Operation.class);
   private final Map<Operation, Histogram> latencies = new EnumMap<>(Operation.class);
@@ -62,7 +62,7 @@
   }
 
   /** Has the sockets shown with the other figures. */
-  public void watch(Sockets of) {
+  public void watch(ConnectionLimiter of) {
     sockets = of;
   }
 
--- a/src/main/java/io/pineladder/front/ChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -1,12 +1,12 @@
-package io.pineladder.front;
+package io.pineladder.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.Leader;
-import io.pineladder.Node;
+import io.pineladder.ControllerNode;
+import io.pineladder.LeaderTerm;
 import io.pineladder.model.Job;
-import io.pineladder.store.JobIndex;
-import io.pineladder.store.Keys;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.store.AcceptedJobIndex;
+import io.pineladder.store.RecordKeys;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -21,7 +21,7 @@
  * question: the index of accepted jobs is made fresh first, and what it does not hold is read by
  * itself.
  */
-final class ChainReader {
+final class DependencyChainReader {
   /** Reads for one question at the most; what needs more is asked again, or of a leader. */
   private static final int MOST_READS = 8;
 
@@ -37,9 +37,9 @@
     UNCERTAIN
   }
 
-  private final Node node;
+  private final ControllerNode node;
 
-  ChainReader(Node node) {
+  DependencyChainReader(ControllerNode node) {
     this.node = node;
   }
 
@@ -79,7 +79,7 @@
           continue;
         }
         Job.State ended = knownEnd(id);
-        JobIndex.Found found = node.accepted().find(id);
+        AcceptedJobIndex.Found found = node.accepted().find(id);
         if (ended == Job.State.CANCELLED) {
           onDone.accept(Outcome.CANCELLED);
           return;
@@ -108,7 +108,7 @@
     }
 
     private Job.State knownEnd(String id) {
-      Job.State known = Leader.toState(node.finalState(id));
+      Job.State known = LeaderTerm.toState(node.finalState(id));
       return known != null ? known : node.records().copy().end(id);
     }
 
@@ -123,7 +123,7 @@
       }
       node.store()
           .readForUser(
-              Keys.JOB + id,
+              RecordKeys.JOB + id,
               read -> {
                 if (!read.certain()) {
                   onDone.accept(Outcome.UNCERTAIN);
@@ -136,7 +136,7 @@
                     if (job.state() != Job.State.CANCELLED) {
                       next();
                     }
-                  } catch (MalformedException e) {
+                  } catch (MalformedMessageException e) {
                     onDone.accept(Outcome.UNCERTAIN);
                   }
                 }
@@ -146,7 +146,7 @@
     private void readEnd(String id) {
       node.store()
           .readForUser(
-              Keys.END + id,
+              RecordKeys.END + id,
               read -> {
                 if (!read.certain() || !read.found() && node.records().mayBeLost(id)) {
                   onDone.accept(Outcome.UNCERTAIN);
@@ -161,12 +161,12 @@
     private void takeEnd(String id, JsonNode record) {
       try {
         Job.State ended = RecordWire.parseEnd(record);
-        node.learnFinal(id, Leader.toStatus(ended));
+        node.learnFinal(id, LeaderTerm.toStatus(ended));
         take(ended, List.of());
         if (ended != Job.State.CANCELLED) {
           next();
         }
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         onDone.accept(Outcome.UNCERTAIN);
       }
     }
--- a/src/main/java/io/pineladder/front/Reports.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -1,14 +1,14 @@
-package io.pineladder.front;
+package io.pineladder.api;
 
-import static io.pineladder.net.Answers.error;
-import static io.pineladder.net.Answers.ok;
+import static io.pineladder.net.HttpResponses.error;
+import static io.pineladder.net.HttpResponses.ok;
 
-import io.pineladder.Leader;
-import io.pineladder.Node;
+import io.pineladder.ControllerNode;
+import io.pineladder.LeaderTerm;
 import io.pineladder.leadership.Election;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.PeerWire;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.WorkerWire;
@@ -23,7 +23,7 @@
  * Workers' reports on any node: answered by the leader, sent there, handed on for those that do not
  * reach it, or answered in its place to keep a lease.
  */
-final class Reports {
+final class HeartbeatHandler {
   /** A worker back so soon after it was sent to the leader has not reached it. */
   private static final Duration BOUNCE = Duration.ofSeconds(12);
 
@@ -43,7 +43,7 @@
   /** What a node that does not answer costs a worker. */
   private static final Duration ELSEWHERE = Duration.ofSeconds(5);
 
-  private final Node node;
+  private final ControllerNode node;
   private final Forwarding forwarding;
   private final Instant startedAt;
 
@@ -60,10 +60,10 @@
   interface Forwarding {
     /** Tries the addresses in turn; {@code alone} when none has decided. */
     void forward(
-        List<String> ways, PeerWire.Forward request, Consumer<HttpAnswer> answer, Runnable alone);
+        List<String> ways, PeerWire.Forward request, Consumer<HttpResponse> answer, Runnable alone);
   }
 
-  Reports(Node node, Forwarding forwarding) {
+  HeartbeatHandler(ControllerNode node, Forwarding forwarding) {
     this.node = node;
     this.forwarding = forwarding;
     this.startedAt = node.time().now();
@@ -74,11 +74,11 @@
    *
    * @param relayed whether a peer handed it on
    */
-  void answer(byte[] body, boolean relayed, Consumer<HttpAnswer> answer) {
+  void answer(byte[] body, boolean relayed, Consumer<HttpResponse> answer) {
     WorkerWire.Report report;
     try {
       report = WorkerWire.parseReport(body);
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
@@ -86,13 +86,13 @@
     long keeping =
         node.records()
             .generations()
-            .keepingToken(report.token(), Election.longestKeepAlive(node.settings().workers()));
+            .keepingToken(report.token(), Election.longestKeepAlive(node.settings().workerTimes()));
     if (keeping >= report.token() && keeping > 0) {
       // Nobody leads while the records are rebuilt; what runs must live through it.
       answer.accept(ok(WorkerWire.reportResponse(keeping, new WorkerWire.Orders())));
       return;
     }
-    Leader holder = node.termHolder();
+    LeaderTerm holder = node.termHolder();
     if (holder != null && report.token() <= holder.term()) {
       byte[] response = holder.onReport(report, relayed);
       if (response != null) {
@@ -103,7 +103,7 @@
       holder.onReport(report, relayed);
     }
     RecordWire.LeaderRecord known = node.election().known();
-    boolean other = known != null && !known.member().equals(node.settings().member());
+    boolean other = known != null && !known.member().equals(node.settings().controllerName());
     long token = keptWith(report, known, other);
     if (token > 0) {
       // At once: in a cut the way round the other nodes takes most of a lease.
@@ -132,7 +132,7 @@
         redirects.remove(redirects.keySet().iterator().next());
       }
     }
-    answer.accept(new HttpAnswer(421, WorkerWire.redirect(other ? known.member() : null)));
+    answer.accept(new HttpResponse(421, WorkerWire.redirect(other ? known.member() : null)));
   }
 
   /**
@@ -143,7 +143,7 @@
       RecordWire.LeaderRecord leader,
       WorkerWire.Report report,
       byte[] body,
-      Consumer<HttpAnswer> answer) {
+      Consumer<HttpResponse> answer) {
     forwarding.forward(
         List.of(leader.address()),
         new PeerWire.Forward("POST", "/v1/report", body, 0),
@@ -151,7 +151,7 @@
           redirects.put(report.machine(), node.time().now());
           answer.accept(http);
         },
-        () -> answer.accept(new HttpAnswer(421, WorkerWire.redirect(null))));
+        () -> answer.accept(new HttpResponse(421, WorkerWire.redirect(null))));
   }
 
   /**
@@ -209,7 +209,7 @@
    * laval-fleet, where it was luck whether the leader was in the zone that was cut off.
    */
   private boolean keepsAlive(RecordWire.LeaderRecord known, WorkerWire.Report report) {
-    Duration longest = Election.longestKeepAlive(node.settings().workers());
+    Duration longest = Election.longestKeepAlive(node.settings().workerTimes());
     Instant leaderAt = node.membership().answeredAt(known.member());
     if (node.store().isHealthy()) {
       return report.token() <= node.election().knownTerm()
@@ -245,16 +245,16 @@
     if (!report.zone().equals(node.settings().zone())) {
       return false;
     }
-    Settings.WorkerTimes workers = node.settings().workers();
+    Settings.WorkerTimes workers = node.settings().workerTimes();
     if (now.isBefore(since.plus(Election.longestKeepAlive(workers)))) {
       return true;
     }
     Duration round =
         ELSEWHERE
             .multipliedBy(node.settings().peers().size())
-            .plus(workers.report().multipliedBy(5).dividedBy(4))
+            .plus(workers.heartbeatInterval().multipliedBy(5).dividedBy(4))
             .plusSeconds(3);
-    if (round.compareTo(workers.lease()) > 0) {
+    if (round.compareTo(workers.leaseDuration()) > 0) {
       return false;
     }
     Instant sent = rounds.get(report.machine());
--- a/src/main/java/io/pineladder/front/Leaderless.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -1,24 +1,24 @@
-package io.pineladder.front;
+package io.pineladder.api;
 
-import static io.pineladder.net.Answers.error;
-import static io.pineladder.net.Answers.later;
-import static io.pineladder.net.Answers.ok;
+import static io.pineladder.net.HttpResponses.error;
+import static io.pineladder.net.HttpResponses.later;
+import static io.pineladder.net.HttpResponses.ok;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.Leader;
-import io.pineladder.Node;
+import io.pineladder.ControllerNode;
+import io.pineladder.LeaderTerm;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.MachineType;
 import io.pineladder.model.Team;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.recovery.LiveCopy;
-import io.pineladder.store.JobIndex;
-import io.pineladder.store.Keys;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.recovery.RecordReplica;
+import io.pineladder.store.AcceptedJobIndex;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.Records;
 import io.pineladder.wire.JobWire;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 import java.util.HashSet;
@@ -28,26 +28,26 @@
 import org.slf4j.LoggerFactory;
 
 /** What a node that reaches no leader can do for users: store submissions, and read. */
-final class Leaderless {
+final class LeaderlessApi {
   /** Why a job that names others is not accepted before all controllers can deal with it. */
   static final String NOT_UPGRADED = "not all controllers are upgraded";
 
   static final String UNKNOWN_PREREQUISITE = "it waits for a job that was never accepted";
 
-  private static final Logger log = LoggerFactory.getLogger(Leaderless.class);
+  private static final Logger log = LoggerFactory.getLogger(LeaderlessApi.class);
 
-  private final Node node;
-  private final ChainReader chains;
+  private final ControllerNode node;
+  private final DependencyChainReader chains;
 
-  Leaderless(Node node) {
+  LeaderlessApi(ControllerNode node) {
     this.node = node;
-    this.chains = new ChainReader(node);
+    this.chains = new DependencyChainReader(node);
   }
 
   /** Why a job can never run, or null. */
   String neverRuns(JobSpec spec) {
     // Sent to the store it would be refused as malformed, and the leader with it.
-    if (!Records.fits(spec, node.settings().store().valueBytes())) {
+    if (!Records.fits(spec, node.settings().storeLimits().valueBytes())) {
       return "the description is too long to be stored";
     }
     Team team = null;
@@ -61,26 +61,28 @@
     }
     Set<String> zones = new HashSet<>();
     for (MachineType type : node.types()) {
-      if (spec.allowsType(type.name()) && spec.each().fitsIn(type.size())) {
+      if (spec.allowsType(type.name()) && spec.resourcesPerTask().fitsIn(type.capacity())) {
         type.zones().stream().filter(spec::allowsZone).forEach(zones::add);
       }
     }
     if (zones.isEmpty()) {
       return "a task fits no allowed machine type";
     }
-    if (spec.isGangOfSeveral() && spec.spread() && (spec.together() || zones.size() == 1)) {
+    if (spec.isMultiTaskGang()
+        && spec.spreadAcrossZones()
+        && (spec.sameZone() || zones.size() == 1)) {
       // Accepted it would wait for ever: all of it runs at once, and no more than half may in one
       // zone.
       return "all of its tasks can't be in one zone and spread over several";
     }
-    return team.allows(spec.least()) ? null : "beyond the team's limit";
+    return team.allows(spec.minimumResources()) ? null : "beyond the team's limit";
   }
 
   /**
    * Accepts a job without a leader: the record is the same that a leader would write, on the same
    * conditions, and an entry in the inbox tells the next leader.
    */
-  void submit(JobSpec spec, Consumer<HttpAnswer> answer) {
+  void submit(JobSpec spec, Consumer<HttpResponse> answer) {
     if (node.types().isEmpty() || !node.store().isHealthy()) {
       answer.accept(later("no leader"));
       return;
@@ -124,7 +126,7 @@
   }
 
   /** Refuses a job, unless it was accepted once: then it stays so, whatever is judged now. */
-  private void refuse(String id, String reason, Consumer<HttpAnswer> answer) {
+  private void refuse(String id, String reason, Consumer<HttpResponse> answer) {
     read(id, false, found -> answer.accept(found.status() == 404 ? error(422, reason) : found));
   }
 
@@ -134,19 +136,19 @@
    * @param status what its user is told of it: one that names a cancelled job is accepted and
    *     cancelled
    */
-  private void store(JobSpec spec, JobWire.Status status, Consumer<HttpAnswer> answer) {
+  private void store(JobSpec spec, JobWire.Status status, Consumer<HttpResponse> answer) {
     String id = spec.id();
-    JsonNode record = RecordWire.job(spec, node.time().timeOfDay(), Job.State.ACTIVE);
-    JsonNode note = Json.object().put("by", node.settings().member());
+    JsonNode record = RecordWire.job(spec, node.time().wallClock(), Job.State.ACTIVE);
+    JsonNode note = Json.object().put("by", node.settings().controllerName());
     byte[] body =
         node.store()
             .transaction()
-            .require(Keys.JOB + id, 0)
-            .require(Keys.END + id, 0)
-            .put(Keys.JOB + id, record)
-            .put(Keys.INBOX + id, note)
+            .require(RecordKeys.JOB + id, 0)
+            .require(RecordKeys.END + id, 0)
+            .put(RecordKeys.JOB + id, record)
+            .put(RecordKeys.INBOX + id, note)
             .bytes();
-    LiveCopy copy = node.records().copy();
+    RecordReplica replica = node.records().copy();
     node.store()
         .changeForUser(
             node.store().post("/multi", body),
@@ -154,10 +156,10 @@
             reply -> {
               if (reply.is(200)) {
                 log.debug("job {} accepted without a leader", id);
-                copy.put(Keys.JOB + id, record, 0, true);
-                copy.put(Keys.INBOX + id, note, 0, true);
+                replica.put(RecordKeys.JOB + id, record, 0, true);
+                replica.put(RecordKeys.INBOX + id, note, 0, true);
                 node.records().acceptedHere(() -> submit(spec, again -> {}));
-                answer.accept(new HttpAnswer(201, JobWire.view(id, status)));
+                answer.accept(new HttpResponse(201, JobWire.view(id, status)));
               } else if (reply.is(409)) {
                 read(id, false, answer);
               } else {
@@ -167,7 +169,7 @@
   }
 
   /** Answers from a fresh read of the store; a cancel gets an answer only when the job is over. */
-  void read(String id, boolean cancel, Consumer<HttpAnswer> answer) {
+  void read(String id, boolean cancel, Consumer<HttpResponse> answer) {
     if (!node.records().generations().isTrusted()) {
       answer.accept(later("the records are rebuilt"));
       return;
@@ -181,7 +183,7 @@
     // misses none.
     node.store()
         .readForUser(
-            Keys.JOB + id,
+            RecordKeys.JOB + id,
             read -> {
               if (!read.certain()) {
                 answer.accept(later("no leader"));
@@ -193,7 +195,7 @@
             });
   }
 
-  private void readAccepted(String id, boolean cancel, Consumer<HttpAnswer> answer) {
+  private void readAccepted(String id, boolean cancel, Consumer<HttpResponse> answer) {
     node.accepted()
         .refresh(
             fresh -> {
@@ -201,7 +203,7 @@
                 answer.accept(later("no leader"));
                 return;
               }
-              JobIndex.Found found = node.accepted().find(id);
+              AcceptedJobIndex.Found found = node.accepted().find(id);
               if (found != null) {
                 tellAccepted(id, cancel, found, answer);
               } else {
@@ -210,10 +212,10 @@
             });
   }
 
-  private void readEnd(String id, Consumer<HttpAnswer> answer) {
+  private void readEnd(String id, Consumer<HttpResponse> answer) {
     node.store()
         .readForUser(
-            Keys.END + id,
+            RecordKeys.END + id,
             end -> {
               if (!end.certain()) {
                 answer.accept(later("no leader"));
@@ -228,18 +230,19 @@
   }
 
   private void tellStored(
-      String id, boolean cancel, StoreWire.Entry entry, Consumer<HttpAnswer> answer) {
+      String id, boolean cancel, StoreWire.Entry entry, Consumer<HttpResponse> answer) {
     try {
       RecordWire.StoredJob job = RecordWire.parseJob(entry.value());
-      tellAccepted(id, cancel, new JobIndex.Found(job.state(), job.spec().prerequisites()), answer);
-    } catch (MalformedException e) {
+      tellAccepted(
+          id, cancel, new AcceptedJobIndex.Found(job.state(), job.spec().prerequisites()), answer);
+    } catch (MalformedMessageException e) {
       answer.accept(later("the stored job cannot be read"));
     }
   }
 
   /** A job whose record names no final state may be cancelled with one before it. */
   private void tellAccepted(
-      String id, boolean cancel, JobIndex.Found job, Consumer<HttpAnswer> answer) {
+      String id, boolean cancel, AcceptedJobIndex.Found job, Consumer<HttpResponse> answer) {
     if (job.state() != Job.State.ACTIVE || job.prerequisites().isEmpty()) {
       tellState(id, cancel, job.state(), answer);
       return;
@@ -255,8 +258,9 @@
         });
   }
 
-  private void tellState(String id, boolean cancel, Job.State state, Consumer<HttpAnswer> answer) {
-    JobWire.Status status = Leader.toStatus(state);
+  private void tellState(
+      String id, boolean cancel, Job.State state, Consumer<HttpResponse> answer) {
+    JobWire.Status status = LeaderTerm.toStatus(state);
     if (status.isFinal()) {
       node.learnFinal(id, status);
       answer.accept(ok(JobWire.view(id, status)));
@@ -267,12 +271,12 @@
     }
   }
 
-  private void tellEnd(String id, StoreWire.Entry entry, Consumer<HttpAnswer> answer) {
+  private void tellEnd(String id, StoreWire.Entry entry, Consumer<HttpResponse> answer) {
     try {
-      JobWire.Status status = Leader.toStatus(RecordWire.parseEnd(entry.value()));
+      JobWire.Status status = LeaderTerm.toStatus(RecordWire.parseEnd(entry.value()));
       node.learnFinal(id, status);
       answer.accept(ok(JobWire.view(id, status)));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(later("the stored job cannot be read"));
     }
   }
--- a/src/main/java/io/pineladder/front/Front.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -1,20 +1,20 @@
-package io.pineladder.front;
+package io.pineladder.api;
 
-import static io.pineladder.net.Answers.error;
-import static io.pineladder.net.Answers.later;
-import static io.pineladder.net.Answers.ok;
-import static io.pineladder.net.Answers.once;
+import static io.pineladder.net.HttpResponses.error;
+import static io.pineladder.net.HttpResponses.later;
+import static io.pineladder.net.HttpResponses.ok;
+import static io.pineladder.net.HttpResponses.once;
 
-import io.pineladder.Leader;
-import io.pineladder.Node;
+import io.pineladder.ControllerNode;
+import io.pineladder.LeaderTerm;
 import io.pineladder.admin.AdminApi;
 import io.pineladder.admin.Metrics;
 import io.pineladder.model.JobSpec;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.wire.BeatWire;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.wire.GossipWire;
 import io.pineladder.wire.JobWire;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.PeerWire;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
@@ -26,8 +26,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Answers users, workers and peers on one node. */
-public final class Front {
-  private static final Logger log = LoggerFactory.getLogger(Front.class);
+public final class RequestRouter {
+  private static final Logger log = LoggerFactory.getLogger(RequestRouter.class);
   private static final Duration FORWARD_TIMEOUT = Duration.ofMillis(1300);
 
   /** A submission can be stored by this node itself, so it waits less for the leader. */
@@ -37,35 +37,35 @@
   private static final Duration CONTACT = Duration.ofSeconds(6);
   private static final byte[] EMPTY = new byte[0];
 
-  private final Node node;
+  private final ControllerNode node;
 
-  private final Leaderless leaderless;
-  private final Reports reports;
+  private final LeaderlessApi leaderless;
+  private final HeartbeatHandler reports;
   private final Metrics metrics;
   private final AdminApi admin;
   private Instant leaderFailedAt;
   private boolean ready;
 
-  public Front(Node node, Metrics metrics) {
+  public RequestRouter(ControllerNode node, Metrics metrics) {
     this.node = node;
     this.metrics = metrics;
     this.admin = new AdminApi(node, metrics);
-    this.leaderless = new Leaderless(node);
+    this.leaderless = new LeaderlessApi(node);
     this.reports =
-        new Reports(
+        new HeartbeatHandler(
             node, (ways, request, answer, alone) -> forwardTo(ways, 0, request, answer, alone));
   }
 
   // ---- paths
 
   /** What users, workers and the load balancer ask. */
-  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> onAnswer) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpResponse> onAnswer) {
     if (node.version().isUnsupported()) {
       onAnswer.accept(later("the records have a version that this controller does not support"));
       return;
     }
     Instant begun = node.time().now();
-    Consumer<HttpAnswer> answer =
+    Consumer<HttpResponse> answer =
         http -> {
           metrics.answered(
               Metrics.Operation.of(method, path),
@@ -77,7 +77,7 @@
     switch (plain) {
       case "/ready" -> {
         if (allow("GET", method, answer)) {
-          answer.accept(new HttpAnswer(isReady() ? 200 : 503, EMPTY));
+          answer.accept(new HttpResponse(isReady() ? 200 : 503, EMPTY));
         }
         return;
       }
@@ -117,13 +117,13 @@
     }
     JobWire.Status known = node.finalState(id);
     if (known != null) {
-      answer.accept(new HttpAnswer(200, JobWire.view(id, known)));
+      answer.accept(new HttpResponse(200, JobWire.view(id, known)));
       return;
     }
     serve(method, plain, EMPTY, answer, () -> alone(id, cancel, answer));
   }
 
-  private static boolean allow(String wanted, String method, Consumer<HttpAnswer> answer) {
+  private static boolean allow(String wanted, String method, Consumer<HttpResponse> answer) {
     if (wanted.equals(method)) {
       return true;
     }
@@ -135,8 +135,8 @@
 
   /** Serves a user's request here if this node leads, else by the leader, else as it can. */
   private void serve(
-      String method, String path, byte[] body, Consumer<HttpAnswer> answer, Runnable alone) {
-    Leader leader = node.actingLeader();
+      String method, String path, byte[] body, Consumer<HttpResponse> answer, Runnable alone) {
+    LeaderTerm leader = node.actingLeader();
     if (leader != null && (!isSubmission(path) || node.store().isHealthy())) {
       lead(leader, method, path, body, answer);
       return;
@@ -150,7 +150,7 @@
   }
 
   private void forward(
-      String method, String path, byte[] body, Consumer<HttpAnswer> answer, Runnable alone) {
+      String method, String path, byte[] body, Consumer<HttpResponse> answer, Runnable alone) {
     List<String> ways = new ArrayList<>();
     RecordWire.LeaderRecord known = node.election().known();
     if (reachesLeader(known)) {
@@ -169,7 +169,7 @@
 
   /** Whether there is a leader other than this node that has not failed to answer just now. */
   private boolean reachesLeader(RecordWire.LeaderRecord known) {
-    boolean other = known != null && !known.member().equals(node.settings().member());
+    boolean other = known != null && !known.member().equals(node.settings().controllerName());
     boolean failed =
         leaderFailedAt != null && leaderFailedAt.plusMillis(1000).isAfter(node.time().now());
     return other && !failed && !node.membership().isUnreachable(known.member());
@@ -179,7 +179,7 @@
       List<String> ways,
       int from,
       PeerWire.Forward forward,
-      Consumer<HttpAnswer> answer,
+      Consumer<HttpResponse> answer,
       Runnable alone) {
     if (from >= ways.size()) {
       alone.run();
@@ -202,7 +202,7 @@
                     return;
                   }
                 }
-              } catch (MalformedException e) {
+              } catch (MalformedMessageException e) {
                 log.warn("a peer's answer is malformed");
               }
               RecordWire.LeaderRecord known = node.election().known();
@@ -214,23 +214,23 @@
   }
 
   /** A request that a peer hands on. */
-  public void handlePeer(byte[] body, Consumer<HttpAnswer> answer) {
+  public void handlePeer(byte[] body, Consumer<HttpResponse> answer) {
     PeerWire.Forward forward;
     try {
       forward = PeerWire.parseForward(body);
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
     RecordWire.LeaderRecord known = node.election().known();
     String name = known == null ? null : known.member();
-    Consumer<HttpAnswer> decided =
+    Consumer<HttpResponse> decided =
         http -> answer.accept(ok(PeerWire.write(new PeerWire.Answer(true, http, name))));
     Runnable undecided =
         () ->
             answer.accept(ok(PeerWire.write(new PeerWire.Answer(false, later("no leader"), name))));
     // A submission that this node cannot take is better tried by the next one than given up.
-    Consumer<HttpAnswer> taken =
+    Consumer<HttpResponse> taken =
         isSubmission(forward.path())
             ? http -> {
               if (http.status() == 503) {
@@ -240,7 +240,7 @@
               }
             }
             : decided;
-    Leader leader = node.actingLeader();
+    LeaderTerm leader = node.actingLeader();
     if (leader != null) {
       lead(leader, forward.method(), forward.path(), forward.body(), taken);
       return;
@@ -262,17 +262,17 @@
   }
 
   /** Stores a submission on behalf of a peer that reaches neither a leader nor the store. */
-  private void storeFor(byte[] body, Consumer<HttpAnswer> answer) {
+  private void storeFor(byte[] body, Consumer<HttpResponse> answer) {
     try {
       leaderless.submit(JobWire.parse(body), once(node.time(), answer, COMMIT_TIMEOUT));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
     }
   }
 
   /** Serves a user's request as the leader. */
   private void lead(
-      Leader leader, String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+      LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (path.startsWith(AdminApi.PREFIX)) {
       admin.lead(leader, method, path, body, answer);
       return;
@@ -281,7 +281,7 @@
       reports.answer(body, true, answer);
       return;
     }
-    Consumer<HttpAnswer> counted =
+    Consumer<HttpResponse> counted =
         http -> {
           if (http.status() < 500) {
             leader.answered();
@@ -291,7 +291,7 @@
     if (path.equals("/v1/jobs")) {
       try {
         submitTo(leader, JobWire.parse(body), once(node.time(), counted, COMMIT_TIMEOUT));
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         answer.accept(error(400, e.getMessage()));
       }
       return;
@@ -303,15 +303,15 @@
         answer.accept(later("the state service is not available"));
         return;
       }
-      Consumer<HttpAnswer> bounded = once(node.time(), counted, COMMIT_TIMEOUT);
+      Consumer<HttpResponse> bounded = once(node.time(), counted, COMMIT_TIMEOUT);
       leader.cancel(id, view -> bounded.accept(toAnswer(id, view)));
     } else {
-      Consumer<HttpAnswer> bounded = once(node.time(), counted, FORWARD_TIMEOUT);
+      Consumer<HttpResponse> bounded = once(node.time(), counted, FORWARD_TIMEOUT);
       leader.view(rest, view -> bounded.accept(toAnswer(rest, view)));
     }
   }
 
-  private static HttpAnswer toAnswer(String id, Leader.View view) {
+  private static HttpResponse toAnswer(String id, LeaderTerm.View view) {
     if (view == null) {
       return error(404, "no such job");
     }
@@ -326,11 +326,11 @@
 
   // ---- submissions
 
-  private void submit(byte[] body, Consumer<HttpAnswer> answer) {
+  private void submit(byte[] body, Consumer<HttpResponse> answer) {
     JobSpec spec;
     try {
       spec = JobWire.parse(body);
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
@@ -342,11 +342,11 @@
     if (!spec.prerequisites().isEmpty() && !node.version().allowsChainedJobs()) {
       // Handed on to a leader of the version before, it would be accepted without its
       // prerequisites.
-      answer.accept(later(Leaderless.NOT_UPGRADED));
+      answer.accept(later(LeaderlessApi.NOT_UPGRADED));
       return;
     }
     Instant begun = node.time().now();
-    Consumer<HttpAnswer> logged =
+    Consumer<HttpResponse> logged =
         http -> {
           Duration took = Duration.between(begun, node.time().now());
           log.debug("submission of {}: {} after {}", spec.id(), http.status(), took);
@@ -360,7 +360,7 @@
         () -> leaderless.submit(spec, once(node.time(), logged, COMMIT_TIMEOUT)));
   }
 
-  private void submitTo(Leader leader, JobSpec spec, Consumer<HttpAnswer> answer) {
+  private void submitTo(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
     if (!leader.knows(spec.id())) {
       if (node.types().isEmpty()) {
         answer.accept(later("the machine types are not known yet"));
@@ -381,7 +381,7 @@
       return;
     }
     if (!node.version().allowsChainedJobs()) {
-      answer.accept(later(Leaderless.NOT_UPGRADED));
+      answer.accept(later(LeaderlessApi.NOT_UPGRADED));
       return;
     }
     leader.verifyPrerequisites(
@@ -390,33 +390,33 @@
           switch (known) {
             case ALL -> store(leader, spec, answer);
             case UNCERTAIN -> answer.accept(later("not certain yet"));
-            case NOT_ALL -> refuse(leader, spec, Leaderless.UNKNOWN_PREREQUISITE, answer);
+            case NOT_ALL -> refuse(leader, spec, LeaderlessApi.UNKNOWN_PREREQUISITE, answer);
           }
         });
   }
 
   /** Refuses a job, unless it was accepted once: then it stays so, whatever is judged now. */
   private static void refuse(
-      Leader leader, JobSpec spec, String reason, Consumer<HttpAnswer> answer) {
+      LeaderTerm leader, JobSpec spec, String reason, Consumer<HttpResponse> answer) {
     leader.view(
         spec.id(),
         view -> answer.accept(view == null ? error(422, reason) : toAnswer(spec.id(), view)));
   }
 
-  private void store(Leader leader, JobSpec spec, Consumer<HttpAnswer> answer) {
+  private void store(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
     leader.submit(
         spec,
         status ->
             answer.accept(
                 status == null
                     ? later("not certain yet")
-                    : new HttpAnswer(
+                    : new HttpResponse(
                         status == JobWire.Status.PENDING ? 201 : 200,
                         JobWire.view(spec.id(), status))),
         view -> answer.accept(toAnswer(spec.id(), view)));
   }
 
-  private void alone(String id, boolean cancel, Consumer<HttpAnswer> answer) {
+  private void alone(String id, boolean cancel, Consumer<HttpResponse> answer) {
     if (!node.store().isHealthy()) {
       answer.accept(later("no leader"));
       return;
@@ -447,11 +447,12 @@
   }
 
   /** What arrives on the cluster listener. */
-  public void handleCluster(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
-    if (path.equals(BeatWire.PATH)) {
+  public void handleCluster(
+      String method, String path, byte[] body, Consumer<HttpResponse> answer) {
+    if (path.equals(GossipWire.PATH)) {
       try {
         answer.accept(ok(node.membership().handle(body)));
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         answer.accept(error(400, e.getMessage()));
       }
     } else if (path.equals(PeerWire.PATH)) {
--- a/src/main/java/io/pineladder/fleet/Forecast.java
+++ b/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
@@ -1,15 +1,15 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import java.time.Duration;
 import java.time.Instant;
 
 /** Machines' worth of work arriving per second, as an exponential average. */
-final class Forecast {
+final class ArrivalForecast {
   private final Duration memory;
   private double rate;
   private Instant at;
 
-  Forecast(Duration memory) {
+  ArrivalForecast(Duration memory) {
     this.memory = memory;
   }
 
--- a/src/main/java/io/pineladder/fleet/Fleet.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -1,17 +1,17 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
 import io.pineladder.model.OperatorSettings;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.Timeline;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.EventLoop;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
 import io.pineladder.store.Records;
 import io.pineladder.wire.CloudWire;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.zones.Zones;
 import java.time.Duration;
 import java.time.Instant;
@@ -30,8 +30,8 @@
 /**
  * Rents machines for what waits and what is likely to come, and returns those that are not needed.
  */
-public final class Fleet {
-  private static final Logger log = LoggerFactory.getLogger(Fleet.class);
+public final class Autoscaler {
+  private static final Logger log = LoggerFactory.getLogger(Autoscaler.class);
   private static final Duration TICK = Duration.ofSeconds(1);
 
   /** A tick that comes so much late shows that this process stood still. */
@@ -49,10 +49,10 @@
    */
   static final int MAX_TRACKED_RETURNS = 6_000;
 
-  private final Cluster cluster;
+  private final ClusterState cluster;
   private final Scheduler scheduler;
   private final Records records;
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Effects effects;
   private final Map<String, Instant> released = new LinkedHashMap<>();
   private final Set<String> toRelease = new LinkedHashSet<>();
@@ -64,11 +64,11 @@
   private final Instant startedAt;
   private Instant tickedAt;
 
-  private final BootTimes boots = new BootTimes();
-  private final Cloud cloud;
+  private final BootTimeEstimator boots = new BootTimeEstimator();
+  private final CloudClient cloud;
   private final Zones zones = new Zones();
-  private final Renting renting;
-  private final Silence silence;
+  private final ScaleOut renting;
+  private final FailureDetector silence;
 
   /** What the fleet asks of the leader. */
   public interface Effects {
@@ -89,27 +89,27 @@
     void probe(Machine machine);
   }
 
-  public Fleet(
-      Cluster cluster,
+  public Autoscaler(
+      ClusterState cluster,
       Scheduler scheduler,
       Records records,
-      HttpCaller http,
-      Timeline time,
+      AsyncHttpClient httpClient,
+      EventLoop eventLoop,
       long term,
       OperatorSettings operator,
       Effects effects) {
     this.cluster = cluster;
     this.scheduler = scheduler;
     this.records = records;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.operator = operator;
     this.effects = effects;
-    this.cloud = new Cloud(cluster.settings, http, time);
+    this.cloud = new CloudClient(cluster.settings, httpClient, eventLoop);
     this.renting =
-        new Renting(cluster, scheduler, time, term, cloud, boots, zones, this::wasReleased);
-    this.startedAt = time.now();
+        new ScaleOut(cluster, scheduler, eventLoop, term, cloud, boots, zones, this::wasReleased);
+    this.startedAt = eventLoop.now();
     this.tickedAt = startedAt;
-    this.silence = new Silence(cluster, renting, zones, effects, startedAt);
+    this.silence = new FailureDetector(cluster, renting, zones, effects, startedAt);
   }
 
   public void configure(OperatorSettings next) {
@@ -140,7 +140,7 @@
     if (closed) {
       return;
     }
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     if (now.isAfter(tickedAt.plus(TICK).plus(PAUSE)) || !effects.takesReports()) {
       silence.notListening(now);
     }
@@ -156,7 +156,7 @@
       sendReleases();
       renting.rent(now);
     }
-    time.after(TICK, this::tick);
+    eventLoop.schedule(TICK, this::tick);
   }
 
   private int spotUp() {
@@ -173,7 +173,7 @@
     // A list of many pages takes its part of the calls; a short one is asked for as often as it
     // ages.
     long pages = 1 + cluster.machines().size() / CloudWire.PAGE;
-    Duration every = cluster.settings.cloud().listLag().dividedBy(2).plusSeconds(pages / 2);
+    Duration every = cluster.settings.cloudLimits().listLag().dividedBy(2).plusSeconds(pages / 2);
     if (listing || now.isBefore(listedAt.plus(every))) {
       return;
     }
@@ -182,7 +182,7 @@
 
   private boolean listPage(String after, Instant begun) {
     String path = "/rentals?page=" + CloudWire.PAGE + (after.isEmpty() ? "" : "&since=" + after);
-    Instant sent = time.now();
+    Instant sent = eventLoop.now();
     return cloud.get(
         path,
         reply -> {
@@ -201,7 +201,7 @@
             } else {
               listedAt = begun;
             }
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.warn("the machine list is malformed: {}", e.getMessage());
           }
         });
@@ -218,10 +218,11 @@
   private void releaseMissing(CloudWire.Page page, String after, String last, Instant sent) {
     Set<String> names = new HashSet<>();
     page.machines().forEach(listed -> names.add(listed.name()));
-    Instant before = sent.minus(cluster.settings.cloud().listLag().multipliedBy(2)).minusSeconds(1);
+    Instant before =
+        sent.minus(cluster.settings.cloudLimits().listLag().multipliedBy(2)).minusSeconds(1);
     List<Machine> missing = new ArrayList<>();
     for (Machine machine : cluster.machinesBetween(after, last)) {
-      Instant known = machine.recorded ? startedAt : machine.listedAt;
+      Instant known = machine.knownFromPlacements ? startedAt : machine.firstListedAt;
       boolean up = machine.state() != Machine.State.RELEASING && !names.contains(machine.name);
       if (up && known != null && known.isBefore(before)) {
         missing.add(machine);
@@ -230,7 +231,7 @@
     if (!missing.isEmpty()) {
       log.info("{} machines are no longer listed", missing.size());
       for (Machine machine : missing) {
-        if (machine.spot && machine.takenAt == null) {
+        if (machine.spot && machine.reclaimAt == null) {
           cluster.spotRisk.lost();
         }
         release(machine);
@@ -248,7 +249,7 @@
       if (type == null) {
         return;
       }
-      Instant since = time.now().minus(listed.age());
+      Instant since = eventLoop.now().minus(listed.age());
       machine = new Machine(listed.name(), type, listed.zone(), listed.spot(), since);
       machine.address = listed.address();
       cluster.addMachine(machine);
@@ -256,12 +257,12 @@
     if (machine.address == null) {
       machine.address = listed.address();
     }
-    if (machine.listedAt == null) {
-      machine.listedAt = time.now();
+    if (machine.firstListedAt == null) {
+      machine.firstListedAt = eventLoop.now();
     }
     machine.listedRunning |= listed.life() == CloudWire.Life.RUNNING;
-    if (listed.life() == CloudWire.Life.FAILED && !machine.failed) {
-      machine.failed = true;
+    if (listed.life() == CloudWire.Life.FAILED && !machine.stoppedByItself) {
+      machine.stoppedByItself = true;
       log.info("machine {} has failed", machine);
       release(machine);
     }
@@ -273,7 +274,7 @@
    * answered.
    */
   public boolean isAllHeard() {
-    Duration lag = cluster.settings.cloud().listLag();
+    Duration lag = cluster.settings.cloudLimits().listLag();
     if (!listedAt.isAfter(startedAt.plus(lag.multipliedBy(2)).plusSeconds(1))) {
       return false;
     }
@@ -281,7 +282,7 @@
       boolean heard =
           switch (machine.state()) {
             case CONFIRMED, SILENT, GONE -> true;
-            case EXPECTED -> machine.rentedHere;
+            case EXPECTED -> machine.rentedByThisLeader;
             case HEARD, RELEASING -> false;
           };
       if (!heard) {
@@ -304,8 +305,8 @@
       return;
     }
     log.debug("returning machine {} ({}, {})", machine, machine.state(), machine.attempts.size());
-    machine.moveTo(Machine.State.RELEASING);
-    cluster.refresh(machine);
+    machine.transitionTo(Machine.State.RELEASING);
+    cluster.updateIndexes(machine);
     toRelease.add(machine.name);
     sendReleases();
   }
@@ -329,7 +330,7 @@
 
   private void gone(String name) {
     toRelease.remove(name);
-    released.put(name, time.now());
+    released.put(name, eventLoop.now());
     if (released.size() > MAX_TRACKED_RETURNS) {
       released.remove(released.keySet().iterator().next());
     }
@@ -337,7 +338,7 @@
     if (machine == null) {
       return;
     }
-    machine.moveTo(Machine.State.GONE);
+    machine.transitionTo(Machine.State.GONE);
     scheduler.failures().forget(machine);
     boots.forget(machine);
     List<Attempt> lost = List.copyOf(machine.attempts.values());
@@ -368,16 +369,17 @@
           } else if (machine.idleSince == null) {
             machine.idleSince = now;
           }
-          if ((machine.draining || machine.spared) && machine.attempts.isEmpty()) {
+          if ((machine.draining || machine.retiring) && machine.attempts.isEmpty()) {
             release(machine);
           } else if (drainsForLong(machine, now)) {
             empty(machine);
           } else if (isDeafForLong(machine, now)) {
             log.info("machine {} reports but hears nothing", machine);
             release(machine);
-          } else if (machine.takesWork()) {
-            spare.merge(machine.spot, renting.free(machine) * machine.type.price(), Double::sum);
-            Duration least = operator.idleRelease().dividedBy(SURPLUS_PART);
+          } else if (machine.isSchedulable()) {
+            spare.merge(
+                machine.spot, renting.free(machine) * machine.type.onDemandPrice(), Double::sum);
+            Duration least = operator.idleReleaseAfter().dividedBy(SURPLUS_PART);
             if (machine.idleSince != null && machine.idleSince.plus(least).isBefore(now)) {
               idle.add(machine);
             }
@@ -388,10 +390,11 @@
     }
     idle.sort(Comparator.comparing(m -> m.idleSince));
     for (Machine machine : idle) {
-      double left = spare.get(machine.spot) - machine.type.price();
+      double left = spare.get(machine.spot) - machine.type.onDemandPrice();
       double ready = renting.headroom(machine.spot);
-      boolean surplus = roomIsCheap(machine.type) && left >= SURPLUS * ready + machine.type.price();
-      Duration keep = quiet ? operator.idleRelease() : keepIdle(machine.type);
+      boolean surplus =
+          roomIsCheap(machine.type) && left >= SURPLUS * ready + machine.type.onDemandPrice();
+      Duration keep = quiet ? operator.idleReleaseAfter() : keepIdle(machine.type);
       boolean waited = machine.idleSince.plus(keep).isBefore(now);
       if (quiet ? waited : surplus || (waited && left >= ready)) {
         spare.put(machine.spot, left);
@@ -408,8 +411,8 @@
     if (!machine.draining) {
       return false;
     }
-    machine.drainsSince = machine.drainsSince == null ? now : machine.drainsSince;
-    return machine.drainsSince.plus(Scheduler.MOST_WITHHELD).isBefore(now);
+    machine.drainingSince = machine.drainingSince == null ? now : machine.drainingSince;
+    return machine.drainingSince.plus(Scheduler.MOST_WITHHELD).isBefore(now);
   }
 
   /**
@@ -417,11 +420,11 @@
    * by the end of which nothing of before runs there any more.
    */
   private boolean isDeafForLong(Machine machine, Instant now) {
-    if (machine.relayed || zones.isGone(machine.zone)) {
+    if (machine.reachedThroughPeer || zones.isGone(machine.zone)) {
       return false;
     }
-    Duration waited = cluster.settings.workers().lease().plus(keepIdle(machine.type));
-    return machine.reportsUnhearing(now).compareTo(waited) > 0;
+    Duration waited = cluster.settings.workerTimes().leaseDuration().plus(keepIdle(machine.type));
+    return machine.trackUnreachable(now).compareTo(waited) > 0;
   }
 
   /** Returns a machine that is not needed; work for idle time saves first and goes elsewhere. */
@@ -431,7 +434,7 @@
       return;
     }
     machine.draining = true;
-    cluster.refresh(machine);
+    cluster.updateIndexes(machine);
     List.copyOf(machine.attempts.values()).forEach(scheduler::displace);
   }
 
@@ -446,6 +449,6 @@
   /** An idle machine is kept as long as having one ready again would take. */
   private Duration keepIdle(MachineType type) {
     Duration again = boots.usual(type).plus(renting.fetchTime(type));
-    return again.compareTo(operator.idleRelease()) > 0 ? again : operator.idleRelease();
+    return again.compareTo(operator.idleReleaseAfter()) > 0 ? again : operator.idleReleaseAfter();
   }
 }
--- a/src/main/java/io/pineladder/fleet/Backlog.java
+++ b/src/main/java/io/pineladder/autoscaling/BatchBacklog.java
@@ -1,4 +1,4 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * last of it starts once capacity times seconds is its sum, since what runs by then has as much
  * left to do as what runs now.
  */
-final class Backlog {
+final class BatchBacklog {
   /**
    * What is due at one time.
    *
@@ -33,7 +33,7 @@
   private double worth;
   private double lacking;
 
-  Backlog(double capacity) {
+  BatchBacklog(double capacity) {
     this.capacity = capacity;
   }
 
--- a/src/main/java/io/pineladder/fleet/BootTimes.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -1,4 +1,4 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
@@ -18,8 +18,8 @@
  * machine counts in full until it is late by that, then half, then no more, so that room which does
  * not come is replaced, neither all at once when all boots are slow nor never.
  */
-final class BootTimes {
-  private static final Logger log = LoggerFactory.getLogger(BootTimes.class);
+final class BootTimeEstimator {
+  private static final Logger log = LoggerFactory.getLogger(BootTimeEstimator.class);
 
   /** Boots remembered of a type. */
   private static final int KEPT = 32;
@@ -72,7 +72,7 @@
     switch (machine.state()) {
       case EXPECTED -> {
         // What an earlier leader rented may have been up before anybody looked: the list lags.
-        if (machine.rentedHere) {
+        if (machine.rentedByThisLeader) {
           booting.add(machine);
           if (weight(machine, now) == 0 && overdue.add(machine)) {
             add(of(machine.type).came, false);
@@ -100,8 +100,8 @@
   }
 
   private static double parts(Machine machine, Instant now) {
-    double nominal = Math.max(1, machine.type.boot().toMillis());
-    return Duration.between(machine.since, now).toMillis() / nominal;
+    double nominal = Math.max(1, machine.type.bootTime().toMillis());
+    return Duration.between(machine.createdAt, now).toMillis() / nominal;
   }
 
   private void tell(MachineType type, Record of) {
@@ -158,6 +158,6 @@
   }
 
   private static Duration times(MachineType type, double factor) {
-    return Duration.ofMillis((long) (type.boot().toMillis() * factor));
+    return Duration.ofMillis((long) (type.bootTime().toMillis() * factor));
   }
 }
--- a/src/main/java/io/pineladder/fleet/Demand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -1,16 +1,16 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
 import io.pineladder.model.Team;
-import io.pineladder.queue.Check;
 import io.pineladder.queue.QueueEntry;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.queue.SchedulingCheck;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
 import java.time.Duration;
 import java.time.Instant;
@@ -31,7 +31,7 @@
  * price only if they would be late without it. Found on galleharbour, where most of the money went
  * to ordinary machines for work that had minutes left.
  */
-final class Demand {
+final class CapacityDemand {
   /** The last task of an array takes so much longer than the estimate, as a part of it. */
   private static final double MARGIN = 0.25;
 
@@ -54,13 +54,13 @@
   /** What waits of one job: tasks that found no room, within what its team may use. */
   private record Waiting(Job job, int count, Instant due) {}
 
-  private final Cluster cluster;
+  private final ClusterState cluster;
   private final Instant now;
   private final Instant today;
   private final boolean arraysWait;
   private final BiFunction<Boolean, JobSpec, MachineType> cheapest;
   private final Function<JobSpec, MachineType> best;
-  private final ToDoubleFunction<Rank> arriving;
+  private final ToDoubleFunction<PriorityClass> arriving;
   private final Map<Kind, Double> booting = new HashMap<>();
   private final Map<Kind, Want> wants = new LinkedHashMap<>();
 
@@ -68,7 +68,7 @@
   private final List<Machine> flexible = new ArrayList<>();
 
   private double capacity;
-  private final Backlog backlog;
+  private final BatchBacklog backlog;
 
   /** The first job that an ordinary machine would help, or null. */
   private JobSpec pressing;
@@ -97,15 +97,15 @@
    * @param cheapest the type that serves a job best of those that can be had, spot machines or not;
    *     null for none
    */
-  Demand(
-      Cluster cluster,
+  CapacityDemand(
+      ClusterState cluster,
       Scheduler scheduler,
-      BootTimes boots,
+      BootTimeEstimator boots,
       ToDoubleFunction<Machine> freePart,
       Instant now,
       Instant today,
       boolean arraysWait,
-      ToDoubleFunction<Rank> arriving,
+      ToDoubleFunction<PriorityClass> arriving,
       Function<JobSpec, MachineType> best,
       BiFunction<Boolean, JobSpec, MachineType> cheapest) {
     this.cluster = cluster;
@@ -118,13 +118,14 @@
     for (Machine machine : cluster.machines()) {
       count(machine, boots, freePart);
     }
-    backlog = new Backlog(capacity);
+    backlog = new BatchBacklog(capacity);
     waiting(scheduler).forEach(this::want);
   }
 
   /** What a task takes of such a machine, at its list price an hour. */
   static double worth(JobSpec spec, MachineType type) {
-    return type.price() / Math.max(1, spec.each().countIn(type.size()));
+    return type.onDemandPrice()
+        / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
   }
 
   /** Machines wanted of each kind by jobs that cannot wait, or of spot machines. */
@@ -155,7 +156,7 @@
   double lacking() {
     double asked = 0;
     for (Map.Entry<Kind, Want> want : wants.entrySet()) {
-      double price = cluster.type(want.getKey().type()).price();
+      double price = cluster.type(want.getKey().type()).onDemandPrice();
       asked += want.getKey().spot() ? want.getValue().machines * price : 0;
     }
     return Math.max(0, backlog.lacking() - asked);
@@ -186,8 +187,8 @@
     return spot ? 1 : 0;
   }
 
-  private void count(Machine machine, BootTimes boots, ToDoubleFunction<Machine> freePart) {
-    double price = machine.type.price();
+  private void count(Machine machine, BootTimeEstimator boots, ToDoubleFunction<Machine> freePart) {
+    double price = machine.type.onDemandPrice();
     switch (machine.state()) {
       case EXPECTED, HEARD -> {
         double counts = boots.weight(machine, now);
@@ -196,7 +197,7 @@
         capacity += counts * price;
       }
       case CONFIRMED -> {
-        if (machine.takesWork()) {
+        if (machine.isSchedulable()) {
           double part = freePart.applyAsDouble(machine);
           free[kind(machine.spot)] += part * price;
           capacity += price;
@@ -216,7 +217,7 @@
   private void countWork(Machine machine, boolean works) {
     boolean canWait = works && !machine.spot;
     for (Attempt attempt : machine.attempts.values()) {
-      if (!attempt.holdsRoom()) {
+      if (!attempt.holdsCapacity()) {
         continue;
       }
       if (!canWait(attempt.job)) {
@@ -251,25 +252,27 @@
       if (!lacksRoom || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
         continue;
       }
-      if (job.atFault && entry.rejectedBy() != Check.PLACE) {
+      if (job.failing && entry.rejectedBy() != SchedulingCheck.PLACE) {
         // It is tried where there happens to be room.
         continue;
       }
       Team team = cluster.team(spec.team());
       Resources used = cluster.usage(spec.team());
-      Resources before = planned.getOrDefault(spec.team(), Resources.NONE);
+      Resources before = planned.getOrDefault(spec.team(), Resources.ZERO);
       int count = job.pending.cardinality();
-      while (count > 0 && !team.allows(used.plus(before).plus(spec.each().times(count)))) {
+      while (count > 0
+          && !team.allows(used.plus(before).plus(spec.resourcesPerTask().times(count)))) {
         count = count > 64 ? count / 2 : count - 1;
       }
-      planned.merge(spec.team(), spec.each().times(count), Resources::plus);
+      planned.merge(spec.team(), spec.resourcesPerTask().times(count), Resources::plus);
       if (count > 0) {
-        Instant due = job.acceptedAt.plus(cluster.allowance(job, today));
+        Instant due = job.acceptedAt.plus(cluster.latenessAllowance(job, today));
         waiting.add(new Waiting(job, count, due));
       }
     }
     waiting.sort(
-        Comparator.<Waiting, Rank>comparing(w -> w.job.rank()).thenComparing(Waiting::due));
+        Comparator.<Waiting, PriorityClass>comparing(w -> w.job.priorityClass())
+            .thenComparing(Waiting::due));
     return waiting;
   }
 
@@ -286,13 +289,13 @@
     // once.
     boolean avoidsSpot = type != null && !canWait && cluster.avoidsSpot(job, today);
     boolean maySpot = spec.spotAllowed() && !avoidsSpot;
-    boolean forIdleTime = cluster.isForIdleTime(job, today);
+    boolean forIdleTime = cluster.runsOnIdleCapacityOnly(job, today);
     if (canWait && !forIdleTime) {
       addToBacklog(waiting, likely);
     }
     double tasks = waiting.count;
     for (MachineType each : cluster.types()) {
-      if (Renting.isUsable(spec, each)) {
+      if (ScaleOut.isUsable(spec, each)) {
         wanted[kind(maySpot)] += each == likely ? tasks * worth(spec, each) : 0;
         tasks -= maySpot ? take(new Kind(each.name(), true), spec, each, tasks) : 0;
         tasks -= take(new Kind(each.name(), false), spec, each, tasks);
@@ -312,14 +315,14 @@
   /** Gives the job what boots of that kind; how many of its tasks that is for. */
   private double take(Kind kind, JobSpec spec, MachineType type, double tasks) {
     double there = booting.getOrDefault(kind, 0.0);
-    double each = 1.0 / Math.max(1, spec.each().countIn(type.size()));
+    double each = 1.0 / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
     double taken = Math.min(tasks, there / each);
     booting.computeIfPresent(kind, (k, machines) -> machines - taken * each);
     return taken;
   }
 
   private void add(Kind kind, JobSpec spec, MachineType type, double tasks) {
-    double machines = tasks / Math.max(1, spec.each().countIn(type.size()));
+    double machines = tasks / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
     Want want = wants.computeIfAbsent(kind, k -> new Want());
     want.machines += machines;
     if (spec.zone() != null) {
@@ -329,11 +332,11 @@
 
   private void addToBacklog(Waiting waiting, MachineType type) {
     JobSpec spec = waiting.job.spec;
-    Duration ready = cluster.soonestElsewhere(spec);
+    Duration ready = cluster.soonestStartElsewhere(spec);
     // For an objective that is missed soon after another machine is ready it is too late to rent.
-    Duration allowance = cluster.allowance(waiting.job, today.plus(ready.multipliedBy(2)));
+    Duration allowance = cluster.latenessAllowance(waiting.job, today.plus(ready.multipliedBy(2)));
     Duration slack = Duration.between(today, waiting.job.acceptedAt.plus(allowance));
-    double run = seconds(spec.estimate());
+    double run = seconds(spec.estimatedRunTime());
     // What is late for all of them must not wait for ever.
     double within = Math.max(seconds(slack) - MARGIN * run, 2 * seconds(ready));
     double lacked = backlog.lacking();
@@ -342,7 +345,7 @@
         run,
         within,
         seconds(ready),
-        arriving.applyAsDouble(waiting.job.rank()));
+        arriving.applyAsDouble(waiting.job.priorityClass()));
     if (pressing == null && backlog.lacking() > lacked) {
       pressing = spec;
     }
--- a/src/main/java/io/pineladder/fleet/Cloud.java
+++ b/src/main/java/io/pineladder/autoscaling/CloudClient.java
@@ -1,37 +1,37 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.net.Timeline;
-import io.pineladder.retry.Breaker;
-import io.pineladder.retry.RateBudget;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.EventLoop;
+import io.pineladder.retry.CircuitBreaker;
+import io.pineladder.retry.TokenBucket;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.function.Consumer;
 
 /** Calls to the cloud within its rate; it is left alone for a while when it has trouble. */
-final class Cloud {
+final class CloudClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(4);
   private static final Duration FIRST_PAUSE = Duration.ofSeconds(2);
   private static final Duration MOST_PAUSE = Duration.ofSeconds(4);
 
-  private final HttpCaller http;
-  private final Timeline time;
+  private final AsyncHttpClient httpClient;
+  private final EventLoop eventLoop;
   private final String address;
-  private final RateBudget calls;
-  private final Breaker breaker;
+  private final TokenBucket calls;
+  private final CircuitBreaker breaker;
   private boolean closed;
 
-  Cloud(Settings settings, HttpCaller http, Timeline time) {
-    this.http = http;
-    this.time = time;
+  CloudClient(Settings settings, AsyncHttpClient httpClient, EventLoop eventLoop) {
+    this.httpClient = httpClient;
+    this.eventLoop = eventLoop;
     this.address = settings.cloudAddress();
-    this.breaker = new Breaker("the cloud", time, 1, FIRST_PAUSE, MOST_PAUSE);
-    double rps = settings.cloud().requestsPerSecond() * 0.85;
-    this.calls = new RateBudget(rps, Math.max(1, rps * 2), time.now());
+    this.breaker = new CircuitBreaker("the cloud", eventLoop, 1, FIRST_PAUSE, MOST_PAUSE);
+    double rps = settings.cloudLimits().requestsPerSecond() * 0.85;
+    this.calls = new TokenBucket(rps, Math.max(1, rps * 2), eventLoop.now());
   }
 
   /** No reply counts any more. */
@@ -49,12 +49,12 @@
 
   /** Sends at once, or not at all: false. */
   private boolean call(Request request, Consumer<Reply> onReply) {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     if (calls.available(now) < 1 || !breaker.mayCall()) {
       return false;
     }
     calls.take(1, now);
-    http.call(
+    httpClient.call(
         request,
         reply -> {
           if (reply.is(200) || reply.is(400) || isRefusal(reply)) {
--- a/src/main/java/io/pineladder/fleet/Silence.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -1,10 +1,10 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import io.pineladder.leadership.Election;
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Machine;
 import io.pineladder.model.Settings;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.zones.Zones;
 import java.time.Duration;
 import java.time.Instant;
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Which machines have fallen silent, and how long each is waited for. */
-final class Silence {
-  private static final Logger log = LoggerFactory.getLogger(Silence.class);
+final class FailureDetector {
+  private static final Logger log = LoggerFactory.getLogger(FailureDetector.class);
 
   /** How long after a takeover workers are still on their way from node to node. */
   private static final Duration SETTLING = Duration.ofSeconds(15);
@@ -28,11 +28,11 @@
   /** Machines that may come back are waited for a third of the time that another takes. */
   private static final int WAIT_PART = 3;
 
-  private final Cluster cluster;
-  private final Renting renting;
+  private final ClusterState cluster;
+  private final ScaleOut renting;
   private final Zones zones;
-  private final ZonePlan plan;
-  private final Fleet.Effects effects;
+  private final ZoneLossPlan plan;
+  private final Autoscaler.Effects effects;
   private final Instant startedAt;
 
   /** Until when a zone that was cut is taken to be so. */
@@ -45,11 +45,16 @@
    */
   private Instant listeningSince;
 
-  Silence(Cluster cluster, Renting renting, Zones zones, Fleet.Effects effects, Instant now) {
+  FailureDetector(
+      ClusterState cluster,
+      ScaleOut renting,
+      Zones zones,
+      Autoscaler.Effects effects,
+      Instant now) {
     this.cluster = cluster;
     this.renting = renting;
     this.zones = zones;
-    this.plan = new ZonePlan(cluster, renting, zones);
+    this.plan = new ZoneLossPlan(cluster, renting, zones);
     this.effects = effects;
     this.startedAt = now;
     this.listeningSince = now;
@@ -62,7 +67,7 @@
 
   /** How long a machine may be silent: a report's time, a lost response and another node's try. */
   private Duration silence() {
-    Duration report = cluster.settings.workers().report();
+    Duration report = cluster.settings.workerTimes().heartbeatInterval();
     return report.plus(report.dividedBy(4)).plusSeconds(6);
   }
 
@@ -93,7 +98,7 @@
     // or the first ones would be given up before the last ones are missed.
     Duration overdue = allowed.minusSeconds(4);
     // In a zone that is cut all fall silent at once: when the first is missed none was heard since.
-    Duration lately = overdue.minus(cluster.settings.workers().report());
+    Duration lately = overdue.minus(cluster.settings.workerTimes().heartbeatInterval());
     Map<String, ZoneSilence> byZone = new HashMap<>();
     List<Machine> silent = new ArrayList<>();
     int up = 0;
@@ -111,7 +116,8 @@
       }
       ZoneSilence zone = byZone.computeIfAbsent(machine.zone, z -> new ZoneSilence());
       zone.up++;
-      boolean heard = machine.heardAt != null && machine.heardAt.plus(lately).isAfter(now);
+      boolean heard =
+          machine.lastHeartbeatAt != null && machine.lastHeartbeatAt.plus(lately).isAfter(now);
       zone.heardLately += heard ? 1 : 0;
       if (since.plus(overdue).isBefore(now)) {
         zone.overdue++;
@@ -122,20 +128,20 @@
       if (since.plus(allowed).isBefore(now)) {
         silent.add(machine);
         if (machine.state() == Machine.State.CONFIRMED) {
-          machine.moveTo(Machine.State.SILENT);
-          cluster.refresh(machine);
+          machine.transitionTo(Machine.State.SILENT);
+          cluster.updateIndexes(machine);
           log.debug("machine {} is silent", machine);
         }
       }
     }
-    boolean heardBefore = silent.stream().anyMatch(m -> m.heardAt != null);
+    boolean heardBefore = silent.stream().anyMatch(m -> m.lastHeartbeatAt != null);
     if (up >= 2 && silent.size() == up && heardBefore) {
       // No worker reaches this node any more, while others may reach another. A successor that
       // hears none either keeps its term, or machines that all died would never be given up.
       effects.resign("no worker is heard");
       return List.of();
     }
-    Duration lease = cluster.settings.workers().lease();
+    Duration lease = cluster.settings.workerTimes().leaseDuration();
     List<Machine> givenUp = new ArrayList<>();
     // Once a cut is over the first that are heard say nothing of the rest, which are on their way.
     byZone.forEach(
@@ -180,13 +186,13 @@
     if (startedAt.plus(SETTLING).isAfter(now)) {
       return;
     }
-    Instant from = now.minus(cluster.settings.workers().report());
+    Instant from = now.minus(cluster.settings.workerTimes().heartbeatInterval());
     int heard = 0;
     int relayed = 0;
     for (Machine machine : cluster.machines()) {
-      if (machine.state() == Machine.State.CONFIRMED && machine.heardAt.isAfter(from)) {
+      if (machine.state() == Machine.State.CONFIRMED && machine.lastHeartbeatAt.isAfter(from)) {
         heard++;
-        relayed += machine.relayed ? 1 : 0;
+        relayed += machine.reachedThroughPeer ? 1 : 0;
       }
     }
     if (relayed >= 3 && relayed * 2 > heard) {
@@ -199,7 +205,7 @@
    * another ready, with an image like most, takes several times as long.
    */
   private boolean isWorthWaiting(Machine machine, Duration longer) {
-    Duration ready = machine.type.boot().plus(renting.fetchTime(machine.type));
+    Duration ready = machine.type.bootTime().plus(renting.fetchTime(machine.type));
     return longer.multipliedBy(WAIT_PART).compareTo(ready) < 0;
   }
 
@@ -215,18 +221,19 @@
       // It keeps the leases there for as long as it lives.
       return KEPT_INSIDE;
     }
-    Settings.WorkerTimes workers = cluster.settings.workers();
-    Duration kept = Election.longestKeepAlive(workers).plus(workers.lease()).plus(silence());
-    Duration least = workers.lease().multipliedBy(2);
+    Settings.WorkerTimes workers = cluster.settings.workerTimes();
+    Duration kept =
+        Election.longestKeepAlive(workers).plus(workers.leaseDuration()).plus(silence());
+    Duration least = workers.leaseDuration().multipliedBy(2);
     return kept.compareTo(least) > 0 ? kept : least;
   }
 
   /** A cancelled job's task is still there and its time is running out. */
   private boolean isUrgent(Machine machine, Instant now) {
-    Duration half = cluster.settings.workers().cancel().dividedBy(2);
+    Duration half = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
     for (Attempt attempt : machine.attempts.values()) {
-      if (attempt.job.endStored
-          && attempt.holdsRoom()
+      if (attempt.job.finalStateStored
+          && attempt.holdsCapacity()
           && attempt.killedAt != null
           && attempt.killedAt.plus(half).isBefore(now)) {
         return true;
@@ -243,11 +250,11 @@
 
   private Instant unheardSince(Machine machine) {
     return switch (machine.state()) {
-      case HEARD, CONFIRMED, SILENT -> machine.heardAt;
+      case HEARD, CONFIRMED, SILENT -> machine.lastHeartbeatAt;
       case EXPECTED -> {
         if (machine.listedRunning || !machine.attempts.isEmpty()) {
-          Instant from = machine.since.isAfter(startedAt) ? machine.since : startedAt;
-          yield machine.recorded ? startedAt : from.plusSeconds(15);
+          Instant from = machine.createdAt.isAfter(startedAt) ? machine.createdAt : startedAt;
+          yield machine.knownFromPlacements ? startedAt : from.plusSeconds(15);
         }
         yield null;
       }
--- a/src/main/java/io/pineladder/fleet/Renting.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleOut.java
@@ -1,17 +1,17 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.Timeline;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.model.PriorityClass;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.EventLoop;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
 import io.pineladder.wire.CloudWire;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.zones.Zones;
 import java.time.Duration;
 import java.time.Instant;
@@ -26,8 +26,8 @@
 import org.slf4j.LoggerFactory;
 
 /** What is rented: for what waits, and for what is likely to come while a machine boots. */
-final class Renting {
-  private static final Logger log = LoggerFactory.getLogger(Renting.class);
+final class ScaleOut {
+  private static final Logger log = LoggerFactory.getLogger(ScaleOut.class);
   private static final Duration REFUSED_FOR = Duration.ofSeconds(6);
 
   /** The part of the cloud's calls that may go into asking again what was refused. */
@@ -62,23 +62,23 @@
   /** The part of the forecast kept ready for jobs that can wait for a machine to boot. */
   private static final double PATIENT_PART = 0.25;
 
-  private final Cluster cluster;
+  private final ClusterState cluster;
   private final Scheduler scheduler;
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final long term;
-  private final Cloud cloud;
-  private final BootTimes boots;
+  private final CloudClient cloud;
+  private final BootTimeEstimator boots;
 
   /** Whether a machine has been returned already. */
   private final Predicate<String> wasReleased;
 
   private final Map<Pool, Instant> refused = new HashMap<>();
   private final List<Rental> rentals = new ArrayList<>();
-  private final Forecast tightOrdinary = new Forecast(MEMORY);
-  private final Forecast tightSpot = new Forecast(MEMORY);
-  private final Forecast patientOrdinary = new Forecast(MEMORY);
-  private final Forecast patientSpot = new Forecast(MEMORY);
-  private final Map<Rank, Forecast> arrivals = new EnumMap<>(Rank.class);
+  private final ArrivalForecast tightOrdinary = new ArrivalForecast(MEMORY);
+  private final ArrivalForecast tightSpot = new ArrivalForecast(MEMORY);
+  private final ArrivalForecast patientOrdinary = new ArrivalForecast(MEMORY);
+  private final ArrivalForecast patientSpot = new ArrivalForecast(MEMORY);
+  private final Map<PriorityClass, ArrivalForecast> arrivals = new EnumMap<>(PriorityClass.class);
   private double meanImageGb;
   private final Zones states;
   private long requests;
@@ -101,19 +101,19 @@
     }
   }
 
-  Renting(
-      Cluster cluster,
+  ScaleOut(
+      ClusterState cluster,
       Scheduler scheduler,
-      Timeline time,
+      EventLoop eventLoop,
       long term,
-      Cloud cloud,
-      BootTimes boots,
+      CloudClient cloud,
+      BootTimeEstimator boots,
       Zones states,
       Predicate<String> wasReleased) {
     this.states = states;
     this.cluster = cluster;
     this.scheduler = scheduler;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.term = term;
     this.cloud = cloud;
     this.boots = boots;
@@ -131,7 +131,7 @@
 
   /** Whether images are known to be fetched sooner than a machine of the type boots. */
   boolean isFetchedSooner(MachineType type) {
-    return meanImageGb > 0 && fetchTime(type).compareTo(type.boot()) < 0;
+    return meanImageGb > 0 && fetchTime(type).compareTo(type.bootTime()) < 0;
   }
 
   /** How long a machine of the type fetches an image like most. */
@@ -146,27 +146,30 @@
     if (type == null) {
       return;
     }
-    Instant now = time.now();
-    double worth = spec.tasks() * Demand.worth(spec, type);
+    Instant now = eventLoop.now();
+    double worth = spec.tasks() * CapacityDemand.worth(spec, type);
     // A job is patient if it can wait for a machine to boot and to fetch its image there.
-    Duration ready = type.boot().plus(type.fetchTime(spec.imageGb()));
+    Duration ready = type.bootTime().plus(type.fetchTime(spec.imageGb()));
     boolean patient =
-        job.rank() != Rank.PRODUCTION && cluster.slack(job, time.timeOfDay()).compareTo(ready) > 0;
+        job.priorityClass() != PriorityClass.PRODUCTION
+            && cluster.slack(job, eventLoop.wallClock()).compareTo(ready) > 0;
     if (spec.spotAllowed()) {
       (patient ? patientSpot : tightSpot).add(worth, now);
     } else {
       (patient ? patientOrdinary : tightOrdinary).add(worth, now);
     }
     if (cluster.canWait(job)) {
-      double work = worth * spec.estimate().toMillis() / 1000.0;
-      arrivals.computeIfAbsent(job.rank(), r -> new Forecast(LONG_MEMORY)).add(work, now);
+      double work = worth * spec.estimatedRunTime().toMillis() / 1000.0;
+      arrivals
+          .computeIfAbsent(job.priorityClass(), r -> new ArrivalForecast(LONG_MEMORY))
+          .add(work, now);
     }
     meanImageGb = meanImageGb == 0 ? spec.imageGb() : 0.9 * meanImageGb + 0.1 * spec.imageGb();
   }
 
   /** The work above a rank, or all if it is null, that comes each second and can wait. */
-  private double arriving(Rank below) {
-    Instant now = time.now();
+  private double arriving(PriorityClass below) {
+    Instant now = eventLoop.now();
     return arrivals.entrySet().stream()
         .filter(e -> below == null || e.getKey().isAbove(below))
         .mapToDouble(e -> e.getValue().rate(now))
@@ -175,9 +178,9 @@
 
   /** Room to have ready for what comes while another machine boots, at list prices an hour. */
   double headroom(boolean spot) {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     double boot =
-        cluster.types().stream().mapToDouble(t -> t.boot().toMillis() / 1000.0).min().orElse(0);
+        cluster.types().stream().mapToDouble(t -> t.bootTime().toMillis() / 1000.0).min().orElse(0);
     return spot
         ? tightSpot.rate(now) * boot + patientSpot.rate(now) * boot * PATIENT_PART
         : tightOrdinary.rate(now) * boot + patientOrdinary.rate(now) * boot * PATIENT_PART;
@@ -186,7 +189,7 @@
   /** Whether tasks of the job fit such a machine, and may be there. */
   static boolean isUsable(JobSpec spec, MachineType type) {
     return spec.allowsType(type.name())
-        && spec.each().fitsIn(type.size())
+        && spec.resourcesPerTask().fitsIn(type.capacity())
         && (spec.zone() == null || type.zones().contains(spec.zone()));
   }
 
@@ -206,12 +209,13 @@
       }
       double price = type.price(spot);
       if (spec == null) {
-        price /= type.price();
+        price /= type.onDemandPrice();
       } else {
         // What a machine holds beyond one small job's tasks serves others, but not at once; and it
         // is
         // paid for until the last of its tasks ends.
-        long tasks = Math.min(spec.each().countIn(type.size()), spec.tasks());
+        long tasks =
+            Math.min(spec.resourcesPerTask().timesFittingIn(type.capacity()), spec.tasks());
         price *= (1 + TAIL * Math.log(tasks)) / tasks;
       }
       if (price < bestPrice) {
@@ -233,12 +237,14 @@
     return !machine.spot
         && machine.attempts.values().stream()
             .allMatch(
-                a -> a.job.spec.savesWork() && cluster.isForIdleTime(a.job, time.timeOfDay()));
+                a ->
+                    a.job.spec.isCheckpointed()
+                        && cluster.runsOnIdleCapacityOnly(a.job, eventLoop.wallClock()));
   }
 
   /** The part of a machine that is free. */
   double free(Machine machine) {
-    return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.shareOf(machine.type.size()));
+    return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.shareOf(machine.type.capacity()));
   }
 
   void rent(Instant now) {
@@ -249,24 +255,24 @@
     if (cluster.jobs.isEmpty()) {
       return;
     }
-    Demand demand =
-        new Demand(
+    CapacityDemand demand =
+        new CapacityDemand(
             cluster,
             scheduler,
             boots,
             this::free,
             now,
-            time.timeOfDay(),
+            eventLoop.wallClock(),
             arraysWait(),
             this::arriving,
             spec -> cheapest(false, spec, true),
             (spot, spec) -> cheapest(spot, spec, false));
-    Map<Demand.Kind, Demand.Want> wants = demand.wants();
+    Map<CapacityDemand.Kind, CapacityDemand.Want> wants = demand.wants();
     double lacking = spare(demand, now);
     if (lacking > 0) {
       MachineType type = cheapest(false, demand.pressing(), false);
       if (type != null) {
-        int count = (int) Math.ceil(lacking / type.price() / boots.comingPart(type));
+        int count = (int) Math.ceil(lacking / type.onDemandPrice() / boots.comingPart(type));
         ask(type, null, false, count, true, now);
       }
     }
@@ -276,9 +282,10 @@
       double ready = headroom(spot) - there;
       MachineType type = ready > 0 ? cheapest(spot, null, false) : null;
       if (type != null) {
-        wants.computeIfAbsent(new Demand.Kind(type.name(), spot), k -> new Demand.Want())
+        wants.computeIfAbsent(
+                    new CapacityDemand.Kind(type.name(), spot), k -> new CapacityDemand.Want())
                 .machines +=
-            ready / type.price();
+            ready / type.onDemandPrice();
       }
     }
     wants.forEach(
@@ -298,7 +305,10 @@
    */
   private boolean arraysWait() {
     double least =
-        cluster.types().stream().mapToDouble(MachineType::price).min().orElse(Double.MAX_VALUE);
+        cluster.types().stream()
+            .mapToDouble(MachineType::onDemandPrice)
+            .min()
+            .orElse(Double.MAX_VALUE);
     return headroom(false) < LITTLE * least;
   }
 
@@ -309,29 +319,29 @@
    *
    * @return what is still to be rented for arrays that would be late, at list prices an hour
    */
-  private double spare(Demand demand, Instant now) {
+  private double spare(CapacityDemand demand, Instant now) {
     double wanted = 0;
-    for (Map.Entry<Demand.Kind, Demand.Want> want : demand.wants().entrySet()) {
-      double price = cluster.type(want.getKey().type()).price();
+    for (Map.Entry<CapacityDemand.Kind, CapacityDemand.Want> want : demand.wants().entrySet()) {
+      double price = cluster.type(want.getKey().type()).onDemandPrice();
       wanted += want.getKey().spot() ? 0 : want.getValue().machines * price;
     }
     double lacking = demand.lacking();
     double unmet = wanted;
     List<Machine> spared = new ArrayList<>();
     for (Machine machine : cluster.machines()) {
-      if (machine.spared) {
+      if (machine.retiring) {
         spared.add(machine);
       }
     }
     // The dearer a machine is, the dearer are the last tasks that keep it.
-    spared.sort(Comparator.comparing(machine -> machine.type.price()));
+    spared.sort(Comparator.comparing(machine -> machine.type.onDemandPrice()));
     for (Machine machine : spared) {
       if (lacking > 0 || unmet > 0) {
-        machine.spared = false;
-        cluster.refresh(machine);
+        machine.retiring = false;
+        cluster.updateIndexes(machine);
         scheduler.machineReady(machine);
-        unmet -= machine.type.price() * free(machine);
-        lacking -= machine.type.price();
+        unmet -= machine.type.onDemandPrice() * free(machine);
+        lacking -= machine.type.onDemandPrice();
       }
     }
     if (wanted > 0) {
@@ -339,20 +349,20 @@
       demand.wants().forEach((kind, want) -> want.machines *= kind.spot() ? 1 : left);
     }
     List<Machine> flexible = demand.flexible();
-    double of = flexible.stream().mapToDouble(m -> m.type.price()).sum();
+    double of = flexible.stream().mapToDouble(m -> m.type.onDemandPrice()).sum();
     double keep = Math.max(demand.needed(of), 2 * headroom(false));
     // The larger a machine, the longer the last of its tasks keep it.
     flexible.sort(
-        Comparator.<Machine>comparingDouble(machine -> -machine.type.price())
+        Comparator.<Machine>comparingDouble(machine -> -machine.type.onDemandPrice())
             .thenComparing(machine -> -free(machine)));
     for (Machine machine : flexible) {
-      if (wanted > 0 || lacking > 0 || of - machine.type.price() < keep) {
+      if (wanted > 0 || lacking > 0 || of - machine.type.onDemandPrice() < keep) {
         break;
       }
-      if (machine.since.plus(PAID_FOR).isBefore(now)) {
-        machine.spared = true;
-        cluster.refresh(machine);
-        of -= machine.type.price();
+      if (machine.createdAt.plus(PAID_FOR).isBefore(now)) {
+        machine.retiring = true;
+        cluster.updateIndexes(machine);
+        of -= machine.type.onDemandPrice();
       }
     }
     log.debug(
@@ -377,9 +387,9 @@
    * @param room what is free on spot machines, at list prices an hour
    */
   private void emptySpared(double room, Instant now) {
-    Instant today = time.timeOfDay();
+    Instant today = eventLoop.wallClock();
     for (Machine machine : cluster.machines()) {
-      if (!machine.spared || machine.attempts.isEmpty()) {
+      if (!machine.retiring || machine.attempts.isEmpty()) {
         continue;
       }
       double lost = 0;
@@ -387,20 +397,23 @@
       double longest = 0;
       boolean inTime = true;
       for (Attempt attempt : machine.attempts.values()) {
-        if (!attempt.holdsRoom()) {
+        if (!attempt.holdsCapacity()) {
           continue;
         }
         JobSpec spec = attempt.job.spec;
-        double run = spec.estimate().toMillis() / 1000.0;
+        double run = spec.estimatedRunTime().toMillis() / 1000.0;
         Instant from = attempt.runningSince == null ? now : attempt.runningSince;
         double ran = Duration.between(from, now).toMillis() / 1000.0;
-        double each = Demand.worth(spec, machine.type);
+        double each = CapacityDemand.worth(spec, machine.type);
         worth += each;
-        lost += each * ran * machine.type.spotPrice() / machine.type.price();
+        lost += each * ran * machine.type.spotPrice() / machine.type.onDemandPrice();
         longest = Math.max(longest, Math.max(LONGEST * run - ran, run / 2));
-        inTime &= attempt.isWanted() && !cluster.breaksByRestart(attempt.job, today);
+        inTime &= attempt.isWanted() && !cluster.wouldMissObjectiveAfterRestart(attempt.job, today);
       }
-      if (inTime && worth > 0 && worth < room && 2 * lost < longest * machine.type.price()) {
+      if (inTime
+          && worth > 0
+          && worth < room
+          && 2 * lost < longest * machine.type.onDemandPrice()) {
         log.debug("machine {} is emptied: {} lost for {} s", machine, lost, longest);
         room -= worth;
         machine.draining = true;
@@ -411,7 +424,7 @@
 
   /** Whether the cloud has lately refused this kind in every zone. */
   private boolean isRefused(MachineType type, boolean spot) {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     for (String zone : type.zones()) {
       Instant until = refused.get(new Pool(type.name(), zone, spot));
       if (until == null || until.isBefore(now)) {
@@ -424,7 +437,7 @@
   /** For how long a refusal counts: kinds and zones are many and calls to the cloud few. */
   private Duration refusedFor() {
     long pools = cluster.types().stream().mapToLong(t -> 2L * t.zones().size()).sum();
-    double calls = cluster.settings.cloud().requestsPerSecond() * ASKED_AGAIN;
+    double calls = cluster.settings.cloudLimits().requestsPerSecond() * ASKED_AGAIN;
     Duration paced = Duration.ofMillis((long) (pools * 1000 / Math.max(0.1, calls)));
     return paced.compareTo(REFUSED_FOR) > 0 ? paced : REFUSED_FOR;
   }
@@ -438,7 +451,7 @@
     }
     Map<String, Integer> there = new HashMap<>();
     for (Machine machine : cluster.machines()) {
-      if (machine.isOf(type) && machine.spot == spot) {
+      if (machine.hasType(type) && machine.spot == spot) {
         there.merge(machine.zone, 1, Integer::sum);
       }
     }
@@ -494,8 +507,8 @@
     }
     rentals.remove(rental);
     if (!reply.is(200)) {
-      if (Cloud.isRefusal(reply)) {
-        refused.put(pool, time.now().plus(refusedFor()));
+      if (CloudClient.isRefusal(reply)) {
+        refused.put(pool, eventLoop.now().plus(refusedFor()));
       }
       return;
     }
@@ -503,18 +516,18 @@
       List<String> names = CloudWire.parseRented(reply.body());
       log.info("rented {} of {} {}", names.size(), rental.count, pool);
       if (names.size() < rental.count) {
-        refused.put(pool, time.now().plus(refusedFor()));
+        refused.put(pool, eventLoop.now().plus(refusedFor()));
       }
       for (String name : names) {
         if (cluster.machine(name) == null && !wasReleased.test(name)) {
           MachineType type = cluster.type(pool.type);
-          Machine machine = new Machine(name, type, pool.zone, pool.spot, time.now());
-          machine.rentedHere = true;
-          machine.surge = rental.surge;
+          Machine machine = new Machine(name, type, pool.zone, pool.spot, eventLoop.now());
+          machine.rentedByThisLeader = true;
+          machine.rentedForDeadlines = rental.surge;
           cluster.addMachine(machine);
         }
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("the cloud's answer to a rental is malformed");
     }
   }
--- a/src/main/java/io/pineladder/fleet/ZonePlan.java
+++ b/src/main/java/io/pineladder/autoscaling/ZoneLossPlan.java
@@ -1,10 +1,10 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.zones.Zones;
 import java.time.Duration;
 import java.time.Instant;
@@ -21,18 +21,18 @@
  * than the zone is likely to be back, production first, and no more at a time than the zones that
  * live can take.
  */
-final class ZonePlan {
+final class ZoneLossPlan {
   /** A zone that is gone for longer is given up with all that is in it. */
   private static final Duration MOST_KEPT = Duration.ofMinutes(10);
 
   /** Of the machines that live so many parts may be awaited anew at a time. */
   private static final int PART = 20;
 
-  private final Cluster cluster;
-  private final Renting renting;
+  private final ClusterState cluster;
+  private final ScaleOut renting;
   private final Zones zones;
 
-  ZonePlan(Cluster cluster, Renting renting, Zones zones) {
+  ZoneLossPlan(ClusterState cluster, ScaleOut renting, Zones zones) {
     this.cluster = cluster;
     this.renting = renting;
     this.zones = zones;
@@ -54,7 +54,7 @@
         switch (machine.state()) {
           case CONFIRMED -> {
             alive++;
-            spare += machine.takesWork() ? renting.free(machine) : 0;
+            spare += machine.isSchedulable() ? renting.free(machine) : 0;
           }
           case EXPECTED, HEARD -> coming++;
           default -> {}
@@ -90,7 +90,7 @@
     MachineType type = machine.type;
     Duration ready = renting.fetchTime(type);
     if (spare < 1) {
-      ready = ready.plus(type.boot());
+      ready = ready.plus(type.bootTime());
     }
     return ready.compareTo(zones.expectedAway(machine.zone, now)) < 0;
   }
@@ -100,8 +100,11 @@
     int best = -1;
     for (Attempt attempt : machine.attempts.values()) {
       Job job = attempt.job;
-      if (attempt.holdsRoom() && attempt.isWanted() && job.isActive() && mayMove(job, machine)) {
-        int rank = job.rank().ordinal();
+      if (attempt.holdsCapacity()
+          && attempt.isWanted()
+          && job.isActive()
+          && mayMove(job, machine)) {
+        int rank = job.priorityClass().ordinal();
         best = best < 0 ? rank : Math.min(best, rank);
       }
     }
@@ -111,7 +114,7 @@
   private boolean mayMove(Job job, Machine from) {
     int most = (job.spec.tasks() + 1) / 2;
     Map<String, Integer> there = new HashMap<>();
-    if (job.spec.spread()) {
+    if (job.spec.spreadAcrossZones()) {
       job.attempts.values().stream()
           .flatMap(of -> of.stream())
           .forEach(a -> there.merge(a.machine.zone, 1, Integer::sum));
@@ -120,7 +123,7 @@
       if (!zone.equals(from.zone)
           && !zones.isGone(zone)
           && job.spec.allowsZone(zone)
-          && (!job.spec.spread() || there.getOrDefault(zone, 0) < most)) {
+          && (!job.spec.spreadAcrossZones() || there.getOrDefault(zone, 0) < most)) {
         return true;
       }
     }
--- a/src/main/java/io/pineladder/cli/Controller.java
+++ b/src/main/java/io/pineladder/cli/Controller.java
@@ -1,16 +1,16 @@
 package io.pineladder.cli;
 
-import io.pineladder.Node;
+import io.pineladder.ControllerNode;
 import io.pineladder.admin.Metrics;
-import io.pineladder.delivery.Delivery;
-import io.pineladder.delivery.SecretBox;
-import io.pineladder.front.Front;
+import io.pineladder.api.RequestRouter;
+import io.pineladder.delivery.DeliveryContext;
+import io.pineladder.delivery.SecretCipher;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.OutwardCaller;
-import io.pineladder.net.Sockets;
-import io.pineladder.net.UndertowCaller;
-import io.pineladder.net.XnioRuntime;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.ConnectionLimiter;
+import io.pineladder.net.OutboundHttpClient;
+import io.pineladder.net.UndertowHttpClient;
+import io.pineladder.net.XnioEventLoop;
 import io.pineladder.snapshot.SnapshotDirectory;
 import io.pineladder.wire.SettingsReader;
 import java.io.IOException;
@@ -98,74 +98,80 @@
   }
 
   /** What a connection to the front is for, by the path that is asked for. */
-  private static Sockets.Part frontPart(String path) {
+  private static ConnectionLimiter.TrafficClass frontPart(String path) {
     return switch (Metrics.Operation.of("POST", path)) {
-      case REPORT -> Sockets.Part.REPORTS;
-      case READY -> Sockets.Part.ARRIVING;
-      default -> Sockets.Part.USERS;
+      case REPORT -> ConnectionLimiter.TrafficClass.REPORTS;
+      case READY -> ConnectionLimiter.TrafficClass.ARRIVING;
+      default -> ConnectionLimiter.TrafficClass.USERS;
     };
   }
 
   /** What a connection to an address is for. */
-  private static Sockets.Part part(Settings settings, String address) {
+  private static ConnectionLimiter.TrafficClass part(Settings settings, String address) {
     if (address.equals(settings.storeAddress()) || address.equals(settings.cloudAddress())) {
-      return Sockets.Part.SERVICES;
+      return ConnectionLimiter.TrafficClass.SERVICES;
     }
     boolean peer = settings.peers().stream().anyMatch(p -> p.address().equals(address));
-    return peer ? Sockets.Part.PEERS : Sockets.Part.ORDERS;
+    return peer ? ConnectionLimiter.TrafficClass.PEERS : ConnectionLimiter.TrafficClass.ORDERS;
   }
 
-  private static Delivery delivery(Settings settings, XnioRuntime runtime, Path key)
+  private static DeliveryContext delivery(Settings settings, XnioEventLoop runtime, Path key)
       throws IOException {
     Set<String> own = new LinkedHashSet<>();
     Stream.concat(
             Stream.of(
-                settings.frontAddress(),
+                settings.apiAddress(),
                 settings.clusterAddress(),
                 settings.storeAddress(),
                 settings.cloudAddress()),
             settings.peers().stream().map(Settings.Peer::address))
         .forEach(address -> own.add(address.substring(0, address.lastIndexOf(':'))));
-    Delivery delivery =
-        new Delivery(
+    DeliveryContext delivery =
+        new DeliveryContext(
             runtime,
-            SecretBox.read(key),
+            SecretCipher.read(key),
             own,
             settings.coreShare(),
-            runtime.sockets().usage().get(Sockets.Part.NOTICES).most());
-    delivery.sendThrough(new OutwardCaller(runtime, delivery::allows));
+            runtime.sockets().usage().get(ConnectionLimiter.TrafficClass.NOTICES).most());
+    delivery.sendThrough(new OutboundHttpClient(runtime, delivery::allows));
     return delivery;
   }
 
   /** Starts a controller; everything happens on the runtime's thread from then on. */
-  static XnioRuntime start(Settings settings, Extras extras) throws IOException {
-    XnioRuntime runtime = new XnioRuntime(settings.maxSockets(), settings.workers().report());
-    HttpCaller http = new UndertowCaller(runtime, address -> part(settings, address));
+  static XnioEventLoop start(Settings settings, Extras extras) throws IOException {
+    XnioEventLoop runtime =
+        new XnioEventLoop(settings.maxSockets(), settings.workerTimes().heartbeatInterval());
+    AsyncHttpClient httpClient =
+        new UndertowHttpClient(runtime, address -> part(settings, address));
     byte[] nonce = new byte[12];
     RandomGenerator.of("SecureRandom").nextBytes(nonce);
-    Node node =
-        new Node(
+    ControllerNode node =
+        new ControllerNode(
             settings,
             runtime,
-            http,
+            httpClient,
             HexFormat.of().formatHex(nonce),
             extras.deliveryKey == null ? null : delivery(settings, runtime, extras.deliveryKey),
             extras.snapshots == null
                 ? null
-                : new SnapshotDirectory(extras.snapshots.resolve(settings.member()), runtime),
+                : new SnapshotDirectory(
+                    extras.snapshots.resolve(settings.controllerName()), runtime),
             runtime);
     Metrics metrics = new Metrics();
     metrics.watch(runtime.sockets());
-    Front front = new Front(node, metrics);
+    RequestRouter front = new RequestRouter(node, metrics);
     runtime.serve(
-        new XnioRuntime.Listener(
-            settings.frontAddress(), front::handle, Sockets.Part.ARRIVING, Controller::frontPart));
+        new XnioEventLoop.Listener(
+            settings.apiAddress(),
+            front::handle,
+            ConnectionLimiter.TrafficClass.ARRIVING,
+            Controller::frontPart));
     runtime.serve(
-        new XnioRuntime.Listener(
+        new XnioEventLoop.Listener(
             settings.clusterAddress(),
             front::handleCluster,
-            Sockets.Part.PEERS,
-            path -> Sockets.Part.PEERS));
+            ConnectionLimiter.TrafficClass.PEERS,
+            path -> ConnectionLimiter.TrafficClass.PEERS));
     runtime.execute(node::start);
     return runtime;
   }
--- a/src/main/java/io/pineladder/cli/KeygenCommand.java
+++ b/src/main/java/io/pineladder/cli/KeygenCommand.java
@@ -1,6 +1,6 @@
 package io.pineladder.cli;
 
-import io.pineladder.delivery.Signature;
+import io.pineladder.delivery.WebhookSignature;
 import java.security.SecureRandom;
 import java.util.Base64;
 import picocli.CommandLine.Model.CommandSpec;
@@ -32,7 +32,7 @@
     byte[] key = new byte[BYTES];
     new SecureRandom().nextBytes(key);
     System.out.println(
-        (parsed.hasMatchedOption("--secret") ? Signature.SECRET_PREFIX : "")
+        (parsed.hasMatchedOption("--secret") ? WebhookSignature.SECRET_PREFIX : "")
             + Base64.getEncoder().encodeToString(key));
     return Main.EXIT_OK;
   }
--- a/src/main/java/io/pineladder/cli/ReceiveCommand.java
+++ b/src/main/java/io/pineladder/cli/ReceiveCommand.java
@@ -1,7 +1,7 @@
 package io.pineladder.cli;
 
-import io.pineladder.delivery.Signature;
-import io.pineladder.delivery.receiver.Journal;
+import io.pineladder.delivery.WebhookSignature;
+import io.pineladder.delivery.receiver.NotificationJournal;
 import io.pineladder.delivery.receiver.Receiver;
 import io.undertow.Undertow;
 import io.undertow.UndertowOptions;
@@ -69,14 +69,14 @@
       List<byte[]> secrets = new ArrayList<>();
       for (String line : Files.readAllLines(parsed.matchedOptionValue("--secrets", null))) {
         if (!line.isBlank()) {
-          secrets.add(Signature.secret(line.strip()));
+          secrets.add(WebhookSignature.secret(line.strip()));
         }
       }
       if (secrets.isEmpty()) {
         throw new IOException("there is no signing secret");
       }
       Path file = parsed.matchedOptionValue("--journal", null);
-      Receiver receiver = new Receiver(secrets, new Journal(file), Clock.systemUTC());
+      Receiver receiver = new Receiver(secrets, new NotificationJournal(file), Clock.systemUTC());
       Undertow server =
           Undertow.builder()
               .setIoThreads(1)
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/Training.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.net.Sockets;
-import io.pineladder.net.UndertowCaller;
-import io.pineladder.net.XnioRuntime;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.ConnectionLimiter;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.net.UndertowHttpClient;
+import io.pineladder.net.XnioEventLoop;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.SettingsReader;
 import java.io.IOException;
@@ -36,17 +36,18 @@
       String cluster = freeAddress();
       String outside = freeAddress();
       Settings settings = SettingsReader.parse(toml(front, cluster, outside));
-      XnioRuntime surroundings =
-          new XnioRuntime(settings.maxSockets(), settings.workers().report());
+      XnioEventLoop surroundings =
+          new XnioEventLoop(settings.maxSockets(), settings.workerTimes().heartbeatInterval());
       surroundings.serve(
-          new XnioRuntime.Listener(
+          new XnioEventLoop.Listener(
               outside,
               Training::surroundings,
-              Sockets.Part.SERVICES,
-              path -> Sockets.Part.SERVICES));
+              ConnectionLimiter.TrafficClass.SERVICES,
+              path -> ConnectionLimiter.TrafficClass.SERVICES));
       Controller.start(settings, Controller.Extras.NONE);
       CountDownLatch over = new CountDownLatch(1);
-      UndertowCaller caller = new UndertowCaller(surroundings, a -> Sockets.Part.USERS);
+      UndertowHttpClient caller =
+          new UndertowHttpClient(surroundings, a -> ConnectionLimiter.TrafficClass.USERS);
       surroundings.execute(() -> submit(surroundings, caller, front, over));
       return over.await(MOST_SECONDS, TimeUnit.SECONDS) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException | SettingsReader.BadSettingsException e) {
@@ -60,19 +61,20 @@
 
   /** Tries until the controller leads and takes the job. */
   private static void submit(
-      XnioRuntime time, UndertowCaller caller, String front, CountDownLatch over) {
+      XnioEventLoop time, UndertowHttpClient caller, String front, CountDownLatch over) {
     caller.call(
         Request.post(front, "/v1/jobs", JOB, TIMEOUT),
         reply -> {
           if (reply.is(201)) {
             report(caller, front, 1, over);
           } else {
-            time.after(RETRY, () -> submit(time, caller, front, over));
+            time.schedule(RETRY, () -> submit(time, caller, front, over));
           }
         });
   }
 
-  private static void report(UndertowCaller caller, String front, int tally, CountDownLatch over) {
+  private static void report(
+      UndertowHttpClient caller, String front, int tally, CountDownLatch over) {
     ObjectNode report =
         Json.object()
             .put("host", "m-1")
@@ -110,7 +112,7 @@
 
   /** Plays state service and cloud, just well enough to be led and scheduled by. */
   private static void surroundings(
-      String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+      String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     String text;
     int status = 200;
     if (path.equals("/holds")) {
@@ -135,7 +137,7 @@
     } else {
       return;
     }
-    answer.accept(new HttpAnswer(status, text.getBytes(StandardCharsets.UTF_8)));
+    answer.accept(new HttpResponse(status, text.getBytes(StandardCharsets.UTF_8)));
   }
 
   private static String freeAddress() throws IOException {
--- a/src/main/java/io/pineladder/delivery/Delivery.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryContext.java
@@ -1,10 +1,10 @@
 package io.pineladder.delivery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.net.Background;
-import io.pineladder.net.Outward;
+import io.pineladder.net.BackgroundExecutor;
+import io.pineladder.net.OutboundClient;
 import io.pineladder.wire.DeliveryWire;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.net.InetAddress;
 import java.util.Collection;
 import java.util.List;
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /** What a controller needs to deliver notices, whether it leads or not. */
-public final class Delivery {
-  private static final Logger log = LoggerFactory.getLogger(Delivery.class);
+public final class DeliveryContext {
+  private static final Logger log = LoggerFactory.getLogger(DeliveryContext.class);
 
   /** Notices sent in a second by a process that has a whole core. */
   private static final double PER_CORE = 1_500;
@@ -21,13 +21,13 @@
   /** So many requests are under way at a time at most. */
   private static final int MOST_UNDER_WAY = 32;
 
-  private final Background background;
-  private final SecretBox box;
+  private final BackgroundExecutor backgroundExecutor;
+  private final SecretCipher box;
   private final Collection<String> own;
   private final double perSecond;
   private final int underWay;
-  private Outward outward;
-  private Destinations destinations;
+  private OutboundClient outward;
+  private DestinationPolicy destinations;
 
   /**
    * Delivery on one controller.
@@ -36,30 +36,34 @@
    * @param coreShare how much of a core the process has
    * @param sockets how many sockets there are for it
    */
-  public Delivery(
-      Background background, SecretBox box, Collection<String> own, double coreShare, int sockets) {
+  public DeliveryContext(
+      BackgroundExecutor backgroundExecutor,
+      SecretCipher box,
+      Collection<String> own,
+      double coreShare,
+      int sockets) {
     // The rest is for connections that are being closed, or kept for the next notice.
     this.underWay = Math.max(1, Math.min(MOST_UNDER_WAY, sockets * 3 / 4));
-    this.background = background;
+    this.backgroundExecutor = backgroundExecutor;
     this.box = box;
     this.own = List.copyOf(own);
     this.perSecond = Math.max(1, PER_CORE * coreShare);
   }
 
   /** Has notices sent through this. */
-  public void sendThrough(Outward through) {
+  public void sendThrough(OutboundClient through) {
     outward = through;
   }
 
-  Outward outward() {
+  OutboundClient outward() {
     return outward;
   }
 
-  Background background() {
-    return background;
+  BackgroundExecutor background() {
+    return backgroundExecutor;
   }
 
-  SecretBox box() {
+  SecretCipher box() {
     return box;
   }
 
@@ -77,8 +81,8 @@
   }
 
   /** The destinations in these networks; the reason when one is none. */
-  Destinations destinations(Collection<String> networks) {
-    return new Destinations(networks, own);
+  DestinationPolicy destinations(Collection<String> networks) {
+    return new DestinationPolicy(networks, own);
   }
 
   List<String> networks() {
@@ -89,7 +93,7 @@
   public void learnNetworks(JsonNode value) {
     try {
       destinations = value == null ? null : destinations(DeliveryWire.parseNetworks(value));
-    } catch (MalformedException | IllegalArgumentException e) {
+    } catch (MalformedMessageException | IllegalArgumentException e) {
       destinations = null;
       log.error("the allowed networks cannot be read, so none is: {}", e.getMessage());
     }
--- a/src/main/java/io/pineladder/delivery/Deliveries.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
@@ -1,8 +1,8 @@
 package io.pineladder.delivery;
 
 import io.pineladder.model.Subscription;
-import io.pineladder.net.Timeline;
-import io.pineladder.retry.RateBudget;
+import io.pineladder.net.EventLoop;
+import io.pineladder.retry.TokenBucket;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
@@ -18,7 +18,7 @@
  * under way and on the rate, so that scheduling goes on beside it; those whose last try failed have
  * only a part of the turns, so that the dead do not delay the others.
  */
-public final class Deliveries {
+public final class DeliveryDispatcher {
   /** The part of the turns that receivers which fail have. */
   private static final double FAILING_PART = 0.25;
 
@@ -27,15 +27,15 @@
     void settle(Subscription subscription, Subscription.Status status, String reason);
   }
 
-  private final Delivery delivery;
-  private final Outbox outbox;
-  private final Timeline time;
+  private final DeliveryContext delivery;
+  private final NotificationOutbox outbox;
+  private final EventLoop eventLoop;
   private final BooleanSupplier mayAct;
   private final Settling settling;
-  private final RateBudget rate;
+  private final TokenBucket rate;
   private final int mostUnderWay;
   private final int mostFailing;
-  private final Map<String, Subscriber> subscribers = new HashMap<>();
+  private final Map<String, SubscriberDelivery> subscribers = new HashMap<>();
 
   /** Secrets that have been decrypted, by what they were encrypted to. */
   private final Map<String, byte[]> opened = new HashMap<>();
@@ -51,24 +51,28 @@
   /** From a job's end to the receiver's answer, in milliseconds. */
   private final Histogram delays = new Histogram(TimeUnit.DAYS.toMillis(2), 2);
 
-  Deliveries(
-      Delivery delivery, Outbox outbox, Timeline time, BooleanSupplier mayAct, Settling settling) {
+  DeliveryDispatcher(
+      DeliveryContext delivery,
+      NotificationOutbox outbox,
+      EventLoop eventLoop,
+      BooleanSupplier mayAct,
+      Settling settling) {
     this.delivery = delivery;
     this.outbox = outbox;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.mayAct = mayAct;
     this.settling = settling;
     this.mostUnderWay = delivery.underWay();
     this.mostFailing = Math.max(1, (int) (mostUnderWay * FAILING_PART));
-    this.rate = new RateBudget(delivery.perSecond(), delivery.perSecond(), time.now());
+    this.rate = new TokenBucket(delivery.perSecond(), delivery.perSecond(), eventLoop.now());
   }
 
   /** The subscription's record is stored, or was read. */
   void configure(Subscription subscription) {
-    Subscriber known = subscribers.get(subscription.source());
+    SubscriberDelivery known = subscribers.get(subscription.source());
     if (known == null) {
       Turns turns = new Turns();
-      known = new Subscriber(subscription, outbox, delivery.outward(), time, turns);
+      known = new SubscriberDelivery(subscription, outbox, delivery.outward(), eventLoop, turns);
       turns.subscriber = known;
       subscribers.put(subscription.source(), known);
     }
@@ -77,13 +81,13 @@
   }
 
   void remove(Subscription subscription) {
-    Subscriber known = subscribers.remove(subscription.source());
+    SubscriberDelivery known = subscribers.remove(subscription.source());
     if (known != null) {
       known.close();
     }
   }
 
-  Subscriber of(Subscription subscription) {
+  SubscriberDelivery of(Subscription subscription) {
     return subscribers.get(subscription.source());
   }
 
@@ -105,11 +109,11 @@
 
   /** Notices were stored, or the lease holds after all. */
   void kick() {
-    subscribers.values().forEach(Subscriber::kick);
+    subscribers.values().forEach(SubscriberDelivery::kick);
   }
 
   private void pump() {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     while (underWay < mostUnderWay && rate.available(now) >= 1) {
       Turns next = ready.pollFirst();
       if (next == null && failingUnderWay < mostFailing) {
@@ -125,7 +129,7 @@
     }
     if (underWay < mostUnderWay && !pumpSet) {
       pumpSet = true;
-      time.after(
+      eventLoop.schedule(
           rate.until(1, now).plusMillis(1),
           () -> {
             pumpSet = false;
@@ -135,8 +139,8 @@
   }
 
   /** One subscriber's turns; it waits for no more than one. */
-  private final class Turns implements Subscriber.Owner {
-    private Subscriber subscriber;
+  private final class Turns implements SubscriberDelivery.Owner {
+    private SubscriberDelivery subscriber;
     private boolean queued;
 
     /** The turn that it has, or waits for, is one of a receiver that fails. */
@@ -181,7 +185,7 @@
 
     @Override
     public void confirmed(Instant endedAt) {
-      long millis = Duration.between(endedAt, time.timeOfDay()).toMillis();
+      long millis = Duration.between(endedAt, eventLoop.wallClock()).toMillis();
       delays.recordValue(Math.min(delays.getHighestTrackableValue(), Math.max(0, millis)));
     }
 
--- a/src/main/java/io/pineladder/delivery/Destinations.java
+++ b/src/main/java/io/pineladder/delivery/DestinationPolicy.java
@@ -16,7 +16,7 @@
  * and the cluster's own addresses are denied even within a wider network that is listed; they must
  * be listed by themselves.
  */
-public final class Destinations {
+public final class DestinationPolicy {
   private static final IPAddressStringParameters PLAIN =
       new IPAddressStringParameters.Builder()
           .allowWildcardedSeparator(false)
@@ -37,8 +37,8 @@
    * @param own the cluster's own addresses
    * @throws IllegalArgumentException naming what is no network in canonical form
    */
-  public Destinations(Collection<String> networks, Collection<String> own) {
-    this.networks = networks.stream().map(Destinations::parse).toList();
+  public DestinationPolicy(Collection<String> networks, Collection<String> own) {
+    this.networks = networks.stream().map(DestinationPolicy::parse).toList();
     own.forEach(address -> this.own.add(parse(address)));
   }
 
--- a/src/main/java/io/pineladder/delivery/Outbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -1,14 +1,14 @@
 package io.pineladder.delivery;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pineladder.model.DeliveryProgress;
 import io.pineladder.model.Job;
-import io.pineladder.model.Notice;
-import io.pineladder.model.Progress;
+import io.pineladder.model.Notification;
 import io.pineladder.model.Subscription;
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation;
-import io.pineladder.store.NoticeBook;
+import io.pineladder.store.NotificationLog;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.DeliveryWire;
 import io.pineladder.wire.RecordWire;
 import java.time.temporal.ChronoUnit;
@@ -41,8 +41,8 @@
  * have to read them all before it begins. It needs the newest only, from which it counts on, and
  * reads the rest once it leads.
  */
-public final class Outbox implements NoticeBook {
-  private static final Logger log = LoggerFactory.getLogger(Outbox.class);
+public final class NotificationOutbox implements NotificationLog {
+  private static final Logger log = LoggerFactory.getLogger(NotificationOutbox.class);
 
   /** So many are kept; what a subscriber has not confirmed beyond that is lost to it. */
   public static final int MOST_KEPT = 100_000;
@@ -58,7 +58,7 @@
   private static final int PACE = 50;
 
   private static final Comparator<Entry> BY_NUMBER =
-      Comparator.comparingLong(entry -> entry.notice.number());
+      Comparator.comparingLong(entry -> entry.notification.number());
 
   /** What a page takes beside its notices. */
   private static final int FRAME_BYTES = 64;
@@ -76,7 +76,7 @@
   private static final int NEWEST = 8;
 
   private static final class Entry {
-    final Notice notice;
+    final Notification notification;
 
     /** What it takes in its job's page. */
     final int bytes;
@@ -84,8 +84,8 @@
     /** Takes it out of its job's page; null once that has been asked for. */
     private Runnable drop;
 
-    Entry(Notice notice, int bytes, Runnable drop) {
-      this.notice = notice;
+    Entry(Notification notification, int bytes, Runnable drop) {
+      this.notification = notification;
       this.bytes = bytes;
       this.drop = drop;
     }
@@ -98,28 +98,28 @@
     private long lostFrom;
 
     /** What the store holds. */
-    private Progress stored;
+    private DeliveryProgress stored;
 
     /** The number up to which its page's advance counts it. */
     private long counted;
 
     private ProgressPage page;
 
-    private Cursor(Progress at) {
+    private Cursor(DeliveryProgress at) {
       moveTo(at);
       stored = at;
-      counted = at.number();
+      counted = at.lastNumber();
     }
 
-    private void moveTo(Progress at) {
-      number = at.number();
-      sequence = at.sequence();
-      lostFrom = at.lostFrom();
+    private void moveTo(DeliveryProgress at) {
+      number = at.lastNumber();
+      sequence = at.lastSequence();
+      lostFrom = at.firstLostSequence();
     }
 
     /** Where it is now. */
-    public Progress now() {
-      return new Progress(number, sequence, lostFrom);
+    public DeliveryProgress now() {
+      return new DeliveryProgress(number, sequence, lostFrom);
     }
   }
 
@@ -153,7 +153,7 @@
   private final int most;
   private final int valueBytes;
   private final int perPage;
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
   private final Runnable onStored;
 
@@ -194,12 +194,12 @@
    * @param most how many notices are kept
    * @param onStored told of each notice that is stored, and of what may be sent anew
    */
-  public Outbox(
-      int most, int valueBytes, Timeline time, Consumer<Mutation> commit, Runnable onStored) {
+  public NotificationOutbox(
+      int most, int valueBytes, EventLoop eventLoop, Consumer<Mutation> commit, Runnable onStored) {
     this.most = most;
     this.valueBytes = valueBytes;
     this.perPage = Math.max(1, valueBytes / PROGRESS_BYTES);
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.commit = commit;
     this.onStored = onStored;
   }
@@ -217,7 +217,7 @@
     entries.sort(BY_NUMBER);
     committed = entries.isEmpty() ? 0 : at(entries.size() - 1);
     for (Subscription subscription : subscriptions.values()) {
-      committed = Math.max(committed, subscription.since());
+      committed = Math.max(committed, subscription.createdAfterNumber());
     }
     assigned = committed;
   }
@@ -227,23 +227,24 @@
    * their pages' keys.
    */
   public void complete(
-      Map<String, List<Notice>> backlog, Map<String, Map<String, Progress>> progress) {
+      Map<String, List<Notification>> backlog,
+      Map<String, Map<String, DeliveryProgress>> progress) {
     // Both copies of one that had moved and whose job's page was not written since.
     Map<Long, Entry> inJobs = new HashMap<>();
-    entries.forEach(entry -> inJobs.put(entry.notice.number(), entry));
+    entries.forEach(entry -> inJobs.put(entry.notification.number(), entry));
     backlog.forEach(
         (key, notices) -> {
           long last = 0;
-          for (Notice notice : notices) {
-            last = Math.max(last, notice.number());
-            Entry twice = inJobs.get(notice.number());
+          for (Notification notification : notices) {
+            last = Math.max(last, notification.number());
+            Entry twice = inJobs.get(notification.number());
             if (twice == null) {
-              entries.add(new Entry(notice, 0, null));
+              entries.add(new Entry(notification, 0, null));
             } else {
               leaveJobs(twice);
             }
           }
-          backlogPages.put(Long.parseLong(key.substring(Keys.BACKLOG.length())), last);
+          backlogPages.put(Long.parseLong(key.substring(RecordKeys.BACKLOG.length())), last);
           sealedTo = Math.max(sealedTo, last);
         });
     entries.sort(BY_NUMBER);
@@ -251,7 +252,7 @@
     subscriptions.values().forEach(subscription -> sources.add(subscription.source()));
     progress.forEach(
         (key, page) -> {
-          ProgressPage known = page(Integer.parseInt(key.substring(Keys.DELIVERED.length())));
+          ProgressPage known = page(Integer.parseInt(key.substring(RecordKeys.DELIVERED.length())));
           page.forEach(
               (source, at) -> {
                 if (sources.contains(source)) {
@@ -287,7 +288,7 @@
     for (Subscription subscription : subscriptions.values()) {
       Cursor cursor = cursor(subscription);
       long missing = first() - 1 - cursor.number;
-      if (subscription.isKept() && missing > 0) {
+      if (subscription.retainsNotifications() && missing > 0) {
         log.error("{} notices for {} are not there", missing, subscription.name());
         cursor.lostFrom = cursor.lostFrom == 0 ? cursor.sequence + 1 : cursor.lostFrom;
         cursor.sequence += missing;
@@ -297,7 +298,7 @@
   }
 
   private long at(int index) {
-    return entries.get(index).notice.number();
+    return entries.get(index).notification.number();
   }
 
   private Cursor begin(Subscription subscription) {
@@ -308,11 +309,12 @@
           while (index < pages.size() && pages.get(index).cursors.size() >= perPage) {
             index++;
           }
-          return settle(page(index), source, new Progress(subscription.since(), 0, 0));
+          return settle(
+              page(index), source, new DeliveryProgress(subscription.createdAfterNumber(), 0, 0));
         });
   }
 
-  private static Cursor settle(ProgressPage page, String source, Progress at) {
+  private static Cursor settle(ProgressPage page, String source, DeliveryProgress at) {
     Cursor cursor = new Cursor(at);
     cursor.page = page;
     page.cursors.put(source, cursor);
@@ -321,7 +323,7 @@
 
   private ProgressPage page(int index) {
     while (pages.size() <= index) {
-      pages.add(new ProgressPage(Keys.DELIVERED + pages.size()));
+      pages.add(new ProgressPage(RecordKeys.DELIVERED + pages.size()));
     }
     return pages.get(index);
   }
@@ -355,7 +357,7 @@
   public List<Subscription.Filter> filters(Subscription subscription) {
     List<Subscription.Filter> all = subscription.filters();
     int from = 0;
-    while (from + 1 < all.size() && all.get(from + 1).after() < first()) {
+    while (from + 1 < all.size() && all.get(from + 1).afterNumber() < first()) {
       from++;
     }
     return all.subList(from, all.size());
@@ -388,14 +390,14 @@
   }
 
   @Override
-  public Notice next(Job job) {
+  public Notification next(Job job) {
     String owner = job.spec.team();
     String jobClass = job.spec.jobClass();
     boolean wanted =
         subscriptions.values().stream().anyMatch(s -> s.mayWant(owner, jobClass))
             || coming.values().stream().anyMatch(s -> s.mayWant(owner, jobClass));
     return wanted
-        ? new Notice(
+        ? new Notification(
             ++assigned,
             job.spec.id(),
             owner,
@@ -403,13 +405,13 @@
             job.state(),
             job.spec.tasks(),
             // As it is stored, or a later leader's event would not be the same.
-            time.timeOfDay().truncatedTo(ChronoUnit.MILLIS))
+            eventLoop.wallClock().truncatedTo(ChronoUnit.MILLIS))
         : null;
   }
 
   @Override
-  public void stored(Notice notice, int bytes, Runnable drop) {
-    Entry entry = new Entry(notice, bytes, drop);
+  public void stored(Notification notification, int bytes, Runnable drop) {
+    Entry entry = new Entry(notification, bytes, drop);
     bytesInJobs += bytes;
     (state == State.READING_JOBS ? entries : fresh).add(entry);
   }
@@ -441,7 +443,7 @@
     if (sealing || bytesInJobs <= valueBytes * IN_JOBS) {
       return;
     }
-    List<Notice> chunk = new ArrayList<>();
+    List<Notification> chunk = new ArrayList<>();
     int left = valueBytes - FRAME_BYTES;
     // Never the newest, which a new leader looks for in the pages of jobs.
     int to = entries.size() - NEWEST;
@@ -450,7 +452,7 @@
       if (left < 0) {
         break;
       }
-      chunk.add(entries.get(i).notice);
+      chunk.add(entries.get(i).notification);
     }
     if (chunk.isEmpty()) {
       return;
@@ -463,13 +465,14 @@
             // Among the ends: put off in a rush it would leave them ever more pages to change.
             Mutation.Priority.END,
             List.of(
-                new Mutation.Write(Keys.BACKLOG + page, () -> RecordWire.page(Stream.of(), chunk))),
+                new Mutation.Write(
+                    RecordKeys.BACKLOG + page, () -> RecordWire.page(Stream.of(), chunk))),
             () -> {
               sealing = false;
               backlogPages.put(page, last);
-              for (Notice notice : chunk) {
-                if (notice.number() >= first()) {
-                  leaveJobs(entry(notice.number()));
+              for (Notification notification : chunk) {
+                if (notification.number() >= first()) {
+                  leaveJobs(entry(notification.number()));
                 }
               }
               sealedTo = last;
@@ -493,7 +496,7 @@
       commit.accept(
           Mutation.of(
               Mutation.Priority.TIDY,
-              List.of(new Mutation.Write(Keys.BACKLOG + page, () -> null)),
+              List.of(new Mutation.Write(RecordKeys.BACKLOG + page, () -> null)),
               () -> {}));
     }
   }
@@ -506,16 +509,16 @@
     return entries.get(head + (int) (number - first()));
   }
 
-  private Notice at(long number) {
-    return entry(number).notice;
+  private Notification at(long number) {
+    return entry(number).notification;
   }
 
   /** The subscriber's next notice, or null; what is not for it is passed over. */
-  public Notice next(Subscription subscription) {
+  public Notification next(Subscription subscription) {
     Cursor cursor = cursor(subscription);
-    Notice found = null;
+    Notification found = null;
     while (found == null && cursor.number < committed) {
-      Notice next = at(cursor.number + 1);
+      Notification next = at(cursor.number + 1);
       if (subscription.wants(next)) {
         found = next;
       } else {
@@ -527,14 +530,14 @@
   }
 
   /** How many notices the subscriber has before it, and when the oldest of them was made. */
-  public record Backlog(long notices, Notice oldest) {}
+  public record Backlog(long notices, Notification oldest) {}
 
   /** What waits for the subscriber; counts through the log, for those who ask. */
   public Backlog backlog(Subscription subscription) {
-    if (!subscription.isKept()) {
+    if (!subscription.retainsNotifications()) {
       return new Backlog(0, null);
     }
-    Notice oldest = next(subscription);
+    Notification oldest = next(subscription);
     long count = 0;
     for (long n = cursor(subscription).number + 1; oldest != null && n <= committed; n++) {
       count += subscription.wants(at(n)) ? 1 : 0;
@@ -550,11 +553,11 @@
    */
   public boolean has(Subscription subscription, long position) {
     Cursor cursor = cursor(subscription);
-    Progress before = cursor.now();
+    DeliveryProgress before = cursor.now();
     if (position >= cursor.sequence) {
       cursor.lostFrom = 0;
       while (cursor.sequence < position) {
-        Notice next = next(subscription);
+        Notification next = next(subscription);
         if (next == null) {
           cursor.moveTo(before);
           return false;
@@ -580,7 +583,7 @@
    */
   public boolean seek(Subscription subscription, long sequence) {
     Cursor cursor = cursor(subscription);
-    Progress before = cursor.now();
+    DeliveryProgress before = cursor.now();
     if (!has(subscription, sequence - 1) || cursor.lostFrom > 0) {
       cursor.moveTo(before);
       return false;
@@ -598,7 +601,7 @@
     for (Subscription subscription : subscriptions.values()) {
       Cursor cursor = cursor(subscription);
       long lost = 0;
-      while (subscription.isKept() && cursor.number + 1 < before) {
+      while (subscription.retainsNotifications() && cursor.number + 1 < before) {
         cursor.number++;
         if (subscription.wants(at(cursor.number))) {
           lost++;
@@ -640,7 +643,7 @@
       return;
     }
     page.writing = true;
-    Map<Cursor, Progress> rendered = new HashMap<>();
+    Map<Cursor, DeliveryProgress> rendered = new HashMap<>();
     commit.accept(
         Mutation.of(
             Mutation.Priority.TIDY,
@@ -655,11 +658,11 @@
             }));
   }
 
-  private static JsonNode render(ProgressPage page, Map<Cursor, Progress> rendered) {
+  private static JsonNode render(ProgressPage page, Map<Cursor, DeliveryProgress> rendered) {
     page.again = false;
     page.advance = 0;
     rendered.clear();
-    Map<String, Progress> entries = new LinkedHashMap<>();
+    Map<String, DeliveryProgress> entries = new LinkedHashMap<>();
     page.cursors.forEach(
         (source, cursor) -> {
           rendered.put(cursor, cursor.now());
@@ -672,9 +675,9 @@
   private void trim() {
     long needless = committed;
     for (Subscription subscription : subscriptions.values()) {
-      if (subscription.isKept()) {
+      if (subscription.retainsNotifications()) {
         Cursor cursor = cursor(subscription);
-        needless = Math.min(needless, Math.min(cursor.stored.number(), cursor.number));
+        needless = Math.min(needless, Math.min(cursor.stored.lastNumber(), cursor.number));
       }
     }
     // The newest stays in any case: the next leader counts on from it.
--- a/src/main/java/io/pineladder/delivery/SecretBox.java
+++ b/src/main/java/io/pineladder/delivery/SecretCipher.java
@@ -18,7 +18,7 @@
  * the secret is for is bound to it, so that a stored secret cannot be moved to another
  * subscription.
  */
-public final class SecretBox {
+public final class SecretCipher {
   private static final int KEY_BYTES = 32;
   private static final int NONCE_BYTES = 12;
   private static final int TAG_BITS = 128;
@@ -27,7 +27,7 @@
   private final SecureRandom random = new SecureRandom();
 
   /** A box with a key of 32 bytes. */
-  public SecretBox(byte[] key) {
+  public SecretCipher(byte[] key) {
     if (key.length != KEY_BYTES) {
       throw new IllegalArgumentException("the key has not " + KEY_BYTES + " bytes");
     }
@@ -35,9 +35,9 @@
   }
 
   /** Reads a file with the key in Base64. */
-  public static SecretBox read(Path file) throws IOException {
+  public static SecretCipher read(Path file) throws IOException {
     try {
-      return new SecretBox(Base64.getDecoder().decode(Files.readString(file).strip()));
+      return new SecretCipher(Base64.getDecoder().decode(Files.readString(file).strip()));
     } catch (IllegalArgumentException e) {
       throw new IOException(file + " does not hold " + KEY_BYTES + " bytes in Base64");
     }
--- a/src/main/java/io/pineladder/delivery/Subscriber.java
+++ b/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
@@ -1,11 +1,11 @@
 package io.pineladder.delivery;
 
-import io.pineladder.model.Notice;
-import io.pineladder.model.Progress;
+import io.pineladder.model.DeliveryProgress;
+import io.pineladder.model.Notification;
 import io.pineladder.model.Subscription;
-import io.pineladder.net.Outward;
-import io.pineladder.net.Outward.Answer;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
+import io.pineladder.net.OutboundClient;
+import io.pineladder.net.OutboundClient.Answer;
 import io.pineladder.retry.Backoff;
 import io.pineladder.wire.DeliveryWire;
 import java.net.URI;
@@ -20,8 +20,8 @@
  * The sending to one subscriber, in one term: one notice at a time, in order, again and again until
  * the receiver has it.
  */
-final class Subscriber {
-  private static final Logger log = LoggerFactory.getLogger(Subscriber.class);
+final class SubscriberDelivery {
+  private static final Logger log = LoggerFactory.getLogger(SubscriberDelivery.class);
 
   /** A receiver has so long for its whole answer, however it drips. */
   static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -71,9 +71,9 @@
     void settle(Subscription subscription, Subscription.Status status, String reason);
   }
 
-  private final Outbox outbox;
-  private final Outward outward;
-  private final Timeline time;
+  private final NotificationOutbox outbox;
+  private final OutboundClient outward;
+  private final EventLoop eventLoop;
   private final Owner owner;
   private final Backoff backoff;
   private Subscription subscription;
@@ -89,14 +89,18 @@
   private Instant confirmedAt;
   private long sent;
 
-  Subscriber(
-      Subscription subscription, Outbox outbox, Outward outward, Timeline time, Owner owner) {
+  SubscriberDelivery(
+      Subscription subscription,
+      NotificationOutbox outbox,
+      OutboundClient outward,
+      EventLoop eventLoop,
+      Owner owner) {
     this.subscription = subscription;
     this.outbox = outbox;
     this.outward = outward;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.owner = owner;
-    this.backoff = new Backoff(time, FIRST_RETRY, MOST_RETRY);
+    this.backoff = new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
   }
 
   private void moveTo(State next) {
@@ -166,7 +170,8 @@
   }
 
   private boolean isWaiting() {
-    return outbox.cursor(subscription).now().lostFrom() > 0 || outbox.next(subscription) != null;
+    return outbox.cursor(subscription).now().firstLostSequence() > 0
+        || outbox.next(subscription) != null;
   }
 
   /** It is its turn. */
@@ -179,32 +184,32 @@
       owner.done();
       return;
     }
-    Progress at = outbox.cursor(subscription).now();
-    Notice next = at.lostFrom() > 0 ? null : outbox.next(subscription);
-    if (at.lostFrom() == 0 && next == null) {
+    DeliveryProgress at = outbox.cursor(subscription).now();
+    Notification next = at.firstLostSequence() > 0 ? null : outbox.next(subscription);
+    if (at.firstLostSequence() == 0 && next == null) {
       moveTo(State.CURRENT);
       owner.done();
       return;
     }
-    long sequence = next == null ? at.sequence() : at.sequence() + 1;
+    long sequence = next == null ? at.lastSequence() : at.lastSequence() + 1;
     byte[] body =
         next == null
-            ? DeliveryWire.lost(subscription, at.lostFrom(), sequence)
+            ? DeliveryWire.lost(subscription, at.firstLostSequence(), sequence)
             : DeliveryWire.event(subscription, sequence, next);
     String id = DeliveryWire.id(subscription, sequence);
-    Instant now = time.timeOfDay();
+    Instant now = eventLoop.wallClock();
     Map<String, String> headers;
     try {
       headers =
           Map.of(
               "content-type",
               DeliveryWire.CONTENT_TYPE,
-              Signature.ID,
+              WebhookSignature.ID,
               id,
-              Signature.TIMESTAMP,
+              WebhookSignature.TIMESTAMP,
               Long.toString(now.getEpochSecond()),
-              Signature.SIGNATURE,
-              Signature.sign(owner.secrets(subscription), id, now, body));
+              WebhookSignature.SIGNATURE,
+              WebhookSignature.sign(owner.secrets(subscription), id, now, body));
     } catch (IllegalArgumentException e) {
       owner.done();
       park("its secrets cannot be decrypted with this controller's key");
@@ -215,7 +220,7 @@
     owner.sent();
     long mine = round;
     outward.post(
-        new Outward.Message(URI.create(subscription.url()), headers, body, TIMEOUT),
+        new OutboundClient.Message(URI.create(subscription.url()), headers, body, TIMEOUT),
         answer -> {
           owner.done();
           if (round == mine) {
@@ -224,22 +229,22 @@
         });
   }
 
-  private void answered(long sequence, Notice notice, Answer answer) {
+  private void answered(long sequence, Notification notification, Answer answer) {
     int status = answer.status();
     long position = DeliveryWire.parsePosition(answer.body());
     boolean taken = status >= 200 && status < 300;
-    if (answer.outcome() == Outward.Outcome.NOT_ALLOWED) {
+    if (answer.outcome() == OutboundClient.Outcome.NOT_ALLOWED) {
       park(answer.fault());
-    } else if (answer.outcome() == Outward.Outcome.FAILED) {
+    } else if (answer.outcome() == OutboundClient.Outcome.FAILED) {
       retry(answer.fault(), null);
     } else if (taken && position < 0) {
       // A receiver that keeps no position: what it has taken is all that can be known.
-      has(sequence, notice);
+      has(sequence, notification);
     } else if ((taken || status == 409) && position >= 0) {
       if (position < sequence) {
         lastError = "the receiver has up to " + position + " and not " + sequence;
       }
-      has(position, position >= sequence ? notice : null);
+      has(position, position >= sequence ? notification : null);
     } else if (status == 410) {
       owner.settle(subscription, Subscription.Status.ENDED, "the receiver answered 410");
       moveTo(State.HELD);
@@ -251,17 +256,18 @@
   }
 
   /** The receiver has told, or shown, up to where it has everything. */
-  private void has(long position, Notice sent) {
-    Progress before = outbox.cursor(subscription).now();
+  private void has(long position, Notification sent) {
+    DeliveryProgress before = outbox.cursor(subscription).now();
     if (!outbox.has(subscription, position)) {
       park("the receiver claims sequence " + position + ", which was never sent");
       return;
     }
-    Progress now = outbox.cursor(subscription).now();
-    if (now.sequence() > before.sequence() || now.lostFrom() != before.lostFrom()) {
-      confirmedAt = time.now();
+    DeliveryProgress now = outbox.cursor(subscription).now();
+    if (now.lastSequence() > before.lastSequence()
+        || now.firstLostSequence() != before.firstLostSequence()) {
+      confirmedAt = eventLoop.now();
       if (sent != null) {
-        owner.confirmed(sent.at());
+        owner.confirmed(sent.endedAt());
       }
       backoff.reset();
       if (failing) {
@@ -284,7 +290,7 @@
     }
     moveTo(State.RETRYING);
     long mine = round;
-    time.after(
+    eventLoop.schedule(
         pause,
         () -> {
           if (round == mine) {
