--- a/src/main/java/io/pineladder/delivery/Subscriptions.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -1,20 +1,20 @@
 package io.pineladder.delivery;
 
-import static io.pineladder.net.Answers.error;
+import static io.pineladder.net.HttpResponses.error;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.admin.Metrics;
-import io.pineladder.model.Progress;
+import io.pineladder.model.DeliveryProgress;
 import io.pineladder.model.Subscription;
-import io.pineladder.net.Answers;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.net.EventLoop;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.net.HttpResponses;
 import io.pineladder.store.Mutation;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.DeliveryWire;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.net.URI;
 import java.net.URISyntaxException;
 import java.nio.charset.StandardCharsets;
@@ -35,8 +35,8 @@
 /**
  * Subscriptions in one term: the administration of them, and the sending where it is switched on.
  */
-public final class Subscriptions {
-  private static final Logger log = LoggerFactory.getLogger(Subscriptions.class);
+public final class SubscriptionManager {
+  private static final Logger log = LoggerFactory.getLogger(SubscriptionManager.class);
 
   /** Below the administration API's prefix. */
   public static final String PATH = "subscriptions";
@@ -57,32 +57,34 @@
   private static final int MOST_NETWORKS = 64;
   private static final Duration STORE_TIMEOUT = Duration.ofSeconds(3);
 
-  private final Delivery delivery;
-  private final Outbox outbox;
-  private final Timeline time;
+  private final DeliveryContext delivery;
+  private final NotificationOutbox outbox;
+  private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
   private final int valueBytes;
-  private final Deliveries deliveries;
+  private final DeliveryDispatcher deliveries;
 
   /**
    * The subscriptions of a term.
    *
    * @param delivery null where it is switched off: notices are kept then and not sent
    */
-  public Subscriptions(
-      Delivery delivery,
-      Outbox outbox,
-      Timeline time,
+  public SubscriptionManager(
+      DeliveryContext delivery,
+      NotificationOutbox outbox,
+      EventLoop eventLoop,
       Consumer<Mutation> commit,
       int valueBytes,
       BooleanSupplier mayAct) {
     this.valueBytes = valueBytes;
     this.delivery = delivery;
     this.outbox = outbox;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.commit = commit;
     this.deliveries =
-        delivery == null ? null : new Deliveries(delivery, outbox, time, mayAct, this::settle);
+        delivery == null
+            ? null
+            : new DeliveryDispatcher(delivery, outbox, eventLoop, mayAct, this::settle);
   }
 
   /** Whether subscriptions can be administered and are served here. */
@@ -119,7 +121,7 @@
             Mutation.Priority.END,
             List.of(
                 new Mutation.Write(
-                    Keys.SUBSCRIPTION + name,
+                    RecordKeys.SUBSCRIPTION + name,
                     () -> {
                       Subscription before = outbox.subscriptions().get(name);
                       rendered[0] = change.apply(before);
@@ -176,15 +178,15 @@
 
   // ---- administration
 
-  private static HttpAnswer json(int status, ObjectNode body) {
-    return new HttpAnswer(status, Json.bytes(body));
+  private static HttpResponse json(int status, ObjectNode body) {
+    return new HttpResponse(status, Json.bytes(body));
   }
 
-  private static HttpAnswer later(String reason) {
-    return new HttpAnswer(503, Json.bytes(Json.object().put("error", reason)), 2);
+  private static HttpResponse later(String reason) {
+    return new HttpResponse(503, Json.bytes(Json.object().put("error", reason)), 2);
   }
 
-  private static HttpAnswer faulty(List<SubscriptionSchema.Fault> faults) {
+  private static HttpResponse faulty(List<SubscriptionSchema.Fault> faults) {
     ObjectNode out = Json.object().put("error", "the request has faults");
     ArrayNode list = out.putArray("faults");
     faults.forEach(f -> list.addObject().put("pointer", f.pointer()).put("fault", f.what()));
@@ -192,13 +194,14 @@
   }
 
   /** Answers at the first of both: the change is stored, or has taken too long. */
-  private Runnable within(Consumer<HttpAnswer> answer, Supplier<HttpAnswer> good) {
-    Consumer<HttpAnswer> first = Answers.once(time, answer, STORE_TIMEOUT, later("not stored yet"));
+  private Runnable within(Consumer<HttpResponse> answer, Supplier<HttpResponse> good) {
+    Consumer<HttpResponse> first =
+        HttpResponses.once(eventLoop, answer, STORE_TIMEOUT, later("not stored yet"));
     return () -> first.accept(good.get());
   }
 
   /** Answers a request; {@code path} is what follows the administration API's prefix. */
-  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (delivery == null) {
       answer.accept(error(404, "delivery of notices is not switched on"));
     } else if (path.equals(NETWORKS_PATH)) {
@@ -210,7 +213,7 @@
     } else if (path.equals(PATH + "/schema")) {
       answer.accept(
           method.equals("GET")
-              ? new HttpAnswer(200, SubscriptionSchema.text().getBytes(StandardCharsets.UTF_8))
+              ? new HttpResponse(200, SubscriptionSchema.text().getBytes(StandardCharsets.UTF_8))
               : error(405, "use GET"));
     } else {
       String[] parts = path.substring(PATH.length() + 1).split("/", -1);
@@ -234,7 +237,7 @@
     }
   }
 
-  private HttpAnswer list() {
+  private HttpResponse list() {
     ObjectNode out = Json.object();
     ArrayNode all = out.putArray("subscriptions");
     outbox.subscriptions().values().forEach(each -> all.add(show(each)));
@@ -255,7 +258,7 @@
     return out;
   }
 
-  private HttpAnswer shown(String name) {
+  private HttpResponse shown(String name) {
     Subscription found = outbox.subscriptions().get(name);
     return found == null ? error(404, "no such subscription") : json(200, show(found));
   }
@@ -263,7 +266,7 @@
   private ObjectNode show(Subscription subscription) {
     ObjectNode out = Json.object().put("name", subscription.name()).put("url", subscription.url());
     ArrayNode owners = out.putArray("owners");
-    subscription.filter().owners().stream().sorted().forEach(owners::add);
+    subscription.filter().teams().stream().sorted().forEach(owners::add);
     ArrayNode classes = out.putArray("classes");
     subscription.filter().classes().stream().sorted().forEach(classes::add);
     out.put("secrets", subscription.secrets().size())
@@ -272,15 +275,17 @@
     if (subscription.reason() != null) {
       out.put("reason", subscription.reason());
     }
-    Outbox.Backlog backlog = outbox.backlog(subscription);
-    Progress at = outbox.cursor(subscription).now();
-    out.put("confirmed", at.lostFrom() > 0 ? at.lostFrom() - 1 : at.sequence())
+    NotificationOutbox.Backlog backlog = outbox.backlog(subscription);
+    DeliveryProgress at = outbox.cursor(subscription).now();
+    out.put(
+            "confirmed",
+            at.firstLostSequence() > 0 ? at.firstLostSequence() - 1 : at.lastSequence())
         .put("backlog", backlog.notices())
-        .put("oldest", backlog.oldest() == null ? null : backlog.oldest().at().toString());
-    if (at.lostFrom() > 0) {
-      out.putObject("lost").put("first", at.lostFrom()).put("last", at.sequence());
+        .put("oldest", backlog.oldest() == null ? null : backlog.oldest().endedAt().toString());
+    if (at.firstLostSequence() > 0) {
+      out.putObject("lost").put("first", at.firstLostSequence()).put("last", at.lastSequence());
     }
-    Subscriber sender = deliveries.of(subscription);
+    SubscriberDelivery sender = deliveries.of(subscription);
     if (sender != null) {
       out.put("sending", sender.state().name().toLowerCase(Locale.ROOT))
           .put("sent", sender.sent())
@@ -289,12 +294,12 @@
               "confirmed_ago_s",
               sender.confirmedAt() == null
                   ? null
-                  : Duration.between(sender.confirmedAt(), time.now()).toMillis() / 1e3);
+                  : Duration.between(sender.confirmedAt(), eventLoop.now()).toMillis() / 1e3);
     }
     return out;
   }
 
-  private void one(String method, String name, byte[] body, Consumer<HttpAnswer> answer) {
+  private void one(String method, String name, byte[] body, Consumer<HttpResponse> answer) {
     switch (method) {
       case "GET" -> answer.accept(shown(name));
       case "PUT" -> put(name, body, answer);
@@ -312,11 +317,11 @@
     }
   }
 
-  private void put(String name, byte[] body, Consumer<HttpAnswer> answer) {
+  private void put(String name, byte[] body, Consumer<HttpResponse> answer) {
     ObjectNode wanted;
     try {
       wanted = Json.parseObject(body);
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(faulty(List.of(new SubscriptionSchema.Fault("", e.getMessage()))));
       return;
     }
@@ -357,7 +362,7 @@
     }
     for (int i = 0; i < wanted.path("secrets").size(); i++) {
       try {
-        Signature.secret(wanted.get("secrets").get(i).textValue());
+        WebhookSignature.secret(wanted.get("secrets").get(i).textValue());
       } catch (IllegalArgumentException e) {
         faults.add(new SubscriptionSchema.Fault("/secrets/" + i, e.getMessage()));
       }
@@ -365,14 +370,15 @@
     return faults;
   }
 
-  private void apply(String name, ObjectNode wanted, boolean isNew, Consumer<HttpAnswer> answer) {
+  private void apply(String name, ObjectNode wanted, boolean isNew, Consumer<HttpResponse> answer) {
     List<String> encrypted = new ArrayList<>();
     wanted
         .path("secrets")
         .forEach(
             secret ->
-                encrypted.add(delivery.box().seal(name, Signature.secret(secret.textValue()))));
-    String incarnation = HexFormat.of().toHexDigits(time.random().nextInt());
+                encrypted.add(
+                    delivery.box().seal(name, WebhookSignature.secret(secret.textValue()))));
+    String incarnation = HexFormat.of().toHexDigits(eventLoop.random().nextInt());
     String url = wanted.get("url").textValue();
     Set<String> owners = DeliveryWire.texts(wanted.path("owners"));
     Set<String> classes = DeliveryWire.texts(wanted.path("classes"));
@@ -394,14 +400,14 @@
                 null);
           }
           List<Subscription.Filter> filters = new ArrayList<>(outbox.filters(now));
-          if (!now.filter().owners().equals(owners) || !now.filter().classes().equals(classes)) {
+          if (!now.filter().teams().equals(owners) || !now.filter().classes().equals(classes)) {
             filters.add(filter);
           }
           return new Subscription(
               name,
               now.incarnation(),
               url,
-              now.since(),
+              now.createdAfterNumber(),
               List.copyOf(filters),
               encrypted.isEmpty() ? now.secrets() : List.copyOf(encrypted),
               now.status(),
@@ -429,7 +435,7 @@
             }));
   }
 
-  private void pause(String name, Consumer<HttpAnswer> answer) {
+  private void pause(String name, Consumer<HttpResponse> answer) {
     if (outbox.subscriptions().get(name).status() == Subscription.Status.ENDED) {
       answer.accept(error(409, "it has ended; delete it"));
       return;
@@ -440,7 +446,7 @@
         within(answer, () -> shown(name)));
   }
 
-  private void resume(String name, byte[] body, Consumer<HttpAnswer> answer) {
+  private void resume(String name, byte[] body, Consumer<HttpResponse> answer) {
     Subscription present = outbox.subscriptions().get(name);
     if (present.status() == Subscription.Status.ENDED) {
       answer.accept(error(409, "it has ended; delete it and create it anew"));
@@ -452,9 +458,9 @@
         ObjectNode wanted = Json.parseObject(body);
         from = wanted.path("sequence").asLong(0);
         if (wanted.size() != 1 || from < 1 || !wanted.get("sequence").isIntegralNumber()) {
-          throw new MalformedException("sequence is not a whole number from 1");
+          throw new MalformedMessageException("sequence is not a whole number from 1");
         }
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         answer.accept(faulty(List.of(new SubscriptionSchema.Fault("/sequence", e.getMessage()))));
         return;
       }
@@ -469,7 +475,7 @@
         within(answer, () -> shown(name)));
   }
 
-  private void networks(String method, byte[] body, Consumer<HttpAnswer> answer) {
+  private void networks(String method, byte[] body, Consumer<HttpResponse> answer) {
     if (method.equals("GET")) {
       answer.accept(json(200, DeliveryWire.networks(delivery.networks())));
       return;
@@ -481,7 +487,7 @@
     List<String> wanted;
     try {
       wanted = DeliveryWire.parseNetworks(Json.parseObject(body));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       answer.accept(faulty(List.of(new SubscriptionSchema.Fault("/networks", e.getMessage()))));
       return;
     }
@@ -504,7 +510,7 @@
     commit.accept(
         Mutation.of(
             Mutation.Priority.ACCEPT,
-            List.of(new Mutation.Write(Keys.NETWORKS, () -> record)),
+            List.of(new Mutation.Write(RecordKeys.NETWORKS, () -> record)),
             within(
                 answer,
                 () -> {
--- a/src/main/java/io/pineladder/delivery/Signature.java
+++ b/src/main/java/io/pineladder/delivery/WebhookSignature.java
@@ -10,7 +10,7 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /** Signatures as Standard Webhooks has them: HMAC-SHA256 of id, time and body. */
-public final class Signature {
+public final class WebhookSignature {
   public static final String ID = "webhook-id";
   public static final String TIMESTAMP = "webhook-timestamp";
   public static final String SIGNATURE = "webhook-signature";
@@ -21,7 +21,7 @@
   private static final String ALGORITHM = "HmacSHA256";
   private static final String VERSION = "v1,";
 
-  private Signature() {}
+  private WebhookSignature() {}
 
   /**
    * A secret's bytes.
--- a/src/main/java/io/pineladder/delivery/receiver/Journal.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
@@ -5,7 +5,7 @@
 import io.pineladder.wire.DeliveryWire;
 import io.pineladder.wire.DeliveryWire.Event;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -25,7 +25,7 @@
  * A file of JSON lines, one for each notice, with a checksum. The line is the effect and, since it
  * holds the event's sequence, the position as well: one write, forced to the disk before it counts.
  */
-public final class Journal implements NoticeStore {
+public final class NotificationJournal implements NotificationStore {
   private final Path file;
   private final FileChannel channel;
   private final Map<String, Long> positions = new HashMap<>();
@@ -37,7 +37,7 @@
    * @throws IOException when it is in use, or damaged other than by a torn last line; the message
    *     names the place
    */
-  public Journal(Path file) throws IOException {
+  public NotificationJournal(Path file) throws IOException {
     this.file = file;
     this.channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
@@ -88,7 +88,7 @@
         String place = file + ", line " + lines + ", byte " + good + ": ";
         try {
           take(parse(line.toByteArray()), place);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
           if (in.read() < 0) {
             return good;
           }
@@ -123,11 +123,11 @@
     return ByteBuffer.allocate(json.length + 1).put(json).put((byte) '\n').array();
   }
 
-  private static Event parse(byte[] line) throws MalformedException {
+  private static Event parse(byte[] line) throws MalformedMessageException {
     ObjectNode json = Json.parseObject(line);
     JsonNode event = json.path("event");
     if (!json.path("crc32c").asText().equals(checksum(event))) {
-      throw new MalformedException("the checksum does not fit");
+      throw new MalformedMessageException("the checksum does not fit");
     }
     return DeliveryWire.parseEvent(Json.bytes(event));
   }
--- a/src/main/java/io/pineladder/delivery/receiver/NoticeStore.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationStore.java
@@ -9,7 +9,7 @@
  * both being one step: with an effect that is there without its position, a crash has it repeated,
  * and with a position that is there without its effect, a crash has it left out.
  */
-public interface NoticeStore extends Closeable {
+public interface NotificationStore extends Closeable {
   /** The last sequence of a source whose effect is durable; 0 for none. */
   long position(String source);
 
--- a/src/main/java/io/pineladder/delivery/receiver/Receiver.java
+++ b/src/main/java/io/pineladder/delivery/receiver/Receiver.java
@@ -1,10 +1,10 @@
 package io.pineladder.delivery.receiver;
 
-import io.pineladder.delivery.Signature;
+import io.pineladder.delivery.WebhookSignature;
 import io.pineladder.wire.DeliveryWire;
 import io.pineladder.wire.DeliveryWire.Event;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.IOException;
 import java.time.Clock;
 import java.time.Duration;
@@ -21,7 +21,7 @@
   public static final Duration TOLERANCE = Duration.ofMinutes(5);
 
   private final List<byte[]> secrets;
-  private final NoticeStore store;
+  private final NotificationStore store;
   private final Clock clock;
 
   /** What to answer. */
@@ -36,7 +36,7 @@
    *
    * @param secrets the signing secrets, any of which is good
    */
-  public Receiver(List<byte[]> secrets, NoticeStore store, Clock clock) {
+  public Receiver(List<byte[]> secrets, NotificationStore store, Clock clock) {
     this.secrets = List.copyOf(secrets);
     this.store = store;
     this.clock = clock;
@@ -48,16 +48,16 @@
    * @param header the value of a header, whose name is given in lower case; null for none
    */
   public synchronized Reply receive(UnaryOperator<String> header, byte[] body) {
-    String id = header.apply(Signature.ID);
-    String seconds = header.apply(Signature.TIMESTAMP);
-    String signature = header.apply(Signature.SIGNATURE);
+    String id = header.apply(WebhookSignature.ID);
+    String seconds = header.apply(WebhookSignature.TIMESTAMP);
+    String signature = header.apply(WebhookSignature.SIGNATURE);
     if (id == null || seconds == null || signature == null) {
       return Reply.error(400, "a webhook header is missing");
     }
     if (!seconds.matches("[0-9]{1,12}")) {
-      return Reply.error(400, Signature.TIMESTAMP + " is not in seconds");
+      return Reply.error(400, WebhookSignature.TIMESTAMP + " is not in seconds");
     }
-    if (!Signature.verify(secrets, id, seconds, body, signature)) {
+    if (!WebhookSignature.verify(secrets, id, seconds, body, signature)) {
       return Reply.error(401, "the signature does not fit");
     }
     Instant signedAt = Instant.ofEpochSecond(Long.parseLong(seconds));
@@ -70,11 +70,11 @@
     Event event;
     try {
       event = DeliveryWire.parseEvent(body);
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       return Reply.error(400, e.getMessage());
     }
     if (!event.json().path("id").asText().equals(id)) {
-      return Reply.error(400, Signature.ID + " is not the event's id");
+      return Reply.error(400, WebhookSignature.ID + " is not the event's id");
     }
     long position = store.position(event.source());
     if (event.first() > position + 1) {
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -1,13 +1,13 @@
 package io.pineladder.leadership;
 
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller.Outcome;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient.Outcome;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.EventLoop;
 import io.pineladder.retry.Backoff;
-import io.pineladder.store.Keys;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.RecordWire.LeaderRecord;
 import io.pineladder.wire.StoreWire;
@@ -69,8 +69,8 @@
     void onLeaderKnown(LeaderRecord leader);
   }
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final Duration life;
   private final LeaderRecord self;
   private final BooleanSupplier mayStand;
@@ -102,20 +102,20 @@
    * @param mayStand whether the store can be trusted to hold what was stored
    */
   public Election(
-      StoreClient store,
-      Timeline time,
+      StoreClient storeClient,
+      EventLoop eventLoop,
       Settings settings,
       String nonce,
       BooleanSupplier mayStand,
       Listener listener) {
     this.mayStand = mayStand;
-    this.store = store;
-    this.time = time;
-    this.self = new LeaderRecord(settings.member(), settings.clusterAddress(), nonce);
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
+    this.self = new LeaderRecord(settings.controllerName(), settings.clusterAddress(), nonce);
     this.listener = listener;
-    this.retry = new Backoff(time, FIRST_RETRY, MOST_RETRY);
-    this.life = lifeFor(settings.workers().lease());
-    this.keepAlive = longestKeepAlive(settings.workers());
+    this.retry = new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
+    this.life = lifeFor(settings.workerTimes().leaseDuration());
+    this.keepAlive = longestKeepAlive(settings.workerTimes());
   }
 
   /**
@@ -154,7 +154,7 @@
     if (state != State.LEADING) {
       return false;
     }
-    if (time.now().isBefore(leaseUntil)) {
+    if (eventLoop.now().isBefore(leaseUntil)) {
       return true;
     }
     moveTo(State.IN_DOUBT);
@@ -166,7 +166,7 @@
    * cancels meanwhile must still end in time by the end of the lease.
    */
   public static Duration longestKeepAlive(Settings.WorkerTimes workers) {
-    Duration longest = workers.cancel().minus(workers.lease()).minusSeconds(4);
+    Duration longest = workers.cancellationBound().minus(workers.leaseDuration()).minusSeconds(4);
     return longest.isNegative() ? Duration.ZERO : longest;
   }
 
@@ -177,7 +177,7 @@
 
   /** Whether this node leads, or its doubt is young enough to go on answering reports. */
   public boolean mayKeepAlive() {
-    return isValid() || (holdsTerm() && time.now().isBefore(leaseUntil.plus(keepAlive)));
+    return isValid() || (holdsTerm() && eventLoop.now().isBefore(leaseUntil.plus(keepAlive)));
   }
 
   /**
@@ -185,7 +185,7 @@
    * that it found gone too soon.
    */
   public boolean leaseHolds() {
-    return !released && time.now().isBefore(leaseUntil);
+    return !released && eventLoop.now().isBefore(leaseUntil);
   }
 
   /** Whether this node holds the term, certain or in doubt. */
@@ -201,8 +201,8 @@
     if (of != round || holdsTerm()) {
       return;
     }
-    store.urgentRead(
-        Keys.LEADER,
+    storeClient.urgentRead(
+        RecordKeys.LEADER,
         (read, reply) -> {
           if (of != round) {
             return;
@@ -221,17 +221,17 @@
             }
             if (read.certain()) {
               learn(null);
-              if (!mayStand.getAsBoolean() || time.now().isBefore(standFrom)) {
-                time.after(retry.pause(), () -> look(of));
+              if (!mayStand.getAsBoolean() || eventLoop.now().isBefore(standFrom)) {
+                eventLoop.schedule(retry.pause(), () -> look(of));
               } else {
                 stand(of);
               }
               return;
             }
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.warn("the store's answer on the leader is malformed");
           }
-          time.after(retry.pause(), () -> look(of));
+          eventLoop.schedule(retry.pause(), () -> look(of));
         });
   }
 
@@ -248,24 +248,24 @@
    */
   private void endLeaseOfBefore(int of, long left) {
     log.info("the lease {} of this controller's process before is ended", left);
-    store.urgent(
-        store.delete("/holds/" + left),
+    storeClient.urgent(
+        storeClient.delete("/holds/" + left),
         reply -> {
           if (of == round) {
-            time.after(reply.isAnswered() ? Duration.ZERO : retry.pause(), () -> look(of));
+            eventLoop.schedule(reply.isAnswered() ? Duration.ZERO : retry.pause(), () -> look(of));
           }
         });
   }
 
-  private void learn(StoreWire.Entry entry) throws MalformedException {
+  private void learn(StoreWire.Entry entry) throws MalformedMessageException {
     known = entry == null ? null : RecordWire.parseLeader(entry.value());
-    knownTerm = entry == null ? 0 : store.generation().token(entry.version());
+    knownTerm = entry == null ? 0 : storeClient.generation().token(entry.version());
     listener.onLeaderKnown(known);
   }
 
   private void watch(int of, long after) {
-    store.watch(
-        Keys.LEADER_PREFIX,
+    storeClient.watch(
+        RecordKeys.LEADER_PREFIX,
         after,
         WATCH,
         followed -> {
@@ -273,7 +273,7 @@
             return;
           }
           if (followed.changes() == null) {
-            time.after(retry.pause(), () -> look(of));
+            eventLoop.schedule(retry.pause(), () -> look(of));
             return;
           }
           look(of);
@@ -282,9 +282,9 @@
 
   private void stand(int of) {
     moveTo(State.CANDIDATE);
-    Instant sent = time.now();
-    store.urgent(
-        store.post("/holds", StoreWire.lease(life)),
+    Instant sent = eventLoop.now();
+    storeClient.urgent(
+        storeClient.post("/holds", StoreWire.lease(life)),
         reply -> {
           if (of != round) {
             return;
@@ -295,23 +295,24 @@
               claim(of, sent, false);
               return;
             }
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.warn("the store's answer on a lease is malformed");
           }
           moveTo(State.FOLLOWING);
-          time.after(retry.pause(), () -> look(of));
+          eventLoop.schedule(retry.pause(), () -> look(of));
         });
   }
 
   private void claim(int of, Instant leaseSent, boolean again) {
     byte[] body =
-        store
+        storeClient
             .transaction()
-            .require(Keys.LEADER, 0)
-            .put(Keys.LEADER, RecordWire.leader(self), lease)
+            .require(RecordKeys.LEADER, 0)
+            .put(RecordKeys.LEADER, RecordWire.leader(self), lease)
             .bytes();
-    long seen = store.seen();
-    store.urgent(store.post("/multi", body), reply -> onClaim(of, leaseSent, again, seen, reply));
+    long seen = storeClient.seen();
+    storeClient.urgent(
+        storeClient.post("/multi", body), reply -> onClaim(of, leaseSent, again, seen, reply));
   }
 
   private void onClaim(int of, Instant leaseSent, boolean again, long seen, Reply reply) {
@@ -321,24 +322,25 @@
     try {
       if (reply.is(200)) {
         long revision = StoreWire.parseRevision(reply.body());
-        if (store.isAhead(seen, revision)) {
+        if (storeClient.isAhead(seen, revision)) {
           elected(revision, leaseSent);
         } else {
           giveUp(of);
         }
         return;
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("the store's answer on the claim is malformed");
     }
     if (reply.is(409) && again) {
       // The first copy, which got no reply, may be what stands there.
-      store.urgentRead(Keys.LEADER, (read, same) -> onOwnClaimRead(of, leaseSent, read, same));
+      storeClient.urgentRead(
+          RecordKeys.LEADER, (read, same) -> onOwnClaimRead(of, leaseSent, read, same));
       return;
     }
     boolean unknown = reply.outcome() == Outcome.UNKNOWN;
-    if (unknown && time.now().isBefore(leaseSent.plus(life))) {
-      time.after(retry.pause(), () -> claimAgain(of, leaseSent));
+    if (unknown && eventLoop.now().isBefore(leaseSent.plus(life))) {
+      eventLoop.schedule(retry.pause(), () -> claimAgain(of, leaseSent));
       return;
     }
     giveUp(of);
@@ -368,7 +370,7 @@
           return;
         }
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("the leader's record is malformed");
     }
     giveUp(of);
@@ -376,14 +378,14 @@
 
   private void giveUp(int of) {
     // A late copy of the claim finds no lease and does nothing.
-    store.urgent(store.delete("/holds/" + lease), reply -> {});
+    storeClient.urgent(storeClient.delete("/holds/" + lease), reply -> {});
     moveTo(State.FOLLOWING);
-    time.after(retry.pause(), () -> look(of));
+    eventLoop.schedule(retry.pause(), () -> look(of));
   }
 
   private void elected(long newVersion, Instant leaseSent) {
     version = newVersion;
-    term = store.generation().token(newVersion);
+    term = storeClient.generation().token(newVersion);
     known = self;
     knownTerm = term;
     released = false;
@@ -392,7 +394,7 @@
     moveTo(State.LEADING);
     listener.onLeaderKnown(self);
     listener.onElected(term, version);
-    time.after(life.dividedBy(4), () -> renew(of));
+    eventLoop.schedule(life.dividedBy(4), () -> renew(of));
   }
 
   private void extend(Instant sent) {
@@ -405,9 +407,9 @@
       return;
     }
     isValid();
-    Instant sent = time.now();
-    store.urgent(
-        store.post("/holds/" + lease + "/touch", StoreWire.lease(life)),
+    Instant sent = eventLoop.now();
+    storeClient.urgent(
+        storeClient.post("/holds/" + lease + "/touch", StoreWire.lease(life)),
         reply -> {
           if (of != round || !holdsTerm()) {
             return;
@@ -426,7 +428,7 @@
               extend(sent);
             }
           }
-          time.after(good ? life.dividedBy(4) : retry.pause(), () -> renew(of));
+          eventLoop.schedule(good ? life.dividedBy(4) : retry.pause(), () -> renew(of));
         });
   }
 
@@ -435,8 +437,8 @@
    * numbered anew and it may be another's; so the leader's key tells.
    */
   private void makeSure(int of, Instant sent) {
-    store.urgentRead(
-        Keys.LEADER,
+    storeClient.urgentRead(
+        RecordKeys.LEADER,
         (read, reply) -> {
           if (of != round || state != State.IN_DOUBT || !read.certain()) {
             return;
@@ -469,15 +471,15 @@
     moveTo(State.FOLLOWING);
     released = release;
     if (release) {
-      store.urgent(store.delete("/holds/" + lease), reply -> {});
+      storeClient.urgent(storeClient.delete("/holds/" + lease), reply -> {});
     }
     listener.onLost(reason);
-    time.after(retry.pause(), () -> look(of));
+    eventLoop.schedule(retry.pause(), () -> look(of));
   }
 
   /** Gives the term up in favour of any other node that stands within a while. */
   public void yield(String reason) {
-    standFrom = time.now().plus(YIELD);
+    standFrom = eventLoop.now().plus(YIELD);
     lose(reason);
   }
 
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -1,12 +1,12 @@
 package io.pineladder.membership;
 
 import io.pineladder.model.Settings;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import io.pineladder.upgrade.ClusterVersion;
-import io.pineladder.wire.BeatWire;
-import io.pineladder.wire.BeatWire.Beat;
-import io.pineladder.wire.BeatWire.Heard;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.GossipWire;
+import io.pineladder.wire.GossipWire.Heartbeat;
+import io.pineladder.wire.GossipWire.PeerContact;
+import io.pineladder.wire.MalformedMessageException;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -95,7 +95,7 @@
   }
 
   /** What this node tells about itself. */
-  public record Own(boolean storeOk, long term, BeatWire.Stored stored, int version) {}
+  public record Own(boolean storeOk, long term, GossipWire.Stored stored, int version) {}
 
   /** One peer, as it stands now. */
   public record View(
@@ -106,7 +106,7 @@
       long term,
       int changes,
       String nonce,
-      BeatWire.Stored stored,
+      GossipWire.Stored stored,
       int version) {}
 
   private static final class Peer {
@@ -138,7 +138,7 @@
     int version = ClusterVersion.UNVERSIONED;
 
     /** What it told in the newest beat. */
-    Beat told;
+    Heartbeat told;
 
     Peer(Settings.Peer at, Instant now) {
       this.at = at;
@@ -148,7 +148,7 @@
 
   private final String self;
   private final String nonce;
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Sender sender;
   private final Supplier<Own> own;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
@@ -169,17 +169,17 @@
   private final Instant[] made = new Instant[REMEMBERED];
 
   private long sequence;
-  private Consumer<BeatWire.Stored> onStored = stored -> {};
+  private Consumer<GossipWire.Stored> onStored = stored -> {};
 
   public Membership(
-      Settings settings, String nonce, Timeline time, Sender sender, Supplier<Own> own) {
-    this.self = settings.member();
+      Settings settings, String nonce, EventLoop eventLoop, Sender sender, Supplier<Own> own) {
+    this.self = settings.controllerName();
     this.nonce = nonce;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.sender = sender;
     this.own = own;
     for (Settings.Peer peer : settings.peers()) {
-      peers.put(peer.member(), new Peer(peer, time.now()));
+      peers.put(peer.controllerName(), new Peer(peer, eventLoop.now()));
     }
   }
 
@@ -189,25 +189,25 @@
   }
 
   /** Tells what each beat says of the records. */
-  public void onStored(Consumer<BeatWire.Stored> listener) {
+  public void onStored(Consumer<GossipWire.Stored> listener) {
     onStored = listener;
   }
 
   /** Something was found that the others must not learn a beat later. */
   public void tellNow() {
-    byte[] beat = BeatWire.write(beat());
+    byte[] beat = GossipWire.write(beat());
     for (Peer peer : peers.values()) {
       sender.send(peer.at.address(), beat, answer -> {});
     }
   }
 
   private void tick() {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     if (tickedAt != null && tickedAt.plus(BEAT).plus(PAUSE).isBefore(now)) {
       stoodStill(now);
     }
     tickedAt = now;
-    byte[] beat = BeatWire.write(beat());
+    byte[] beat = GossipWire.write(beat());
     for (Peer peer : peers.values()) {
       sender.send(
           peer.at.address(),
@@ -223,21 +223,21 @@
     }
     peers.values().forEach(this::review);
     reviewSelf();
-    time.after(BEAT, this::tick);
+    eventLoop.schedule(BEAT, this::tick);
   }
 
-  private Beat beat() {
-    Instant now = time.now();
-    Map<String, Heard> heard = new LinkedHashMap<>();
+  private Heartbeat beat() {
+    Instant now = eventLoop.now();
+    Map<String, PeerContact> heard = new LinkedHashMap<>();
     for (Peer peer : peers.values()) {
       if (peer.nonce != null) {
         Duration ago = peer.heardAt == null ? NEVER : Duration.between(peer.heardAt, now);
-        heard.put(peer.at.member(), new Heard(ago, peer.nonce, peer.sequence));
+        heard.put(peer.at.controllerName(), new PeerContact(ago, peer.nonce, peer.sequence));
       }
     }
     made[(int) (++sequence % REMEMBERED)] = now;
     Own mineNow = own.get();
-    return new Beat(
+    return new Heartbeat(
         self,
         nonce,
         sequence,
@@ -249,7 +249,7 @@
   }
 
   /** When this process made its beat of that number; null if that is too long ago, or never was. */
-  private Instant madeAt(Heard of) {
+  private Instant madeAt(PeerContact of) {
     boolean mine = of != null && of.nonce().equals(nonce);
     boolean remembered = mine && of.sequence() <= sequence && of.sequence() > sequence - REMEMBERED;
     return remembered ? made[(int) (of.sequence() % REMEMBERED)] : null;
@@ -270,15 +270,15 @@
   }
 
   /** A beat has come in; the answer to it. */
-  public byte[] handle(byte[] body) throws MalformedException {
-    take(BeatWire.parse(body), null);
-    return BeatWire.write(beat());
+  public byte[] handle(byte[] body) throws MalformedMessageException {
+    take(GossipWire.parse(body), null);
+    return GossipWire.write(beat());
   }
 
   private void onBeat(byte[] body, Instant sent) {
     try {
-      take(BeatWire.parse(body), sent);
-    } catch (MalformedException e) {
+      take(GossipWire.parse(body), sent);
+    } catch (MalformedMessageException e) {
       log.warn("a peer answered a beat with something else: {}", e.getMessage());
     }
   }
@@ -289,14 +289,14 @@
    * @param asked when the beat was sent that this answers, or null: what merely comes from a peer
    *     does not show that it can be reached
    */
-  private void take(Beat beat, Instant asked) {
+  private void take(Heartbeat beat, Instant asked) {
     Peer peer = peers.get(beat.member());
     if (peer == null) {
       return;
     }
     boolean newer = !beat.nonce().equals(peer.nonce) || beat.sequence() > peer.sequence;
     if (newer) {
-      peer.arrivedAt = time.now();
+      peer.arrivedAt = eventLoop.now();
       onStored.accept(beat.stored());
     }
     Instant proven = asked != null ? asked : madeAt(beat.heard().get(self));
@@ -329,7 +329,7 @@
   }
 
   private void review(Peer peer) {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     boolean stays = peer.changedAt.plus(DWELL).isAfter(now);
     switch (peer.state) {
       case UNKNOWN -> {
@@ -400,12 +400,12 @@
     if (!isFresh(other.heardAt, now)) {
       return null;
     }
-    Heard then = other.told.heard().get(peer.at.member());
+    PeerContact then = other.told.heard().get(peer.at.controllerName());
     return then == null ? null : then.ago().plus(Duration.between(other.heardAt, now));
   }
 
   private void reviewSelf() {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     boolean hears = false;
     for (Peer peer : peers.values()) {
       hears |= isFresh(peer.heardAt, now);
@@ -420,9 +420,9 @@
   /** The one place where a peer's state changes. */
   private void moveTo(Peer peer, State next) {
     if (peer.state != next) {
-      log.info("membership: {} is {} (was {})", peer.at.member(), next, peer.state);
+      log.info("membership: {} is {} (was {})", peer.at.controllerName(), next, peer.state);
       peer.state = next;
-      peer.changedAt = time.now();
+      peer.changedAt = eventLoop.now();
       peer.changes++;
     }
   }
@@ -506,7 +506,9 @@
     for (Peer peer : peers.values()) {
       boolean stores = peer.told != null && peer.told.storeOk();
       List<String> of =
-          isUnreachable(peer.at.member()) ? poor : peer.state == State.UP && stores ? good : fair;
+          isUnreachable(peer.at.controllerName())
+              ? poor
+              : peer.state == State.UP && stores ? good : fair;
       of.add(peer.at.address());
     }
     good.addAll(fair);
@@ -515,19 +517,19 @@
 
   /** All peers as they stand. */
   public List<View> view() {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     List<View> views = new ArrayList<>();
     for (Peer peer : peers.values()) {
       views.add(
           new View(
-              peer.at.member(),
+              peer.at.controllerName(),
               peer.state,
               peer.heardAt == null ? null : Duration.between(peer.heardAt, now),
               peer.told != null && peer.told.storeOk(),
               peer.told == null ? 0 : peer.told.term(),
               peer.changes,
               peer.nonce,
-              peer.told == null ? BeatWire.Stored.NOTHING : peer.told.stored(),
+              peer.told == null ? GossipWire.Stored.NOTHING : peer.told.stored(),
               peer.version));
     }
     return views;
--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -10,37 +10,42 @@
   /** Where an attempt stands. */
   public enum State {
     /** Decided; the placement is not stored yet, so no start may go out. */
-    STORING,
+    PLACEMENT_PENDING,
     /** Stored; the start has not been seen on the machine. It may be there. */
-    STORED,
+    PLACEMENT_STORED,
     /** Read from the store by a new leader; the machine has not been heard with our token. */
-    RECORDED,
-    FETCHING,
-    GATHERING,
+    RECOVERED,
+    FETCHING_IMAGE,
+    WAITING_FOR_GANG,
     RUNNING,
-    SAVING,
+    SAVING_CHECKPOINT,
     /** Ended on the machine, which still lists it. */
     EXITED,
     /** Proven not to be on the machine, now or later. */
     GONE
   }
 
-  private static final EnumSet<State> ON_MACHINE =
-      EnumSet.of(State.FETCHING, State.GATHERING, State.RUNNING, State.SAVING, State.EXITED);
-  private static final Map<State, EnumSet<State>> NEXT =
+  private static final EnumSet<State> OBSERVED_STATES =
+      EnumSet.of(
+          State.FETCHING_IMAGE,
+          State.WAITING_FOR_GANG,
+          State.RUNNING,
+          State.SAVING_CHECKPOINT,
+          State.EXITED);
+  private static final Map<State, EnumSet<State>> ALLOWED_TRANSITIONS =
       Map.of(
-          State.STORING, EnumSet.of(State.STORED, State.GONE),
-          State.STORED, with(State.GONE),
-          State.RECORDED, with(State.GONE),
-          State.FETCHING, with(State.GONE),
-          State.GATHERING, with(State.GONE),
-          State.RUNNING, with(State.GONE),
-          State.SAVING, with(State.GONE),
+          State.PLACEMENT_PENDING, EnumSet.of(State.PLACEMENT_STORED, State.GONE),
+          State.PLACEMENT_STORED, observedOr(State.GONE),
+          State.RECOVERED, observedOr(State.GONE),
+          State.FETCHING_IMAGE, observedOr(State.GONE),
+          State.WAITING_FOR_GANG, observedOr(State.GONE),
+          State.RUNNING, observedOr(State.GONE),
+          State.SAVING_CHECKPOINT, observedOr(State.GONE),
           State.EXITED, EnumSet.of(State.GONE),
           State.GONE, EnumSet.noneOf(State.class));
 
-  private static EnumSet<State> with(State also) {
-    EnumSet<State> set = EnumSet.copyOf(ON_MACHINE);
+  private static EnumSet<State> observedOr(State also) {
+    EnumSet<State> set = EnumSet.copyOf(OBSERVED_STATES);
     set.add(also);
     return set;
   }
@@ -49,21 +54,21 @@
   public final int task;
   public final long number;
   public final Machine machine;
-  public final Instant since;
+  public final Instant createdAt;
 
   /** What it is listed by on its machine. */
   public final String key;
 
   /** Which of all reports dealt with was the last to list it. */
-  public long listedIn;
+  public long lastListingHeartbeat;
 
   private State state;
 
   /** Null until the attempt exits. */
-  public Cause cause;
+  public EndReason endReason;
 
   /** The grace of the kill that was decided, or null while the attempt is wanted. */
-  public Duration killGrace;
+  public Duration killGracePeriod;
 
   public Instant killedAt;
 
@@ -73,37 +78,37 @@
   public Instant runningSince;
 
   /** When its image should be there. */
-  public Instant readyAt;
+  public Instant imageReadyAt;
 
   /** The session the last start was addressed to; 0 before any. */
-  public long sentSession;
+  public long startSession;
 
   /** The sequence number of the report whose response carried the last start; -1 for none. */
-  public long sentInReport = -1;
+  public long startHeartbeatSequence = -1;
 
   /** A direct start is under way and has not been answered. */
-  public boolean direct;
+  public boolean directStartPending;
 
   /**
    * A direct start got no answer: it may still arrive at any time within this session and token.
    * Such an attempt is never taken as gone by its absence, and never forgotten.
    */
-  public boolean doubtful;
+  public boolean startUnconfirmed;
 
   /** The end has been dealt with and, where that matters, stored: the worker may forget it. */
-  public boolean forgettable;
+  public boolean mayBeForgotten;
 
   /** The attempt that completed the task, which is not stored before this one is gone; or null. */
-  public Attempt hides;
+  public Attempt completedBy;
 
   public Attempt(Job job, int task, long number, Machine machine, Instant since, State first) {
     this.job = job;
     this.task = task;
     this.number = number;
     this.machine = machine;
-    this.since = since;
-    this.key = Machine.key(job.spec.id(), task, number);
-    this.readyAt = since;
+    this.createdAt = since;
+    this.key = Machine.attemptKey(job.spec.id(), task, number);
+    this.imageReadyAt = since;
     this.state = first;
   }
 
@@ -112,27 +117,27 @@
   }
 
   /** The one place where an attempt's state changes. */
-  public void moveTo(State next) {
+  public void transitionTo(State next) {
     if (state == next) {
       return;
     }
-    if (!NEXT.get(state).contains(next)) {
+    if (!ALLOWED_TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException(this + " cannot become " + next);
     }
     state = next;
   }
 
   /** Whether it may hold room on its machine. */
-  public boolean holdsRoom() {
+  public boolean holdsCapacity() {
     return state != State.EXITED && state != State.GONE;
   }
 
-  public boolean wasSeen() {
-    return ON_MACHINE.contains(state);
+  public boolean wasObserved() {
+    return OBSERVED_STATES.contains(state);
   }
 
   public boolean isWanted() {
-    return killGrace == null;
+    return killGracePeriod == null;
   }
 
   @Override
--- a/src/main/java/io/pineladder/model/FinishTimes.java
+++ b/src/main/java/io/pineladder/model/ChainDeadlines.java
@@ -10,19 +10,19 @@
  * @param latest by then it can keep the latest time that is expected of it, which is not before the
  *     target
  */
-public record FinishTimes(Instant target, Instant latest) {
+public record ChainDeadlines(Instant target, Instant latest) {
   /** The earlier of each; {@code null} stands for no bound. */
-  public static FinishTimes earlier(FinishTimes one, FinishTimes other) {
+  public static ChainDeadlines earlier(ChainDeadlines one, ChainDeadlines other) {
     if (one == null || other == null) {
       return one == null ? other : one;
     }
-    return new FinishTimes(
+    return new ChainDeadlines(
         one.target.isBefore(other.target) ? one.target : other.target,
         one.latest.isBefore(other.latest) ? one.latest : other.latest);
   }
 
   /** The same, so much earlier. */
-  public FinishTimes minus(Duration time) {
-    return new FinishTimes(target.minus(time), latest.minus(time));
+  public ChainDeadlines minus(Duration time) {
+    return new ChainDeadlines(target.minus(time), latest.minus(time));
   }
 }
--- a/src/main/java/io/pineladder/model/Progress.java
+++ b/src/main/java/io/pineladder/model/DeliveryProgress.java
@@ -8,4 +8,4 @@
  * @param lostFrom the first of those up to {@code sequence} that could not be kept and that it has
  *     not been told of, by its own count; 0 for none
  */
-public record Progress(long number, long sequence, long lostFrom) {}
+public record DeliveryProgress(long lastNumber, long lastSequence, long firstLostSequence) {}
--- a/src/main/java/io/pineladder/model/Cause.java
+++ b/src/main/java/io/pineladder/model/EndReason.java
@@ -1,13 +1,13 @@
 package io.pineladder.model;
 
 /** Why a task ended. */
-public enum Cause {
+public enum EndReason {
   DONE,
   STOPPED,
-  PEERS,
-  INCOMPLETE,
+  GANG_PEER_ENDED,
+  GANG_INCOMPLETE,
   ERROR,
-  NO_ROOM,
-  BUSY,
+  NO_CAPACITY,
+  MACHINE_BUSY,
   UNKNOWN_JOB
 }
--- a/src/main/java/io/pineladder/model/Generation.java
+++ b/src/main/java/io/pineladder/model/Generation.java
@@ -15,27 +15,28 @@
  * @param exact whether nothing that any controller had acted upon can be missing from it
  * @param by the controller that rebuilt it, with its process
  */
-public record Generation(long base, long version, Phase phase, boolean exact, Writer by) {
+public record Generation(
+    long base, long recordRevision, Phase phase, boolean exact, Writer writer) {
   /** How far a generation is. */
   public enum Phase {
     /** A controller writes it; nobody leads in it yet. */
     REBUILDING,
-    WHOLE
+    COMPLETE
   }
 
   /** A controller and the process of it that writes. */
-  public record Writer(String member, String nonce) {}
+  public record Writer(String controllerName, String nonce) {}
 
   public static final Generation FIRST =
-      new Generation(0, 0, Phase.WHOLE, true, new Writer("", ""));
+      new Generation(0, 0, Phase.COMPLETE, true, new Writer("", ""));
 
   /**
    * Tokens that nobody was seen to use, but some leader may have had since it was last heard of.
    */
-  static final long ROOM = 1L << 20;
+  static final long TOKEN_HEADROOM = 1L << 20;
 
   /** Attempt numbers are tokens with 20 more bits, and must stay below 2^63. */
-  private static final long MOST = 1L << 43;
+  private static final long MAX_TOKEN = 1L << 43;
 
   /** What stands before the keys of its records. */
   public String prefix() {
@@ -56,7 +57,9 @@
    *
    * @param highest the highest token that anybody was seen to use
    */
-  public static long next(long highest, Instant timeOfDay) {
-    return Math.max(Math.min(highest, MOST - 2 * ROOM) + ROOM, timeOfDay.toEpochMilli());
+  public static long nextBase(long highest, Instant timeOfDay) {
+    return Math.max(
+        Math.min(highest, MAX_TOKEN - 2 * TOKEN_HEADROOM) + TOKEN_HEADROOM,
+        timeOfDay.toEpochMilli());
   }
 }
--- a/src/main/java/io/pineladder/model/Job.java
+++ b/src/main/java/io/pineladder/model/Job.java
@@ -26,10 +26,10 @@
   private State state;
 
   /** The rank that it is treated as having: its own, or that of a job that needs it. */
-  private Rank rank;
+  private PriorityClass priorityClass;
 
   /** When it should be over for the jobs that need it; null when nothing is expected of those. */
-  public FinishTimes finishTimes;
+  public ChainDeadlines chainDeadlines;
 
   /**
    * When it could first start, by the time of day: once accepted, or once all that it needs was
@@ -38,16 +38,16 @@
   public Instant readyAt;
 
   /** Some job that it needs is not known to be done: no task of it may start. */
-  public boolean waitsForOthers;
+  public boolean blockedByDependencies;
 
   /**
    * It is cancelled because a job that it needs is stored as cancelled; told without a record of
    * its own.
    */
-  public boolean cancellationDerived;
+  public boolean cancelledByDependency;
 
   /** A job before it whose cancellation is on its way to the store, or was; null for none. */
-  public Job endingPrerequisite;
+  public Job cancellingPrerequisite;
 
   /** Tasks that are complete. */
   public final BitSet done = new BitSet();
@@ -55,7 +55,7 @@
   /**
    * Complete tasks that were started anew and may still run; they are not stored as complete yet.
    */
-  public final BitSet unproven = new BitSet();
+  public final BitSet unprovenDone = new BitSet();
 
   /** Tasks that wait to be placed; a bit each, whatever the job's size. */
   public final BitSet pending = new BitSet();
@@ -66,44 +66,44 @@
   public final Map<Integer, Set<Attempt>> attempts = new HashMap<>();
 
   /** Machines on which it failed of late. */
-  public final Set<String> avoid = new LinkedHashSet<>();
+  public final Set<String> avoidedMachines = new LinkedHashSet<>();
 
   /** When it was last looked at what policy alone keeps from it; null for never. */
-  public Instant reviewedAt;
+  public Instant policyReviewedAt;
 
   /**
    * It fails wherever it is tried, so its user has made a mistake: it is tried now and then only.
    */
-  public boolean atFault;
+  public boolean failing;
 
   /** The final state is on its way to the store; other records of the job no longer matter. */
-  public boolean ending;
+  public boolean finalStatePending;
 
   /** Only its final state is to be kept; its own record is being deleted. */
-  public boolean removing;
+  public boolean recordRemovalPending;
 
   /** The final state is in the store, so users may be told. */
-  public boolean endStored;
+  public boolean finalStateStored;
 
   /** Called when the final state is stored. */
-  public final List<Runnable> endWaiters = new ArrayList<>();
+  public final List<Runnable> finalStateCallbacks = new ArrayList<>();
 
   public Job(JobSpec spec, Instant acceptedAt, State state) {
     this.spec = spec;
     this.acceptedAt = acceptedAt;
     this.state = state;
-    this.rank = spec.rank();
+    this.priorityClass = spec.priorityClass();
     this.readyAt = acceptedAt;
   }
 
-  public Rank rank() {
-    return rank;
+  public PriorityClass priorityClass() {
+    return priorityClass;
   }
 
   /** The one place where its urgency changes. */
-  public void treatAs(Rank highest, FinishTimes times) {
-    rank = highest;
-    finishTimes = times;
+  public void setUrgency(PriorityClass highest, ChainDeadlines times) {
+    priorityClass = highest;
+    chainDeadlines = times;
   }
 
   public State state() {
@@ -111,7 +111,7 @@
   }
 
   /** The one place where a job's state changes. */
-  public void moveTo(State next) {
+  public void transitionTo(State next) {
     if (state != State.ACTIVE && state != next) {
       throw new IllegalStateException(spec.id() + " is " + state + " and cannot become " + next);
     }
@@ -134,7 +134,7 @@
   }
 
   /** Whether a task may be started: nothing of it can be anywhere. */
-  public boolean isFree(int task) {
+  public boolean mayStartTask(int task) {
     return !attempts.containsKey(task) && !done.get(task);
   }
 
--- a/src/main/java/io/pineladder/model/Shape.java
+++ b/src/main/java/io/pineladder/model/JobKind.java
@@ -1,7 +1,7 @@
 package io.pineladder.model;
 
 /** How a job's tasks belong together. */
-public enum Shape {
+public enum JobKind {
   ARRAY,
   GANG,
   SERVICE
--- a/src/main/java/io/pineladder/model/JobSpec.java
+++ b/src/main/java/io/pineladder/model/JobSpec.java
@@ -12,20 +12,20 @@
     String id,
     String jobClass,
     String team,
-    Shape shape,
-    Rank rank,
+    JobKind kind,
+    PriorityClass priorityClass,
     int tasks,
-    Resources each,
+    Resources resourcesPerTask,
     List<String> types,
     String zone,
-    boolean together,
-    boolean spread,
+    boolean sameZone,
+    boolean spreadAcrossZones,
     boolean spotAllowed,
     String image,
     double imageGb,
-    Duration estimate,
-    Duration checkpointEvery,
-    Duration saveTime,
+    Duration estimatedRunTime,
+    Duration checkpointInterval,
+    Duration checkpointDuration,
     Duration deadline,
     List<String> prerequisites) {
 
@@ -34,39 +34,39 @@
       String id,
       String jobClass,
       String team,
-      Shape shape,
-      Rank rank,
+      JobKind kind,
+      PriorityClass priorityClass,
       int tasks,
-      Resources each,
+      Resources resourcesPerTask,
       List<String> types,
       String zone,
-      boolean together,
-      boolean spread,
+      boolean sameZone,
+      boolean spreadAcrossZones,
       boolean spotAllowed,
       String image,
       double imageGb,
-      Duration estimate,
-      Duration checkpointEvery,
-      Duration saveTime,
+      Duration estimatedRunTime,
+      Duration checkpointInterval,
+      Duration checkpointDuration,
       Duration deadline) {
     this(
         id,
         jobClass,
         team,
-        shape,
-        rank,
+        kind,
+        priorityClass,
         tasks,
-        each,
+        resourcesPerTask,
         types,
         zone,
-        together,
-        spread,
+        sameZone,
+        spreadAcrossZones,
         spotAllowed,
         image,
         imageGb,
-        estimate,
-        checkpointEvery,
-        saveTime,
+        estimatedRunTime,
+        checkpointInterval,
+        checkpointDuration,
         deadline,
         List.of());
   }
@@ -79,17 +79,17 @@
     return zone == null || zone.equals(name);
   }
 
-  public boolean savesWork() {
-    return !checkpointEvery.isZero();
+  public boolean isCheckpointed() {
+    return !checkpointInterval.isZero();
   }
 
   /** All of its tasks run at the same time or none does, and there is more than one. */
-  public boolean isGangOfSeveral() {
-    return shape == Shape.GANG && tasks > 1;
+  public boolean isMultiTaskGang() {
+    return kind == JobKind.GANG && tasks > 1;
   }
 
   /** What must be free of the team's limit before any of it can run. */
-  public Resources least() {
-    return shape == Shape.ARRAY ? each : each.times(tasks);
+  public Resources minimumResources() {
+    return kind == JobKind.ARRAY ? resourcesPerTask : resourcesPerTask.times(tasks);
   }
 }
--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -25,114 +25,114 @@
   /**
    * Whether what is sent to a machine arrives there. That its reports arrive here does not tell.
    */
-  public enum Hearing {
-    HEARS,
+  public enum Reachability {
+    REACHABLE,
     /** A direct order got no answer, though it reports: none of its orders may arrive. */
-    DOUBTED,
+    DOUBTFUL,
     /** Its session ended although its reports were answered in time: nothing arrives there. */
-    DEAF
+    UNREACHABLE
   }
 
   public final String name;
   public final MachineType type;
   public final String zone;
   public final boolean spot;
-  public final Instant since;
+  public final Instant createdAt;
   private State state = State.EXPECTED;
 
   public String address;
-  public long session;
-  public long sequence = -1;
-  public Instant heardAt;
+  public long agentEpoch;
+  public long lastHeartbeatSequence = -1;
+  public Instant lastHeartbeatAt;
 
   /** Its last report came through a peer: it does not reach this node itself. */
-  public boolean relayed;
+  public boolean reachedThroughPeer;
 
   /** When the cloud takes it away, or null. */
-  public Instant takenAt;
+  public Instant reclaimAt;
 
   /** No new work: it is to be returned. */
   public boolean draining;
 
   /** Since when it is draining with work on it, as far as that was noticed; or null. */
-  public Instant drainsSince;
+  public Instant drainingSince;
 
   /**
    * Its price is worth more than it: no new work, and it is returned once empty unless it is
    * needed.
    */
-  public boolean spared;
+  public boolean retiring;
 
   /** An ordinary machine that was rented only because arrays would have been late without it. */
-  public boolean surge;
+  public boolean rentedForDeadlines;
 
   /** When this leader first saw it in the cloud's list, or null. */
-  public Instant listedAt;
+  public Instant firstListedAt;
 
   /** The cloud has listed it as running. */
   public boolean listedRunning;
 
   /** Its state as the cloud lists it said that it stopped by itself. */
-  public boolean failed;
+  public boolean stoppedByItself;
 
   /** Attempts that it may list, exited ones included. */
   public final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
   /** What its attempts take, counting everything that may be there. */
-  public Resources used = Resources.NONE;
+  public Resources used = Resources.ZERO;
 
   /** Room kept for the job that had others stopped here, until that time. */
   public Job reservedFor;
 
-  public Resources reserved = Resources.NONE;
-  public Instant reservedUntil;
+  public Resources reserved = Resources.ZERO;
+  public Instant reservationExpiresAt;
 
   /**
    * When the job it is kept for is thought to start: what ends sooner may run there until then; or
    * null.
    */
-  public Instant reservedStart;
+  public Instant reservationStartsAt;
 
   /** Images thought to be cached, the most recently used last, with their size. */
   public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
 
   /** Jobs fail here, and it is not known yet whether it or they are at fault: no new work. */
-  public boolean suspect;
+  public boolean quarantined;
 
   /** Since when it has had no work, or null. */
   public Instant idleSince;
 
   /** This leader rented it, so the time of its request is known exactly. */
-  public boolean rentedHere;
+  public boolean rentedByThisLeader;
 
   /** It is known from placements that an earlier leader stored. */
-  public boolean recorded;
+  public boolean knownFromPlacements;
 
   /** A direct order is under way; one at a time. */
-  public boolean ordering;
+  public boolean commandInFlight;
 
-  private Hearing hearing = Hearing.HEARS;
+  private Reachability reachability = Reachability.REACHABLE;
 
   /**
    * Since when it has reported without being known to hear; null while it is, or does not report.
    */
-  private Instant deafSince;
+  private Instant unreachableSince;
 
   /** When its newest report was answered with our token last; null for never. */
-  public Instant answeredAt;
+  public Instant lastAnsweredAt;
 
   /** When it was last asked whether it is there, being overdue; null for never. */
-  public Instant probedAt;
+  public Instant lastProbedAt;
 
   /** Reported tasks that nothing is known of hold an unknown amount of it. */
-  public boolean strangers;
+  public boolean hasUnknownTasks;
 
   public Machine(String name, MachineType type, String zone, boolean spot, Instant since) {
     this.name = name;
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.since = since;
+    this.createdAt = since;
   }
 
   public State state() {
@@ -140,7 +140,7 @@
   }
 
   /** The one place where a machine's state changes. */
-  public void moveTo(State next) {
+  public void transitionTo(State next) {
     if (state == State.GONE && next != State.GONE) {
       throw new IllegalStateException(name + " is gone and cannot become " + next);
     }
@@ -150,64 +150,68 @@
     if (next == State.SILENT) {
       // That it hears nothing says no more than that it is cut off; a late report is no sign of
       // life.
-      deafSince = null;
+      unreachableSince = null;
     }
     state = next;
   }
 
-  public Hearing hearing() {
-    return hearing;
+  public Reachability reachability() {
+    return reachability;
   }
 
   /** The one place where what is known of a machine's hearing changes. */
-  public void hear(Hearing next) {
-    if (next == Hearing.HEARS) {
-      deafSince = null;
+  public void setReachability(Reachability next) {
+    if (next == Reachability.REACHABLE) {
+      unreachableSince = null;
     }
-    hearing = next;
+    reachability = next;
   }
 
   /** It has reported; for how long it has done so without being known to hear. */
-  public Duration reportsUnhearing(Instant now) {
-    if (hearing == Hearing.HEARS) {
+  public Duration trackUnreachable(Instant now) {
+    if (reachability == Reachability.REACHABLE) {
       return Duration.ZERO;
     }
-    deafSince = deafSince == null ? now : deafSince;
-    return Duration.between(deafSince, now);
+    unreachableSince = unreachableSince == null ? now : unreachableSince;
+    return Duration.between(unreachableSince, now);
   }
 
   /**
    * Whether orders may reach it. One whose reports come through a peer gets its orders with the
    * responses, so that direct ones fail says nothing more.
    */
-  private boolean mayHear() {
-    return switch (hearing) {
-      case HEARS -> true;
-      case DOUBTED -> relayed;
-      case DEAF -> false;
+  private boolean isReachable() {
+    return switch (reachability) {
+      case REACHABLE -> true;
+      case DOUBTFUL -> reachedThroughPeer;
+      case UNREACHABLE -> false;
     };
   }
 
   /** Whether work may be given to it, as far as the rules go and what is on it lasts. */
-  public boolean mayTakeWork() {
-    return state == State.CONFIRMED && mayHear() && !draining && takenAt == null && !strangers;
+  public boolean isSafeToSchedule() {
+    return state == State.CONFIRMED
+        && isReachable()
+        && !draining
+        && reclaimAt == null
+        && !hasUnknownTasks;
   }
 
   /** Whether it is given work: policy keeps it from some machines that might take it. */
-  public boolean takesWork() {
-    return mayTakeWork() && !spared && !suspect;
+  public boolean isSchedulable() {
+    return isSafeToSchedule() && !retiring && !quarantined;
   }
 
   /**
    * Whether it is of this type. Only the name tells: spot prices move, so the type as the cloud
    * last described it is seldom the one that the machine was rented as.
    */
-  public boolean isOf(MachineType other) {
+  public boolean hasType(MachineType other) {
     return type.name().equals(other.name());
   }
 
   public Resources free() {
-    return type.size().minus(used);
+    return type.capacity().minus(used);
   }
 
   public void touchImage(String image, double gb) {
@@ -224,7 +228,7 @@
     }
   }
 
-  public static String key(String job, int task, long number) {
+  public static String attemptKey(String job, int task, long number) {
     return job + "/" + task + "#" + number;
   }
 
--- a/src/main/java/io/pineladder/model/MachineType.java
+++ b/src/main/java/io/pineladder/model/MachineType.java
@@ -6,12 +6,12 @@
 /** A kind of machine that the cloud rents. */
 public record MachineType(
     String name,
-    Resources size,
+    Resources capacity,
     double cacheGb,
     double fetchGbPerSecond,
-    double price,
+    double onDemandPrice,
     double spotPrice,
-    Duration boot,
+    Duration bootTime,
     List<String> zones) {
 
   /** How long an image of so many GB takes to get there, when it has the whole rate. */
@@ -21,6 +21,6 @@
 
   /** What it costs an hour. */
   public double price(boolean spot) {
-    return spot ? spotPrice : price;
+    return spot ? spotPrice : onDemandPrice;
   }
 }
--- a/src/main/java/io/pineladder/model/Notice.java
+++ b/src/main/java/io/pineladder/model/Notification.java
@@ -8,11 +8,11 @@
  * @param number its place among all notices, from 1 without a gap
  * @param at when it ended, by the time of day of the leader that stored it
  */
-public record Notice(
+public record Notification(
     long number,
     String job,
     String team,
     String jobClass,
-    Job.State ended,
+    Job.State finalState,
     int tasks,
-    Instant at) {}
+    Instant endedAt) {}
--- a/src/main/java/io/pineladder/model/OperatorSettings.java
+++ b/src/main/java/io/pineladder/model/OperatorSettings.java
@@ -4,7 +4,10 @@
 
 /** What operators may change while the service runs, through the administration API only. */
 public record OperatorSettings(
-    Duration initialBackoff, Duration maxBackoff, Duration backoffWindow, Duration idleRelease) {
+    Duration initialBackoff,
+    Duration maxBackoff,
+    Duration backoffWindow,
+    Duration idleReleaseAfter) {
   public static final OperatorSettings DEFAULTS =
       new OperatorSettings(
           Duration.ofSeconds(1),
--- a/src/main/java/io/pineladder/model/Rank.java
+++ b/src/main/java/io/pineladder/model/PriorityClass.java
@@ -1,13 +1,13 @@
 package io.pineladder.model;
 
 /** Job priorities, the highest first. */
-public enum Rank {
+public enum PriorityClass {
   PRODUCTION,
   HIGH,
   NORMAL,
   LOW;
 
-  public boolean isAbove(Rank other) {
+  public boolean isAbove(PriorityClass other) {
     return ordinal() < other.ordinal();
   }
 }
--- a/src/main/java/io/pineladder/model/Resources.java
+++ b/src/main/java/io/pineladder/model/Resources.java
@@ -2,7 +2,7 @@
 
 /** An amount of processor, accelerator and memory, in exact millionths so that sums never drift. */
 public record Resources(long microCpus, long microGpus, long microGb) {
-  public static final Resources NONE = new Resources(0, 0, 0);
+  public static final Resources ZERO = new Resources(0, 0, 0);
   private static final double MICRO = 1e6;
 
   public static Resources of(double cpus, double gpus, double memoryGb) {
@@ -29,14 +29,14 @@
   }
 
   /** Whether it holds some of what {@code room} lacks for {@code each}. */
-  public boolean eases(Resources each, Resources room) {
+  public boolean relievesShortage(Resources each, Resources room) {
     return (microCpus > 0 && each.microCpus > room.microCpus)
         || (microGpus > 0 && each.microGpus > room.microGpus)
         || (microGb > 0 && each.microGb > room.microGb);
   }
 
   /** How many times this fits into {@code room}. */
-  public long countIn(Resources room) {
+  public long timesFittingIn(Resources room) {
     long count = Long.MAX_VALUE;
     count = Math.min(count, timesIn(microCpus, room.microCpus));
     count = Math.min(count, timesIn(microGpus, room.microGpus));
--- a/src/main/java/io/pineladder/model/Settings.java
+++ b/src/main/java/io/pineladder/model/Settings.java
@@ -11,9 +11,9 @@
  * @param storeInForce the limits of the state service that are in force until the announced change
  */
 public record Settings(
-    String member,
+    String controllerName,
     String zone,
-    String frontAddress,
+    String apiAddress,
     String clusterAddress,
     List<Peer> peers,
     String cloudAddress,
@@ -21,32 +21,36 @@
     List<String> zones,
     List<Team> teams,
     List<Objective> objectives,
-    WorkerTimes workers,
-    StoreLimits store,
-    StoreLimits storeInForce,
-    CloudLimits cloud,
+    WorkerTimes workerTimes,
+    StoreLimits storeLimits,
+    StoreLimits currentStoreLimits,
+    CloudLimits cloudLimits,
     int maxSockets,
     double coreShare) {
 
   /** Another controller. */
-  public record Peer(String member, String zone, String address) {}
+  public record Peer(String controllerName, String zone, String address) {}
 
   /**
    * What is expected of a class of jobs; {@code within} and {@code jobClass} may be null. Without
    * {@code within} it is about {@code times} the job's own deadline.
    */
   public record Objective(
-      String kind, String jobClass, Duration within, double share, double times) {}
+      String kind, String jobClass, Duration latestAfter, double share, double deadlineFactor) {}
 
   /** The times that workers keep to. */
   public record WorkerTimes(
-      Duration report, Duration lease, Duration gangWait, Duration gangPeer, Duration cancel) {}
+      Duration heartbeatInterval,
+      Duration leaseDuration,
+      Duration gangStartTimeout,
+      Duration gangPeerTimeout,
+      Duration cancellationBound) {}
 
   /** What the state service lets through. */
   public record StoreLimits(
       double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionOps) {
     /** The limits that keep to both these and the others. */
-    public StoreLimits within(StoreLimits others) {
+    public StoreLimits strictest(StoreLimits others) {
       return new StoreLimits(
           Math.min(requestsPerSecond, others.requestsPerSecond),
           Math.min(writesPerSecond, others.writesPerSecond),
--- a/src/main/java/io/pineladder/model/Subscription.java
+++ b/src/main/java/io/pineladder/model/Subscription.java
@@ -18,7 +18,7 @@
     String name,
     String incarnation,
     String url,
-    long since,
+    long createdAfterNumber,
     List<Filter> filters,
     List<String> secrets,
     Status status,
@@ -42,34 +42,34 @@
    * @param owners the teams; empty for all
    * @param classes the classes of jobs; empty for all
    */
-  public record Filter(long after, Set<String> owners, Set<String> classes) {
-    boolean matches(String owner, String jobClass) {
-      return (owners.isEmpty() || owners.contains(owner))
+  public record Filter(long afterNumber, Set<String> teams, Set<String> classes) {
+    boolean matches(String team, String jobClass) {
+      return (teams.isEmpty() || teams.contains(team))
           && (classes.isEmpty() || classes.contains(jobClass));
     }
   }
 
   /** Whether the notice is for it. */
-  public boolean wants(Notice notice) {
-    if (notice.number() <= since) {
+  public boolean wants(Notification notification) {
+    if (notification.number() <= createdAfterNumber) {
       return false;
     }
     for (int i = filters.size() - 1; i >= 0; i--) {
-      if (filters.get(i).after < notice.number()) {
-        return filters.get(i).matches(notice.team(), notice.jobClass());
+      if (filters.get(i).afterNumber < notification.number()) {
+        return filters.get(i).matches(notification.team(), notification.jobClass());
       }
     }
     return false;
   }
 
   /** Whether any of its filters, past ones included, is for such a job. */
-  public boolean mayWant(String owner, String jobClass) {
+  public boolean mayWant(String team, String jobClass) {
     return status != Status.ENDED
-        && filters.stream().anyMatch(filter -> filter.matches(owner, jobClass));
+        && filters.stream().anyMatch(filter -> filter.matches(team, jobClass));
   }
 
   /** Whether notices are kept for it. */
-  public boolean isKept() {
+  public boolean retainsNotifications() {
     return status != Status.ENDED;
   }
 
@@ -83,6 +83,7 @@
   }
 
   public Subscription with(Status next, String why) {
-    return new Subscription(name, incarnation, url, since, filters, secrets, next, why);
+    return new Subscription(
+        name, incarnation, url, createdAfterNumber, filters, secrets, next, why);
   }
 }
--- a/src/main/java/io/pineladder/net/HttpCaller.java
+++ b/src/main/java/io/pineladder/net/AsyncHttpClient.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Sends HTTP requests without blocking; the reply arrives on the event thread, exactly once. */
-public interface HttpCaller {
+public interface AsyncHttpClient {
   void call(Request request, Consumer<Reply> onReply);
 
   /** One request. {@code body} may be null. */
--- a/src/main/java/io/pineladder/net/HttpHandlerAsync.java
+++ b/src/main/java/io/pineladder/net/AsyncHttpHandler.java
@@ -4,6 +4,6 @@
 
 /** Answers requests, at once or later, always on the event thread. */
 @FunctionalInterface
-public interface HttpHandlerAsync {
-  void handle(String method, String path, byte[] body, Consumer<HttpAnswer> answer);
+public interface AsyncHttpHandler {
+  void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer);
 }
--- a/src/main/java/io/pineladder/net/Background.java
+++ b/src/main/java/io/pineladder/net/BackgroundExecutor.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 
 /** Does what takes long, or blocks, beside the event thread. */
-public interface Background {
+public interface BackgroundExecutor {
   /** Runs {@code work} elsewhere and hands its result to {@code then} on the event thread. */
   <T> void run(Supplier<T> work, Consumer<T> then);
 }
--- a/src/main/java/io/pineladder/net/Connector.java
+++ b/src/main/java/io/pineladder/net/CancellableConnector.java
@@ -24,11 +24,11 @@
  * all sockets of the process. So the client is given this stand-in for the I/O thread, which does
  * what the real one does and takes hold of what is made.
  */
-final class Connector extends XnioIoThread {
+final class CancellableConnector extends XnioIoThread {
   private final XnioIoThread real;
   private IoFuture<StreamConnection> made;
 
-  Connector(XnioIoThread real) {
+  CancellableConnector(XnioIoThread real) {
     super(real.getWorker(), real.getNumber());
     this.real = real;
   }
--- a/src/main/java/io/pineladder/net/Sockets.java
+++ b/src/main/java/io/pineladder/net/ConnectionLimiter.java
@@ -21,14 +21,14 @@
  * means that its peer has most likely gone without a word. If none is, an accepted connection gets
  * its answer and is closed, and a call waits for one of its part's to end.
  */
-public final class Sockets {
-  private static final Logger log = LoggerFactory.getLogger(Sockets.class);
+public final class ConnectionLimiter {
+  private static final Logger log = LoggerFactory.getLogger(ConnectionLimiter.class);
 
   /** Sockets of the runtime's own: listeners, selectors, standard streams. */
   private static final int RESERVED = 16;
 
   /** What a socket is for. */
-  public enum Part {
+  public enum TrafficClass {
     /** Accepted, and it does not show yet who it is. */
     ARRIVING(0.06, 0.2, Duration.ofSeconds(5)),
     USERS(0.12, 0.4, Duration.ofSeconds(20)),
@@ -49,7 +49,7 @@
     /** An idle socket is stale after that; null: after two reports. */
     private final Duration stale;
 
-    Part(double kept, double most, Duration stale) {
+    TrafficClass(double kept, double most, Duration stale) {
       this.kept = kept;
       this.most = most;
       this.stale = stale;
@@ -76,9 +76,9 @@
     }
   }
 
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final int limit;
-  private final Map<Part, Share> shares = new EnumMap<>(Part.class);
+  private final Map<TrafficClass, Share> shares = new EnumMap<>(TrafficClass.class);
 
   /**
    * The sockets of one process.
@@ -86,11 +86,11 @@
    * @param limit how many it may have, at least 64
    * @param report how often a worker reports; one silent for two reports has gone
    */
-  public Sockets(int limit, Duration report, Timeline time) {
-    this.time = time;
+  public ConnectionLimiter(int limit, Duration report, EventLoop eventLoop) {
+    this.eventLoop = eventLoop;
     this.limit = limit - RESERVED;
     Duration silent = report.multipliedBy(2).plusSeconds(2);
-    for (Part part : Part.values()) {
+    for (TrafficClass part : TrafficClass.values()) {
       int kept = part.kept == 0 ? 0 : Math.max(4, (int) (this.limit * part.kept));
       int most = Math.max(Math.max(1, kept), (int) (this.limit * part.most));
       shares.put(part, new Share(kept, most, part.stale == null ? silent : part.stale));
@@ -100,20 +100,20 @@
   /** One socket, from before it is opened until after it is closed. */
   public final class Socket {
     private final Runnable close;
-    private Part part;
+    private TrafficClass part;
     private boolean open = true;
 
-    private Socket(Part part, Runnable close) {
+    private Socket(TrafficClass part, Runnable close) {
       this.part = part;
       this.close = close;
     }
 
-    public Part part() {
+    public TrafficClass part() {
       return part;
     }
 
     /** It shows what the socket is for; false when that part has no room, and it stays as it is. */
-    public boolean moveTo(Part next) {
+    public boolean moveTo(TrafficClass next) {
       if (next == part || !open) {
         return true;
       }
@@ -137,7 +137,7 @@
       if (open) {
         Share share = shares.get(part);
         share.idle.remove(this);
-        share.idle.put(this, time.now());
+        share.idle.put(this, eventLoop.now());
       }
     }
 
@@ -156,7 +156,7 @@
    *
    * @param close closes it; {@link Socket#closed} is to be told as a consequence, or here
    */
-  public Socket open(Part part, Runnable close) {
+  public Socket open(TrafficClass part, Runnable close) {
     if (!hasRoom(part)) {
       return null;
     }
@@ -165,7 +165,7 @@
   }
 
   /** Whether the part may have one more, if need be in place of a stale one. */
-  private boolean hasRoom(Part part) {
+  private boolean hasRoom(TrafficClass part) {
     Share share = shares.get(part);
     if (isFree(share) || (closeStale(part) && isFree(share))) {
       return true;
@@ -193,14 +193,14 @@
   }
 
   /** Closes the part's longest idle socket if it is stale; tells whether it was. */
-  private boolean closeStale(Part part) {
+  private boolean closeStale(TrafficClass part) {
     Share share = shares.get(part);
     Iterator<Map.Entry<Socket, Instant>> idle = share.idle.entrySet().iterator();
     if (!idle.hasNext()) {
       return false;
     }
     Map.Entry<Socket, Instant> longest = idle.next();
-    if (longest.getValue().plus(share.stale).isAfter(time.now())) {
+    if (longest.getValue().plus(share.stale).isAfter(eventLoop.now())) {
       return false;
     }
     Socket socket = longest.getKey();
@@ -211,14 +211,14 @@
 
   /** Closes what its peer has most likely left without a word, so that it adds up to nothing. */
   public void sweep() {
-    for (Part part : Part.values()) {
+    for (TrafficClass part : TrafficClass.values()) {
       while (closeStale(part)) {
         // The next longest idle one may be stale as well.
       }
     }
   }
 
-  private void count(Part part, int more) {
+  private void count(TrafficClass part, int more) {
     Share share = shares.get(part);
     share.open += more;
     share.peak = Math.max(share.peak, share.open);
@@ -230,8 +230,8 @@
   }
 
   /** How each part stands. */
-  public Map<Part, Usage> usage() {
-    Map<Part, Usage> usage = new EnumMap<>(Part.class);
+  public Map<TrafficClass, Usage> usage() {
+    Map<TrafficClass, Usage> usage = new EnumMap<>(TrafficClass.class);
     shares.forEach(
         (part, share) ->
             usage.put(
--- a/src/main/java/io/pineladder/net/Timeline.java
+++ b/src/main/java/io/pineladder/net/EventLoop.java
@@ -5,16 +5,16 @@
 import java.util.random.RandomGenerator;
 
 /** The clocks, timers and chance that the rest of the program sees; simulated in the tests. */
-public interface Timeline {
+public interface EventLoop {
   /** The steady clock. Its origin means nothing; differences do. */
   Instant now();
 
   /** The time of day, which may jump within the bound that the settings give. */
-  Instant timeOfDay();
+  Instant wallClock();
 
   /** Chance, for pauses that are not to coincide; seeded in the tests. */
   RandomGenerator random();
 
   /** Runs {@code action} on the one event thread after {@code delay}. */
-  void after(Duration delay, Runnable action);
+  void schedule(Duration delay, Runnable action);
 }
--- a/src/main/java/io/pineladder/net/Exchange.java
+++ b/src/main/java/io/pineladder/net/HttpExchange.java
@@ -13,7 +13,7 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /** One request and its answer on one connection, on the event thread. */
-final class Exchange {
+final class HttpExchange {
   /** Told of the end, once. */
   interface Listener {
     void answered(ClientResponse response, byte[] body);
@@ -26,7 +26,7 @@
   private final int mostAnswer;
   private boolean over;
 
-  private Exchange(Listener listener, int mostAnswer) {
+  private HttpExchange(Listener listener, int mostAnswer) {
     this.listener = listener;
     this.mostAnswer = mostAnswer;
   }
@@ -43,7 +43,7 @@
       byte[] body,
       int mostAnswer,
       Listener listener) {
-    Exchange exchange = new Exchange(listener, mostAnswer);
+    HttpExchange exchange = new HttpExchange(listener, mostAnswer);
     try {
       connection.sendRequest(request, exchange.onSent(body));
     } catch (RuntimeException e) {
@@ -61,7 +61,7 @@
   }
 
   private void fail(IOException e) {
-    XnioRuntime.guarded(() -> fail(String.valueOf(e.getMessage())));
+    XnioEventLoop.guarded(() -> fail(String.valueOf(e.getMessage())));
   }
 
   private ClientCallback<ClientExchange> onSent(byte[] body) {
@@ -72,7 +72,7 @@
             new ClientCallback<>() {
               @Override
               public void completed(ClientExchange answered) {
-                XnioRuntime.guarded(() -> receive(answered));
+                XnioEventLoop.guarded(() -> receive(answered));
               }
 
               @Override
@@ -137,7 +137,7 @@
         .set(
             (ChannelListener<StreamSourceChannel>)
                 channel ->
-                    XnioRuntime.guarded(
+                    XnioEventLoop.guarded(
                         () -> {
                           if (drain(channel, collected, response)) {
                             channel.suspendReads();
--- a/src/main/java/io/pineladder/net/Outward.java
+++ b/src/main/java/io/pineladder/net/OutboundClient.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** Posts to receivers outside the cluster; the answer arrives on the event thread, exactly once. */
-public interface Outward {
+public interface OutboundClient {
   void post(Message message, Consumer<Answer> onAnswer);
 
   /** One request. */
--- a/src/main/java/io/pineladder/net/OutwardCaller.java
+++ b/src/main/java/io/pineladder/net/OutboundHttpClient.java
@@ -39,16 +39,16 @@
  * found is checked, and that very address is connected to, so that a name which changes in between
  * does not lead past the check. Redirects are answers like any other and are not followed.
  */
-public final class OutwardCaller implements Outward {
+public final class OutboundHttpClient implements OutboundClient {
   /** A receiver's answer is a few words; the rest is not wanted in memory. */
   private static final int MOST_ANSWER = 4 * 1024;
 
   private static final Duration IDLE_FOR = Duration.ofSeconds(15);
 
-  private final XnioRuntime runtime;
+  private final XnioEventLoop runtime;
   private final Predicate<InetAddress> allowed;
   private final SSLContext context;
-  private final Connector connector;
+  private final CancellableConnector connector;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024);
 
   /** Looking up a name blocks; a name server that is slow for one must not delay the others. */
@@ -67,7 +67,7 @@
 
   private record Made(
       ClientConnection connection,
-      Sockets.Socket socket,
+      ConnectionLimiter.Socket socket,
       StreamConnection raw,
       InetAddress address) {}
 
@@ -78,16 +78,16 @@
    *
    * @param allowed whether an address may be connected to
    */
-  public OutwardCaller(XnioRuntime runtime, Predicate<InetAddress> allowed) {
+  public OutboundHttpClient(XnioEventLoop runtime, Predicate<InetAddress> allowed) {
     this(runtime, allowed, null);
   }
 
   /** A caller that trusts what {@code context} does; null for what the Java runtime does. */
-  OutwardCaller(XnioRuntime runtime, Predicate<InetAddress> allowed, SSLContext context) {
+  OutboundHttpClient(XnioEventLoop runtime, Predicate<InetAddress> allowed, SSLContext context) {
     this.runtime = runtime;
     this.context = context;
     this.allowed = allowed;
-    this.connector = new Connector(runtime.thread());
+    this.connector = new CancellableConnector(runtime.thread());
   }
 
   @Override
@@ -157,7 +157,7 @@
     private final String origin;
     private boolean over;
     private Made made;
-    private Sockets.Socket socket;
+    private ConnectionLimiter.Socket socket;
     private IoFuture<StreamConnection> connecting;
     private XnioExecutor.Key timer;
 
@@ -172,7 +172,7 @@
           runtime
               .thread()
               .executeAfter(
-                  () -> XnioRuntime.guarded(() -> finish(Answer.failed("no answer in time"))),
+                  () -> XnioEventLoop.guarded(() -> finish(Answer.failed("no answer in time"))),
                   Math.max(1, message.timeout().toMillis()),
                   TimeUnit.MILLISECONDS);
       Made kept = takeIdle(origin);
@@ -215,9 +215,9 @@
                     + addresses[0].getHostAddress()));
         return;
       }
-      socket = runtime.sockets().open(Sockets.Part.NOTICES, this::close);
+      socket = runtime.sockets().open(ConnectionLimiter.TrafficClass.NOTICES, this::close);
       if (socket == null && closeLongestIdle()) {
-        socket = runtime.sockets().open(Sockets.Part.NOTICES, this::close);
+        socket = runtime.sockets().open(ConnectionLimiter.TrafficClass.NOTICES, this::close);
       }
       if (socket == null) {
         finish(Answer.failed("no socket is free for notices"));
@@ -248,15 +248,15 @@
       return new ClientCallback<>() {
         @Override
         public void completed(ClientConnection connection) {
-          Made now = new Made(connection, socket, Connector.made(connecting), to);
+          Made now = new Made(connection, socket, CancellableConnector.made(connecting), to);
           connection.addCloseListener(closed -> now.socket.closed());
-          XnioRuntime.guarded(() -> send(now));
+          XnioEventLoop.guarded(() -> send(now));
         }
 
         @Override
         public void failed(IOException e) {
           socket.closed();
-          XnioRuntime.guarded(() -> finish(Answer.failed(String.valueOf(e.getMessage()))));
+          XnioEventLoop.guarded(() -> finish(Answer.failed(String.valueOf(e.getMessage()))));
         }
       };
     }
@@ -280,7 +280,7 @@
           socket.closed();
         }
       }
-      XnioRuntime.guarded(() -> onAnswer.accept(answer));
+      XnioEventLoop.guarded(() -> onAnswer.accept(answer));
     }
 
     private void send(Made on) {
@@ -300,12 +300,12 @@
       message
           .headers()
           .forEach((name, value) -> out.getRequestHeaders().put(new HttpString(name), value));
-      Exchange.begin(
+      HttpExchange.begin(
           made.connection,
           out,
           message.body(),
           MOST_ANSWER,
-          new Exchange.Listener() {
+          new HttpExchange.Listener() {
             @Override
             public void answered(ClientResponse response, byte[] body) {
               if (!over) {
--- a/src/main/java/io/pineladder/net/UndertowCaller.java
+++ b/src/main/java/io/pineladder/net/UndertowHttpClient.java
@@ -31,7 +31,7 @@
  * The HTTP client: a few idle connections kept for each address, one request on each at a time. A
  * call that finds no socket of its part free waits for one, as long as its time lasts.
  */
-public final class UndertowCaller implements HttpCaller {
+public final class UndertowHttpClient implements AsyncHttpClient {
   private static final int IDLE_PER_ADDRESS = 3;
 
   /** With a large fleet a connection kept for each machine would use up the process's sockets. */
@@ -39,9 +39,9 @@
 
   private static final Duration IDLE_FOR = Duration.ofSeconds(20);
 
-  private final XnioRuntime runtime;
-  private final Function<String, Sockets.Part> parts;
-  private final Connector connector;
+  private final XnioEventLoop runtime;
+  private final Function<String, ConnectionLimiter.TrafficClass> parts;
+  private final CancellableConnector connector;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024);
   private final Map<String, Deque<Idle>> idle = new HashMap<>();
 
@@ -49,12 +49,14 @@
   private final Set<Idle> byAge = new LinkedHashSet<>();
 
   /** Calls without a socket, by part. */
-  private final Map<Sockets.Part, Deque<Call>> waiting = new EnumMap<>(Sockets.Part.class);
+  private final Map<ConnectionLimiter.TrafficClass, Deque<Call>> waiting =
+      new EnumMap<>(ConnectionLimiter.TrafficClass.class);
 
   /**
    * A connection; {@code raw} is what closes it at once, where the client would wait for its peer.
    */
-  private record Made(ClientConnection connection, Sockets.Socket socket, StreamConnection raw) {}
+  private record Made(
+      ClientConnection connection, ConnectionLimiter.Socket socket, StreamConnection raw) {}
 
   private record Idle(String address, Made made, Instant since) {}
 
@@ -63,11 +65,12 @@
    *
    * @param parts tells which part of the sockets a connection to an address belongs to
    */
-  public UndertowCaller(XnioRuntime runtime, Function<String, Sockets.Part> parts) {
+  public UndertowHttpClient(
+      XnioEventLoop runtime, Function<String, ConnectionLimiter.TrafficClass> parts) {
     this.runtime = runtime;
     this.parts = parts;
-    this.connector = new Connector(runtime.thread());
-    for (Sockets.Part part : Sockets.Part.values()) {
+    this.connector = new CancellableConnector(runtime.thread());
+    for (ConnectionLimiter.TrafficClass part : ConnectionLimiter.TrafficClass.values()) {
       waiting.put(part, new ArrayDeque<>());
     }
   }
@@ -120,7 +123,7 @@
   }
 
   /** A socket is closed: the call that has waited longest for one of its part gets the room. */
-  private void released(Sockets.Socket socket) {
+  private void released(ConnectionLimiter.Socket socket) {
     socket.closed();
     Deque<Call> queue = waiting.get(socket.part());
     if (!queue.isEmpty()) {
@@ -151,7 +154,7 @@
     private final Consumer<Reply> onReply;
     private State state = State.WAITING;
     private Made made;
-    private Sockets.Socket socket;
+    private ConnectionLimiter.Socket socket;
     private IoFuture<StreamConnection> connecting;
     private XnioExecutor.Key timer;
 
@@ -165,7 +168,7 @@
           runtime
               .thread()
               .executeAfter(
-                  () -> XnioRuntime.guarded(this::timeOut),
+                  () -> XnioEventLoop.guarded(this::timeOut),
                   Math.max(1, request.timeout().toMillis()),
                   TimeUnit.MILLISECONDS);
       Made kept = takeIdle(request.address());
@@ -194,15 +197,15 @@
               new ClientCallback<>() {
                 @Override
                 public void completed(ClientConnection connection) {
-                  Made now = new Made(connection, socket, Connector.made(connecting));
+                  Made now = new Made(connection, socket, CancellableConnector.made(connecting));
                   connection.addCloseListener(closed -> released(now.socket));
-                  XnioRuntime.guarded(() -> send(now));
+                  XnioEventLoop.guarded(() -> send(now));
                 }
 
                 @Override
                 public void failed(IOException e) {
                   released(socket);
-                  XnioRuntime.guarded(() -> finish(Reply.NOT_SENT));
+                  XnioEventLoop.guarded(() -> finish(Reply.NOT_SENT));
                 }
               });
       return true;
@@ -233,7 +236,7 @@
         connecting.cancel();
         released(socket);
       }
-      XnioRuntime.guarded(() -> onReply.accept(reply));
+      XnioEventLoop.guarded(() -> onReply.accept(reply));
     }
 
     private void send(Made on) {
@@ -252,12 +255,12 @@
         out.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
         out.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
       }
-      Exchange.begin(
+      HttpExchange.begin(
           made.connection,
           out,
           body,
           Integer.MAX_VALUE,
-          new Exchange.Listener() {
+          new HttpExchange.Listener() {
             @Override
             public void answered(ClientResponse response, byte[] answer) {
               if (state != State.DONE) {
--- a/src/main/java/io/pineladder/net/XnioRuntime.java
+++ b/src/main/java/io/pineladder/net/XnioEventLoop.java
@@ -37,8 +37,8 @@
 import org.xnio.channels.AcceptingChannel;
 
 /** The one XNIO thread, on which everything runs: servers, the client, timers, the core. */
-public final class XnioRuntime implements Timeline, Background {
-  private static final Logger log = LoggerFactory.getLogger(XnioRuntime.class);
+public final class XnioEventLoop implements EventLoop, BackgroundExecutor {
+  private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
 
   /** Larger bodies than a user may send; reports of full machines stay below it. */
   private static final int MAX_BODY = 1 << 20;
@@ -51,8 +51,8 @@
   private final long originNanos = System.nanoTime();
   private final RandomGenerator random = new SplittableRandom();
   private final Clock wall = Clock.systemUTC();
-  private final Sockets sockets;
-  private final Map<StreamConnection, Sockets.Socket> accepted = new IdentityHashMap<>();
+  private final ConnectionLimiter sockets;
+  private final Map<StreamConnection, ConnectionLimiter.Socket> accepted = new IdentityHashMap<>();
   private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
 
   /**
@@ -61,10 +61,10 @@
    * @param maxSockets how many sockets the process may have
    * @param report how often a worker reports
    */
-  public XnioRuntime(int maxSockets, Duration report) throws IOException {
-    sockets = new Sockets(maxSockets, report, this);
+  public XnioEventLoop(int maxSockets, Duration report) throws IOException {
+    sockets = new ConnectionLimiter(maxSockets, report, this);
     worker =
-        Xnio.getInstance(XnioRuntime.class.getClassLoader())
+        Xnio.getInstance(XnioEventLoop.class.getClassLoader())
             .createWorker(
                 OptionMap.builder()
                     .set(Options.WORKER_IO_THREADS, 1)
@@ -73,16 +73,16 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     thread = worker.getIoThread();
-    after(SWEEP, this::sweep);
+    schedule(SWEEP, this::sweep);
   }
 
   private void sweep() {
     sockets.sweep();
-    after(SWEEP, this::sweep);
+    schedule(SWEEP, this::sweep);
   }
 
   /** The process's sockets. */
-  public Sockets sockets() {
+  public ConnectionLimiter sockets() {
     return sockets;
   }
 
@@ -96,7 +96,7 @@
   }
 
   @Override
-  public Instant timeOfDay() {
+  public Instant wallClock() {
     return wall.instant();
   }
 
@@ -106,7 +106,7 @@
   }
 
   @Override
-  public void after(Duration delay, Runnable action) {
+  public void schedule(Duration delay, Runnable action) {
     thread.executeAfter(
         () -> guarded(action), Math.max(0, delay.toMillis()), TimeUnit.MILLISECONDS);
   }
@@ -152,9 +152,9 @@
    */
   public record Listener(
       String address,
-      HttpHandlerAsync handler,
-      Sockets.Part accepted,
-      Function<String, Sockets.Part> parts) {}
+      AsyncHttpHandler handler,
+      ConnectionLimiter.TrafficClass accepted,
+      Function<String, ConnectionLimiter.TrafficClass> parts) {}
 
   /** Starts an HTTP listener. */
   public void serve(Listener listener) throws IOException {
@@ -185,8 +185,9 @@
     servers.add(server);
   }
 
-  private void accept(StreamConnection connection, Sockets.Part part, HttpOpenListener http) {
-    Sockets.Socket socket = sockets.open(part, () -> IoUtils.safeClose(connection));
+  private void accept(
+      StreamConnection connection, ConnectionLimiter.TrafficClass part, HttpOpenListener http) {
+    ConnectionLimiter.Socket socket = sockets.open(part, () -> IoUtils.safeClose(connection));
     if (socket == null) {
       IoUtils.safeClose(connection);
       return;
@@ -207,7 +208,7 @@
   }
 
   private void forget(StreamConnection connection) {
-    Sockets.Socket socket = accepted.remove(connection);
+    ConnectionLimiter.Socket socket = accepted.remove(connection);
     if (socket != null) {
       socket.closed();
     }
@@ -228,7 +229,7 @@
               (ex, failure) -> {
                 // A body over the limit cannot be read to its end, so the connection closes.
                 ex.setPersistent(false);
-                send(ex, new HttpAnswer(400, new byte[0]));
+                send(ex, new HttpResponse(400, new byte[0]));
               });
     };
   }
@@ -238,7 +239,7 @@
    */
   private void occupy(Listener listener, HttpServerExchange exchange) {
     StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
-    Sockets.Socket socket = accepted.get(connection);
+    ConnectionLimiter.Socket socket = accepted.get(connection);
     if (socket == null) {
       return;
     }
@@ -253,7 +254,7 @@
         });
   }
 
-  private static void dispatch(HttpHandlerAsync handler, HttpServerExchange exchange, byte[] body) {
+  private static void dispatch(AsyncHttpHandler handler, HttpServerExchange exchange, byte[] body) {
     String query = exchange.getQueryString();
     String path =
         query.isEmpty() ? exchange.getRequestURI() : exchange.getRequestURI() + "?" + query;
@@ -267,7 +268,7 @@
                 answer -> send(exchange, answer)));
   }
 
-  private static void send(HttpServerExchange exchange, HttpAnswer answer) {
+  private static void send(HttpServerExchange exchange, HttpResponse answer) {
     exchange.setStatusCode(answer.status());
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     if (answer.retryAfterSeconds() > 0) {
--- a/src/main/java/io/pineladder/queue/QueueEntry.java
+++ b/src/main/java/io/pineladder/queue/QueueEntry.java
@@ -1,7 +1,7 @@
 package io.pineladder.queue;
 
 import io.pineladder.model.Job;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import java.time.Instant;
 
 /**
@@ -21,7 +21,7 @@
 
   public final Job job;
   Place place = Place.OUTSIDE;
-  Check rejectedBy;
+  SchedulingCheck rejectedBy;
   int attempts;
   Instant triedAt = Instant.MIN;
 
@@ -33,13 +33,13 @@
   /** Sort keys, fixed while the entry is in the heap. */
   boolean guaranteed;
 
-  Rank rank;
+  PriorityClass rank;
   Instant due = Instant.MAX;
   long arrival;
 
   public QueueEntry(Job job) {
     this.job = job;
-    this.rank = job.rank();
+    this.rank = job.priorityClass();
   }
 
   public Place place() {
@@ -47,7 +47,7 @@
   }
 
   /** The check that parked it, or null. */
-  public Check rejectedBy() {
+  public SchedulingCheck rejectedBy() {
     return rejectedBy;
   }
 
--- a/src/main/java/io/pineladder/queue/Hint.java
+++ b/src/main/java/io/pineladder/queue/QueueingHint.java
@@ -1,7 +1,7 @@
 package io.pineladder.queue;
 
 /** What an event means for a parked entry. */
-public enum Hint {
+public enum QueueingHint {
   /** Nothing: it stays parked. */
   SKIP,
   /** It may be placed now: it is tried when its back-off is over. */
--- a/src/main/java/io/pineladder/queue/Check.java
+++ b/src/main/java/io/pineladder/queue/SchedulingCheck.java
@@ -1,7 +1,7 @@
 package io.pineladder.queue;
 
 /** The checks that can reject a pending entry; a parked entry is kept under the one that did. */
-public enum Check {
+public enum SchedulingCheck {
   /** The team's limit leaves no room. */
   TEAM_LIMIT,
   /** No machine known has an allowed type, zone and kind. */
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -37,22 +37,23 @@
   private final PriorityQueue<QueueEntry> active = new PriorityQueue<>(BY_PRIORITY);
   private final PriorityQueue<QueueEntry> rejected = new PriorityQueue<>(BY_EXPIRY);
   private final PriorityQueue<QueueEntry> errors = new PriorityQueue<>(BY_EXPIRY);
-  private final EnumMap<Check, Set<QueueEntry>> unschedulable = new EnumMap<>(Check.class);
+  private final EnumMap<SchedulingCheck, Set<QueueEntry>> unschedulable =
+      new EnumMap<>(SchedulingCheck.class);
 
   /** Entries being tried, each with the events seen meanwhile. */
-  private final Map<QueueEntry, List<Event>> inFlight = new LinkedHashMap<>();
+  private final Map<QueueEntry, List<ClusterEvent>> inFlight = new LinkedHashMap<>();
 
-  private final HintTable hints;
+  private final QueueingHintTable hints;
   private final Ordering ordering;
   private OperatorSettings settings;
   private long arrivals;
   private long tries;
 
-  public SchedulingQueue(HintTable hints, Ordering ordering, OperatorSettings settings) {
+  public SchedulingQueue(QueueingHintTable hints, Ordering ordering, OperatorSettings settings) {
     this.hints = hints;
     this.ordering = ordering;
     this.settings = settings;
-    for (Check check : Check.values()) {
+    for (SchedulingCheck check : SchedulingCheck.values()) {
       unschedulable.put(check, new LinkedHashSet<>());
     }
   }
@@ -75,7 +76,7 @@
     switch (next) {
       case ACTIVE -> {
         entry.guaranteed = ordering.isGuaranteed(entry);
-        entry.rank = entry.job.rank();
+        entry.rank = entry.job.priorityClass();
         entry.due = ordering.due(entry);
         active.add(entry);
       }
@@ -126,7 +127,7 @@
   }
 
   /** Has a tried entry wait for the initial back-off, which no event cuts short. */
-  public void postpone(QueueEntry entry, Check by, Instant now) {
+  public void postpone(QueueEntry entry, SchedulingCheck by, Instant now) {
     entry.triedAt = now;
     entry.attempts = 1;
     entry.rejectedBy = by;
@@ -135,11 +136,11 @@
   }
 
   /** Parks a tried entry under the check that rejected it, unless an event came in meanwhile. */
-  public void park(QueueEntry entry, Check by, Instant now) {
-    List<Event> seen = inFlight.getOrDefault(entry, List.of());
-    Hint best = Hint.SKIP;
-    for (Event event : seen) {
-      Hint hint = hints.hint(by, entry, event);
+  public void park(QueueEntry entry, SchedulingCheck by, Instant now) {
+    List<ClusterEvent> seen = inFlight.getOrDefault(entry, List.of());
+    QueueingHint best = QueueingHint.SKIP;
+    for (ClusterEvent event : seen) {
+      QueueingHint hint = hints.hint(by, entry, event);
       if (hint.compareTo(best) > 0) {
         best = hint;
       }
@@ -165,10 +166,11 @@
     moveTo(entry, QueueEntry.Place.BACKOFF_ERROR);
   }
 
-  private void requeue(QueueEntry entry, Hint hint, Instant now) {
-    if (hint == Hint.QUEUE_AT_ONCE || (hint == Hint.QUEUE && !entry.expiry.isAfter(now))) {
+  private void requeue(QueueEntry entry, QueueingHint hint, Instant now) {
+    if (hint == QueueingHint.QUEUE_AT_ONCE
+        || (hint == QueueingHint.QUEUE && !entry.expiry.isAfter(now))) {
       moveTo(entry, QueueEntry.Place.ACTIVE);
-    } else if (hint == Hint.QUEUE) {
+    } else if (hint == QueueingHint.QUEUE) {
       moveTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
     }
   }
@@ -198,8 +200,9 @@
    *
    * @return whether anything was woken
    */
-  public boolean onEvent(Event event, Instant now) {
-    Map<Check, HintTable.HintFunction> interested = hints.interested(event.kind());
+  public boolean onEvent(ClusterEvent event, Instant now) {
+    Map<SchedulingCheck, QueueingHintTable.HintFunction> interested =
+        hints.interested(event.kind());
     if (interested.isEmpty()) {
       return false;
     }
@@ -208,17 +211,18 @@
     interested.forEach(
         (check, function) -> {
           for (QueueEntry entry : unschedulable.get(check)) {
-            if (entry.triedAs <= event.since() && function.hint(entry, event) != Hint.SKIP) {
+            if (entry.triedAs <= event.since()
+                && function.hint(entry, event) != QueueingHint.SKIP) {
               helped.add(entry);
             }
           }
         });
     // An entry in back-off for a rejection was parked too: a sure event need not wait either.
     for (QueueEntry entry : rejected) {
-      HintTable.HintFunction function = interested.get(entry.rejectedBy);
+      QueueingHintTable.HintFunction function = interested.get(entry.rejectedBy);
       if (function != null
           && entry.triedAs <= event.since()
-          && function.hint(entry, event) == Hint.QUEUE_AT_ONCE) {
+          && function.hint(entry, event) == QueueingHint.QUEUE_AT_ONCE) {
         helped.add(entry);
       }
     }
@@ -230,8 +234,8 @@
     Resources left = event.room();
     boolean woken = false;
     for (QueueEntry entry : helped) {
-      Resources each = entry.job.spec.each();
-      long count = Math.min(entry.job.pending.cardinality(), each.countIn(left));
+      Resources each = entry.job.spec.resourcesPerTask();
+      long count = Math.min(entry.job.pending.cardinality(), each.timesFittingIn(left));
       if (count > 0) {
         left = left.minus(each.times(count));
         wake(entry, event, now);
@@ -241,7 +245,7 @@
     return woken;
   }
 
-  private void wake(QueueEntry entry, Event event, Instant now) {
+  private void wake(QueueEntry entry, ClusterEvent event, Instant now) {
     requeue(entry, hints.hint(entry.rejectedBy, entry, event), now);
   }
 
@@ -266,7 +270,7 @@
     unschedulable.forEach(
         (check, parked) -> {
           // That the last prerequisite is done is told for certain.
-          if (check != Check.DEPENDENCY) {
+          if (check != SchedulingCheck.DEPENDENCY) {
             parked.stream()
                 .limit(most)
                 .filter(entry -> entry.triedAt.isBefore(before))
@@ -281,7 +285,7 @@
     if (entry.place == QueueEntry.Place.ACTIVE) {
       moveTo(entry, QueueEntry.Place.ACTIVE);
     } else {
-      entry.rank = entry.job.rank();
+      entry.rank = entry.job.priorityClass();
     }
   }
 
@@ -319,8 +323,8 @@
   }
 
   /** How many entries each check has parked, for operators. */
-  public Map<Check, Integer> parked() {
-    EnumMap<Check, Integer> counts = new EnumMap<>(Check.class);
+  public Map<SchedulingCheck, Integer> parked() {
+    EnumMap<SchedulingCheck, Integer> counts = new EnumMap<>(SchedulingCheck.class);
     unschedulable.forEach((check, entries) -> counts.put(check, entries.size()));
     return counts;
   }
--- a/src/main/java/io/pineladder/recovery/Takeovers.java
+++ b/src/main/java/io/pineladder/recovery/FailoverTimings.java
@@ -1,6 +1,6 @@
 package io.pineladder.recovery;
 
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /** How long this node's takeovers took, phase by phase. */
-public final class Takeovers {
-  private static final Logger log = LoggerFactory.getLogger(Takeovers.class);
+public final class FailoverTimings {
+  private static final Logger log = LoggerFactory.getLogger(FailoverTimings.class);
   private static final long MOST_MILLIS = TimeUnit.HOURS.toMillis(1);
   private static final int KEPT = 10;
 
@@ -45,14 +45,14 @@
   }
 
   /** One takeover: its term and what it has gone through so far. */
-  public record Taken(long term, Map<Phase, Duration> phases) {}
+  public record CompletedFailover(long term, Map<Phase, Duration> phases) {}
 
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Map<Phase, Histogram> histograms = new EnumMap<>(Phase.class);
-  private final Deque<Taken> latest = new ArrayDeque<>();
+  private final Deque<CompletedFailover> latest = new ArrayDeque<>();
 
-  public Takeovers(Timeline time) {
-    this.time = time;
+  public FailoverTimings(EventLoop eventLoop) {
+    this.eventLoop = eventLoop;
   }
 
   /**
@@ -60,12 +60,12 @@
    *
    * @param before when the leader before was last known to live; null if none was known
    */
-  public Takeover begin(long term, Instant before) {
-    Takeover takeover = new Takeover(term);
+  public OngoingFailover begin(long term, Instant before) {
+    OngoingFailover takeover = new OngoingFailover(term);
     if (before != null) {
       takeover.passed(Phase.ELECTED, Duration.between(before, takeover.electedAt));
     }
-    time.after(LOGGED_AFTER, takeover::close);
+    eventLoop.schedule(LOGGED_AFTER, takeover::close);
     return takeover;
   }
 
@@ -75,22 +75,22 @@
   }
 
   /** The latest takeovers, the newest first. */
-  public List<Taken> latest() {
+  public List<CompletedFailover> latest() {
     return new ArrayList<>(latest);
   }
 
   /** One takeover under way. */
-  public final class Takeover {
+  public final class OngoingFailover {
     private final long term;
-    private final Instant electedAt = time.now();
+    private final Instant electedAt = eventLoop.now();
     private final Map<Phase, Duration> phases = new EnumMap<>(Phase.class);
     private int awaited = -1;
     private int heard;
     private boolean closed;
 
-    private Takeover(long term) {
+    private OngoingFailover(long term) {
       this.term = term;
-      latest.addFirst(new Taken(term, phases));
+      latest.addFirst(new CompletedFailover(term, phases));
       if (latest.size() > KEPT) {
         latest.removeLast();
       }
@@ -99,7 +99,7 @@
     /** A phase is over now; only the first time counts. */
     public void passed(Phase phase) {
       if (!phases.containsKey(phase)) {
-        passed(phase, Duration.between(electedAt, time.now()));
+        passed(phase, Duration.between(electedAt, eventLoop.now()));
       }
     }
 
--- a/src/main/java/io/pineladder/recovery/OldGenerations.java
+++ b/src/main/java/io/pineladder/recovery/GenerationGarbageCollector.java
@@ -1,8 +1,8 @@
 package io.pineladder.recovery;
 
 import io.pineladder.model.Generation;
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.net.EventLoop;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
@@ -19,8 +19,8 @@
  * a few keys in a transaction that asks for the leader's key and the generation, so a leader that
  * was replaced removes nothing, and its successor goes on from whatever is left.
  */
-public final class OldGenerations {
-  private static final Logger log = LoggerFactory.getLogger(OldGenerations.class);
+public final class GenerationGarbageCollector {
+  private static final Logger log = LoggerFactory.getLogger(GenerationGarbageCollector.class);
 
   /** So long what was there before a rebuild may be looked at. */
   static final Duration KEPT = Duration.ofMinutes(10);
@@ -40,8 +40,8 @@
 
   private static final Pattern LATER = Pattern.compile("g([0-9]{1,18})/.*");
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final long version;
   private final BooleanSupplier leads;
   private long removed;
@@ -51,17 +51,18 @@
    *
    * @param version the revision of the leader's key
    */
-  public OldGenerations(StoreClient store, Timeline time, long version, BooleanSupplier leads) {
-    this.store = store;
-    this.time = time;
+  public GenerationGarbageCollector(
+      StoreClient storeClient, EventLoop eventLoop, long version, BooleanSupplier leads) {
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.version = version;
     this.leads = leads;
   }
 
   /** Begins after a while, if there is anything to clear. */
   public void start() {
-    if (store.generation().base() != 0) {
-      time.after(KEPT, () -> step(null));
+    if (storeClient.generation().base() != 0) {
+      eventLoop.schedule(KEPT, () -> step(null));
     }
   }
 
@@ -69,19 +70,19 @@
     if (!leads.getAsBoolean()) {
       return;
     }
-    store.pageOfAll(
+    storeClient.pageOfAll(
         after,
         page -> {
           if (!leads.getAsBoolean()) {
             return;
           }
           if (page == null) {
-            time.after(PACE, () -> step(after));
+            eventLoop.schedule(PACE, () -> step(after));
             return;
           }
           List<String> old = new ArrayList<>();
           String last = after;
-          Generation present = store.generation();
+          Generation present = storeClient.generation();
           int most = most();
           for (StoreWire.Entry entry : page.entries()) {
             if (isOld(entry.key(), present)) {
@@ -102,8 +103,8 @@
   }
 
   private int most() {
-    int share = (int) Math.max(1, store.limits().writesPerSecond() / PART);
-    return Math.min(share, store.limits().transactionOps());
+    int share = (int) Math.max(1, storeClient.limits().writesPerSecond() / PART);
+    return Math.min(share, storeClient.limits().transactionOps());
   }
 
   /** Whether a key is of an earlier generation. */
@@ -120,22 +121,22 @@
         log.info("{} keys of earlier generations are cleared away", removed);
         removed = 0;
       }
-      time.after(more ? PACE : AGAIN, () -> step(more ? last : null));
+      eventLoop.schedule(more ? PACE : AGAIN, () -> step(more ? last : null));
       return;
     }
-    Generation present = store.generation();
+    Generation present = storeClient.generation();
     StoreWire.Transaction remove =
         new StoreWire.Transaction("")
-            .requireGeneration(present.version())
-            .require(present.prefix() + Keys.LEADER, version);
+            .requireGeneration(present.recordRevision())
+            .require(present.prefix() + RecordKeys.LEADER, version);
     old.forEach(remove::delete);
-    store.writes().take(old.size(), time.now());
-    store.urgent(
-        store.post("/multi", remove.bytes()),
+    storeClient.writes().take(old.size(), eventLoop.now());
+    storeClient.urgent(
+        storeClient.post("/multi", remove.bytes()),
         reply -> {
           removed += reply.is(200) ? old.size() : 0;
           // What was not removed is found again from the beginning.
-          time.after(PACE, () -> step(reply.is(200) ? last : null));
+          eventLoop.schedule(PACE, () -> step(reply.is(200) ? last : null));
         });
   }
 }
--- a/src/main/java/io/pineladder/recovery/Generations.java
+++ b/src/main/java/io/pineladder/recovery/GenerationManager.java
@@ -3,11 +3,11 @@
 import io.pineladder.membership.Membership;
 import io.pineladder.model.Generation;
 import io.pineladder.model.Generation.Phase;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import io.pineladder.retry.Backoff;
 import io.pineladder.store.StoreClient;
-import io.pineladder.wire.BeatWire.Stored;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.GossipWire.Stored;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
@@ -25,8 +25,8 @@
  * that no transaction of an earlier generation has, and then says that it is whole. Until then
  * nobody leads.
  */
-public final class Generations {
-  private static final Logger log = LoggerFactory.getLogger(Generations.class);
+public final class GenerationManager {
+  private static final Logger log = LoggerFactory.getLogger(GenerationManager.class);
   private static final Duration WATCH = Duration.ofSeconds(20);
 
   /**
@@ -95,7 +95,7 @@
   /** What the node does. */
   public interface Host {
     /** The copy of the records that would be written. */
-    LiveCopy copy();
+    RecordReplica copy();
 
     /** Whether this node led when the loss was noticed, with a lease that held then. */
     boolean leads();
@@ -110,8 +110,8 @@
     List<Membership.View> peers();
   }
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final Generation.Writer self;
   private final Host host;
   private final Backoff retry;
@@ -125,7 +125,7 @@
   private final Instant startedAt;
   private Instant lostAt;
   private Instant unreachableSince;
-  private ImageWriter writer;
+  private GenerationWriter writer;
   private int round;
   private int losses;
   private Evidence evidence;
@@ -137,18 +137,19 @@
    *
    * @param self this controller, with its process
    */
-  public Generations(StoreClient store, Timeline time, Generation.Writer self, Host host) {
-    this.store = store;
-    this.time = time;
+  public GenerationManager(
+      StoreClient storeClient, EventLoop eventLoop, Generation.Writer self, Host host) {
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.self = self;
     this.host = host;
-    this.retry = store.backoff();
-    this.startedAt = time.now();
-    store.onWentBack(
+    this.retry = storeClient.backoff();
+    this.startedAt = eventLoop.now();
+    storeClient.onWentBack(
         revision ->
             lost(
                 Evidence.REVISION_BACK,
-                "the store tells revision " + revision + " and had " + store.seen()));
+                "the store tells revision " + revision + " and had " + storeClient.seen()));
   }
 
   public void start() {
@@ -194,7 +195,7 @@
 
   /** For how long a generation that was rebuilt has counted here; null for the first generation. */
   public Duration rebuiltFor() {
-    return adoptedAt == null ? null : Duration.between(adoptedAt, time.now());
+    return adoptedAt == null ? null : Duration.between(adoptedAt, eventLoop.now());
   }
 
   /** Somebody has used this token. */
@@ -204,7 +205,7 @@
 
   /** The highest token that anybody is known to have used. */
   public long highestToken() {
-    long seen = store.generation().token(store.seen());
+    long seen = storeClient.generation().token(storeClient.seen());
     return Math.max(highestToken, seen);
   }
 
@@ -219,18 +220,18 @@
    * @param longest for how long leases may be kept
    */
   public long keepingToken(long seen, Duration longest) {
-    if (lostAt == null || !lostAt.plus(longest).isAfter(time.now())) {
+    if (lostAt == null || !lostAt.plus(longest).isAfter(eventLoop.now())) {
       return 0;
     }
     return switch (state) {
       case LOST -> seen;
-      case REBUILDING -> isMine(store.generation()) ? store.generation().base() : 0;
+      case REBUILDING -> isMine(storeClient.generation()) ? storeClient.generation().base() : 0;
       default -> 0;
     };
   }
 
   private boolean isMine(Generation generation) {
-    return generation.by().equals(self);
+    return generation.writer().equals(self);
   }
 
   // ---- what peers know
@@ -238,13 +239,13 @@
   /** A peer has told what it knows of the records. */
   public void heard(Stored told) {
     learnToken(told.token());
-    store.learn(told.base(), told.seen());
+    storeClient.learn(told.base(), told.seen());
     if (!isTrusted()) {
       return;
     }
-    if (told.base() > store.generation().base()) {
+    if (told.base() > storeClient.generation().base()) {
       look();
-    } else if (told.lost() && told.base() == store.generation().base()) {
+    } else if (told.lost() && told.base() == storeClient.generation().base()) {
       lost(Evidence.PEER, "another controller has noticed");
     }
   }
@@ -252,11 +253,11 @@
   /** Takes in what peers told last; whether the store can be read as they have seen it. */
   public boolean hearsPeers() {
     host.peers().forEach(peer -> heard(peer.stored()));
-    return isTrusted() && highestBase() == store.generation().base();
+    return isTrusted() && highestBase() == storeClient.generation().base();
   }
 
   private long highestBase() {
-    long highest = Math.max(store.generation().base(), host.copy().base());
+    long highest = Math.max(storeClient.generation().base(), host.copy().base());
     for (Membership.View peer : host.peers()) {
       highest = Math.max(highest, peer.stored().base());
     }
@@ -274,13 +275,13 @@
     if (of != round || stopped) {
       return;
     }
-    store.readGeneration(
+    storeClient.readGeneration(
         found -> {
           if (of != round || stopped) {
             return;
           }
           if (!found.certain()) {
-            time.after(retry.pause(), () -> read(of));
+            eventLoop.schedule(retry.pause(), () -> read(of));
             return;
           }
           retry.reset();
@@ -293,12 +294,13 @@
 
   private void goOn(int of, long revision) {
     if (isTrusted() || state == State.DOUBTED) {
-      store.watchGeneration(
+      storeClient.watchGeneration(
           revision,
           WATCH,
-          reply -> time.after(reply.is(200) ? Duration.ZERO : retry.pause(), () -> read(of)));
+          reply ->
+              eventLoop.schedule(reply.is(200) ? Duration.ZERO : retry.pause(), () -> read(of)));
     } else {
-      time.after(LOOK, () -> read(of));
+      eventLoop.schedule(LOOK, () -> read(of));
     }
   }
 
@@ -309,20 +311,20 @@
           read.found()
               ? RecordWire.parseGeneration(read.entry().value(), read.entry().version())
               : Generation.FIRST;
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       lost(Evidence.GENERATION_BACK, "the generation that counts cannot be read");
       return;
     }
-    Generation present = store.generation();
+    Generation present = storeClient.generation();
     if (found.base() > present.base()) {
       adopt(found);
     } else if (found.base() < highestBase()) {
       lost(Evidence.GENERATION_BACK, "generation " + found.base() + " is named");
     } else if (state == State.UNREAD) {
       adopt(found);
-    } else if (found.version() > present.version()) {
+    } else if (found.recordRevision() > present.recordRevision()) {
       adopt(found);
-    } else if (found.version() < present.version()) {
+    } else if (found.recordRevision() < present.recordRevision()) {
       lost(Evidence.GENERATION_BACK, "generation " + found.base() + " is named anew");
     }
   }
@@ -337,18 +339,19 @@
   /** What was looked into has another reason, or cannot be told now. */
   public void cleared() {
     if (state == State.DOUBTED) {
-      moveTo(store.generation().base() == 0 ? State.TRUSTED : State.REBUILT, "no loss is shown");
+      moveTo(
+          storeClient.generation().base() == 0 ? State.TRUSTED : State.REBUILT, "no loss is shown");
     }
   }
 
   private void adopt(Generation found) {
-    if (state == State.LOST && found.base() == store.generation().base()) {
+    if (state == State.LOST && found.base() == storeClient.generation().base()) {
       // The same generation once more, from a backup or a late transaction: it stays lost.
       return;
     }
-    boolean whole = found.phase() == Phase.WHOLE;
-    if (found.base() != 0 && (whole || found.base() != store.generation().base())) {
-      adoptedAt = time.now();
+    boolean whole = found.phase() == Phase.COMPLETE;
+    if (found.base() != 0 && (whole || found.base() != storeClient.generation().base())) {
+      adoptedAt = eventLoop.now();
     }
     if (writer != null) {
       writer.stop();
@@ -358,7 +361,7 @@
     learnToken(found.base());
     moveTo(
         !whole ? State.REBUILDING : found.base() == 0 ? State.TRUSTED : State.REBUILT,
-        "generation " + found.base() + " of " + found.by().member());
+        "generation " + found.base() + " of " + found.writer().controllerName());
     host.onGeneration(found);
     if (!whole && isMine(found)) {
       write(found);
@@ -383,12 +386,12 @@
     }
     losses++;
     evidence = shown;
-    Generation present = store.generation();
+    Generation present = storeClient.generation();
     boolean rebuilding = state == State.REBUILDING && isMine(present) && present.exact();
     boolean leads = (isTrusted() || state == State.DOUBTED) && host.leads();
     atOnce = rebuilding || leads && !shown.tellsOfIgnorance();
     exact = atOnce && shown != Evidence.HANDED_IN;
-    lostAt = time.now();
+    lostAt = eventLoop.now();
     log.error("the state service has lost data ({}): {}", shown, detail);
     moveTo(State.LOST, shown.name());
     if (writer != null) {
@@ -397,7 +400,7 @@
     }
     host.onLost();
     int of = ++round;
-    time.after(atOnce ? Duration.ZERO : LEASE, () -> name(of));
+    eventLoop.schedule(atOnce ? Duration.ZERO : LEASE, () -> name(of));
   }
 
   /** Names a new generation, unless another controller is better placed to. */
@@ -406,7 +409,7 @@
       return;
     }
     if (defers()) {
-      lookThen(of, () -> time.after(LOOK, () -> name(of)));
+      lookThen(of, () -> eventLoop.schedule(LOOK, () -> name(of)));
     } else if (atOnce) {
       lookThen(of, () -> claim(of));
     } else {
@@ -422,11 +425,11 @@
     if (of != round || stopped || state != State.LOST) {
       return;
     }
-    store.rest(
+    storeClient.rest(
         after,
         page -> {
           if (page == null) {
-            time.after(retry.pause(), () -> collect(of, found, after));
+            eventLoop.schedule(retry.pause(), () -> collect(of, found, after));
             return;
           }
           found.addAll(page.entries());
@@ -435,9 +438,9 @@
             return;
           }
           if (of == round && state == State.LOST) {
-            LiveCopy copy = host.copy();
-            if (copy.base() == store.generation().base()) {
-              copy.merge(found);
+            RecordReplica replica = host.copy();
+            if (replica.base() == storeClient.generation().base()) {
+              replica.merge(found);
             }
             claim(of);
           }
@@ -446,13 +449,13 @@
 
   /** Reads whether another controller has named one; what follows if not. */
   private void lookThen(int of, Runnable then) {
-    store.readGeneration(
+    storeClient.readGeneration(
         found -> {
           if (of != round || stopped || state != State.LOST) {
             return;
           }
           if (!found.certain()) {
-            time.after(retry.pause(), () -> name(of));
+            eventLoop.schedule(retry.pause(), () -> name(of));
             return;
           }
           pointer = found.found() ? found.entry().version() : 0;
@@ -469,11 +472,11 @@
   private long pointer;
 
   private boolean defers() {
-    Duration waited = Duration.between(lostAt, time.now());
+    Duration waited = Duration.between(lostAt, eventLoop.now());
     if (atOnce) {
       return false;
     }
-    LiveCopy mine = host.copy();
+    RecordReplica mine = host.copy();
     boolean othersMayHave =
         host.peers().stream()
             .anyMatch(
@@ -481,7 +484,7 @@
                     p.state() != Membership.State.UP
                         || !mine.isComplete() && p.stored().complete());
     // Where all began anew, whoever has the best copy may be the last to be up.
-    boolean early = startedAt.plus(STARTING).isAfter(time.now());
+    boolean early = startedAt.plus(STARTING).isAfter(eventLoop.now());
     if ((early || !mine.isComplete())
         && othersMayHave
         && waited.compareTo(LEASE.plus(WITHOUT_COPY)) < 0) {
@@ -508,37 +511,37 @@
 
   private void claim(int of) {
     host.peers().forEach(peer -> learnToken(peer.stored().token()));
-    long base = Generation.next(Math.max(highestToken(), highestBase()), time.timeOfDay());
+    long base = Generation.nextBase(Math.max(highestToken(), highestBase()), eventLoop.wallClock());
     Generation next = new Generation(base, 0, Phase.REBUILDING, exact, self);
     byte[] body =
         new StoreWire.Transaction("")
             .requireGeneration(pointer)
             .putGeneration(RecordWire.generation(next))
             .bytes();
-    store.urgent(
-        store.post("/multi", body),
+    storeClient.urgent(
+        storeClient.post("/multi", body),
         reply -> {
           if (of != round || stopped) {
             return;
           }
           // Whatever came of it stands in the store now.
-          lookThen(of, () -> time.after(LOOK, () -> name(of)));
+          lookThen(of, () -> eventLoop.schedule(LOOK, () -> name(of)));
         });
   }
 
   private void write(Generation target) {
-    List<StoreWire.Entry> image = host.copy().image(store.limits().valueBytes());
+    List<StoreWire.Entry> image = host.copy().image(storeClient.limits().valueBytes());
     log.info(
         "generation {} is written with {} records from a copy of revision {}{}",
         target.base(),
         image.size(),
         host.copy().revision(),
         target.exact() ? "" : "; what was stored after that may be missing");
-    Instant begun = time.now();
+    Instant begun = eventLoop.now();
     writer =
-        new ImageWriter(
-            store,
-            time,
+        new GenerationWriter(
+            storeClient,
+            eventLoop,
             target,
             image,
             good -> {
@@ -546,7 +549,7 @@
                   "generation {} {} after {}",
                   target.base(),
                   good ? "is whole" : "could not be finished",
-                  Duration.between(begun, time.now()));
+                  Duration.between(begun, eventLoop.now()));
               writer = null;
               look();
             });
@@ -560,23 +563,23 @@
     if (stopped) {
       return;
     }
-    Generation.Writer by = store.generation().by();
+    Generation.Writer by = storeClient.generation().writer();
     if (state == State.REBUILDING && !by.equals(self) && !isAtWork(by)) {
-      Instant now = time.now();
+      Instant now = eventLoop.now();
       unreachableSince = unreachableSince == null ? now : unreachableSince;
       if (unreachableSince.plus(ABANDONED).isBefore(now)) {
         unreachableSince = null;
-        lost(Evidence.GENERATION_BACK, by.member() + " has given the rebuild up");
+        lost(Evidence.GENERATION_BACK, by.controllerName() + " has given the rebuild up");
       }
     } else {
       unreachableSince = null;
     }
-    time.after(Duration.ofSeconds(1), this::watchRebuild);
+    eventLoop.schedule(Duration.ofSeconds(1), this::watchRebuild);
   }
 
   private boolean isAtWork(Generation.Writer by) {
     for (Membership.View peer : host.peers()) {
-      if (peer.member().equals(by.member())) {
+      if (peer.member().equals(by.controllerName())) {
         return peer.state() == Membership.State.UP && by.nonce().equals(peer.nonce());
       }
     }
--- a/src/main/java/io/pineladder/recovery/ImageWriter.java
+++ b/src/main/java/io/pineladder/recovery/GenerationWriter.java
@@ -1,7 +1,7 @@
 package io.pineladder.recovery;
 
 import io.pineladder.model.Generation;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import io.pineladder.retry.Backoff;
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.Json;
@@ -15,12 +15,12 @@
  * transaction asks that the generation is still the one being rebuilt, so nothing of a writer that
  * was given up is stored later; one without a reply is sent again, which stores the same.
  */
-final class ImageWriter {
+final class GenerationWriter {
   /** The service takes 64 KiB; the rest is for names and conditions. */
   private static final int MOST_BYTES = 48 * 1024;
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final Generation target;
   private final List<StoreWire.Entry> image;
   private final Consumer<Boolean> onEnd;
@@ -34,18 +34,18 @@
    * @param onEnd told true when the last transaction was answered with 200, false when another
    *     generation counts or it cannot be known
    */
-  ImageWriter(
-      StoreClient store,
-      Timeline time,
+  GenerationWriter(
+      StoreClient storeClient,
+      EventLoop eventLoop,
       Generation target,
       List<StoreWire.Entry> image,
       Consumer<Boolean> onEnd) {
-    this.store = store;
-    this.time = time;
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.target = target;
     this.image = image;
     this.onEnd = onEnd;
-    this.retry = store.backoff();
+    this.retry = storeClient.backoff();
   }
 
   /** How many records are stored. */
@@ -69,13 +69,15 @@
       finish();
       return;
     }
-    int most = Math.min(store.limits().transactionOps(), store.writes().available(time.now()));
+    int most =
+        Math.min(
+            storeClient.limits().transactionOps(), storeClient.writes().available(eventLoop.now()));
     if (most < 1) {
-      time.after(store.writes().until(1, time.now()).plusMillis(1), this::next);
+      eventLoop.schedule(storeClient.writes().until(1, eventLoop.now()).plusMillis(1), this::next);
       return;
     }
     StoreWire.Transaction part =
-        new StoreWire.Transaction(target.prefix()).requireGeneration(target.version());
+        new StoreWire.Transaction(target.prefix()).requireGeneration(target.recordRevision());
     int count = 0;
     int bytes = 0;
     while (count < most && written + count < image.size()) {
@@ -89,7 +91,7 @@
       count++;
     }
     int stored = count;
-    store.writes().take(stored, time.now());
+    storeClient.writes().take(stored, eventLoop.now());
     send(
         part,
         () -> {
@@ -100,17 +102,18 @@
 
   private void finish() {
     Generation whole =
-        new Generation(target.base(), 0, Generation.Phase.WHOLE, target.exact(), target.by());
+        new Generation(
+            target.base(), 0, Generation.Phase.COMPLETE, target.exact(), target.writer());
     send(
         new StoreWire.Transaction("")
-            .requireGeneration(target.version())
+            .requireGeneration(target.recordRevision())
             .putGeneration(RecordWire.generation(whole)),
         () -> end(true));
   }
 
   private void send(StoreWire.Transaction transaction, Runnable onStored) {
-    store.urgent(
-        store.post("/multi", transaction.bytes()),
+    storeClient.urgent(
+        storeClient.post("/multi", transaction.bytes()),
         reply -> {
           if (over) {
             return;
@@ -122,7 +125,7 @@
             // Another generation counts, or this is the second copy of the last transaction.
             end(false);
           } else {
-            store.retry(retry, () -> send(transaction, onStored));
+            storeClient.retry(retry, () -> send(transaction, onStored));
           }
         });
   }
--- a/src/main/java/io/pineladder/recovery/Adoption.java
+++ b/src/main/java/io/pineladder/recovery/JobReconciler.java
@@ -2,13 +2,13 @@
 
 import io.pineladder.model.Job;
 import io.pineladder.retry.Backoff;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.store.Committer;
-import io.pineladder.store.Keys;
 import io.pineladder.store.Mutation;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.Records;
 import io.pineladder.store.StoreClient;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
@@ -20,8 +20,8 @@
 /**
  * Takes up jobs that are in the store and not in the leader's memory: other nodes accepted them.
  */
-public final class Adoption {
-  private static final Logger log = LoggerFactory.getLogger(Adoption.class);
+public final class JobReconciler {
+  private static final Logger log = LoggerFactory.getLogger(JobReconciler.class);
   private static final Duration WATCH = Duration.ofSeconds(20);
 
   /** What the term does with it. */
@@ -49,8 +49,8 @@
     boolean mayBeLost();
   }
 
-  private final StoreClient store;
-  private final Cluster cluster;
+  private final StoreClient storeClient;
+  private final ClusterState cluster;
   private final Committer committer;
   private final Records records;
   private final Listener listener;
@@ -59,14 +59,18 @@
   /** How many jobs have left the memory for good; a read that saw one before is too old then. */
   private long removals;
 
-  public Adoption(
-      StoreClient store, Cluster cluster, Committer committer, Records records, Listener listener) {
-    this.store = store;
+  public JobReconciler(
+      StoreClient storeClient,
+      ClusterState cluster,
+      Committer committer,
+      Records records,
+      Listener listener) {
+    this.storeClient = storeClient;
     this.cluster = cluster;
     this.committer = committer;
     this.records = records;
     this.listener = listener;
-    this.retry = store.backoff();
+    this.retry = storeClient.backoff();
   }
 
   /** A job has left the memory for good. */
@@ -85,8 +89,8 @@
     if (!listener.isLeading()) {
       return;
     }
-    store.watch(
-        Keys.INBOX,
+    storeClient.watch(
+        RecordKeys.INBOX,
         after,
         WATCH,
         followed -> {
@@ -99,15 +103,15 @@
             changes.entries().stream().filter(e -> e.value() != null).forEach(this::takeIn);
             watchInbox(changes.revision());
           } else if (followed.reply().is(410)) {
-            store.list(
-                Keys.INBOX,
+            storeClient.list(
+                RecordKeys.INBOX,
                 listener::isLeading,
                 inbox -> {
                   inbox.entries().forEach(this::takeIn);
                   watchInbox(inbox.revision());
                 });
           } else {
-            store.retry(retry, () -> watchInbox(after));
+            storeClient.retry(retry, () -> watchInbox(after));
           }
         });
   }
@@ -116,7 +120,7 @@
     if (!listener.isLeading()) {
       return;
     }
-    String id = entry.key().substring(Keys.INBOX.length());
+    String id = entry.key().substring(RecordKeys.INBOX.length());
     committer.known(entry.key(), entry.version());
     listener.onRead(entry);
     adopt(
@@ -124,7 +128,7 @@
         lookup -> {
           if (lookup == null) {
             // Without a certain answer the job may still be unknown here.
-            store.retry(retry, () -> takeIn(entry));
+            storeClient.retry(retry, () -> takeIn(entry));
             return;
           }
           if (lookup.ended() != null) {
@@ -142,8 +146,8 @@
   }
 
   private void removeOwn(String id) {
-    String key = Keys.JOB + id;
-    store.read(
+    String key = RecordKeys.JOB + id;
+    storeClient.read(
         key,
         read -> {
           if (listener.isLeading() && read.found()) {
@@ -171,8 +175,8 @@
       return;
     }
     long before = removals;
-    store.read(
-        Keys.JOB + id,
+    storeClient.read(
+        RecordKeys.JOB + id,
         read -> {
           if (!listener.isLeading() || !read.certain() || listener.isAccepting(id)) {
             onDone.accept(null);
@@ -199,7 +203,7 @@
             listener.onAdopted(job);
             log.debug("job {} was accepted elsewhere", id);
             onDone.accept(new Lookup(job, null));
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.error("job {} cannot be read: {}", id, e.getMessage());
             onDone.accept(null);
           }
@@ -208,15 +212,15 @@
 
   /** Looks for the copy of a job's record that another node has stored, so that it goes too. */
   public void onStoredTwice(Job job, Runnable again) {
-    String key = Keys.JOB + job.spec.id();
-    store.read(
+    String key = RecordKeys.JOB + job.spec.id();
+    storeClient.read(
         key,
         read -> {
           if (!listener.isLeading()) {
             return;
           }
           if (!read.certain()) {
-            store.retry(retry, () -> onStoredTwice(job, again));
+            storeClient.retry(retry, () -> onStoredTwice(job, again));
             return;
           }
           if (read.found()) {
@@ -232,14 +236,14 @@
     if (cluster.jobs.containsKey(id) || listener.isAccepting(id) || listener.ended(id) != null) {
       return;
     }
-    store.read(
-        Keys.JOB + id,
+    storeClient.read(
+        RecordKeys.JOB + id,
         own -> {
           if (own.found() || !own.certain() || !listener.isLeading()) {
             return;
           }
-          store.read(
-              Keys.END + id,
+          storeClient.read(
+              RecordKeys.END + id,
               end -> {
                 boolean gone = end.certain() && !end.found() && listener.isLeading();
                 if (gone && !cluster.jobs.containsKey(id)) {
@@ -253,8 +257,8 @@
   public record Lookup(Job job, Job.State ended) {}
 
   private void readEnd(String id, Consumer<Lookup> onDone) {
-    store.read(
-        Keys.END + id,
+    storeClient.read(
+        RecordKeys.END + id,
         read -> {
           if (!read.certain()) {
             onDone.accept(null);
@@ -268,7 +272,7 @@
             Job.State ended = RecordWire.parseEnd(read.entry().value());
             listener.onFinal(id, ended);
             onDone.accept(new Lookup(null, ended));
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             onDone.accept(null);
           }
         });
--- a/src/main/java/io/pineladder/recovery/Prerequisites.java
+++ b/src/main/java/io/pineladder/recovery/PrerequisiteReader.java
@@ -1,8 +1,8 @@
 package io.pineladder.recovery;
 
 import io.pineladder.model.Job;
-import io.pineladder.net.Timeline;
-import io.pineladder.scheduling.Dependencies;
+import io.pineladder.net.EventLoop;
+import io.pineladder.scheduling.JobDependencies;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -18,8 +18,8 @@
  * Finds the jobs that others need, in the leader's memory or by reads that begin after the
  * question.
  */
-public final class Prerequisites {
-  private static final Logger log = LoggerFactory.getLogger(Prerequisites.class);
+public final class PrerequisiteReader {
+  private static final Logger log = LoggerFactory.getLogger(PrerequisiteReader.class);
 
   /** Between two reads of which the first gave no certain answer. */
   private static final Duration RETRY = Duration.ofMillis(250);
@@ -42,10 +42,10 @@
   /** A final state that is known without a read, or null. */
   private final Function<String, Job.State> ended;
 
-  private final Adoption adoption;
-  private final Timeline time;
+  private final JobReconciler adoption;
+  private final EventLoop eventLoop;
   private final BooleanSupplier leading;
-  private final Supplier<Dependencies> dependencies;
+  private final Supplier<JobDependencies> dependencies;
 
   /**
    * Lookups of one term.
@@ -53,17 +53,17 @@
    * @param jobs the jobs in memory, by id
    * @param ended final states that are known without a read; null for unknown
    */
-  public Prerequisites(
+  public PrerequisiteReader(
       Function<String, Job> jobs,
       Function<String, Job.State> ended,
-      Adoption adoption,
-      Timeline time,
+      JobReconciler adoption,
+      EventLoop eventLoop,
       BooleanSupplier leading,
-      Supplier<Dependencies> dependencies) {
+      Supplier<JobDependencies> dependencies) {
     this.jobs = jobs;
     this.ended = ended;
     this.adoption = adoption;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.leading = leading;
     this.dependencies = dependencies;
   }
@@ -102,7 +102,7 @@
    * Tells the dependencies of a job that others need, once the present event has been dealt with.
    */
   public void lookUp(String id) {
-    time.after(Duration.ZERO, () -> resolve(id));
+    eventLoop.schedule(Duration.ZERO, () -> resolve(id));
   }
 
   private void resolve(String id) {
@@ -121,7 +121,7 @@
             return;
           }
           if (lookup == null) {
-            time.after(RETRY, () -> resolve(id));
+            eventLoop.schedule(RETRY, () -> resolve(id));
           } else if (lookup.job() != null) {
             dependencies.get().found(lookup.job());
           } else if (lookup.ended() != null) {
@@ -129,7 +129,7 @@
           } else {
             log.error("job {}, which others need, is not in the records", id);
             dependencies.get().notFound(id);
-            time.after(MISSING, () -> resolve(id));
+            eventLoop.schedule(MISSING, () -> resolve(id));
           }
         });
   }
--- a/src/main/java/io/pineladder/recovery/LiveCopy.java
+++ b/src/main/java/io/pineladder/recovery/RecordReplica.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Generation;
 import io.pineladder.model.Job;
-import io.pineladder.snapshot.Change;
+import io.pineladder.snapshot.ChangeRecord;
 import io.pineladder.snapshot.Snapshot;
-import io.pineladder.snapshot.Snapshots;
-import io.pineladder.store.Keys;
+import io.pineladder.snapshot.SnapshotManager;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 import java.time.Instant;
@@ -32,8 +32,8 @@
  * others follow the store. Values stand as they are in the store: a leader's share what its memory
  * holds anyway, a follower's are kept as bytes.
  */
-public final class LiveCopy {
-  private static final Logger log = LoggerFactory.getLogger(LiveCopy.class);
+public final class RecordReplica {
+  private static final Logger log = LoggerFactory.getLogger(RecordReplica.class);
 
   /** Final states that are copied, for the memory of the smallest node; some 100 bytes each. */
   static final int MOST_ENDS = 100_000;
@@ -58,7 +58,7 @@
       return bytes != null ? bytes : Json.bytes(value);
     }
 
-    JsonNode read() throws MalformedException {
+    JsonNode read() throws MalformedMessageException {
       return value != null ? value : Json.parseObject(bytes);
     }
   }
@@ -82,7 +82,7 @@
   private boolean endsKnown;
 
   /** An empty copy of a generation's records. */
-  public LiveCopy(long base) {
+  public RecordReplica(long base) {
     this.base = base;
   }
 
@@ -92,29 +92,30 @@
   }
 
   /** A copy as it was kept in a snapshot with the changes since: whole as of its revision. */
-  public static LiveCopy of(Snapshots.Found found) {
+  public static RecordReplica of(SnapshotManager.Found found) {
     Snapshot snapshot = found.snapshot();
-    LiveCopy copy = new LiveCopy(snapshot.base());
+    RecordReplica replica = new RecordReplica(snapshot.base());
     snapshot
         .records()
         .forEach(
-            (key, entry) -> copy.records.put(key, new Value(entry.version(), null, entry.json())));
-    copy.packed.putAll(snapshot.ends());
-    copy.revision = snapshot.revision();
-    for (Change change : found.changes()) {
+            (key, entry) ->
+                replica.records.put(key, new Value(entry.version(), null, entry.json())));
+    replica.packed.putAll(snapshot.ends());
+    replica.revision = snapshot.revision();
+    for (ChangeRecord change : found.changes()) {
       try {
-        copy.put(
+        replica.put(
             change.key(),
             change.json() == null ? null : Json.parseObject(change.json()),
             change.version(),
             true);
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         log.warn("a change of {} cannot be read", change.key());
       }
     }
-    copy.recordsKnown = true;
-    copy.endsKnown = true;
-    return copy;
+    replica.recordsKnown = true;
+    replica.endsKnown = true;
+    return replica;
   }
 
   /** The copy as it is now; later changes do not show in it. */
@@ -186,7 +187,7 @@
   /** The same records count in another generation from here on, which was written from them. */
   public void moved(Generation to) {
     base = to.base();
-    revision = to.version();
+    revision = to.recordRevision();
     // Revisions of the generation before say nothing in this one.
     records.replaceAll((key, value) -> new Value(0, value.value, value.bytes));
     packed.putAll(ends);
@@ -207,9 +208,9 @@
     if (LEFT_OUT.matcher(key).matches()) {
       return;
     }
-    if (key.startsWith(Keys.END)) {
-      putEnd(key.substring(Keys.END.length()), value);
-    } else if (key.startsWith(Keys.ENDS)) {
+    if (key.startsWith(RecordKeys.END)) {
+      putEnd(key.substring(RecordKeys.END.length()), value);
+    } else if (key.startsWith(RecordKeys.ENDS)) {
       putEnds(key, value);
     } else if (value == null) {
       records.remove(key);
@@ -226,7 +227,7 @@
     }
     try {
       ends.put(id, RecordWire.parseEnd(value));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("the final state of {} cannot be read", id);
     }
   }
@@ -238,7 +239,7 @@
     try {
       Job.State state = RecordWire.parseEnd(value);
       RecordWire.parseEnds(value).forEach(id -> packed.putIfAbsent(id, state));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("{} cannot be read: {}", key, e.getMessage());
     }
   }
@@ -247,7 +248,8 @@
    * Pages that only leaders write and never remove, in the order of their keys: one that is missing
    * or older was lost.
    */
-  private static final List<String> NEVER_REMOVED = List.of(Keys.ACCEPTED, Keys.DONE, Keys.PLACED);
+  private static final List<String> NEVER_REMOVED =
+      List.of(RecordKeys.ACCEPTED, RecordKeys.DONE, RecordKeys.PLACED);
 
   /** A record under the prefix that the store has lost, going by what this copy saw; or null. */
   public String missing(String prefix, List<StoreWire.Entry> listed) {
@@ -268,7 +270,7 @@
    * What a newer copy of the same generation lacks of what this one saw stored and nobody removes;
    * null when it lacks nothing.
    */
-  public String lackedBy(LiveCopy newer) {
+  public String lackedBy(RecordReplica newer) {
     if (newer.base != base) {
       return null;
     }
@@ -282,7 +284,7 @@
       }
     }
     Map<String, Job.State> missing = endsMissingIn(newer);
-    return missing.isEmpty() ? null : Keys.END + missing.keySet().iterator().next();
+    return missing.isEmpty() ? null : RecordKeys.END + missing.keySet().iterator().next();
   }
 
   /**
@@ -292,13 +294,13 @@
    *
    * @return how many jobs have come back
    */
-  public int unite(LiveCopy before) {
+  public int unite(RecordReplica before) {
     int jobs = 0;
     for (Map.Entry<String, Value> each : before.records.entrySet()) {
       String key = each.getKey();
       try {
         JsonNode value = each.getValue().read();
-        if (key.startsWith(Keys.ACCEPTED)) {
+        if (key.startsWith(RecordKeys.ACCEPTED)) {
           List<JsonNode> kept = new ArrayList<>();
           for (JsonNode record : RecordWire.entries(value)) {
             if (isNews(RecordWire.parseJob(record).spec().id())) {
@@ -306,20 +308,20 @@
             }
           }
           jobs += kept.size();
-          put(above(key, Keys.ACCEPTED), RecordWire.page(kept.stream()), 0, true);
-        } else if (key.startsWith(Keys.JOB)) {
-          if (isNews(key.substring(Keys.JOB.length()))) {
+          put(above(key, RecordKeys.ACCEPTED), RecordWire.page(kept.stream()), 0, true);
+        } else if (key.startsWith(RecordKeys.JOB)) {
+          if (isNews(key.substring(RecordKeys.JOB.length()))) {
             jobs++;
             put(key, value, 0, true);
           }
-        } else if (key.startsWith(Keys.DONE)) {
-          put(above(key, Keys.DONE), value, 0, true);
-        } else if (key.startsWith(Keys.PLACED)) {
-          put(above(key, Keys.PLACED), value, 0, true);
-        } else if (key.startsWith(Keys.CONF) && !records.containsKey(key)) {
+        } else if (key.startsWith(RecordKeys.DONE)) {
+          put(above(key, RecordKeys.DONE), value, 0, true);
+        } else if (key.startsWith(RecordKeys.PLACED)) {
+          put(above(key, RecordKeys.PLACED), value, 0, true);
+        } else if (key.startsWith(RecordKeys.CONF) && !records.containsKey(key)) {
           put(key, value, 0, true);
         }
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         log.warn("{} of the snapshot cannot be read and is left out", key);
       }
     }
@@ -345,7 +347,7 @@
   }
 
   /** Final states that a copy of another generation lacks; they hold in every generation. */
-  public Map<String, Job.State> endsMissingIn(LiveCopy other) {
+  public Map<String, Job.State> endsMissingIn(RecordReplica other) {
     Map<String, Job.State> missing = allEnds();
     missing.keySet().removeIf(job -> other.end(job) != null);
     return missing;
@@ -422,7 +424,7 @@
     try {
       StoreWire.Entry entry = new StoreWire.Entry(damaged.key(), known.read(), damaged.version());
       return readable(entry) ? entry : null;
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       return null;
     }
   }
@@ -446,28 +448,28 @@
     try {
       String key = entry.key();
       JsonNode value = entry.value();
-      if (key.startsWith(Keys.JOB)) {
+      if (key.startsWith(RecordKeys.JOB)) {
         RecordWire.parseJob(value);
-      } else if (key.startsWith(Keys.ACCEPTED)) {
+      } else if (key.startsWith(RecordKeys.ACCEPTED)) {
         RecordWire.notices(value);
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parseJob(each);
         }
-      } else if (key.startsWith(Keys.DONE)) {
+      } else if (key.startsWith(RecordKeys.DONE)) {
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parseDone(each);
         }
-      } else if (key.startsWith(Keys.PLACED)) {
+      } else if (key.startsWith(RecordKeys.PLACED)) {
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parsePlacement(each);
         }
-      } else if (key.startsWith(Keys.IMAGES)) {
+      } else if (key.startsWith(RecordKeys.IMAGES)) {
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parseImages(each);
         }
       }
       return true;
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       return false;
     }
   }
@@ -480,10 +482,10 @@
 
   /** Whether a record says that the job was accepted and is not over. */
   public boolean holdsJob(String id) {
-    if (records.containsKey(Keys.JOB + id)) {
+    if (records.containsKey(RecordKeys.JOB + id)) {
       return true;
     }
-    for (Map.Entry<String, Value> page : under(Keys.ACCEPTED).entrySet()) {
+    for (Map.Entry<String, Value> page : under(RecordKeys.ACCEPTED).entrySet()) {
       Jobs known = accepted.get(page.getKey());
       if (known == null || known.version != page.getValue().version) {
         known = new Jobs(page.getValue().version, ids(page.getValue()));
@@ -502,7 +504,7 @@
       for (JsonNode each : RecordWire.entries(page.read())) {
         ids.add(RecordWire.parseJob(each).spec().id());
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("a page of accepted jobs cannot be read: {}", e.getMessage());
     }
     return ids;
@@ -515,7 +517,7 @@
 
   /** The same, in values of at most so many bytes. */
   List<StoreWire.Entry> image(int valueBytes) {
-    List<StoreWire.Entry> image = ImagePages.divide(recordImage(), valueBytes);
+    List<StoreWire.Entry> image = ReplicaPageSplitter.divide(recordImage(), valueBytes);
     addEnds(image, Math.min(ENDS_BYTES, valueBytes - ENDS_FRAME_BYTES));
     return image;
   }
@@ -526,7 +528,7 @@
         (key, value) -> {
           try {
             image.add(new StoreWire.Entry(key, value.read(), value.version));
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.error("the copy of {} cannot be read and is left out", key);
           }
         });
@@ -546,13 +548,13 @@
         ids.add(end.getKey());
         bytes += end.getKey().length() + 3;
         if (bytes + LONGEST_ID_BYTES >= mostBytes) {
-          image.add(new StoreWire.Entry(Keys.ENDS + pages++, RecordWire.ends(state, ids), 0));
+          image.add(new StoreWire.Entry(RecordKeys.ENDS + pages++, RecordWire.ends(state, ids), 0));
           ids = new ArrayList<>();
           bytes = 0;
         }
       }
       if (!ids.isEmpty()) {
-        image.add(new StoreWire.Entry(Keys.ENDS + pages++, RecordWire.ends(state, ids), 0));
+        image.add(new StoreWire.Entry(RecordKeys.ENDS + pages++, RecordWire.ends(state, ids), 0));
       }
     }
   }
--- a/src/main/java/io/pineladder/recovery/Follower.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaFollower.java
@@ -1,7 +1,7 @@
 package io.pineladder.recovery;
 
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.net.EventLoop;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
@@ -19,7 +19,7 @@
  * leader's copy is fed by its own reads and commits; here only the final states of before are read
  * for it.
  */
-public final class Follower {
+public final class ReplicaFollower {
   /** A start and a new term have better things to do first. */
   private static final Duration SOON = Duration.ofSeconds(5);
 
@@ -52,10 +52,10 @@
     FED
   }
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final Listener listener;
-  private LiveCopy copy;
+  private RecordReplica replica;
   private State state = State.OFF;
   private long revision;
   private Instant readAt;
@@ -77,15 +77,15 @@
   /** What the node learns. */
   public interface Listener {
     /** The copy is whole; it may be a new one in the place of the one before. */
-    void onCopy(LiveCopy whole);
+    void onCopy(RecordReplica whole);
 
     /** A record that was stored and that nobody removes is not there any more, or older. */
     void onMissing(String key);
   }
 
-  public Follower(StoreClient store, Timeline time, Listener listener) {
-    this.store = store;
-    this.time = time;
+  public ReplicaFollower(StoreClient storeClient, EventLoop eventLoop, Listener listener) {
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.listener = listener;
   }
 
@@ -104,15 +104,15 @@
   /** Whether the copy shows what was stored up to a few seconds ago. */
   public boolean isFresh() {
     return state == State.FOLLOWING
-        && copy.base() == store.generation().base()
-        && readAt.plus(FRESH).isAfter(time.now());
+        && replica.base() == storeClient.generation().base()
+        && readAt.plus(FRESH).isAfter(eventLoop.now());
   }
 
   /** The records can be trusted, and this node does not lead: they are read and followed. */
   public void follow() {
     moveTo(State.LISTING);
     int of = round;
-    copy = new LiveCopy(store.generation().base());
+    replica = new RecordReplica(storeClient.generation().base());
     revision = -1;
     after(SOON, of, () -> list(of, "", null));
   }
@@ -120,21 +120,21 @@
   /**
    * This node leads from now on, and feeds the copy; final states stored before are read for it.
    */
-  public void lead(LiveCopy fed) {
-    boolean followed = state == State.FOLLOWING && fed == copy;
-    copy = fed;
+  public void lead(RecordReplica fed) {
+    boolean followed = state == State.FOLLOWING && fed == replica;
+    replica = fed;
     moveTo(State.LEADING);
     int of = round;
     if (followed) {
       catchUp(of);
     } else {
-      after(PACE, of, () -> list(of, Keys.END, null));
+      after(PACE, of, () -> list(of, RecordKeys.END, null));
     }
   }
 
   /** Final states of the last moments before this node led; all else it has read by itself. */
   private void catchUp(int of) {
-    store.changes(
+    storeClient.changes(
         revision,
         followed -> {
           if (of != round) {
@@ -142,12 +142,12 @@
           }
           StoreWire.Changes changes = followed.changes();
           if (changes == null) {
-            after(PACE, of, () -> list(of, Keys.END, null));
+            after(PACE, of, () -> list(of, RecordKeys.END, null));
             return;
           }
           changes.entries().stream()
-              .filter(e -> e.key().startsWith(Keys.END))
-              .forEach(e -> copy.put(e.key(), e.value(), e.version(), false));
+              .filter(e -> e.key().startsWith(RecordKeys.END))
+              .forEach(e -> replica.put(e.key(), e.value(), e.version(), false));
           fed();
         });
   }
@@ -158,7 +158,7 @@
   }
 
   private void after(Duration pause, int of, Runnable action) {
-    time.after(
+    eventLoop.schedule(
         pause,
         () -> {
           if (of == round) {
@@ -168,7 +168,7 @@
   }
 
   private void list(int of, String prefix, String after) {
-    store.page(
+    storeClient.page(
         prefix,
         after,
         page -> {
@@ -181,16 +181,16 @@
           }
           boolean own = state == State.LISTING;
           revision = revision < 0 ? page.revision() : revision;
-          page.entries().forEach(e -> copy.put(e.key(), e.value(), e.version(), own));
+          page.entries().forEach(e -> replica.put(e.key(), e.value(), e.version(), own));
           if (page.next() != null) {
             after(PACE, of, () -> list(of, prefix, page.next()));
             return;
           }
-          copy.endsRead();
+          replica.endsRead();
           if (own) {
-            copy.recordsRead();
-            listener.onCopy(copy);
-            readAt = time.now();
+            replica.recordsRead();
+            listener.onCopy(replica);
+            readAt = eventLoop.now();
             moveTo(State.FOLLOWING);
             int now = round;
             after(PACE, now, () -> step(now));
@@ -203,7 +203,7 @@
   /** All is read; from here on final states are compared with the store, a page at a time. */
   private void fed() {
     moveTo(State.FED);
-    listener.onCopy(copy);
+    listener.onCopy(replica);
     int of = round;
     after(AUDIT, of, () -> audit(of, null));
   }
@@ -218,9 +218,9 @@
    * @param then told after which the next page begins; null for the first
    */
   private void auditPage(int of, String after, Consumer<String> then) {
-    store.page(
-        Keys.END,
-        after == null ? null : Keys.END + after,
+    storeClient.page(
+        RecordKeys.END,
+        after == null ? null : RecordKeys.END + after,
         page -> {
           if (of != round) {
             return;
@@ -228,13 +228,13 @@
           String last = after;
           if (page != null) {
             Set<String> there = new HashSet<>();
-            page.entries().forEach(e -> there.add(e.key().substring(Keys.END.length())));
+            page.entries().forEach(e -> there.add(e.key().substring(RecordKeys.END.length())));
             String next = page.next();
-            last = next == null ? null : next.substring(Keys.END.length());
-            for (String job : copy.endsBetween(after, last)) {
+            last = next == null ? null : next.substring(RecordKeys.END.length());
+            for (String job : replica.endsBetween(after, last)) {
               if (!there.contains(job)) {
                 // It may have been stored after the page was read.
-                confirm(of, Keys.END + job, 1);
+                confirm(of, RecordKeys.END + job, 1);
                 break;
               }
             }
@@ -266,12 +266,12 @@
    * written meanwhile, or is lost: what differs twice while this copy has no newer one is read.
    */
   private void compare(int of) {
-    int most = Math.min(MOST_COMPARED, 4 * store.limits().transactionOps() - 1);
-    SortedMap<String, Long> asked = copy.pages(comparedTo, most);
+    int most = Math.min(MOST_COMPARED, 4 * storeClient.limits().transactionOps() - 1);
+    SortedMap<String, Long> asked = replica.pages(comparedTo, most);
     comparedTo = asked.size() < most ? null : asked.lastKey();
-    StoreWire.Transaction compare = store.transaction();
+    StoreWire.Transaction compare = storeClient.transaction();
     asked.forEach(compare::require);
-    store.compare(
+    storeClient.compare(
         compare,
         failed -> {
           if (of != round) {
@@ -279,8 +279,8 @@
           }
           for (String key : failed == null ? List.<String>of() : failed) {
             Long before = differed.put(key, asked.getOrDefault(key, 0L));
-            if (before != null && before == copy.version(key) && asked.containsKey(key)) {
-              confirm(of, key, copy.version(key));
+            if (before != null && before == replica.version(key) && asked.containsKey(key)) {
+              confirm(of, key, replica.version(key));
             }
           }
           if (failed != null) {
@@ -294,7 +294,7 @@
    * Reads a record that seems to be older than this revision, or missing; what it tells is certain.
    */
   private void confirm(int of, String key, long known) {
-    store.read(
+    storeClient.read(
         key,
         read -> {
           long found = read.found() ? read.entry().version() : 0;
@@ -305,8 +305,8 @@
   }
 
   private void changes(int of) {
-    Instant sent = time.now();
-    store.changes(
+    Instant sent = eventLoop.now();
+    storeClient.changes(
         revision,
         followed -> {
           if (of != round) {
@@ -316,10 +316,10 @@
           if (changes != null) {
             revision = changes.revision();
             readAt = sent;
-            changes.entries().forEach(e -> copy.put(e.key(), e.value(), e.version(), true));
-            copy.reached(revision);
+            changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.version(), true));
+            replica.reached(revision);
           } else if (followed.reply().is(410)
-              || readAt.plus(MOST_BEHIND).isBefore(time.now()) && store.isHealthy()) {
+              || readAt.plus(MOST_BEHIND).isBefore(eventLoop.now()) && storeClient.isHealthy()) {
             follow();
             return;
           }
--- a/src/main/java/io/pineladder/recovery/RecordKeeping.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -4,15 +4,15 @@
 import io.pineladder.model.Generation;
 import io.pineladder.model.Job;
 import io.pineladder.model.Settings;
-import io.pineladder.net.Background;
-import io.pineladder.net.Timeline;
-import io.pineladder.snapshot.Shelf;
+import io.pineladder.net.BackgroundExecutor;
+import io.pineladder.net.EventLoop;
 import io.pineladder.snapshot.Snapshot;
-import io.pineladder.snapshot.Snapshots;
-import io.pineladder.store.Keys;
+import io.pineladder.snapshot.SnapshotManager;
+import io.pineladder.snapshot.SnapshotStore;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
-import io.pineladder.wire.BeatWire.Stored;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.GossipWire.Stored;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.time.Instant;
@@ -30,8 +30,8 @@
  * live copy, snapshots, and what it has itself stored for others of late; and its part in a
  * rebuild.
  */
-public final class RecordKeeping {
-  private static final Logger log = LoggerFactory.getLogger(RecordKeeping.class);
+public final class ReplicaManager {
+  private static final Logger log = LoggerFactory.getLogger(ReplicaManager.class);
 
   /** What was accepted here without a leader in this time is stored again after a loss. */
   private static final Duration ACCEPTED_AGAIN = Duration.ofMinutes(10);
@@ -68,18 +68,18 @@
   }
 
   private final Settings settings;
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final Host host;
   private final Generation.Writer self;
-  private final Snapshots snapshots;
-  private final Generations generations;
-  private final Follower follower;
+  private final SnapshotManager snapshots;
+  private final GenerationManager generations;
+  private final ReplicaFollower follower;
   private final Deque<Accepted> acceptedHere = new ArrayDeque<>();
-  private LiveCopy copy = new LiveCopy(0);
+  private RecordReplica replica = new RecordReplica(0);
 
   /** The copy that this node fed when it last led, or null. */
-  private LiveCopy ledWith;
+  private RecordReplica ledWith;
 
   /**
    * When this node last was elected it could compare the store with a copy of its own, or no other
@@ -101,25 +101,26 @@
    * @param shelf where snapshots are kept; null for nowhere
    * @param background where they are made; null without a shelf
    */
-  public RecordKeeping(
+  public ReplicaManager(
       Settings settings,
-      StoreClient store,
-      Timeline time,
+      StoreClient storeClient,
+      EventLoop eventLoop,
       String nonce,
-      Shelf shelf,
-      Background background,
+      SnapshotStore snapshotStore,
+      BackgroundExecutor backgroundExecutor,
       Host host) {
     this.settings = settings;
-    this.store = store;
-    this.time = time;
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.host = host;
     this.snapshots =
-        shelf == null
+        snapshotStore == null
             ? null
-            : new Snapshots(shelf, background, time, cluster(settings), this::snapshot);
-    this.self = new Generation.Writer(settings.member(), nonce);
-    this.generations = new Generations(store, time, self, new Rebuilding());
-    this.follower = new Follower(store, time, new Copying());
+            : new SnapshotManager(
+                snapshotStore, backgroundExecutor, eventLoop, cluster(settings), this::snapshot);
+    this.self = new Generation.Writer(settings.controllerName(), nonce);
+    this.generations = new GenerationManager(storeClient, eventLoop, self, new Rebuilding());
+    this.follower = new ReplicaFollower(storeClient, eventLoop, new Copying());
   }
 
   /** Reads what a snapshot has, and which generation counts. */
@@ -131,9 +132,10 @@
     snapshots.load(
         found -> {
           if (found != null) {
-            use(LiveCopy.of(found));
-            restoredAt = time.now();
-            log.info("the snapshot has {} records of revision {}", copy.size(), copy.revision());
+            use(RecordReplica.of(found));
+            restoredAt = eventLoop.now();
+            log.info(
+                "the snapshot has {} records of revision {}", replica.size(), replica.revision());
           }
           generations.start();
           snapshots.start();
@@ -149,33 +151,33 @@
   }
 
   /** The snapshots kept here, or null. */
-  public Snapshots snapshots() {
+  public SnapshotManager snapshots() {
     return snapshots;
   }
 
-  public Generations generations() {
+  public GenerationManager generations() {
     return generations;
   }
 
   /** The records as this node has seen them stored. */
-  public LiveCopy copy() {
-    return copy;
+  public RecordReplica copy() {
+    return replica;
   }
 
-  public Follower follower() {
+  public ReplicaFollower follower() {
     return follower;
   }
 
   /** What peers are told of all this. */
   public Stored told() {
     return new Stored(
-        store.generation().base(),
-        store.seen(),
-        copy.base(),
-        copy.revision(),
-        copy.isComplete(),
+        storeClient.generation().base(),
+        storeClient.seen(),
+        replica.base(),
+        replica.revision(),
+        replica.isComplete(),
         generations.highestToken(),
-        generations.state() == Generations.State.LOST);
+        generations.state() == GenerationManager.State.LOST);
   }
 
   // ---- the leadership
@@ -191,20 +193,20 @@
   }
 
   /** This node was elected; the copy that it is to feed. */
-  public LiveCopy lead() {
-    long base = store.generation().base();
-    boolean compares = copy.base() == base && copy.isComplete();
+  public RecordReplica lead() {
+    long base = storeClient.generation().base();
+    boolean compares = replica.base() == base && replica.isComplete();
     soundStart =
         compares
             || host.peers().stream()
                 .noneMatch(p -> p.stored().complete() && p.stored().copyBase() == base);
-    LiveCopy fed = copy.base() == base ? copy : new LiveCopy(base);
+    RecordReplica fed = replica.base() == base ? replica : new RecordReplica(base);
     follower.lead(fed);
     return fed;
   }
 
   /** The new leader has read all records. */
-  public void begun(LiveCopy fed) {
+  public void begun(RecordReplica fed) {
     fed.begun();
     use(fed);
     ledWith = fed;
@@ -221,7 +223,8 @@
   public void onKeyGone() {
     if (host.leaseHolds()) {
       generations.lost(
-          Generations.Evidence.RECORD_MISSING, "the leader's key is gone while its lease holds");
+          GenerationManager.Evidence.RECORD_MISSING,
+          "the leader's key is gone while its lease holds");
     }
   }
 
@@ -234,14 +237,15 @@
    */
   public void superseded(long token, long term, BooleanSupplier leads, Runnable lose) {
     generations.learnToken(token);
-    if (generations.state() == Generations.State.DOUBTED) {
+    if (generations.state() == GenerationManager.State.DOUBTED) {
       return;
     }
     generations.doubt("a worker has seen token " + token + ", ours is " + term);
-    store.urgentRead(
-        Keys.LEADER,
+    storeClient.urgentRead(
+        RecordKeys.LEADER,
         (read, reply) -> {
-          boolean stands = read.found() && store.generation().token(read.entry().version()) == term;
+          boolean stands =
+              read.found() && storeClient.generation().token(read.entry().version()) == term;
           if (leads.getAsBoolean() && stands) {
             generations.tokenAbove(token);
             return;
@@ -257,21 +261,21 @@
 
   /** For how long something may be missing from the records; null when nothing can be. */
   public Duration incompleteFor() {
-    return store.generation().exact() ? null : generations.rebuiltFor();
+    return storeClient.generation().exact() ? null : generations.rebuiltFor();
   }
 
   // ---- a rebuild
 
   /** What this node does as the records are found to be lost, rebuilt, and whole again. */
-  private final class Rebuilding implements Generations.Host {
+  private final class Rebuilding implements GenerationManager.Host {
     @Override
-    public LiveCopy copy() {
-      return copy;
+    public RecordReplica copy() {
+      return replica;
     }
 
     @Override
     public boolean leads() {
-      return ledWith == copy && soundStart && copy.isComplete() && host.leaseHolds();
+      return ledWith == replica && soundStart && replica.isComplete() && host.leaseHolds();
     }
 
     @Override
@@ -282,13 +286,13 @@
 
     @Override
     public void onGeneration(Generation generation) {
-      boolean whole = generation.phase() == Generation.Phase.WHOLE;
-      boolean mine = generation.by().equals(self);
+      boolean whole = generation.phase() == Generation.Phase.COMPLETE;
+      boolean mine = generation.writer().equals(self);
       follower.stop();
-      store.use(generation);
-      store.learn(copy.base(), copy.revision());
+      storeClient.use(generation);
+      storeClient.learn(replica.base(), replica.revision());
       if (whole && generation.base() != 0 && mine) {
-        copy.moved(generation);
+        replica.moved(generation);
         if (snapshots != null) {
           snapshots.renew();
         }
@@ -316,38 +320,38 @@
    * generation, beside those that were accepted since. Only the leader can.
    *
    * @return how many jobs come back
-   * @throws MalformedException when it is no snapshot of this cluster, or this node cannot take it
-   *     now
+   * @throws MalformedMessageException when it is no snapshot of this cluster, or this node cannot
+   *     take it now
    */
-  public int handIn(byte[] bytes) throws MalformedException {
+  public int handIn(byte[] bytes) throws MalformedMessageException {
     Snapshot snapshot = Snapshot.decode(bytes);
     snapshot.requireOf(cluster(settings));
-    if (!host.leaseHolds() || ledWith != copy || !copy.isComplete()) {
-      throw new MalformedException("not now: no leader that has read all records");
+    if (!host.leaseHolds() || ledWith != replica || !replica.isComplete()) {
+      throw new MalformedMessageException("not now: no leader that has read all records");
     }
-    int jobs = copy.unite(LiveCopy.of(new Snapshots.Found(snapshot, List.of())));
+    int jobs = replica.unite(RecordReplica.of(new SnapshotManager.Found(snapshot, List.of())));
     generations.lost(
-        Generations.Evidence.HANDED_IN,
+        GenerationManager.Evidence.HANDED_IN,
         "a snapshot of revision " + snapshot.revision() + " is handed in, with " + jobs + " jobs");
     return jobs;
   }
 
   /** What tells one cluster's snapshots from another's. */
   private static String cluster(Settings settings) {
-    List<String> members = new ArrayList<>(List.of(settings.member()));
-    settings.peers().forEach(peer -> members.add(peer.member()));
+    List<String> members = new ArrayList<>(List.of(settings.controllerName()));
+    settings.peers().forEach(peer -> members.add(peer.controllerName()));
     members.sort(null);
     return String.join(",", members) + " of " + settings.storeAddress();
   }
 
   private Snapshot snapshot() {
-    return copy.isComplete() ? copy.snapshot(cluster(settings), time.timeOfDay()) : null;
+    return replica.isComplete() ? replica.snapshot(cluster(settings), eventLoop.wallClock()) : null;
   }
 
   /** This copy of the records is the one that would be written if they were lost. */
-  private void use(LiveCopy next) {
-    copy.listen(null);
-    copy = next;
+  private void use(RecordReplica next) {
+    replica.listen(null);
+    replica = next;
     if (snapshots != null) {
       next.listen(snapshots::changed);
       snapshots.renew();
@@ -356,25 +360,25 @@
 
   /** A node with a whole copy of the records leads better than one that has just begun. */
   private boolean leavesItToOthers() {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     vacantSince = vacantSince == null ? now : vacantSince;
-    return !copy.isComplete()
+    return !replica.isComplete()
         && vacantSince.plus(LEFT_TO_OTHERS).isAfter(now)
         && host.peers().stream()
             .anyMatch(
                 peer ->
                     peer.state() == Membership.State.UP
                         && peer.stored().complete()
-                        && peer.stored().copyBase() == store.generation().base());
+                        && peer.stored().copyBase() == storeClient.generation().base());
   }
 
   /** What becomes of a copy that follows the store. */
-  private final class Copying implements Follower.Listener {
+  private final class Copying implements ReplicaFollower.Listener {
     @Override
-    public void onCopy(LiveCopy whole) {
-      String lacks = copy.lackedBy(whole);
+    public void onCopy(RecordReplica whole) {
+      String lacks = replica.lackedBy(whole);
       if (lacks == null) {
-        LiveCopy before = copy;
+        RecordReplica before = replica;
         use(whole);
         if (before.base() != whole.base()) {
           acceptAgain();
@@ -388,7 +392,7 @@
     @Override
     public void onMissing(String key) {
       generations.lost(
-          Generations.Evidence.RECORD_MISSING, key + " is missing or older than it was seen");
+          GenerationManager.Evidence.RECORD_MISSING, key + " is missing or older than it was seen");
     }
   }
 
@@ -397,7 +401,7 @@
    * not have had it yet. A job that is there twice is still one job.
    */
   private void acceptAgain() {
-    Instant from = time.now().minus(ACCEPTED_AGAIN);
+    Instant from = eventLoop.now().minus(ACCEPTED_AGAIN);
     acceptedHere.removeIf(each -> each.at.isBefore(from));
     acceptedHere.forEach(each -> each.again.run());
   }
@@ -411,23 +415,23 @@
     if (next == null || stopped || !generations.isTrusted()) {
       return;
     }
-    String key = Keys.END + next.getKey();
+    String key = RecordKeys.END + next.getKey();
     byte[] body =
-        store.transaction().require(key, 0).put(key, RecordWire.end(next.getValue())).bytes();
-    store.changeForUser(
-        store.post("/multi", body),
+        storeClient.transaction().require(key, 0).put(key, RecordWire.end(next.getValue())).bytes();
+    storeClient.changeForUser(
+        storeClient.post("/multi", body),
         1,
         reply -> {
           if (reply.is(200) || reply.is(409)) {
             left.pollFirst();
           }
-          time.after(ENDS_PACE, () -> storeEnds(left));
+          eventLoop.schedule(ENDS_PACE, () -> storeEnds(left));
         });
   }
 
   /** This node has accepted a job without a leader. */
   public void acceptedHere(Runnable again) {
-    acceptedHere.addLast(new Accepted(time.now(), again));
+    acceptedHere.addLast(new Accepted(eventLoop.now(), again));
     if (acceptedHere.size() > MOST_ACCEPTED_AGAIN) {
       acceptedHere.removeFirst();
     }
@@ -441,10 +445,10 @@
    * lost. What this node itself has seen stored was not removed, or the copy would know of it.
    */
   public boolean mayBeLost(String job) {
-    if (!generations.isTrusted() || !copy.isComplete()) {
+    if (!generations.isTrusted() || !replica.isComplete()) {
       return true;
     }
-    if (copy.holdsJob(job) || copy.end(job) != null) {
+    if (replica.holdsJob(job) || replica.end(job) != null) {
       return true;
     }
     return mayLack();
@@ -456,11 +460,11 @@
    * controllers that begin with their snapshots have yet to compare them with the store.
    */
   public boolean mayLack() {
-    if (restoredAt != null && restoredAt.plus(COMPARED).isAfter(time.now())) {
+    if (restoredAt != null && restoredAt.plus(COMPARED).isAfter(eventLoop.now())) {
       return true;
     }
     Duration rebuilt = generations.rebuiltFor();
-    Duration until = store.generation().exact() ? RESTORED : DOUBT;
+    Duration until = storeClient.generation().exact() ? RESTORED : DOUBT;
     return rebuilt != null && rebuilt.compareTo(until) < 0;
   }
 }
--- a/src/main/java/io/pineladder/recovery/ImagePages.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaPageSplitter.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.store.Keys;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
@@ -14,20 +14,20 @@
  * fits into a value when a generation is written. A generation counts only once it is whole, so the
  * parts of a page come to count together.
  */
-final class ImagePages {
+final class ReplicaPageSplitter {
   /** What a page takes beside its items. */
   private static final int FRAME_BYTES = 64;
 
   /** Kinds of pages whose items may stand in any page of the kind. */
   private static final List<String> PAGED =
-      List.of(Keys.ACCEPTED, Keys.PLACED, Keys.DONE, Keys.IMAGES);
+      List.of(RecordKeys.ACCEPTED, RecordKeys.PLACED, RecordKeys.DONE, RecordKeys.IMAGES);
 
   private static final List<String> LISTS = List.of("entries", "notices");
 
   private final int valueBytes;
   private final List<StoreWire.Entry> divided = new ArrayList<>();
 
-  private ImagePages(int valueBytes) {
+  private ReplicaPageSplitter(int valueBytes) {
     this.valueBytes = valueBytes;
   }
 
@@ -36,7 +36,7 @@
    * is.
    */
   static List<StoreWire.Entry> divide(List<StoreWire.Entry> image, int valueBytes) {
-    ImagePages pages = new ImagePages(valueBytes);
+    ReplicaPageSplitter pages = new ReplicaPageSplitter(valueBytes);
     for (String kind : PAGED) {
       pages.divideKind(kind, image.stream().filter(e -> e.key().startsWith(kind)).toList());
     }
--- a/src/main/java/io/pineladder/recovery/TermLoader.java
+++ b/src/main/java/io/pineladder/recovery/TermLoader.java
@@ -1,21 +1,21 @@
 package io.pineladder.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.delivery.Outbox;
+import io.pineladder.delivery.NotificationOutbox;
 import io.pineladder.model.Attempt;
+import io.pineladder.model.DeliveryProgress;
 import io.pineladder.model.Job;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Notice;
-import io.pineladder.model.Progress;
-import io.pineladder.net.Timeline;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.model.Notification;
+import io.pineladder.net.EventLoop;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.store.Committer;
-import io.pineladder.store.Keys;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.Records;
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.DeliveryWire;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
@@ -65,24 +65,24 @@
     void onLoaded(List<Job> jobs, StoreClient.Listing inbox);
   }
 
-  private final StoreClient store;
-  private final Timeline time;
-  private final Cluster cluster;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
+  private final ClusterState cluster;
   private final Committer committer;
   private final Records records;
-  private final Outbox outbox;
+  private final NotificationOutbox outbox;
   private final Listener listener;
 
   public TermLoader(
-      StoreClient store,
-      Timeline time,
-      Cluster cluster,
+      StoreClient storeClient,
+      EventLoop eventLoop,
+      ClusterState cluster,
       Committer committer,
       Records records,
-      Outbox outbox,
+      NotificationOutbox outbox,
       Listener listener) {
-    this.store = store;
-    this.time = time;
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.cluster = cluster;
     this.committer = committer;
     this.records = records;
@@ -97,7 +97,7 @@
     }
     BooleanSupplier wanted = listener::wanted;
     list(
-        Keys.CONF,
+        RecordKeys.CONF,
         wanted,
         conf -> {
           conf.entries().forEach(e -> committer.known(e.key(), e.version()));
@@ -108,7 +108,7 @@
   }
 
   private void list(String prefix, BooleanSupplier wanted, Consumer<StoreClient.Listing> onDone) {
-    store.list(
+    storeClient.list(
         prefix,
         wanted,
         listing -> {
@@ -121,10 +121,10 @@
 
   private void loadSubscriptions(List<StoreWire.Entry> conf) {
     for (StoreWire.Entry entry : conf) {
-      if (entry.key().startsWith(Keys.SUBSCRIPTION)) {
+      if (entry.key().startsWith(RecordKeys.SUBSCRIPTION)) {
         try {
           outbox.known(DeliveryWire.parseSubscription(entry.value()));
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
           // Scheduling for all goes before the notices of one.
           log.error("{} cannot be read and is left out: {}", entry.key(), e.getMessage());
         }
@@ -135,20 +135,20 @@
   private void loadRecords(BooleanSupplier wanted) {
     // The inbox is read before the jobs, so that a job is in the one or the other.
     list(
-        Keys.INBOX,
+        RecordKeys.INBOX,
         wanted,
         inbox -> {
           Stored stored = new Stored();
           // In one order, so that a simulated day is the same each time.
           Map<String, Consumer<StoreClient.Listing>> rest = new LinkedHashMap<>();
-          rest.put(Keys.JOB, listing -> stored.jobs = listing);
-          rest.put(Keys.ACCEPTED, listing -> stored.accepted = listing);
-          rest.put(Keys.DONE, listing -> stored.done = listing);
-          rest.put(Keys.PLACED, listing -> stored.placed = listing);
-          rest.put(Keys.IMAGES, listing -> stored.images = listing);
-          if (store.generation().base() != 0) {
+          rest.put(RecordKeys.JOB, listing -> stored.jobs = listing);
+          rest.put(RecordKeys.ACCEPTED, listing -> stored.accepted = listing);
+          rest.put(RecordKeys.DONE, listing -> stored.done = listing);
+          rest.put(RecordKeys.PLACED, listing -> stored.placed = listing);
+          rest.put(RecordKeys.IMAGES, listing -> stored.images = listing);
+          if (storeClient.generation().base() != 0) {
             // Without them a job that was over before the loss would be taken for a new one.
-            rest.put(Keys.ENDS, listing -> {});
+            rest.put(RecordKeys.ENDS, listing -> {});
           }
           int[] left = {rest.size()};
           rest.forEach(
@@ -172,27 +172,27 @@
    */
   public void loadBacklog(BooleanSupplier wanted, Runnable onDone) {
     list(
-        Keys.BACKLOG,
+        RecordKeys.BACKLOG,
         wanted,
         backlog ->
             list(
-                Keys.DELIVERED,
+                RecordKeys.DELIVERED,
                 wanted,
                 delivered -> {
                   try {
-                    Map<String, List<Notice>> notices = new LinkedHashMap<>();
+                    Map<String, List<Notification>> notices = new LinkedHashMap<>();
                     for (StoreWire.Entry page : backlog.entries()) {
                       committer.known(page.key(), page.version());
                       notices.put(page.key(), RecordWire.notices(page.value()));
                     }
-                    Map<String, Map<String, Progress>> progress = new LinkedHashMap<>();
+                    Map<String, Map<String, DeliveryProgress>> progress = new LinkedHashMap<>();
                     for (StoreWire.Entry page : delivered.entries()) {
                       committer.known(page.key(), page.version());
                       progress.put(page.key(), DeliveryWire.parseProgress(page.value()));
                     }
                     outbox.complete(notices, progress);
                     onDone.run();
-                  } catch (MalformedException e) {
+                  } catch (MalformedMessageException e) {
                     // Scheduling goes on; nothing is sent, and no notice is let go.
                     log.error("what subscribers wait for cannot be read: {}", e.getMessage());
                   }
@@ -213,11 +213,11 @@
 
   /** Reads one kind of page entry. */
   private interface EntryReader<T> {
-    T read(JsonNode entry) throws MalformedException;
+    T read(JsonNode entry) throws MalformedMessageException;
   }
 
   private <T> List<Paged<T>> readPages(StoreClient.Listing listing, EntryReader<T> reader)
-      throws MalformedException {
+      throws MalformedMessageException {
     List<Paged<T>> found = new ArrayList<>();
     for (StoreWire.Entry page : listing.entries()) {
       committer.known(page.key(), page.version());
@@ -238,14 +238,14 @@
       for (Paged<RecordWire.Placement> placement : placements) {
         if (cluster.type(placement.entry.type()) == null) {
           log.warn("machine {} is of a type not known yet", placement.entry.machine());
-          time.after(TYPES_RETRY, this::load);
+          eventLoop.schedule(TYPES_RETRY, this::load);
           return;
         }
       }
       for (StoreWire.Entry page : stored.accepted.entries()) {
         records.knownJobs(page.key());
-        for (Notice notice : RecordWire.notices(page.value())) {
-          records.knownNotice(page.key(), notice);
+        for (Notification notification : RecordWire.notices(page.value())) {
+          records.knownNotice(page.key(), notification);
         }
       }
       outbox.loaded();
@@ -285,7 +285,7 @@
       }
       restorePlacements(placements, found);
       stored.placed.entries().forEach(page -> records.knownPlacements(page.key()));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.error("a stored record cannot be read: {}", e.getMessage());
       listener.onUnreadable("a stored record cannot be read");
       return;
@@ -299,7 +299,7 @@
   }
 
   private void restoreDone(StoreClient.Listing listing, Map<String, Job> jobs)
-      throws MalformedException {
+      throws MalformedMessageException {
     listing.entries().forEach(page -> records.knownCompletions(page.key()));
     List<Paged<RecordWire.StoredDone>> all = readPages(listing, RecordWire::parseDone);
     all.removeIf(done -> !jobs.containsKey(done.entry.job()));
@@ -326,7 +326,7 @@
       RecordWire.Placement placement = paged.entry;
       newest.merge(placement.job() + "/" + placement.task(), placement.attempt(), Math::max);
     }
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     for (Paged<RecordWire.Placement> paged : placements) {
       RecordWire.Placement placement = paged.entry;
       Job job = jobs.get(placement.job());
@@ -341,14 +341,14 @@
         MachineType type = cluster.type(placement.type());
         machine = new Machine(placement.machine(), type, placement.zone(), placement.spot(), now);
         machine.address = placement.address();
-        machine.recorded = true;
+        machine.knownFromPlacements = true;
         cluster.addMachine(machine);
       }
-      String key = Machine.key(placement.job(), placement.task(), placement.attempt());
+      String key = Machine.attemptKey(placement.job(), placement.task(), placement.attempt());
       if (!machine.attempts.containsKey(key)) {
         Attempt attempt =
             cluster.addAttempt(
-                job, placement.task(), placement.attempt(), machine, now, Attempt.State.RECORDED);
+                job, placement.task(), placement.attempt(), machine, now, Attempt.State.RECOVERED);
         records.knownPlacement(paged.page, attempt);
       }
     }
@@ -360,15 +360,15 @@
   private Job known(Job job) {
     Job.State ended = listener.ended(job.spec.id());
     if (job.isActive() && ended != null) {
-      job.moveTo(ended);
+      job.transitionTo(ended);
     }
     return job;
   }
 
-  static Job toJob(JsonNode record) throws MalformedException {
+  static Job toJob(JsonNode record) throws MalformedMessageException {
     RecordWire.StoredJob stored = RecordWire.parseJob(record);
     Job job = new Job(stored.spec(), stored.acceptedAt(), stored.state());
-    job.atFault = stored.atFault();
+    job.failing = stored.atFault();
     return job;
   }
 }
--- a/src/main/java/io/pineladder/retry/Backoff.java
+++ b/src/main/java/io/pineladder/retry/Backoff.java
@@ -1,6 +1,6 @@
 package io.pineladder.retry;
 
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 
 /**
@@ -8,7 +8,7 @@
  * half, so that those who failed together do not come back together.
  */
 public final class Backoff {
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Duration first;
   private final Duration most;
   private Duration next;
@@ -19,8 +19,8 @@
    * @param first the longest that the first pause can be
    * @param most the longest that any can be
    */
-  public Backoff(Timeline time, Duration first, Duration most) {
-    this.time = time;
+  public Backoff(EventLoop eventLoop, Duration first, Duration most) {
+    this.eventLoop = eventLoop;
     this.first = first;
     this.most = most;
     this.next = first;
@@ -30,7 +30,7 @@
   public Duration pause() {
     long full = next.toNanos();
     next = next.multipliedBy(2).compareTo(most) < 0 ? next.multipliedBy(2) : most;
-    return Duration.ofNanos(full / 2 + (long) (time.random().nextDouble() * (full / 2)));
+    return Duration.ofNanos(full / 2 + (long) (eventLoop.random().nextDouble() * (full / 2)));
   }
 
   /** It has succeeded: the next pause is a first one. */
