--- a/src/main/java/io/pineladder/retry/Breaker.java
+++ b/src/main/java/io/pineladder/retry/CircuitBreaker.java
@@ -1,6 +1,6 @@
 package io.pineladder.retry;
 
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 import org.slf4j.Logger;
@@ -10,8 +10,8 @@
  * Keeps from calling a party that refuses: after a few failures in a row nothing is sent for a
  * pause, then one call shows whether it is better. The longer it lasts, the longer the pauses.
  */
-public final class Breaker {
-  private static final Logger log = LoggerFactory.getLogger(Breaker.class);
+public final class CircuitBreaker {
+  private static final Logger log = LoggerFactory.getLogger(CircuitBreaker.class);
 
   /** Where it stands. */
   public enum State {
@@ -24,7 +24,7 @@
   }
 
   private final String party;
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final int failuresAllowed;
   private final Backoff backoff;
   private State state = State.CLOSED;
@@ -37,11 +37,12 @@
    * @param party its name in the log
    * @param failuresAllowed how many in a row open it
    */
-  public Breaker(String party, Timeline time, int failuresAllowed, Duration first, Duration most) {
+  public CircuitBreaker(
+      String party, EventLoop eventLoop, int failuresAllowed, Duration first, Duration most) {
     this.party = party;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.failuresAllowed = failuresAllowed;
-    this.backoff = new Backoff(time, first, most);
+    this.backoff = new Backoff(eventLoop, first, most);
   }
 
   public State state() {
@@ -58,7 +59,7 @@
 
   /** Whether a call may go out now; if so its end is to be told. */
   public boolean mayCall() {
-    if (state == State.OPEN && !openUntil.isAfter(time.now())) {
+    if (state == State.OPEN && !openUntil.isAfter(eventLoop.now())) {
       moveTo(State.PROBING);
       return true;
     }
@@ -76,7 +77,7 @@
   public void failed() {
     failures++;
     if (state == State.PROBING || failures >= failuresAllowed) {
-      openUntil = time.now().plus(backoff.pause());
+      openUntil = eventLoop.now().plus(backoff.pause());
       moveTo(State.OPEN);
     }
   }
--- a/src/main/java/io/pineladder/retry/RetryBudget.java
+++ b/src/main/java/io/pineladder/retry/RetryBudget.java
@@ -1,6 +1,6 @@
 package io.pineladder.retry;
 
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 
@@ -9,9 +9,9 @@
  * that when everything fails the tries do not make up most of what is sent.
  */
 public final class RetryBudget {
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final double share;
-  private final RateBudget budget;
+  private final TokenBucket budget;
 
   /**
    * A budget, full at first.
@@ -20,20 +20,20 @@
    * @param perSecond tries that are allowed each second in any case
    * @param most tries that can be saved up
    */
-  public RetryBudget(Timeline time, double share, double perSecond, double most) {
-    this.time = time;
+  public RetryBudget(EventLoop eventLoop, double share, double perSecond, double most) {
+    this.eventLoop = eventLoop;
     this.share = share;
-    this.budget = new RateBudget(perSecond, most, time.now());
+    this.budget = new TokenBucket(perSecond, most, eventLoop.now());
   }
 
   /** A call has succeeded. */
   public void succeeded() {
-    budget.give(share, time.now());
+    budget.give(share, eventLoop.now());
   }
 
   /** How long a try has to wait for its turn, which it takes; zero when it may go out now. */
   public Duration take() {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     budget.take(1, now);
     return budget.until(0, now);
   }
--- a/src/main/java/io/pineladder/retry/RateBudget.java
+++ b/src/main/java/io/pineladder/retry/TokenBucket.java
@@ -6,13 +6,13 @@
 /**
  * A token bucket with a burst of one second's worth, kept a little below what the service allows.
  */
-public final class RateBudget {
+public final class TokenBucket {
   private final double perSecond;
   private final double burst;
   private double level;
   private Instant at;
 
-  public RateBudget(double perSecond, double burst, Instant now) {
+  public TokenBucket(double perSecond, double burst, Instant now) {
     this.perSecond = perSecond;
     this.burst = burst;
     this.level = burst;
--- a/src/main/java/io/pineladder/scheduling/ClassTimes.java
+++ b/src/main/java/io/pineladder/scheduling/ClassLatencies.java
@@ -11,7 +11,7 @@
  * estimate: waiting, fetching, the slowest task, storing. Learned from the jobs that end, as an
  * exponentially weighted mean.
  */
-final class ClassTimes {
+final class ClassLatencies {
   /** Taken for a class of which none has ended yet. */
   static final Duration UNKNOWN = Duration.ofSeconds(10);
 
@@ -22,7 +22,7 @@
 
   /** A job was done at this time of day. */
   void done(Job job, Instant at) {
-    Duration took = Duration.between(job.readyAt, at).minus(job.spec.estimate());
+    Duration took = Duration.between(job.readyAt, at).minus(job.spec.estimatedRunTime());
     double seconds = Math.max(0, took.toMillis() / 1000.0);
     overheadSeconds.merge(
         job.spec.jobClass(), seconds, (mean, latest) -> mean + WEIGHT * (latest - mean));
@@ -32,6 +32,6 @@
   Duration expected(Job job) {
     Double seconds = overheadSeconds.get(job.spec.jobClass());
     Duration overhead = seconds == null ? UNKNOWN : Duration.ofMillis((long) (seconds * 1000));
-    return job.spec.estimate().plus(overhead);
+    return job.spec.estimatedRunTime().plus(overhead);
   }
 }
--- a/src/main/java/io/pineladder/scheduling/Cluster.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -1,15 +1,15 @@
 package io.pineladder.scheduling;
 
 import io.pineladder.model.Attempt;
-import io.pineladder.model.FinishTimes;
+import io.pineladder.model.ChainDeadlines;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
 import io.pineladder.model.Settings;
-import io.pineladder.model.Shape;
 import io.pineladder.model.Team;
 import java.time.Duration;
 import java.time.Instant;
@@ -32,12 +32,12 @@
  * What the leader knows: teams, types, jobs, machines, and what each of them uses. Beside them it
  * keeps the indexes that let one event be dealt with without a look at the whole fleet.
  */
-public final class Cluster {
+public final class ClusterState {
   /** A loss that is likelier than this is worth the price of ordinary machines. */
-  private static final double LIKELY = 0.1;
+  private static final double SPOT_LOSS_THRESHOLD = 0.1;
 
   /** Work for idle time that has waited so long gets ordinary machines after all. */
-  private static final Duration IDLE_TIME_WAITS = Duration.ofMinutes(10);
+  private static final Duration IDLE_ONLY_PERIOD = Duration.ofMinutes(10);
 
   public final Settings settings;
   public final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -48,35 +48,36 @@
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
   /** Machines that take work and have room for tasks that need an accelerator. */
-  private final Set<Machine> openWithGpu = new LinkedHashSet<>();
+  private final Set<Machine> withGpuCapacity = new LinkedHashSet<>();
 
   /** Machines that take work and have any processor and memory left. */
-  private final Set<Machine> open = new LinkedHashSet<>();
+  private final Set<Machine> withCapacity = new LinkedHashSet<>();
 
   /** Machines with any processor and memory left that policy alone keeps from work. */
   private final Set<Machine> withheld = new LinkedHashSet<>();
 
   /** How many machines there are of each kind. */
-  private final Map<Kind, Integer> kinds = new HashMap<>();
+  private final Map<Kind, Integer> machineCounts = new HashMap<>();
 
   /** Attempts that wait for their image, by image; the one that gets it last comes first. */
-  private final Map<String, NavigableSet<Attempt>> fetching = new HashMap<>();
+  private final Map<String, NavigableSet<Attempt>> fetchingByImage = new HashMap<>();
 
   private static final Comparator<Attempt> LAST_READY_FIRST =
-      Comparator.<Attempt, Instant>comparing(attempt -> attempt.readyAt)
+      Comparator.<Attempt, Instant>comparing(attempt -> attempt.imageReadyAt)
           .reversed()
           .thenComparing(attempt -> attempt.key);
 
   /**
    * How many attempts hold room, by the rank that their users chose; what a chain adds is left out.
    */
-  private final EnumMap<Rank, Integer> holding = new EnumMap<>(Rank.class);
+  private final EnumMap<PriorityClass, Integer> capacityHolders =
+      new EnumMap<>(PriorityClass.class);
 
   /** Machines that keep room for a job, by job. */
   private final Map<Job, Set<Machine>> reservations = new HashMap<>();
 
-  private final Objectives objectives;
-  public final SpotRisk spotRisk = new SpotRisk();
+  private final ServiceObjectives objectives;
+  public final SpotReclaimRisk spotRisk = new SpotReclaimRisk();
   private final Map<String, Map<String, Double>> expectedImages = new HashMap<>();
 
   /** What distinguishes machines for a job's wishes. */
@@ -89,25 +90,25 @@
     boolean stale = true;
   }
 
-  public Cluster(Settings settings) {
+  public ClusterState(Settings settings) {
     this.settings = settings;
-    this.objectives = new Objectives(settings);
+    this.objectives = new ServiceObjectives(settings);
     for (Team team : settings.teams()) {
       teams.put(team.name(), team);
     }
   }
 
-  Objectives objectives() {
+  ServiceObjectives objectives() {
     return objectives;
   }
 
   /** How long after its submission the job should have started. */
-  public Duration allowance(Job job, Instant timeOfDay) {
+  public Duration latenessAllowance(Job job, Instant timeOfDay) {
     return objectives.allowance(job, timeOfDay);
   }
 
   /** When a job should be over by its own deadline; null without one. */
-  FinishTimes finishTimes(Job job) {
+  ChainDeadlines finishTimes(Job job) {
     return objectives.finishTimes(job);
   }
 
@@ -115,7 +116,7 @@
    * How long the job may still wait before it should have started; negative when it should have.
    */
   public Duration slack(Job job, Instant timeOfDay) {
-    return Duration.between(timeOfDay, job.acceptedAt.plus(allowance(job, timeOfDay)));
+    return Duration.between(timeOfDay, job.acceptedAt.plus(latenessAllowance(job, timeOfDay)));
   }
 
   /**
@@ -124,23 +125,25 @@
    */
   public boolean avoidsSpot(Job job, Instant timeOfDay) {
     JobSpec spec = job.spec;
-    if (!spec.spotAllowed() || spec.savesWork() || !objectives.breaksByRestart(job, timeOfDay)) {
+    if (!spec.spotAllowed()
+        || spec.isCheckpointed()
+        || !objectives.breaksByRestart(job, timeOfDay)) {
       return false;
     }
     double machines = 0;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name())) {
-        double each = Math.min(1, spec.each().shareOf(type.size()));
+        double each = Math.min(1, spec.resourcesPerTask().shareOf(type.capacity()));
         machines = Math.max(machines, (spec.tasks() - job.done.cardinality()) * each);
       }
     }
-    return spotRisk.likelihood(machines, spec.estimate()) > LIKELY;
+    return spotRisk.likelihood(machines, spec.estimatedRunTime()) > SPOT_LOSS_THRESHOLD;
   }
 
   /**
    * Whether the job keeps an objective if its tasks run through, and not if one has to start anew.
    */
-  public boolean breaksByRestart(Job job, Instant timeOfDay) {
+  public boolean wouldMissObjectiveAfterRestart(Job job, Instant timeOfDay) {
     return objectives.breaksByRestart(job, timeOfDay);
   }
 
@@ -152,11 +155,11 @@
   /**
    * How soon a machine rented now that the job may use would have its image; zero if there is none.
    */
-  public Duration soonestElsewhere(JobSpec spec) {
+  public Duration soonestStartElsewhere(JobSpec spec) {
     Duration soonest = null;
     for (MachineType type : types.values()) {
-      if (spec.allowsType(type.name()) && spec.each().fitsIn(type.size())) {
-        Duration ready = type.boot().plus(type.fetchTime(spec.imageGb()));
+      if (spec.allowsType(type.name()) && spec.resourcesPerTask().fitsIn(type.capacity())) {
+        Duration ready = type.bootTime().plus(type.fetchTime(spec.imageGb()));
         soonest = soonest == null || ready.compareTo(soonest) < 0 ? ready : soonest;
       }
     }
@@ -170,11 +173,11 @@
    */
   public boolean canWait(Job job) {
     JobSpec spec = job.spec;
-    return spec.shape() == Shape.ARRAY
+    return spec.kind() == JobKind.ARRAY
         && spec.spotAllowed()
-        && allowance(job, job.readyAt)
-                .minus(Objectives.waited(job))
-                .compareTo(soonestElsewhere(spec).multipliedBy(2))
+        && latenessAllowance(job, job.readyAt)
+                .minus(ServiceObjectives.waited(job))
+                .compareTo(soonestStartElsewhere(spec).multipliedBy(2))
             >= 0;
   }
 
@@ -182,11 +185,11 @@
    * Work of the lowest rank of which nothing is expected: it fills what is idle and spot machines.
    * Found on colombo-ops: a guest's work for idle time had every ordinary machine rented.
    */
-  public boolean isForIdleTime(Job job, Instant timeOfDay) {
-    return job.rank() == Rank.LOW
+  public boolean runsOnIdleCapacityOnly(Job job, Instant timeOfDay) {
+    return job.priorityClass() == PriorityClass.LOW
         && job.spec.deadline() == null
         && hasNoObjective(job)
-        && job.readyAt.plus(IDLE_TIME_WAITS).isAfter(timeOfDay);
+        && job.readyAt.plus(IDLE_ONLY_PERIOD).isAfter(timeOfDay);
   }
 
   public Team team(String name) {
@@ -208,13 +211,13 @@
   }
 
   public Resources usage(String team) {
-    return usage.getOrDefault(team, Resources.NONE);
+    return usage.getOrDefault(team, Resources.ZERO);
   }
 
   public void addJob(Job job) {
     jobs.put(job.spec.id(), job);
     jobsByTeam.computeIfAbsent(job.spec.team(), t -> new TeamJobs()).jobs.put(job.spec.id(), job);
-    demandChanged(job);
+    onDemandChanged(job);
   }
 
   public void removeJob(Job job) {
@@ -227,7 +230,7 @@
   }
 
   /** A job needs less, or no longer anything, of what its team may use. */
-  public void demandChanged(Job job) {
+  public void onDemandChanged(Job job) {
     TeamJobs of = jobsByTeam.get(job.spec.team());
     if (of != null) {
       of.stale = true;
@@ -247,12 +250,14 @@
     if (of.stale) {
       of.stale = false;
       of.guaranteed.clear();
-      Resources sum = Resources.NONE;
+      Resources sum = Resources.ZERO;
       for (Job each : of.jobs.values()) {
-        if (!each.isActive() || each.waitsForOthers) {
+        if (!each.isActive() || each.blockedByDependencies) {
           continue;
         }
-        sum = sum.plus(each.spec.each().times(each.spec.tasks() - each.done.cardinality()));
+        sum =
+            sum.plus(
+                each.spec.resourcesPerTask().times(each.spec.tasks() - each.done.cardinality()));
         if (!team.guarantees(sum)) {
           break;
         }
@@ -289,18 +294,18 @@
     if (images != null) {
       images.forEach(machine::touchImage);
     }
-    kinds.merge(kind(machine), 1, Integer::sum);
-    refresh(machine);
+    machineCounts.merge(kind(machine), 1, Integer::sum);
+    updateIndexes(machine);
   }
 
   /** Forgets a machine that is gone; null when there was none. */
   public Machine removeMachine(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
-      kinds.computeIfPresent(kind(machine), (k, count) -> count == 1 ? null : count - 1);
+      machineCounts.computeIfPresent(kind(machine), (k, count) -> count == 1 ? null : count - 1);
       unreserve(machine);
-      open.remove(machine);
-      openWithGpu.remove(machine);
+      withCapacity.remove(machine);
+      withGpuCapacity.remove(machine);
       withheld.remove(machine);
     }
     return machine;
@@ -311,17 +316,17 @@
   }
 
   Set<Kind> kinds() {
-    return kinds.keySet();
+    return machineCounts.keySet();
   }
 
   /** Brings the indexes in step with a machine whose state, notice or use has changed. */
-  public void refresh(Machine machine) {
+  public void updateIndexes(Machine machine) {
     Resources free = machine.free();
     boolean any = free.microCpus() > 0 && free.microGb() > 0;
-    boolean takes = machine.takesWork() && any;
-    put(withheld, machine, any && !takes && machine.mayTakeWork());
-    put(open, machine, takes);
-    put(openWithGpu, machine, takes && free.microGpus() > 0);
+    boolean takes = machine.isSchedulable() && any;
+    put(withheld, machine, any && !takes && machine.isSafeToSchedule());
+    put(withCapacity, machine, takes);
+    put(withGpuCapacity, machine, takes && free.microGpus() > 0);
   }
 
   private static <T> void put(Set<T> set, T item, boolean in) {
@@ -334,7 +339,7 @@
 
   /** The machines on which a job's tasks may find room; all others have none for it. */
   Collection<Machine> openFor(Job job) {
-    return job.spec.each().microGpus() > 0 ? openWithGpu : open;
+    return job.spec.resourcesPerTask().microGpus() > 0 ? withGpuCapacity : withCapacity;
   }
 
   /** The machines with room that policy alone keeps from work. */
@@ -345,8 +350,11 @@
   /**
    * Whether policy may keep any room from the job; not which, which takes a look at the machines.
    */
-  boolean policyKeeps(Job job) {
-    return !withheld.isEmpty() || !reservations.isEmpty() || !job.avoid.isEmpty() || canWait(job);
+  boolean isWithheldByPolicy(Job job) {
+    return !withheld.isEmpty()
+        || !reservations.isEmpty()
+        || !job.avoidedMachines.isEmpty()
+        || canWait(job);
   }
 
   // ---- room kept
@@ -355,9 +363,9 @@
   void reserve(Machine machine, Job job, Instant until) {
     unreserve(machine);
     machine.reservedFor = job;
-    machine.reserved = job.spec.each();
-    machine.reservedUntil = until;
-    machine.reservedStart = null;
+    machine.reserved = job.spec.resourcesPerTask();
+    machine.reservationExpiresAt = until;
+    machine.reservationStartsAt = null;
     reservations.computeIfAbsent(job, j -> new LinkedHashSet<>(2)).add(machine);
   }
 
@@ -367,7 +375,7 @@
       return;
     }
     machine.reservedFor = null;
-    machine.reserved = Resources.NONE;
+    machine.reserved = Resources.ZERO;
     Set<Machine> of = reservations.get(job);
     if (of != null && of.remove(machine) && of.isEmpty()) {
       reservations.remove(job);
@@ -383,7 +391,7 @@
    * Attempts that wait for this image, on whatever machine; the one that gets it last comes first.
    */
   Collection<Attempt> fetching(String image) {
-    NavigableSet<Attempt> of = fetching.get(image);
+    NavigableSet<Attempt> of = fetchingByImage.get(image);
     return of == null ? List.of() : of;
   }
 
@@ -395,29 +403,29 @@
     Attempt attempt = new Attempt(job, task, number, machine, now, first);
     job.add(attempt);
     machine.attempts.put(attempt.key, attempt);
-    machine.used = machine.used.plus(job.spec.each());
+    machine.used = machine.used.plus(job.spec.resourcesPerTask());
     machine.idleSince = null;
-    usage.merge(job.spec.team(), job.spec.each(), Resources::plus);
-    holding.merge(job.spec.rank(), 1, Integer::sum);
-    refresh(machine);
+    usage.merge(job.spec.team(), job.spec.resourcesPerTask(), Resources::plus);
+    capacityHolders.merge(job.spec.priorityClass(), 1, Integer::sum);
+    updateIndexes(machine);
     return attempt;
   }
 
   /** Changes an attempt's state and, when it ends, gives back what it held. */
-  public void move(Attempt attempt, Attempt.State next) {
-    boolean held = attempt.holdsRoom();
+  public void transition(Attempt attempt, Attempt.State next) {
+    boolean held = attempt.holdsCapacity();
     Attempt.State before = attempt.state();
-    attempt.moveTo(next);
+    attempt.transitionTo(next);
     if (before != next) {
-      followFetch(attempt, before, next);
+      indexFetch(attempt, before, next);
     }
-    if (held && !attempt.holdsRoom()) {
-      Resources each = attempt.job.spec.each();
+    if (held && !attempt.holdsCapacity()) {
+      Resources each = attempt.job.spec.resourcesPerTask();
       attempt.machine.used = attempt.machine.used.minus(each);
       usage.merge(attempt.job.spec.team(), each, Resources::minus);
-      holding.merge(attempt.job.spec.rank(), -1, Integer::sum);
+      capacityHolders.merge(attempt.job.spec.priorityClass(), -1, Integer::sum);
       attempt.job.remove(attempt);
-      refresh(attempt.machine);
+      updateIndexes(attempt.machine);
     }
     if (next == Attempt.State.GONE) {
       attempt.machine.attempts.remove(attempt.key);
@@ -427,22 +435,22 @@
   /**
    * Whether there is any work that could make way for the job; where, a look at the fleet tells.
    */
-  boolean mayDisplaceAny(Job job) {
+  boolean mayPreemptAny(Job job) {
     if (isGuaranteed(job)) {
       return true;
     }
-    return holding.entrySet().stream()
-        .anyMatch(e -> e.getValue() > 0 && job.rank().isAbove(e.getKey()));
+    return capacityHolders.entrySet().stream()
+        .anyMatch(e -> e.getValue() > 0 && job.priorityClass().isAbove(e.getKey()));
   }
 
-  private void followFetch(Attempt attempt, Attempt.State before, Attempt.State next) {
+  private void indexFetch(Attempt attempt, Attempt.State before, Attempt.State next) {
     String image = attempt.job.spec.image();
-    if (next == Attempt.State.FETCHING) {
-      fetching.computeIfAbsent(image, i -> new TreeSet<>(LAST_READY_FIRST)).add(attempt);
-    } else if (before == Attempt.State.FETCHING) {
-      Set<Attempt> of = fetching.get(image);
+    if (next == Attempt.State.FETCHING_IMAGE) {
+      fetchingByImage.computeIfAbsent(image, i -> new TreeSet<>(LAST_READY_FIRST)).add(attempt);
+    } else if (before == Attempt.State.FETCHING_IMAGE) {
+      Set<Attempt> of = fetchingByImage.get(image);
       if (of != null && of.remove(attempt) && of.isEmpty()) {
-        fetching.remove(image);
+        fetchingByImage.remove(image);
       }
     }
   }
--- a/src/main/java/io/pineladder/scheduling/Failures.java
+++ b/src/main/java/io/pineladder/scheduling/FaultAttribution.java
@@ -27,8 +27,8 @@
  * once one of those jobs has gone well elsewhere it is faulty and goes. A job that goes well once
  * is never at fault, and what failed on a machine found faulty no longer counts against its jobs.
  */
-public final class Failures {
-  private static final Logger log = LoggerFactory.getLogger(Failures.class);
+public final class FaultAttribution {
+  private static final Logger log = LoggerFactory.getLogger(FaultAttribution.class);
 
   /** Machines a job must have failed on to be at fault, and jobs for a machine to be suspect. */
   static final int SEVERAL = 2;
@@ -76,7 +76,7 @@
 
   private final Deque<Job> toJudge = new ArrayDeque<>();
 
-  Failures(Listener listener) {
+  FaultAttribution(Listener listener) {
     this.listener = listener;
   }
 
--- a/src/main/java/io/pineladder/scheduling/HeldRoom.java
+++ b/src/main/java/io/pineladder/scheduling/GangReservation.java
@@ -2,11 +2,11 @@
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -24,8 +24,8 @@
  * nothing is stopped for it, so only what would have been placed there later is lost, and higher
  * ranks are not held up.
  */
-final class HeldRoom {
-  private static final Logger log = LoggerFactory.getLogger(HeldRoom.class);
+final class GangReservation {
+  private static final Logger log = LoggerFactory.getLogger(GangReservation.class);
 
   /**
    * A gang that has waited so long has room held for it. It must begin within four minutes; what is
@@ -36,13 +36,13 @@
   /** What runs for longer than it was said to is thought to run for this part of that yet. */
   private static final int OVERRUN_PART = 4;
 
-  private final Cluster cluster;
-  private final Timeline time;
+  private final ClusterState cluster;
+  private final EventLoop eventLoop;
   private Job holder;
 
-  HeldRoom(Cluster cluster, Timeline time) {
+  GangReservation(ClusterState cluster, EventLoop eventLoop) {
     this.cluster = cluster;
-    this.time = time;
+    this.eventLoop = eventLoop;
   }
 
   /** A machine, and the seconds until it is thought to have room. */
@@ -51,7 +51,7 @@
   /** The gang was turned away once more: room is held for it, or longer, if it is its turn. */
   void turnedAway(Job job, Instant now) {
     JobSpec spec = job.spec;
-    if (!spec.isGangOfSeveral() || spec.spread() || !isItsTurn(job)) {
+    if (!spec.isMultiTaskGang() || spec.spreadAcrossZones() || !isItsTurn(job)) {
       return;
     }
     List<Soon> first = first(job, now);
@@ -69,25 +69,26 @@
       boolean others =
           machine.reservedFor != null
               && machine.reservedFor != job
-              && machine.reservedUntil.isAfter(now);
+              && machine.reservationExpiresAt.isAfter(now);
       if (!others) {
-        Instant started = machine.reservedFor == job ? machine.reservedStart : null;
-        cluster.reserve(machine, job, now.plus(RoomMaker.RESERVATION));
+        Instant started = machine.reservedFor == job ? machine.reservationStartsAt : null;
+        cluster.reserve(machine, job, now.plus(PreemptionPolicy.RESERVATION));
         // A wrong estimate must not put the start off again and again.
-        machine.reservedStart = started != null && started.isBefore(start) ? started : start;
+        machine.reservationStartsAt = started != null && started.isBefore(start) ? started : start;
       }
     }
   }
 
   private boolean isItsTurn(Job job) {
-    if (job.atFault || job.readyAt.plus(LONG_WAIT).isAfter(time.timeOfDay())) {
+    if (job.failing || job.readyAt.plus(LONG_WAIT).isAfter(eventLoop.wallClock())) {
       return false;
     }
     boolean free = holder == null || !holder.isActive() || holder.pending.isEmpty();
     return free
         || holder == job
-        || job.rank().isAbove(holder.rank())
-        || (job.rank() == holder.rank() && job.acceptedAt.isBefore(holder.acceptedAt));
+        || job.priorityClass().isAbove(holder.priorityClass())
+        || (job.priorityClass() == holder.priorityClass()
+            && job.acceptedAt.isBefore(holder.acceptedAt));
   }
 
   private void letGo() {
@@ -103,13 +104,13 @@
     JobSpec spec = job.spec;
     Map<String, List<Soon>> zones = new LinkedHashMap<>();
     for (Machine machine : cluster.machines()) {
-      if (!machine.takesWork() || !Placer.isAllowed(job, machine)) {
+      if (!machine.isSchedulable() || !Placer.isAllowed(job, machine)) {
         continue;
       }
       double seconds = untilRoom(spec, machine, now);
       if (seconds < Double.MAX_VALUE) {
         zones
-            .computeIfAbsent(spec.together() ? machine.zone : "", z -> new ArrayList<>())
+            .computeIfAbsent(spec.sameZone() ? machine.zone : "", z -> new ArrayList<>())
             .add(new Soon(machine, seconds));
       }
     }
@@ -132,20 +133,20 @@
 
   private static double untilRoom(JobSpec spec, Machine machine, Instant now) {
     Resources room = machine.free();
-    if (spec.each().fitsIn(room)) {
+    if (spec.resourcesPerTask().fitsIn(room)) {
       return 0;
     }
     List<Attempt> ending = new ArrayList<>();
     for (Attempt attempt : machine.attempts.values()) {
-      if (attempt.holdsRoom()
-          && (attempt.job.spec.shape() != Shape.SERVICE || !attempt.isWanted())) {
+      if (attempt.holdsCapacity()
+          && (attempt.job.spec.kind() != JobKind.SERVICE || !attempt.isWanted())) {
         ending.add(attempt);
       }
     }
     ending.sort(Comparator.comparingDouble(attempt -> left(attempt, now)));
     for (Attempt attempt : ending) {
-      room = room.plus(attempt.job.spec.each());
-      if (spec.each().fitsIn(room)) {
+      room = room.plus(attempt.job.spec.resourcesPerTask());
+      if (spec.resourcesPerTask().fitsIn(room)) {
         return left(attempt, now);
       }
     }
@@ -156,7 +157,7 @@
     if (!attempt.isWanted()) {
       return 0;
     }
-    Duration estimate = attempt.job.spec.estimate();
+    Duration estimate = attempt.job.spec.estimatedRunTime();
     Instant from = attempt.runningSince == null ? now : attempt.runningSince;
     Duration left = estimate.minus(Duration.between(from, now));
     Duration least = estimate.dividedBy(OVERRUN_PART);
--- a/src/main/java/io/pineladder/scheduling/Dependencies.java
+++ b/src/main/java/io/pineladder/scheduling/JobDependencies.java
@@ -1,8 +1,8 @@
 package io.pineladder.scheduling;
 
-import io.pineladder.model.FinishTimes;
+import io.pineladder.model.ChainDeadlines;
 import io.pineladder.model.Job;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
@@ -34,7 +34,7 @@
  * <p>Rank and finishing times go back along the chain: a job is treated as having the highest rank
  * of those that need it, and is to be over in time for all of them.
  */
-public final class Dependencies {
+public final class JobDependencies {
   /** What follows for a job. */
   interface Listener {
     /** Its last prerequisite is done: it may start. */
@@ -59,8 +59,8 @@
   private final Function<String, Job> jobs;
   private final Supplier<Instant> timeOfDay;
   private final Listener listener;
-  private final Function<Job, FinishTimes> ownFinishTimes;
-  private final ClassTimes times = new ClassTimes();
+  private final Function<Job, ChainDeadlines> ownFinishTimes;
+  private final ClassLatencies times = new ClassLatencies();
 
   /** The jobs that wait for a job, by its id. */
   private final Map<String, Set<Job>> dependents = new HashMap<>();
@@ -77,10 +77,10 @@
    * @param jobs the jobs in memory, by id
    * @param ownFinishTimes what is expected of a job by itself; null for nothing
    */
-  Dependencies(
+  JobDependencies(
       Function<String, Job> jobs,
       Supplier<Instant> timeOfDay,
-      Function<Job, FinishTimes> ownFinishTimes,
+      Function<Job, ChainDeadlines> ownFinishTimes,
       Listener listener) {
     this.jobs = jobs;
     this.timeOfDay = timeOfDay;
@@ -151,7 +151,7 @@
   }
 
   private void addWaiting(Job job) {
-    job.waitsForOthers = true;
+    job.blockedByDependencies = true;
     unmet.put(job, new LinkedHashSet<>(job.spec.prerequisites()));
     for (String id : job.spec.prerequisites()) {
       dependents.computeIfAbsent(id, i -> new LinkedHashSet<>(2)).add(job);
@@ -167,9 +167,9 @@
         found(needed);
       }
     }
-    FinishTimes before = timesBefore(job);
+    ChainDeadlines before = timesBefore(job);
     for (String id : unmet.getOrDefault(job, Set.of())) {
-      raise(jobs.apply(id), job.rank(), before);
+      raise(jobs.apply(id), job.priorityClass(), before);
     }
   }
 
@@ -184,12 +184,12 @@
    */
   public void found(Job needed) {
     lookups.remove(needed.spec.id());
-    if (needed.endStored || needed.cancellationDerived) {
+    if (needed.finalStateStored || needed.cancelledByDependency) {
       settled(needed.spec.id(), needed.state());
-    } else if (needed.state() == Job.State.CANCELLED && needed.ending) {
+    } else if (needed.state() == Job.State.CANCELLED && needed.finalStatePending) {
       endUnderWay(needed);
-    } else if (needed.endingPrerequisite != null) {
-      endUnderWay(needed.endingPrerequisite, needed);
+    } else if (needed.cancellingPrerequisite != null) {
+      endUnderWay(needed.cancellingPrerequisite, needed);
     }
   }
 
@@ -204,7 +204,7 @@
     if (left == null) {
       return;
     }
-    job.waitsForOthers = false;
+    job.blockedByDependencies = false;
     for (String id : left) {
       Set<Job> of = dependents.get(id);
       if (of != null && of.remove(job) && of.isEmpty()) {
@@ -245,7 +245,7 @@
     Set<String> left = unmet.get(job);
     if (left != null && left.remove(id) && left.isEmpty()) {
       unmet.remove(job);
-      job.waitsForOthers = false;
+      job.blockedByDependencies = false;
       listener.onReady(job);
     }
   }
@@ -255,11 +255,11 @@
     Deque<Job> stack = new ArrayDeque<>(first);
     while (!stack.isEmpty()) {
       Job job = stack.pop();
-      if (job.cancellationDerived || job.endStored) {
+      if (job.cancelledByDependency || job.finalStateStored) {
         continue;
       }
-      job.cancellationDerived = true;
-      job.moveTo(Job.State.CANCELLED);
+      job.cancelledByDependency = true;
+      job.transitionTo(Job.State.CANCELLED);
       leave(job);
       Set<Job> next = dependents.remove(job.spec.id());
       if (next != null) {
@@ -281,8 +281,8 @@
     Deque<Job> stack = new ArrayDeque<>(List.of(from));
     while (!stack.isEmpty()) {
       for (Job job : dependents.getOrDefault(stack.pop().spec.id(), Set.of())) {
-        if (job.endingPrerequisite == null) {
-          job.endingPrerequisite = cancelled;
+        if (job.cancellingPrerequisite == null) {
+          job.cancellingPrerequisite = cancelled;
           stack.push(job);
         }
       }
@@ -292,19 +292,19 @@
   // ---- urgency
 
   /** When the jobs that this one needs should be over for it, or null. */
-  private FinishTimes timesBefore(Job job) {
-    FinishTimes own = FinishTimes.earlier(job.finishTimes, ownFinishTimes.apply(job));
+  private ChainDeadlines timesBefore(Job job) {
+    ChainDeadlines own = ChainDeadlines.earlier(job.chainDeadlines, ownFinishTimes.apply(job));
     Duration expected = times.expected(job);
     return own == null ? null : own.minus(expected);
   }
 
   /** A job is needed by one more: what is expected of it can only become more urgent. */
-  private void raise(Job needed, Rank rank, FinishTimes before) {
+  private void raise(Job needed, PriorityClass rank, ChainDeadlines before) {
     if (needed == null || !needed.isActive()) {
       return;
     }
-    Rank highest = rank.isAbove(needed.rank()) ? rank : needed.rank();
-    if (set(needed, highest, FinishTimes.earlier(needed.finishTimes, before))) {
+    PriorityClass highest = rank.isAbove(needed.priorityClass()) ? rank : needed.priorityClass();
+    if (set(needed, highest, ChainDeadlines.earlier(needed.chainDeadlines, before))) {
       reviewBefore(needed);
     }
   }
@@ -333,25 +333,25 @@
   }
 
   private boolean reviewOne(Job job) {
-    Rank highest = job.spec.rank();
-    FinishTimes earliest = null;
+    PriorityClass highest = job.spec.priorityClass();
+    ChainDeadlines earliest = null;
     for (Job dependent : dependents.getOrDefault(job.spec.id(), Set.of())) {
-      highest = dependent.rank().isAbove(highest) ? dependent.rank() : highest;
-      earliest = FinishTimes.earlier(earliest, timesBefore(dependent));
+      highest = dependent.priorityClass().isAbove(highest) ? dependent.priorityClass() : highest;
+      earliest = ChainDeadlines.earlier(earliest, timesBefore(dependent));
     }
     return set(job, highest, earliest);
   }
 
-  private boolean set(Job job, Rank rank, FinishTimes finishTimes) {
+  private boolean set(Job job, PriorityClass rank, ChainDeadlines finishTimes) {
     boolean same =
-        rank == job.rank()
+        rank == job.priorityClass()
             && (finishTimes == null
-                ? job.finishTimes == null
-                : finishTimes.equals(job.finishTimes));
+                ? job.chainDeadlines == null
+                : finishTimes.equals(job.chainDeadlines));
     if (same) {
       return false;
     }
-    job.treatAs(rank, finishTimes);
+    job.setUrgency(rank, finishTimes);
     listener.onUrgencyChanged(job);
     return true;
   }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -2,14 +2,14 @@
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
 import io.pineladder.model.Team;
-import io.pineladder.net.Timeline;
-import io.pineladder.queue.Check;
+import io.pineladder.net.EventLoop;
+import io.pineladder.queue.SchedulingCheck;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -35,21 +35,21 @@
   /** What speaks for a machine rented in a rush that the task fills, in seconds. */
   private static final double SURGE = 5;
 
-  private final Cluster cluster;
+  private final ClusterState cluster;
 
-  private final Timeline time;
+  private final EventLoop eventLoop;
 
-  public Placer(Cluster cluster, Timeline time) {
+  public Placer(ClusterState cluster, EventLoop eventLoop) {
     this.cluster = cluster;
-    this.time = time;
+    this.eventLoop = eventLoop;
   }
 
   /**
    * Machines for as many of the tasks asked for as could be placed, and the check that rejected the
    * rest; null when none was rejected.
    */
-  public record Decision(List<Machine> machines, Check rejectedBy) {
-    static Decision no(Check by) {
+  public record Decision(List<Machine> machines, SchedulingCheck rejectedBy) {
+    static Decision no(SchedulingCheck by) {
       return new Decision(List.of(), by);
     }
 
@@ -73,14 +73,15 @@
 
   private Decision place(Job job, int wanted, boolean byRules, Instant now) {
     JobSpec spec = job.spec;
-    boolean whole = spec.shape() == Shape.GANG;
+    boolean whole = spec.kind() == JobKind.GANG;
     Team team = cluster.team(spec.team());
-    long within = team == null ? 0 : team.countWithin(cluster.usage(spec.team()), spec.each());
+    long within =
+        team == null ? 0 : team.countWithin(cluster.usage(spec.team()), spec.resourcesPerTask());
     if (within == 0 || (whole && within < wanted)) {
-      return Decision.no(Check.TEAM_LIMIT);
+      return Decision.no(SchedulingCheck.TEAM_LIMIT);
     }
     int most = (int) Math.min(wanted, within);
-    boolean avoidsSpot = cluster.avoidsSpot(job, time.timeOfDay());
+    boolean avoidsSpot = cluster.avoidsSpot(job, eventLoop.wallClock());
     // Of thousands of machines a job takes a few: a heap gives those without putting all in order.
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(BY_COST);
     for (Machine machine : cluster.openFor(job)) {
@@ -92,14 +93,14 @@
       }
     }
     if (candidates.isEmpty()) {
-      return Decision.no(anyAllowed(spec) ? Check.FIT : Check.PLACE);
+      return Decision.no(anyAllowed(spec) ? SchedulingCheck.FIT : SchedulingCheck.PLACE);
     }
     Decision decision =
-        spec.together()
+        spec.sameZone()
             ? together(job, most, inOrder(candidates), whole)
             : free(job, most, candidates, whole);
     boolean limited = decision.isPlaced() && most < wanted;
-    return limited ? new Decision(decision.machines(), Check.TEAM_LIMIT) : decision;
+    return limited ? new Decision(decision.machines(), SchedulingCheck.TEAM_LIMIT) : decision;
   }
 
   private static List<Candidate> inOrder(PriorityQueue<Candidate> candidates) {
@@ -119,15 +120,16 @@
       Collection<Candidate> candidates) {
     boolean may =
         byRules
-            ? machine.mayTakeWork() && isLegal(job.spec, machine)
-            : machine.takesWork()
+            ? machine.isSafeToSchedule() && isLegal(job.spec, machine)
+            : machine.isSchedulable()
                 && isAllowed(job, machine)
-                && !(machine.surge && keepsLong(cluster, job, machine, time.timeOfDay()));
+                && !(machine.rentedForDeadlines
+                    && keepsLong(cluster, job, machine, eventLoop.wallClock()));
     if (!may) {
       return;
     }
     Resources free = byRules ? machine.free() : room(job, machine, now);
-    int count = (int) Math.min(job.spec.each().countIn(free), wanted);
+    int count = (int) Math.min(job.spec.resourcesPerTask().timesFittingIn(free), wanted);
     if (count <= 0) {
       return;
     }
@@ -150,7 +152,7 @@
       return false;
     }
     double alone = job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerSecond());
-    return alone > machine.type.boot().toMillis() / 1000.0;
+    return alone > machine.type.bootTime().toMillis() / 1000.0;
   }
 
   /** A machine with room for so many tasks of the job. */
@@ -160,7 +162,7 @@
       Comparator.<Candidate>comparingDouble(c -> c.cost).thenComparing(c -> c.machine.name);
 
   private boolean anyAllowed(JobSpec spec) {
-    for (Cluster.Kind kind : cluster.kinds()) {
+    for (ClusterState.Kind kind : cluster.kinds()) {
       if (isLegal(spec, kind.type(), kind.zone(), kind.spot())) {
         return true;
       }
@@ -179,7 +181,7 @@
 
   /** Type, zone, kind, and no earlier failure of this job there. */
   static boolean isAllowed(Job job, Machine machine) {
-    return isLegal(job.spec, machine) && !job.avoid.contains(machine.name);
+    return isLegal(job.spec, machine) && !job.avoidedMachines.contains(machine.name);
   }
 
   /**
@@ -188,9 +190,9 @@
    * minutes after the rush that it was rented for; the others leave it soon, and spot machines to
    * them.
    */
-  static boolean keepsLong(Cluster cluster, Job job, Machine machine, Instant timeOfDay) {
-    Duration ready = cluster.soonestElsewhere(job.spec);
-    boolean isShort = job.spec.estimate().compareTo(ready.multipliedBy(2)) <= 0;
+  static boolean keepsLong(ClusterState cluster, Job job, Machine machine, Instant timeOfDay) {
+    Duration ready = cluster.soonestStartElsewhere(job.spec);
+    boolean isShort = job.spec.estimatedRunTime().compareTo(ready.multipliedBy(2)) <= 0;
     if (isShort || fills(job.spec, machine.type) || !cluster.canWait(job)) {
       return false;
     }
@@ -199,13 +201,13 @@
 
   /** Whether a task takes half of such a machine or more. */
   public static boolean fills(JobSpec spec, MachineType type) {
-    return 2 * spec.each().shareOf(type.size()) >= 1;
+    return 2 * spec.resourcesPerTask().shareOf(type.capacity()) >= 1;
   }
 
   /** Whether one more task there keeps to the job's wishes about zones. */
   static boolean mayTake(Job job, Machine machine) {
     Map<String, Integer> zones = byZone(job);
-    if (job.spec.together() && !zones.isEmpty() && !zones.containsKey(machine.zone)) {
+    if (job.spec.sameZone() && !zones.isEmpty() && !zones.containsKey(machine.zone)) {
       return false;
     }
     return zones.getOrDefault(machine.zone, 0) < mostInZone(job);
@@ -213,7 +215,7 @@
 
   /** So many of a job's tasks may be in one zone. */
   private static int mostInZone(Job job) {
-    return job.spec.spread() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    return job.spec.spreadAcrossZones() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
   }
 
   /** What a job may take of a machine: free room less what is kept there for another job. */
@@ -222,19 +224,21 @@
     boolean kept =
         machine.reservedFor != null
             && machine.reservedFor != job
-            && machine.reservedUntil.isAfter(now)
-            && !job.rank().isAbove(machine.reservedFor.rank())
+            && machine.reservationExpiresAt.isAfter(now)
+            && !job.priorityClass().isAbove(machine.reservedFor.priorityClass())
             && !endsBefore(job, machine, now);
     return kept ? free.minus(machine.reserved) : free;
   }
 
   /** Whether a task is thought to end there before the job that room is kept for can start. */
   private static boolean endsBefore(Job job, Machine machine, Instant now) {
-    if (machine.reservedStart == null || job.spec.shape() != Shape.ARRAY) {
+    if (machine.reservationStartsAt == null || job.spec.kind() != JobKind.ARRAY) {
       return false;
     }
     long millis = (long) (fetchSeconds(job, machine) * 1000);
-    return now.plusMillis(millis).plus(job.spec.estimate()).isBefore(machine.reservedStart);
+    return now.plusMillis(millis)
+        .plus(job.spec.estimatedRunTime())
+        .isBefore(machine.reservationStartsAt);
   }
 
   /** Everything of a job that may be somewhere, by zone. */
@@ -281,17 +285,19 @@
     if (best.size() == wanted) {
       return new Decision(best, null);
     }
-    return new Decision(best, whole && taken.isEmpty() ? Check.FIT : Check.TOGETHER);
+    return new Decision(
+        best, whole && taken.isEmpty() ? SchedulingCheck.FIT : SchedulingCheck.TOGETHER);
   }
 
   private Decision free(Job job, int wanted, PriorityQueue<Candidate> candidates, boolean whole) {
-    boolean spread = job.spec.spread();
+    boolean spread = job.spec.spreadAcrossZones();
     Map<String, Integer> zones = spread ? byZone(job) : Map.of();
     List<Machine> chosen = take(wanted, candidates::poll, zones, mostInZone(job));
     if (chosen.size() == wanted) {
       return new Decision(chosen, null);
     }
-    return new Decision(whole ? List.of() : chosen, spread ? Check.SPREAD : Check.FIT);
+    return new Decision(
+        whole ? List.of() : chosen, spread ? SchedulingCheck.SPREAD : SchedulingCheck.FIT);
   }
 
   /**
@@ -329,9 +335,9 @@
     if (avoidsSpot) {
       cost += machine.spot ? SPOT_RISK : 0;
     } else if (job.spec.spotAllowed() && !machine.spot) {
-      cost += machine.surge && fills(job.spec, machine.type) ? -SURGE : 3;
+      cost += machine.rentedForDeadlines && fills(job.spec, machine.type) ? -SURGE : 3;
     }
-    cost += 1 - machine.used.shareOf(machine.type.size());
+    cost += 1 - machine.used.shareOf(machine.type.capacity());
     return cost;
   }
 
@@ -356,7 +362,7 @@
 
   private static boolean isFetching(Attempt attempt) {
     return switch (attempt.state()) {
-      case STORING, STORED, FETCHING -> true;
+      case PLACEMENT_PENDING, PLACEMENT_STORED, FETCHING_IMAGE -> true;
       default -> false;
     };
   }
--- a/src/main/java/io/pineladder/scheduling/RoomMaker.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -2,10 +2,10 @@
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.Machine;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -16,8 +16,8 @@
 /**
  * Makes room where there is none, or where it would come too late: work of less weight makes way.
  */
-final class RoomMaker {
-  private static final Logger log = LoggerFactory.getLogger(RoomMaker.class);
+final class PreemptionPolicy {
+  private static final Logger log = LoggerFactory.getLogger(PreemptionPolicy.class);
 
   /** A fetch that takes longer yet is worth a new start where the image is. */
   private static final Duration WORTH_MOVING = Duration.ofSeconds(6);
@@ -33,9 +33,9 @@
   /** The part of the time that looks at the whole fleet for work to displace may take. */
   private static final int LOOKS_PART = 5;
 
-  private final Cluster cluster;
-  private final Timeline time;
-  private final Preemptor preemptor;
+  private final ClusterState cluster;
+  private final EventLoop eventLoop;
+  private final VictimSelector preemptor;
   private final Consumer<Attempt> displace;
 
   /** When the fleet may next be looked over for work to displace. */
@@ -46,10 +46,10 @@
    *
    * @param displace stops an attempt to free its room
    */
-  RoomMaker(Cluster cluster, Timeline time, Consumer<Attempt> displace) {
+  PreemptionPolicy(ClusterState cluster, EventLoop eventLoop, Consumer<Attempt> displace) {
     this.cluster = cluster;
-    this.time = time;
-    this.preemptor = new Preemptor(cluster, time);
+    this.eventLoop = eventLoop;
+    this.preemptor = new VictimSelector(cluster, eventLoop);
     this.displace = displace;
   }
 
@@ -60,21 +60,22 @@
    */
   boolean makeRoom(Job job, double mostFetchSeconds, Instant now) {
     int lacking = job.pending.cardinality() - preemptor.waiting(job, now);
-    Instant begun = time.now();
-    if (lacking <= 0 || looksFrom.isAfter(begun) || !cluster.mayDisplaceAny(job)) {
+    Instant begun = eventLoop.now();
+    if (lacking <= 0 || looksFrom.isAfter(begun) || !cluster.mayPreemptAny(job)) {
       return false;
     }
-    boolean gang = job.spec.isGangOfSeveral();
-    if (gang && cluster.reservedFor(job).stream().anyMatch(m -> m.reservedUntil.isAfter(now))) {
+    boolean gang = job.spec.isMultiTaskGang();
+    if (gang
+        && cluster.reservedFor(job).stream().anyMatch(m -> m.reservationExpiresAt.isAfter(now))) {
       return false;
     }
-    List<Preemptor.Plan> plans =
+    List<VictimSelector.Plan> plans =
         gang
             ? preemptor.gangPlans(job, now)
             : preemptor.plans(job, lacking, mostFetchSeconds, presses(job), now);
-    Instant looked = time.now();
+    Instant looked = eventLoop.now();
     looksFrom = looked.plus(Duration.between(begun, looked).multipliedBy(LOOKS_PART - 1));
-    for (Preemptor.Plan plan : plans) {
+    for (VictimSelector.Plan plan : plans) {
       Machine machine = plan.machine();
       log.debug("{} displaces {} on {}", job, plan.victims(), machine);
       cluster.reserve(machine, job, now.plus(RESERVATION));
@@ -90,11 +91,11 @@
    * tasks of low rank were stopped, many of them several times, for jobs that had minutes left.
    */
   private boolean presses(Job job) {
-    if (job.spec.shape() != Shape.ARRAY || cluster.isGuaranteed(job)) {
+    if (job.spec.kind() != JobKind.ARRAY || cluster.isGuaranteed(job)) {
       return true;
     }
-    Duration slack = cluster.slack(job, time.timeOfDay());
-    return slack.compareTo(cluster.soonestElsewhere(job.spec)) < 0;
+    Duration slack = cluster.slack(job, eventLoop.wallClock());
+    return slack.compareTo(cluster.soonestStartElsewhere(job.spec)) < 0;
   }
 
   /**
@@ -103,9 +104,9 @@
    */
   boolean waitsForWarmRoom(Job job, Machine cold, Duration allowance, Instant now) {
     double fetch = Placer.fetchSeconds(job, cold);
-    Duration left = Duration.between(time.timeOfDay(), job.acceptedAt.plus(allowance));
+    Duration left = Duration.between(eventLoop.wallClock(), job.acceptedAt.plus(allowance));
     double seconds = left.toMillis() / 1000.0;
-    if (job.atFault || fetch < 1 || seconds < 0 || fetch < seconds) {
+    if (job.failing || fetch < 1 || seconds < 0 || fetch < seconds) {
       return false;
     }
     return preemptor.waiting(job, now) > 0 || makeRoom(job, seconds, now);
@@ -120,7 +121,7 @@
    */
   void shortenFetches(Iterable<Machine> roomy, Instant now, Consumer<Attempt> stop) {
     for (Machine machine : roomy) {
-      if (!machine.takesWork()) {
+      if (!machine.isSchedulable()) {
         continue;
       }
       Resources room = machine.free();
@@ -130,7 +131,7 @@
           break;
         }
         log.debug("{} moves to {}, which has its image", best, machine);
-        room = room.minus(best.job.spec.each());
+        room = room.minus(best.job.spec.resourcesPerTask());
         cluster.reserve(machine, best.job, now.plus(RESERVATION));
         stop.accept(best);
       }
@@ -144,20 +145,20 @@
     for (String image : machine.images.keySet()) {
       int looked = 0;
       for (Attempt attempt : cluster.fetching(image)) {
-        if (!attempt.readyAt.isAfter(latest) || ++looked > MOST_LOOKED) {
+        if (!attempt.imageReadyAt.isAfter(latest) || ++looked > MOST_LOOKED) {
           // Whatever follows is ready sooner yet.
           break;
         }
         Job job = attempt.job;
         if (attempt.machine != machine
             && attempt.isWanted()
-            && (job.spec.shape() != Shape.GANG || job.spec.tasks() == 1)
-            && job.spec.each().fitsIn(room)
-            && job.spec.each().fitsIn(Placer.room(job, machine, now))
+            && (job.spec.kind() != JobKind.GANG || job.spec.tasks() == 1)
+            && job.spec.resourcesPerTask().fitsIn(room)
+            && job.spec.resourcesPerTask().fitsIn(Placer.room(job, machine, now))
             && Placer.isAllowed(job, machine)
             && (Placer.mayTake(job, machine) || job.spec.tasks() == 1)) {
           best = attempt;
-          latest = attempt.readyAt;
+          latest = attempt.imageReadyAt;
         }
       }
     }
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -1,19 +1,19 @@
 package io.pineladder.scheduling;
 
 import io.pineladder.model.Attempt;
-import io.pineladder.model.Cause;
+import io.pineladder.model.EndReason;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.OperatorSettings;
-import io.pineladder.model.Shape;
 import io.pineladder.model.Team;
-import io.pineladder.net.Timeline;
-import io.pineladder.queue.Check;
-import io.pineladder.queue.Event;
+import io.pineladder.net.EventLoop;
+import io.pineladder.queue.ClusterEvent;
 import io.pineladder.queue.QueueEntry;
+import io.pineladder.queue.SchedulingCheck;
 import io.pineladder.queue.SchedulingQueue;
-import io.pineladder.retry.RateBudget;
+import io.pineladder.retry.TokenBucket;
 import io.pineladder.store.Records;
 import java.time.Duration;
 import java.time.Instant;
@@ -109,20 +109,20 @@
     void resign(String reason);
   }
 
-  private final Cluster cluster;
-  private final Timeline time;
+  private final ClusterState cluster;
+  private final EventLoop eventLoop;
   private final Effects effects;
   private final Placer placer;
-  private final RoomMaker rooms;
-  private final HeldRoom held;
+  private final PreemptionPolicy rooms;
+  private final GangReservation held;
   private final StarvationBound starvation;
   private final SchedulingQueue queue;
   private final Map<String, QueueEntry> entries = new HashMap<>();
   private final long term;
-  private final RateBudget large;
+  private final TokenBucket large;
 
-  private final Failures failures = new Failures(new Verdicts());
-  private final Dependencies dependencies;
+  private final FaultAttribution failures = new FaultAttribution(new Verdicts());
+  private final JobDependencies dependencies;
 
   /** Machines on which room came free, with how many tries there had been by then. */
   private final Map<Machine, Long> roomy = new LinkedHashMap<>();
@@ -133,21 +133,26 @@
   private Instant wakeAt;
 
   public Scheduler(
-      Cluster cluster, Timeline time, long term, OperatorSettings operator, Effects effects) {
+      ClusterState cluster,
+      EventLoop eventLoop,
+      long term,
+      OperatorSettings operator,
+      Effects effects) {
     this.cluster = cluster;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.term = term;
     this.effects = effects;
-    this.placer = new Placer(cluster, time);
-    this.rooms = new RoomMaker(cluster, time, this::displace);
-    this.held = new HeldRoom(cluster, time);
+    this.placer = new Placer(cluster, eventLoop);
+    this.rooms = new PreemptionPolicy(cluster, eventLoop, this::displace);
+    this.held = new GangReservation(cluster, eventLoop);
     this.starvation = new StarvationBound(cluster, placer);
     // A back-off with its window may last for two seconds, and what comes up in them is not lost.
-    this.large = new RateBudget(LARGE_A_SECOND, 2 * LARGE_A_SECOND, time.now());
+    this.large = new TokenBucket(LARGE_A_SECOND, 2 * LARGE_A_SECOND, eventLoop.now());
     this.dependencies =
-        new Dependencies(
-            cluster.jobs::get, time::timeOfDay, cluster::finishTimes, new DependencyEvents());
-    this.queue = new SchedulingQueue(Hints.table(cluster, time), new ByObjective(), operator);
+        new JobDependencies(
+            cluster.jobs::get, eventLoop::wallClock, cluster::finishTimes, new DependencyEvents());
+    this.queue =
+        new SchedulingQueue(QueueingHints.table(cluster, eventLoop), new ByObjective(), operator);
   }
 
   public void useRecords(Records made) {
@@ -158,21 +163,21 @@
     return queue;
   }
 
-  public Failures failures() {
+  public FaultAttribution failures() {
     return failures;
   }
 
   /** Which jobs wait for which others. */
-  public Dependencies dependencies() {
+  public JobDependencies dependencies() {
     return dependencies;
   }
 
   /** What follows when a job that others need is over. */
-  private final class DependencyEvents implements Dependencies.Listener {
+  private final class DependencyEvents implements JobDependencies.Listener {
     @Override
     public void onReady(Job job) {
-      job.readyAt = time.timeOfDay();
-      cluster.demandChanged(job);
+      job.readyAt = eventLoop.wallClock();
+      cluster.onDemandChanged(job);
       QueueEntry entry = entries.get(job.spec.id());
       if (entry != null) {
         queue.wake(entry);
@@ -183,7 +188,7 @@
 
     @Override
     public void onCancelled(Job job) {
-      cluster.demandChanged(job);
+      cluster.onDemandChanged(job);
       leaveQueue(job);
       runEndWaiters(job);
       effects.onCancellationDerived(job);
@@ -211,10 +216,10 @@
   }
 
   /** What follows when a job or a machine is found to be at fault, or not to be. */
-  private final class Verdicts implements Failures.Listener {
+  private final class Verdicts implements FaultAttribution.Listener {
     @Override
     public void onJob(Job job, boolean atFault) {
-      job.atFault = atFault;
+      job.failing = atFault;
       records.verdict(job);
       if (!atFault) {
         enqueue(job);
@@ -223,9 +228,9 @@
 
     @Override
     public void onSuspect(Machine machine, boolean suspect) {
-      machine.suspect = suspect;
-      cluster.refresh(machine);
-      if (machine.takesWork()) {
+      machine.quarantined = suspect;
+      cluster.updateIndexes(machine);
+      if (machine.isSchedulable()) {
         machineReady(machine);
       }
     }
@@ -233,7 +238,7 @@
     @Override
     public void onFaulty(Machine machine) {
       machine.draining = true;
-      cluster.refresh(machine);
+      cluster.updateIndexes(machine);
     }
   }
 
@@ -253,11 +258,13 @@
   private Duration allowance(Job job) {
     // What fails wherever it is tried makes no other job wait.
     Duration allowance =
-        job.atFault ? Objectives.NO_HURRY : cluster.objectives().allowance(job, time.timeOfDay());
+        job.failing
+            ? ServiceObjectives.NO_HURRY
+            : cluster.objectives().allowance(job, eventLoop.wallClock());
     Duration due = allowance.plus(turn(job));
     boolean begun = job.attempts.size() + job.done.cardinality() > 0;
-    Duration latest = LATEST_START.plus(Objectives.waited(job));
-    return begun || job.atFault || due.compareTo(latest) < 0 ? due : latest;
+    Duration latest = LATEST_START.plus(ServiceObjectives.waited(job));
+    return begun || job.failing || due.compareTo(latest) < 0 ? due : latest;
   }
 
   /**
@@ -267,11 +274,12 @@
   private Duration turn(Job job) {
     JobSpec spec = job.spec;
     Team team = cluster.team(spec.team());
-    if (spec.shape() != Shape.ARRAY || team == null) {
+    if (spec.kind() != JobKind.ARRAY || team == null) {
       return Duration.ZERO;
     }
-    double share = spec.each().times(spec.tasks() - job.done.cardinality()).shareOf(team.limit());
-    return Duration.ofMillis((long) (spec.estimate().toMillis() * share));
+    double share =
+        spec.resourcesPerTask().times(spec.tasks() - job.done.cardinality()).shareOf(team.limit());
+    return Duration.ofMillis((long) (spec.estimatedRunTime().toMillis() * share));
   }
 
   // ---- jobs
@@ -280,8 +288,8 @@
   public void add(Job job) {
     cluster.addJob(job);
     if (!job.isActive()) {
-      job.ending = true;
-      job.endStored = true;
+      job.finalStatePending = true;
+      job.finalStateStored = true;
       killAll(job, Duration.ZERO);
       forgetIfOver(job);
       return;
@@ -290,10 +298,10 @@
     if (!job.isActive()) {
       return;
     }
-    if (job.atFault) {
+    if (job.failing) {
       failures.inherit(job);
     }
-    if (job.spec.shape() == Shape.GANG && !job.attempts.isEmpty()) {
+    if (job.spec.kind() == JobKind.GANG && !job.attempts.isEmpty()) {
       // A gang is started as a whole. One whose placements were stored in part never completes.
       if (job.attempts.size() < job.spec.tasks()) {
         killAll(job, Duration.ZERO);
@@ -301,7 +309,7 @@
       return;
     }
     for (int task = 0; task < job.spec.tasks(); task++) {
-      if (job.isFree(task)) {
+      if (job.mayStartTask(task)) {
         job.pending.set(task);
       }
     }
@@ -325,7 +333,7 @@
     if (!job.isActive() || job.done.get(attempt.task) || !only) {
       return false;
     }
-    if (job.spec.shape() == Shape.GANG) {
+    if (job.spec.kind() == JobKind.GANG) {
       // Tasks of a gang find one another by their attempt; two attempts are two gangs.
       for (Set<Attempt> others : job.attempts.values()) {
         if (others.stream().anyMatch(a -> a.number != attempt.number)) {
@@ -343,8 +351,8 @@
     if (!job.isActive()) {
       return;
     }
-    job.moveTo(Job.State.CANCELLED);
-    cluster.demandChanged(job);
+    job.transitionTo(Job.State.CANCELLED);
+    cluster.onDemandChanged(job);
     leaveQueue(job);
     dependencies.leave(job);
     killAll(job, Duration.ZERO);
@@ -358,11 +366,12 @@
    * that runs in it for the few jobs that may have been cancelled.
    */
   private void endIfQuiet(Job job) {
-    if (job.state() != Job.State.CANCELLED || job.ending) {
+    if (job.state() != Job.State.CANCELLED || job.finalStatePending) {
       return;
     }
     boolean quiet =
-        job.attempts.values().stream().allMatch(of -> of.stream().noneMatch(Attempt::holdsRoom));
+        job.attempts.values().stream()
+            .allMatch(of -> of.stream().noneMatch(Attempt::holdsCapacity));
     if (quiet) {
       dependencies.endUnderWay(job);
       records.end(job);
@@ -370,8 +379,8 @@
   }
 
   private static void runEndWaiters(Job job) {
-    List<Runnable> waiting = List.copyOf(job.endWaiters);
-    job.endWaiters.clear();
+    List<Runnable> waiting = List.copyOf(job.finalStateCallbacks);
+    job.finalStateCallbacks.clear();
     waiting.forEach(Runnable::run);
   }
 
@@ -405,7 +414,7 @@
     List<Attempt> all = new ArrayList<>();
     job.attempts.values().forEach(all::addAll);
     for (Attempt attempt : all) {
-      if (attempt.holdsRoom() && isUnsent(attempt)) {
+      if (attempt.holdsCapacity() && isUnsent(attempt)) {
         unwanted(attempt, grace);
       }
     }
@@ -413,17 +422,17 @@
   }
 
   private static boolean isUnsent(Attempt attempt) {
-    return attempt.state() == Attempt.State.STORING
-        || (attempt.state() == Attempt.State.STORED && attempt.sentSession == 0);
+    return attempt.state() == Attempt.State.PLACEMENT_PENDING
+        || (attempt.state() == Attempt.State.PLACEMENT_STORED && attempt.startSession == 0);
   }
 
   private void unwanted(Attempt attempt, Duration grace) {
-    attempt.killedAt = time.now();
-    attempt.killGrace = grace;
+    attempt.killedAt = eventLoop.now();
+    attempt.killGracePeriod = grace;
   }
 
   private void forgetIfOver(Job job) {
-    if (job.endStored && job.attempts.isEmpty()) {
+    if (job.finalStateStored && job.attempts.isEmpty()) {
       records.remove(job);
     }
   }
@@ -432,17 +441,17 @@
 
   /** Decides that an attempt is to stop; with a shorter grace than before it stops sooner. */
   public void kill(Attempt attempt, Duration grace) {
-    if (!attempt.holdsRoom()) {
+    if (!attempt.holdsCapacity()) {
       return;
     }
     if (isUnsent(attempt)) {
       gone(attempt, "never started");
       return;
     }
-    if (attempt.killGrace == null) {
+    if (attempt.killGracePeriod == null) {
       unwanted(attempt, grace);
-    } else if (grace.compareTo(attempt.killGrace) < 0) {
-      attempt.killGrace = grace;
+    } else if (grace.compareTo(attempt.killGracePeriod) < 0) {
+      attempt.killGracePeriod = grace;
       attempt.killSent = false;
     } else {
       return;
@@ -452,7 +461,7 @@
 
   /** The placement is stored, so its start may go out. */
   public void onPlacementStored(Attempt attempt) {
-    cluster.move(attempt, Attempt.State.STORED);
+    cluster.transition(attempt, Attempt.State.PLACEMENT_STORED);
     effects.ordersDue(attempt.machine);
   }
 
@@ -461,7 +470,7 @@
     if (attempt.state() == Attempt.State.EXITED) {
       return;
     }
-    boolean hasImage = state == Attempt.State.RUNNING || state == Attempt.State.GATHERING;
+    boolean hasImage = state == Attempt.State.RUNNING || state == Attempt.State.WAITING_FOR_GANG;
     if (hasImage && attempt.state() != state) {
       String image = attempt.job.spec.image();
       boolean isNew = !attempt.machine.images.containsKey(image);
@@ -471,31 +480,31 @@
       }
     }
     if (state == Attempt.State.RUNNING && attempt.runningSince == null) {
-      attempt.runningSince = time.now();
+      attempt.runningSince = eventLoop.now();
       log.debug(
           "{} runs {} after its placement, {} after the job came",
           attempt,
-          Duration.between(attempt.since, time.now()),
-          Duration.between(attempt.job.acceptedAt, time.timeOfDay()));
+          Duration.between(attempt.createdAt, eventLoop.now()),
+          Duration.between(attempt.job.acceptedAt, eventLoop.wallClock()));
     }
-    cluster.move(attempt, state);
+    cluster.transition(attempt, state);
   }
 
   /** A machine lists the attempt as exited. */
-  public void exited(Attempt attempt, Cause cause) {
-    if (!attempt.holdsRoom()) {
+  public void exited(Attempt attempt, EndReason cause) {
+    if (!attempt.holdsCapacity()) {
       return;
     }
     boolean wanted = attempt.isWanted();
-    attempt.cause = cause;
-    cluster.move(attempt, Attempt.State.EXITED);
+    attempt.endReason = cause;
+    cluster.transition(attempt, Attempt.State.EXITED);
     reveal(attempt);
     Job job = attempt.job;
-    if (cause == Cause.DONE && job.spec.shape() != Shape.SERVICE) {
+    if (cause == EndReason.DONE && job.spec.kind() != JobKind.SERVICE) {
       completed(attempt);
     } else {
-      attempt.forgettable = true;
-      if (cause == Cause.ERROR && job.isActive()) {
+      attempt.mayBeForgotten = true;
+      if (cause == EndReason.ERROR && job.isActive()) {
         failed(attempt);
       }
       lost(attempt, wanted && isRefusalOrError(cause));
@@ -503,9 +512,9 @@
     freed(attempt);
   }
 
-  private static boolean isRefusalOrError(Cause cause) {
+  private static boolean isRefusalOrError(EndReason cause) {
     return switch (cause) {
-      case ERROR, NO_ROOM, BUSY, UNKNOWN_JOB -> true;
+      case ERROR, NO_CAPACITY, MACHINE_BUSY, UNKNOWN_JOB -> true;
       default -> false;
     };
   }
@@ -513,23 +522,23 @@
   private void completed(Attempt attempt) {
     Job job = attempt.job;
     if (!job.isActive()) {
-      attempt.forgettable = true;
+      attempt.mayBeForgotten = true;
       endIfQuiet(job);
       forgetIfOver(job);
       return;
     }
     // The tasks of a gang complete together.
-    if (job.spec.shape() == Shape.GANG) {
+    if (job.spec.kind() == JobKind.GANG) {
       job.done.set(0, job.spec.tasks());
     } else {
       job.done.set(attempt.task);
     }
     job.pending.clear(attempt.task);
     failures.succeeded(job);
-    cluster.demandChanged(job);
+    cluster.onDemandChanged(job);
     endOthers(attempt);
     if (job.done.cardinality() == job.spec.tasks()) {
-      job.moveTo(Job.State.DONE);
+      job.transitionTo(Job.State.DONE);
       leaveQueue(job);
       records.end(job);
     }
@@ -545,40 +554,40 @@
     Job job = complete.job;
     List<Attempt> others = new ArrayList<>();
     for (Attempt other : job.attempts.getOrDefault(complete.task, Set.of())) {
-      if (other != complete && other.holdsRoom()) {
+      if (other != complete && other.holdsCapacity()) {
         others.add(other);
       }
     }
     if (others.isEmpty()) {
-      job.unproven.clear(complete.task);
+      job.unprovenDone.clear(complete.task);
       records.taskDone(job, complete);
       return;
     }
-    job.unproven.set(complete.task);
-    others.get(0).hides = complete;
+    job.unprovenDone.set(complete.task);
+    others.get(0).completedBy = complete;
     others.forEach(other -> kill(other, Duration.ZERO));
   }
 
   /** An attempt is gone that kept its task's completion from being stored. */
   private void reveal(Attempt gone) {
-    Attempt complete = gone.hides;
+    Attempt complete = gone.completedBy;
     if (complete != null) {
-      gone.hides = null;
+      gone.completedBy = null;
       endOthers(complete);
     }
   }
 
   /** Proof has come that the attempt is not on its machine and never will be. */
   public void gone(Attempt attempt, String proof) {
-    boolean held = attempt.holdsRoom();
-    cluster.move(attempt, Attempt.State.GONE);
+    boolean held = attempt.holdsCapacity();
+    cluster.transition(attempt, Attempt.State.GONE);
     reveal(attempt);
     if (held) {
       log.debug("{}: {}", attempt, proof);
       lost(attempt, false);
       freed(attempt);
-    } else if (attempt.cause == Cause.INCOMPLETE
-        && attempt.job.isFree(attempt.task)
+    } else if (attempt.endReason == EndReason.GANG_INCOMPLETE
+        && attempt.job.mayStartTask(attempt.task)
         && stillGathers(attempt)) {
       // Forgotten there, it can be started again where its image is.
       replaced(attempt);
@@ -593,36 +602,36 @@
       forgetIfOver(job);
       return;
     }
-    if (job.spec.shape() == Shape.GANG) {
+    if (job.spec.kind() == JobKind.GANG) {
       if (job.attempts.containsKey(attempt.task)) {
         // An old copy of a task that has been started anew: the gang is not the worse for it.
         return;
       }
       if (!job.attempts.isEmpty()) {
-        boolean mend = !job.atFault && stillGathers(attempt);
+        boolean mend = !job.failing && stillGathers(attempt);
         if (mend && (replaced(attempt) || waitsForForget(attempt))) {
           return;
         }
         // A gang that lost a task is stopped as a whole and started again as a whole.
-        killAll(job, job.spec.saveTime());
+        killAll(job, job.spec.checkpointDuration());
         return;
       }
       job.pending.set(0, job.spec.tasks());
-    } else if (job.isFree(attempt.task)) {
+    } else if (job.mayStartTask(attempt.task)) {
       job.pending.set(attempt.task);
     }
     if (job.pending.isEmpty()) {
       return;
     }
     // Of a gang that fails the last task to go may have been stopped for the others.
-    if (backoff || job.atFault) {
+    if (backoff || job.failing) {
       QueueEntry entry = entries.computeIfAbsent(job.spec.id(), id -> new QueueEntry(job));
       // What fails together while it waits already is one failure.
       if (entry.place() != QueueEntry.Place.ACTIVE
           && entry.place() != QueueEntry.Place.BACKOFF_ERROR) {
-        boolean failing = job.atFault || attempt.cause == Cause.ERROR;
+        boolean failing = job.failing || attempt.endReason == EndReason.ERROR;
         int times = failing ? failures.round(job) : entry.attempts() + 1;
-        queue.failed(entry, times, time.now());
+        queue.failed(entry, times, eventLoop.now());
         wakeForBackoff();
       }
     } else {
@@ -637,14 +646,16 @@
    */
   private static boolean stillGathers(Attempt lost) {
     Job job = lost.job;
-    if (!lost.isWanted() || lost.cause == Cause.PEERS || lost.runningSince != null) {
+    if (!lost.isWanted()
+        || lost.endReason == EndReason.GANG_PEER_ENDED
+        || lost.runningSince != null) {
       return false;
     }
     for (Set<Attempt> attempts : job.attempts.values()) {
       for (Attempt other : attempts) {
         boolean waits =
             switch (other.state()) {
-              case STORING, STORED, FETCHING, GATHERING -> true;
+              case PLACEMENT_PENDING, PLACEMENT_STORED, FETCHING_IMAGE, WAITING_FOR_GANG -> true;
               default -> false;
             };
         if (!waits || !other.isWanted() || other.number != lost.number) {
@@ -661,13 +672,13 @@
    */
   private boolean replaced(Attempt lost) {
     Job job = lost.job;
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     Placer.Decision decision = placer.place(job, 1, now);
     if (!decision.isPlaced()) {
       return false;
     }
     Machine machine = decision.machines().get(0);
-    String key = Machine.key(job.spec.id(), lost.task, lost.number);
+    String key = Machine.attemptKey(job.spec.id(), lost.task, lost.number);
     if (machine.attempts.containsKey(key) || !effects.mayStart()) {
       return false;
     }
@@ -678,32 +689,32 @@
 
   /** Keeps the place of a task that waited in vain until its machine has forgotten the attempt. */
   private boolean waitsForForget(Attempt lost) {
-    if (lost.cause != Cause.INCOMPLETE) {
+    if (lost.endReason != EndReason.GANG_INCOMPLETE) {
       return false;
     }
-    cluster.reserve(lost.machine, lost.job, time.now().plus(RoomMaker.RESERVATION));
+    cluster.reserve(lost.machine, lost.job, eventLoop.now().plus(PreemptionPolicy.RESERVATION));
     return true;
   }
 
   private void freed(Attempt attempt) {
     Machine machine = attempt.machine;
-    Instant now = time.now();
-    queue.onEvent(Event.teamFreed(attempt.job.spec.team()), now);
-    if (machine.takesWork()) {
+    Instant now = eventLoop.now();
+    queue.onEvent(ClusterEvent.teamFreed(attempt.job.spec.team()), now);
+    if (machine.isSchedulable()) {
       roomy.put(machine, queue.tries());
-      queue.onEvent(Event.roomFreed(machine, machine.free(), queue.tries()), now);
+      queue.onEvent(ClusterEvent.roomFreed(machine, machine.free(), queue.tries()), now);
     }
-    queue.onEvent(Event.attemptGone(attempt.job), now);
+    queue.onEvent(ClusterEvent.attemptGone(attempt.job), now);
     kick();
   }
 
   private void failed(Attempt attempt) {
     Job job = attempt.job;
-    Instant now = time.now();
-    job.avoid.add(attempt.machine.name);
+    Instant now = eventLoop.now();
+    job.avoidedMachines.add(attempt.machine.name);
     // A job that fails everywhere must not run out of machines.
-    if (job.avoid.size() > Math.min(AVOIDED, cluster.machines().size() / 2)) {
-      job.avoid.remove(job.avoid.iterator().next());
+    if (job.avoidedMachines.size() > Math.min(AVOIDED, cluster.machines().size() / 2)) {
+      job.avoidedMachines.remove(job.avoidedMachines.iterator().next());
     }
     Duration ran =
         attempt.runningSince == null ? Duration.ZERO : Duration.between(attempt.runningSince, now);
@@ -713,7 +724,8 @@
   /** A machine can take work now, or more than before. */
   public void machineReady(Machine machine) {
     roomy.put(machine, queue.tries());
-    queue.onEvent(Event.machineReady(machine, machine.free(), queue.tries()), time.now());
+    queue.onEvent(
+        ClusterEvent.machineReady(machine, machine.free(), queue.tries()), eventLoop.now());
     kick();
   }
 
@@ -723,7 +735,7 @@
   public void kick() {
     if (!passSet) {
       passSet = true;
-      time.after(Duration.ZERO, this::pass);
+      eventLoop.schedule(Duration.ZERO, this::pass);
     }
   }
 
@@ -732,7 +744,7 @@
     if (!effects.mayStart()) {
       return;
     }
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     queue.releaseExpired(now);
     for (int turn = 0; turn < TURNS_A_PASS; turn++) {
       QueueEntry entry = queue.pop(now);
@@ -761,8 +773,8 @@
     boolean woken = false;
     for (Map.Entry<Machine, Long> entry : roomy.entrySet()) {
       Machine machine = entry.getKey();
-      if (machine.takesWork()) {
-        Event event = Event.roomFreed(machine, machine.free(), entry.getValue());
+      if (machine.isSchedulable()) {
+        ClusterEvent event = ClusterEvent.roomFreed(machine, machine.free(), entry.getValue());
         woken |= queue.onEvent(event, now);
       }
     }
@@ -771,13 +783,13 @@
 
   private void wakeForBackoff() {
     Instant next = queue.nextExpiry();
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     if (next == null || (wakeAt != null && wakeAt.isAfter(now) && !next.isBefore(wakeAt))) {
       return;
     }
     wakeAt = next;
     Duration wait = Duration.between(now, next);
-    time.after(
+    eventLoop.schedule(
         wait.isNegative() ? Duration.ZERO : wait.plusMillis(1),
         () -> {
           wakeAt = null;
@@ -792,13 +804,13 @@
       entries.remove(job.spec.id());
       return;
     }
-    if (job.waitsForOthers) {
-      queue.park(entry, Check.DEPENDENCY, now);
+    if (job.blockedByDependencies) {
+      queue.park(entry, SchedulingCheck.DEPENDENCY, now);
       return;
     }
-    if (job.spec.shape() == Shape.GANG) {
+    if (job.spec.kind() == JobKind.GANG) {
       if (!job.attempts.isEmpty()) {
-        queue.park(entry, Check.PREDECESSOR, now);
+        queue.park(entry, SchedulingCheck.PREDECESSOR, now);
         return;
       }
       Placer.Decision decision = place(job, job.spec.tasks(), now);
@@ -819,18 +831,18 @@
       return;
     }
     int wanted = Math.min(job.pending.cardinality(), TASKS_A_TURN);
-    if (job.atFault) {
+    if (job.failing) {
       wanted = Math.min(wanted, PROBES - job.attempts.size());
       if (wanted <= 0) {
-        queue.park(entry, Check.FAILING, now);
+        queue.park(entry, SchedulingCheck.FAILING, now);
         return;
       }
     }
-    boolean paced = job.spec.shape() == Shape.ARRAY && job.spec.tasks() > LARGE;
+    boolean paced = job.spec.kind() == JobKind.ARRAY && job.spec.tasks() > LARGE;
     if (paced) {
       wanted = Math.min(wanted, large.available(now));
       if (wanted == 0) {
-        queue.postpone(entry, Check.PACE, now);
+        queue.postpone(entry, SchedulingCheck.PACE, now);
         return;
       }
     }
@@ -843,7 +855,7 @@
         return;
       }
       start(job, job.pending.nextSetBit(0), nextNumber(), machine, now);
-      if (!job.atFault) {
+      if (!job.failing) {
         entry.progressed();
       }
     }
@@ -882,9 +894,10 @@
     }
   }
 
-  private void reject(QueueEntry entry, Check by, Instant now) {
-    boolean room = by == Check.FIT || by == Check.SPREAD || by == Check.TOGETHER;
-    if (room && !entry.job.atFault) {
+  private void reject(QueueEntry entry, SchedulingCheck by, Instant now) {
+    boolean room =
+        by == SchedulingCheck.FIT || by == SchedulingCheck.SPREAD || by == SchedulingCheck.TOGETHER;
+    if (room && !entry.job.failing) {
       rooms.makeRoom(entry.job, Double.MAX_VALUE, now);
       held.turnedAway(entry.job, now);
     }
@@ -898,15 +911,16 @@
       return false;
     }
     starvation.withholds(entry.job, now);
-    queue.park(entry, Check.FIT, now);
+    queue.park(entry, SchedulingCheck.FIT, now);
     return true;
   }
 
   /** Stops an attempt to free its room; the rest of a gang goes with it. */
   public void displace(Attempt attempt) {
     JobSpec spec = attempt.job.spec;
-    Duration grace = spec.savesWork() ? spec.saveTime().plusSeconds(1) : Duration.ZERO;
-    if (spec.shape() == Shape.GANG) {
+    Duration grace =
+        spec.isCheckpointed() ? spec.checkpointDuration().plusSeconds(1) : Duration.ZERO;
+    if (spec.kind() == JobKind.GANG) {
       killAll(attempt.job, grace);
     } else {
       kill(attempt, grace);
@@ -928,8 +942,9 @@
     starvation.moved(job);
     double fetch = Placer.fetchSeconds(job, machine);
     log.debug("{}/{} goes to {} ({} s of fetching)", job, task, machine, fetch);
-    Attempt attempt = cluster.addAttempt(job, task, number, machine, now, Attempt.State.STORING);
-    attempt.readyAt = now.plusMillis((long) (fetch * 1000));
+    Attempt attempt =
+        cluster.addAttempt(job, task, number, machine, now, Attempt.State.PLACEMENT_PENDING);
+    attempt.imageReadyAt = now.plusMillis((long) (fetch * 1000));
     records.placementDue(attempt);
   }
 
--- a/src/main/java/io/pineladder/scheduling/Objectives.java
+++ b/src/main/java/io/pineladder/scheduling/ServiceObjectives.java
@@ -1,6 +1,6 @@
 package io.pineladder.scheduling;
 
-import io.pineladder.model.FinishTimes;
+import io.pineladder.model.ChainDeadlines;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Settings;
@@ -9,13 +9,13 @@
 import java.util.List;
 
 /** What the settings expect of a job's class, and what that means for one job now. */
-final class Objectives {
+final class ServiceObjectives {
   /** How long a job may wait that nothing is expected of, or whose objectives are all missed. */
   static final Duration NO_HURRY = Duration.ofMinutes(10);
 
   private final Settings settings;
 
-  Objectives(Settings settings) {
+  ServiceObjectives(Settings settings) {
     this.settings = settings;
   }
 
@@ -31,14 +31,15 @@
       if (until == null) {
         continue;
       }
-      Duration start = objective.kind().equals("wait") ? until : until.minus(job.spec.estimate());
+      Duration start =
+          objective.kind().equals("wait") ? until : until.minus(job.spec.estimatedRunTime());
       if (start.compareTo(allowance) < 0 && start.compareTo(age) > 0) {
         allowance = start;
       }
     }
-    if (job.finishTimes != null) {
-      for (Instant end : List.of(job.finishTimes.target(), job.finishTimes.latest())) {
-        Duration start = Duration.between(job.acceptedAt, end).minus(job.spec.estimate());
+    if (job.chainDeadlines != null) {
+      for (Instant end : List.of(job.chainDeadlines.target(), job.chainDeadlines.latest())) {
+        Duration start = Duration.between(job.acceptedAt, end).minus(job.spec.estimatedRunTime());
         if (start.compareTo(allowance) < 0 && start.compareTo(age) > 0) {
           allowance = start;
         }
@@ -53,7 +54,7 @@
   }
 
   boolean expectNothingOf(Job job) {
-    return job.finishTimes == null
+    return job.chainDeadlines == null
         && settings.objectives().stream().noneMatch(o -> until(job, o) != null);
   }
 
@@ -61,7 +62,7 @@
    * When a job should be over by its deadline, and when at the latest by what the operators expect
    * of its class; null without a deadline.
    */
-  FinishTimes finishTimes(Job job) {
+  ChainDeadlines finishTimes(Job job) {
     JobSpec spec = job.spec;
     if (spec.deadline() == null) {
       return null;
@@ -69,16 +70,16 @@
     double least = Double.MAX_VALUE;
     double most = 0;
     for (Settings.Objective objective : settings.objectives()) {
-      if (spec.jobClass().equals(objective.jobClass()) && objective.within() == null) {
-        least = Math.min(least, objective.times());
-        most = Math.max(most, objective.times());
+      if (spec.jobClass().equals(objective.jobClass()) && objective.latestAfter() == null) {
+        least = Math.min(least, objective.deadlineFactor());
+        most = Math.max(most, objective.deadlineFactor());
       }
     }
     if (most == 0) {
       least = 1;
       most = 1;
     }
-    return new FinishTimes(
+    return new ChainDeadlines(
         job.acceptedAt.plus(times(spec.deadline(), least)),
         job.acceptedAt.plus(times(spec.deadline(), most)));
   }
@@ -93,20 +94,25 @@
    */
   boolean breaksByRestart(Job job, Instant timeOfDay) {
     Duration age = Duration.between(job.acceptedAt, timeOfDay);
-    Duration through = age.plus(job.spec.estimate());
+    Duration through = age.plus(job.spec.estimatedRunTime());
     // Until a loss is noticed and its task is placed again.
-    Duration again = settings.cloud().listLag().multipliedBy(2).plus(settings.workers().report());
-    Duration twice = through.plus(again).plus(job.spec.estimate());
+    Duration again =
+        settings
+            .cloudLimits()
+            .listLag()
+            .multipliedBy(2)
+            .plus(settings.workerTimes().heartbeatInterval());
+    Duration twice = through.plus(again).plus(job.spec.estimatedRunTime());
     for (Settings.Objective objective : settings.objectives()) {
       Duration until = objective.kind().equals("wait") ? null : until(job, objective);
       if (until != null && through.compareTo(until) < 0 && twice.compareTo(until) > 0) {
         return true;
       }
     }
-    if (job.finishTimes == null) {
+    if (job.chainDeadlines == null) {
       return false;
     }
-    Duration until = Duration.between(job.acceptedAt, job.finishTimes.latest());
+    Duration until = Duration.between(job.acceptedAt, job.chainDeadlines.latest());
     return through.compareTo(until) < 0 && twice.compareTo(until) > 0;
   }
 
@@ -119,9 +125,9 @@
     if (!spec.jobClass().equals(objective.jobClass())) {
       return null;
     }
-    if (objective.within() != null) {
-      return objective.within().plus(waited(job));
+    if (objective.latestAfter() != null) {
+      return objective.latestAfter().plus(waited(job));
     }
-    return spec.deadline() == null ? null : times(spec.deadline(), objective.times());
+    return spec.deadline() == null ? null : times(spec.deadline(), objective.deadlineFactor());
   }
 }
--- a/src/main/java/io/pineladder/scheduling/SpotRisk.java
+++ b/src/main/java/io/pineladder/scheduling/SpotReclaimRisk.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 
 /** How often spot machines are taken back, as seen of late. */
-public final class SpotRisk {
+public final class SpotReclaimRisk {
   /** What is seen counts for about so long. */
   private static final Duration MEMORY = Duration.ofMinutes(5);
 
--- a/src/main/java/io/pineladder/scheduling/StarvationBound.java
+++ b/src/main/java/io/pineladder/scheduling/StarvationBound.java
@@ -39,7 +39,7 @@
 
   private static final Logger log = LoggerFactory.getLogger(StarvationBound.class);
 
-  private final Cluster cluster;
+  private final ClusterState cluster;
   private final Placer placer;
 
   /**
@@ -49,7 +49,7 @@
 
   private final Map<Job, Withheld> withheld = new LinkedHashMap<>();
 
-  StarvationBound(Cluster cluster, Placer placer) {
+  StarvationBound(ClusterState cluster, Placer placer) {
     this.cluster = cluster;
     this.placer = placer;
   }
@@ -87,14 +87,14 @@
           case FIT, PLACE, SPREAD, TOGETHER -> rejected.machines().isEmpty();
           default -> false;
         };
-    if (!room || !cluster.policyKeeps(job)) {
+    if (!room || !cluster.isWithheldByPolicy(job)) {
       moved(job);
       return rejected;
     }
-    if (job.reviewedAt != null && job.reviewedAt.plus(LOOK_AGAIN).isAfter(now)) {
+    if (job.policyReviewedAt != null && job.policyReviewedAt.plus(LOOK_AGAIN).isAfter(now)) {
       return rejected;
     }
-    job.reviewedAt = now;
+    job.policyReviewedAt = now;
     Placer.Decision byRules = placer.placeByRules(job, wanted, now);
     if (byRules.machines().isEmpty()) {
       Withheld of = withheld.get(job);
--- a/src/main/java/io/pineladder/scheduling/Preemptor.java
+++ b/src/main/java/io/pineladder/scheduling/VictimSelector.java
@@ -2,12 +2,12 @@
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
 import io.pineladder.model.Team;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -18,16 +18,16 @@
 import java.util.Map;
 
 /** Finds the work whose stopping costs least and lets a job of higher priority in. */
-final class Preemptor {
+final class VictimSelector {
   /** What speaks against stopping a task that its job cannot start again in time, in seconds. */
   private static final double LATE = 60;
 
-  private final Cluster cluster;
-  private final Timeline time;
+  private final ClusterState cluster;
+  private final EventLoop eventLoop;
 
-  Preemptor(Cluster cluster, Timeline time) {
+  VictimSelector(ClusterState cluster, EventLoop eventLoop) {
     this.cluster = cluster;
-    this.time = time;
+    this.eventLoop = eventLoop;
   }
 
   /** Attempts to stop on one machine, and what that costs, in seconds. */
@@ -37,9 +37,9 @@
   int waiting(Job job, Instant now) {
     int count = 0;
     for (Machine machine : cluster.reservedFor(job)) {
-      if (machine.reservedUntil.isAfter(now)
-          && machine.takesWork()
-          && !job.spec.each().fitsIn(machine.free())) {
+      if (machine.reservationExpiresAt.isAfter(now)
+          && machine.isSchedulable()
+          && !job.spec.resourcesPerTask().fitsIn(machine.free())) {
         count++;
       }
     }
@@ -57,9 +57,9 @@
     Look look = new Look(job, presses, now);
     List<Plan> plans = new ArrayList<>();
     for (Machine machine : cluster.machines()) {
-      if (!machine.takesWork()
+      if (!machine.isSchedulable()
           || !Placer.isAllowed(job, machine)
-          || (machine.reservedFor == job && machine.reservedUntil.isAfter(now))
+          || (machine.reservedFor == job && machine.reservationExpiresAt.isAfter(now))
           || !Placer.mayTake(job, machine)) {
         continue;
       }
@@ -81,21 +81,21 @@
    */
   List<Plan> gangPlans(Job job, Instant now) {
     JobSpec spec = job.spec;
-    if (spec.spread()) {
+    if (spec.spreadAcrossZones()) {
       return List.of();
     }
     Look look = new Look(job, true, now);
     Map<String, List<Plan>> zones = new LinkedHashMap<>();
     for (Machine machine : cluster.machines()) {
-      if (!machine.takesWork() || !Placer.isAllowed(job, machine)) {
+      if (!machine.isSchedulable() || !Placer.isAllowed(job, machine)) {
         continue;
       }
       double fetch = Placer.fetchSeconds(job, machine);
-      long free = spec.each().countIn(Placer.room(job, machine, now));
+      long free = spec.resourcesPerTask().timesFittingIn(Placer.room(job, machine, now));
       Plan plan = free > 0 ? new Plan(machine, List.of(), fetch) : look.plan(machine, fetch);
       if (plan != null) {
         List<Plan> there =
-            zones.computeIfAbsent(spec.together() ? machine.zone : "", z -> new ArrayList<>());
+            zones.computeIfAbsent(spec.sameZone() ? machine.zone : "", z -> new ArrayList<>());
         for (long i = 0; i < Math.max(1, Math.min(free, spec.tasks())); i++) {
           there.add(plan);
         }
@@ -138,26 +138,29 @@
               && team.guarantees(
                   cluster
                       .usage(job.spec.team())
-                      .plus(job.spec.shape() == Shape.GANG ? job.spec.least() : job.spec.each()));
+                      .plus(
+                          job.spec.kind() == JobKind.GANG
+                              ? job.spec.minimumResources()
+                              : job.spec.resourcesPerTask()));
     }
 
     private double penalty(Job victim) {
       if (!mayDisplace(job, victim, guaranteed) || !(presses || cluster.hasNoObjective(victim))) {
         return Double.POSITIVE_INFINITY;
       }
-      return cluster.breaksByRestart(victim, time.timeOfDay()) ? LATE : 0;
+      return cluster.wouldMissObjectiveAfterRestart(victim, eventLoop.wallClock()) ? LATE : 0;
     }
 
     Plan plan(Machine machine, double fetch) {
-      Resources each = job.spec.each();
+      Resources each = job.spec.resourcesPerTask();
       Resources room = Placer.room(job, machine, now);
       Resources most = room;
       List<Victim> candidates = new ArrayList<>();
       for (Attempt attempt : machine.attempts.values()) {
-        if (!attempt.holdsRoom()) {
+        if (!attempt.holdsCapacity()) {
           continue;
         }
-        Resources held = attempt.job.spec.each();
+        Resources held = attempt.job.spec.resourcesPerTask();
         if (!attempt.isWanted()) {
           // It is leaving anyway.
           room = room.plus(held);
@@ -177,9 +180,9 @@
       List<Attempt> victims = new ArrayList<>();
       double loss = fetch;
       for (Victim candidate : candidates) {
-        Resources held = candidate.attempt.job.spec.each();
+        Resources held = candidate.attempt.job.spec.resourcesPerTask();
         // Stopping what holds nothing of what is lacking would help nobody.
-        if (!each.fitsIn(room) && held.eases(each, room)) {
+        if (!each.fitsIn(room) && held.relievesShortage(each, room)) {
           victims.add(candidate.attempt);
           loss += candidate.loss;
           room = room.plus(held);
@@ -195,7 +198,7 @@
   /** A higher rank, or a guarantee against what another team has beyond its own. */
   private boolean mayDisplace(Job job, Job victim, boolean guaranteed) {
     boolean victimGuaranteed = cluster.isGuaranteed(victim);
-    if (job.rank().isAbove(victim.rank())) {
+    if (job.priorityClass().isAbove(victim.priorityClass())) {
       return guaranteed || !victimGuaranteed;
     }
     return guaranteed && !victimGuaranteed && !victim.spec.team().equals(job.spec.team());
@@ -203,10 +206,10 @@
 
   /** Seconds of work that stopping it throws away. */
   private static double lostWork(Attempt attempt, Instant now) {
-    Instant from = attempt.runningSince == null ? attempt.since : attempt.runningSince;
+    Instant from = attempt.runningSince == null ? attempt.createdAt : attempt.runningSince;
     Duration ran = Duration.between(from, now);
-    if (attempt.job.spec.savesWork()) {
-      Duration save = attempt.job.spec.saveTime();
+    if (attempt.job.spec.isCheckpointed()) {
+      Duration save = attempt.job.spec.checkpointDuration();
       return Math.min(ran.toMillis(), save.toMillis()) / 1000.0;
     }
     return ran.toMillis() / 1000.0;
--- a/src/main/java/io/pineladder/snapshot/Change.java
+++ b/src/main/java/io/pineladder/snapshot/ChangeRecord.java
@@ -1,6 +1,6 @@
 package io.pineladder.snapshot;
 
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
  *
  * @param json the new value, or null for a key that is gone
  */
-public record Change(String key, long version, byte[] json) {
+public record ChangeRecord(String key, long version, byte[] json) {
   byte[] encode() {
     try (MessageBufferPacker content = MessagePack.newDefaultBufferPacker();
         MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
@@ -37,8 +37,8 @@
   }
 
   /** All changes up to the first that is cut short or damaged. */
-  static List<Change> decode(byte[] file) {
-    List<Change> changes = new ArrayList<>();
+  static List<ChangeRecord> decode(byte[] file) {
+    List<ChangeRecord> changes = new ArrayList<>();
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(file)) {
       while (in.hasNext()) {
         long sum = in.unpackLong();
@@ -48,21 +48,21 @@
         }
         changes.add(one(bytes));
       }
-    } catch (IOException | RuntimeException | MalformedException e) {
+    } catch (IOException | RuntimeException | MalformedMessageException e) {
       // What follows was not written whole.
       return changes;
     }
     return changes;
   }
 
-  private static Change one(byte[] bytes) throws MalformedException {
+  private static ChangeRecord one(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       String key = in.unpackString();
       long version = in.unpackLong();
       byte[] json = in.tryUnpackNil() ? null : in.readPayload(in.unpackBinaryHeader());
-      return new Change(key, version, json);
+      return new ChangeRecord(key, version, json);
     } catch (IOException e) {
-      throw new MalformedException("not a change");
+      throw new MalformedMessageException("not a change");
     }
   }
 }
--- a/src/main/java/io/pineladder/snapshot/Snapshot.java
+++ b/src/main/java/io/pineladder/snapshot/Snapshot.java
@@ -1,7 +1,7 @@
 package io.pineladder.snapshot;
 
 import io.pineladder.model.Job;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -63,11 +63,11 @@
   /**
    * Asks that it is a snapshot of this cluster.
    *
-   * @throws MalformedException when it is of another
+   * @throws MalformedMessageException when it is of another
    */
-  public void requireOf(String wanted) throws MalformedException {
+  public void requireOf(String wanted) throws MalformedMessageException {
     if (!cluster.equals(wanted)) {
-      throw new MalformedException("a snapshot of the cluster " + cluster);
+      throw new MalformedMessageException("a snapshot of the cluster " + cluster);
     }
   }
 
@@ -149,17 +149,18 @@
   /**
    * Reads a snapshot.
    *
-   * @throws MalformedException when it is none, is damaged or cut short, or is of a newer version;
-   *     the message says which
+   * @throws MalformedMessageException when it is none, is damaged or cut short, or is of a newer
+   *     version; the message says which
    */
-  public static Snapshot decode(byte[] bytes) throws MalformedException {
+  public static Snapshot decode(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       if (!in.unpackString().equals(MAGIC)) {
-        throw new MalformedException("not a snapshot");
+        throw new MalformedMessageException("not a snapshot");
       }
       int version = in.unpackInt();
       if (version != VERSION) {
-        throw new MalformedException("a snapshot of version " + version + ", not " + VERSION);
+        throw new MalformedMessageException(
+            "a snapshot of version " + version + ", not " + VERSION);
       }
       String cluster = in.unpackString();
       long base = in.unpackLong();
@@ -169,7 +170,7 @@
       int endCount = in.unpackInt();
       int count = in.unpackInt();
       if (count < 0 || count > MOST_SECTIONS || recordCount < 0 || endCount < 0) {
-        throw new MalformedException("a snapshot with " + count + " sections");
+        throw new MalformedMessageException("a snapshot with " + count + " sections");
       }
       ByteArrayOutputStream all = new ByteArrayOutputStream();
       for (int i = 0; i < count; i++) {
@@ -180,14 +181,14 @@
       }
       return read(all.toByteArray(), cluster, base, revision, at, recordCount, endCount);
     } catch (IOException | RuntimeException e) {
-      throw new MalformedException("a snapshot that is damaged or cut short");
+      throw new MalformedMessageException("a snapshot that is damaged or cut short");
     }
   }
 
   private static byte[] inflate(byte[] small, int length, long sum, int section)
-      throws MalformedException {
+      throws MalformedMessageException {
     if (length < 0 || length > MOST_SECTION_BYTES) {
-      throw new MalformedException("section " + section + " is too long");
+      throw new MalformedMessageException("section " + section + " is too long");
     }
     try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(small))) {
       byte[] whole = in.readNBytes(length + 1);
@@ -197,7 +198,7 @@
     } catch (IOException e) {
       // Said below.
     }
-    throw new MalformedException("section " + section + " is damaged");
+    throw new MalformedMessageException("section " + section + " is damaged");
   }
 
   private static Snapshot read(
--- a/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
@@ -1,6 +1,6 @@
 package io.pineladder.snapshot;
 
-import io.pineladder.net.Background;
+import io.pineladder.net.BackgroundExecutor;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -22,7 +22,7 @@
  * Snapshots in a directory, written beside the event thread, one call after the other. A disk that
  * is full or gone costs a log line and a count, and never what the controller serves.
  */
-public final class SnapshotDirectory implements Shelf {
+public final class SnapshotDirectory implements SnapshotStore {
   private static final Logger log = LoggerFactory.getLogger(SnapshotDirectory.class);
 
   /** Calls that wait; beyond, a disk that hangs would take the memory. */
@@ -33,15 +33,15 @@
   }
 
   private final Path directory;
-  private final Background background;
+  private final BackgroundExecutor backgroundExecutor;
   private final Deque<Work> waiting = new ArrayDeque<>();
   private boolean working;
   private boolean failing;
   private long failures;
 
-  public SnapshotDirectory(Path directory, Background background) {
+  public SnapshotDirectory(Path directory, BackgroundExecutor backgroundExecutor) {
     this.directory = directory;
-    this.background = background;
+    this.backgroundExecutor = backgroundExecutor;
   }
 
   @Override
@@ -51,7 +51,7 @@
 
   @Override
   public void load(Consumer<Map<String, byte[]>> onLoaded) {
-    background.run(
+    backgroundExecutor.run(
         () -> {
           Map<String, byte[]> found = new HashMap<>();
           try {
@@ -128,7 +128,7 @@
       return;
     }
     working = true;
-    background.run(
+    backgroundExecutor.run(
         () -> {
           try {
             work.run();
--- a/src/main/java/io/pineladder/snapshot/Snapshots.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotManager.java
@@ -1,8 +1,8 @@
 package io.pineladder.snapshot;
 
-import io.pineladder.net.Background;
-import io.pineladder.net.Timeline;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.net.BackgroundExecutor;
+import io.pineladder.net.EventLoop;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.ByteArrayOutputStream;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -21,8 +21,8 @@
  * A controller's snapshots: one now and then, and between them each change as it is seen stored, so
  * that what is read back lacks the last moments only.
  */
-public final class Snapshots {
-  private static final Logger log = LoggerFactory.getLogger(Snapshots.class);
+public final class SnapshotManager {
+  private static final Logger log = LoggerFactory.getLogger(SnapshotManager.class);
 
   /** Between two snapshots, when something has changed. */
   private static final Duration EVERY = Duration.ofSeconds(30);
@@ -39,11 +39,11 @@
   private static final Pattern NAME = Pattern.compile("(snapshot|changes)-([0-9]{19})-([0-9]{19})");
 
   /** What was read back: a snapshot, and the changes after it in their order. */
-  public record Found(Snapshot snapshot, List<Change> changes) {}
+  public record Found(Snapshot snapshot, List<ChangeRecord> changes) {}
 
-  private final Shelf shelf;
-  private final Background background;
-  private final Timeline time;
+  private final SnapshotStore snapshotStore;
+  private final BackgroundExecutor backgroundExecutor;
+  private final EventLoop eventLoop;
   private final String cluster;
   private final Supplier<Snapshot> source;
   private final TreeSet<String> names = new TreeSet<>(BY_AGE);
@@ -67,21 +67,21 @@
    *
    * @param source makes a snapshot; null while there is nothing whole to make one of
    */
-  public Snapshots(
-      Shelf shelf,
-      Background background,
-      Timeline time,
+  public SnapshotManager(
+      SnapshotStore snapshotStore,
+      BackgroundExecutor backgroundExecutor,
+      EventLoop eventLoop,
       String cluster,
       Supplier<Snapshot> source) {
-    this.shelf = shelf;
-    this.background = background;
-    this.time = time;
+    this.snapshotStore = snapshotStore;
+    this.backgroundExecutor = backgroundExecutor;
+    this.eventLoop = eventLoop;
     this.cluster = cluster;
     this.source = source;
   }
 
   public void start() {
-    time.after(EVERY, this::tick);
+    eventLoop.schedule(EVERY, this::tick);
   }
 
   public void stop() {
@@ -94,7 +94,7 @@
   }
 
   public long failures() {
-    return shelf.failures();
+    return snapshotStore.failures();
   }
 
   private static String name(String kind, Snapshot of) {
@@ -106,12 +106,12 @@
     if (changes == null || stopped) {
       return;
     }
-    byte[] bytes = new Change(key, version, json.get()).encode();
+    byte[] bytes = new ChangeRecord(key, version, json.get()).encode();
     gathered.writeBytes(bytes);
     changed += bytes.length;
     if (!flushSet) {
       flushSet = true;
-      time.after(GATHER, this::flush);
+      eventLoop.schedule(GATHER, this::flush);
     }
     if (changed > MOST_CHANGES && !encoding) {
       make();
@@ -121,7 +121,7 @@
   private void flush() {
     flushSet = false;
     if (gathered.size() > 0 && changes != null) {
-      shelf.append(changes, gathered.toByteArray());
+      snapshotStore.append(changes, gathered.toByteArray());
     }
     gathered = new ByteArrayOutputStream();
   }
@@ -133,7 +133,7 @@
     if (!encoding && (changes == null || changed > 0)) {
       make();
     }
-    time.after(EVERY, this::tick);
+    eventLoop.schedule(EVERY, this::tick);
   }
 
   /** The copy is another one from here on, so a new snapshot is made of it. */
@@ -158,12 +158,12 @@
     changes = name("changes", snapshot);
     changed = 0;
     encoding = true;
-    background.run(
+    backgroundExecutor.run(
         snapshot::encode,
         bytes -> {
           encoding = false;
           String name = name("snapshot", snapshot);
-          shelf.put(name, bytes);
+          snapshotStore.put(name, bytes);
           names.add(name);
           names.add(name("changes", snapshot));
           dropOld();
@@ -177,7 +177,7 @@
   private void dropOld() {
     // A snapshot comes before the changes that follow it.
     while (kept() > KEPT || !names.isEmpty() && names.first().startsWith("changes")) {
-      shelf.remove(names.pollFirst());
+      snapshotStore.remove(names.pollFirst());
     }
   }
 
@@ -187,7 +187,7 @@
    * @param onFound told null when there is none
    */
   public void load(Consumer<Found> onFound) {
-    shelf.load(files -> onFound.accept(newest(files)));
+    snapshotStore.load(files -> onFound.accept(newest(files)));
   }
 
   private Found newest(Map<String, byte[]> files) {
@@ -204,18 +204,18 @@
       try {
         Snapshot snapshot = Snapshot.decode(files.get(name));
         snapshot.requireOf(cluster);
-        List<Change> since = new ArrayList<>();
+        List<ChangeRecord> since = new ArrayList<>();
         String first = name("changes", snapshot);
         for (String each : names.tailSet(first, true)) {
           // Changes of another generation do not follow from this snapshot.
           boolean same = each.startsWith(first.substring(0, first.lastIndexOf('-')));
           if (each.startsWith("changes") && same) {
-            since.addAll(Change.decode(files.get(each)));
+            since.addAll(ChangeRecord.decode(files.get(each)));
           }
         }
         log.info("{} is read, with {} changes since", name, since.size());
         return new Found(snapshot, since);
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         log.warn("{} is left out: {}", name, e.getMessage());
       }
     }
--- a/src/main/java/io/pineladder/snapshot/Shelf.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotStore.java
@@ -7,7 +7,7 @@
  * Where snapshots are put: a directory, or what the tests have for one. Nothing here waits for a
  * disk; calls take effect in their order. What fails is logged and counted where it happens.
  */
-public interface Shelf {
+public interface SnapshotStore {
   /** Reads all files, by name; an empty map when there are none or they cannot be read. */
   void load(Consumer<Map<String, byte[]>> onLoaded);
 
--- a/src/main/java/io/pineladder/store/JobIndex.java
+++ b/src/main/java/io/pineladder/store/AcceptedJobIndex.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Job;
-import io.pineladder.net.Timeline;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.net.EventLoop;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
@@ -21,8 +21,8 @@
  * leader. The pages are read as a whole when the first user asks; from then on one request for the
  * changes since makes all answers fresh that are asked for while the one before is under way.
  */
-public final class JobIndex {
-  private static final Logger log = LoggerFactory.getLogger(JobIndex.class);
+public final class AcceptedJobIndex {
+  private static final Logger log = LoggerFactory.getLogger(AcceptedJobIndex.class);
 
   /** Not asked for so long, it is given up, for its memory. */
   private static final Duration UNUSED = Duration.ofSeconds(60);
@@ -37,8 +37,8 @@
     KNOWN
   }
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final Map<String, Map<String, Found>> pages = new HashMap<>();
   private State state = State.EMPTY;
   private long revision;
@@ -53,9 +53,9 @@
   /** Those whose answer the read under way began too early for. */
   private List<Consumer<Boolean>> next = new ArrayList<>();
 
-  public JobIndex(StoreClient store, Timeline time) {
-    this.store = store;
-    this.time = time;
+  public AcceptedJobIndex(StoreClient storeClient, EventLoop eventLoop) {
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
   }
 
   /**
@@ -64,7 +64,7 @@
    * @param onDone told whether {@link #find} now answers as of a moment after this call
    */
   public void refresh(Consumer<Boolean> onDone) {
-    usedAt = time.now();
+    usedAt = eventLoop.now();
     next.add(onDone);
     if (state != State.READING) {
       read();
@@ -108,8 +108,8 @@
     int of = generation;
     moveTo(State.READING);
     if (whole) {
-      store.listForUser(
-          Keys.ACCEPTED,
+      storeClient.listForUser(
+          RecordKeys.ACCEPTED,
           listing -> {
             if (of != generation) {
               asked.forEach(each -> each.accept(false));
@@ -131,8 +131,8 @@
           });
       return;
     }
-    store.changesForUser(
-        Keys.ACCEPTED,
+    storeClient.changesForUser(
+        RecordKeys.ACCEPTED,
         revision,
         followed -> {
           if (of != generation) {
@@ -161,14 +161,14 @@
       read();
     } else if (state == State.KNOWN && !expirySet) {
       expirySet = true;
-      time.after(UNUSED, this::expire);
+      eventLoop.schedule(UNUSED, this::expire);
     }
   }
 
   private void expire() {
     Instant due = usedAt.plus(UNUSED);
-    if (due.isAfter(time.now())) {
-      time.after(Duration.between(time.now(), due), this::expire);
+    if (due.isAfter(eventLoop.now())) {
+      eventLoop.schedule(Duration.between(eventLoop.now(), due), this::expire);
       return;
     }
     expirySet = false;
@@ -190,7 +190,7 @@
         pages.put(entry.key(), jobs);
       }
       return true;
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("a page of accepted jobs cannot be read: {}", e.getMessage());
       return false;
     }
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -1,12 +1,12 @@
 package io.pineladder.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.net.HttpCaller.Outcome;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient.Outcome;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.EventLoop;
 import io.pineladder.retry.Backoff;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
 import java.time.Instant;
@@ -57,8 +57,8 @@
     CLOSED
   }
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final long version;
   private final Listener listener;
   private final TreeMap<String, Long> versions = new TreeMap<>();
@@ -71,7 +71,7 @@
   private State state = State.IDLE;
   private Batch batch;
   private final Backoff retry;
-  private NoticeBook book = NoticeBook.NONE;
+  private NotificationLog notificationLog = NotificationLog.NONE;
 
   /** What the owner of the records learns. */
   public interface Listener {
@@ -115,12 +115,12 @@
    *
    * @param version the revision of its key
    */
-  public Committer(StoreClient store, Timeline time, long version, Listener listener) {
-    this.store = store;
-    this.time = time;
+  public Committer(StoreClient storeClient, EventLoop eventLoop, long version, Listener listener) {
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.version = version;
     this.listener = listener;
-    this.retry = new Backoff(time, FIRST_RETRY, MOST_RETRY);
+    this.retry = new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
     for (Mutation.Priority priority : Mutation.Priority.values()) {
       queues.put(priority, new ArrayDeque<>());
     }
@@ -133,8 +133,8 @@
   }
 
   /** Has notices numbered by the book, in the order in which they go into transactions. */
-  public void number(NoticeBook by) {
-    book = by;
+  public void number(NotificationLog by) {
+    notificationLog = by;
   }
 
   /** Tells the revision of a key that was read. */
@@ -147,7 +147,7 @@
     if (state == State.IDLE) {
       // Changes decided by one message go together.
       moveTo(State.WAITING);
-      time.after(Duration.ofMillis(1), this::next);
+      eventLoop.schedule(Duration.ofMillis(1), this::next);
     }
   }
 
@@ -168,8 +168,9 @@
       return;
     }
     if (batch == null) {
-      Instant now = time.now();
-      int ops = Math.min(store.limits().transactionOps(), store.writes().available(now));
+      Instant now = eventLoop.now();
+      int ops =
+          Math.min(storeClient.limits().transactionOps(), storeClient.writes().available(now));
       batch = gather(ops);
       if (batch == null) {
         Integer least = leastWaiting();
@@ -177,7 +178,7 @@
           moveTo(State.IDLE);
         } else {
           moveTo(State.WAITING);
-          time.after(store.writes().until(least, now).plusMillis(1), this::next);
+          eventLoop.schedule(storeClient.writes().until(least, now).plusMillis(1), this::next);
         }
         return;
       }
@@ -192,7 +193,7 @@
     requeue(released);
     if (state == State.IDLE) {
       moveTo(State.WAITING);
-      time.after(Duration.ofMillis(1), this::next);
+      eventLoop.schedule(Duration.ofMillis(1), this::next);
     }
   }
 
@@ -218,12 +219,13 @@
 
   private Batch gather(int ops) {
     Batch made = new Batch();
-    book.begin();
-    StoreWire.Transaction transaction = store.transaction().require(Keys.LEADER, version);
+    notificationLog.begin();
+    StoreWire.Transaction transaction =
+        storeClient.transaction().require(RecordKeys.LEADER, version);
     Set<String> keys = new HashSet<>();
     int left = ops;
     int bytes = 0;
-    int conditions = 4 * store.limits().transactionOps() - 2;
+    int conditions = 4 * storeClient.limits().transactionOps() - 2;
     for (Deque<Mutation> queue : queues.values()) {
       while (!queue.isEmpty()) {
         Mutation mutation = queue.peekFirst();
@@ -299,9 +301,9 @@
 
   private void sendBatch() {
     moveTo(State.IN_FLIGHT);
-    batch.seen = store.seen();
-    store.writes().take(batch.values.size(), time.now());
-    store.send(store.post("/multi", batch.body), this::onReply);
+    batch.seen = storeClient.seen();
+    storeClient.writes().take(batch.values.size(), eventLoop.now());
+    storeClient.send(storeClient.post("/multi", batch.body), this::onReply);
   }
 
   private void onReply(Reply reply) {
@@ -311,7 +313,7 @@
     try {
       if (reply.is(200)) {
         long revision = StoreWire.parseRevision(reply.body());
-        if (!store.isAhead(batch.seen, revision)) {
+        if (!storeClient.isAhead(batch.seen, revision)) {
           lost("the revision went back to " + revision);
           return;
         }
@@ -319,10 +321,11 @@
         return;
       }
       if (reply.is(409)) {
-        List<String> failed = StoreWire.parseFailed(reply.body(), store.generation().prefix());
-        if (failed.contains(Keys.GENERATION)) {
+        List<String> failed =
+            StoreWire.parseFailed(reply.body(), storeClient.generation().prefix());
+        if (failed.contains(RecordKeys.GENERATION)) {
           fenced("another generation of the records counts");
-        } else if (failed.contains(Keys.LEADER)) {
+        } else if (failed.contains(RecordKeys.LEADER)) {
           moveTo(State.CLOSED);
           listener.onKeyGone();
         } else if (batch.ambiguous) {
@@ -332,7 +335,7 @@
         }
         return;
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("the store answered {}", reply);
     }
     if (reply.is(400) && exceedsLimits()) {
@@ -342,7 +345,7 @@
       batch = null;
       moveTo(State.WAITING);
       listener.onLimitsLowered();
-      store.retry(retry, this::next);
+      storeClient.retry(retry, this::next);
       return;
     }
     if (reply.is(400)) {
@@ -359,7 +362,7 @@
       batch = null;
     }
     moveTo(State.WAITING);
-    store.retry(retry, this::next);
+    storeClient.retry(retry, this::next);
   }
 
   /** Whether the transaction under way holds more than the announced limits allow. */
@@ -367,7 +370,8 @@
     return !batch.ambiguous
         && batch.values.values().stream()
             .anyMatch(
-                value -> value != null && Json.bytes(value).length > store.limits().valueBytes());
+                value ->
+                    value != null && Json.bytes(value).length > storeClient.limits().valueBytes());
   }
 
   private void requeue(List<Mutation> mutations) {
@@ -384,7 +388,7 @@
     over.values.forEach(
         (key, value) -> {
           // Final records are never written again; remembering them all would cost memory.
-          if (value == null || key.startsWith(Keys.END)) {
+          if (value == null || key.startsWith(RecordKeys.END)) {
             versions.remove(key);
           } else {
             versions.put(key, revision);
@@ -393,7 +397,7 @@
         });
     moveTo(State.WAITING);
     over.pages.forEach((page, edits) -> page.committed(edits));
-    book.committed();
+    notificationLog.committed();
     for (Mutation mutation : over.mutations) {
       mutation.onCommitted().run();
     }
@@ -440,7 +444,7 @@
       own = own == null || change.getValue() != null ? change.getKey() : own;
     }
     String key = own;
-    store.read(key, read -> onOwnRead(key, read));
+    storeClient.read(key, read -> onOwnRead(key, read));
   }
 
   private void onOwnRead(String key, StoreClient.Read read) {
@@ -448,7 +452,7 @@
       return;
     }
     if (!read.certain()) {
-      store.retry(retry, this::settle);
+      storeClient.retry(retry, this::settle);
       return;
     }
     long found = read.found() ? read.entry().version() : 0;
@@ -471,14 +475,14 @@
    * the leader's key, read after it, is still ours.
    */
   private void confirmOwn(long revision) {
-    store.read(
-        Keys.LEADER,
+    storeClient.read(
+        RecordKeys.LEADER,
         read -> {
           if (state == State.CLOSED) {
             return;
           }
           if (!read.certain()) {
-            store.retry(retry, this::settle);
+            storeClient.retry(retry, this::settle);
           } else if (read.found() && read.entry().version() == version) {
             committed(revision);
           } else {
@@ -502,7 +506,8 @@
    * records and notes of them; all else is written by the leader alone.
    */
   private static boolean onlyByLoss(List<String> keys) {
-    return keys.stream().anyMatch(k -> !k.startsWith(Keys.JOB) && !k.startsWith(Keys.INBOX));
+    return keys.stream()
+        .anyMatch(k -> !k.startsWith(RecordKeys.JOB) && !k.startsWith(RecordKeys.INBOX));
   }
 
   // ---- the audit
@@ -518,8 +523,8 @@
       return;
     }
     TreeMap<String, Long> asked = new TreeMap<>();
-    StoreWire.Transaction compare = store.transaction().require(Keys.LEADER, version);
-    int most = Math.min(MOST_AUDITED, 4 * store.limits().transactionOps() - 2);
+    StoreWire.Transaction compare = storeClient.transaction().require(RecordKeys.LEADER, version);
+    int most = Math.min(MOST_AUDITED, 4 * storeClient.limits().transactionOps() - 2);
     var rest = after == null ? versions : versions.tailMap(after, false);
     for (Map.Entry<String, Long> each : rest.entrySet()) {
       if (asked.size() == most) {
@@ -531,7 +536,7 @@
       }
     }
     String last = asked.size() < most ? null : asked.lastKey();
-    store.compare(
+    storeClient.compare(
         compare,
         failed -> {
           if (state == State.CLOSED) {
@@ -549,11 +554,11 @@
   }
 
   private void audited(Map<String, Long> asked, List<String> failed) {
-    if (failed.contains(Keys.GENERATION)) {
+    if (failed.contains(RecordKeys.GENERATION)) {
       fenced("another generation of the records counts");
       return;
     }
-    if (failed.contains(Keys.LEADER)) {
+    if (failed.contains(RecordKeys.LEADER)) {
       moveTo(State.CLOSED);
       listener.onKeyGone();
       return;
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Job;
-import io.pineladder.model.Notice;
+import io.pineladder.model.Notification;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.RecordWire;
 import java.time.Instant;
@@ -21,10 +21,10 @@
  * The records of the jobs that this leader accepted, many in one value, so that a burst of
  * submissions does not cost a change of the store each.
  *
- * <p>Unlike the entries of {@link Pages} a job stands in one page only and leaves it in the very
- * transaction that stores its final state: a copy left behind would bring a job that is over back
- * to life. So a page's next value is made from the changes of one transaction, and what this class
- * holds to be stored changes only when that transaction has committed.
+ * <p>Unlike the entries of {@link RecordPages} a job stands in one page only and leaves it in the
+ * very transaction that stores its final state: a copy left behind would bring a job that is over
+ * back to life. So a page's next value is made from the changes of one transaction, and what this
+ * class holds to be stored changes only when that transaction has committed.
  *
  * <p>The notice that a job is over takes its record's place in the page, in that same transaction,
  * and so costs no change of its own. It stays until all subscribers are known to have it.
@@ -49,7 +49,7 @@
     private final Map<String, JsonNode> entries = new LinkedHashMap<>();
 
     /** The notices that are stored, by number. */
-    private final Map<Long, Notice> notices = new TreeMap<>();
+    private final Map<Long, Notification> notices = new TreeMap<>();
 
     /** What is in it takes, that included which is still on its way there. */
     private int bytes;
@@ -69,13 +69,13 @@
 
     /** The most bytes that its next value can take. */
     int bytes() {
-      return Pages.FRAME_BYTES + bytes;
+      return RecordPages.FRAME_BYTES + bytes;
     }
 
     /** Its value once these changes are made. */
     JsonNode render(List<Edit> edits) {
       Map<String, JsonNode> next = new LinkedHashMap<>(entries);
-      Map<Long, Notice> told = new TreeMap<>(notices);
+      Map<Long, Notification> told = new TreeMap<>(notices);
       edits.forEach(edit -> edit.make(next, told));
       return RecordWire.page(next.values().stream(), told.values());
     }
@@ -120,7 +120,7 @@
     private JsonNode rendered;
 
     /** The notice as last asked for; null when nobody wants it. */
-    private Notice notice;
+    private Notification notification;
 
     /** The room kept for a notice. */
     private int room;
@@ -160,7 +160,7 @@
     void fix() {
       underWay = true;
       if (kind == Kind.NOTE) {
-        notice = book.next(job);
+        notification = notificationLog.next(job);
       } else if (kind == Kind.COPY) {
         JsonNode record = source.entries.get(id);
         rendered = record == null ? null : RecordWire.copied(record, source.key);
@@ -169,7 +169,7 @@
       }
     }
 
-    private void make(Map<String, JsonNode> records, Map<Long, Notice> notices) {
+    private void make(Map<String, JsonNode> records, Map<Long, Notification> notices) {
       switch (kind) {
         case ADD -> records.put(id, rendered);
         case REPLACE -> records.computeIfPresent(id, (same, old) -> rendered);
@@ -181,8 +181,8 @@
         }
         case TOUCH -> {}
         case NOTE -> {
-          if (notice != null) {
-            notices.put(notice.number(), notice);
+          if (notification != null) {
+            notices.put(notification.number(), notification);
           }
         }
       }
@@ -194,17 +194,17 @@
       }
       notes.remove(job);
       Page page = fixed;
-      if (notice == null) {
+      if (notification == null) {
         page.bytes -= room;
       } else {
-        int taken = room(notice);
+        int taken = room(notification);
         page.bytes -= room - taken;
-        book.stored(notice, taken, () -> drop(page, notice.number(), taken));
+        notificationLog.stored(notification, taken, () -> drop(page, notification.number(), taken));
       }
     }
   }
 
-  private final NoticeBook book;
+  private final NotificationLog notificationLog;
   private final int capacity;
   private final ArrayDeque<Page> ring = new ArrayDeque<>();
   private final Map<Job, Page> homes = new HashMap<>();
@@ -219,14 +219,14 @@
   private Page open;
   private long pages;
 
-  JobPages(int valueBytes, NoticeBook book) {
-    capacity = Pages.capacity(valueBytes);
-    this.book = book;
+  JobPages(int valueBytes, NotificationLog notificationLog) {
+    capacity = RecordPages.capacity(valueBytes);
+    this.notificationLog = notificationLog;
   }
 
   /** Whether a job's record can be stored at all. */
   static boolean fits(JsonNode record, int valueBytes) {
-    return size(record) <= Pages.capacity(valueBytes);
+    return size(record) <= RecordPages.capacity(valueBytes);
   }
 
   private static int size(JsonNode record) {
@@ -247,7 +247,7 @@
     }
     Page page = new Page(key);
     ring.addLast(page);
-    pages = Math.max(pages, Keys.number(key, Keys.ACCEPTED) + 1);
+    pages = Math.max(pages, RecordKeys.number(key, RecordKeys.ACCEPTED) + 1);
     return page;
   }
 
@@ -258,11 +258,11 @@
   }
 
   /** Takes in a notice read at the start of a term. */
-  void known(Page page, Notice notice) {
-    int room = room(notice);
-    page.notices.put(notice.number(), notice);
+  void known(Page page, Notification notification) {
+    int room = room(notification);
+    page.notices.put(notification.number(), notification);
     page.bytes += room;
-    book.stored(notice, room, () -> drop(page, notice.number(), room));
+    notificationLog.stored(notification, room, () -> drop(page, notification.number(), room));
   }
 
   private static void drop(Page page, long number, int room) {
@@ -271,8 +271,8 @@
     }
   }
 
-  private static int room(Notice notice) {
-    return Json.bytes(RecordWire.notice(notice)).length + 1;
+  private static int room(Notification notification) {
+    return Json.bytes(RecordWire.notice(notification)).length + 1;
   }
 
   private void settle(Page page, Job job, JsonNode record) {
@@ -313,7 +313,7 @@
     // Numbers are given when a transaction is put together; none is longer than this one.
     int room =
         room(
-            new Notice(
+            new Notification(
                 Long.MAX_VALUE,
                 job.spec.id(),
                 job.spec.team(),
@@ -342,7 +342,7 @@
         return page;
       }
     }
-    Page page = new Page(Keys.ACCEPTED + pages++);
+    Page page = new Page(RecordKeys.ACCEPTED + pages++);
     ring.addLast(page);
     return page;
   }
@@ -381,7 +381,7 @@
    * No new page may have the name of one that was divided, or copies of it would seem unfinished.
    */
   void reserveNumber(String source) {
-    pages = Math.max(pages, Keys.number(source, Keys.ACCEPTED) + 1);
+    pages = Math.max(pages, RecordKeys.number(source, RecordKeys.ACCEPTED) + 1);
   }
 
   /** From here on a page that is too large is not stored again, but divided. */
--- a/src/main/java/io/pineladder/store/NoticeBook.java
+++ b/src/main/java/io/pineladder/store/NotificationLog.java
@@ -1,13 +1,13 @@
 package io.pineladder.store;
 
 import io.pineladder.model.Job;
-import io.pineladder.model.Notice;
+import io.pineladder.model.Notification;
 
 /** Numbers the notices of final states, and is told which are stored. */
-public interface NoticeBook {
+public interface NotificationLog {
   /** Nobody is to be told anything. */
-  NoticeBook NONE =
-      new NoticeBook() {
+  NotificationLog NONE =
+      new NotificationLog() {
         @Override
         public boolean isWanted() {
           return false;
@@ -17,12 +17,12 @@
         public void begin() {}
 
         @Override
-        public Notice next(Job job) {
+        public Notification next(Job job) {
           return null;
         }
 
         @Override
-        public void stored(Notice notice, int bytes, Runnable drop) {}
+        public void stored(Notification notification, int bytes, Runnable drop) {}
 
         @Override
         public void committed() {}
@@ -35,7 +35,7 @@
   void begin();
 
   /** The next notice, for a job whose end goes into the transaction; null when nobody wants it. */
-  Notice next(Job job);
+  Notification next(Job job);
 
   /**
    * The transaction with the notice has committed.
@@ -43,7 +43,7 @@
    * @param bytes what it takes in its page
    * @param drop takes the notice out of its page, with the page's next write
    */
-  void stored(Notice notice, int bytes, Runnable drop);
+  void stored(Notification notification, int bytes, Runnable drop);
 
   /** All notices of the transaction have been told; they may have come in any order. */
   void committed();
--- a/src/main/java/io/pineladder/store/Keys.java
+++ b/src/main/java/io/pineladder/store/RecordKeys.java
@@ -3,7 +3,7 @@
 import io.pineladder.wire.StoreWire;
 
 /** Where the durable records are kept: names within a generation, but for {@link #GENERATION}. */
-public final class Keys {
+public final class RecordKeys {
   /** Which generation of the records counts; its name is the same in all of them. */
   public static final String GENERATION = StoreWire.GENERATION;
 
@@ -63,7 +63,7 @@
   /** What subscribers have confirmed, many in one value. */
   public static final String DELIVERED = "delivered/";
 
-  private Keys() {}
+  private RecordKeys() {}
 
   /** The number of a page's key, which follows its prefix; -1 when there is none. */
   static long number(String key, String prefix) {
--- a/src/main/java/io/pineladder/store/Pages.java
+++ b/src/main/java/io/pineladder/store/RecordPages.java
@@ -1,7 +1,7 @@
 package io.pineladder.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation.Priority;
 import io.pineladder.store.Mutation.Write;
 import io.pineladder.wire.Json;
@@ -27,7 +27,7 @@
  * <p>A page that an earlier leader left larger than a value may be now is not stored again as long
  * as what is live in it is still too large: its entries are stored in other pages first.
  */
-final class Pages<T> {
+final class RecordPages<T> {
   /** Small pages cost little to write again for a few entries; many go into one transaction. */
   private static final int MOST_BYTES = 12 * 1024;
 
@@ -58,7 +58,7 @@
   private final Priority priority;
   private final Duration pace;
   private final int capacity;
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
   private final Predicate<T> isLive;
   private final Function<T, JsonNode> encode;
@@ -86,12 +86,12 @@
    * @param pace how long entries gather before a page is written
    * @param isLive whether an entry is still to be kept
    */
-  Pages(
+  RecordPages(
       String prefix,
       Priority priority,
       Duration pace,
       int valueBytes,
-      Timeline time,
+      EventLoop eventLoop,
       Consumer<Mutation> commit,
       Predicate<T> isLive,
       Function<T, JsonNode> encode,
@@ -100,7 +100,7 @@
     this.priority = priority;
     this.pace = pace;
     this.capacity = capacity(valueBytes);
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.commit = commit;
     this.isLive = isLive;
     this.encode = encode;
@@ -128,7 +128,7 @@
     }
     Page<T> page = new Page<>(key);
     ring.addLast(page);
-    pages = Math.max(pages, Keys.number(key, prefix) + 1);
+    pages = Math.max(pages, RecordKeys.number(key, prefix) + 1);
     return page;
   }
 
@@ -141,7 +141,7 @@
     waiting.add(entry);
     if (!flushSet) {
       flushSet = true;
-      time.after(pace, this::flush);
+      eventLoop.schedule(pace, this::flush);
     }
   }
 
--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -6,8 +6,8 @@
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
-import io.pineladder.model.Notice;
-import io.pineladder.net.Timeline;
+import io.pineladder.model.Notification;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation.Priority;
 import io.pineladder.store.Mutation.Write;
 import io.pineladder.upgrade.ClusterVersion;
@@ -77,10 +77,10 @@
     void onStoredTwice(Job job, Runnable again);
   }
 
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
   private final Listener listener;
-  private final NoticeBook book;
+  private final NotificationLog notificationLog;
   private final int valueBytes;
   private final JobPages jobs;
 
@@ -97,9 +97,9 @@
   /** How completions are divided into chunks, by job: all entries of a job are divided alike. */
   private final Map<Job, Chunking> chunkings = new HashMap<>();
 
-  private final Pages<Attempt> placements;
-  private final Pages<Chunk> completions;
-  private final Pages<Machine> images;
+  private final RecordPages<Attempt> placements;
+  private final RecordPages<Chunk> completions;
+  private final RecordPages<Machine> images;
   private final Map<Job, Map<Integer, Chunk>> chunks = new HashMap<>();
 
   /** Pages that are too large are being stored anew. */
@@ -133,48 +133,48 @@
       int valueBytes,
       int unversionedValueBytes,
       ClusterVersion version,
-      Timeline time,
+      EventLoop eventLoop,
       Consumer<Mutation> commit,
       Listener listener,
-      NoticeBook book) {
-    this.book = book;
-    this.time = time;
+      NotificationLog notificationLog) {
+    this.notificationLog = notificationLog;
+    this.eventLoop = eventLoop;
     this.version = version;
     this.unversionedChunkTasks = chunkTasks(unversionedValueBytes);
     this.commit = commit;
     this.listener = listener;
     this.valueBytes = valueBytes;
-    this.jobs = new JobPages(valueBytes, book);
+    this.jobs = new JobPages(valueBytes, notificationLog);
     this.chunkTasks = chunkTasks(valueBytes);
     this.placements =
-        new Pages<>(
-            Keys.PLACED,
+        new RecordPages<>(
+            RecordKeys.PLACED,
             Priority.PLACE,
             PLACE_PACE,
             valueBytes,
-            time,
+            eventLoop,
             commit,
-            Attempt::holdsRoom,
+            Attempt::holdsCapacity,
             RecordWire::placement,
             this::placementStored);
     this.completions =
-        new Pages<>(
-            Keys.DONE,
+        new RecordPages<>(
+            RecordKeys.DONE,
             Priority.COMPLETE,
             DONE_PACE,
             valueBytes,
-            time,
+            eventLoop,
             commit,
-            chunk -> !chunk.job.ending,
+            chunk -> !chunk.job.finalStatePending,
             this::encode,
             this::completionsStored);
     this.images =
-        new Pages<>(
-            Keys.IMAGES,
+        new RecordPages<>(
+            RecordKeys.IMAGES,
             Priority.TIDY,
             IMAGES_PACE,
             valueBytes,
-            time,
+            eventLoop,
             commit,
             machine -> machine.state() != Machine.State.GONE,
             Records::encodeImages,
@@ -183,7 +183,7 @@
 
   /** Tasks of a chunk, such that no pattern of completions outgrows half a page. */
   static int chunkTasks(int valueBytes) {
-    return Math.max(16, Pages.capacity(valueBytes) / 2 / RANGE_BYTES - 8);
+    return Math.max(16, RecordPages.capacity(valueBytes) / 2 / RANGE_BYTES - 8);
   }
 
   // ---- placements
@@ -194,7 +194,7 @@
   }
 
   private void placementStored(Attempt attempt) {
-    if (attempt.state() == Attempt.State.STORING) {
+    if (attempt.state() == Attempt.State.PLACEMENT_PENDING) {
       listener.onPlacementStored(attempt);
     }
   }
@@ -243,7 +243,7 @@
   public void taskDone(Job job, Attempt attempt) {
     Chunk chunk = chunk(job, attempt.task / chunkingOf(job).tasks);
     chunk.waiting.add(attempt);
-    if (!job.ending) {
+    if (!job.finalStatePending) {
       completions.due(chunk);
     }
   }
@@ -266,9 +266,9 @@
   private JsonNode encode(Chunk chunk) {
     chunk.included = List.copyOf(chunk.waiting);
     BitSet done = chunk.job.done;
-    if (!chunk.job.unproven.isEmpty()) {
+    if (!chunk.job.unprovenDone.isEmpty()) {
       done = (BitSet) done.clone();
-      done.andNot(chunk.job.unproven);
+      done.andNot(chunk.job.unprovenDone);
     }
     Chunking chunking = chunkingOf(chunk.job);
     String id = chunk.job.spec.id();
@@ -278,7 +278,7 @@
   }
 
   private void completionsStored(Chunk chunk) {
-    chunk.included.forEach(a -> a.forgettable = true);
+    chunk.included.forEach(a -> a.mayBeForgotten = true);
     chunk.waiting.removeAll(chunk.included);
     chunk.included = List.of();
   }
@@ -314,15 +314,15 @@
 
   /** Stores a record anew as it should be, since what stands there cannot be read. */
   public void rewrite(String key) {
-    if (key.startsWith(Keys.ACCEPTED)) {
+    if (key.startsWith(RecordKeys.ACCEPTED)) {
       commit.accept(
           Mutation.editing(
               Priority.TIDY, List.of(), List.of(jobs.touch(key)), List.of(), () -> {}, null));
-    } else if (key.startsWith(Keys.PLACED)) {
+    } else if (key.startsWith(RecordKeys.PLACED)) {
       placements.rewrite(key);
-    } else if (key.startsWith(Keys.DONE)) {
+    } else if (key.startsWith(RecordKeys.DONE)) {
       completions.rewrite(key);
-    } else if (key.startsWith(Keys.IMAGES)) {
+    } else if (key.startsWith(RecordKeys.IMAGES)) {
       images.rewrite(key);
     }
   }
@@ -353,7 +353,7 @@
     }
     JobPages.Page page = jobs.tooLarge();
     if (page == null) {
-      time.after(SHRINK_PACE, () -> dividePages(wanted, onDivided));
+      eventLoop.schedule(SHRINK_PACE, () -> dividePages(wanted, onDivided));
       return;
     }
     log.info("{} is divided, since it is larger than a value may be", page.key);
@@ -363,7 +363,7 @@
         commit,
         () -> {
           onDivided.run();
-          time.after(DIVIDE_PACE, () -> dividePages(wanted, onDivided));
+          eventLoop.schedule(DIVIDE_PACE, () -> dividePages(wanted, onDivided));
         });
   }
 
@@ -372,7 +372,7 @@
       // One of any kind at a time: what the store takes in a second is needed for service.
       boolean any =
           placements.emptyTooLarge() || completions.emptyTooLarge() || images.emptyTooLarge();
-      time.after(any ? EMPTY_PACE : SHRINK_PACE, () -> emptyPages(wanted));
+      eventLoop.schedule(any ? EMPTY_PACE : SHRINK_PACE, () -> emptyPages(wanted));
     }
   }
 
@@ -380,7 +380,7 @@
 
   private static JsonNode jobValue(Job job) {
     ObjectNode value = RecordWire.job(job.spec, job.acceptedAt, job.state());
-    return job.atFault ? value.put("at_fault", true) : value;
+    return job.failing ? value.put("at_fault", true) : value;
   }
 
   /** Whether a job's record can be stored: the user chooses how long its description is. */
@@ -399,7 +399,7 @@
             Priority.ACCEPT,
             List.of(),
             List.of(jobs.add(job, () -> jobValue(job))),
-            List.of(Keys.JOB + id, Keys.END + id),
+            List.of(RecordKeys.JOB + id, RecordKeys.END + id),
             onStored,
             () -> {
               jobs.forget(job);
@@ -431,8 +431,8 @@
   }
 
   /** A notice in a page read at the start of a term. */
-  public void knownNotice(String page, Notice notice) {
-    jobs.known(jobs.known(page), notice);
+  public void knownNotice(String page, Notification notification) {
+    jobs.known(jobs.known(page), notification);
   }
 
   /** The job has a record of its own as well as one in a page. */
@@ -453,18 +453,18 @@
             paged ? List.of() : List.of(ownRecord(job)),
             paged ? List.of(jobs.replace(job, () -> jobValue(job))) : List.of(),
             List.of(),
-            () -> !job.ending,
+            () -> !job.finalStatePending,
             () -> {},
             null));
   }
 
   private static Write ownRecord(Job job) {
-    return new Write(Keys.JOB + job.spec.id(), () -> jobValue(job));
+    return new Write(RecordKeys.JOB + job.spec.id(), () -> jobValue(job));
   }
 
   /** The job is over. While tasks of it may be somewhere its record stays, with the final state. */
   public void end(Job job) {
-    job.ending = true;
+    job.finalStatePending = true;
     if (job.attempts.isEmpty()) {
       remove(job);
       return;
@@ -493,10 +493,10 @@
 
   /** Nothing of an ended job is anywhere any more: only its final state is kept. */
   public void remove(Job job) {
-    if (job.removing) {
+    if (job.recordRemovalPending) {
       return;
     }
-    job.removing = true;
+    job.recordRemovalPending = true;
     Runnable onStored =
         () -> {
           jobs.forget(job);
@@ -513,7 +513,7 @@
               List.of(),
               onStored,
               null));
-    } else if (job.endStored) {
+    } else if (job.finalStateStored) {
       commit.accept(
           Mutation.editing(
               Priority.TIDY, List.of(), List.of(jobs.remove(job)), List.of(), onStored, null));
@@ -533,7 +533,9 @@
    * own either could be there without the other.
    */
   private List<JobPages.Edit> note(Job job, boolean leaves) {
-    return job.endStored || !book.isWanted() ? List.of() : List.of(jobs.note(job, leaves));
+    return job.finalStateStored || !notificationLog.isWanted()
+        ? List.of()
+        : List.of(jobs.note(job, leaves));
   }
 
   /**
@@ -548,7 +550,7 @@
             endPriority(job),
             copy ? List.of(finalState(job), noOwnRecord(job)) : List.of(finalState(job)),
             edits.get(),
-            copy ? List.of() : List.of(Keys.JOB + job.spec.id()),
+            copy ? List.of() : List.of(RecordKeys.JOB + job.spec.id()),
             () -> {
               twice.remove(job);
               onStored.run();
@@ -558,24 +560,24 @@
 
   /** A final state that follows from another one is known without its record, which can wait. */
   private static Priority endPriority(Job job) {
-    return job.cancellationDerived ? Priority.TIDY : Priority.END;
+    return job.cancelledByDependency ? Priority.TIDY : Priority.END;
   }
 
   private static Write finalState(Job job) {
-    return new Write(Keys.END + job.spec.id(), () -> RecordWire.end(job.state()));
+    return new Write(RecordKeys.END + job.spec.id(), () -> RecordWire.end(job.state()));
   }
 
   private static Write noOwnRecord(Job job) {
-    return new Write(Keys.JOB + job.spec.id(), () -> null);
+    return new Write(RecordKeys.JOB + job.spec.id(), () -> null);
   }
 
   private void endStored(Job job) {
-    boolean first = !job.endStored;
-    job.endStored = true;
+    boolean first = !job.finalStateStored;
+    job.finalStateStored = true;
     chunkings.remove(job);
     Map<Integer, Chunk> of = chunks.remove(job);
     if (of != null) {
-      of.values().forEach(chunk -> chunk.waiting.forEach(a -> a.forgettable = true));
+      of.values().forEach(chunk -> chunk.waiting.forEach(a -> a.mayBeForgotten = true));
     }
     if (first) {
       listener.onEndStored(job);
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -2,14 +2,14 @@
 
 import io.pineladder.model.Generation;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.EventLoop;
 import io.pineladder.retry.Backoff;
-import io.pineladder.retry.RateBudget;
 import io.pineladder.retry.RetryBudget;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.retry.TokenBucket;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
 import java.time.Instant;
@@ -44,14 +44,14 @@
    */
   private static final double USERS_PART = 0.3;
 
-  private final HttpCaller http;
-  private final Timeline time;
+  private final AsyncHttpClient httpClient;
+  private final EventLoop eventLoop;
   private final String address;
   private final Settings.StoreLimits limits;
-  private final RateBudget requests;
-  private final RateBudget writes;
-  private final RateBudget userReads;
-  private final RateBudget userWrites;
+  private final TokenBucket requests;
+  private final TokenBucket writes;
+  private final TokenBucket userReads;
+  private final TokenBucket userWrites;
   private final Deque<Waiting> waiting = new ArrayDeque<>();
   private boolean pumpSet;
   private final RetryBudget retries;
@@ -69,25 +69,29 @@
   private record Waiting(Request request, Consumer<Reply> onReply) {}
 
   public StoreClient(
-      HttpCaller http, Timeline time, String address, Settings.StoreLimits limits, int nodes) {
-    this.http = http;
-    this.time = time;
+      AsyncHttpClient httpClient,
+      EventLoop eventLoop,
+      String address,
+      Settings.StoreLimits limits,
+      int nodes) {
+    this.httpClient = httpClient;
+    this.eventLoop = eventLoop;
     this.address = address;
     this.limits = limits;
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     double rps = limits.requestsPerSecond() * (1 - USERS_PART);
     double wps = limits.writesPerSecond() * (1 - USERS_PART);
-    requests = new RateBudget(rps, Math.max(1, rps), now);
+    requests = new TokenBucket(rps, Math.max(1, rps), now);
     // A whole transaction must fit into the burst, or it would never be sent.
-    writes = new RateBudget(wps, Math.max(limits.transactionOps(), wps), now);
-    retries = new RetryBudget(time, RETRY_SHARE, RETRIES_PER_SECOND, MOST_RETRIES);
+    writes = new TokenBucket(wps, Math.max(limits.transactionOps(), wps), now);
+    retries = new RetryBudget(eventLoop, RETRY_SHARE, RETRIES_PER_SECOND, MOST_RETRIES);
     double part = USERS_PART / nodes;
     userReads = userBudget(limits.requestsPerSecond() * part * 0.7, now);
     userWrites = userBudget(limits.writesPerSecond() * part, now);
   }
 
-  private static RateBudget userBudget(double perSecond, Instant now) {
-    return new RateBudget(perSecond, Math.max(2, 2 * perSecond), now);
+  private static TokenBucket userBudget(double perSecond, Instant now) {
+    return new TokenBucket(perSecond, Math.max(2, 2 * perSecond), now);
   }
 
   /** Tells of revisions below what the service is known to have had: it has lost data. */
@@ -105,7 +109,7 @@
    */
   public void use(Generation next) {
     if (next.base() != generation.base()) {
-      seen = next.version();
+      seen = next.recordRevision();
     }
     generation = next;
   }
@@ -150,7 +154,8 @@
 
   /** A transaction on records of this generation, which fails once another one counts. */
   public StoreWire.Transaction transaction() {
-    return new StoreWire.Transaction(generation.prefix()).requireGeneration(generation.version());
+    return new StoreWire.Transaction(generation.prefix())
+        .requireGeneration(generation.recordRevision());
   }
 
   public String keyPath(String key) {
@@ -161,7 +166,7 @@
     return limits;
   }
 
-  public RateBudget writes() {
+  public TokenBucket writes() {
     return writes;
   }
 
@@ -191,7 +196,7 @@
       refusedForRate += reply.is(429) ? 1 : 0;
       boolean executed = reply.isAnswered() && reply.status() < 429;
       if (executed) {
-        answeredAt = time.now();
+        answeredAt = eventLoop.now();
         healthy = true;
         retries.succeeded();
       } else if (!reply.is(429)) {
@@ -203,20 +208,20 @@
 
   /** Pauses between tries of one request. */
   public Backoff backoff() {
-    return new Backoff(time, FIRST_RETRY, MOST_RETRY);
+    return new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
   }
 
   /** Tries something again after a pause, or later when too much is tried again already. */
   public void retry(Backoff backoff, Runnable again) {
     Duration pause = backoff.pause();
     Duration turn = retries.take();
-    time.after(turn.compareTo(pause) > 0 ? turn : pause, again);
+    eventLoop.schedule(turn.compareTo(pause) > 0 ? turn : pause, again);
   }
 
   /** Sends at once, whatever the budget says: for lease renewals, which everything depends on. */
   public void urgent(Request request, Consumer<Reply> onReply) {
-    requests.take(1, time.now());
-    http.call(request, observed(onReply));
+    requests.take(1, eventLoop.now());
+    httpClient.call(request, observed(onReply));
   }
 
   /**
@@ -267,14 +272,14 @@
         reply -> onReply.accept(toFollowed(reply, sent)));
   }
 
-  private void sendForUser(RateBudget budget, int cost, Request request, Consumer<Reply> onReply) {
-    Instant now = time.now();
+  private void sendForUser(TokenBucket budget, int cost, Request request, Consumer<Reply> onReply) {
+    Instant now = eventLoop.now();
     if (budget.available(now) < cost) {
       onReply.accept(Reply.NOT_SENT);
       return;
     }
     budget.take(cost, now);
-    http.call(request, observed(onReply));
+    httpClient.call(request, observed(onReply));
   }
 
   /** Sends when the budget allows. */
@@ -284,15 +289,15 @@
   }
 
   private void pump() {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     while (!waiting.isEmpty() && requests.available(now) >= 1) {
       Waiting next = waiting.pollFirst();
       requests.take(1, now);
-      http.call(next.request, observed(next.onReply));
+      httpClient.call(next.request, observed(next.onReply));
     }
     if (!waiting.isEmpty() && !pumpSet) {
       pumpSet = true;
-      time.after(
+      eventLoop.schedule(
           requests.until(1, now).plusMillis(1),
           () -> {
             pumpSet = false;
@@ -341,14 +346,14 @@
   public void readGeneration(Consumer<Read> onRead) {
     Sent sent = new Sent();
     urgent(
-        get(StoreWire.keyPath(Keys.GENERATION)),
+        get(StoreWire.keyPath(RecordKeys.GENERATION)),
         reply -> {
           Read read = toRead(reply, sent);
           try {
             if (!read.certain() && reply.is(404)) {
               read = new Read(true, null, StoreWire.parseRevision(reply.body()));
             }
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.warn("the store's answer on the generation is malformed");
           }
           onRead.accept(read);
@@ -365,7 +370,7 @@
         long revision = StoreWire.parseRevision(reply.body());
         return sent.isGood(revision) ? new Read(true, null, revision) : Read.FAILED;
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       return Read.FAILED;
     }
     return Read.FAILED;
@@ -441,7 +446,7 @@
         after = page.next();
         complete = after == null;
         return true;
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         return false;
       }
     }
@@ -462,7 +467,7 @@
         StoreWire.Changes changes = StoreWire.parseChanges(reply.body(), sent.space());
         return new Followed(reply, sent.isGood(changes.revision()) ? changes : null);
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.warn("what the store tells of changes is malformed: {}", e.getMessage());
     }
     return new Followed(reply, null);
@@ -476,12 +481,12 @@
 
   /** Waits for another generation to count; the reply says no more than that it is time to look. */
   public void watchGeneration(long after, Duration wait, Consumer<Reply> onReply) {
-    follow(Keys.GENERATION_PREFIX, after, wait, onReply);
+    follow(RecordKeys.GENERATION_PREFIX, after, wait, onReply);
   }
 
   private void follow(String path, long after, Duration wait, Consumer<Reply> onReply) {
-    requests.take(1, time.now());
-    http.call(
+    requests.take(1, eventLoop.now());
+    httpClient.call(
         Request.get(address, StoreWire.watchPath(path, after, wait), wait.plusSeconds(5)), onReply);
   }
 
@@ -529,7 +534,7 @@
               onPage.accept(anyRevision || sent.isGood(page.revision()) ? page : null);
               return;
             }
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.warn("a page of the store is malformed: {}", e.getMessage());
           }
           onPage.accept(null);
@@ -555,7 +560,7 @@
               onDone.accept(StoreWire.parseFailed(reply.body(), sent.space()));
               return;
             }
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             log.warn("the store's answer to a comparison is malformed");
           }
           onDone.accept(null);
--- a/src/main/java/io/pineladder/upgrade/ClusterVersion.java
+++ b/src/main/java/io/pineladder/upgrade/ClusterVersion.java
@@ -1,7 +1,7 @@
 package io.pineladder.upgrade;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -81,7 +81,7 @@
   public void learn(JsonNode record) {
     try {
       raise(RecordWire.parseVersion(record));
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       log.error("the record of the cluster version cannot be read: {}", e.getMessage());
     }
   }
--- a/src/main/java/io/pineladder/upgrade/VersionRaiser.java
+++ b/src/main/java/io/pineladder/upgrade/VersionRaiser.java
@@ -1,9 +1,9 @@
 package io.pineladder.upgrade;
 
 import io.pineladder.membership.Membership;
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.util.List;
@@ -21,7 +21,7 @@
 
   private final ClusterVersion version;
   private final Supplier<List<Membership.View>> peers;
-  private final Timeline time;
+  private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
   private final BooleanSupplier leading;
   private final Runnable onRaised;
@@ -34,13 +34,13 @@
   public VersionRaiser(
       ClusterVersion version,
       Supplier<List<Membership.View>> peers,
-      Timeline time,
+      EventLoop eventLoop,
       Consumer<Mutation> commit,
       BooleanSupplier leading,
       Runnable onRaised) {
     this.version = version;
     this.peers = peers;
-    this.time = time;
+    this.eventLoop = eventLoop;
     this.commit = commit;
     this.leading = leading;
     this.onRaised = onRaised;
@@ -55,14 +55,15 @@
       return;
     }
     if (!allSupportIt()) {
-      time.after(REVIEW, this::review);
+      eventLoop.schedule(REVIEW, this::review);
       return;
     }
     commit.accept(
         Mutation.of(
             Mutation.Priority.ACCEPT,
             List.of(
-                new Mutation.Write(Keys.VERSION, () -> RecordWire.version(version.supported()))),
+                new Mutation.Write(
+                    RecordKeys.VERSION, () -> RecordWire.version(version.supported()))),
             this::raised));
   }
 
--- a/src/main/java/io/pineladder/wire/CloudWire.java
+++ b/src/main/java/io/pineladder/wire/CloudWire.java
@@ -37,11 +37,11 @@
   /** A page of the machine list. */
   public record Page(List<Listed> machines, boolean more) {}
 
-  public static List<MachineType> parseTypes(byte[] body) throws MalformedException {
+  public static List<MachineType> parseTypes(byte[] body) throws MalformedMessageException {
     return types(new Fields(Json.parseObject(body)));
   }
 
-  static List<MachineType> types(Fields in) throws MalformedException {
+  static List<MachineType> types(Fields in) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (Fields type : in.objects("hulls")) {
       List<String> zones = type.textsOrNull("yards");
@@ -69,14 +69,14 @@
       ObjectNode item =
           list.addObject()
               .put("sku", type.name())
-              .put("vcpus", type.size().cpus())
-              .put("cards", type.size().gpus())
-              .put("memory_gb", type.size().memoryGb())
+              .put("vcpus", type.capacity().cpus())
+              .put("cards", type.capacity().gpus())
+              .put("memory_gb", type.capacity().memoryGb())
               .put("local_gb", type.cacheGb())
               .put("pull_gb_per_s", type.fetchGbPerSecond())
-              .put("hourly", type.price())
+              .put("hourly", type.onDemandPrice())
               .put("spot_price", type.spotPrice())
-              .put("boot_s", JobWire.seconds(type.boot()));
+              .put("boot_s", JobWire.seconds(type.bootTime()));
       ArrayNode zones = item.putArray("yards");
       type.zones().forEach(zones::add);
     }
@@ -93,7 +93,7 @@
             .put("count", count));
   }
 
-  public static List<String> parseRented(byte[] body) throws MalformedException {
+  public static List<String> parseRented(byte[] body) throws MalformedMessageException {
     List<String> names = new Fields(Json.parseObject(body)).textsOrNull("hosts");
     return names == null ? List.of() : names;
   }
@@ -105,7 +105,7 @@
     return Json.bytes(out);
   }
 
-  public static Page parsePage(byte[] body) throws MalformedException {
+  public static Page parsePage(byte[] body) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<Listed> machines = new ArrayList<>();
     for (Fields item : in.objects("hosts")) {
--- a/src/main/java/io/pineladder/wire/DeliveryWire.java
+++ b/src/main/java/io/pineladder/wire/DeliveryWire.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pineladder.model.DeliveryProgress;
 import io.pineladder.model.Job;
-import io.pineladder.model.Notice;
-import io.pineladder.model.Progress;
+import io.pineladder.model.Notification;
 import io.pineladder.model.Subscription;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -55,11 +55,11 @@
             .put("name", from.name())
             .put("incarnation", from.incarnation())
             .put("url", from.url())
-            .put("since", from.since());
+            .put("since", from.createdAfterNumber());
     ArrayNode filters = out.putArray("filters");
     for (Subscription.Filter filter : from.filters()) {
-      ObjectNode one = filters.addObject().put("after", filter.after());
-      one.set("owners", texts(filter.owners().stream().sorted().toList()));
+      ObjectNode one = filters.addObject().put("after", filter.afterNumber());
+      one.set("owners", texts(filter.teams().stream().sorted().toList()));
       one.set("classes", texts(filter.classes().stream().sorted().toList()));
     }
     out.set("secrets", texts(from.secrets()));
@@ -67,7 +67,7 @@
     return from.reason() == null ? out : out.put("reason", from.reason());
   }
 
-  public static Subscription parseSubscription(JsonNode value) throws MalformedException {
+  public static Subscription parseSubscription(JsonNode value) throws MalformedMessageException {
     Fields in = Fields.of(value);
     List<Subscription.Filter> filters = new ArrayList<>();
     for (JsonNode filter : in.node("filters")) {
@@ -78,13 +78,13 @@
               texts(filter.path("classes"))));
     }
     if (filters.isEmpty()) {
-      throw new MalformedException("filters is empty");
+      throw new MalformedMessageException("filters is empty");
     }
     Subscription.Status status;
     try {
       status = Subscription.Status.valueOf(in.text("status").toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
-      throw new MalformedException("unknown status");
+      throw new MalformedMessageException("unknown status");
     }
     return new Subscription(
         in.text("name"),
@@ -98,24 +98,30 @@
   }
 
   /** A page of what subscribers have confirmed, by their events' source. */
-  public static ObjectNode progress(Map<String, Progress> entries) {
+  public static ObjectNode progress(Map<String, DeliveryProgress> entries) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("progress");
     entries.forEach(
         (source, at) ->
-            list.addArray().add(source).add(at.number()).add(at.sequence()).add(at.lostFrom()));
+            list.addArray()
+                .add(source)
+                .add(at.lastNumber())
+                .add(at.lastSequence())
+                .add(at.firstLostSequence()));
     return out;
   }
 
-  public static Map<String, Progress> parseProgress(JsonNode value) throws MalformedException {
-    Map<String, Progress> out = new LinkedHashMap<>();
+  public static Map<String, DeliveryProgress> parseProgress(JsonNode value)
+      throws MalformedMessageException {
+    Map<String, DeliveryProgress> out = new LinkedHashMap<>();
     for (JsonNode entry : Fields.of(value).node("progress")) {
       if (entry.size() != 4) {
-        throw new MalformedException("a subscriber's progress does not have its 4 parts");
+        throw new MalformedMessageException("a subscriber's progress does not have its 4 parts");
       }
       out.put(
           entry.get(0).asText(),
-          new Progress(entry.get(1).asLong(), entry.get(2).asLong(), entry.get(3).asLong()));
+          new DeliveryProgress(
+              entry.get(1).asLong(), entry.get(2).asLong(), entry.get(3).asLong()));
     }
     return out;
   }
@@ -126,14 +132,14 @@
     return out;
   }
 
-  public static List<String> parseNetworks(JsonNode value) throws MalformedException {
+  public static List<String> parseNetworks(JsonNode value) throws MalformedMessageException {
     JsonNode list = Fields.of(value).node("networks");
     if (!list.isArray()) {
-      throw new MalformedException("networks is not a list");
+      throw new MalformedMessageException("networks is not a list");
     }
     for (JsonNode each : list) {
       if (!each.isTextual()) {
-        throw new MalformedException("networks holds something that is not a text");
+        throw new MalformedMessageException("networks holds something that is not a text");
       }
     }
     return textList(list);
@@ -155,21 +161,21 @@
   }
 
   /** The event that tells of a notice; byte for byte the same on every repeat. */
-  public static byte[] event(Subscription to, long sequence, Notice notice) {
+  public static byte[] event(Subscription to, long sequence, Notification notification) {
     ObjectNode event =
-        event(to, sequence, notice.ended() == Job.State.DONE ? DONE : CANCELLED)
-            .put("subject", notice.job())
-            .put("time", notice.at().toString())
+        event(to, sequence, notification.finalState() == Job.State.DONE ? DONE : CANCELLED)
+            .put("subject", notification.job())
+            .put("time", notification.endedAt().toString())
             .put("datacontenttype", "application/json")
             // The sequence extension: a text whose order is that of the numbers.
             .put("sequence", String.format(Locale.ROOT, "%019d", sequence));
     event
         .putObject("data")
-        .put("job", notice.job())
-        .put("owner", notice.team())
-        .put("class", notice.jobClass())
-        .put("answer", RecordWire.word(notice.ended()))
-        .put("tasks", notice.tasks());
+        .put("job", notification.job())
+        .put("owner", notification.team())
+        .put("class", notification.jobClass())
+        .put("answer", RecordWire.word(notification.finalState()))
+        .put("tasks", notification.tasks());
     return Json.bytes(event);
   }
 
@@ -189,11 +195,11 @@
   public record Event(String source, String type, long first, long sequence, ObjectNode json) {}
 
   /** Reads an event; the reason names what of it is wrong. */
-  public static Event parseEvent(byte[] body) throws MalformedException {
+  public static Event parseEvent(byte[] body) throws MalformedMessageException {
     ObjectNode json = Json.parseObject(body);
     Fields in = Fields.of(json);
     if (!in.text("specversion").equals("1.0")) {
-      throw new MalformedException("specversion is not 1.0");
+      throw new MalformedMessageException("specversion is not 1.0");
     }
     in.text("id");
     String source = in.text("source");
@@ -202,12 +208,12 @@
     try {
       sequence = Long.parseLong(in.text("sequence"));
     } catch (NumberFormatException e) {
-      throw new MalformedException("sequence is not a number");
+      throw new MalformedMessageException("sequence is not a number");
     }
     long first =
         type.equals(LOST) ? Fields.of(in.node("data")).whole("first", 1, sequence) : sequence;
     if (sequence < 1) {
-      throw new MalformedException("sequence is below 1");
+      throw new MalformedMessageException("sequence is below 1");
     }
     return new Event(source, type, first, sequence, json);
   }
@@ -224,7 +230,7 @@
       return position.canConvertToLong() && position.asLong() >= 0 && position.isIntegralNumber()
           ? position.asLong()
           : -1;
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       return -1;
     }
   }
--- a/src/main/java/io/pineladder/wire/Fields.java
+++ b/src/main/java/io/pineladder/wire/Fields.java
@@ -16,9 +16,9 @@
     this.object = object;
   }
 
-  static Fields of(JsonNode node) throws MalformedException {
+  static Fields of(JsonNode node) throws MalformedMessageException {
     if (!(node instanceof ObjectNode object)) {
-      throw new MalformedException("not an object");
+      throw new MalformedMessageException("not an object");
     }
     return new Fields(object);
   }
@@ -28,93 +28,93 @@
     return node == null || node.isNull() ? null : node;
   }
 
-  private JsonNode required(String name) throws MalformedException {
+  private JsonNode required(String name) throws MalformedMessageException {
     JsonNode node = present(name);
     if (node == null) {
-      throw new MalformedException(name + " is missing");
+      throw new MalformedMessageException(name + " is missing");
     }
     return node;
   }
 
-  String text(String name) throws MalformedException {
+  String text(String name) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isTextual() || node.textValue().isEmpty()) {
-      throw new MalformedException(name + " is not a text");
+      throw new MalformedMessageException(name + " is not a text");
     }
     return node.textValue();
   }
 
-  String textOr(String name, String fallback) throws MalformedException {
+  String textOr(String name, String fallback) throws MalformedMessageException {
     return present(name) == null ? fallback : text(name);
   }
 
-  boolean flag(String name) throws MalformedException {
+  boolean flag(String name) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isBoolean()) {
-      throw new MalformedException(name + " is not true or false");
+      throw new MalformedMessageException(name + " is not true or false");
     }
     return node.booleanValue();
   }
 
-  boolean flagOr(String name, boolean fallback) throws MalformedException {
+  boolean flagOr(String name, boolean fallback) throws MalformedMessageException {
     return present(name) == null ? fallback : flag(name);
   }
 
-  long whole(String name, long least, long most) throws MalformedException {
+  long whole(String name, long least, long most) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isIntegralNumber() || !node.canConvertToLong()) {
-      throw new MalformedException(name + " is not a whole number");
+      throw new MalformedMessageException(name + " is not a whole number");
     }
     long value = node.longValue();
     if (value < least || value > most) {
-      throw new MalformedException(name + " is out of range");
+      throw new MalformedMessageException(name + " is out of range");
     }
     return value;
   }
 
-  double number(String name, double least, double most) throws MalformedException {
+  double number(String name, double least, double most) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isNumber()) {
-      throw new MalformedException(name + " is not a number");
+      throw new MalformedMessageException(name + " is not a number");
     }
     double value = node.doubleValue();
     if (!(value >= least && value <= most)) {
-      throw new MalformedException(name + " is out of range");
+      throw new MalformedMessageException(name + " is out of range");
     }
     return value;
   }
 
-  Duration seconds(String name) throws MalformedException {
+  Duration seconds(String name) throws MalformedMessageException {
     return Duration.ofNanos(Math.round(number(name, 0, MAX_SECONDS) * 1e9));
   }
 
-  Duration secondsOrNull(String name) throws MalformedException {
+  Duration secondsOrNull(String name) throws MalformedMessageException {
     return present(name) == null ? null : seconds(name);
   }
 
   /** The texts of a list, or null when the field is absent. */
-  List<String> textsOrNull(String name) throws MalformedException {
+  List<String> textsOrNull(String name) throws MalformedMessageException {
     JsonNode node = present(name);
     if (node == null) {
       return null;
     }
     if (!node.isArray()) {
-      throw new MalformedException(name + " is not a list");
+      throw new MalformedMessageException(name + " is not a list");
     }
     List<String> texts = new ArrayList<>();
     for (JsonNode item : node) {
       if (!item.isTextual()) {
-        throw new MalformedException(name + " holds something that is not a text");
+        throw new MalformedMessageException(name + " holds something that is not a text");
       }
       texts.add(item.textValue());
     }
     return texts;
   }
 
-  List<Fields> objects(String name) throws MalformedException {
+  List<Fields> objects(String name) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isArray()) {
-      throw new MalformedException(name + " is not a list");
+      throw new MalformedMessageException(name + " is not a list");
     }
     List<Fields> items = new ArrayList<>(node.size());
     for (JsonNode item : node) {
@@ -123,7 +123,7 @@
     return items;
   }
 
-  JsonNode node(String name) throws MalformedException {
+  JsonNode node(String name) throws MalformedMessageException {
     return required(name);
   }
 }
--- a/src/main/java/io/pineladder/wire/BeatWire.java
+++ b/src/main/java/io/pineladder/wire/GossipWire.java
@@ -10,14 +10,14 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** What controllers tell one another about themselves and the others, in MessagePack. */
-public final class BeatWire {
+public final class GossipWire {
   /** The path, on the cluster listener, that takes beats. */
   public static final String PATH = "/peer/v1/beat";
 
   private static final int VERSION = 1;
   private static final int MOST_PEERS = 64;
 
-  private BeatWire() {}
+  private GossipWire() {}
 
   /**
    * What a controller has of a peer.
@@ -26,7 +26,7 @@
    * @param nonce the peer's process
    * @param sequence the number of that beat, which shows the peer how old this is at most
    */
-  public record Heard(Duration ago, String nonce, long sequence) {}
+  public record PeerContact(Duration ago, String nonce, long sequence) {}
 
   /**
    * What a controller knows of the records in the state service.
@@ -61,17 +61,17 @@
    * @param stored what it knows of the records
    * @param version the newest cluster version that its software supports
    */
-  public record Beat(
+  public record Heartbeat(
       String member,
       String nonce,
       long sequence,
       boolean storeOk,
       long term,
-      Map<String, Heard> heard,
+      Map<String, PeerContact> heard,
       Stored stored,
       int version) {}
 
-  public static byte[] write(Beat beat) {
+  public static byte[] write(Heartbeat beat) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
       out.packString(beat.member());
@@ -80,7 +80,7 @@
       out.packBoolean(beat.storeOk());
       out.packLong(beat.term());
       out.packMapHeader(beat.heard().size());
-      for (Map.Entry<String, Heard> each : beat.heard().entrySet()) {
+      for (Map.Entry<String, PeerContact> each : beat.heard().entrySet()) {
         out.packString(each.getKey());
         out.packLong(each.getValue().ago().toMillis());
         out.packString(each.getValue().nonce());
@@ -102,10 +102,10 @@
     }
   }
 
-  public static Beat parse(byte[] body) throws MalformedException {
+  public static Heartbeat parse(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
-        throw new MalformedException("another version");
+        throw new MalformedMessageException("another version");
       }
       String member = in.unpackString();
       String nonce = in.unpackString();
@@ -114,16 +114,17 @@
       long term = in.unpackLong();
       int count = in.unpackMapHeader();
       if (count > MOST_PEERS) {
-        throw new MalformedException("too many peers");
+        throw new MalformedMessageException("too many peers");
       }
-      Map<String, Heard> heard = new LinkedHashMap<>();
+      Map<String, PeerContact> heard = new LinkedHashMap<>();
       for (int i = 0; i < count; i++) {
         String peer = in.unpackString();
         long millis = in.unpackLong();
         if (millis < 0) {
-          throw new MalformedException("heard in the future");
+          throw new MalformedMessageException("heard in the future");
         }
-        heard.put(peer, new Heard(Duration.ofMillis(millis), in.unpackString(), in.unpackLong()));
+        heard.put(
+            peer, new PeerContact(Duration.ofMillis(millis), in.unpackString(), in.unpackLong()));
       }
       // Controllers of before tell nothing of the records.
       Stored stored =
@@ -138,9 +139,9 @@
                   in.unpackBoolean())
               : Stored.NOTHING;
       int version = in.hasNext() ? in.unpackInt() : ClusterVersion.UNVERSIONED;
-      return new Beat(member, nonce, sequence, storeOk, term, heard, stored, version);
+      return new Heartbeat(member, nonce, sequence, storeOk, term, heard, stored, version);
     } catch (IOException | RuntimeException e) {
-      throw new MalformedException("not a beat");
+      throw new MalformedMessageException("not a beat");
     }
   }
 }
--- a/src/main/java/io/pineladder/wire/JobWire.java
+++ b/src/main/java/io/pineladder/wire/JobWire.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -21,11 +21,18 @@
   private static final String PREREQUISITES = "waits_on";
   private static final double MAX_AMOUNT = 1e6;
   private static final Pattern ID = Pattern.compile("req-[0-9]{1,120}");
-  private static final Map<String, Shape> SHAPES =
-      Map.of("array", Shape.ARRAY, "group", Shape.GANG, "service", Shape.SERVICE);
-  private static final Map<String, Rank> RANKS =
+  private static final Map<String, JobKind> SHAPES =
+      Map.of("array", JobKind.ARRAY, "group", JobKind.GANG, "service", JobKind.SERVICE);
+  private static final Map<String, PriorityClass> RANKS =
       Map.of(
-          "prod", Rank.PRODUCTION, "urgent", Rank.HIGH, "standard", Rank.NORMAL, "low", Rank.LOW);
+          "prod",
+          PriorityClass.PRODUCTION,
+          "urgent",
+          PriorityClass.HIGH,
+          "standard",
+          PriorityClass.NORMAL,
+          "low",
+          PriorityClass.LOW);
 
   private JobWire() {}
 
@@ -33,21 +40,21 @@
     return ID.matcher(text).matches();
   }
 
-  public static JobSpec parse(byte[] body) throws MalformedException {
+  public static JobSpec parse(byte[] body) throws MalformedMessageException {
     if (body.length > MAX_BODY) {
-      throw new MalformedException("longer than 64 KiB");
+      throw new MalformedMessageException("longer than 64 KiB");
     }
     return parse(new Fields(Json.parseObject(body)));
   }
 
-  static JobSpec parse(Fields in) throws MalformedException {
+  static JobSpec parse(Fields in) throws MalformedMessageException {
     String id = in.text("ref");
     if (!isId(id)) {
-      throw new MalformedException("ref is not a job id");
+      throw new MalformedMessageException("ref is not a job id");
     }
     List<String> types = in.textsOrNull("hulls");
     if (types != null && types.isEmpty()) {
-      throw new MalformedException("hulls is empty");
+      throw new MalformedMessageException("hulls is empty");
     }
     return new JobSpec(
         id,
@@ -77,32 +84,33 @@
   }
 
   /** The jobs that this one waits for, each once; none where the field is null or absent. */
-  private static List<String> prerequisites(Fields in) throws MalformedException {
+  private static List<String> prerequisites(Fields in) throws MalformedMessageException {
     List<String> ids = in.textsOrNull(PREREQUISITES);
     if (ids == null) {
       return List.of();
     }
     for (String id : ids) {
       if (!isId(id)) {
-        throw new MalformedException(PREREQUISITES + " holds something that is not a job id");
+        throw new MalformedMessageException(
+            PREREQUISITES + " holds something that is not a job id");
       }
     }
     return ids.stream().distinct().toList();
   }
 
-  private static String name(Fields in, String field) throws MalformedException {
+  private static String name(Fields in, String field) throws MalformedMessageException {
     String text = in.text(field);
     if (text.length() > MAX_NAME) {
-      throw new MalformedException(field + " is too long");
+      throw new MalformedMessageException(field + " is too long");
     }
     return text;
   }
 
   private static <T> T choice(Fields in, String field, Map<String, T> choices)
-      throws MalformedException {
+      throws MalformedMessageException {
     T chosen = choices.get(in.text(field));
     if (chosen == null) {
-      throw new MalformedException(field + " is none of " + choices.keySet());
+      throw new MalformedMessageException(field + " is none of " + choices.keySet());
     }
     return chosen;
   }
@@ -112,12 +120,12 @@
     out.put("ref", spec.id());
     out.put("jobclass", spec.jobClass());
     out.put("owner", spec.team());
-    out.put("shape", keyOf(SHAPES, spec.shape()));
-    out.put("rank", keyOf(RANKS, spec.rank()));
+    out.put("shape", keyOf(SHAPES, spec.kind()));
+    out.put("rank", keyOf(RANKS, spec.priorityClass()));
     out.put("pieces", spec.tasks());
-    out.put("vcpus", spec.each().cpus());
-    out.put("cards", spec.each().gpus());
-    out.put("memory_gb", spec.each().memoryGb());
+    out.put("vcpus", spec.resourcesPerTask().cpus());
+    out.put("cards", spec.resourcesPerTask().gpus());
+    out.put("memory_gb", spec.resourcesPerTask().memoryGb());
     if (spec.types() != null) {
       ArrayNode types = out.putArray("hulls");
       spec.types().forEach(types::add);
@@ -125,14 +133,14 @@
     if (spec.zone() != null) {
       out.put("yard", spec.zone());
     }
-    out.put("together", spec.together());
-    out.put("spread", spec.spread());
+    out.put("together", spec.sameZone());
+    out.put("spread", spec.spreadAcrossZones());
     out.put("loaners", spec.spotAllowed());
     out.put("bundle", spec.image());
     out.put("image_gb", spec.imageGb());
-    out.put("guess_s", seconds(spec.estimate()));
-    out.put("mark_every_s", seconds(spec.checkpointEvery()));
-    out.put("stow_s", seconds(spec.saveTime()));
+    out.put("guess_s", seconds(spec.estimatedRunTime()));
+    out.put("mark_every_s", seconds(spec.checkpointInterval()));
+    out.put("stow_s", seconds(spec.checkpointDuration()));
     if (spec.deadline() != null) {
       out.put("due_s", seconds(spec.deadline()));
     }
--- a/src/main/java/io/pineladder/wire/Json.java
+++ b/src/main/java/io/pineladder/wire/Json.java
@@ -33,15 +33,15 @@
   }
 
   /** Reads a JSON object. */
-  public static ObjectNode parseObject(byte[] body) throws MalformedException {
+  public static ObjectNode parseObject(byte[] body) throws MalformedMessageException {
     JsonNode node;
     try {
       node = MAPPER.readTree(body);
     } catch (IOException e) {
-      throw new MalformedException("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
     if (!(node instanceof ObjectNode object)) {
-      throw new MalformedException("not an object");
+      throw new MalformedMessageException("not an object");
     }
     return object;
   }
--- a/src/main/java/io/pineladder/wire/PeerWire.java
+++ b/src/main/java/io/pineladder/wire/PeerWire.java
@@ -1,6 +1,6 @@
 package io.pineladder.wire;
 
-import io.pineladder.net.HttpAnswer;
+import io.pineladder.net.HttpResponse;
 import java.io.IOException;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
@@ -19,7 +19,7 @@
   public record Forward(String method, String path, byte[] body, int hops) {}
 
   /** The answer, with the name of the leader that the answering node knows, or null. */
-  public record Answer(boolean decided, HttpAnswer answer, String leader) {}
+  public record Answer(boolean decided, HttpResponse answer, String leader) {}
 
   public static byte[] write(Forward forward) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
@@ -35,17 +35,17 @@
     }
   }
 
-  public static Forward parseForward(byte[] body) throws MalformedException {
+  public static Forward parseForward(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
-        throw new MalformedException("another version");
+        throw new MalformedMessageException("another version");
       }
       String method = in.unpackString();
       String path = in.unpackString();
       byte[] payload = in.readPayload(in.unpackBinaryHeader());
       return new Forward(method, path, payload, in.unpackInt());
     } catch (IOException | RuntimeException e) {
-      throw new MalformedException("not a forwarded request");
+      throw new MalformedMessageException("not a forwarded request");
     }
   }
 
@@ -53,7 +53,7 @@
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
       out.packBoolean(answer.decided());
-      HttpAnswer http = answer.answer();
+      HttpResponse http = answer.answer();
       out.packInt(http.status());
       out.packInt(http.retryAfterSeconds());
       out.packBinaryHeader(http.body().length);
@@ -69,19 +69,19 @@
     }
   }
 
-  public static Answer parseAnswer(byte[] body) throws MalformedException {
+  public static Answer parseAnswer(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
-        throw new MalformedException("another version");
+        throw new MalformedMessageException("another version");
       }
       boolean decided = in.unpackBoolean();
       int status = in.unpackInt();
       int retryAfter = in.unpackInt();
       byte[] payload = in.readPayload(in.unpackBinaryHeader());
       String leader = in.tryUnpackNil() ? null : in.unpackString();
-      return new Answer(decided, new HttpAnswer(status, payload, retryAfter), leader);
+      return new Answer(decided, new HttpResponse(status, payload, retryAfter), leader);
     } catch (IOException | RuntimeException e) {
-      throw new MalformedException("not a peer's answer");
+      throw new MalformedMessageException("not a peer's answer");
     }
   }
 }
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -9,7 +9,7 @@
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Notice;
+import io.pineladder.model.Notification;
 import io.pineladder.model.OperatorSettings;
 import java.time.Duration;
 import java.time.Instant;
@@ -66,12 +66,12 @@
     };
   }
 
-  private static Job.State state(String word) throws MalformedException {
+  private static Job.State state(String word) throws MalformedMessageException {
     return switch (word) {
       case "active" -> Job.State.ACTIVE;
       case "cancelled" -> Job.State.CANCELLED;
       case "done" -> Job.State.DONE;
-      default -> throw new MalformedException("unknown job state");
+      default -> throw new MalformedMessageException("unknown job state");
     };
   }
 
@@ -83,7 +83,7 @@
     return out;
   }
 
-  public static StoredJob parseJob(JsonNode value) throws MalformedException {
+  public static StoredJob parseJob(JsonNode value) throws MalformedMessageException {
     Fields in = Fields.of(value);
     return new StoredJob(
         JobWire.parse(Fields.of(in.node("spec"))),
@@ -120,13 +120,13 @@
     return out;
   }
 
-  public static void addRanges(JsonNode value, BitSet done) throws MalformedException {
+  public static void addRanges(JsonNode value, BitSet done) throws MalformedMessageException {
     if (!value.isArray()) {
-      throw new MalformedException("done is not a list");
+      throw new MalformedMessageException("done is not a list");
     }
     for (JsonNode range : value) {
       if (range.size() != 2 || range.get(0).asInt(-1) < 0 || range.get(1).asInt(-1) < 0) {
-        throw new MalformedException("done holds something that is not a range");
+        throw new MalformedMessageException("done holds something that is not a range");
       }
       done.set(range.get(0).intValue(), range.get(1).intValue() + 1);
     }
@@ -141,33 +141,33 @@
   }
 
   /** A page of jobs with the notices of those that are over. */
-  public static ObjectNode page(Stream<JsonNode> entries, Collection<Notice> notices) {
+  public static ObjectNode page(Stream<JsonNode> entries, Collection<Notification> notices) {
     ObjectNode page = page(entries);
     if (!notices.isEmpty()) {
       ArrayNode list = page.putArray("notices");
-      notices.forEach(notice -> list.add(notice(notice)));
+      notices.forEach(notification -> list.add(notice(notification)));
     }
     return page;
   }
 
-  public static JsonNode notice(Notice notice) {
+  public static JsonNode notice(Notification notification) {
     return Json.array()
-        .add(notice.number())
-        .add(notice.job())
-        .add(notice.team())
-        .add(notice.jobClass())
-        .add(word(notice.ended()))
-        .add(notice.tasks())
-        .add(notice.at().toEpochMilli());
+        .add(notification.number())
+        .add(notification.job())
+        .add(notification.team())
+        .add(notification.jobClass())
+        .add(word(notification.finalState()))
+        .add(notification.tasks())
+        .add(notification.endedAt().toEpochMilli());
   }
 
   /** The notices in a page of jobs. */
-  public static List<Notice> notices(JsonNode page) throws MalformedException {
-    List<Notice> notices = new ArrayList<>();
+  public static List<Notification> notices(JsonNode page) throws MalformedMessageException {
+    List<Notification> notices = new ArrayList<>();
     for (JsonNode entry : page.path("notices")) {
       sized(entry, 7);
       notices.add(
-          new Notice(
+          new Notification(
               entry.get(0).asLong(),
               entry.get(1).asText(),
               entry.get(2).asText().intern(),
@@ -180,19 +180,19 @@
   }
 
   /** A page's entries, as {@link #placement}, {@link #done} or {@link #images} wrote them. */
-  public static List<JsonNode> entries(JsonNode page) throws MalformedException {
+  public static List<JsonNode> entries(JsonNode page) throws MalformedMessageException {
     JsonNode list = Fields.of(page).node("entries");
     if (!list.isArray()) {
-      throw new MalformedException("entries is not a list");
+      throw new MalformedMessageException("entries is not a list");
     }
     List<JsonNode> entries = new ArrayList<>(list.size());
     list.forEach(entries::add);
     return entries;
   }
 
-  private static JsonNode sized(JsonNode entry, int size) throws MalformedException {
+  private static JsonNode sized(JsonNode entry, int size) throws MalformedMessageException {
     if (!entry.isArray() || entry.size() != size) {
-      throw new MalformedException("an entry does not have its " + size + " parts");
+      throw new MalformedMessageException("an entry does not have its " + size + " parts");
     }
     return entry;
   }
@@ -210,7 +210,7 @@
         .add(attempt.number);
   }
 
-  public static Placement parsePlacement(JsonNode entry) throws MalformedException {
+  public static Placement parsePlacement(JsonNode entry) throws MalformedMessageException {
     sized(entry, 8);
     return new Placement(
         entry.get(0).asText(),
@@ -233,14 +233,14 @@
     return ((ArrayNode) done(job, done, chunk, chunkTasks)).add(chunkTasks);
   }
 
-  public static StoredDone parseDone(JsonNode entry) throws MalformedException {
+  public static StoredDone parseDone(JsonNode entry) throws MalformedMessageException {
     boolean tellsSize = entry.isArray() && entry.size() == 4;
     sized(entry, tellsSize ? 4 : 3);
     BitSet done = new BitSet();
     addRanges(entry.get(2), done);
     int chunkTasks = tellsSize ? entry.get(3).asInt() : 0;
     if (tellsSize && chunkTasks < 1) {
-      throw new MalformedException("a chunk has no tasks");
+      throw new MalformedMessageException("a chunk has no tasks");
     }
     return new StoredDone(entry.get(0).asText(), entry.get(1).asInt(), done, chunkTasks, entry);
   }
@@ -251,7 +251,7 @@
     return Json.array().add(machine).add(cached);
   }
 
-  public static StoredImages parseImages(JsonNode entry) throws MalformedException {
+  public static StoredImages parseImages(JsonNode entry) throws MalformedMessageException {
     sized(entry, 2);
     Map<String, Double> images = new LinkedHashMap<>();
     for (var image : entry.get(1).properties()) {
@@ -266,7 +266,7 @@
   }
 
   /** The cluster version that such a record names. */
-  public static int parseVersion(JsonNode value) throws MalformedException {
+  public static int parseVersion(JsonNode value) throws MalformedMessageException {
     return (int) Fields.of(value).whole("version", 1, Integer.MAX_VALUE);
   }
 
@@ -274,7 +274,7 @@
     return Json.object().put("state", word(state));
   }
 
-  public static Job.State parseEnd(JsonNode value) throws MalformedException {
+  public static Job.State parseEnd(JsonNode value) throws MalformedMessageException {
     return state(Fields.of(value).text("state"));
   }
 
@@ -282,19 +282,22 @@
   public static ObjectNode generation(Generation generation) {
     return Json.object()
         .put("base", generation.base())
-        .put("whole", generation.phase() == Generation.Phase.WHOLE)
+        .put("whole", generation.phase() == Generation.Phase.COMPLETE)
         .put("exact", generation.exact())
-        .put("member", generation.by().member())
-        .put("nonce", generation.by().nonce());
+        .put("member", generation.writer().controllerName())
+        .put("nonce", generation.writer().nonce());
   }
 
   /** Reads such a record, whose revision is part of the generation. */
-  public static Generation parseGeneration(JsonNode value, long version) throws MalformedException {
+  public static Generation parseGeneration(JsonNode value, long version)
+      throws MalformedMessageException {
     Fields in = Fields.of(value);
     return new Generation(
         in.whole("base", 1, ANY),
         version,
-        value.path("whole").asBoolean(false) ? Generation.Phase.WHOLE : Generation.Phase.REBUILDING,
+        value.path("whole").asBoolean(false)
+            ? Generation.Phase.COMPLETE
+            : Generation.Phase.REBUILDING,
         value.path("exact").asBoolean(false),
         new Generation.Writer(in.text("member"), in.text("nonce")));
   }
@@ -308,10 +311,10 @@
   }
 
   /** The jobs in such a value. */
-  public static List<String> parseEnds(JsonNode value) throws MalformedException {
+  public static List<String> parseEnds(JsonNode value) throws MalformedMessageException {
     List<String> ids = Fields.of(value).textsOrNull("jobs");
     if (ids == null) {
-      throw new MalformedException("no list of jobs");
+      throw new MalformedMessageException("no list of jobs");
     }
     return ids;
   }
@@ -323,7 +326,7 @@
         .put("nonce", leader.nonce());
   }
 
-  public static LeaderRecord parseLeader(JsonNode value) throws MalformedException {
+  public static LeaderRecord parseLeader(JsonNode value) throws MalformedMessageException {
     Fields in = Fields.of(value);
     return new LeaderRecord(in.text("member"), in.text("address"), in.text("nonce"));
   }
@@ -332,7 +335,7 @@
     return CloudWire.writeTypes(types);
   }
 
-  public static List<MachineType> parseTypes(JsonNode value) throws MalformedException {
+  public static List<MachineType> parseTypes(JsonNode value) throws MalformedMessageException {
     return CloudWire.types(Fields.of(value));
   }
 
@@ -341,19 +344,19 @@
         .put("initial_backoff_s", JobWire.seconds(settings.initialBackoff()))
         .put("max_backoff_s", JobWire.seconds(settings.maxBackoff()))
         .put("backoff_window_s", JobWire.seconds(settings.backoffWindow()))
-        .put("idle_release_s", JobWire.seconds(settings.idleRelease()));
+        .put("idle_release_s", JobWire.seconds(settings.idleReleaseAfter()));
   }
 
   /** Reads operator settings; a field that is left out keeps its present value. */
   public static OperatorSettings parseOperator(JsonNode value, OperatorSettings present)
-      throws MalformedException {
+      throws MalformedMessageException {
     ObjectNode merged = operator(present);
     if (!(value instanceof ObjectNode object)) {
-      throw new MalformedException("not an object");
+      throw new MalformedMessageException("not an object");
     }
     for (var field : object.properties()) {
       if (!merged.has(field.getKey())) {
-        throw new MalformedException(field.getKey() + " is no setting");
+        throw new MalformedMessageException(field.getKey() + " is no setting");
       }
       merged.set(field.getKey(), field.getValue());
     }
@@ -365,13 +368,13 @@
             bounded(in, "backoff_window_s", 0, 60),
             bounded(in, "idle_release_s", 0, 86_400));
     if (settings.maxBackoff().compareTo(settings.initialBackoff()) < 0) {
-      throw new MalformedException("max_backoff_s is below initial_backoff_s");
+      throw new MalformedMessageException("max_backoff_s is below initial_backoff_s");
     }
     return settings;
   }
 
   private static Duration bounded(Fields in, String name, double least, double most)
-      throws MalformedException {
+      throws MalformedMessageException {
     return Duration.ofNanos(Math.round(in.number(name, least, most) * 1e9));
   }
 }
--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -124,7 +124,7 @@
             workers.seconds("gang_wait_s", 0.01),
             workers.seconds("gang_peer_s", 0.01),
             workers.seconds("cancel_s", 0.01)),
-        inForce.within(toCome),
+        inForce.strictest(toCome),
         inForce,
         new Settings.CloudLimits(cloud.number("rps", 0.01, MAX), cloud.seconds("list_lag_s", 0)),
         deployment.has("resources")
