--- a/src/main/java/io/pineladder/wire/StoreWire.java
+++ b/src/main/java/io/pineladder/wire/StoreWire.java
@@ -100,11 +100,11 @@
   }
 
   /** One key; {@code space} is left out of its name. */
-  public static Entry parseEntry(byte[] body, String space) throws MalformedException {
+  public static Entry parseEntry(byte[] body, String space) throws MalformedMessageException {
     return entry(new Fields(Json.parseObject(body)), space);
   }
 
-  private static Entry entry(Fields in, String space) throws MalformedException {
+  private static Entry entry(Fields in, String space) throws MalformedMessageException {
     return new Entry(inside(in.text("path"), space), in.node("v"), in.whole("stamp", 0, ANY));
   }
 
@@ -113,16 +113,16 @@
   }
 
   /** The lease that a key is attached to; 0 when there is none. */
-  public static long parseAttached(byte[] body) throws MalformedException {
+  public static long parseAttached(byte[] body) throws MalformedMessageException {
     return Json.parseObject(body).path("hold").asLong(0);
   }
 
   /** The revision in a response. */
-  public static long parseRevision(byte[] body) throws MalformedException {
+  public static long parseRevision(byte[] body) throws MalformedMessageException {
     return new Fields(Json.parseObject(body)).whole("epoch", 0, ANY);
   }
 
-  public static Page parsePage(byte[] body, String space) throws MalformedException {
+  public static Page parsePage(byte[] body, String space) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<Entry> entries = new ArrayList<>();
     for (Fields item : in.objects("entries")) {
@@ -131,7 +131,7 @@
     return new Page(entries, in.flagOr("truncated", false), in.whole("epoch", 0, ANY));
   }
 
-  public static Changes parseChanges(byte[] body, String space) throws MalformedException {
+  public static Changes parseChanges(byte[] body, String space) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<Entry> entries = new ArrayList<>();
     for (Fields item : in.objects("log")) {
@@ -145,7 +145,8 @@
   }
 
   /** The keys whose conditions did not hold. */
-  public static List<String> parseFailed(byte[] body, String space) throws MalformedException {
+  public static List<String> parseFailed(byte[] body, String space)
+      throws MalformedMessageException {
     List<String> failed = new Fields(Json.parseObject(body)).textsOrNull("failed");
     return failed == null ? List.of() : failed.stream().map(key -> inside(key, space)).toList();
   }
@@ -154,7 +155,7 @@
     return Json.bytes(Json.object().put("life_ms", life.toMillis()));
   }
 
-  public static long parseLease(byte[] body) throws MalformedException {
+  public static long parseLease(byte[] body) throws MalformedMessageException {
     return new Fields(Json.parseObject(body)).whole("hold", 0, ANY);
   }
 }
--- a/src/main/java/io/pineladder/wire/WorkerWire.java
+++ b/src/main/java/io/pineladder/wire/WorkerWire.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.model.Cause;
+import io.pineladder.model.EndReason;
 import io.pineladder.model.Machine;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -13,45 +13,45 @@
 public final class WorkerWire {
   private static final Map<String, TaskState> STATES =
       Map.of(
-          "fetching", TaskState.FETCHING,
-          "gathering", TaskState.GATHERING,
+          "fetching", TaskState.FETCHING_IMAGE,
+          "gathering", TaskState.WAITING_FOR_GANG,
           "running", TaskState.RUNNING,
-          "flushing", TaskState.SAVING,
+          "flushing", TaskState.SAVING_CHECKPOINT,
           "ended", TaskState.EXITED);
-  private static final Map<String, Cause> CAUSES =
+  private static final Map<String, EndReason> CAUSES =
       Map.of(
-          "done", Cause.DONE,
-          "stopped", Cause.STOPPED,
-          "peers", Cause.PEERS,
-          "incomplete", Cause.INCOMPLETE,
-          "error", Cause.ERROR,
-          "full", Cause.NO_ROOM,
-          "busy", Cause.BUSY,
-          "unknown", Cause.UNKNOWN_JOB);
+          "done", EndReason.DONE,
+          "stopped", EndReason.STOPPED,
+          "peers", EndReason.GANG_PEER_ENDED,
+          "incomplete", EndReason.GANG_INCOMPLETE,
+          "error", EndReason.ERROR,
+          "full", EndReason.NO_CAPACITY,
+          "busy", EndReason.MACHINE_BUSY,
+          "unknown", EndReason.UNKNOWN_JOB);
 
   private WorkerWire() {}
 
   /** A task's state as its worker tells it. */
   public enum TaskState {
-    FETCHING,
-    GATHERING,
+    FETCHING_IMAGE,
+    WAITING_FOR_GANG,
     RUNNING,
-    SAVING,
+    SAVING_CHECKPOINT,
     EXITED
   }
 
   /** A task of a job. */
   public record TaskId(String job, int index) {
-    static TaskId parse(String text) throws MalformedException {
+    static TaskId parse(String text) throws MalformedMessageException {
       int slash = text.lastIndexOf('/');
       if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > 8) {
-        throw new MalformedException("piece is not a task");
+        throw new MalformedMessageException("piece is not a task");
       }
       int index = 0;
       for (int i = slash + 1; i < text.length(); i++) {
         char c = text.charAt(i);
         if (c < '0' || c > '9') {
-          throw new MalformedException("piece is not a task");
+          throw new MalformedMessageException("piece is not a task");
         }
         index = index * 10 + (c - '0');
       }
@@ -65,11 +65,12 @@
   }
 
   /** One task in a report; {@code cause} is null unless exited. */
-  public record TaskReport(TaskId task, long attempt, TaskState state, Cause cause, boolean saved) {
+  public record TaskReport(
+      TaskId task, long attempt, TaskState state, EndReason cause, boolean saved) {
 
     /** What the attempt is listed by on its machine. */
     public String key() {
-      return Machine.key(task.job, task.index, attempt);
+      return Machine.attemptKey(task.job, task.index, attempt);
     }
   }
 
@@ -86,18 +87,18 @@
       Duration notice,
       List<TaskReport> tasks) {}
 
-  public static Report parseReport(byte[] body) throws MalformedException {
+  public static Report parseReport(byte[] body) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<TaskReport> tasks = new ArrayList<>();
     for (Fields task : in.objects("pieces")) {
       TaskState state = STATES.get(task.text("status"));
       if (state == null) {
-        throw new MalformedException("status is not known");
+        throw new MalformedMessageException("status is not known");
       }
       // A cause this version does not know is treated as a failure of the task.
-      Cause cause =
+      EndReason cause =
           state == TaskState.EXITED
-              ? CAUSES.getOrDefault(task.textOr("cause", "error"), Cause.ERROR)
+              ? CAUSES.getOrDefault(task.textOr("cause", "error"), EndReason.ERROR)
               : null;
       tasks.add(
           new TaskReport(
--- a/src/main/java/io/pineladder/workers/Workers.java
+++ b/src/main/java/io/pineladder/workers/WorkerManager.java
@@ -2,17 +2,17 @@
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Shape;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpCaller.Outcome;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.net.Timeline;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpClient.Outcome;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.EventLoop;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.WorkerWire;
 import io.pineladder.wire.WorkerWire.Orders;
 import io.pineladder.wire.WorkerWire.Report;
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Dealings with the workers: what their reports prove, and the orders they get. */
-public final class Workers {
-  private static final Logger log = LoggerFactory.getLogger(Workers.class);
+public final class WorkerManager {
+  private static final Logger log = LoggerFactory.getLogger(WorkerManager.class);
   private static final Duration DIRECT_TIMEOUT = Duration.ofSeconds(2);
 
   /**
@@ -43,10 +43,10 @@
   /** One that has been asked is not asked again sooner. */
   private static final Duration PROBE_AGAIN = Duration.ofSeconds(4);
 
-  private final Cluster cluster;
+  private final ClusterState cluster;
   private final Scheduler scheduler;
-  private final HttpCaller http;
-  private final Timeline time;
+  private final AsyncHttpClient httpClient;
+  private final EventLoop eventLoop;
   private final long term;
   private final BooleanSupplier mayAct;
   private final Listener listener;
@@ -83,18 +83,18 @@
     void onUnprovable(Machine machine);
   }
 
-  public Workers(
-      Cluster cluster,
+  public WorkerManager(
+      ClusterState cluster,
       Scheduler scheduler,
-      HttpCaller http,
-      Timeline time,
+      AsyncHttpClient httpClient,
+      EventLoop eventLoop,
       long term,
       BooleanSupplier mayAct,
       Listener listener) {
     this.cluster = cluster;
     this.scheduler = scheduler;
-    this.http = http;
-    this.time = time;
+    this.httpClient = httpClient;
+    this.eventLoop = eventLoop;
     this.term = term;
     this.mayAct = mayAct;
     this.listener = listener;
@@ -129,9 +129,9 @@
         writeOrders(machine, orders, false);
         writeStrangers(report, machine, orders);
       }
-      machine.answeredAt = time.now();
-      if (machine.hearing() != Machine.Hearing.HEARS && !relayed) {
-        machine.reportsUnhearing(time.now());
+      machine.lastAnsweredAt = eventLoop.now();
+      if (machine.reachability() != Machine.Reachability.REACHABLE && !relayed) {
+        machine.trackUnreachable(eventLoop.now());
         probe(machine);
       }
     }
@@ -139,8 +139,9 @@
   }
 
   private static boolean isNewer(Report report, Machine machine) {
-    return report.session() > machine.session
-        || (report.session() == machine.session && report.sequence() > machine.sequence);
+    return report.session() > machine.agentEpoch
+        || (report.session() == machine.agentEpoch
+            && report.sequence() > machine.lastHeartbeatSequence);
   }
 
   /**
@@ -149,18 +150,18 @@
    * whose session ended although it was answered in time has heard nothing for a whole lease.
    * Without this it took new tasks with each new session, of which none ever started.
    */
-  private void hear(Machine machine, Machine.Hearing next) {
-    if (machine.hearing() == next) {
+  private void hear(Machine machine, Machine.Reachability next) {
+    if (machine.reachability() == next) {
       return;
     }
-    log.info("machine {} {} (was {})", machine, next, machine.hearing());
-    boolean took = machine.takesWork();
-    machine.hear(next);
-    cluster.refresh(machine);
-    if (next == Machine.Hearing.DOUBTED) {
-      machine.probedAt = null;
+    log.info("machine {} {} (was {})", machine, next, machine.reachability());
+    boolean took = machine.isSchedulable();
+    machine.setReachability(next);
+    cluster.updateIndexes(machine);
+    if (next == Machine.Reachability.DOUBTFUL) {
+      machine.lastProbedAt = null;
     }
-    if (!took && machine.takesWork()) {
+    if (!took && machine.isSchedulable()) {
       scheduler.machineReady(machine);
     }
   }
@@ -169,7 +170,8 @@
   public boolean holdsEnded(String name) {
     Machine machine = cluster.machine(name);
     return machine != null
-        && machine.attempts.values().stream().anyMatch(a -> a.holdsRoom() && a.job.ending);
+        && machine.attempts.values().stream()
+            .anyMatch(a -> a.holdsCapacity() && a.job.finalStatePending);
   }
 
   /**
@@ -193,50 +195,50 @@
         log.warn("machine {} is of the unknown type {}", report.machine(), report.type());
         return null;
       }
-      machine = new Machine(report.machine(), type, report.zone(), report.spot(), time.now());
+      machine = new Machine(report.machine(), type, report.zone(), report.spot(), eventLoop.now());
       cluster.addMachine(machine);
       listener.onMachine(machine);
     }
     if (!isNewer(report, machine)) {
       return machine;
     }
-    machine.heardAt = time.now();
-    machine.relayed = relayed;
+    machine.lastHeartbeatAt = eventLoop.now();
+    machine.reachedThroughPeer = relayed;
     machine.address = report.address();
-    if (report.session() > machine.session) {
+    if (report.session() > machine.agentEpoch) {
       newSession(machine, report.session());
     }
-    machine.sequence = report.sequence();
+    machine.lastHeartbeatSequence = report.sequence();
     if (report.notice() != null) {
-      Instant taken = time.now().plus(report.notice());
-      if (machine.takenAt == null) {
+      Instant taken = eventLoop.now().plus(report.notice());
+      if (machine.reclaimAt == null) {
         log.info("machine {} is taken back in {}", machine, report.notice());
-        machine.takenAt = taken;
+        machine.reclaimAt = taken;
         if (machine.spot) {
           cluster.spotRisk.lost();
         }
-      } else if (taken.isBefore(machine.takenAt)) {
-        machine.takenAt = taken;
+      } else if (taken.isBefore(machine.reclaimAt)) {
+        machine.reclaimAt = taken;
       }
     } else {
-      machine.takenAt = null;
+      machine.reclaimAt = null;
     }
     if (report.token() < term) {
       // Orders of an older leader may still reach it: its list proves nothing yet.
       if (machine.state() == Machine.State.EXPECTED) {
-        machine.moveTo(Machine.State.HEARD);
+        machine.transitionTo(Machine.State.HEARD);
       }
-      cluster.refresh(machine);
+      cluster.updateIndexes(machine);
       return machine;
     }
-    boolean wasReady = machine.takesWork();
-    machine.moveTo(Machine.State.CONFIRMED);
+    boolean wasReady = machine.isSchedulable();
+    machine.transitionTo(Machine.State.CONFIRMED);
     follow(machine, report, reported);
-    cluster.refresh(machine);
-    if (!wasReady && machine.takesWork()) {
+    cluster.updateIndexes(machine);
+    if (!wasReady && machine.isSchedulable()) {
       scheduler.machineReady(machine);
     }
-    if (machine.takenAt != null) {
+    if (machine.reclaimAt != null) {
       evacuate(machine);
     }
     return machine;
@@ -244,21 +246,22 @@
 
   /** A worker forgets all its tasks when its lease ends; the next session starts empty. */
   private void newSession(Machine machine, long session) {
-    long before = machine.session;
-    machine.session = session;
+    long before = machine.agentEpoch;
+    machine.agentEpoch = session;
     if (before == 0) {
       return;
     }
     log.info("machine {} is in session {}", machine, session);
-    Duration half = cluster.settings.workers().lease().dividedBy(2);
+    Duration half = cluster.settings.workerTimes().leaseDuration().dividedBy(2);
     boolean answered =
-        machine.answeredAt != null && machine.answeredAt.plus(half).isAfter(time.now());
+        machine.lastAnsweredAt != null
+            && machine.lastAnsweredAt.plus(half).isAfter(eventLoop.now());
     if (answered) {
-      hear(machine, Machine.Hearing.DEAF);
+      hear(machine, Machine.Reachability.UNREACHABLE);
     }
     for (Attempt attempt : List.copyOf(machine.attempts.values())) {
       boolean ofBefore =
-          attempt.wasSeen() || (attempt.sentSession != 0 && attempt.sentSession < session);
+          attempt.wasObserved() || (attempt.startSession != 0 && attempt.startSession < session);
       if (ofBefore) {
         scheduler.gone(attempt, "the worker's session ended");
       }
@@ -266,7 +269,7 @@
     if (answered) {
       // What is left was never sent, and would wait for a machine that hears nothing.
       for (Attempt attempt : List.copyOf(machine.attempts.values())) {
-        if (attempt.holdsRoom() && attempt.isWanted()) {
+        if (attempt.holdsCapacity() && attempt.isWanted()) {
           scheduler.displace(attempt);
         }
       }
@@ -277,7 +280,7 @@
   private void follow(Machine machine, Report report, boolean reported) {
     // A mark on each attempt, not a set of names: a report may list hundreds of tasks.
     long mark = ++reports;
-    machine.strangers = false;
+    machine.hasUnknownTasks = false;
     for (TaskReport task : report.tasks()) {
       Attempt attempt = machine.attempts.get(task.key());
       if (attempt == null) {
@@ -285,14 +288,15 @@
       }
       if (attempt == null) {
         if (task.state() != TaskState.EXITED) {
-          machine.strangers = true;
+          machine.hasUnknownTasks = true;
         }
         continue;
       }
-      attempt.listedIn = mark;
-      if (attempt.state() == Attempt.State.STORED && attempt.sentInReport >= 0) {
+      attempt.lastListingHeartbeat = mark;
+      if (attempt.state() == Attempt.State.PLACEMENT_STORED
+          && attempt.startHeartbeatSequence >= 0) {
         // Its start went with a response, which has been heard.
-        hear(machine, Machine.Hearing.HEARS);
+        hear(machine, Machine.Reachability.REACHABLE);
       }
       if (task.state() == TaskState.EXITED) {
         scheduler.exited(attempt, task.cause());
@@ -302,7 +306,7 @@
     }
     List<Attempt> unlisted = new ArrayList<>();
     for (Attempt attempt : machine.attempts.values()) {
-      if (attempt.listedIn != mark) {
+      if (attempt.lastListingHeartbeat != mark) {
         unlisted.add(attempt);
       }
     }
@@ -311,10 +315,10 @@
 
   private static Attempt.State state(TaskState reported) {
     return switch (reported) {
-      case FETCHING -> Attempt.State.FETCHING;
-      case GATHERING -> Attempt.State.GATHERING;
+      case FETCHING_IMAGE -> Attempt.State.FETCHING_IMAGE;
+      case WAITING_FOR_GANG -> Attempt.State.WAITING_FOR_GANG;
       case RUNNING -> Attempt.State.RUNNING;
-      case SAVING -> Attempt.State.SAVING;
+      case SAVING_CHECKPOINT -> Attempt.State.SAVING_CHECKPOINT;
       case EXITED -> Attempt.State.EXITED;
     };
   }
@@ -327,8 +331,13 @@
     }
     Attempt attempt =
         cluster.addAttempt(
-            job, task.task().index(), task.attempt(), machine, time.now(), Attempt.State.RECORDED);
-    attempt.sentSession = machine.session;
+            job,
+            task.task().index(),
+            task.attempt(),
+            machine,
+            eventLoop.now(),
+            Attempt.State.RECOVERED);
+    attempt.startSession = machine.agentEpoch;
     if (task.state() != TaskState.EXITED
         && !(listener.recordsIncomplete() && scheduler.keep(attempt))) {
       log.info("{} is not expected there", attempt);
@@ -341,13 +350,13 @@
   /** The newest report of a machine that has our token does not list the attempt. */
   private void absent(Attempt attempt, Report report, boolean reported) {
     switch (attempt.state()) {
-      case STORING, GONE -> {}
-      case STORED -> {
-        if (attempt.sentSession == 0 || attempt.direct || attempt.doubtful) {
+      case PLACEMENT_PENDING, GONE -> {}
+      case PLACEMENT_STORED -> {
+        if (attempt.startSession == 0 || attempt.directStartPending || attempt.startUnconfirmed) {
           // Not sent yet, or a direct start is or may be still on its way.
           return;
         }
-        if (!reported || attempt.sentInReport >= report.sequence()) {
+        if (!reported || attempt.startHeartbeatSequence >= report.sequence()) {
           // What a worker answers to a command is newer than its report before it, and yet older
           // than
           // that report's response, which may be on its way for 4 s. Taken for proof it had tasks
@@ -356,8 +365,8 @@
         }
         // The response that carried the start was dropped, and is never executed late.
         if (attempt.isWanted()) {
-          attempt.sentSession = 0;
-          attempt.sentInReport = -1;
+          attempt.startSession = 0;
+          attempt.startHeartbeatSequence = -1;
         } else {
           scheduler.gone(attempt, "its start was dropped");
         }
@@ -368,18 +377,18 @@
 
   /** The cloud takes the machine back: its work moves before that, unless it ends in time. */
   private void evacuate(Machine machine) {
-    Instant now = time.now();
+    Instant now = eventLoop.now();
     for (Attempt attempt : List.copyOf(machine.attempts.values())) {
-      if (!attempt.holdsRoom() || !attempt.isWanted()) {
+      if (!attempt.holdsCapacity() || !attempt.isWanted()) {
         continue;
       }
-      if (attempt.job.spec.shape() == Shape.ARRAY
+      if (attempt.job.spec.kind() == JobKind.ARRAY
           && attempt.runningSince != null
           && attempt
               .runningSince
-              .plus(attempt.job.spec.estimate())
-              .isBefore(machine.takenAt.minusSeconds(1))
-          && attempt.runningSince.plus(attempt.job.spec.estimate()).isAfter(now)) {
+              .plus(attempt.job.spec.estimatedRunTime())
+              .isBefore(machine.reclaimAt.minusSeconds(1))
+          && attempt.runningSince.plus(attempt.job.spec.estimatedRunTime()).isAfter(now)) {
         continue;
       }
       scheduler.displace(attempt);
@@ -393,7 +402,7 @@
     due.add(machine);
     if (!flushSet) {
       flushSet = true;
-      time.after(Duration.ZERO, this::flush);
+      eventLoop.schedule(Duration.ZERO, this::flush);
     }
   }
 
@@ -410,8 +419,8 @@
    */
   private void direct(Machine machine) {
     if (machine.state() != Machine.State.CONFIRMED
-        || machine.ordering
-        || machine.hearing() != Machine.Hearing.HEARS) {
+        || machine.commandInFlight
+        || machine.reachability() != Machine.Reachability.REACHABLE) {
       return;
     }
     if (!mayAct.getAsBoolean()) {
@@ -422,9 +431,9 @@
     if (orders.isEmpty()) {
       return;
     }
-    machine.ordering = true;
-    long session = machine.session;
-    http.call(
+    machine.commandInFlight = true;
+    long session = machine.agentEpoch;
+    httpClient.call(
         Request.post(
             machine.address, "/do", WorkerWire.command(term, session, orders), DIRECT_TIMEOUT),
         reply -> onDirectReply(machine, started, reply));
@@ -445,10 +454,11 @@
     while (probes < MOST_PROBES && next.hasNext() && mayAct.getAsBoolean()) {
       Machine machine = next.next();
       next.remove();
-      Instant now = time.now();
-      boolean asked = machine.probedAt != null && machine.probedAt.plus(PROBE_AGAIN).isAfter(now);
+      Instant now = eventLoop.now();
+      boolean asked =
+          machine.lastProbedAt != null && machine.lastProbedAt.plus(PROBE_AGAIN).isAfter(now);
       boolean there = machine.state() != Machine.State.GONE && machine.address != null;
-      if (!asked && there && !machine.ordering) {
+      if (!asked && there && !machine.commandInFlight) {
         sendProbe(machine, now);
       }
     }
@@ -456,13 +466,13 @@
 
   private void sendProbe(Machine machine, Instant now) {
     probes++;
-    machine.probedAt = now;
-    machine.ordering = true;
-    http.call(
+    machine.lastProbedAt = now;
+    machine.commandInFlight = true;
+    httpClient.call(
         Request.post(
             machine.address,
             "/do",
-            WorkerWire.command(term, Math.max(1, machine.session), new Orders()),
+            WorkerWire.command(term, Math.max(1, machine.agentEpoch), new Orders()),
             DIRECT_TIMEOUT),
         reply -> {
           probes--;
@@ -472,20 +482,20 @@
   }
 
   private void onDirectReply(Machine machine, List<Attempt> started, Reply reply) {
-    machine.ordering = false;
+    machine.commandInFlight = false;
     boolean executed = reply.is(200);
     // What the protocol does not name tells nothing, least of all that a start was not executed.
     boolean refused = reply.is(409) || reply.is(400) || reply.outcome() == Outcome.NOT_SENT;
     for (Attempt attempt : started) {
-      attempt.direct = false;
+      attempt.directStartPending = false;
       if (refused) {
-        attempt.sentSession = 0;
+        attempt.startSession = 0;
         if (!attempt.isWanted()) {
           // Decided while the start was on its way; nobody else would ever settle it.
           scheduler.gone(attempt, "its start was refused");
         }
       } else if (!executed) {
-        attempt.doubtful = true;
+        attempt.startUnconfirmed = true;
       }
     }
     if (refused || !executed) {
@@ -493,13 +503,13 @@
       machine.attempts.values().forEach(a -> a.killSent = false);
     }
     if (!reply.isAnswered()) {
-      if (machine.hearing() == Machine.Hearing.HEARS) {
+      if (machine.reachability() == Machine.Reachability.REACHABLE) {
         log.info("machine {} did not answer ({})", machine, reply);
-        hear(machine, Machine.Hearing.DOUBTED);
+        hear(machine, Machine.Reachability.DOUBTFUL);
       }
       return;
     }
-    hear(machine, Machine.Hearing.HEARS);
+    hear(machine, Machine.Reachability.REACHABLE);
     if (executed || reply.status() == 409) {
       try {
         Report report = WorkerWire.parseReport(reply.body());
@@ -507,12 +517,12 @@
           listener.onSuperseded(report.token());
           return;
         }
-        take(report, machine.relayed, false);
-      } catch (MalformedException e) {
+        take(report, machine.reachedThroughPeer, false);
+      } catch (MalformedMessageException e) {
         log.warn("machine {} answered a command with {}", machine, reply);
         // It does not list what it started, and a report from before the command may still come.
-        started.forEach(attempt -> attempt.doubtful |= executed);
-        hear(machine, Machine.Hearing.DOUBTED);
+        started.forEach(attempt -> attempt.startUnconfirmed |= executed);
+        hear(machine, Machine.Reachability.DOUBTFUL);
       }
     }
     ordersDue(machine);
@@ -530,19 +540,19 @@
     for (Attempt attempt : machine.attempts.values()) {
       String job = attempt.job.spec.id();
       switch (attempt.state()) {
-        case STORED -> {
-          boolean again = attempt.doubtful && !direct;
-          if (attempt.isWanted() ? attempt.sentSession == 0 || again : again) {
-            if (!attempt.isWanted() && attempt.job.endStored && isLate(attempt)) {
+        case PLACEMENT_STORED -> {
+          boolean again = attempt.startUnconfirmed && !direct;
+          if (attempt.isWanted() ? attempt.startSession == 0 || again : again) {
+            if (!attempt.isWanted() && attempt.job.finalStateStored && isLate(attempt)) {
               // Too late to make its start known and ended: only the machine's return keeps a late
               // copy of it from running. Found by the simulation, after a leader stood still.
               listener.onUnprovable(machine);
               continue;
             }
             orders.start(job, attempt.task, attempt.number);
-            attempt.sentSession = machine.session;
-            attempt.sentInReport = direct ? -1 : machine.sequence;
-            attempt.direct = direct;
+            attempt.startSession = machine.agentEpoch;
+            attempt.startHeartbeatSequence = direct ? -1 : machine.lastHeartbeatSequence;
+            attempt.directStartPending = direct;
             if (direct) {
               started.add(attempt);
             }
@@ -552,17 +562,17 @@
             }
           }
         }
-        case RECORDED, FETCHING, GATHERING, RUNNING, SAVING -> {
+        case RECOVERED, FETCHING_IMAGE, WAITING_FOR_GANG, RUNNING, SAVING_CHECKPOINT -> {
           if (!attempt.isWanted() && !(direct && attempt.killSent)) {
-            boolean saving = attempt.state() == Attempt.State.SAVING;
-            if (!saving || attempt.killGrace.isZero()) {
-              orders.kill(job, attempt.task, attempt.number, attempt.killGrace);
+            boolean saving = attempt.state() == Attempt.State.SAVING_CHECKPOINT;
+            if (!saving || attempt.killGracePeriod.isZero()) {
+              orders.kill(job, attempt.task, attempt.number, attempt.killGracePeriod);
             }
             attempt.killSent = true;
           }
         }
         case EXITED -> {
-          if (attempt.forgettable && !attempt.doubtful && !direct) {
+          if (attempt.mayBeForgotten && !attempt.startUnconfirmed && !direct) {
             orders.forget(job, attempt.task, attempt.number);
           }
         }
@@ -574,8 +584,8 @@
 
   /** Whether the time in which a cancelled job's tasks must be gone is nearly over. */
   private boolean isLate(Attempt attempt) {
-    Duration half = cluster.settings.workers().cancel().dividedBy(2);
-    return attempt.killedAt.plus(half).isBefore(time.now());
+    Duration half = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
+    return attempt.killedAt.plus(half).isBefore(eventLoop.now());
   }
 
   /** Forgets tasks of jobs that are over, which no attempt here accounts for. */
--- a/src/main/java/io/pineladder/zones/Keeping.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -1,10 +1,10 @@
 package io.pineladder.zones;
 
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.net.EventLoop;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.StoreWire;
 import java.time.Duration;
 import java.time.Instant;
@@ -16,19 +16,19 @@
  * What a controller tells the leader of the workers whose leases it keeps in the leader's place: a
  * note in the state service, which both reach although they do not reach one another.
  */
-public final class Keeping {
+public final class LeaseKeepAliveWriter {
   /** Between two notes while there is anything to tell. */
   static final Duration PACE = Duration.ofSeconds(4);
 
   /** A worker that was not heard for so long is not counted; it reports more often than that. */
   private final Duration counted;
 
-  private record Kept(String zone, Instant at) {}
+  private record RenewedLease(String zone, Instant at) {}
 
-  private final StoreClient store;
-  private final Timeline time;
+  private final StoreClient storeClient;
+  private final EventLoop eventLoop;
   private final String member;
-  private final Map<String, Kept> kept = new LinkedHashMap<>();
+  private final Map<String, RenewedLease> kept = new LinkedHashMap<>();
   private boolean told;
 
   /**
@@ -42,25 +42,26 @@
    *
    * @param report how often workers report
    */
-  public Keeping(StoreClient store, Timeline time, String member, Duration report) {
-    this.store = store;
-    this.time = time;
+  public LeaseKeepAliveWriter(
+      StoreClient storeClient, EventLoop eventLoop, String member, Duration report) {
+    this.storeClient = storeClient;
+    this.eventLoop = eventLoop;
     this.member = member;
     this.counted = report.multipliedBy(2);
   }
 
   /** This controller has answered a report in the leader's place. */
   public void kept(String machine, String zone) {
-    kept.put(machine, new Kept(zone, time.now()));
+    kept.put(machine, new RenewedLease(zone, eventLoop.now()));
     if (!told) {
       told = true;
       // The first ones say nothing yet: a zone's workers come one after the other.
-      time.after(PACE, this::tell);
+      eventLoop.schedule(PACE, this::tell);
     }
   }
 
   private void tell() {
-    Instant from = time.now().minus(counted);
+    Instant from = eventLoop.now().minus(counted);
     kept.values().removeIf(each -> each.at.isBefore(from));
     if (kept.isEmpty()) {
       told = false;
@@ -68,13 +69,13 @@
     }
     Map<String, Integer> zones = new HashMap<>();
     kept.values().forEach(each -> zones.merge(each.zone, 1, Integer::sum));
-    time.after(PACE, this::tell);
+    eventLoop.schedule(PACE, this::tell);
     if (stored != null) {
       write(zones);
       return;
     }
-    store.readForUser(
-        Keys.APART + member,
+    storeClient.readForUser(
+        RecordKeys.APART + member,
         read -> {
           if (read.certain()) {
             stored = read.found() ? read.entry().version() : 0L;
@@ -92,16 +93,16 @@
     var value = Json.object();
     var counts = value.putObject("zones");
     zones.forEach(counts::put);
-    String key = Keys.APART + member;
-    byte[] body = store.transaction().require(key, stored).put(key, value).bytes();
+    String key = RecordKeys.APART + member;
+    byte[] body = storeClient.transaction().require(key, stored).put(key, value).bytes();
     stored = null;
-    store.changeForUser(
-        store.post("/multi", body),
+    storeClient.changeForUser(
+        storeClient.post("/multi", body),
         1,
         reply -> {
           try {
             stored = reply.is(200) ? StoreWire.parseRevision(reply.body()) : null;
-          } catch (MalformedException e) {
+          } catch (MalformedMessageException e) {
             stored = null;
           }
         });
--- a/src/scale/java/io/pineladder/sim/HollowWorkers.java
+++ b/src/scale/java/io/pineladder/sim/HollowWorkers.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.HttpResponse;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.List;
@@ -27,7 +27,7 @@
   private final RealTimeWorld real;
   private final Traffic traffic = new Traffic();
   private final HollowTasks tasks = new HollowTasks();
-  private final FleetStandIn fleet;
+  private final FakeFleet fleet;
   private final String control;
   private final String own;
   private boolean underWay;
@@ -39,7 +39,7 @@
     this.control = control;
     this.own = own;
     this.real = new RealTimeWorld(own.hashCode(), 100_000, traffic);
-    this.fleet = new FleetStandIn(real.world(), tasks, controllers);
+    this.fleet = new FakeFleet(real.world(), tasks, controllers);
     fleet.reportMillis = reportMillis;
     fleet.leaseMillis = leaseMillis;
     fleet.failsOneOf = 0;
@@ -70,7 +70,7 @@
         Long.parseLong(args[4]));
   }
 
-  private void handle(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+  private void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     try {
       JsonNode request = Json.parseObject(body);
       switch (path) {
@@ -90,19 +90,19 @@
                 .get("hosts")
                 .forEach(
                     name -> {
-                      FleetStandIn.Worker worker = fleet.machines.remove(name.asText());
+                      FakeFleet.Worker worker = fleet.machines.remove(name.asText());
                       if (worker != null) {
                         worker.end();
                       }
                     });
         default -> {
-          answer.accept(new HttpAnswer(404, new byte[0]));
+          answer.accept(new HttpResponse(404, new byte[0]));
           return;
         }
       }
-      answer.accept(new HttpAnswer(200, Json.bytes(Json.object())));
-    } catch (MalformedException e) {
-      answer.accept(new HttpAnswer(400, new byte[0]));
+      answer.accept(new HttpResponse(200, Json.bytes(Json.object())));
+    } catch (MalformedMessageException e) {
+      answer.accept(new HttpResponse(400, new byte[0]));
     }
   }
 
@@ -121,7 +121,7 @@
     traffic.clear();
     real.caller()
         .call(
-            HttpCaller.Request.post(control, "/events", Json.bytes(batch), PATIENCE),
+            AsyncHttpClient.Request.post(control, "/events", Json.bytes(batch), PATIENCE),
             reply -> {
               underWay = false;
               if (reply.is(200)) {
@@ -143,14 +143,14 @@
           .get("run")
           .forEach(
               each -> {
-                FleetStandIn.Worker worker = fleet.machines.get(each.get(0).asText());
+                FakeFleet.Worker worker = fleet.machines.get(each.get(0).asText());
                 String key = each.get(1).asText();
-                FleetStandIn.Task task = worker == null ? null : worker.tasks.get(key);
+                FakeFleet.Task task = worker == null ? null : worker.tasks.get(key);
                 if (task != null && task.status.equals("gathering")) {
                   worker.run(key, task);
                 }
               });
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/scale/java/io/pineladder/sim/LoadGenerator.java
+++ b/src/scale/java/io/pineladder/sim/LoadGenerator.java
@@ -1,9 +1,9 @@
 package io.pineladder.sim;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -25,16 +25,16 @@
   private static final double ENDLESS_SECONDS = 1e6;
 
   private final ScaleOptions options;
-  private final World world;
-  private final HttpCaller http;
-  private final Rules rules;
+  private final SimulatedWorld world;
+  private final AsyncHttpClient httpClient;
+  private final SafetyRules rules;
   private final TaskHistory history;
   private final List<String> fronts;
   private final Histogram accepted = new Histogram(120_000_000L, 3);
   private final Deque<ObjectNode> initial = new ArrayDeque<>();
 
   /** What any user was told of each job so far; the rules see it a moment later, in order. */
-  private final Map<String, Rules.Told> told = new HashMap<>();
+  private final Map<String, SafetyRules.Told> told = new HashMap<>();
 
   private int ids;
   private int refused;
@@ -43,12 +43,12 @@
   LoadGenerator(
       ScaleOptions options,
       RealTimeWorld real,
-      Rules rules,
+      SafetyRules rules,
       TaskHistory history,
       List<String> fronts) {
     this.options = options;
     this.world = real.world();
-    this.http = real.caller();
+    this.httpClient = real.caller();
     this.rules = rules;
     this.history = history;
     this.fronts = fronts;
@@ -144,7 +144,7 @@
   }
 
   private void submit(ObjectNode spec) {
-    Rules.Known job = new Rules.Known(spec.get("ref").asText(), spec);
+    SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
     job.submitted = world.now();
     history.submitted(job.id);
@@ -163,14 +163,14 @@
         });
   }
 
-  private void cancel(Rules.Known job) {
-    if (told(job) != Rules.Told.OVER) {
+  private void cancel(SafetyRules.Known job) {
+    if (told(job) != SafetyRules.Told.OVER) {
       job.cancelAsked = true;
       insist(job, "/v1/jobs/" + job.id + "/cancel", new byte[0], () -> {});
     }
   }
 
-  private void insist(Rules.Known job, String path, byte[] body, Runnable then) {
+  private void insist(SafetyRules.Known job, String path, byte[] body, Runnable then) {
     call(
         job,
         "POST",
@@ -186,24 +186,24 @@
         });
   }
 
-  private void poll(Rules.Known job) {
-    if (told(job) != Rules.Told.OVER) {
+  private void poll(SafetyRules.Known job) {
+    if (told(job) != SafetyRules.Told.OVER) {
       call(job, "GET", "/v1/jobs/" + job.id, null, Duration.ofSeconds(2), good -> {});
       world.after(POLL_MILLIS, () -> poll(job));
     }
   }
 
   private void call(
-      Rules.Known job,
+      SafetyRules.Known job,
       String method,
       String path,
       byte[] body,
       Duration patience,
       Consumer<Boolean> then) {
-    Rules.Told before = told(job);
+    SafetyRules.Told before = told(job);
     String front = fronts.get(world.random.nextInt(fronts.size()));
-    http.call(
-        new HttpCaller.Request(front, method, path, body, patience),
+    httpClient.call(
+        new AsyncHttpClient.Request(front, method, path, body, patience),
         reply -> {
           boolean good = reply.is(200) || reply.is(201);
           if (reply.isAnswered()) {
@@ -211,7 +211,9 @@
             if (state != null) {
               boolean over = state.equals("done") || state.equals("aborted");
               told.merge(
-                  job.id, over ? Rules.Told.OVER : Rules.Told.ACCEPTED, LoadGenerator::later);
+                  job.id,
+                  over ? SafetyRules.Told.OVER : SafetyRules.Told.ACCEPTED,
+                  LoadGenerator::later);
             }
             history.now(() -> rules.answered(job, before, reply.status(), state));
           }
@@ -223,16 +225,16 @@
   private static String state(byte[] body) {
     try {
       return Json.parseObject(body).get("status").asText();
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
-  private static Rules.Told later(Rules.Told one, Rules.Told other) {
+  private static SafetyRules.Told later(SafetyRules.Told one, SafetyRules.Told other) {
     return one.compareTo(other) > 0 ? one : other;
   }
 
-  private Rules.Told told(Rules.Known job) {
-    return told.getOrDefault(job.id, Rules.Told.NOTHING);
+  private SafetyRules.Told told(SafetyRules.Known job) {
+    return told.getOrDefault(job.id, SafetyRules.Told.NOTHING);
   }
 }
--- a/src/scale/java/io/pineladder/sim/RealTimeWorld.java
+++ b/src/scale/java/io/pineladder/sim/RealTimeWorld.java
@@ -1,11 +1,11 @@
 package io.pineladder.sim;
 
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpHandlerAsync;
-import io.pineladder.net.Sockets;
-import io.pineladder.net.UndertowCaller;
-import io.pineladder.net.XnioRuntime;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpHandler;
+import io.pineladder.net.ConnectionLimiter;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.net.UndertowHttpClient;
+import io.pineladder.net.XnioEventLoop;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.time.Duration;
@@ -19,15 +19,15 @@
 import java.util.function.Consumer;
 
 /** The stand-ins' world with the real clock and the loopback network, on one event thread. */
-final class RealTimeWorld implements World.Outside {
+final class RealTimeWorld implements SimulatedWorld.Outside {
   private static final Duration TICK = Duration.ofMillis(2);
   private static final Duration CLOSE = Duration.ofSeconds(2);
 
-  private final World world;
-  private final XnioRuntime runtime;
-  private final HttpCaller caller;
+  private final SimulatedWorld world;
+  private final XnioEventLoop runtime;
+  private final AsyncHttpClient caller;
   private final Traffic traffic;
-  private final Map<String, HttpHandlerAsync> handlers = new HashMap<>();
+  private final Map<String, AsyncHttpHandler> handlers = new HashMap<>();
   private final Set<String> listening = new HashSet<>();
   private final Instant worldBegun;
   private final Instant begun;
@@ -40,10 +40,10 @@
    * @param traffic counts what is sent and received
    */
   RealTimeWorld(long seed, int maxSockets, Traffic traffic) throws IOException {
-    this.world = new World(seed);
+    this.world = new SimulatedWorld(seed);
     this.traffic = traffic;
-    this.runtime = new XnioRuntime(maxSockets, Duration.ofSeconds(5));
-    this.caller = new UndertowCaller(runtime, address -> Sockets.Part.ORDERS);
+    this.runtime = new XnioEventLoop(maxSockets, Duration.ofSeconds(5));
+    this.caller = new UndertowHttpClient(runtime, address -> ConnectionLimiter.TrafficClass.ORDERS);
     this.worldBegun = world.now();
     this.begun = runtime.now();
     world.outside = this;
@@ -73,29 +73,29 @@
     Duration behind =
         Duration.between(begun, runtime.now()).minus(Duration.between(worldBegun, world.now()));
     world.runFor(behind);
-    runtime.after(TICK, this::tick);
+    runtime.schedule(TICK, this::tick);
   }
 
-  World world() {
+  SimulatedWorld world() {
     return world;
   }
 
-  XnioRuntime runtime() {
+  XnioEventLoop runtime() {
     return runtime;
   }
 
   /** Answers at an address; a handler that was there before is replaced. */
   @Override
-  public void serve(String address, HttpHandlerAsync handler) {
+  public void serve(String address, AsyncHttpHandler handler) {
     handlers.put(address, handler);
     if (listening.add(address)) {
       try {
         runtime.serve(
-            new XnioRuntime.Listener(
+            new XnioEventLoop.Listener(
                 address,
                 (method, path, body, answer) -> handle(address, method, path, body, answer),
-                Sockets.Part.ARRIVING,
-                path -> Sockets.Part.REPORTS));
+                ConnectionLimiter.TrafficClass.ARRIVING,
+                path -> ConnectionLimiter.TrafficClass.REPORTS));
       } catch (IOException e) {
         throw new UncheckedIOException("cannot listen on " + address, e);
       }
@@ -103,8 +103,8 @@
   }
 
   private void handle(
-      String address, String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
-    HttpHandlerAsync handler = closed ? null : handlers.get(address);
+      String address, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
+    AsyncHttpHandler handler = closed ? null : handlers.get(address);
     if (handler == null) {
       // Nobody is there any more: the caller waits in vain.
       return;
@@ -126,7 +126,7 @@
   }
 
   @Override
-  public HttpCaller caller() {
+  public AsyncHttpClient caller() {
     return (request, onReply) -> {
       if (closed) {
         return;
--- a/src/scale/java/io/pineladder/sim/ScaleCluster.java
+++ b/src/scale/java/io/pineladder/sim/ScaleCluster.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpHandlerAsync;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpHandler;
+import io.pineladder.net.HttpResponse;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.File;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -25,7 +25,7 @@
  * The processes of a scale run: controllers, hollow workers, and in this one state service and
  * cloud. All listen on loopback addresses, and all are ended with this object.
  */
-final class ScaleCluster implements AutoCloseable, FleetStandIn.Launcher {
+final class ScaleCluster implements AutoCloseable, FakeFleet.Launcher {
   private static final Duration PATIENCE = Duration.ofSeconds(4);
   private static final long BOOT_MILLIS = 50;
 
@@ -37,11 +37,11 @@
   private final RealTimeWorld real;
   private final Traffic storeTraffic = new Traffic();
   private final Traffic workerTraffic = new Traffic();
-  private final StoreStandIn store;
-  private final FleetStandIn cloud;
-  private final Rules rules;
+  private final FakeKeyValueStore store;
+  private final FakeFleet cloud;
+  private final SafetyRules rules;
   private final TaskHistory history;
-  private final Map<String, FleetStandIn.Worker> workers = new HashMap<>();
+  private final Map<String, FakeFleet.Worker> workers = new HashMap<>();
   private final List<String> fronts = new ArrayList<>();
   private final List<String> clusters = new ArrayList<>();
   private final String control;
@@ -63,21 +63,21 @@
     this.folder = folder;
     this.real = real;
     this.onFailure = onFailure;
-    World world = real.world();
-    this.rules = new Rules(world, ScaleSettings.teams(options));
+    SimulatedWorld world = real.world();
+    this.rules = new SafetyRules(world, ScaleSettings.teams(options));
     this.history =
         new TaskHistory(
             rules,
             workers,
             IntStream.range(0, options.processes()).mapToObj(this::hollowControl).toList());
-    this.store = new StoreStandIn(world, options.txnOps, (int) (options.valueKb * 1024));
+    this.store = new FakeKeyValueStore(world, options.txnOps, (int) (options.valueKb * 1024));
     store.pageEntries = 1_000;
     store.mostLogged = 10_000;
-    this.cloud = new FleetStandIn(world, rules, List.of());
-    FleetStandIn.Type type = ScaleSettings.TYPE;
+    this.cloud = new FakeFleet(world, rules, List.of());
+    FakeFleet.Type type = ScaleSettings.TYPE;
     cloud.types =
         List.of(
-            new FleetStandIn.Type(
+            new FakeFleet.Type(
                 type.name(),
                 type.cpus(),
                 type.gpus(),
@@ -104,7 +104,7 @@
     return real;
   }
 
-  Rules rules() {
+  SafetyRules rules() {
     return rules;
   }
 
@@ -112,7 +112,7 @@
     return history;
   }
 
-  StoreStandIn store() {
+  FakeKeyValueStore store() {
     return store;
   }
 
@@ -158,7 +158,7 @@
     real.serve(control, this::handleControl);
   }
 
-  private void serve(String address, HttpHandlerAsync handler) {
+  private void serve(String address, AsyncHttpHandler handler) {
     real.serve(
         address,
         (method, path, body, answer) -> {
@@ -285,7 +285,7 @@
         : options.single + (number - 1 - options.single) / options.perProcess;
   }
 
-  private static int number(FleetStandIn.Worker worker) {
+  private static int number(FakeFleet.Worker worker) {
     return Integer.parseInt(worker.name.substring("m-".length()));
   }
 
@@ -302,7 +302,7 @@
   }
 
   @Override
-  public void boot(FleetStandIn.Worker worker) {
+  public void boot(FakeFleet.Worker worker) {
     workers.put(worker.name, worker);
     String process = hollowControl(processOf(number(worker)));
     history.runsIn(worker.name, process);
@@ -317,7 +317,7 @@
   }
 
   @Override
-  public void end(FleetStandIn.Worker worker) {
+  public void end(FakeFleet.Worker worker) {
     ObjectNode request = Json.object();
     request.putArray("hosts").add(worker.name);
     post(hollowControl(processOf(number(worker))), "/end", request);
@@ -337,7 +337,7 @@
   private void post(String address, String path, ObjectNode body) {
     real.caller()
         .call(
-            HttpCaller.Request.post(address, path, Json.bytes(body), PATIENCE),
+            AsyncHttpClient.Request.post(address, path, Json.bytes(body), PATIENCE),
             reply -> {
               if (!reply.is(200)) {
                 onFailure.accept(new AssertionError(address + path + ": " + reply));
@@ -345,17 +345,18 @@
             });
   }
 
-  private void handleControl(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+  private void handleControl(
+      String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     try {
       JsonNode batch = Json.parseObject(body);
       String process = batch.get("process").asText();
       reported.put(process, batch.get("workers").asInt());
       workerTraffic.add((ObjectNode) batch.get("traffic"));
       ObjectNode reply = history.take(process, batch);
-      answer.accept(new HttpAnswer(200, Json.bytes(reply)));
-    } catch (MalformedException | AssertionError e) {
+      answer.accept(new HttpResponse(200, Json.bytes(reply)));
+    } catch (MalformedMessageException | AssertionError e) {
       onFailure.accept(e);
-      answer.accept(new HttpAnswer(500, new byte[0]));
+      answer.accept(new HttpResponse(500, new byte[0]));
     }
   }
 
--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -213,20 +213,21 @@
     return got.join();
   }
 
-  private static HttpCaller.Reply ask(RealTimeWorld real, String address, String path) {
-    CompletableFuture<HttpCaller.Reply> got = new CompletableFuture<>();
+  private static AsyncHttpClient.Reply ask(RealTimeWorld real, String address, String path) {
+    CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
     real.runtime()
         .execute(
             () ->
-                real.caller().call(HttpCaller.Request.get(address, path, PATIENCE), got::complete));
+                real.caller()
+                    .call(AsyncHttpClient.Request.get(address, path, PATIENCE), got::complete));
     return got.join();
   }
 
   private static JsonNode askJson(RealTimeWorld real, String address, String path) {
     try {
-      HttpCaller.Reply reply = ask(real, address, path);
+      AsyncHttpClient.Reply reply = ask(real, address, path);
       return reply.is(200) ? Json.parseObject(reply.body()) : null;
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/scale/java/io/pineladder/sim/SettingsChanges.java
+++ b/src/scale/java/io/pineladder/sim/SettingsChanges.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.HashSet;
 import java.util.List;
@@ -25,8 +25,8 @@
   private static final long LOOK_MILLIS = 20;
   private static final Duration PATIENCE = Duration.ofSeconds(4);
 
-  private final World world;
-  private final HttpCaller http;
+  private final SimulatedWorld world;
+  private final AsyncHttpClient httpClient;
   private final List<String> clusters;
   private final Histogram inForce = new Histogram(120_000_000L, 3);
   private int number;
@@ -35,7 +35,7 @@
 
   SettingsChanges(RealTimeWorld real, List<String> clusters) {
     this.world = real.world();
-    this.http = real.caller();
+    this.httpClient = real.caller();
     this.clusters = clusters;
   }
 
@@ -69,8 +69,8 @@
   private void put(int value, long begun) {
     byte[] body = Json.bytes(Json.object().put(FIELD, value));
     String address = clusters.get(value % clusters.size());
-    http.call(
-        new HttpCaller.Request(address, "PUT", PATH, body, PATIENCE),
+    httpClient.call(
+        new AsyncHttpClient.Request(address, "PUT", PATH, body, PATIENCE),
         reply -> {
           if (reply.is(200)) {
             Set<String> left = new HashSet<>(clusters);
@@ -82,8 +82,8 @@
   }
 
   private void look(String cluster, int value, long begun, Set<String> left) {
-    http.call(
-        HttpCaller.Request.get(cluster, PATH, PATIENCE),
+    httpClient.call(
+        AsyncHttpClient.Request.get(cluster, PATH, PATIENCE),
         reply -> {
           if (reply.is(200) && read(reply.body()) >= value) {
             left.remove(cluster);
@@ -102,7 +102,7 @@
       ObjectNode settings = Json.parseObject(body);
       JsonNode value = settings.get(FIELD);
       return value == null ? 0 : value.asDouble();
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/scale/java/io/pineladder/sim/TaskHistory.java
+++ b/src/scale/java/io/pineladder/sim/TaskHistory.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.sim.FleetStandIn.Task;
-import io.pineladder.sim.FleetStandIn.Worker;
+import io.pineladder.sim.FakeFleet.Task;
+import io.pineladder.sim.FakeFleet.Worker;
 import io.pineladder.wire.Json;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -33,7 +33,7 @@
       long attempt,
       Runnable action) {}
 
-  private final Rules rules;
+  private final SafetyRules rules;
   private final Map<String, Worker> workers;
   private final PriorityQueue<Event> waiting =
       new PriorityQueue<>(Comparator.comparingLong(Event::nanos));
@@ -66,7 +66,7 @@
    *
    * @param processes all processes of hollow workers
    */
-  TaskHistory(Rules rules, Map<String, Worker> workers, List<String> processes) {
+  TaskHistory(SafetyRules rules, Map<String, Worker> workers, List<String> processes) {
     this.rules = rules;
     this.workers = workers;
     processes.forEach(process -> handedOver.put(process, 0L));
@@ -106,7 +106,7 @@
     ObjectNode out = Json.object();
     ObjectNode jobs = out.putObject("jobs");
     for (JsonNode id : batch.get("jobs")) {
-      Rules.Known job = rules.jobs.get(id.asText());
+      SafetyRules.Known job = rules.jobs.get(id.asText());
       if (job == null) {
         throw new AssertionError("a task of " + id + " was started, which nobody submitted");
       }
@@ -135,7 +135,7 @@
         of.remove(event.piece);
       }
     } else if (event.kind == HollowTasks.Kind.STARTED) {
-      Rules.Known job = rules.jobs.get(event.piece.substring(0, event.piece.indexOf('/')));
+      SafetyRules.Known job = rules.jobs.get(event.piece.substring(0, event.piece.indexOf('/')));
       if (!job.spec.get("shape").asText().equals("group")) {
         return;
       }
@@ -179,7 +179,7 @@
         starts++;
         if (measuring) {
           measuredStarts++;
-          Rules.Known job = rules.jobs.get(task.job());
+          SafetyRules.Known job = rules.jobs.get(task.job());
           long micros = (event.nanos - submitted.get(job.id)) / 1_000;
           waits
               .computeIfAbsent(
--- a/src/test/java/io/pineladder/front/ReportsTest.java
+++ b/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
@@ -1,12 +1,12 @@
-package io.pineladder.front;
+package io.pineladder.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.pineladder.Node;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.ControllerNode;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.EventLoop;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.SettingsReader;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Reports to a node that does not lead, of more workers than the largest fleets have. */
-class ReportsTest {
+class HeartbeatHandlerTest {
   private static final int WORKERS = 4_200;
 
   private Instant now = Instant.EPOCH.plusSeconds(100);
@@ -32,8 +32,8 @@
   private RecordWire.LeaderRecord leader;
 
   private final List<byte[]> handedOn = new ArrayList<>();
-  private final Timeline time =
-      new Timeline() {
+  private final EventLoop eventLoop =
+      new EventLoop() {
         private final RandomGenerator random =
             RandomGeneratorFactory.of("L64X128MixRandom").create(1);
 
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public Instant timeOfDay() {
+        public Instant wallClock() {
           return now;
         }
 
@@ -53,27 +53,27 @@
         }
 
         @Override
-        public void after(Duration delay, Runnable action) {}
+        public void schedule(Duration delay, Runnable action) {}
       };
 
-  private void store(HttpCaller.Request request, Consumer<Reply> onReply) {
-    if (leader != null && request.path().equals(StoreWire.keyPath(Keys.LEADER))) {
+  private void store(AsyncHttpClient.Request request, Consumer<Reply> onReply) {
+    if (leader != null && request.path().equals(StoreWire.keyPath(RecordKeys.LEADER))) {
       onReply.accept(
           Reply.answered(
               200,
               Json.bytes(
                   Json.object()
-                      .put("path", Keys.LEADER)
+                      .put("path", RecordKeys.LEADER)
                       .put("stamp", 5)
                       .set("v", RecordWire.leader(leader)))));
     }
   }
 
-  private Node node() {
+  private ControllerNode node() {
     try {
-      return new Node(
+      return new ControllerNode(
           SettingsReader.parse(SettingsReaderTest.GOOD),
-          time,
+          eventLoop,
           this::store,
           "nonce",
           null,
@@ -84,8 +84,9 @@
     }
   }
 
-  private Reports reports(Node node) {
-    return new Reports(node, (ways, request, answer, alone) -> handedOn.add(request.body()));
+  private HeartbeatHandler reports(ControllerNode node) {
+    return new HeartbeatHandler(
+        node, (ways, request, answer, alone) -> handedOn.add(request.body()));
   }
 
   private static byte[] report(int worker, long token) {
@@ -102,8 +103,8 @@
    */
   @Test
   void eachWorkerOfALargeFleetKeepsItsRound() {
-    Node node = node();
-    Reports reports = reports(node);
+    ControllerNode node = node();
+    HeartbeatHandler reports = reports(node);
     now = now.plusSeconds(60);
     int[] sentOn = new int[WORKERS];
     for (int second = 0; second < 90; second += 3) {
@@ -126,9 +127,9 @@
   @Test
   void theReportOfEachWorkerThatDoesNotReachTheLeaderIsHandedOn() {
     leader = new RecordWire.LeaderRecord("rung-1", "10.0.0.2:8081", "theirs");
-    Node node = node();
+    ControllerNode node = node();
     node.election().start();
-    Reports reports = reports(node);
+    HeartbeatHandler reports = reports(node);
     int[] sentToLeader = new int[1];
     for (int time = 0; time < 2; time++) {
       for (int worker = 0; worker < WORKERS; worker++) {
--- a/src/test/java/io/pineladder/front/FrontHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -1,14 +1,14 @@
-package io.pineladder.front;
+package io.pineladder.api;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.Node;
+import io.pineladder.ControllerNode;
 import io.pineladder.admin.Metrics;
 import io.pineladder.model.Settings;
-import io.pineladder.net.Sockets;
-import io.pineladder.net.UndertowCaller;
-import io.pineladder.net.XnioRuntime;
+import io.pineladder.net.ConnectionLimiter;
+import io.pineladder.net.UndertowHttpClient;
+import io.pineladder.net.XnioEventLoop;
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import java.io.IOException;
@@ -26,9 +26,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One controller over real HTTP on loopback, with nothing else to talk to. */
-class FrontHttpTest {
+class RequestRouterHttpTest {
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
-  private static XnioRuntime runtime;
+  private static XnioEventLoop runtime;
   private static String front;
   private static String cluster;
 
@@ -51,21 +51,28 @@
                 .replace("10.0.0.1:8080", front)
                 .replace("10.0.0.1:8081", cluster)
                 .replaceAll("10\\.[02]\\.0\\.\\d:\\d+", nowhere));
-    runtime = new XnioRuntime(MOST_SOCKETS, Duration.ofSeconds(1));
-    UndertowCaller http = new UndertowCaller(runtime, address -> Sockets.Part.SERVICES);
-    Node node = new Node(settings, runtime, http, "nonce", null, null, null);
+    runtime = new XnioEventLoop(MOST_SOCKETS, Duration.ofSeconds(1));
+    UndertowHttpClient http =
+        new UndertowHttpClient(runtime, address -> ConnectionLimiter.TrafficClass.SERVICES);
+    ControllerNode node = new ControllerNode(settings, runtime, http, "nonce", null, null, null);
     Metrics metrics = new Metrics();
     metrics.watch(runtime.sockets());
-    Front made = new Front(node, metrics);
+    RequestRouter made = new RequestRouter(node, metrics);
     runtime.serve(
-        new XnioRuntime.Listener(
+        new XnioEventLoop.Listener(
             front,
             made::handle,
-            Sockets.Part.ARRIVING,
-            path -> path.equals("/v1/report") ? Sockets.Part.REPORTS : Sockets.Part.USERS));
+            ConnectionLimiter.TrafficClass.ARRIVING,
+            path ->
+                path.equals("/v1/report")
+                    ? ConnectionLimiter.TrafficClass.REPORTS
+                    : ConnectionLimiter.TrafficClass.USERS));
     runtime.serve(
-        new XnioRuntime.Listener(
-            cluster, made::handleCluster, Sockets.Part.PEERS, path -> Sockets.Part.PEERS));
+        new XnioEventLoop.Listener(
+            cluster,
+            made::handleCluster,
+            ConnectionLimiter.TrafficClass.PEERS,
+            path -> ConnectionLimiter.TrafficClass.PEERS));
   }
 
   @AfterAll
--- a/src/test/java/io/pineladder/fleet/BacklogTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BatchBacklogTest.java
@@ -1,4 +1,4 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
  * What would be late, against a plain model that lets the work flow through the machines step by
  * step.
  */
-class BacklogTest {
+class BatchBacklogTest {
   private static final double STEP = 0.05;
 
   /** Tasks with the time left to start them, and the work that comes before them each second. */
@@ -67,8 +67,8 @@
     return true;
   }
 
-  private static Backlog of(List<Piece> pieces, double capacity) {
-    Backlog backlog = new Backlog(capacity);
+  private static BatchBacklog of(List<Piece> pieces, double capacity) {
+    BatchBacklog backlog = new BatchBacklog(capacity);
     pieces.forEach(p -> backlog.add(p.worth, p.run, p.within, p.ready, p.rate));
     return backlog;
   }
@@ -114,14 +114,14 @@
 
   @Test
   void whatComesKeepsMachinesThoughNothingWaits() {
-    assertEquals(3, new Backlog(10).needed(5, 8));
-    assertEquals(0, new Backlog(10).needed(5, 4));
-    assertEquals(5, new Backlog(10).needed(5, 80));
+    assertEquals(3, new BatchBacklog(10).needed(5, 8));
+    assertEquals(0, new BatchBacklog(10).needed(5, 4));
+    assertEquals(5, new BatchBacklog(10).needed(5, 80));
   }
 
   @Test
   void whatCannotBeHelpedPressesNoMore() {
-    Backlog backlog = new Backlog(1);
+    BatchBacklog backlog = new BatchBacklog(1);
     backlog.add(100, 60, 15, 20, 0);
     assertEquals(0, backlog.lacking());
   }
--- a/src/test/java/io/pineladder/fleet/BootTimesTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
@@ -1,4 +1,4 @@
-package io.pineladder.fleet;
+package io.pineladder.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,18 +12,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class BootTimesTest {
+class BootTimeEstimatorTest {
   private static final MachineType TYPE =
       new MachineType(
           "g4", Resources.of(16, 4, 64), 50, 0.1, 4, 1, Duration.ofSeconds(10), List.of("a"));
   private static final Instant START = Instant.EPOCH;
 
-  private final BootTimes boots = new BootTimes();
+  private final BootTimeEstimator boots = new BootTimeEstimator();
   private int names;
 
   private Machine rented() {
     Machine machine = new Machine("m-" + ++names, TYPE, "a", false, START);
-    machine.rentedHere = true;
+    machine.rentedByThisLeader = true;
     boots.observe(machine, START);
     return machine;
   }
@@ -33,7 +33,7 @@
   }
 
   private void comes(Machine machine, double seconds) {
-    machine.moveTo(Machine.State.HEARD);
+    machine.transitionTo(Machine.State.HEARD);
     boots.observe(machine, after(seconds));
   }
 
@@ -81,7 +81,7 @@
     Machine old = new Machine("m-0", TYPE, "a", false, START);
     boots.observe(old, after(300));
     comes(old, 301);
-    assertEquals(TYPE.boot(), boots.usual(TYPE));
+    assertEquals(TYPE.bootTime(), boots.usual(TYPE));
     assertFalse(boots.areUsual(TYPE), "nothing has been seen");
     for (int i = 0; i < 4; i++) {
       comes(rented(), 10);
--- a/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
+++ b/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.net.InetAddress;
 import java.net.UnknownHostException;
 import java.nio.charset.StandardCharsets;
@@ -24,10 +24,11 @@
   /** The example that the implementations of Standard Webhooks are tested with. */
   @Test
   void signaturesAreThoseOfStandardWebhooks() {
-    byte[] secret = Signature.secret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
+    byte[] secret = WebhookSignature.secret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
     byte[] body = "{\"test\": 2432232314}".getBytes(StandardCharsets.UTF_8);
     String id = "msg_p5jXN8AQM9LWM0D4loKWxJek";
-    String signed = Signature.sign(List.of(secret), id, Instant.ofEpochSecond(1614265330), body);
+    String signed =
+        WebhookSignature.sign(List.of(secret), id, Instant.ofEpochSecond(1614265330), body);
     assertEquals("v1,g0hM9SsE+OTPJTGt/tmIKtSyZlE3uFJELVlNIOLJ1OE=", signed);
   }
 
@@ -38,26 +39,28 @@
     byte[] fresh = new byte[32];
     fresh[0] = 1;
     byte[] body = {1, 2, 3};
-    String signed = Signature.sign(List.of(old, fresh), "id", Instant.ofEpochSecond(9), body);
-    assertTrue(Signature.verify(List.of(old), "id", "9", body, signed));
-    assertTrue(Signature.verify(List.of(fresh), "id", "9", body, signed));
+    String signed =
+        WebhookSignature.sign(List.of(old, fresh), "id", Instant.ofEpochSecond(9), body);
+    assertTrue(WebhookSignature.verify(List.of(old), "id", "9", body, signed));
+    assertTrue(WebhookSignature.verify(List.of(fresh), "id", "9", body, signed));
     assertFalse(
-        Signature.verify(
+        WebhookSignature.verify(
             List.of("another secret".getBytes(StandardCharsets.UTF_8)), "id", "9", body, signed));
-    assertFalse(Signature.verify(List.of(old), "id", "8", body, signed));
-    assertFalse(Signature.verify(List.of(old), "id", "9", body, "v1,*** v2,AAAA"));
+    assertFalse(WebhookSignature.verify(List.of(old), "id", "8", body, signed));
+    assertFalse(WebhookSignature.verify(List.of(old), "id", "9", body, "v1,*** v2,AAAA"));
   }
 
   @Test
   void aSealedSecretOpensForItsPurposeOnly() {
-    SecretBox box = new SecretBox(new byte[32]);
+    SecretCipher box = new SecretCipher(new byte[32]);
     byte[] secret = {1, 2, 3};
     String encrypted = box.seal("desk", secret);
     assertArrayEquals(secret, box.open("desk", encrypted));
     assertThrows(IllegalArgumentException.class, () -> box.open("other", encrypted));
     byte[] key = new byte[32];
     key[31] = 1;
-    assertThrows(IllegalArgumentException.class, () -> new SecretBox(key).open("desk", encrypted));
+    assertThrows(
+        IllegalArgumentException.class, () -> new SecretCipher(key).open("desk", encrypted));
   }
 
   @ParameterizedTest
@@ -81,19 +84,19 @@
       })
   void whatIsNoNetworkInCanonicalFormIsRefused(String text) {
     assertThrows(
-        IllegalArgumentException.class, () -> new Destinations(List.of(text), Set.of()), text);
+        IllegalArgumentException.class, () -> new DestinationPolicy(List.of(text), Set.of()), text);
   }
 
-  private static boolean allows(Destinations of, String address) throws UnknownHostException {
+  private static boolean allows(DestinationPolicy of, String address) throws UnknownHostException {
     return of.allows(InetAddress.getByName(address));
   }
 
   @Test
   void onlyListedNetworksAreSentTo() throws UnknownHostException {
-    Destinations none = new Destinations(List.of(), Set.of());
+    DestinationPolicy none = new DestinationPolicy(List.of(), Set.of());
     assertFalse(allows(none, "192.0.2.1"));
-    Destinations some =
-        new Destinations(List.of("192.0.2.0/24", "2001:db8::/32", "198.51.100.7"), Set.of());
+    DestinationPolicy some =
+        new DestinationPolicy(List.of("192.0.2.0/24", "2001:db8::/32", "198.51.100.7"), Set.of());
     assertTrue(allows(some, "192.0.2.255"));
     assertTrue(allows(some, "::ffff:192.0.2.1"));
     assertTrue(allows(some, "2001:db8::1"));
@@ -106,7 +109,7 @@
   @Test
   void ownAndLocalAddressesMustBeListedByThemselves() throws UnknownHostException {
     List<String> all = List.of("0.0.0.0/0", "::/0");
-    Destinations wide = new Destinations(all, Set.of("10.0.0.1"));
+    DestinationPolicy wide = new DestinationPolicy(all, Set.of("10.0.0.1"));
     assertTrue(allows(wide, "10.0.0.2"));
     for (String denied :
         List.of(
@@ -123,12 +126,13 @@
             "::ffff:127.0.0.1")) {
       assertFalse(allows(wide, denied), denied);
     }
-    Destinations listed = new Destinations(List.of("10.0.0.1", "127.0.0.0/8"), Set.of("10.0.0.1"));
+    DestinationPolicy listed =
+        new DestinationPolicy(List.of("10.0.0.1", "127.0.0.0/8"), Set.of("10.0.0.1"));
     assertTrue(allows(listed, "10.0.0.1"));
     assertTrue(allows(listed, "127.8.8.8"));
   }
 
-  private static Set<String> faults(String json) throws MalformedException {
+  private static Set<String> faults(String json) throws MalformedMessageException {
     Set<String> pointers = new TreeSet<>();
     SubscriptionSchema.check(Json.parseObject(json.getBytes(StandardCharsets.UTF_8)))
         .forEach(fault -> pointers.add(fault.pointer()));
@@ -136,7 +140,7 @@
   }
 
   @Test
-  void everyFaultIsNamedAtItsPointer() throws MalformedException {
+  void everyFaultIsNamedAtItsPointer() throws MalformedMessageException {
     assertEquals(Set.of(), faults("{\"url\":\"https://example.org/x?y=z\",\"owners\":[\"red\"]}"));
     assertEquals(Set.of("/url"), faults("{}"));
     assertEquals(
--- a/src/test/java/io/pineladder/delivery/JournalTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationJournalTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.delivery.receiver.Journal;
+import io.pineladder.delivery.receiver.NotificationJournal;
 import io.pineladder.delivery.receiver.Receiver;
 import io.pineladder.model.Job;
-import io.pineladder.model.Notice;
+import io.pineladder.model.Notification;
 import io.pineladder.model.Subscription;
 import io.pineladder.wire.DeliveryWire;
 import java.io.IOException;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A receiver with its journal, ended in the middle of a write and otherwise mistreated. */
-class JournalTest {
+class NotificationJournalTest {
   private static final byte[] SECRET = new byte[24];
   private static final Instant NOW = Instant.parse("2026-01-02T03:04:05Z");
   private static final Subscription DESK =
@@ -45,16 +45,16 @@
     return DeliveryWire.event(
         DESK,
         sequence,
-        new Notice(sequence, "job-" + sequence, "red", "würfel", Job.State.DONE, 1, NOW));
+        new Notification(sequence, "job-" + sequence, "red", "würfel", Job.State.DONE, 1, NOW));
   }
 
   private static Receiver.Reply send(
       Receiver receiver, String id, byte[] body, Instant signedAt, byte[] secret) {
     Map<String, String> headers =
         Map.of(
-            Signature.ID, id,
-            Signature.TIMESTAMP, Long.toString(signedAt.getEpochSecond()),
-            Signature.SIGNATURE, Signature.sign(List.of(secret), id, signedAt, body));
+            WebhookSignature.ID, id,
+            WebhookSignature.TIMESTAMP, Long.toString(signedAt.getEpochSecond()),
+            WebhookSignature.SIGNATURE, WebhookSignature.sign(List.of(secret), id, signedAt, body));
     return receiver.receive(headers::get, body);
   }
 
@@ -62,14 +62,14 @@
     return send(receiver, DeliveryWire.id(DESK, sequence), event(sequence), NOW, SECRET);
   }
 
-  private static Receiver receiver(Journal journal) {
+  private static Receiver receiver(NotificationJournal journal) {
     return new Receiver(List.of(SECRET), journal, Clock.fixed(NOW, ZoneOffset.UTC));
   }
 
   @Test
   void eachNoticeIsTakenOnceAndInOrder() throws IOException {
     Path file = folder.resolve("journal");
-    try (Journal journal = new Journal(file)) {
+    try (NotificationJournal journal = new NotificationJournal(file)) {
       Receiver receiver = receiver(journal);
       assertEquals(200, send(receiver, 1).status());
       assertEquals(409, send(receiver, 3).status());
@@ -78,11 +78,11 @@
       Receiver.Reply repeat = send(receiver, 1);
       assertEquals(200, repeat.status());
       assertEquals(2, DeliveryWire.parsePosition(repeat.body()));
-      assertThrows(IOException.class, () -> new Journal(file), "it is in use");
+      assertThrows(IOException.class, () -> new NotificationJournal(file), "it is in use");
       byte[] lost = DeliveryWire.lost(DESK, 2, 5);
       assertEquals(200, send(receiver, DeliveryWire.id(DESK, 5), lost, NOW, SECRET).status());
     }
-    try (Journal journal = new Journal(file)) {
+    try (NotificationJournal journal = new NotificationJournal(file)) {
       assertEquals(5, journal.position(DESK.source()));
     }
     assertEquals(3, Files.readAllLines(file).size());
@@ -94,7 +94,7 @@
   @Test
   void aTornLastLineIsCutOff() throws IOException {
     Path file = folder.resolve("journal");
-    try (Journal journal = new Journal(file)) {
+    try (NotificationJournal journal = new NotificationJournal(file)) {
       Receiver receiver = receiver(journal);
       send(receiver, 1);
       send(receiver, 2);
@@ -103,7 +103,7 @@
     int first = new String(whole, java.nio.charset.StandardCharsets.ISO_8859_1).indexOf('\n') + 1;
     for (int length = first; length < whole.length; length++) {
       Files.write(file, Arrays.copyOf(whole, length));
-      try (Journal journal = new Journal(file)) {
+      try (NotificationJournal journal = new NotificationJournal(file)) {
         assertEquals(1, journal.position(DESK.source()), length + " bytes");
         send(receiver(journal), 2);
       }
@@ -114,7 +114,7 @@
   @Test
   void damageElsewhereIsRefusedWithItsPlace() throws IOException {
     Path file = folder.resolve("journal");
-    try (Journal journal = new Journal(file)) {
+    try (NotificationJournal journal = new NotificationJournal(file)) {
       Receiver receiver = receiver(journal);
       send(receiver, 1);
       send(receiver, 2);
@@ -123,13 +123,13 @@
     byte[] whole = Files.readAllBytes(file);
     whole[whole.length / 2] ^= 1;
     Files.write(file, whole);
-    IOException refused = assertThrows(IOException.class, () -> new Journal(file));
+    IOException refused = assertThrows(IOException.class, () -> new NotificationJournal(file));
     assertTrue(refused.getMessage().contains("line 2, byte "), refused.getMessage());
   }
 
   @Test
   void whatIsNotFromTheSenderOrNotOfNowIsRefused() throws IOException {
-    try (Journal journal = new Journal(folder.resolve("journal"))) {
+    try (NotificationJournal journal = new NotificationJournal(folder.resolve("journal"))) {
       Receiver receiver = receiver(journal);
       String id = DeliveryWire.id(DESK, 1);
       assertEquals(401, send(receiver, id, event(1), NOW, new byte[] {1}).status());
--- a/src/test/java/io/pineladder/delivery/OutboxTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
@@ -8,13 +8,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pineladder.model.DeliveryProgress;
 import io.pineladder.model.Job;
-import io.pineladder.model.Notice;
-import io.pineladder.model.Progress;
+import io.pineladder.model.Notification;
 import io.pineladder.model.Subscription;
-import io.pineladder.net.Timeline;
-import io.pineladder.store.Keys;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.DeliveryWire;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.RecordWire;
@@ -35,14 +35,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The outbox against a plain list of all notices ever, through terms that end at any moment. */
-class OutboxTest {
+class NotificationOutboxTest {
   private static final int MOST = 200;
 
   private final RandomGenerator random;
-  private final Timeline time;
+  private final EventLoop eventLoop;
 
   /** What the state service holds: notices in their pages, subscriptions, progress. */
-  private final TreeMap<Long, Notice> storedNotices = new TreeMap<>();
+  private final TreeMap<Long, Notification> storedNotices = new TreeMap<>();
 
   private final Map<String, Subscription> storedSubscriptions = new TreeMap<>();
   private final Map<String, JsonNode> storedProgress = new TreeMap<>();
@@ -55,19 +55,19 @@
   /** Notices that left the log but whose page has not been written since. */
   private final Set<Long> dropped = new HashSet<>();
 
-  private Outbox outbox;
+  private NotificationOutbox outbox;
 
-  OutboxTest() {
+  NotificationOutboxTest() {
     random = RandomGeneratorFactory.of("L64X128MixRandom").create(3);
-    time =
-        new Timeline() {
+    eventLoop =
+        new EventLoop() {
           @Override
           public Instant now() {
             return Instant.EPOCH;
           }
 
           @Override
-          public Instant timeOfDay() {
+          public Instant wallClock() {
             return Instant.ofEpochSecond(1_790_000_000, 123_456_789);
           }
 
@@ -77,7 +77,7 @@
           }
 
           @Override
-          public void after(Duration delay, Runnable action) {}
+          public void schedule(Duration delay, Runnable action) {}
         };
     begin();
   }
@@ -85,21 +85,21 @@
   /** A new term, which knows what is stored. */
   private void begin() {
     underWay.clear();
-    outbox = new Outbox(MOST, 8192, time, this::commit, () -> {});
+    outbox = new NotificationOutbox(MOST, 8192, eventLoop, this::commit, () -> {});
     storedSubscriptions.values().forEach(outbox::known);
-    List<Notice> notices = new ArrayList<>(storedNotices.values());
+    List<Notification> notices = new ArrayList<>(storedNotices.values());
     // Pages come in no order of numbers.
     while (!notices.isEmpty()) {
-      Notice notice = notices.remove(random.nextInt(notices.size()));
+      Notification notification = notices.remove(random.nextInt(notices.size()));
       outbox.stored(
-          notice,
-          Json.bytes(RecordWire.notice(notice)).length + 1,
-          () -> dropped.add(notice.number()));
+          notification,
+          Json.bytes(RecordWire.notice(notification)).length + 1,
+          () -> dropped.add(notification.number()));
     }
     outbox.loaded();
     dropped.clear();
-    Map<String, List<Notice>> backlog = new TreeMap<>();
-    Map<String, Map<String, Progress>> progress = new TreeMap<>();
+    Map<String, List<Notification>> backlog = new TreeMap<>();
+    Map<String, Map<String, DeliveryProgress>> progress = new TreeMap<>();
     try {
       for (var page : storedBacklog.entrySet()) {
         backlog.put(page.getKey(), RecordWire.notices(page.getValue()));
@@ -107,7 +107,7 @@
       for (var page : storedProgress.entrySet()) {
         progress.put(page.getKey(), DeliveryWire.parseProgress(page.getValue()));
       }
-    } catch (io.pineladder.wire.MalformedException e) {
+    } catch (io.pineladder.wire.MalformedMessageException e) {
       throw new AssertionError(e);
     }
     outbox.complete(backlog, progress);
@@ -119,7 +119,7 @@
         () -> {
           JsonNode value = write.value().get();
           Map<String, JsonNode> to =
-              write.key().startsWith(Keys.BACKLOG) ? storedBacklog : storedProgress;
+              write.key().startsWith(RecordKeys.BACKLOG) ? storedBacklog : storedProgress;
           if (value == null) {
             to.remove(write.key());
           } else {
@@ -155,9 +155,9 @@
     outbox.subscribed(subscription);
   }
 
-  private Notice end(String job, String owner) {
+  private Notification end(String job, String owner) {
     outbox.begin();
-    Notice notice =
+    Notification notification =
         outbox.next(
             new Job(
                 new io.pineladder.model.JobSpec(
@@ -181,15 +181,15 @@
                     null),
                 Instant.EPOCH,
                 Job.State.DONE));
-    if (notice != null) {
-      storedNotices.put(notice.number(), notice);
+    if (notification != null) {
+      storedNotices.put(notification.number(), notification);
       outbox.stored(
-          notice,
-          Json.bytes(RecordWire.notice(notice)).length + 1,
-          () -> dropped.add(notice.number()));
+          notification,
+          Json.bytes(RecordWire.notice(notification)).length + 1,
+          () -> dropped.add(notification.number()));
       outbox.committed();
     }
-    return notice;
+    return notification;
   }
 
   /** What a receiver makes of one sending; it has a position and keeps it. */
@@ -262,20 +262,21 @@
 
   /** Sends what is next and takes in the answer; false when nothing is. */
   private boolean deliver(Subscription to, Model model) {
-    Progress at = outbox.cursor(to).now();
-    if (at.lostFrom() > 0) {
-      assertTrue(at.lostFrom() <= model.position + 1, "a loss that begins beyond what it has");
-      for (long n = model.position + 1; n <= at.sequence(); n++) {
+    DeliveryProgress at = outbox.cursor(to).now();
+    if (at.firstLostSequence() > 0) {
+      assertTrue(
+          at.firstLostSequence() <= model.position + 1, "a loss that begins beyond what it has");
+      for (long n = model.position + 1; n <= at.lastSequence(); n++) {
         model.lost++;
         model.told.put(n, null);
       }
-      model.position = Math.max(model.position, at.sequence());
+      model.position = Math.max(model.position, at.lastSequence());
     } else {
-      Notice next = outbox.next(to);
+      Notification next = outbox.next(to);
       if (next == null) {
         return false;
       }
-      long sequence = at.sequence() + 1;
+      long sequence = at.lastSequence() + 1;
       assertEquals(model.wanted.get((int) sequence - 1), next.job(), "by its own count");
       if (sequence <= model.position) {
         String before = model.told.get(sequence);
@@ -302,7 +303,14 @@
     filters.add(new Subscription.Filter(outbox.last(), Set.of("blue"), Set.of()));
     subscribe(
         new Subscription(
-            "desk", "1", before.url(), before.since(), filters, List.of(), before.status(), null));
+            "desk",
+            "1",
+            before.url(),
+            before.createdAfterNumber(),
+            filters,
+            List.of(),
+            before.status(),
+            null));
     end("c", "red");
     end("d", "blue");
     Subscription desk = outbox.subscriptions().get("desk");
@@ -344,11 +352,11 @@
    * Seen by hand: the leader that stored it told the time to the nanosecond, the next one did not.
    */
   @Test
-  void aLaterLeaderTellsTheSameToTheByte() throws io.pineladder.wire.MalformedException {
+  void aLaterLeaderTellsTheSameToTheByte() throws io.pineladder.wire.MalformedMessageException {
     subscribe(subscription("desk", outbox.last(), null));
-    Notice first = end("a", "red");
+    Notification first = end("a", "red");
     JsonNode page = RecordWire.page(java.util.stream.Stream.of(), List.of(first));
-    Notice later = RecordWire.notices(page).get(0);
+    Notification later = RecordWire.notices(page).get(0);
     Subscription desk = outbox.subscriptions().get("desk");
     assertArrayEquals(DeliveryWire.event(desk, 1, first), DeliveryWire.event(desk, 1, later));
   }
--- a/src/test/java/io/pineladder/net/SocketsTest.java
+++ b/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.net.Sockets.Part;
+import io.pineladder.net.ConnectionLimiter.TrafficClass;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -24,62 +24,62 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The socket budget against a plain list of sockets, and on real ones. */
-class SocketsTest {
+class ConnectionLimiterTest {
   private static final int LIMIT = 216;
   private static final int USABLE = 200;
-  private static final Map<Part, Integer> KEPT =
+  private static final Map<TrafficClass, Integer> KEPT =
       new EnumMap<>(
           Map.of(
-              Part.ARRIVING,
+              TrafficClass.ARRIVING,
               12,
-              Part.USERS,
+              TrafficClass.USERS,
               24,
-              Part.REPORTS,
+              TrafficClass.REPORTS,
               40,
-              Part.PEERS,
+              TrafficClass.PEERS,
               12,
-              Part.SERVICES,
+              TrafficClass.SERVICES,
               8,
-              Part.ORDERS,
+              TrafficClass.ORDERS,
               16,
-              Part.NOTICES,
+              TrafficClass.NOTICES,
               0));
-  private static final Map<Part, Integer> MOST =
+  private static final Map<TrafficClass, Integer> MOST =
       new EnumMap<>(
           Map.of(
-              Part.ARRIVING,
+              TrafficClass.ARRIVING,
               40,
-              Part.USERS,
+              TrafficClass.USERS,
               80,
-              Part.REPORTS,
+              TrafficClass.REPORTS,
               150,
-              Part.PEERS,
+              TrafficClass.PEERS,
               30,
-              Part.SERVICES,
+              TrafficClass.SERVICES,
               24,
-              Part.ORDERS,
+              TrafficClass.ORDERS,
               30,
-              Part.NOTICES,
+              TrafficClass.NOTICES,
               6));
-  private static final Map<Part, Integer> STALE_SECONDS =
+  private static final Map<TrafficClass, Integer> STALE_SECONDS =
       new EnumMap<>(
           Map.of(
-              Part.ARRIVING,
+              TrafficClass.ARRIVING,
               5,
-              Part.USERS,
+              TrafficClass.USERS,
               20,
-              Part.REPORTS,
+              TrafficClass.REPORTS,
               12,
-              Part.PEERS,
+              TrafficClass.PEERS,
               30,
-              Part.SERVICES,
+              TrafficClass.SERVICES,
               20,
-              Part.ORDERS,
+              TrafficClass.ORDERS,
               20,
-              Part.NOTICES,
+              TrafficClass.NOTICES,
               20));
 
-  private static final class Clock implements Timeline {
+  private static final class Clock implements EventLoop {
     Instant now = Instant.EPOCH;
 
     @Override
@@ -90,7 +90,7 @@
     private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
 
     @Override
-    public Instant timeOfDay() {
+    public Instant wallClock() {
       return now;
     }
 
@@ -100,41 +100,41 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable action) {}
+    public void schedule(Duration delay, Runnable action) {}
   }
 
   /** What the plain model knows of a socket. */
   private static final class Modelled {
-    Part part;
+    TrafficClass part;
     Instant idleSince;
 
     /** Of those idle since the same moment the first goes first. */
     int idleOrder;
 
-    Sockets.Socket real;
+    ConnectionLimiter.Socket real;
     boolean closed;
   }
 
   private final Clock clock = new Clock();
   private final List<Modelled> model = new ArrayList<>();
 
-  private long open(Part part) {
+  private long open(TrafficClass part) {
     return model.stream().filter(m -> m.part == part).count();
   }
 
-  private boolean isFree(Part part) {
+  private boolean isFree(TrafficClass part) {
     if (open(part) >= MOST.get(part)) {
       return false;
     }
     long claimed = 0;
-    for (Part each : Part.values()) {
+    for (TrafficClass each : TrafficClass.values()) {
       claimed += Math.max(open(each), KEPT.get(each));
     }
     return open(part) < KEPT.get(part) || claimed < USABLE;
   }
 
   /** Takes the longest idle one out of the model if it is stale. */
-  private Modelled takeStale(Part part) {
+  private Modelled takeStale(TrafficClass part) {
     Modelled longest = null;
     for (Modelled each : model) {
       if (each.part == part
@@ -153,7 +153,7 @@
     return null;
   }
 
-  private boolean hasRoom(Part part, List<Modelled> expectClosed) {
+  private boolean hasRoom(TrafficClass part, List<Modelled> expectClosed) {
     if (isFree(part)) {
       return true;
     }
@@ -168,12 +168,12 @@
   @ValueSource(longs = {1, 2, 3, 4})
   void itDoesWhatThePlainModelDoes(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    Sockets sockets = new Sockets(LIMIT, Duration.ofSeconds(5), clock);
+    ConnectionLimiter sockets = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
     int refused = 0;
     int stale = 0;
     for (int step = 0; step < 20_000; step++) {
       List<Modelled> expectClosed = new ArrayList<>();
-      Part part = Part.values()[random.nextInt(Part.values().length)];
+      TrafficClass part = TrafficClass.values()[random.nextInt(TrafficClass.values().length)];
       Modelled some = model.isEmpty() ? null : model.get(random.nextInt(model.size()));
       switch (random.nextInt(9)) {
         case 0, 1, 2, 3 -> {
@@ -228,7 +228,7 @@
       for (Modelled each : expectClosed) {
         assertTrue(each.closed, "step " + step + ": a stale one of " + each.part + " stays");
       }
-      for (Part each : Part.values()) {
+      for (TrafficClass each : TrafficClass.values()) {
         assertEquals(open(each), sockets.usage().get(each).open(), "step " + step + ": " + each);
       }
       assertTrue(model.size() <= USABLE);
@@ -239,22 +239,24 @@
   /** Whatever the others take, a part gets what is kept for it. */
   @Test
   void noPartTakesAnothersShare() {
-    Sockets sockets = new Sockets(LIMIT, Duration.ofSeconds(5), clock);
-    for (Part greedy : List.of(Part.REPORTS, Part.USERS, Part.ARRIVING)) {
+    ConnectionLimiter sockets = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
+    for (TrafficClass greedy :
+        List.of(TrafficClass.REPORTS, TrafficClass.USERS, TrafficClass.ARRIVING)) {
       int count = 0;
       while (sockets.open(greedy, () -> {}) != null) {
         count++;
       }
       assertTrue(count >= KEPT.get(greedy));
     }
-    for (Part each : List.of(Part.PEERS, Part.SERVICES, Part.ORDERS)) {
+    for (TrafficClass each :
+        List.of(TrafficClass.PEERS, TrafficClass.SERVICES, TrafficClass.ORDERS)) {
       for (int i = 0; i < KEPT.get(each); i++) {
         assertNotNull(sockets.open(each, () -> {}), each + " got " + i);
       }
     }
   }
 
-  private static <T> T onThread(XnioRuntime runtime, java.util.function.Supplier<T> read)
+  private static <T> T onThread(XnioEventLoop runtime, java.util.function.Supplier<T> read)
       throws Exception {
     CompletableFuture<T> got = new CompletableFuture<>();
     runtime.execute(() -> got.complete(read.get()));
@@ -267,24 +269,24 @@
    */
   @Test
   void aCallThatIsGivenUpLeavesNoSocketBehind() throws Exception {
-    XnioRuntime runtime = new XnioRuntime(100, Duration.ofSeconds(1));
+    XnioEventLoop runtime = new XnioEventLoop(100, Duration.ofSeconds(1));
     List<Socket> queue = new ArrayList<>();
     try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       // Once the queue of a listener that accepts nothing is full, connects to it hang.
       for (int i = 0; i < 2; i++) {
         queue.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
       }
-      UndertowCaller caller = new UndertowCaller(runtime, address -> Part.ORDERS);
+      UndertowHttpClient caller = new UndertowHttpClient(runtime, address -> TrafficClass.ORDERS);
       String address = "127.0.0.1:" + deaf.getLocalPort();
       int calls = 40;
-      List<HttpCaller.Reply> replies = new ArrayList<>();
+      List<AsyncHttpClient.Reply> replies = new ArrayList<>();
       CompletableFuture<Boolean> all = new CompletableFuture<>();
       onThread(
           runtime,
           () -> {
             for (int i = 0; i < calls; i++) {
               caller.call(
-                  HttpCaller.Request.get(address, "/", Duration.ofMillis(300)),
+                  AsyncHttpClient.Request.get(address, "/", Duration.ofMillis(300)),
                   reply -> {
                     replies.add(reply);
                     if (replies.size() == calls) {
@@ -295,12 +297,13 @@
             return true;
           });
       all.get(10, TimeUnit.SECONDS);
-      assertTrue(replies.stream().noneMatch(HttpCaller.Reply::isAnswered));
-      Sockets.Usage usage = onThread(runtime, () -> runtime.sockets().usage().get(Part.ORDERS));
+      assertTrue(replies.stream().noneMatch(AsyncHttpClient.Reply::isAnswered));
+      ConnectionLimiter.Usage usage =
+          onThread(runtime, () -> runtime.sockets().usage().get(TrafficClass.ORDERS));
       assertTrue(usage.peak() <= usage.most() && usage.refused() > 0, usage.toString());
       for (int i = 0; i < 100 && usage.open() > 0; i++) {
         Thread.sleep(20);
-        usage = onThread(runtime, () -> runtime.sockets().usage().get(Part.ORDERS));
+        usage = onThread(runtime, () -> runtime.sockets().usage().get(TrafficClass.ORDERS));
       }
       assertEquals(0, usage.open());
     } finally {
@@ -314,21 +317,21 @@
   /** A peer that hangs with our request must not hold our socket for longer than the call lasts. */
   @Test
   void aRequestThatIsNeverAnsweredLeavesNoSocketBehind() throws Exception {
-    XnioRuntime runtime = new XnioRuntime(100, Duration.ofSeconds(1));
+    XnioEventLoop runtime = new XnioEventLoop(100, Duration.ofSeconds(1));
     try (ServerSocket hanging = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      UndertowCaller caller = new UndertowCaller(runtime, address -> Part.ORDERS);
-      CompletableFuture<HttpCaller.Reply> got = new CompletableFuture<>();
+      UndertowHttpClient caller = new UndertowHttpClient(runtime, address -> TrafficClass.ORDERS);
+      CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
       runtime.execute(
           () ->
               caller.call(
-                  HttpCaller.Request.get(
+                  AsyncHttpClient.Request.get(
                       "127.0.0.1:" + hanging.getLocalPort(), "/", Duration.ofMillis(300)),
                   got::complete));
-      assertEquals(HttpCaller.Reply.UNKNOWN, got.get(10, TimeUnit.SECONDS));
+      assertEquals(AsyncHttpClient.Reply.UNKNOWN, got.get(10, TimeUnit.SECONDS));
       int open = 1;
       for (int i = 0; i < 50 && open > 0; i++) {
         Thread.sleep(20);
-        open = onThread(runtime, () -> runtime.sockets().usage().get(Part.ORDERS).open());
+        open = onThread(runtime, () -> runtime.sockets().usage().get(TrafficClass.ORDERS).open());
       }
       assertEquals(0, open);
     } finally {
@@ -347,28 +350,34 @@
    */
   @Test
   void connectionsThatSayNothingShutNoPeerOut() throws Exception {
-    XnioRuntime runtime = new XnioRuntime(100, Duration.ofSeconds(1));
+    XnioEventLoop runtime = new XnioEventLoop(100, Duration.ofSeconds(1));
     String front = freeAddress();
     String cluster = freeAddress();
-    HttpHandlerAsync handler =
-        (method, path, body, answer) -> answer.accept(new HttpAnswer(200, new byte[0]));
+    AsyncHttpHandler handler =
+        (method, path, body, answer) -> answer.accept(new HttpResponse(200, new byte[0]));
     List<Socket> silent = new ArrayList<>();
     try {
-      runtime.serve(new XnioRuntime.Listener(front, handler, Part.ARRIVING, path -> Part.USERS));
-      runtime.serve(new XnioRuntime.Listener(cluster, handler, Part.PEERS, path -> Part.PEERS));
+      runtime.serve(
+          new XnioEventLoop.Listener(
+              front, handler, TrafficClass.ARRIVING, path -> TrafficClass.USERS));
+      runtime.serve(
+          new XnioEventLoop.Listener(
+              cluster, handler, TrafficClass.PEERS, path -> TrafficClass.PEERS));
       int port = Integer.parseInt(front.substring(front.indexOf(':') + 1));
       for (int i = 0; i < 120; i++) {
         silent.add(new Socket(InetAddress.getLoopbackAddress(), port));
       }
-      UndertowCaller caller = new UndertowCaller(runtime, to -> Part.SERVICES);
-      CompletableFuture<HttpCaller.Reply> got = new CompletableFuture<>();
+      UndertowHttpClient caller = new UndertowHttpClient(runtime, to -> TrafficClass.SERVICES);
+      CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
       runtime.execute(
           () ->
               caller.call(
-                  HttpCaller.Request.get(cluster, "/peer", Duration.ofSeconds(5)), got::complete));
+                  AsyncHttpClient.Request.get(cluster, "/peer", Duration.ofSeconds(5)),
+                  got::complete));
       assertEquals(200, got.get(10, TimeUnit.SECONDS).status());
-      Map<Part, Sockets.Usage> usage = onThread(runtime, () -> runtime.sockets().usage());
-      Sockets.Usage arriving = usage.get(Part.ARRIVING);
+      Map<TrafficClass, ConnectionLimiter.Usage> usage =
+          onThread(runtime, () -> runtime.sockets().usage());
+      ConnectionLimiter.Usage arriving = usage.get(TrafficClass.ARRIVING);
       assertTrue(arriving.open() <= arriving.most() && arriving.refused() > 0, arriving.toString());
     } finally {
       for (Socket each : silent) {
--- a/src/test/java/io/pineladder/net/OutwardCallerTest.java
+++ b/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.net.Outward.Answer;
-import io.pineladder.net.Outward.Outcome;
+import io.pineladder.net.OutboundClient.Answer;
+import io.pineladder.net.OutboundClient.Outcome;
 import io.undertow.Undertow;
 import io.undertow.util.HttpString;
 import java.io.File;
@@ -34,16 +34,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Receivers on loopback that refuse, redirect, drip, never answer, or are not who they say. */
-class OutwardCallerTest {
+class OutboundHttpClientTest {
   private static final Predicate<InetAddress> ALL = address -> true;
   private static final char[] PASSWORD = "changeit".toCharArray();
 
   @TempDir Path folder;
-  private XnioRuntime runtime;
+  private XnioEventLoop runtime;
 
   @BeforeEach
   void start() throws Exception {
-    runtime = new XnioRuntime(1_000, Duration.ofSeconds(3));
+    runtime = new XnioEventLoop(1_000, Duration.ofSeconds(3));
   }
 
   @AfterEach
@@ -51,17 +51,17 @@
     runtime.stop();
   }
 
-  private Answer post(OutwardCaller caller, String url, Duration timeout) throws Exception {
+  private Answer post(OutboundHttpClient caller, String url, Duration timeout) throws Exception {
     CompletableFuture<Answer> got = new CompletableFuture<>();
-    Outward.Message message =
-        new Outward.Message(
+    OutboundClient.Message message =
+        new OutboundClient.Message(
             URI.create(url), Map.of("webhook-id", "x"), new byte[] {'{', '}'}, timeout);
     runtime.execute(() -> caller.post(message, got::complete));
     return got.get(20, TimeUnit.SECONDS);
   }
 
   private Answer post(Predicate<InetAddress> allowed, String url) throws Exception {
-    return post(new OutwardCaller(runtime, allowed), url, Duration.ofSeconds(10));
+    return post(new OutboundHttpClient(runtime, allowed), url, Duration.ofSeconds(10));
   }
 
   private static int port(Undertow server) {
@@ -86,7 +86,7 @@
             .build();
     server.start();
     try {
-      OutwardCaller caller = new OutwardCaller(runtime, ALL);
+      OutboundHttpClient caller = new OutboundHttpClient(runtime, ALL);
       for (int i = 1; i <= 3; i++) {
         Answer answer =
             post(caller, "http://localhost:" + port(server) + "/a?b=c", Duration.ofSeconds(10));
@@ -95,7 +95,7 @@
         assertEquals("moved", new String(answer.body(), StandardCharsets.UTF_8));
         assertEquals(i, requests.get());
       }
-      assertEquals(1, runtime.sockets().usage().get(Sockets.Part.NOTICES).peak());
+      assertEquals(1, runtime.sockets().usage().get(ConnectionLimiter.TrafficClass.NOTICES).peak());
     } finally {
       server.stop();
     }
@@ -147,7 +147,7 @@
 
   @Test
   void answersThatDripNeverEndOrAreTooLongAreGivenUp() throws Exception {
-    OutwardCaller caller = new OutwardCaller(runtime, ALL);
+    OutboundHttpClient caller = new OutboundHttpClient(runtime, ALL);
     String head = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n";
     for (int kind = 0; kind < 3; kind++) {
       try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
@@ -178,7 +178,10 @@
 
   private int open() throws Exception {
     CompletableFuture<Integer> got = new CompletableFuture<>();
-    runtime.execute(() -> got.complete(runtime.sockets().usage().get(Sockets.Part.NOTICES).open()));
+    runtime.execute(
+        () ->
+            got.complete(
+                runtime.sockets().usage().get(ConnectionLimiter.TrafficClass.NOTICES).open()));
     return got.get(5, TimeUnit.SECONDS);
   }
 
@@ -234,7 +237,7 @@
     server.start();
     try {
       int port = port(server);
-      OutwardCaller trusting = new OutwardCaller(runtime, ALL, context);
+      OutboundHttpClient trusting = new OutboundHttpClient(runtime, ALL, context);
       Duration timeout = Duration.ofSeconds(10);
       assertEquals(204, post(trusting, "https://localhost:" + port + "/", timeout).status());
       Answer wrongName = post(trusting, "https://127.0.0.1:" + port + "/", timeout);
--- a/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
+++ b/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.OperatorSettings;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -27,23 +27,28 @@
   private static final OperatorSettings SETTINGS = OperatorSettings.DEFAULTS;
 
   /** Team events answer "at once" for the team named, and room events "queue". */
-  private static HintTable hints() {
-    return new HintTable()
+  private static QueueingHintTable hints() {
+    return new QueueingHintTable()
         .on(
-            Check.TEAM_LIMIT,
-            Event.Kind.TEAM_FREED,
+            SchedulingCheck.TEAM_LIMIT,
+            ClusterEvent.Kind.TEAM_FREED,
             (entry, event) ->
-                entry.job.spec.team().equals(event.team()) ? Hint.QUEUE_AT_ONCE : Hint.SKIP)
-        .on(Check.FIT, Event.Kind.ROOM_FREED, (entry, event) -> Hint.QUEUE);
+                entry.job.spec.team().equals(event.team())
+                    ? QueueingHint.QUEUE_AT_ONCE
+                    : QueueingHint.SKIP)
+        .on(
+            SchedulingCheck.FIT,
+            ClusterEvent.Kind.ROOM_FREED,
+            (entry, event) -> QueueingHint.QUEUE);
   }
 
-  static Job job(String id, String team, Rank rank, Instant acceptedAt) {
+  static Job job(String id, String team, PriorityClass rank, Instant acceptedAt) {
     JobSpec spec =
         new JobSpec(
             id,
             "class",
             team,
-            Shape.ARRAY,
+            JobKind.ARRAY,
             rank,
             1,
             Resources.of(1, 0, 1),
@@ -82,7 +87,7 @@
   private static final class Plain {
     final QueueEntry entry;
     QueueEntry.Place place = QueueEntry.Place.ACTIVE;
-    Check by;
+    SchedulingCheck by;
     int tries;
     Instant triedAt;
     Instant until;
@@ -110,7 +115,7 @@
       now = now.plusMillis(random.nextInt(400));
       switch (random.nextInt(6)) {
         case 0 -> {
-          Rank rank = Rank.values()[random.nextInt(4)];
+          PriorityClass rank = PriorityClass.values()[random.nextInt(4)];
           QueueEntry entry = new QueueEntry(job("req-" + step, "t" + random.nextInt(3), rank, now));
           queue.add(entry);
           model.add(new Plain(entry));
@@ -121,7 +126,8 @@
               model.stream()
                   .filter(p -> p.place == QueueEntry.Place.ACTIVE)
                   .min(
-                      Comparator.<Plain, Rank>comparing(p -> p.entry.job.spec.rank())
+                      Comparator.<Plain, PriorityClass>comparing(
+                              p -> p.entry.job.spec.priorityClass())
                           .thenComparing(p -> p.entry.job.acceptedAt)
                           .thenComparing(p -> p.entry.arrival))
                   .orElse(null);
@@ -141,7 +147,7 @@
             first.backOff();
             first.place = QueueEntry.Place.BACKOFF_ERROR;
           } else {
-            first.by = fate == 2 ? Check.TEAM_LIMIT : Check.FIT;
+            first.by = fate == 2 ? SchedulingCheck.TEAM_LIMIT : SchedulingCheck.FIT;
             queue.park(popped, first.by, now);
             first.backOff();
             first.place = QueueEntry.Place.UNSCHEDULABLE;
@@ -149,20 +155,22 @@
         }
         case 3 -> {
           String team = "t" + random.nextInt(3);
-          queue.onEvent(Event.teamFreed(team), now);
+          queue.onEvent(ClusterEvent.teamFreed(team), now);
           for (Plain p : model) {
             boolean waits =
                 p.place == QueueEntry.Place.UNSCHEDULABLE
                     || p.place == QueueEntry.Place.BACKOFF_REJECTED;
-            if (waits && p.by == Check.TEAM_LIMIT && p.entry.job.spec.team().equals(team)) {
+            if (waits
+                && p.by == SchedulingCheck.TEAM_LIMIT
+                && p.entry.job.spec.team().equals(team)) {
               p.place = QueueEntry.Place.ACTIVE;
             }
           }
         }
         case 4 -> {
-          queue.onEvent(Event.roomFreed(null, null, Long.MAX_VALUE), now);
+          queue.onEvent(ClusterEvent.roomFreed(null, null, Long.MAX_VALUE), now);
           for (Plain p : model) {
-            if (p.place == QueueEntry.Place.UNSCHEDULABLE && p.by == Check.FIT) {
+            if (p.place == QueueEntry.Place.UNSCHEDULABLE && p.by == SchedulingCheck.FIT) {
               p.place =
                   p.until.isAfter(now)
                       ? QueueEntry.Place.BACKOFF_REJECTED
@@ -191,24 +199,24 @@
   @Test
   void anEventDuringATryIsSeenWhenTheEntryParks() {
     SchedulingQueue queue = queue();
-    QueueEntry entry = new QueueEntry(job("req-1", "t", Rank.NORMAL, ORIGIN));
+    QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
     queue.pop(ORIGIN);
-    queue.onEvent(Event.teamFreed("t"), ORIGIN);
-    queue.park(entry, Check.TEAM_LIMIT, ORIGIN);
+    queue.onEvent(ClusterEvent.teamFreed("t"), ORIGIN);
+    queue.park(entry, SchedulingCheck.TEAM_LIMIT, ORIGIN);
     assertEquals(QueueEntry.Place.ACTIVE, entry.place());
   }
 
   @Test
   void anEventThatNoCheckCaresAboutWakesNothing() {
     SchedulingQueue queue = queue();
-    QueueEntry entry = new QueueEntry(job("req-1", "t", Rank.NORMAL, ORIGIN));
+    QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
     queue.pop(ORIGIN);
-    queue.park(entry, Check.PREDECESSOR, ORIGIN);
-    queue.onEvent(Event.roomFreed(null, null, Long.MAX_VALUE), ORIGIN.plusSeconds(60));
-    queue.onEvent(Event.teamFreed("t"), ORIGIN.plusSeconds(60));
+    queue.park(entry, SchedulingCheck.PREDECESSOR, ORIGIN);
+    queue.onEvent(ClusterEvent.roomFreed(null, null, Long.MAX_VALUE), ORIGIN.plusSeconds(60));
+    queue.onEvent(ClusterEvent.teamFreed("t"), ORIGIN.plusSeconds(60));
     assertEquals(QueueEntry.Place.UNSCHEDULABLE, entry.place());
-    assertEquals(1, queue.parked().get(Check.PREDECESSOR));
+    assertEquals(1, queue.parked().get(SchedulingCheck.PREDECESSOR));
   }
 }
--- a/src/test/java/io/pineladder/recovery/LiveCopyTest.java
+++ b/src/test/java/io/pineladder/recovery/RecordReplicaTest.java
@@ -6,8 +6,8 @@
 import io.pineladder.model.Generation;
 import io.pineladder.model.Job;
 import io.pineladder.snapshot.Snapshot;
-import io.pineladder.snapshot.Snapshots;
-import io.pineladder.store.Keys;
+import io.pineladder.snapshot.SnapshotManager;
+import io.pineladder.store.RecordKeys;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire.Entry;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What several sources make together, against a plain model that knows the rules by heart. */
-class LiveCopyTest {
+class RecordReplicaTest {
   private static final List<String> PAGES =
       List.of("accepted/0", "accepted/1", "done/0", "done/1", "placed/0", "placed/1", "conf/types");
 
@@ -35,8 +35,8 @@
     final Map<String, Job.State> ends = new TreeMap<>();
 
     void take(Entry entry) {
-      if (entry.key().startsWith(Keys.END)) {
-        ends.putIfAbsent(entry.key().substring(Keys.END.length()), state(entry.value()));
+      if (entry.key().startsWith(RecordKeys.END)) {
+        ends.putIfAbsent(entry.key().substring(RecordKeys.END.length()), state(entry.value()));
       } else {
         records.merge(entry.key(), entry, (a, b) -> b.version() > a.version() ? b : a);
       }
@@ -53,7 +53,7 @@
     for (long revision = 1; revision <= 60; revision++) {
       if (random.nextInt(3) == 0) {
         Job.State state = random.nextBoolean() ? Job.State.DONE : Job.State.CANCELLED;
-        all.add(new Entry(Keys.END + "req-" + revision, RecordWire.end(state), revision));
+        all.add(new Entry(RecordKeys.END + "req-" + revision, RecordWire.end(state), revision));
       } else {
         JsonNode value = Json.object().put("n", "r" + revision).set("entries", Json.array());
         all.add(new Entry(PAGES.get(random.nextInt(PAGES.size())), value, revision));
@@ -62,20 +62,20 @@
     return all;
   }
 
-  private static Map<String, JsonNode> records(LiveCopy copy) {
+  private static Map<String, JsonNode> records(RecordReplica replica) {
     Map<String, JsonNode> found = new TreeMap<>();
-    for (Entry entry : copy.image()) {
-      if (!entry.key().startsWith(Keys.ENDS)) {
+    for (Entry entry : replica.image()) {
+      if (!entry.key().startsWith(RecordKeys.ENDS)) {
         found.put(entry.key(), entry.value());
       }
     }
     return found;
   }
 
-  private static Map<String, Job.State> ends(LiveCopy copy) throws Exception {
+  private static Map<String, Job.State> ends(RecordReplica replica) throws Exception {
     Map<String, Job.State> found = new TreeMap<>();
-    for (Entry entry : copy.image()) {
-      if (entry.key().startsWith(Keys.ENDS)) {
+    for (Entry entry : replica.image()) {
+      if (entry.key().startsWith(RecordKeys.ENDS)) {
         for (String job : RecordWire.parseEnds(entry.value())) {
           assertEquals(null, found.put(job, state(entry.value())), job + " is there twice");
         }
@@ -87,13 +87,13 @@
   @Test
   void sourcesMakeTogetherWhatThePlainModelMakes() throws Exception {
     for (int round = 0; round < 300; round++) {
-      LiveCopy copy = new LiveCopy(0);
+      RecordReplica replica = new RecordReplica(0);
       Model model = new Model();
       List<Entry> rest = new ArrayList<>();
       int seen = random.nextInt(60);
       for (Entry entry : history()) {
         if (entry.version() <= seen) {
-          copy.put(entry.key(), entry.value(), entry.version(), random.nextBoolean());
+          replica.put(entry.key(), entry.value(), entry.version(), random.nextBoolean());
           model.take(entry);
         }
         // What the store still holds: anything, older or newer.
@@ -102,19 +102,19 @@
           model.take(entry);
         }
       }
-      copy.merge(rest);
+      replica.merge(rest);
       Map<String, JsonNode> expected = new TreeMap<>();
       model.records.forEach((key, entry) -> expected.put(key, entry.value()));
-      assertEquals(expected, records(copy));
-      assertEquals(model.ends, ends(copy));
+      assertEquals(expected, records(replica));
+      assertEquals(model.ends, ends(replica));
 
       // A snapshot with the changes since is the same again, in whatever generation.
-      Snapshot kept = Snapshot.decode(copy.snapshot("c", Instant.EPOCH).encode());
-      LiveCopy back = LiveCopy.of(new Snapshots.Found(kept, List.of()));
-      assertEquals(copy.image(), back.image());
+      Snapshot kept = Snapshot.decode(replica.snapshot("c", Instant.EPOCH).encode());
+      RecordReplica back = RecordReplica.of(new SnapshotManager.Found(kept, List.of()));
+      assertEquals(replica.image(), back.image());
       back.moved(
           new Generation(
-              1L << 30, 5, Generation.Phase.WHOLE, true, new Generation.Writer("m", "n")));
+              1L << 30, 5, Generation.Phase.COMPLETE, true, new Generation.Writer("m", "n")));
       assertEquals(expected, records(back));
       assertEquals(model.ends, ends(back));
     }
@@ -122,17 +122,18 @@
 
   @Test
   void aPageThatIsOlderThanItWasSeenIsMissed() {
-    LiveCopy copy = new LiveCopy(0);
+    RecordReplica replica = new RecordReplica(0);
     JsonNode page = Json.object().set("entries", Json.array());
-    copy.put("placed/0", page, 7, false);
-    copy.put("placed/1", page, 9, false);
-    copy.begun();
+    replica.put("placed/0", page, 7, false);
+    replica.put("placed/1", page, 9, false);
+    replica.begun();
     List<Entry> whole = List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
-    assertEquals(null, copy.missing(Keys.PLACED, whole));
-    assertEquals("placed/1", copy.missing(Keys.PLACED, whole.subList(0, 1)));
+    assertEquals(null, replica.missing(RecordKeys.PLACED, whole));
+    assertEquals("placed/1", replica.missing(RecordKeys.PLACED, whole.subList(0, 1)));
     assertEquals(
         "placed/0",
-        copy.missing(
-            Keys.PLACED, List.of(new Entry("placed/0", page, 6), new Entry("placed/1", page, 9))));
+        replica.missing(
+            RecordKeys.PLACED,
+            List.of(new Entry("placed/0", page, 6), new Entry("placed/1", page, 9))));
   }
 }
--- a/src/test/java/io/pineladder/scheduling/FailuresTest.java
+++ b/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The verdicts against a plain model that works them out anew from the whole history. */
-class FailuresTest {
+class FaultAttributionTest {
   private static final MachineType TYPE =
       new MachineType(
           "g4", Resources.of(16, 4, 64), 50, 0.1, 4, 1, Duration.ofSeconds(10), List.of("a"));
@@ -33,9 +33,9 @@
   private final Set<Job> atFault = new HashSet<>();
   private final Set<Machine> suspect = new HashSet<>();
   private final Set<Machine> faulty = new HashSet<>();
-  private final Failures failures =
-      new Failures(
-          new Failures.Listener() {
+  private final FaultAttribution failures =
+      new FaultAttribution(
+          new FaultAttribution.Listener() {
             @Override
             public void onJob(Job job, boolean is) {
               set(atFault, job, is);
@@ -67,8 +67,8 @@
             "req-" + number,
             "class",
             "red",
-            Shape.ARRAY,
-            Rank.LOW,
+            JobKind.ARRAY,
+            PriorityClass.LOW,
             4,
             Resources.of(2, 1, 4),
             null,
@@ -108,7 +108,7 @@
     boolean atFault(Job job) {
       Set<Machine> on = new HashSet<>(failed.getOrDefault(job, Set.of()));
       on.removeAll(faulty);
-      return !good.contains(job) && on.size() >= Failures.SEVERAL;
+      return !good.contains(job) && on.size() >= FaultAttribution.SEVERAL;
     }
 
     List<Job> blaming(Machine machine) {
@@ -118,7 +118,7 @@
     }
 
     boolean isSuspect(Machine machine) {
-      return !faulty.contains(machine) && blaming(machine).size() >= Failures.SEVERAL;
+      return !faulty.contains(machine) && blaming(machine).size() >= FaultAttribution.SEVERAL;
     }
 
     /** Another machine may be faulty once one is, since that clears jobs. */
--- a/src/test/java/io/pineladder/scheduling/DependenciesTest.java
+++ b/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.model.FinishTimes;
+import io.pineladder.model.ChainDeadlines;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
  * The index of chains beside a model that works everything out from the history, in arbitrary
  * orders.
  */
-class DependenciesTest {
+class JobDependenciesTest {
   private final Map<String, Job> memory = new LinkedHashMap<>();
   private final Map<String, Job.State> stored = new HashMap<>();
   private final Map<String, Job> all = new LinkedHashMap<>();
@@ -34,12 +34,12 @@
   private final Set<Job> cancelled = new HashSet<>();
   private final Instant now = Instant.EPOCH.plusSeconds(1_000);
 
-  private final Dependencies dependencies =
-      new Dependencies(
+  private final JobDependencies dependencies =
+      new JobDependencies(
           memory::get,
           () -> now,
-          DependenciesTest::own,
-          new Dependencies.Listener() {
+          JobDependenciesTest::own,
+          new JobDependencies.Listener() {
             @Override
             public void onReady(Job job) {
               assertTrue(ready.add(job), "told once");
@@ -62,19 +62,19 @@
             public void lookUp(String id) {}
           });
 
-  private static FinishTimes own(Job job) {
+  private static ChainDeadlines own(Job job) {
     Duration deadline = job.spec.deadline();
     Instant end = deadline == null ? null : job.acceptedAt.plus(deadline);
-    return end == null ? null : new FinishTimes(end, end.plus(deadline));
+    return end == null ? null : new ChainDeadlines(end, end.plus(deadline));
   }
 
-  private Job job(int number, Rank rank, Duration deadline, List<String> needs) {
+  private Job job(int number, PriorityClass rank, Duration deadline, List<String> needs) {
     JobSpec spec =
         new JobSpec(
             "req-" + number,
             "work",
             "red",
-            Shape.ARRAY,
+            JobKind.ARRAY,
             rank,
             1,
             Resources.of(1, 0, 1),
@@ -93,7 +93,7 @@
     return new Job(spec, now, Job.State.ACTIVE);
   }
 
-  private Job add(int number, Rank rank, Duration deadline, String... needs) {
+  private Job add(int number, PriorityClass rank, Duration deadline, String... needs) {
     Job job = job(number, rank, deadline, List.of(needs));
     memory.put(job.spec.id(), job);
     all.put(job.spec.id(), job);
@@ -103,12 +103,12 @@
 
   /** The job's final state is stored, and it leaves the memory. */
   private void end(Job job, Job.State state) {
-    job.moveTo(state);
+    job.transitionTo(state);
     if (state == Job.State.CANCELLED) {
       dependencies.leave(job);
       dependencies.endUnderWay(job);
     }
-    job.endStored = true;
+    job.finalStateStored = true;
     stored.put(job.spec.id(), state);
     dependencies.ended(job);
     memory.remove(job.spec.id());
@@ -125,24 +125,24 @@
     return job.spec.prerequisites().stream().allMatch(id -> stored.get(id) == Job.State.DONE);
   }
 
-  private Rank rank(Job job) {
-    Rank highest = job.spec.rank();
+  private PriorityClass rank(Job job) {
+    PriorityClass highest = job.spec.priorityClass();
     for (Job other : memory.values()) {
       if (other.isActive() && other.spec.prerequisites().contains(job.spec.id())) {
-        Rank of = rank(other);
+        PriorityClass of = rank(other);
         highest = of.isAbove(highest) ? of : highest;
       }
     }
     return highest;
   }
 
-  private FinishTimes before(Job job) {
-    FinishTimes earliest = null;
+  private ChainDeadlines before(Job job) {
+    ChainDeadlines earliest = null;
     for (Job other : memory.values()) {
       if (other.isActive() && other.spec.prerequisites().contains(job.spec.id())) {
-        FinishTimes of = FinishTimes.earlier(before(other), own(other));
-        Duration expected = other.spec.estimate().plus(ClassTimes.UNKNOWN);
-        earliest = FinishTimes.earlier(earliest, of == null ? null : of.minus(expected));
+        ChainDeadlines of = ChainDeadlines.earlier(before(other), own(other));
+        Duration expected = other.spec.estimatedRunTime().plus(ClassLatencies.UNKNOWN);
+        earliest = ChainDeadlines.earlier(earliest, of == null ? null : of.minus(expected));
       }
     }
     return earliest;
@@ -152,11 +152,11 @@
     for (Job job : all.values()) {
       String id = job.spec.id();
       boolean byOthers = !stored.containsKey(id) && isCancelled(id);
-      assertEquals(byOthers, job.cancellationDerived && !stored.containsKey(id), id);
+      assertEquals(byOthers, job.cancelledByDependency && !stored.containsKey(id), id);
       if (job.isActive() && !byOthers) {
-        assertEquals(!mayStart(job), job.waitsForOthers, id);
-        assertEquals(rank(job), job.rank(), id);
-        assertEquals(before(job), job.finishTimes, id);
+        assertEquals(!mayStart(job), job.blockedByDependencies, id);
+        assertEquals(rank(job), job.priorityClass(), id);
+        assertEquals(before(job), job.chainDeadlines, id);
       }
     }
   }
@@ -176,16 +176,16 @@
             needs.add(id);
           }
         }
-        Rank rank = Rank.values()[random.nextInt(4)];
+        PriorityClass rank = PriorityClass.values()[random.nextInt(4)];
         Duration deadline = random.nextInt(3) == 0 ? Duration.ofSeconds(200 + number) : null;
         add(number, rank, deadline, needs.toArray(String[]::new));
         compare();
         for (Job job : List.copyOf(memory.values())) {
           if (job.isActive() && random.nextInt(12) == 0) {
             end(job, Job.State.CANCELLED);
-          } else if (job.isActive() && !job.waitsForOthers && random.nextInt(3) == 0) {
+          } else if (job.isActive() && !job.blockedByDependencies && random.nextInt(3) == 0) {
             // A completion's time would be learned, which the model does not follow.
-            job.readyAt = now.minus(job.spec.estimate()).minus(ClassTimes.UNKNOWN);
+            job.readyAt = now.minus(job.spec.estimatedRunTime()).minus(ClassLatencies.UNKNOWN);
             end(job, Job.State.DONE);
           }
           compare();
@@ -196,15 +196,15 @@
 
   @Test
   void aLongChainIsFollowedWithoutRecursion() {
-    add(0, Rank.LOW, null);
+    add(0, PriorityClass.LOW, null);
     for (int number = 1; number <= 5_000; number++) {
-      add(number, Rank.LOW, null, "req-" + (number - 1));
+      add(number, PriorityClass.LOW, null, "req-" + (number - 1));
     }
     assertEquals(5_000, dependencies.waiting());
     assertEquals(5_001, dependencies.longestChain());
-    Job last = add(5_001, Rank.HIGH, Duration.ofHours(100), "req-5000");
-    assertEquals(Rank.HIGH, all.get("req-0").rank());
-    assertEquals(own(last).minus(Duration.ofSeconds(15 * 5_001)), all.get("req-0").finishTimes);
+    Job last = add(5_001, PriorityClass.HIGH, Duration.ofHours(100), "req-5000");
+    assertEquals(PriorityClass.HIGH, all.get("req-0").priorityClass());
+    assertEquals(own(last).minus(Duration.ofSeconds(15 * 5_001)), all.get("req-0").chainDeadlines);
     end(all.get("req-0"), Job.State.CANCELLED);
     assertEquals(5_001, cancelled.size());
     assertEquals(0, dependencies.waiting());
@@ -215,7 +215,7 @@
    */
   @Test
   void aPrerequisiteThatIsLookedUpLeavesTheAnswerOpen() {
-    Job job = add(2, Rank.LOW, null, "req-1");
+    Job job = add(2, PriorityClass.LOW, null, "req-1");
     assertTrue(dependencies.isUncertain(job));
     dependencies.settled("req-1", Job.State.DONE);
     assertTrue(!dependencies.isUncertain(job) && ready.contains(job));
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -5,14 +5,14 @@
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.net.Timeline;
-import io.pineladder.queue.Check;
+import io.pineladder.net.EventLoop;
+import io.pineladder.queue.SchedulingCheck;
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import java.time.Duration;
@@ -32,9 +32,9 @@
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
   private static final double BLUE_GPUS = 8;
 
-  private record FixedTime(Instant now) implements Timeline {
+  private record FixedTime(Instant now) implements EventLoop {
     @Override
-    public Instant timeOfDay() {
+    public Instant wallClock() {
       return now;
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable action) {
+    public void schedule(Duration delay, Runnable action) {
       throw new UnsupportedOperationException();
     }
   }
@@ -55,7 +55,7 @@
   }
 
   /** Jobs of the class {@code class} are to be done within two minutes. */
-  private static Cluster expecting() throws SettingsReader.BadSettingsException {
+  private static ClusterState expecting() throws SettingsReader.BadSettingsException {
     String objective =
         """
         [[deployment.objectives]]
@@ -66,7 +66,7 @@
 
         [deployment.workers]\
         """;
-    return new Cluster(
+    return new ClusterState(
         SettingsReader.parse(SettingsReaderTest.GOOD.replace("[deployment.workers]", objective)));
   }
 
@@ -76,8 +76,8 @@
         "req-" + id,
         "class",
         random.nextBoolean() ? "blue" : "red",
-        gang ? Shape.GANG : Shape.ARRAY,
-        Rank.NORMAL,
+        gang ? JobKind.GANG : JobKind.ARRAY,
+        PriorityClass.NORMAL,
         1 + random.nextInt(6),
         Resources.of(1 + random.nextInt(6), random.nextInt(3), 1 + random.nextInt(20)),
         random.nextInt(3) == 0 ? List.of("small") : null,
@@ -94,7 +94,7 @@
   }
 
   /** How many of the job's tasks could go into each zone, machine by machine and one at a time. */
-  private static Map<String, Integer> takes(Cluster cluster, Job job) {
+  private static Map<String, Integer> takes(ClusterState cluster, Job job) {
     Map<String, Integer> zones = new HashMap<>();
     for (Machine machine : cluster.machines()) {
       boolean allowed =
@@ -103,15 +103,15 @@
               && (job.spec.spotAllowed() || !machine.spot)
               && machine.state() == Machine.State.CONFIRMED
               && !machine.draining;
-      double cpus = machine.type.size().cpus();
-      double gpus = machine.type.size().gpus();
-      double gb = machine.type.size().memoryGb();
+      double cpus = machine.type.capacity().cpus();
+      double gpus = machine.type.capacity().gpus();
+      double gb = machine.type.capacity().memoryGb();
       for (Attempt attempt : machine.attempts.values()) {
-        cpus -= attempt.job.spec.each().cpus();
-        gpus -= attempt.job.spec.each().gpus();
-        gb -= attempt.job.spec.each().memoryGb();
+        cpus -= attempt.job.spec.resourcesPerTask().cpus();
+        gpus -= attempt.job.spec.resourcesPerTask().gpus();
+        gb -= attempt.job.spec.resourcesPerTask().memoryGb();
       }
-      Resources each = job.spec.each();
+      Resources each = job.spec.resourcesPerTask();
       while (allowed && each.cpus() <= cpus && each.gpus() <= gpus && each.memoryGb() <= gb) {
         zones.merge(machine.zone, 1, Integer::sum);
         cpus -= each.cpus();
@@ -122,24 +122,25 @@
     return zones;
   }
 
-  private static boolean canPlace(Cluster cluster, Job job, int wanted) {
+  private static boolean canPlace(ClusterState cluster, Job job, int wanted) {
     double gpus = 0;
     Map<String, Integer> own = new HashMap<>();
     for (Machine machine : cluster.machines()) {
       for (Attempt attempt : machine.attempts.values()) {
         if (attempt.job.spec.team().equals(job.spec.team())) {
-          gpus += attempt.job.spec.each().gpus();
+          gpus += attempt.job.spec.resourcesPerTask().gpus();
         }
         if (attempt.job == job) {
           own.merge(machine.zone, 1, Integer::sum);
         }
       }
     }
-    if (job.spec.team().equals("blue") && gpus + wanted * job.spec.each().gpus() > BLUE_GPUS) {
+    if (job.spec.team().equals("blue")
+        && gpus + wanted * job.spec.resourcesPerTask().gpus() > BLUE_GPUS) {
       return false;
     }
     Map<String, Integer> takes = takes(cluster, job);
-    int most = job.spec.spread() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    int most = job.spec.spreadAcrossZones() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
     int sum = 0;
     boolean inOne = false;
     for (var zone : takes.entrySet()) {
@@ -148,7 +149,7 @@
       inOne |= only && room >= wanted;
       sum += Math.max(0, room);
     }
-    return job.spec.together() ? inOne : sum >= wanted;
+    return job.spec.sameZone() ? inOne : sum >= wanted;
   }
 
   /**
@@ -160,16 +161,16 @@
   void placesJustWhenThePlainModelCan(long seed, boolean policy)
       throws SettingsReader.BadSettingsException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    Cluster cluster = new Cluster(SettingsReader.parse(SettingsReaderTest.GOOD));
+    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
     List<MachineType> types = List.of(type("small", 8, 2), type("large", 24, 4));
     for (int i = 0; i < 9; i++) {
       Machine machine =
           new Machine(
               "m-" + i, types.get(i % 2), i % 3 == 0 ? "a" : "b", random.nextInt(4) == 0, NOW);
-      machine.moveTo(i == 8 ? Machine.State.HEARD : Machine.State.CONFIRMED);
+      machine.transitionTo(i == 8 ? Machine.State.HEARD : Machine.State.CONFIRMED);
       machine.draining = i == 7;
-      machine.spared = policy && i == 3;
-      machine.suspect = policy && i == 4;
+      machine.retiring = policy && i == 3;
+      machine.quarantined = policy && i == 4;
       cluster.addMachine(machine);
     }
     if (policy) {
@@ -184,12 +185,12 @@
     for (int step = 0; step < 400; step++) {
       JobSpec spec = randomSpec(random, step);
       Job job = new Job(spec, NOW, Job.State.ACTIVE);
-      int turns = spec.shape() == Shape.GANG ? 1 : spec.tasks();
-      int wanted = spec.shape() == Shape.GANG ? spec.tasks() : 1;
+      int turns = spec.kind() == JobKind.GANG ? 1 : spec.tasks();
+      int wanted = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
       for (int turn = 0; turn < turns; turn++) {
         boolean possible = canPlace(cluster, job, wanted);
         if (policy) {
-          job.avoid.add("m-" + random.nextInt(8));
+          job.avoidedMachines.add("m-" + random.nextInt(8));
           boolean placedAllTheSame = placer.place(job, wanted, NOW).isPlaced();
           assertTrue(possible || !placedAllTheSame, spec.toString());
           kept += possible && !placedAllTheSame ? 1 : 0;
@@ -206,29 +207,34 @@
         for (int i = 0; i < wanted; i++) {
           there.add(
               cluster.addAttempt(
-                  job, turn + i, step, decision.machines().get(i), NOW, Attempt.State.STORING));
+                  job,
+                  turn + i,
+                  step,
+                  decision.machines().get(i),
+                  NOW,
+                  Attempt.State.PLACEMENT_PENDING));
         }
       }
       while (there.size() > 12 + random.nextInt(12)) {
-        cluster.move(there.remove(random.nextInt(there.size())), Attempt.State.GONE);
+        cluster.transition(there.remove(random.nextInt(there.size())), Attempt.State.GONE);
       }
     }
     assertTrue(placed > 50 && refused > 50, placed + " placed, " + refused + " refused");
     assertTrue(policy == (kept > 20), kept + " kept from room by policy");
-    there.forEach(attempt -> cluster.move(attempt, Attempt.State.GONE));
-    assertEquals(Resources.NONE, cluster.usage("blue"));
+    there.forEach(attempt -> cluster.transition(attempt, Attempt.State.GONE));
+    assertEquals(Resources.ZERO, cluster.usage("blue"));
   }
 
   @Test
   void namesTheTeamLimitAsTheReason() throws SettingsReader.BadSettingsException {
-    Cluster cluster = new Cluster(SettingsReader.parse(SettingsReaderTest.GOOD));
+    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
     JobSpec spec =
         new JobSpec(
             "req-1",
             "class",
             "blue",
-            Shape.GANG,
-            Rank.NORMAL,
+            JobKind.GANG,
+            PriorityClass.NORMAL,
             9,
             Resources.of(1, 1, 1),
             null,
@@ -244,18 +250,18 @@
             null);
     Placer.Decision decision =
         new Placer(cluster, new FixedTime(NOW)).place(new Job(spec, NOW, Job.State.ACTIVE), 9, NOW);
-    assertEquals(Check.TEAM_LIMIT, decision.rejectedBy());
+    assertEquals(SchedulingCheck.TEAM_LIMIT, decision.rejectedBy());
   }
 
   /** Found on the grown colombo: long jobs on spot machines lost a task each and were done late. */
   @Test
   void aJobThatALossWouldMakeLateKeepsOffSpotMachines() throws SettingsReader.BadSettingsException {
-    Cluster cluster = expecting();
+    ClusterState cluster = expecting();
     MachineType type = type("large", 24, 4);
     cluster.setTypes(List.of(type));
     for (boolean spot : List.of(true, false)) {
       Machine machine = new Machine(spot ? "m-spot" : "m-ordinary", type, "a", spot, NOW);
-      machine.moveTo(Machine.State.CONFIRMED);
+      machine.transitionTo(Machine.State.CONFIRMED);
       machine.touchImage("img", 1);
       cluster.addMachine(machine);
     }
@@ -272,8 +278,8 @@
               "req-1",
               "class",
               "red",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              PriorityClass.NORMAL,
               12,
               Resources.of(1, 1, 1),
               null,
@@ -302,21 +308,21 @@
       throws SettingsReader.BadSettingsException {
     for (boolean expected : List.of(true, false)) {
       for (int age : List.of(0, 60, 100)) {
-        Cluster cluster = expecting();
+        ClusterState cluster = expecting();
         MachineType type = type("large", 24, 4);
         cluster.setTypes(List.of(type));
         Machine machine = new Machine("m-1", type, "a", true, NOW);
-        machine.moveTo(Machine.State.CONFIRMED);
+        machine.transitionTo(Machine.State.CONFIRMED);
         cluster.addMachine(machine);
-        Job low = job("req-1", expected ? "class" : "other", Rank.LOW, NOW);
+        Job low = job("req-1", expected ? "class" : "other", PriorityClass.LOW, NOW);
         cluster.addJob(low);
-        cluster.addAttempt(low, 0, 1, machine, NOW, Attempt.State.STORING);
-        Job high = job("req-2", "class", Rank.NORMAL, NOW);
+        cluster.addAttempt(low, 0, 1, machine, NOW, Attempt.State.PLACEMENT_PENDING);
+        Job high = job("req-2", "class", PriorityClass.NORMAL, NOW);
         high.pending.set(0);
         cluster.addJob(high);
         Instant now = NOW.plusSeconds(age);
         List<Attempt> stopped = new ArrayList<>();
-        new RoomMaker(cluster, new FixedTime(now), stopped::add)
+        new PreemptionPolicy(cluster, new FixedTime(now), stopped::add)
             .makeRoom(high, Double.MAX_VALUE, now);
         // It runs for 10 s of its 120, and another machine would be ready after 11.
         assertEquals(!expected || age == 100, !stopped.isEmpty(), expected + " at " + age);
@@ -324,13 +330,13 @@
     }
   }
 
-  private static Job job(String id, String jobClass, Rank rank, Instant accepted) {
+  private static Job job(String id, String jobClass, PriorityClass rank, Instant accepted) {
     JobSpec spec =
         new JobSpec(
             id,
             jobClass,
             "red",
-            Shape.ARRAY,
+            JobKind.ARRAY,
             rank,
             1,
             Resources.of(24, 4, 1),
--- a/src/test/java/io/pineladder/scheduling/RoomMakerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
@@ -5,13 +5,13 @@
 
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import java.time.Duration;
@@ -27,27 +27,27 @@
  * Which fetching task moves to a machine that has its image, beside a model that looks at all of
  * them.
  */
-class RoomMakerTest {
+class PreemptionPolicyTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
 
   private static final MachineType TYPE =
       new MachineType(
           "g4", Resources.of(16, 4, 64), 500, 1, 4, 1, Duration.ofSeconds(10), List.of("a"));
 
-  private Cluster cluster;
+  private ClusterState cluster;
 
-  private RoomMaker rooms;
+  private PreemptionPolicy rooms;
   private int numbers;
 
-  private static final Timeline TIME =
-      new Timeline() {
+  private static final EventLoop TIME =
+      new EventLoop() {
         @Override
         public Instant now() {
           return NOW;
         }
 
         @Override
-        public Instant timeOfDay() {
+        public Instant wallClock() {
           return NOW;
         }
 
@@ -57,22 +57,22 @@
         }
 
         @Override
-        public void after(Duration delay, Runnable action) {
+        public void schedule(Duration delay, Runnable action) {
           throw new UnsupportedOperationException();
         }
       };
 
   @BeforeEach
   void begin() throws SettingsReader.BadSettingsException {
-    cluster = new Cluster(SettingsReader.parse(SettingsReaderTest.GOOD));
+    cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
     cluster.setTypes(List.of(TYPE));
-    rooms = new RoomMaker(cluster, TIME, attempt -> {});
+    rooms = new PreemptionPolicy(cluster, TIME, attempt -> {});
   }
 
   private Machine machine(String name) {
     Machine machine = new Machine(name, TYPE, "a", false, NOW);
-    machine.moveTo(Machine.State.HEARD);
-    machine.moveTo(Machine.State.CONFIRMED);
+    machine.transitionTo(Machine.State.HEARD);
+    machine.transitionTo(Machine.State.CONFIRMED);
     cluster.addMachine(machine);
     return machine;
   }
@@ -83,8 +83,8 @@
             "req-" + ++numbers,
             "work",
             "red",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            PriorityClass.NORMAL,
             1,
             Resources.of(cpus, 0, 1),
             null,
@@ -99,10 +99,10 @@
             Duration.ZERO,
             null);
     Job job = new Job(spec, NOW, Job.State.ACTIVE);
-    Attempt attempt = cluster.addAttempt(job, 0, numbers, on, NOW, Attempt.State.STORING);
-    attempt.readyAt = NOW.plus(ready);
-    cluster.move(attempt, Attempt.State.STORED);
-    cluster.move(attempt, Attempt.State.FETCHING);
+    Attempt attempt = cluster.addAttempt(job, 0, numbers, on, NOW, Attempt.State.PLACEMENT_PENDING);
+    attempt.imageReadyAt = NOW.plus(ready);
+    cluster.transition(attempt, Attempt.State.PLACEMENT_STORED);
+    cluster.transition(attempt, Attempt.State.FETCHING_IMAGE);
     return attempt;
   }
 
@@ -114,7 +114,7 @@
         attempt -> {
           moved.add(attempt);
           // Stopped, it is gone at once, as one that has not begun is.
-          cluster.move(attempt, Attempt.State.GONE);
+          cluster.transition(attempt, Attempt.State.GONE);
         });
     return moved;
   }
@@ -124,13 +124,13 @@
     Instant latest = null;
     for (Attempt attempt : all) {
       boolean worth =
-          attempt.holdsRoom()
+          attempt.holdsCapacity()
               && attempt.machine != to
               && to.images.containsKey(attempt.job.spec.image())
-              && attempt.readyAt.isAfter(NOW.plusSeconds(6))
-              && attempt.job.spec.each().fitsIn(room);
-      if (worth && (latest == null || attempt.readyAt.isAfter(latest))) {
-        latest = attempt.readyAt;
+              && attempt.imageReadyAt.isAfter(NOW.plusSeconds(6))
+              && attempt.job.spec.resourcesPerTask().fitsIn(room);
+      if (worth && (latest == null || attempt.imageReadyAt.isAfter(latest))) {
+        latest = attempt.imageReadyAt;
       }
     }
     return latest;
@@ -153,7 +153,7 @@
       }
       Instant expected = best(all, to, to.free());
       List<Attempt> moved = moved(to);
-      assertEquals(expected, moved.isEmpty() ? null : moved.get(0).readyAt, "seed " + seed);
+      assertEquals(expected, moved.isEmpty() ? null : moved.get(0).imageReadyAt, "seed " + seed);
       moves += moved.isEmpty() ? 0 : 1;
     }
     assertTrue(moves > 10 && moves < 40, "moves: " + moves);
@@ -178,7 +178,7 @@
       assertTrue(
           looked.stream()
               .filter(attempt -> attempt.job.spec.image().equals(first.job.spec.image()))
-              .noneMatch(attempt -> attempt.readyAt.isAfter(first.readyAt)));
+              .noneMatch(attempt -> attempt.imageReadyAt.isAfter(first.imageReadyAt)));
     }
   }
 }
--- a/src/test/java/io/pineladder/sim/BadInputTest.java
+++ b/src/test/java/io/pineladder/sim/BadInputTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What no user or worker should send, through every node and again and again. */
-class BadInputTest extends LaidOutCluster {
+class BadInputTest extends ConfigurableCluster {
   private static final int TIMES = 100;
 
   /** How often each answer came, as its status and what it says of the job. */
@@ -31,7 +31,7 @@
       world
           .caller("user", () -> true)
           .call(
-              new HttpCaller.Request(node, method, path, body, Duration.ofSeconds(5)),
+              new AsyncHttpClient.Request(node, method, path, body, Duration.ofSeconds(5)),
               reply -> answers.merge(describe(reply), 1, Integer::sum));
       world.runFor(Duration.ofMillis(150));
     }
@@ -39,7 +39,7 @@
     return answers;
   }
 
-  private static String describe(HttpCaller.Reply reply) {
+  private static String describe(AsyncHttpClient.Reply reply) {
     String text = reply.body() == null ? "" : new String(reply.body(), StandardCharsets.UTF_8);
     for (String status : List.of("done", "aborted", "running", "pending")) {
       if (text.contains("\"status\":\"" + status + "\"")) {
@@ -76,9 +76,9 @@
   @Test
   void nothingThatShouldNotBeSentChangesAJobOrEndsATerm() {
     begin(Layout.FLEET, 41);
-    Rules.Known done = submit(work("array", 1).put("guess_s", 5));
-    Rules.Known cancelled = submit(work("service", 1));
-    Rules.Known runs = submit(work("service", 1));
+    SafetyRules.Known done = submit(work("array", 1).put("guess_s", 5));
+    SafetyRules.Known cancelled = submit(work("service", 1));
+    SafetyRules.Known runs = submit(work("service", 1));
     world.runFor(Duration.ofSeconds(50));
     cancel(cancelled);
     world.runFor(Duration.ofSeconds(20));
@@ -109,7 +109,7 @@
     }
 
     // Machines that nobody rented, of a known type and of none, and old words of one that is there.
-    FleetStandIn.Worker there =
+    FakeFleet.Worker there =
         fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
     List<byte[]> reports = new ArrayList<>();
     reports.add(report("m-999998", "g4", 1, 1, 0, null));
@@ -227,7 +227,7 @@
     }
   }
 
-  private ObjectNode changed(String how) throws MalformedException {
+  private ObjectNode changed(String how) throws MalformedMessageException {
     ObjectNode spec = work("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
     if (!how.contains("=")) {
@@ -245,7 +245,7 @@
 
   /** What each node answers to what is done to a good job; every node is sent a job of its own. */
   private Map<String, List<Integer>> answers(List<String> nodes, Predicate<Integer> which)
-      throws MalformedException {
+      throws MalformedMessageException {
     Map<String, List<Integer>> found = new LinkedHashMap<>();
     for (Map.Entry<String, Integer> each : SUBMISSIONS.entrySet()) {
       if (!which.test(each.getValue())) {
@@ -259,7 +259,7 @@
         world
             .caller("user", () -> true)
             .call(
-                new HttpCaller.Request(
+                new AsyncHttpClient.Request(
                     node, "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
                 reply ->
                     found
@@ -286,7 +286,7 @@
 
   /** The same at the leader, at those that hand on to it, and where there is none. */
   @Test
-  void aSubmissionIsRefusedForWhatItLacksAlikeByEveryNode() throws MalformedException {
+  void aSubmissionIsRefusedForWhatItLacksAlikeByEveryNode() throws MalformedMessageException {
     begin(Layout.FLEET, 42);
     world.runFor(Duration.ofSeconds(10));
     Predicate<Integer> all = status -> true;
@@ -314,7 +314,7 @@
    * No node may judge by types that it does not know; what is malformed is so whatever they are.
    */
   @Test
-  void whereTypesAreNotKnownNothingIsCalledImpossible() throws MalformedException {
+  void whereTypesAreNotKnownNothingIsCalledImpossible() throws MalformedMessageException {
     layout = Layout.FLEET;
     begin(43);
     fleet.outage = true;
--- a/src/test/java/io/pineladder/sim/PileUpSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.recovery.Takeovers.Phase;
-import io.pineladder.recovery.Takeovers.Taken;
+import io.pineladder.recovery.FailoverTimings.CompletedFailover;
+import io.pineladder.recovery.FailoverTimings.Phase;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Fifteen hundred machines under faults that pile up, with bounds on what recovery takes. */
-class PileUpSimulationTest extends SimulatedCluster {
+class CascadingFaultsSimulationTest extends SimulatedCluster {
   private static final int MACHINES = 1_500;
   private static final int JOBS = 250;
   private static final int TASKS_EACH = 20;
 
-  private void cutFromAll(FleetStandIn.Worker worker, long millis) {
-    String there = World.host(worker.address);
+  private void cutFromAll(FakeFleet.Worker worker, long millis) {
+    String there = SimulatedWorld.host(worker.address);
     for (int i = 1; i <= 3; i++) {
       String node = "10.0.0." + i;
       world.cut(node, there);
@@ -27,11 +27,11 @@
     }
   }
 
-  private Taken latestTakeover() {
+  private CompletedFailover latestTakeover() {
     return controllers.get(leader()).node.takeovers().latest().get(0);
   }
 
-  private void assertWithin(Taken taken, Phase phase, Duration most) {
+  private void assertWithin(CompletedFailover taken, Phase phase, Duration most) {
     Duration took = taken.phases().get(phase);
     assertTrue(took != null && took.compareTo(most) <= 0, phase + " took " + took);
   }
@@ -42,9 +42,9 @@
         .sum();
   }
 
-  private List<FleetStandIn.Worker> busy(int count) {
-    List<FleetStandIn.Worker> busy = new ArrayList<>();
-    for (FleetStandIn.Worker worker : fleet.up()) {
+  private List<FakeFleet.Worker> busy(int count) {
+    List<FakeFleet.Worker> busy = new ArrayList<>();
+    for (FakeFleet.Worker worker : fleet.up()) {
       if (!worker.tasks.isEmpty() && busy.size() < count) {
         busy.add(worker);
       }
@@ -71,8 +71,8 @@
 
     store.outage = true;
     world.runFor(Duration.ofSeconds(5));
-    List<FleetStandIn.Worker> dead = busy(120);
-    for (FleetStandIn.Worker worker : dead) {
+    List<FakeFleet.Worker> dead = busy(120);
+    for (FakeFleet.Worker worker : dead) {
       fleet.machines.remove(worker.name);
       worker.end();
     }
@@ -85,7 +85,7 @@
     int requests = store.requests - before;
     assertTrue(requests <= 350, requests + " requests in the first 5 s after the outage");
     world.runFor(Duration.ofSeconds(15));
-    Taken first = latestTakeover();
+    CompletedFailover first = latestTakeover();
     assertWithin(first, Phase.STORE_READ, Duration.ofSeconds(2));
     assertWithin(first, Phase.FIRST_REPORT, Duration.ofSeconds(3));
     assertWithin(first, Phase.FLEET_HEARD, Duration.ofSeconds(8));
@@ -106,14 +106,14 @@
     assertEquals(wanted, running(), "what was cut off runs elsewhere");
 
     // Machines that hang for less than they may be silent lose nothing.
-    List<FleetStandIn.Worker> hung = busy(150);
+    List<FakeFleet.Worker> hung = busy(150);
     Set<String> there = new HashSet<>();
-    for (FleetStandIn.Worker worker : hung) {
+    for (FakeFleet.Worker worker : hung) {
       worker.tasks.forEach((key, task) -> there.add(worker.name + " " + key));
-      world.freeze(World.host(worker.address), 6_000);
+      world.freeze(SimulatedWorld.host(worker.address), 6_000);
     }
     world.runFor(Duration.ofSeconds(20));
-    for (FleetStandIn.Worker worker : hung) {
+    for (FakeFleet.Worker worker : hung) {
       worker.tasks.keySet().forEach(key -> there.remove(worker.name + " " + key));
     }
     assertTrue(there.isEmpty(), there.size() + " tasks were lost before their time: " + there);
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.Json;
 import java.time.Duration;
@@ -25,7 +25,7 @@
  * Jobs that wait for others, and the rolling upgrade with which they come. Controllers that are not
  * upgraded support the version before, know no announced limits, and so store large values.
  */
-class ChainedJobsTest extends TroubledCluster {
+class ChainedJobsTest extends FaultInjectionCluster {
   private static final int NEXT_VALUE_BYTES = 2048;
   private static final int NEXT_OPS = 4;
   private static final double NEXT_CHANGES = 28;
@@ -37,7 +37,7 @@
     Settings.StoreLimits next =
         new Settings.StoreLimits(
             inForce.requestsPerSecond(), NEXT_CHANGES, NEXT_VALUE_BYTES, NEXT_OPS);
-    return upgraded[index] ? inForce.within(next) : inForce;
+    return upgraded[index] ? inForce.strictest(next) : inForce;
   }
 
   @Override
@@ -54,14 +54,14 @@
   }
 
   /** An array that runs for some seconds and waits for these. */
-  private ObjectNode after(int tasks, List<Rules.Known> needed) {
+  private ObjectNode after(int tasks, List<SafetyRules.Known> needed) {
     ObjectNode spec = work("array", tasks).put("guess_s", some(2, 9));
     ArrayNode ids = spec.putArray("waits_on");
     needed.forEach(each -> ids.add(each.id));
     return spec;
   }
 
-  private Rules.Known submitAfter(int tasks, Rules.Known... needed) {
+  private SafetyRules.Known submitAfter(int tasks, SafetyRules.Known... needed) {
     return submit(after(tasks, List.of(needed)));
   }
 
@@ -69,8 +69,8 @@
    * Has the stages of a pipeline submitted one after another, each once what it needs is accepted.
    */
   private void pipeline(int fan) {
-    Rules.Known first = submit(after(2, List.of()));
-    List<Rules.Known> middle = new ArrayList<>();
+    SafetyRules.Known first = submit(after(2, List.of()));
+    List<SafetyRules.Known> middle = new ArrayList<>();
     whenAccepted(
         List.of(first),
         () -> {
@@ -86,7 +86,7 @@
         });
   }
 
-  private void whenAccepted(List<Rules.Known> jobs, Runnable then) {
+  private void whenAccepted(List<SafetyRules.Known> jobs, Runnable then) {
     if (jobs.stream().allMatch(job -> job.accepted)) {
       then.run();
     } else {
@@ -96,7 +96,7 @@
 
   /** By definition: cancelled with any before it that a user was told is cancelled, else done. */
   private void assertFinalStates() {
-    for (Rules.Known job : rules.jobs.values()) {
+    for (SafetyRules.Known job : rules.jobs.values()) {
       boolean cancelled =
           job.cancelled != null || rules.anyBefore(job, each -> each.cancelled != null);
       assertEquals(cancelled, job.cancelled != null, job.id + " " + job.spec);
@@ -112,7 +112,7 @@
     world
         .caller("user", () -> true)
         .call(
-            new HttpCaller.Request(node, method, path, body, Duration.ofSeconds(5)),
+            new AsyncHttpClient.Request(node, method, path, body, Duration.ofSeconds(5)),
             reply -> status[0] = reply.status());
     world.runFor(Duration.ofSeconds(6));
     return status[0];
@@ -121,12 +121,12 @@
   @Test
   void eachStageStartsOnceAllThatItNeedsAreDone() {
     beginUpgraded(Layout.FLEET, 1);
-    Rules.Known first = submitAfter(3);
-    Rules.Known second = submit(work("array", 2).put("guess_s", 20));
+    SafetyRules.Known first = submitAfter(3);
+    SafetyRules.Known second = submit(work("array", 2).put("guess_s", 20));
     world.runFor(Duration.ofSeconds(2));
-    Rules.Known third = submitAfter(2, first, second);
+    SafetyRules.Known third = submitAfter(2, first, second);
     world.runFor(Duration.ofSeconds(2));
-    Rules.Known last = submitAfter(1, third, first);
+    SafetyRules.Known last = submitAfter(1, third, first);
     world.runFor(Duration.ofSeconds(90));
     assertTrue(last.done);
     assertTrue(third.begun.isAfter(first.begun.plusSeconds(2)));
@@ -137,7 +137,7 @@
   @Test
   void whatIsSubmittedIsChecked() {
     beginUpgraded(Layout.FLEET, 2);
-    Rules.Known known = submit(work("array", 1));
+    SafetyRules.Known known = submit(work("array", 1));
     world.runFor(Duration.ofSeconds(40));
     ObjectNode spec = work("array", 1);
     rules.jobs.remove(spec.get("ref").asText());
@@ -150,7 +150,7 @@
     assertEquals(422, status(itself));
     ObjectNode good = spec.deepCopy();
     good.set("waits_on", Json.array().add(known.id).add(known.id));
-    Rules.Known job = known(good);
+    SafetyRules.Known job = known(good);
     assertEquals(201, status(good));
     job.accepted = true;
     // A repeat gets the state, whatever its list names now.
@@ -169,11 +169,11 @@
   @Test
   void aCancellationReachesAllThatNeedTheJob() {
     beginUpgraded(Layout.FLEET, 3);
-    Rules.Known root = submit(work("array", 2).put("guess_s", 60));
+    SafetyRules.Known root = submit(work("array", 2).put("guess_s", 60));
     world.runFor(Duration.ofSeconds(2));
-    List<Rules.Known> tree = new ArrayList<>();
+    List<SafetyRules.Known> tree = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      Rules.Known needed = i < 4 ? root : tree.get(i / 4 - 1);
+      SafetyRules.Known needed = i < 4 ? root : tree.get(i / 4 - 1);
       tree.add(submitAfter(1, needed));
       world.runFor(Duration.ofMillis(500));
     }
@@ -183,7 +183,7 @@
       world.runFor(Duration.ofMillis(20));
     }
     killLeader(6_000);
-    Rules.Known late = submitAfter(1, tree.get(39));
+    SafetyRules.Known late = submitAfter(1, tree.get(39));
     world.runFor(Duration.ofSeconds(60));
     tree.forEach(job -> assertTrue(job.cancelled != null, job.id));
     assertTrue(late.cancelled != null);
@@ -198,9 +198,9 @@
   @Test
   void whatIsDoneBeforeItsCancellationIsFollowed() {
     beginUpgraded(Layout.FLEET, 4);
-    Rules.Known first = submit(work("array", 1).put("guess_s", 3));
+    SafetyRules.Known first = submit(work("array", 1).put("guess_s", 3));
     world.runFor(Duration.ofSeconds(2));
-    Rules.Known second = submitAfter(1, first);
+    SafetyRules.Known second = submitAfter(1, first);
     while (!first.done) {
       world.runFor(Duration.ofMillis(100));
     }
@@ -217,11 +217,11 @@
   void theVersionIsRaisedOnceAllControllersSupportIt() {
     upgraded = new boolean[] {true, true, false};
     begin(Layout.FLEET, 5);
-    Rules.Known job = submit(work("array", 1));
+    SafetyRules.Known job = submit(work("array", 1));
     world.runFor(Duration.ofSeconds(60));
     assertTrue(store.value("conf/version") == null);
     ObjectNode chained = after(1, List.of(job));
-    Rules.Known second = known(chained);
+    SafetyRules.Known second = known(chained);
     assertEquals(503, status(chained));
     upgraded[2] = true;
     kill(controllers.get(2), 3_000);
@@ -329,24 +329,23 @@
   @Test
   void aStartBeforeWhatItNeedsIsDoneIsSeen() {
     beginUpgraded(Layout.FLEET, 7);
-    Rules.Known first = submit(work("array", 1).put("guess_s", 500));
+    SafetyRules.Known first = submit(work("array", 1).put("guess_s", 500));
     world.runFor(Duration.ofSeconds(30));
-    Rules.Known second = submitAfter(1, first);
+    SafetyRules.Known second = submitAfter(1, first);
     world.runFor(Duration.ofSeconds(5));
-    FleetStandIn.Worker on = fleet.up().get(0);
+    FakeFleet.Worker on = fleet.up().get(0);
     rules.placed = null;
     AssertionError seen =
         assertThrows(
-            AssertionError.class,
-            () -> rules.started(new FleetStandIn.Task(second.id + "/0", 1), on));
+            AssertionError.class, () -> rules.started(new FakeFleet.Task(second.id + "/0", 1), on));
     assertTrue(seen.getMessage().startsWith("too_early"), seen.getMessage());
   }
 
   @Test
   void anOrphanIsSeen() {
     beginUpgraded(Layout.FLEET, 8);
-    Rules.Known first = known(work("array", 1));
-    Rules.Known second = known(after(1, List.of(first)));
+    SafetyRules.Known first = known(work("array", 1));
+    SafetyRules.Known second = known(after(1, List.of(first)));
     first.cancelAsked = true;
     rules.told(first, "aborted");
     rules.told(second, "pending");
--- a/src/test/java/io/pineladder/sim/ChecksTest.java
+++ b/src/test/java/io/pineladder/sim/ChecksTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.sim.FleetStandIn.Task;
-import io.pineladder.sim.FleetStandIn.Worker;
+import io.pineladder.sim.FakeFleet.Task;
+import io.pineladder.sim.FakeFleet.Worker;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
 /** The checks of the simulated days, each seen to fail on a run that is wrong. */
-class ChecksTest extends LaidOutCluster {
+class ChecksTest extends ConfigurableCluster {
   private static void assertBroken(String rule, Executable wrong) {
     AssertionError seen = assertThrows(AssertionError.class, wrong);
     assertTrue(seen.getMessage().startsWith(rule), seen.getMessage());
@@ -22,16 +22,16 @@
   }
 
   /** A service whose one task runs. */
-  private Rules.Known serving(long seed) {
+  private SafetyRules.Known serving(long seed) {
     begin(Layout.ONE_ZONE, seed);
-    Rules.Known job = submit(work("service", 1));
+    SafetyRules.Known job = submit(work("service", 1));
     world.runFor(Duration.ofSeconds(60));
     return job;
   }
 
   @Test
   void whatIsToldTooSoonOrStartedUnstoredIsSeen() {
-    Rules.Known job = serving(60);
+    SafetyRules.Known job = serving(60);
     Worker on = holder();
     Task task = on.tasks.values().iterator().next();
     rules.commanded(task, on);
@@ -47,10 +47,10 @@
    */
   @Test
   void whatStartsOrGoesOnAfterItsUserWasToldIsSeen() {
-    Rules.Known job = serving(61);
+    SafetyRules.Known job = serving(61);
     Worker on = holder();
     Task task = on.tasks.values().iterator().next();
-    world.freeze(World.host(on.address), 50_000);
+    world.freeze(SimulatedWorld.host(on.address), 50_000);
     controllers.forEach(each -> kill(each, 3_600_000));
     fleet.leaseMillis = 3_600_000;
     job.cancelAsked = true;
@@ -63,23 +63,24 @@
   @Test
   void anAnswerThatIsOlderThanOneBeforeItIsSeen() {
     begin(Layout.FLEET, 62);
-    Rules.Known job = known(work("array", 1));
-    rules.answered(job, Rules.Told.NOTHING, 404, null);
+    SafetyRules.Known job = known(work("array", 1));
+    rules.answered(job, SafetyRules.Told.NOTHING, 404, null);
     rules.answered(job, job.told(), 201, "pending");
     // Asked before anybody was told that it is accepted.
-    rules.answered(job, Rules.Told.NOTHING, 404, null);
+    rules.answered(job, SafetyRules.Told.NOTHING, 404, null);
     for (int status : new int[] {404, 400, 422}) {
-      assertBroken("forgotten", () -> rules.answered(job, Rules.Told.ACCEPTED, status, null));
+      assertBroken("forgotten", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, status, null));
     }
     job.cancelAsked = true;
-    rules.answered(job, Rules.Told.ACCEPTED, 200, "aborted");
-    rules.answered(job, Rules.Told.ACCEPTED, 200, "running");
-    assertBroken("went_back", () -> rules.answered(job, Rules.Told.OVER, 200, "running"));
-    assertBroken("not_done", () -> rules.answered(job, Rules.Told.ACCEPTED, 200, "done"));
-    Rules.Known unfit = known(work("array", 1));
+    rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "aborted");
+    rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "running");
+    assertBroken("went_back", () -> rules.answered(job, SafetyRules.Told.OVER, 200, "running"));
+    assertBroken("not_done", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "done"));
+    SafetyRules.Known unfit = known(work("array", 1));
     unfit.unfit = true;
-    rules.answered(unfit, Rules.Told.NOTHING, 422, null);
-    assertBroken("accepted_unfit", () -> rules.answered(unfit, Rules.Told.NOTHING, 201, "pending"));
+    rules.answered(unfit, SafetyRules.Told.NOTHING, 422, null);
+    assertBroken(
+        "accepted_unfit", () -> rules.answered(unfit, SafetyRules.Told.NOTHING, 201, "pending"));
   }
 
   /** Machines with room, and nobody who places anything on them. */
@@ -90,10 +91,10 @@
     controllers.forEach(each -> kill(each, 3_600_000));
     fleet.addUp(2);
     ObjectNode spec = work("array", 2).put("owner", "blue");
-    Rules.Known job = known(spec);
+    SafetyRules.Known job = known(spec);
     job.accepted = true;
     job.answered = world.now();
-    Rules.Known gang = known(work("group", 3).put("together", true).put("cards", 2.0));
+    SafetyRules.Known gang = known(work("group", 3).put("together", true).put("cards", 2.0));
     gang.accepted = true;
     gang.answered = world.now();
     StarvationCheck check = new StarvationCheck(world, rules, fleet, settings(0).teams());
--- a/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.Json;
 import java.time.Duration;
 import java.util.List;
@@ -22,7 +22,7 @@
     for (int i = 0; i < 8; i++) {
       submit(job(i % 4 == 0 ? "group" : "array", 3, "red"));
     }
-    Rules.Known service = submit(job("service", 2, "red"));
+    SafetyRules.Known service = submit(job("service", 2, "red"));
     world.runFor(Duration.ofSeconds(60));
     cancel(service);
     settle(Duration.ofSeconds(40));
@@ -49,11 +49,11 @@
     world.runFor(Duration.ofSeconds(8));
     int[] status = new int[1];
     ObjectNode spec = job("array", 2, "red");
-    Rules.Known job = known(spec);
+    SafetyRules.Known job = known(spec);
     world
         .caller("user", () -> true)
         .call(
-            new HttpCaller.Request(
+            new AsyncHttpClient.Request(
                 alone + ":8080", "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
             reply -> status[0] = reply.status());
     world.runFor(Duration.ofSeconds(5));
@@ -86,7 +86,7 @@
     assertTrue(before != after, "leader " + after);
     world.runFor(Duration.ofSeconds(40));
     assertEquals(after, leader());
-    Rules.Known late = submit(job("array", 4, "blue"));
+    SafetyRules.Known late = submit(job("array", 4, "blue"));
     world.runFor(Duration.ofSeconds(60));
     assertTrue(late.done, "served while the cut lasts");
   }
@@ -118,9 +118,9 @@
     world.runFor(Duration.ofSeconds(4));
     world.lossy = 0.03;
     for (int step = 0; step < 60; step++) {
-      Rules.Known job = submit(randomJob());
+      SafetyRules.Known job = submit(randomJob());
       job.broken = world.random.nextInt(12) == 0;
-      List<Rules.Known> open =
+      List<SafetyRules.Known> open =
           rules.jobs.values().stream().filter(j -> j.accepted && !j.isOver()).toList();
       if (!open.isEmpty() && world.random.nextInt(3) == 0) {
         cancel(open.get(world.random.nextInt(open.size())));
--- a/src/test/java/io/pineladder/sim/CommitterTest.java
+++ b/src/test/java/io/pineladder/sim/CommitterTest.java
@@ -6,9 +6,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.Committer;
 import io.pineladder.store.Mutation;
 import io.pineladder.store.StoreClient;
@@ -26,8 +26,8 @@
 class CommitterTest {
   private record Sent(Request request, Consumer<Reply> onReply) {}
 
-  private final World world = new World(1);
-  private final Timeline time = world.timeline("10.0.0.1", () -> true, 1);
+  private final SimulatedWorld world = new SimulatedWorld(1);
+  private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
   private final ArrayDeque<Sent> sent = new ArrayDeque<>();
   private final List<String> ended = new ArrayList<>();
   private int made;
@@ -91,14 +91,14 @@
     "-1, false"
   })
   void onlyARefusalThatTheProtocolNamesLetsItBePutTogetherAnew(int status, boolean unchanged) {
-    StoreClient store =
+    StoreClient storeClient =
         new StoreClient(
             (request, onReply) -> sent.add(new Sent(request, onReply)),
-            time,
+            eventLoop,
             "10.2.0.1:2379",
             new Settings.StoreLimits(100, 40, 8192, 12),
             3);
-    Committer committer = new Committer(store, time, 5, new Listener());
+    Committer committer = new Committer(storeClient, eventLoop, 5, new Listener());
     committer.submit(
         Mutation.of(
             Mutation.Priority.PLACE,
--- a/src/test/java/io/pineladder/sim/LaidOutCluster.java
+++ b/src/test/java/io/pineladder/sim/ConfigurableCluster.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 
 /** A simulated cluster in one of several shapes that deployments have. */
-abstract class LaidOutCluster extends SimulatedCluster {
+abstract class ConfigurableCluster extends SimulatedCluster {
   /** What a deployment is like. */
   enum Layout {
     PAIR(2, List.of("a", "b")),
@@ -41,7 +41,7 @@
     Settings of = super.settings(0);
     boolean fast = layout == Layout.SHORT;
     Settings.StoreLimits inForce =
-        fast ? new Settings.StoreLimits(80, 30, 8192, 12) : of.storeInForce();
+        fast ? new Settings.StoreLimits(80, 30, 8192, 12) : of.currentStoreLimits();
     List<Settings.Peer> peers = new ArrayList<>();
     for (int i = 0; i < layout.nodes; i++) {
       if (i != index) {
@@ -57,7 +57,7 @@
         of.cloudAddress(),
         of.storeAddress(),
         layout.zones,
-        fast ? of.teams().stream().map(LaidOutCluster::inCpus).toList() : of.teams(),
+        fast ? of.teams().stream().map(ConfigurableCluster::inCpus).toList() : of.teams(),
         of.objectives(),
         fast
             ? new Settings.WorkerTimes(
@@ -66,10 +66,10 @@
                 Duration.ofSeconds(30),
                 Duration.ofSeconds(6),
                 Duration.ofSeconds(41))
-            : of.workers(),
+            : of.workerTimes(),
         store(index, inForce),
         inForce,
-        fast ? new Settings.CloudLimits(1.5, Duration.ofSeconds(8)) : of.cloud(),
+        fast ? new Settings.CloudLimits(1.5, Duration.ofSeconds(8)) : of.cloudLimits(),
         of.maxSockets(),
         of.coreShare());
   }
@@ -81,7 +81,7 @@
 
   /** The team with its limit in processors, where there are no cards: as many tasks of two. */
   private static Team inCpus(Team team) {
-    return new Team(team.name(), Resources.NONE, 2 * team.maxGpus(), 0);
+    return new Team(team.name(), Resources.ZERO, 2 * team.maxGpus(), 0);
   }
 
   static String host(int node) {
@@ -95,8 +95,8 @@
     if (of == Layout.SHORT) {
       fleet.types =
           List.of(
-              new FleetStandIn.Type("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, of.zones),
-              new FleetStandIn.Type("large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
+              new FakeFleet.Type("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, of.zones),
+              new FakeFleet.Type("large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
       fleet.leaseMillis = 11_000;
       fleet.reportMillis = 1_000;
     }
@@ -137,6 +137,6 @@
 
   /** The hosts of all controllers. */
   List<String> nodes() {
-    return IntStream.range(0, layout.nodes).mapToObj(LaidOutCluster::host).toList();
+    return IntStream.range(0, layout.nodes).mapToObj(ConfigurableCluster::host).toList();
   }
 }
--- a/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
+++ b/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
@@ -1,8 +1,8 @@
 package io.pineladder.sim;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.delivery.Signature;
-import io.pineladder.delivery.receiver.NoticeStore;
+import io.pineladder.delivery.WebhookSignature;
+import io.pineladder.delivery.receiver.NotificationStore;
 import io.pineladder.delivery.receiver.Receiver;
 import io.pineladder.wire.DeliveryWire.Event;
 import io.pineladder.wire.Json;
@@ -29,7 +29,7 @@
  */
 final class DeliveryMeasurement {
   private static final String SECRET =
-      Signature.SECRET_PREFIX + Base64.getEncoder().encodeToString(new byte[32]);
+      WebhookSignature.SECRET_PREFIX + Base64.getEncoder().encodeToString(new byte[32]);
 
   private DeliveryMeasurement() {}
 
@@ -43,8 +43,8 @@
     boolean[] open = {!late};
     Receiver receiver =
         new Receiver(
-            List.of(Signature.secret(SECRET)),
-            new NoticeStore() {
+            List.of(WebhookSignature.secret(SECRET)),
+            new NotificationStore() {
               private final Map<String, Long> positions = new ConcurrentHashMap<>();
 
               @Override
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -5,8 +5,8 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.delivery.Signature;
-import io.pineladder.delivery.receiver.Journal;
+import io.pineladder.delivery.WebhookSignature;
+import io.pineladder.delivery.receiver.NotificationJournal;
 import io.pineladder.wire.DeliveryWire;
 import io.pineladder.wire.Json;
 import java.nio.file.Files;
@@ -35,7 +35,7 @@
 class DeliveryProcessTest {
   private static final Duration PATIENCE = Duration.ofMinutes(5);
   private static final String SECRET =
-      Signature.SECRET_PREFIX + Base64.getEncoder().encodeToString(new byte[32]);
+      WebhookSignature.SECRET_PREFIX + Base64.getEncoder().encodeToString(new byte[32]);
 
   @TempDir Path folder;
 
@@ -93,7 +93,7 @@
 
   private List<ObjectNode> events(int index) throws Exception {
     // Opening it checks every line's checksum and sequence.
-    new Journal(journal(index)).close();
+    new NotificationJournal(journal(index)).close();
     List<ObjectNode> events = new ArrayList<>();
     for (String line : Files.readAllLines(journal(index))) {
       events.add((ObjectNode) Json.parseObject(line.getBytes()).get("event"));
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -5,12 +5,12 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.delivery.Delivery;
-import io.pineladder.delivery.SecretBox;
-import io.pineladder.delivery.Signature;
-import io.pineladder.net.Background;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.delivery.DeliveryContext;
+import io.pineladder.delivery.SecretCipher;
+import io.pineladder.delivery.WebhookSignature;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.BackgroundExecutor;
+import io.pineladder.net.HttpResponse;
 import io.pineladder.wire.DeliveryWire;
 import io.pineladder.wire.DeliveryWire.Event;
 import io.pineladder.wire.Json;
@@ -32,8 +32,8 @@
 /** Final answers told to subscribers whose receivers are killed, among controllers that are too. */
 class DeliverySimulationTest extends SimulatedCluster {
   private static final byte[] SECRET = new byte[32];
-  private static final Background DIRECT =
-      new Background() {
+  private static final BackgroundExecutor DIRECT =
+      new BackgroundExecutor() {
         @Override
         public <T> void run(Supplier<T> work, Consumer<T> then) {
           then.accept(work.get());
@@ -41,23 +41,24 @@
       };
 
   /** A receiver with what it is to hear of. */
-  private record Told(ReceiverStandIn receiver, Predicate<ObjectNode> wants) {}
+  private record Told(FakeReceiver receiver, Predicate<ObjectNode> wants) {}
 
   private final Map<String, Told> subscribers = new LinkedHashMap<>();
 
   @Override
-  Delivery delivery(String host) {
-    Delivery delivery = new Delivery(DIRECT, new SecretBox(new byte[32]), List.of(), 1, 32);
-    delivery.sendThrough(ReceiverStandIn.from(world, host, () -> true));
+  DeliveryContext delivery(String host) {
+    DeliveryContext delivery =
+        new DeliveryContext(DIRECT, new SecretCipher(new byte[32]), List.of(), 1, 32);
+    delivery.sendThrough(FakeReceiver.from(world, host, () -> true));
     return delivery;
   }
 
-  private HttpCaller.Reply[] tell(String method, String path, ObjectNode body, int node) {
-    HttpCaller.Reply[] got = new HttpCaller.Reply[1];
+  private AsyncHttpClient.Reply[] tell(String method, String path, ObjectNode body, int node) {
+    AsyncHttpClient.Reply[] got = new AsyncHttpClient.Reply[1];
     world
         .caller("admin", () -> true)
         .call(
-            new HttpCaller.Request(
+            new AsyncHttpClient.Request(
                 "10.0.0." + node + ":8081",
                 method,
                 "/admin/v1/" + path,
@@ -70,7 +71,7 @@
   /** Asks any node until it says what is wanted. */
   private ObjectNode admin(String method, String path, ObjectNode body, int wanted) {
     for (int tries = 0; tries < 300; tries++) {
-      HttpCaller.Reply[] got = tell(method, path, body, 1 + tries % 3);
+      AsyncHttpClient.Reply[] got = tell(method, path, body, 1 + tries % 3);
       world.runFor(Duration.ofMillis(200));
       for (int i = 0; i < 60 && got[0] == null; i++) {
         world.runFor(Duration.ofMillis(100));
@@ -93,12 +94,12 @@
     ArrayNode in = body.putArray("classes");
     classes.forEach(in::add);
     body.putArray("secrets")
-        .add(Signature.SECRET_PREFIX + Base64.getEncoder().encodeToString(SECRET));
+        .add(WebhookSignature.SECRET_PREFIX + Base64.getEncoder().encodeToString(SECRET));
     return body;
   }
 
-  private ReceiverStandIn subscribe(String name, List<String> owners, List<String> classes) {
-    ReceiverStandIn receiver = new ReceiverStandIn(world, SECRET);
+  private FakeReceiver subscribe(String name, List<String> owners, List<String> classes) {
+    FakeReceiver receiver = new FakeReceiver(world, SECRET);
     String host = "10.9.0." + (subscribers.size() + 1);
     world.serve(host + ":9999", receiver);
     admin("PUT", "subscriptions/" + name, subscription(host, owners, classes), 201);
@@ -164,7 +165,7 @@
     for (int i = 0; i < 20; i++) {
       submit(job("array", 2, i % 2 == 0 ? "red" : "blue"));
     }
-    Rules.Known service = submit(job("service", 2, "red"));
+    SafetyRules.Known service = submit(job("service", 2, "red"));
     world.runFor(Duration.ofSeconds(40));
     cancel(service);
     settleAndDeliver(Duration.ofSeconds(120));
@@ -176,7 +177,7 @@
 
   /** Ends jobs in bulk: submitted and cancelled at once. */
   private void endMany(int count) {
-    List<Rules.Known> all = new ArrayList<>();
+    List<SafetyRules.Known> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       all.add(submit(job("array", 1, "red")));
     }
@@ -275,18 +276,18 @@
   }
 
   /** The receiver answers as it is told to. */
-  private static ReceiverStandIn answering(World world, int status, byte[] body) {
-    return new ReceiverStandIn(world, SECRET) {
+  private static FakeReceiver answering(SimulatedWorld world, int status, byte[] body) {
+    return new FakeReceiver(world, SECRET) {
       @Override
-      public void handle(String method, String path, byte[] sent, Consumer<HttpAnswer> answer) {
+      public void handle(String method, String path, byte[] sent, Consumer<HttpResponse> answer) {
         requests++;
-        answer.accept(new HttpAnswer(status, body));
+        answer.accept(new HttpResponse(status, body));
       }
     };
   }
 
-  private ReceiverStandIn subscribeAnswering(String name, int status, byte[] body) {
-    ReceiverStandIn receiver = answering(world, status, body);
+  private FakeReceiver subscribeAnswering(String name, int status, byte[] body) {
+    FakeReceiver receiver = answering(world, status, body);
     String host = "10.8.0." + status % 250;
     world.serve(host + ":9999", receiver);
     admin("PUT", "subscriptions/" + name, subscription(host, List.of(), List.of()), 201);
@@ -298,13 +299,13 @@
     begin(3);
     world.runFor(Duration.ofSeconds(5));
     subscribe("good", List.of(), List.of());
-    ReceiverStandIn gone = subscribeAnswering("gone", 410, new byte[0]);
-    ReceiverStandIn refusing = subscribeAnswering("refusing", 403, new byte[0]);
-    ReceiverStandIn moved = subscribeAnswering("moved", 302, new byte[0]);
-    ReceiverStandIn busy = subscribeAnswering("busy", 503, new byte[0]);
-    ReceiverStandIn behind = subscribeAnswering("behind", 200, DeliveryWire.position(0));
-    ReceiverStandIn ahead = subscribeAnswering("ahead", 202, DeliveryWire.position(1_000_000));
-    ReceiverStandIn plain = subscribeAnswering("plain", 204, new byte[0]);
+    FakeReceiver gone = subscribeAnswering("gone", 410, new byte[0]);
+    FakeReceiver refusing = subscribeAnswering("refusing", 403, new byte[0]);
+    FakeReceiver moved = subscribeAnswering("moved", 302, new byte[0]);
+    FakeReceiver busy = subscribeAnswering("busy", 503, new byte[0]);
+    FakeReceiver behind = subscribeAnswering("behind", 200, DeliveryWire.position(0));
+    FakeReceiver ahead = subscribeAnswering("ahead", 202, DeliveryWire.position(1_000_000));
+    FakeReceiver plain = subscribeAnswering("plain", 204, new byte[0]);
     for (int i = 0; i < 6; i++) {
       submit(job("array", 1, "red"));
     }
@@ -326,7 +327,7 @@
     assertTrue(busy.requests <= 12, busy.requests + " tries");
     assertTrue(behind.requests <= 12, behind.requests + " tries");
     // What is parked is kept, and goes on from where an operator says.
-    ReceiverStandIn mended = new ReceiverStandIn(world, SECRET);
+    FakeReceiver mended = new FakeReceiver(world, SECRET);
     world.serve("10.8.0.153:9999", mended);
     admin("POST", "subscriptions/refusing/resume", Json.object().put("sequence", 8), 409);
     admin("POST", "subscriptions/refusing/resume", Json.object().put("sequence", "x"), 400);
@@ -340,7 +341,7 @@
   void whatIsAdministeredHoldsAtOnceAndForLaterLeaders() {
     begin(4);
     world.runFor(Duration.ofSeconds(5));
-    ReceiverStandIn receiver = subscribe("desk", List.of(), List.of());
+    FakeReceiver receiver = subscribe("desk", List.of(), List.of());
     ObjectNode faulty = Json.object().put("url", "ftp://example.org/").put("colour", "red");
     assertEquals(2, admin("PUT", "subscriptions/other", faulty, 400).get("faults").size());
     admin("PUT", "subscriptions/Other", faulty, 400);
@@ -420,9 +421,9 @@
     subscribe("services", List.of(), List.of("serve"));
     world.lossy = 0.03;
     for (int step = 0; step < 40; step++) {
-      Rules.Known job = submit(randomJob());
+      SafetyRules.Known job = submit(randomJob());
       job.broken = world.random.nextInt(12) == 0;
-      List<Rules.Known> open =
+      List<SafetyRules.Known> open =
           rules.jobs.values().stream().filter(j -> j.accepted && !j.isOver()).toList();
       if (!open.isEmpty() && world.random.nextInt(2) == 0) {
         cancel(open.get(world.random.nextInt(open.size())));
@@ -450,7 +451,7 @@
     begin(6);
     fleet.capacity = 0;
     world.runFor(Duration.ofSeconds(5));
-    ReceiverStandIn receiver = subscribe("desk", List.of(), List.of());
+    FakeReceiver receiver = subscribe("desk", List.of(), List.of());
     receiver.trouble = 0.2;
     endMany(20);
     admin("PUT", "subscriptions/desk", secrets(fresh, SECRET), 200);
@@ -470,7 +471,7 @@
     ObjectNode body = subscription("10.9.0.1", List.of(), List.of());
     ArrayNode list = body.putArray("secrets");
     for (byte[] secret : secrets) {
-      list.add(Signature.SECRET_PREFIX + Base64.getEncoder().encodeToString(secret));
+      list.add(WebhookSignature.SECRET_PREFIX + Base64.getEncoder().encodeToString(secret));
     }
     return body;
   }
--- a/src/test/java/io/pineladder/sim/FleetStandIn.java
+++ b/src/test/java/io/pineladder/sim/FakeFleet.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.model.Resources;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpHandlerAsync;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpHandler;
+import io.pineladder.net.HttpResponse;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
 import java.util.function.Consumer;
 
 /** The cloud and the workers on its machines, from their protocols, watched by the rules. */
-final class FleetStandIn implements HttpHandlerAsync {
+final class FakeFleet implements AsyncHttpHandler {
   static final String ADDRESS = "10.2.0.2:8443";
   private static final int CAPACITY = 12;
   private static final int PAGE = 500;
@@ -27,7 +27,7 @@
   /** A worker drops responses that take longer. */
   private static final long RESPONSE_MILLIS = 4_000;
 
-  private final World world;
+  private final SimulatedWorld world;
   private final TaskWatcher rules;
   private final List<String> controllers;
   private final Map<String, ObjectNode> answered = new HashMap<>();
@@ -98,16 +98,16 @@
   /** Half of the machines come up late or never. */
   boolean badBoots;
 
-  FleetStandIn(World world, TaskWatcher rules, List<String> controllers) {
+  FakeFleet(SimulatedWorld world, TaskWatcher rules, List<String> controllers) {
     this.world = world;
     this.rules = rules;
     this.controllers = controllers;
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (outage) {
-      answer.accept(new HttpAnswer(503, Json.bytes(Json.object().put("error", "trouble"))));
+      answer.accept(new HttpResponse(503, Json.bytes(Json.object().put("error", "trouble"))));
       return;
     }
     try {
@@ -126,13 +126,13 @@
       } else {
         answer.accept(ok(list(path)));
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
-  private static HttpAnswer ok(JsonNode body) {
-    return new HttpAnswer(200, Json.bytes(body));
+  private static HttpResponse ok(JsonNode body) {
+    return new HttpResponse(200, Json.bytes(body));
   }
 
   private ObjectNode flavors() {
@@ -157,7 +157,7 @@
     return out;
   }
 
-  private HttpAnswer rent(ObjectNode request) {
+  private HttpResponse rent(ObjectNode request) {
     String id = request.get("charter").asText();
     if (answered.containsKey(id)) {
       return ok(answered.get(id));
@@ -167,7 +167,7 @@
     long there = machines.values().stream().filter(w -> w.zone.equals(zone)).count();
     int count = (int) Math.min(request.get("count").asInt(), capacity - there);
     if (count <= 0) {
-      return new HttpAnswer(503, Json.bytes(Json.object().put("error", "no capacity")));
+      return new HttpResponse(503, Json.bytes(Json.object().put("error", "no capacity")));
     }
     ObjectNode out = Json.object();
     ArrayNode names = out.putArray("hosts");
@@ -264,7 +264,7 @@
   }
 
   /** A machine with its worker. */
-  final class Worker implements HttpHandlerAsync {
+  final class Worker implements AsyncHttpHandler {
     final String name;
     final String address;
     final String type;
@@ -382,12 +382,13 @@
       } else if (copies > 0 && world.random.nextDouble() < copies) {
         String where = controllers.get(world.random.nextInt(controllers.size()));
         world.deliverCopy(
-            HttpCaller.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
+            AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
             1_000 + world.random.nextLong(3 * leaseMillis));
       }
-      HttpCaller caller = world.caller(World.host(address), () -> !ended);
+      AsyncHttpClient caller = world.caller(SimulatedWorld.host(address), () -> !ended);
       caller.call(
-          HttpCaller.Request.post(controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
+          AsyncHttpClient.Request.post(
+              controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
           reply -> {
             if (round == reportRound) {
               reportUnderWay = false;
@@ -396,7 +397,7 @@
           });
     }
 
-    private void onReply(HttpCaller.Reply reply, long sentSession, long sentMillis) {
+    private void onReply(AsyncHttpClient.Reply reply, long sentSession, long sentMillis) {
       try {
         if (reply.is(200)) {
           ObjectNode response = Json.parseObject(reply.body());
@@ -418,7 +419,7 @@
           sendAfter(world.random.nextInt(500));
           return;
         }
-      } catch (MalformedException e) {
+      } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
       at = (at + 1) % controllers.size();
@@ -534,7 +535,7 @@
     }
 
     @Override
-    public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+    public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
       try {
         ObjectNode request = Json.parseObject(body);
         long given = request.get("baton").asLong();
@@ -543,8 +544,8 @@
           token = given;
           execute(request.get("orders"));
         }
-        answer.accept(new HttpAnswer(good ? 200 : 409, Json.bytes(report())));
-      } catch (MalformedException e) {
+        answer.accept(new HttpResponse(good ? 200 : 409, Json.bytes(report())));
+      } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
@@ -566,7 +567,7 @@
     for (byte[] body : kept) {
       for (String where : controllers) {
         world.deliverCopy(
-            HttpCaller.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
+            AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
             world.random.nextInt(2) == 0 ? 0 : world.random.nextLong(2 * leaseMillis));
       }
     }
