--- a/src/test/java/io/pineladder/sim/StoreStandIn.java
+++ b/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpHandlerAsync;
-import io.pineladder.retry.RateBudget;
+import io.pineladder.net.AsyncHttpHandler;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.retry.TokenBucket;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
@@ -21,7 +21,7 @@
 import java.util.function.Consumer;
 
 /** The state service, from its protocol: keys, transactions, leases, watches, outages. */
-final class StoreStandIn implements HttpHandlerAsync {
+final class FakeKeyValueStore implements AsyncHttpHandler {
   private record Value(JsonNode value, long version, long lease) {}
 
   private static final class Lease {
@@ -31,21 +31,21 @@
 
   private static final class Watch {
     final String prefix;
-    final Consumer<HttpAnswer> answer;
+    final Consumer<HttpResponse> answer;
 
     /** The first entry of the log that it has not been looked at for. */
     int from;
 
     boolean over;
 
-    Watch(String prefix, int from, Consumer<HttpAnswer> answer) {
+    Watch(String prefix, int from, Consumer<HttpResponse> answer) {
       this.prefix = prefix;
       this.from = from;
       this.answer = answer;
     }
   }
 
-  private final World world;
+  private final SimulatedWorld world;
   private int txnOps;
   private int valueBytes;
 
@@ -87,9 +87,9 @@
    * Requests and changes a second that are served, with bursts of a second's worth; the rest gets
    * 429.
    */
-  RateBudget requestLimit;
+  TokenBucket requestLimit;
 
-  RateBudget changeLimit;
+  TokenBucket changeLimit;
 
   /** Requests that were over a limit. */
   int overLimit;
@@ -112,7 +112,7 @@
   /** Requests so far, refused ones included. */
   int requests;
 
-  StoreStandIn(World world, int txnOps, int valueBytes) {
+  FakeKeyValueStore(SimulatedWorld world, int txnOps, int valueBytes) {
     this.world = world;
     this.txnOps = txnOps;
     this.valueBytes = valueBytes;
@@ -124,8 +124,8 @@
     lowered = true;
     txnOps = nextTxnOps;
     valueBytes = nextValueBytes;
-    requestLimit = new RateBudget(100, 100, world.now());
-    changeLimit = new RateBudget(changesPerSecond, changesPerSecond, world.now());
+    requestLimit = new TokenBucket(100, 100, world.now());
+    changeLimit = new TokenBucket(changesPerSecond, changesPerSecond, world.now());
   }
 
   /** The keys of values that are larger than they may be now. */
@@ -302,8 +302,8 @@
     }
   }
 
-  private static HttpAnswer answer(int status, JsonNode body) {
-    return new HttpAnswer(status, Json.bytes(body));
+  private static HttpResponse answer(int status, JsonNode body) {
+    return new HttpResponse(status, Json.bytes(body));
   }
 
   private static Map<String, String> query(String path) {
@@ -316,7 +316,7 @@
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     requests++;
     if (isOverLimit(path, body)) {
       overLimit++;
@@ -343,12 +343,12 @@
           kinds(txn).forEach(kind -> unansweredKinds.merge(kind, 1, Integer::sum));
         }
       } else if (slowMillis > 0) {
-        HttpAnswer given = now(method, path, body);
+        HttpResponse given = now(method, path, body);
         world.after(world.random.nextInt(slowMillis), () -> answer.accept(given));
       } else {
         answer.accept(now(method, path, body));
       }
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError("the store was sent " + new String(body, StandardCharsets.UTF_8), e);
     }
   }
@@ -361,7 +361,7 @@
     int changing = 0;
     try {
       changing = path.equals("/multi") ? Json.parseObject(body).get("apply").size() : 0;
-    } catch (MalformedException e) {
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
     if (requestLimit.available(now) < 1 || changeLimit.available(now) < changing) {
@@ -405,7 +405,8 @@
     }
   }
 
-  private HttpAnswer now(String method, String path, byte[] body) throws MalformedException {
+  private HttpResponse now(String method, String path, byte[] body)
+      throws MalformedMessageException {
     if (path.startsWith("/keys?")) {
       return list(query(path));
     }
@@ -419,7 +420,7 @@
     }
     if (path.equals("/multi")) {
       ObjectNode txn = Json.parseObject(body);
-      HttpAnswer given = multi(txn);
+      HttpResponse given = multi(txn);
       if (repeats && given.status() == 200 && !txn.get("apply").isEmpty()) {
         late(() -> repeat(txn));
       }
@@ -454,7 +455,7 @@
     return out;
   }
 
-  private HttpAnswer list(Map<String, String> query) {
+  private HttpResponse list(Map<String, String> query) {
     ObjectNode out = Json.object().put("epoch", revision);
     ArrayNode entries = out.putArray("entries");
     boolean more = false;
@@ -475,7 +476,7 @@
     return answer(200, out.put("truncated", more));
   }
 
-  private HttpAnswer multi(ObjectNode txn) {
+  private HttpResponse multi(ObjectNode txn) {
     JsonNode changes = txn.get("apply");
     if (changes.size() > txnOps || txn.get("if").size() > 4 * txnOps) {
       throw new AssertionError("a transaction is too large: " + txn);
@@ -532,7 +533,7 @@
     return event;
   }
 
-  private void follow(Map<String, String> query, Consumer<HttpAnswer> answer) {
+  private void follow(Map<String, String> query, Consumer<HttpResponse> answer) {
     long wait = Long.parseLong(query.get("wait_ms"));
     long since = Long.parseLong(query.get("since"));
     if (since < forgotten) {
--- a/src/test/java/io/pineladder/sim/ReceiverStandIn.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -1,15 +1,15 @@
 package io.pineladder.sim;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.delivery.receiver.NoticeStore;
+import io.pineladder.delivery.receiver.NotificationStore;
 import io.pineladder.delivery.receiver.Receiver;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpHandlerAsync;
-import io.pineladder.net.Outward;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpHandler;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.net.OutboundClient;
 import io.pineladder.wire.DeliveryWire.Event;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.io.IOException;
 import java.time.Clock;
 import java.time.Duration;
@@ -27,8 +27,8 @@
 /**
  * A receiver in virtual time that is killed at random points and keeps what it has made durable.
  */
-class ReceiverStandIn implements HttpHandlerAsync, NoticeStore {
-  private final World world;
+class FakeReceiver implements AsyncHttpHandler, NotificationStore {
+  private final SimulatedWorld world;
   private Receiver receiver;
 
   /** What happened here, in order: the effect. */
@@ -47,7 +47,7 @@
 
   int requests;
 
-  ReceiverStandIn(World world, byte[] secret) {
+  FakeReceiver(SimulatedWorld world, byte[] secret) {
     this.world = world;
     replace(secret);
   }
@@ -103,7 +103,7 @@
   }
 
   @Override
-  public void handle(String method, String path, byte[] body, Consumer<HttpAnswer> answer) {
+  public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     requests++;
     if (world.now().isBefore(backAt)) {
       return;
@@ -114,7 +114,7 @@
       return;
     }
     if (chance < trouble / 2) {
-      answer.accept(new HttpAnswer(world.random.nextBoolean() ? 503 : 429, new byte[0], 1));
+      answer.accept(new HttpResponse(world.random.nextBoolean() ? 503 : 429, new byte[0], 1));
       return;
     }
     dying = chance < trouble * 3 / 4;
@@ -128,8 +128,8 @@
         kill();
         return;
       }
-      answer.accept(new HttpAnswer(reply.status(), reply.body()));
-    } catch (MalformedException e) {
+      answer.accept(new HttpResponse(reply.status(), reply.body()));
+    } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -139,15 +139,15 @@
   }
 
   /** What a controller on a host sends through: the simulated network, with its late packets. */
-  static Outward from(World world, String host, BooleanSupplier alive) {
-    HttpCaller http = world.caller(host, alive);
+  static OutboundClient from(SimulatedWorld world, String host, BooleanSupplier alive) {
+    AsyncHttpClient httpClient = world.caller(host, alive);
     return (message, onAnswer) -> {
       ObjectNode envelope = Json.object();
       ObjectNode headers = envelope.putObject("headers");
       message.headers().forEach(headers::put);
       envelope.put("body", Base64.getEncoder().encodeToString(message.body()));
-      http.call(
-          HttpCaller.Request.post(
+      httpClient.call(
+          AsyncHttpClient.Request.post(
               message.url().getRawAuthority(),
               message.url().getRawPath(),
               Json.bytes(envelope),
@@ -155,8 +155,9 @@
           reply ->
               onAnswer.accept(
                   reply.isAnswered()
-                      ? Outward.Answer.answered(reply.status(), Duration.ofSeconds(1), reply.body())
-                      : Outward.Answer.failed("no answer")));
+                      ? OutboundClient.Answer.answered(
+                          reply.status(), Duration.ofSeconds(1), reply.body())
+                      : OutboundClient.Answer.failed("no answer")));
     };
   }
 }
--- a/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
+++ b/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
@@ -22,7 +22,7 @@
  * the promise behind them: nothing of a job is on any machine when its user is told that it is
  * cancelled.
  */
-class FaultCombinationsTest extends TroubledCluster {
+class FaultCombinationsTest extends FaultInjectionCluster {
   /** What meets; the rows of docs/fault-combinations.md. */
   enum Combination {
     /**
@@ -258,7 +258,7 @@
           at(
               i * 250L,
               () -> {
-                Rules.Known job = submit(work("array", 1).put("guess_s", some(3, 12)));
+                SafetyRules.Known job = submit(work("array", 1).put("guess_s", some(3, 12)));
                 if (world.random.nextInt(4) == 0) {
                   at(some(200, 9_000), () -> cancel(job));
                 }
@@ -346,7 +346,7 @@
     }
   }
 
-  private void perhapsDies(FleetStandIn.Worker worker) {
+  private void perhapsDies(FakeFleet.Worker worker) {
     if (world.random.nextInt(6) == 0) {
       fleet.die(worker);
     }
@@ -376,7 +376,7 @@
     world.runFor(LONGEST.minusSeconds(60));
     rules.calmSince = world.now();
     world.runFor(TOLD);
-    for (Rules.Known job : rules.jobs.values()) {
+    for (SafetyRules.Known job : rules.jobs.values()) {
       assertTrue(
           !job.cancelAsked || job.isOver(),
           job.id + " was asked to be cancelled, and nothing was told");
--- a/src/test/java/io/pineladder/sim/TroubledCluster.java
+++ b/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
@@ -10,7 +10,7 @@
  * A laid out cluster with the troubles that are not one controller's, and users who go on
  * meanwhile.
  */
-abstract class TroubledCluster extends LaidOutCluster {
+abstract class FaultInjectionCluster extends ConfigurableCluster {
   /** The part of the open jobs that are cancelled, a step. */
   private static final double CANCELS = 0.08;
 
@@ -48,7 +48,7 @@
 
   List<String> someMachines(int oneOf) {
     return fleet.up().stream()
-        .map(w -> World.host(w.address))
+        .map(w -> SimulatedWorld.host(w.address))
         .filter(h -> world.random.nextInt(oneOf) == 0)
         .toList();
   }
@@ -73,7 +73,7 @@
     }
     submit(spec);
     oddRequests();
-    for (Rules.Known job : new ArrayList<>(rules.jobs.values())) {
+    for (SafetyRules.Known job : new ArrayList<>(rules.jobs.values())) {
       perhapsCancel(job, CANCELS);
       if (world.random.nextInt(10) == 0) {
         ask(job);
@@ -83,7 +83,7 @@
   }
 
   /** So likely cancels a job whose user may think of it. */
-  private void perhapsCancel(Rules.Known job, double likely) {
+  private void perhapsCancel(SafetyRules.Known job, double likely) {
     if (job.accepted && !job.cancelAsked && !job.isOver() && world.random.nextDouble() < likely) {
       cancel(job);
     }
@@ -94,7 +94,7 @@
   }
 
   @Override
-  void onNews(Rules.Known job) {
+  void onNews(SafetyRules.Known job) {
     if (looksClosely) {
       lookClosely(job);
     }
@@ -104,9 +104,9 @@
    * Asks at every node within milliseconds, submits again, and cancels some that were just
    * accepted.
    */
-  void lookClosely(Rules.Known job) {
+  void lookClosely(SafetyRules.Known job) {
     boolean cancels =
-        job.told() == Rules.Told.ACCEPTED && !job.cancelAsked && world.random.nextInt(4) == 0;
+        job.told() == SafetyRules.Told.ACCEPTED && !job.cancelAsked && world.random.nextInt(4) == 0;
     for (String node : fronts) {
       for (long millis : CLOSELY) {
         at(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, good -> {}));
@@ -157,10 +157,10 @@
         spec.remove(required.get(world.random.nextInt(required.size())));
       }
     }
-    Rules.Known unfit = new Rules.Known(spec.get("ref").asText(), spec);
+    SafetyRules.Known unfit = new SafetyRules.Known(spec.get("ref").asText(), spec);
     unfit.unfit = true;
     send(unfit, "POST", "/v1/jobs", Json.bytes(spec));
-    for (Rules.Known job : List.copyOf(rules.jobs.values())) {
+    for (SafetyRules.Known job : List.copyOf(rules.jobs.values())) {
       if (job.accepted && world.random.nextInt(10) == 0) {
         String node = fronts.get(world.random.nextInt(fronts.size()));
         send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {});
@@ -190,8 +190,8 @@
     for (int i = 0; i < layout.nodes; i++) {
       (zoneOf(i).equals(zone) ? inside : outside).add(host(i));
     }
-    for (FleetStandIn.Worker worker : fleet.up()) {
-      (worker.zone.equals(zone) ? inside : outside).add(World.host(worker.address));
+    for (FakeFleet.Worker worker : fleet.up()) {
+      (worker.zone.equals(zone) ? inside : outside).add(SimulatedWorld.host(worker.address));
     }
     cutFor(inside, outside, millis);
   }
--- a/src/test/java/io/pineladder/sim/LateClaimTest.java
+++ b/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
@@ -6,9 +6,9 @@
 
 import io.pineladder.leadership.Election;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller.Reply;
-import io.pineladder.net.HttpCaller.Request;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.RecordWire.LeaderRecord;
 import io.pineladder.wire.SettingsReader;
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 /** A claim of the leader's key that got no answer and is carried out in a later round. */
-class LateClaimTest {
-  private final World world = new World(1);
-  private final StoreStandIn store = new StoreStandIn(world, 12, 8192);
+class LateElectionClaimTest {
+  private final SimulatedWorld world = new SimulatedWorld(1);
+  private final FakeKeyValueStore store = new FakeKeyValueStore(world, 12, 8192);
   private final List<Request> claims = new ArrayList<>();
   private final List<Long> terms = new ArrayList<>();
 
@@ -72,13 +72,14 @@
   @Test
   void aLateClaimOfAnEarlierRoundIsNotTakenForThisOne() throws Exception {
     Settings settings = SettingsReader.parse(SettingsReaderTest.GOOD);
-    Timeline time = world.timeline("10.0.0.1", () -> true, 1);
+    EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
     StoreClient client =
-        new StoreClient(this::network, time, settings.storeAddress(), settings.store(), 3);
+        new StoreClient(
+            this::network, eventLoop, settings.storeAddress(), settings.storeLimits(), 3);
     Election election =
         new Election(
             client,
-            time,
+            eventLoop,
             settings,
             "nonce",
             () -> true,
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -1,8 +1,8 @@
 package io.pineladder.sim;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.Sockets;
-import io.pineladder.net.XnioRuntime;
+import io.pineladder.net.ConnectionLimiter;
+import io.pineladder.net.XnioEventLoop;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.SettingsReaderTest;
 import java.io.File;
@@ -27,9 +27,9 @@
   private static final Duration TICK = Duration.ofMillis(2);
 
   private final Path folder;
-  private final XnioRuntime runtime;
-  private final World world = new World(1);
-  final StoreStandIn store = new StoreStandIn(world, 12, 8192);
+  private final XnioEventLoop runtime;
+  private final SimulatedWorld world = new SimulatedWorld(1);
+  final FakeKeyValueStore store = new FakeKeyValueStore(world, 12, 8192);
   private final List<Process> processes = new ArrayList<>();
   private final String storeAddress = free();
   private final String cloudAddress = free();
@@ -52,15 +52,21 @@
     this.folder = folder;
     this.coreShare = coreShare;
     this.options = options;
-    runtime = new XnioRuntime(4_000, Duration.ofSeconds(3));
-    FleetStandIn fleet = new FleetStandIn(world, new Rules(world, List.of()), List.of());
+    runtime = new XnioEventLoop(4_000, Duration.ofSeconds(3));
+    FakeFleet fleet = new FakeFleet(world, new SafetyRules(world, List.of()), List.of());
     fleet.capacity = 0;
     runtime.serve(
-        new XnioRuntime.Listener(
-            storeAddress, store, Sockets.Part.USERS, path -> Sockets.Part.USERS));
+        new XnioEventLoop.Listener(
+            storeAddress,
+            store,
+            ConnectionLimiter.TrafficClass.USERS,
+            path -> ConnectionLimiter.TrafficClass.USERS));
     runtime.serve(
-        new XnioRuntime.Listener(
-            cloudAddress, fleet, Sockets.Part.USERS, path -> Sockets.Part.USERS));
+        new XnioEventLoop.Listener(
+            cloudAddress,
+            fleet,
+            ConnectionLimiter.TrafficClass.USERS,
+            path -> ConnectionLimiter.TrafficClass.USERS));
     for (int i = 0; i < controllers; i++) {
       fronts.add(free());
       clusters.add(free());
@@ -78,7 +84,7 @@
     if (!closed) {
       Duration behind = Duration.between(world.now().minusSeconds(1_000), runtime.now());
       world.runFor(behind);
-      runtime.after(TICK, this::tick);
+      runtime.schedule(TICK, this::tick);
     }
   }
 
@@ -212,7 +218,7 @@
       if (got != null && got.statusCode() / 100 == 2) {
         try {
           return Json.parseObject(got.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        } catch (io.pineladder.wire.MalformedException e) {
+        } catch (io.pineladder.wire.MalformedMessageException e) {
           throw new AssertionError(got.body(), e);
         }
       }
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -8,12 +8,12 @@
 import io.pineladder.membership.Membership.Self;
 import io.pineladder.membership.Membership.State;
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.EventLoop;
+import io.pineladder.net.HttpResponse;
 import io.pineladder.upgrade.ClusterVersion;
-import io.pineladder.wire.BeatWire;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.GossipWire;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import java.time.Duration;
@@ -33,7 +33,7 @@
   private static final int NODES = 3;
 
   /** Something that happened at a node. */
-  private record Event(Instant at, Kind kind, String peer, BeatWire.Beat told) {}
+  private record Event(Instant at, Kind kind, String peer, GossipWire.Heartbeat told) {}
 
   private enum Kind {
     ANSWER,
@@ -48,24 +48,25 @@
     final boolean[] alive = {true};
     final List<Event> history = new ArrayList<>();
     final Map<String, State> called = new HashMap<>();
-    final Timeline time;
+    final EventLoop eventLoop;
     Membership membership;
 
     Node(int index, String nonce) {
       name = "rung-" + index;
       host = "10.0.0." + (index + 1);
-      time = world.timeline(host, () -> alive[0], 1);
-      HttpCaller http = world.caller(host, () -> alive[0]);
+      eventLoop = world.timeline(host, () -> alive[0], 1);
+      AsyncHttpClient httpClient = world.caller(host, () -> alive[0]);
       membership =
           new Membership(
               settings(index),
               nonce,
-              time,
+              eventLoop,
               (address, beat, onAnswer) -> {
                 String peer = nameOf(address);
                 noteMade(beat);
-                http.call(
-                    HttpCaller.Request.post(address, BeatWire.PATH, beat, Membership.TIMEOUT),
+                httpClient.call(
+                    AsyncHttpClient.Request.post(
+                        address, GossipWire.PATH, beat, Membership.TIMEOUT),
                     reply -> {
                       byte[] body = reply.is(200) ? reply.body() : null;
                       record(body == null ? Kind.MISS : Kind.ANSWER, peer, body);
@@ -73,18 +74,19 @@
                       compare(peer);
                     });
               },
-              () -> new Membership.Own(true, 0, BeatWire.Stored.NOTHING, ClusterVersion.SUPPORTED));
+              () ->
+                  new Membership.Own(true, 0, GossipWire.Stored.NOTHING, ClusterVersion.SUPPORTED));
       world.serve(
           host + ":8081",
           (method, path, body, answer) -> {
             try {
-              String peer = BeatWire.parse(body).member();
+              String peer = GossipWire.parse(body).member();
               record(Kind.INBOUND, peer, body);
               byte[] own = membership.handle(body);
               noteMade(own);
               compare(peer);
-              answer.accept(new HttpAnswer(200, own));
-            } catch (MalformedException e) {
+              answer.accept(new HttpResponse(200, own));
+            } catch (MalformedMessageException e) {
               throw new AssertionError(e);
             }
           });
@@ -97,17 +99,18 @@
 
     private void noteMade(byte[] own) {
       try {
-        BeatWire.Beat beat = BeatWire.parse(own);
-        made.put(beat.nonce() + "#" + beat.sequence(), time.now());
-      } catch (MalformedException e) {
+        GossipWire.Heartbeat beat = GossipWire.parse(own);
+        made.put(beat.nonce() + "#" + beat.sequence(), eventLoop.now());
+      } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
 
     void record(Kind kind, String peer, byte[] body) {
       try {
-        history.add(new Event(time.now(), kind, peer, body == null ? null : BeatWire.parse(body)));
-      } catch (MalformedException e) {
+        history.add(
+            new Event(eventLoop.now(), kind, peer, body == null ? null : GossipWire.parse(body)));
+      } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
@@ -120,7 +123,7 @@
       }
       // It may have come with the last tick, between the last two events.
       int n = history.size();
-      boolean caused = new Model(this, peer, history, time.now()).allows(state);
+      boolean caused = new Model(this, peer, history, eventLoop.now()).allows(state);
       for (int i = Math.max(0, n - 2); i < n && !caused; i++) {
         caused = new Model(this, peer, history.subList(0, n - 1), history.get(i).at).allows(state);
       }
@@ -195,7 +198,7 @@
   /** When each beat was made, by process and number. */
   private final Map<String, Instant> made = new HashMap<>();
 
-  private World world;
+  private SimulatedWorld world;
   private final Map<Integer, Node> nodes = new HashMap<>();
 
   private static Settings settings(int index) {
@@ -223,7 +226,7 @@
   }
 
   private void begin(long seed) {
-    world = new World(seed);
+    world = new SimulatedWorld(seed);
     for (int i = 0; i < NODES; i++) {
       nodes.put(i, new Node(i, "first-" + i));
     }
--- a/src/test/java/io/pineladder/sim/UnlistedTroublesTest.java
+++ b/src/test/java/io/pineladder/sim/RandomFaultsTest.java
@@ -19,7 +19,7 @@
  * workers, and processes that are back at once; each alone and with another trouble, in deployments
  * of several shapes.
  */
-class UnlistedTroublesTest extends LaidOutCluster {
+class RandomFaultsTest extends ConfigurableCluster {
   private static final Duration TROUBLE = Duration.ofSeconds(40);
 
   enum Trouble {
@@ -55,11 +55,11 @@
     long millis = TROUBLE.toMillis();
     switch (trouble) {
       case ONE_WAY, ONE_WAY_THIRD -> {
-        List<FleetStandIn.Worker> up = fleet.up();
+        List<FakeFleet.Worker> up = fleet.up();
         int first = world.random.nextInt(up.size());
         for (int i = 0; i < up.size(); i++) {
           if (trouble == Trouble.ONE_WAY ? i == first : i % 3 == first % 3) {
-            String there = World.host(up.get(i).address);
+            String there = SimulatedWorld.host(up.get(i).address);
             world.deaf.add(there);
             world.after(millis, () -> world.deaf.remove(there));
           }
@@ -104,13 +104,14 @@
         fleet
             .machines
             .values()
-            .forEach(w -> (w.zone.equals("b") ? inside : outside).add(World.host(w.address)));
+            .forEach(
+                w -> (w.zone.equals("b") ? inside : outside).add(SimulatedWorld.host(w.address)));
         inside.forEach(one -> outside.forEach(other -> world.cut(one, other)));
         world.after(
             25_000, () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other))));
       }
       case SPOT_WAVE -> {
-        for (FleetStandIn.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.up()) {
           if (worker.spot && world.random.nextInt(3) == 0) {
             fleet.machines.remove(worker.name);
             worker.end();
@@ -158,16 +159,16 @@
       submit(work("service", 4));
     }
     world.runFor(Duration.ofSeconds(40));
-    FleetStandIn.Worker deaf =
+    FakeFleet.Worker deaf =
         fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
-    world.deaf.add(World.host(deaf.address));
+    world.deaf.add(SimulatedWorld.host(deaf.address));
     world.runFor(Duration.ofSeconds(14));
     assertTrue(deaf.tasks.isEmpty(), "its lease has ended");
-    Rules.Known late = submit(work("array", 6));
+    SafetyRules.Known late = submit(work("array", 6));
     world.runFor(Duration.ofSeconds(45));
     assertTrue(late.done, "served elsewhere");
     int running = 0;
-    for (FleetStandIn.Worker worker : fleet.up()) {
+    for (FakeFleet.Worker worker : fleet.up()) {
       running += worker.tasks.values().stream().filter(t -> t.there).count();
     }
     assertEquals(16, running, "what it ran runs elsewhere");
@@ -183,10 +184,10 @@
     submit(work("service", 2));
     submit(work("service", 2));
     world.runFor(Duration.ofSeconds(40));
-    List<String> hosts = fleet.up().stream().map(w -> World.host(w.address)).toList();
+    List<String> hosts = fleet.up().stream().map(w -> SimulatedWorld.host(w.address)).toList();
     world.deaf.addAll(hosts);
     world.runFor(Duration.ofSeconds(6));
-    Rules.Known job = submit(work("array", 2));
+    SafetyRules.Known job = submit(work("array", 2));
     world.runFor(Duration.ofSeconds(5));
     world.deaf.clear();
     world.runFor(Duration.ofSeconds(60));
@@ -205,7 +206,7 @@
       submit(work("array", 6).put("rank", "standard").put("guess_s", 7 + i).put("loaners", false));
     }
     world.runFor(Duration.ofSeconds(20));
-    Rules.Known gang =
+    SafetyRules.Known gang =
         submit(
             work("group", 2)
                 .put("rank", "standard")
@@ -226,8 +227,8 @@
 
   // ---- the checks of the checks
 
-  private Rules.Known accepted(String shape, int tasks) {
-    Rules.Known job = known(work(shape, tasks));
+  private SafetyRules.Known accepted(String shape, int tasks) {
+    SafetyRules.Known job = known(work(shape, tasks));
     job.accepted = true;
     job.answered = world.now();
     return job;
@@ -255,7 +256,7 @@
   @Test
   void aLargestJobThatBeginsLateIsSeen() {
     begin(Layout.FLEET, 35);
-    Rules.Known large = accepted("array", 9);
+    SafetyRules.Known large = accepted("array", 9);
     for (int i = 0; i < 3; i++) {
       accepted("array", 1).done = true;
     }
--- a/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.Json;
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
@@ -16,12 +16,12 @@
   }
 
   /** Asks one node, and runs until it has answered. */
-  private HttpCaller.Reply ask(String host, String method, String path, byte[] body) {
-    HttpCaller.Reply[] got = new HttpCaller.Reply[1];
+  private AsyncHttpClient.Reply ask(String host, String method, String path, byte[] body) {
+    AsyncHttpClient.Reply[] got = new AsyncHttpClient.Reply[1];
     world
         .caller("user", () -> true)
         .call(
-            new HttpCaller.Request(host + ":8080", method, path, body, Duration.ofSeconds(5)),
+            new AsyncHttpClient.Request(host + ":8080", method, path, body, Duration.ofSeconds(5)),
             reply -> got[0] = reply);
     for (int i = 0; i < 600 && got[0] == null; i++) {
       world.runFor(Duration.ofMillis(10));
@@ -29,7 +29,7 @@
     return got[0];
   }
 
-  private static String status(HttpCaller.Reply reply) throws Exception {
+  private static String status(AsyncHttpClient.Reply reply) throws Exception {
     return Json.parseObject(reply.body()).get("status").asText();
   }
 
@@ -47,7 +47,8 @@
       world
           .caller("user", () -> true)
           .call(
-              HttpCaller.Request.post(leader + ":8080", "/v1/jobs", body, Duration.ofSeconds(5)),
+              AsyncHttpClient.Request.post(
+                  leader + ":8080", "/v1/jobs", body, Duration.ofSeconds(5)),
               reply -> accepted[0] += reply.is(201) ? 1 : 0);
     }
     world.runFor(Duration.ofMillis(1_500));
@@ -70,7 +71,7 @@
     world.runFor(Duration.ofSeconds(12));
     store.endOutage();
     world.runFor(Duration.ofMillis(1_500));
-    Rules.Known job = submit(job("array", 2, "red"));
+    SafetyRules.Known job = submit(job("array", 2, "red"));
     world.runFor(Duration.ofMillis(900));
     assertTrue(job.accepted, "a leader accepts within 2.4 s of the store's return");
     settle(Duration.ofSeconds(120));
@@ -107,7 +108,7 @@
     begin(13);
     world.runFor(Duration.ofSeconds(5));
     ObjectNode spec = job("service", 1, "red");
-    Rules.Known job = known(spec);
+    SafetyRules.Known job = known(spec);
     int leader = leader();
     assertEquals(
         201, ask(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status(), "stored in a page");
@@ -116,12 +117,13 @@
     world.cut(alone, host(leader));
     world.cut(alone, host((leader + 2) % 3));
     world.runFor(Duration.ofSeconds(6));
-    HttpCaller.Reply known = ask(alone, "GET", "/v1/jobs/" + job.id, null);
+    AsyncHttpClient.Reply known = ask(alone, "GET", "/v1/jobs/" + job.id, null);
     assertEquals(200, known.status());
     assertEquals("pending", status(known));
     assertEquals(404, ask(alone, "GET", "/v1/jobs/req-999999", null).status());
     job.cancelAsked = true;
-    HttpCaller.Reply cancelled = ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
+    AsyncHttpClient.Reply cancelled =
+        ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
     // The index that it has read by now must not tell what has been overtaken.
     assertEquals("aborted", status(ask(alone, "GET", "/v1/jobs/" + job.id, null)));
@@ -135,7 +137,7 @@
     begin(14);
     world.runFor(Duration.ofSeconds(5));
     ObjectNode spec = job("service", 1, "red");
-    Rules.Known job = known(spec);
+    SafetyRules.Known job = known(spec);
     int leader = leader();
     assertEquals(201, ask(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status());
     job.accepted = true;
@@ -148,7 +150,8 @@
     assertEquals(1, store.count("job/"));
     world.runFor(Duration.ofSeconds(3));
     job.cancelAsked = true;
-    HttpCaller.Reply cancelled = ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
+    AsyncHttpClient.Reply cancelled =
+        ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
     rules.told(job, "aborted");
     controllers.forEach(each -> kill(each, 6_000));
--- a/src/test/java/io/pineladder/sim/RetryTest.java
+++ b/src/test/java/io/pineladder/sim/RetryTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import io.pineladder.retry.Backoff;
-import io.pineladder.retry.Breaker;
+import io.pineladder.retry.CircuitBreaker;
 import io.pineladder.retry.RetryBudget;
 import java.time.Duration;
 import java.util.HashSet;
@@ -15,14 +15,14 @@
 
 /** Pauses, breakers and budgets of tries, in virtual time. */
 class RetryTest {
-  private final World world = new World(31);
-  private final Timeline time = world.timeline("10.0.0.1", () -> true, 1);
+  private final SimulatedWorld world = new SimulatedWorld(31);
+  private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
 
   @Test
   void pausesGrowToTheirCapAndDoNotCoincide() {
     Set<Duration> seen = new HashSet<>();
     for (int series = 0; series < 20; series++) {
-      Backoff backoff = new Backoff(time, Duration.ofMillis(100), Duration.ofSeconds(1));
+      Backoff backoff = new Backoff(eventLoop, Duration.ofMillis(100), Duration.ofSeconds(1));
       long full = 100;
       for (int i = 0; i < 8; i++) {
         long pause = backoff.pause().toMillis();
@@ -38,8 +38,8 @@
 
   @Test
   void aPartyThatRefusesIsLeftAloneForLongerAndLonger() {
-    Breaker breaker =
-        new Breaker("the cloud", time, 2, Duration.ofSeconds(1), Duration.ofSeconds(8));
+    CircuitBreaker breaker =
+        new CircuitBreaker("the cloud", eventLoop, 2, Duration.ofSeconds(1), Duration.ofSeconds(8));
     assertTrue(breaker.mayCall());
     breaker.failed();
     assertTrue(breaker.mayCall(), "one failure says nothing");
@@ -59,13 +59,13 @@
       world.runFor(Duration.ofMillis(100));
     }
     breaker.succeeded();
-    assertEquals(Breaker.State.CLOSED, breaker.state());
+    assertEquals(CircuitBreaker.State.CLOSED, breaker.state());
     assertTrue(breaker.mayCall() && breaker.mayCall());
   }
 
   @Test
   void triesAgainAreAShareOfWhatSucceeds() {
-    RetryBudget budget = new RetryBudget(time, 0.1, 2, 5);
+    RetryBudget budget = new RetryBudget(eventLoop, 0.1, 2, 5);
     int atOnce = 0;
     for (int i = 0; i < 100; i++) {
       atOnce += budget.take().isZero() ? 1 : 0;
@@ -73,7 +73,7 @@
     assertEquals(5, atOnce, "what was saved up");
     Duration wait = budget.take();
     assertEquals(48.0, wait.toMillis() / 1000.0, 0.1, "the rest wait for their turn, two a second");
-    RetryBudget other = new RetryBudget(time, 0.1, 2, 5);
+    RetryBudget other = new RetryBudget(eventLoop, 0.1, 2, 5);
     for (int i = 0; i < 100; i++) {
       other.take();
       for (int success = 0; success < 20; success++) {
--- a/src/test/java/io/pineladder/sim/Rules.java
+++ b/src/test/java/io/pineladder/sim/SafetyRules.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.model.Resources;
 import io.pineladder.model.Team;
-import io.pineladder.sim.FleetStandIn.Task;
-import io.pineladder.sim.FleetStandIn.Worker;
+import io.pineladder.sim.FakeFleet.Task;
+import io.pineladder.sim.FakeFleet.Worker;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
@@ -23,7 +23,7 @@
 import java.util.function.Predicate;
 
 /** The rules at the end of the protocol, checked at every start, exit and answer. */
-final class Rules implements TaskWatcher {
+final class SafetyRules implements TaskWatcher {
   /**
    * What some user of a job has been told: of two answers the higher may not come before the lower
    * is asked for.
@@ -100,7 +100,7 @@
     }
   }
 
-  private final World world;
+  private final SimulatedWorld world;
   private final List<Team> teams;
   final Map<String, Known> jobs = new LinkedHashMap<>();
 
@@ -139,7 +139,7 @@
    */
   Placed placed;
 
-  Rules(World world, List<Team> teams) {
+  SafetyRules(SimulatedWorld world, List<Team> teams) {
     this.world = world;
     this.teams = teams;
   }
@@ -331,7 +331,7 @@
   }
 
   private void checkShare(String name, List<Known> group) {
-    long served = group.stream().filter(Rules::isServed).count();
+    long served = group.stream().filter(SafetyRules::isServed).count();
     if (2 * served < group.size()) {
       throw broken("less than half served", name + ": " + served + " of " + group.size());
     }
@@ -380,7 +380,7 @@
       throw broken("went_back", job.id + " is called cancelled by no wish of its user");
     }
     boolean isOver = status.equals("done") || status.equals("aborted");
-    if (!isOver && anyBefore(job, Rules.this::isLongCancelled)) {
+    if (!isOver && anyBefore(job, SafetyRules.this::isLongCancelled)) {
       throw broken(
           "orphaned", job.id + " is called " + status + " after one before it was cancelled");
     }
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -4,18 +4,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pineladder.Node;
+import io.pineladder.ControllerNode;
 import io.pineladder.admin.Metrics;
-import io.pineladder.delivery.Delivery;
-import io.pineladder.front.Front;
+import io.pineladder.api.RequestRouter;
+import io.pineladder.delivery.DeliveryContext;
 import io.pineladder.model.Settings;
-import io.pineladder.net.Background;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.Timeline;
-import io.pineladder.snapshot.Shelf;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.BackgroundExecutor;
+import io.pineladder.net.EventLoop;
+import io.pineladder.snapshot.SnapshotStore;
 import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import java.io.ByteArrayOutputStream;
@@ -37,7 +37,7 @@
   static final class Controller {
     final int index;
     boolean[] alive = new boolean[1];
-    Node node;
+    ControllerNode node;
 
     Controller(int index) {
       this.index = index;
@@ -49,10 +49,10 @@
   /** Where the controllers are reached; as many as there are. */
   List<String> fronts = FRONTS;
 
-  World world;
-  StoreStandIn store;
-  FleetStandIn fleet;
-  Rules rules;
+  SimulatedWorld world;
+  FakeKeyValueStore store;
+  FakeFleet fleet;
+  SafetyRules rules;
   StarvationCheck starvation;
   int jobs;
   int unanswered;
@@ -61,10 +61,10 @@
   boolean losesData;
 
   /** What controllers keep snapshots on, by their number; none unless a test sets them up. */
-  final Map<Integer, Shelf> shelves = new HashMap<>();
+  final Map<Integer, SnapshotStore> shelves = new HashMap<>();
 
-  static final Background IMMEDIATE =
-      new Background() {
+  static final BackgroundExecutor IMMEDIATE =
+      new BackgroundExecutor() {
         @Override
         public <T> void run(Supplier<T> work, Consumer<T> then) {
           then.accept(work.get());
@@ -72,7 +72,7 @@
       };
 
   /** A shelf that outlives its controller's processes. */
-  static final class MemoryShelf implements Shelf {
+  static final class MemoryShelf implements SnapshotStore {
     final Map<String, byte[]> files = new TreeMap<>();
 
     @Override
@@ -105,10 +105,10 @@
   }
 
   void begin(long seed) {
-    world = new World(seed);
-    rules = new Rules(world, settings(0).teams());
-    store = new StoreStandIn(world, 12, 8192);
-    fleet = new FleetStandIn(world, rules, fronts);
+    world = new SimulatedWorld(seed);
+    rules = new SafetyRules(world, settings(0).teams());
+    store = new FakeKeyValueStore(world, 12, 8192);
+    fleet = new FakeFleet(world, rules, fronts);
     starvation = new StarvationCheck(world, rules, fleet, settings(0).teams());
     store.onChange = this::onStored;
     if (!losesData) {
@@ -116,7 +116,7 @@
       rules.placed = store::hasPlacement;
     }
     world.serve(STORE, store);
-    world.serve(FleetStandIn.ADDRESS, fleet);
+    world.serve(FakeFleet.ADDRESS, fleet);
     for (int i = 0; i < fronts.size(); i++) {
       controllers.add(new Controller(i));
       start(controllers.get(i));
@@ -173,21 +173,21 @@
     Settings settings = settings(controller.index);
     double rate = 1 + (world.random.nextDouble() - 0.5) * 0.001;
     String host = "10.0.0." + (controller.index + 1);
-    Timeline time = world.timeline(host, () -> alive[0], rate);
-    HttpCaller http = world.caller(host, () -> alive[0]);
-    Node node =
-        new Node(
+    EventLoop eventLoop = world.timeline(host, () -> alive[0], rate);
+    AsyncHttpClient httpClient = world.caller(host, () -> alive[0]);
+    ControllerNode node =
+        new ControllerNode(
             settings,
-            time,
-            http,
+            eventLoop,
+            httpClient,
             "nonce-" + world.random.nextLong(),
             delivery(host),
             shelves.get(controller.index),
             IMMEDIATE,
             version(controller.index));
     controller.node = node;
-    Front front = new Front(node, new Metrics());
-    world.serve(settings.frontAddress(), front::handle);
+    RequestRouter front = new RequestRouter(node, new Metrics());
+    world.serve(settings.apiAddress(), front::handle);
     world.serve(settings.clusterAddress(), front::handleCluster);
     node.start();
   }
@@ -201,10 +201,10 @@
   void onStored(String key) {}
 
   /** A user was told something that nobody had been told of the job before. */
-  void onNews(Rules.Known job) {}
+  void onNews(SafetyRules.Known job) {}
 
   /** What the host delivers notices with; null for none. */
-  Delivery delivery(String host) {
+  DeliveryContext delivery(String host) {
     return null;
   }
 
@@ -244,25 +244,25 @@
   }
 
   /** A job that its user knows of from here on. */
-  Rules.Known known(ObjectNode spec) {
-    Rules.Known job = new Rules.Known(spec.get("ref").asText(), spec);
+  SafetyRules.Known known(ObjectNode spec) {
+    SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
     job.submitted = world.now();
     return job;
   }
 
-  Rules.Known submit(ObjectNode spec) {
-    Rules.Known job = known(spec);
+  SafetyRules.Known submit(ObjectNode spec) {
+    SafetyRules.Known job = known(spec);
     send(job, "POST", "/v1/jobs", Json.bytes(spec));
     return job;
   }
 
-  void cancel(Rules.Known job) {
+  void cancel(SafetyRules.Known job) {
     job.cancelAsked = true;
     send(job, "POST", "/v1/jobs/" + job.id + "/cancel", null);
   }
 
-  void send(Rules.Known job, String method, String path, byte[] body) {
+  void send(SafetyRules.Known job, String method, String path, byte[] body) {
     String node = fronts.get(world.random.nextInt(fronts.size()));
     boolean poll = method.equals("GET");
     boolean submission = path.equals("/v1/jobs");
@@ -286,18 +286,18 @@
    * One request about a job at one node; {@code then} is told whether it was answered as wanted.
    */
   void send(
-      Rules.Known job,
+      SafetyRules.Known job,
       String node,
       String method,
       String path,
       byte[] body,
       Consumer<Boolean> then) {
-    Rules.Told before = job.told();
+    SafetyRules.Told before = job.told();
     Duration patience = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
     world
         .caller("user", () -> true)
         .call(
-            new HttpCaller.Request(node, method, path, body, patience),
+            new AsyncHttpClient.Request(node, method, path, body, patience),
             reply -> {
               boolean good = reply.is(200) || reply.is(201);
               try {
@@ -305,7 +305,7 @@
                 if (reply.isAnswered()) {
                   rules.answered(job, before, reply.status(), state);
                 }
-              } catch (MalformedException e) {
+              } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
               if (job.told().compareTo(before) > 0 && job.told() != job.news) {
@@ -317,7 +317,7 @@
             });
   }
 
-  void poll(Rules.Known job) {
+  void poll(SafetyRules.Known job) {
     send(job, "GET", "/v1/jobs/" + job.id, null);
     world.after(job.isOver() ? 20_000 : 5_000, () -> poll(job));
   }
@@ -334,7 +334,7 @@
   void settle(Duration time) {
     world.lossy = 0;
     world.runFor(time);
-    for (Rules.Known job : rules.jobs.values()) {
+    for (SafetyRules.Known job : rules.jobs.values()) {
       boolean service = job.spec.get("shape").asText().equals("service");
       assertTrue(job.accepted, job.id + " was not accepted");
       assertTrue(service || job.broken || job.isOver(), job.id + " did not end: " + job.completed);
@@ -372,20 +372,20 @@
       }
       case 4 -> {
         // One zone's workers are cut from one controller.
-        for (FleetStandIn.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.up()) {
           if (worker.zone.equals("a")) {
-            String there = World.host(worker.address);
+            String there = SimulatedWorld.host(worker.address);
             world.cut(host, there);
             world.after(millis, () -> world.heal(host, there));
           }
         }
       }
       case 5 -> {
-        for (FleetStandIn.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.up()) {
           if (world.random.nextInt(4) == 0) {
             for (int i = 1; i <= 3; i++) {
               String node = "10.0.0." + i;
-              String there = World.host(worker.address);
+              String there = SimulatedWorld.host(worker.address);
               world.cut(node, there);
               world.after(millis, () -> world.heal(node, there));
             }
@@ -398,7 +398,7 @@
         }
       }
       case 7 -> {
-        List<FleetStandIn.Worker> up = fleet.up();
+        List<FakeFleet.Worker> up = fleet.up();
         if (!up.isEmpty()) {
           fleet.die(up.get(world.random.nextInt(up.size())));
         }
@@ -418,7 +418,7 @@
     }
   }
 
-  void ask(Rules.Known job) {
+  void ask(SafetyRules.Known job) {
     if (job.accepted) {
       send(job, "GET", "/v1/jobs/" + job.id, null);
     }
--- a/src/test/java/io/pineladder/sim/World.java
+++ b/src/test/java/io/pineladder/sim/SimulatedWorld.java
@@ -1,9 +1,9 @@
 package io.pineladder.sim;
 
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.HttpHandlerAsync;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpHandler;
+import io.pineladder.net.EventLoop;
+import io.pineladder.net.HttpResponse;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
@@ -17,7 +17,7 @@
 import java.util.random.RandomGeneratorFactory;
 
 /** Virtual time and a network that cuts, delays and delivers late; everything follows one seed. */
-final class World {
+final class SimulatedWorld {
   private record Timer(long at, long order, Runnable action) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
@@ -28,7 +28,7 @@
 
   final RandomGenerator random;
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-  private final Map<String, HttpHandlerAsync> servers = new HashMap<>();
+  private final Map<String, AsyncHttpHandler> servers = new HashMap<>();
   private final Set<String> cuts = new HashSet<>();
   private long order;
   private long nowMillis = 1_000_000;
@@ -55,7 +55,7 @@
   /** What refuses whom: the first host's requests are answered 503 by the second. */
   private final Set<String> refusals = new HashSet<>();
 
-  World(long seed) {
+  SimulatedWorld(long seed) {
     random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
   }
 
@@ -79,16 +79,16 @@
 
   /** The network outside, where this world is run beside real processes; null in a simulation. */
   interface Outside {
-    void serve(String address, HttpHandlerAsync handler);
+    void serve(String address, AsyncHttpHandler handler);
 
     void stop(String address);
 
-    HttpCaller caller();
+    AsyncHttpClient caller();
   }
 
   Outside outside;
 
-  void serve(String address, HttpHandlerAsync handler) {
+  void serve(String address, AsyncHttpHandler handler) {
     servers.put(address, handler);
     if (outside != null) {
       outside.serve(address, handler);
@@ -158,18 +158,18 @@
   }
 
   /** A clock of a process that ends when {@code alive} says so. */
-  Timeline timeline(String host, BooleanSupplier alive, double rate) {
+  EventLoop timeline(String host, BooleanSupplier alive, double rate) {
     Instant begun = now();
-    return new Timeline() {
+    return new EventLoop() {
       @Override
       public Instant now() {
-        long real = Duration.between(begun, World.this.now()).toNanos();
+        long real = Duration.between(begun, SimulatedWorld.this.now()).toNanos();
         return begun.plusNanos((long) (real * rate));
       }
 
       @Override
-      public Instant timeOfDay() {
-        return World.this.now();
+      public Instant wallClock() {
+        return SimulatedWorld.this.now();
       }
 
       @Override
@@ -178,8 +178,8 @@
       }
 
       @Override
-      public void after(Duration delay, Runnable action) {
-        World.this.after(
+      public void schedule(Duration delay, Runnable action) {
+        SimulatedWorld.this.after(
             (long) Math.ceil(delay.toNanos() / 1e6 / rate),
             () ->
                 on(
@@ -194,7 +194,7 @@
   }
 
   /** The network as one process on {@code from} uses it. */
-  HttpCaller caller(String from, BooleanSupplier alive) {
+  AsyncHttpClient caller(String from, BooleanSupplier alive) {
     if (outside != null) {
       return (request, onReply) ->
           outside
@@ -209,7 +209,7 @@
     }
     return (request, onReply) -> {
       boolean[] over = new boolean[1];
-      Consumer<HttpCaller.Reply> once =
+      Consumer<AsyncHttpClient.Reply> once =
           reply ->
               on(
                   from,
@@ -222,7 +222,7 @@
       long timeout = request.timeout().toMillis();
       String way = from + " " + host(request.address());
       if (deaf.contains(host(request.address()))) {
-        after(timeout, () -> once.accept(HttpCaller.Reply.UNKNOWN));
+        after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
         return;
       }
       if (cuts.contains(way)) {
@@ -230,18 +230,19 @@
         boolean late = random.nextInt(3) == 0;
         after(
             timeout,
-            () -> once.accept(late ? HttpCaller.Reply.UNKNOWN : HttpCaller.Reply.NOT_SENT));
+            () ->
+                once.accept(late ? AsyncHttpClient.Reply.UNKNOWN : AsyncHttpClient.Reply.NOT_SENT));
         if (late) {
           after(timeout + random.nextInt(60_000), () -> deliver(request, answer -> {}));
         }
         return;
       }
       if (!servers.containsKey(request.address())) {
-        after(1, () -> once.accept(HttpCaller.Reply.NOT_SENT));
+        after(1, () -> once.accept(AsyncHttpClient.Reply.NOT_SENT));
         return;
       }
       if (refusals.contains(way)) {
-        after(5, () -> once.accept(HttpCaller.Reply.answered(503, new byte[0])));
+        after(5, () -> once.accept(AsyncHttpClient.Reply.answered(503, new byte[0])));
         return;
       }
       boolean lost = random.nextDouble() < lossy;
@@ -249,7 +250,7 @@
       boolean holds = held > 0 && random.nextDouble() < held;
       boolean there = holds && random.nextBoolean();
       int back = holds && !there ? random.nextInt(LONGEST_HELD) : 0;
-      after(timeout, () -> once.accept(HttpCaller.Reply.UNKNOWN));
+      after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
       after(
           late
               ? random.nextInt(40_000)
@@ -266,7 +267,7 @@
                                   way,
                                   () ->
                                       once.accept(
-                                          HttpCaller.Reply.answered(
+                                          AsyncHttpClient.Reply.answered(
                                               answer.status(), answer.body()))));
                     }
                   }));
@@ -276,12 +277,12 @@
   /**
    * Delivers a copy of a request later, to whoever is there by then; nobody waits for its answer.
    */
-  void deliverCopy(HttpCaller.Request request, long millis) {
+  void deliverCopy(AsyncHttpClient.Request request, long millis) {
     after(millis, () -> deliver(request, answer -> {}));
   }
 
-  private void deliver(HttpCaller.Request request, Consumer<HttpAnswer> onAnswer) {
-    HttpHandlerAsync server = servers.get(request.address());
+  private void deliver(AsyncHttpClient.Request request, Consumer<HttpResponse> onAnswer) {
+    AsyncHttpHandler server = servers.get(request.address());
     if (server != null) {
       byte[] body = request.body() == null ? new byte[0] : request.body();
       on(
--- a/src/test/java/io/pineladder/sim/SmallJobsTest.java
+++ b/src/test/java/io/pineladder/sim/SmallJobsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.retry.RateBudget;
+import io.pineladder.retry.TokenBucket;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
  * One-task jobs, four a second for ten minutes, a quarter of them cancelled, within the limits of
  * the smallest site.
  */
-class SmallJobsTest extends LaidOutCluster {
+class SmallJobsTest extends ConfigurableCluster {
   private static final double REQUESTS = 80;
   private static final double CHANGES = 30;
   private static final int JOBS = 2_400;
@@ -32,13 +32,13 @@
     begin(Layout.SHORT, 81);
     fleet.capacity = 20;
     world.runFor(Duration.ofSeconds(30));
-    store.requestLimit = new RateBudget(REQUESTS, REQUESTS, world.now());
-    store.changeLimit = new RateBudget(CHANGES, CHANGES, world.now());
+    store.requestLimit = new TokenBucket(REQUESTS, REQUESTS, world.now());
+    store.changeLimit = new TokenBucket(CHANGES, CHANGES, world.now());
     store.changes.clear();
     int before = store.requests;
-    List<Rules.Known> all = new ArrayList<>();
+    List<SafetyRules.Known> all = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      Rules.Known job = submit(work("array", 1).put("guess_s", 4 + i % 9));
+      SafetyRules.Known job = submit(work("array", 1).put("guess_s", 4 + i % 9));
       all.add(job);
       if (i % 4 == 0) {
         world.after(world.random.nextInt(12_000), () -> cancel(job));
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Resources;
 import io.pineladder.model.Team;
-import io.pineladder.sim.FleetStandIn.Task;
-import io.pineladder.sim.FleetStandIn.Worker;
+import io.pineladder.sim.FakeFleet.Task;
+import io.pineladder.sim.FakeFleet.Worker;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -22,9 +22,9 @@
 final class StarvationCheck {
   static final Duration MOST = Duration.ofSeconds(90);
 
-  private final World world;
-  private final Rules rules;
-  private final FleetStandIn fleet;
+  private final SimulatedWorld world;
+  private final SafetyRules rules;
+  private final FakeFleet fleet;
   private final List<Team> teams;
 
   /**
@@ -41,7 +41,7 @@
   private final Map<Worker, Resources> free = new HashMap<>();
   private final Map<String, Resources> usage = new HashMap<>();
 
-  StarvationCheck(World world, Rules rules, FleetStandIn fleet, List<Team> teams) {
+  StarvationCheck(SimulatedWorld world, SafetyRules rules, FakeFleet fleet, List<Team> teams) {
     this.world = world;
     this.rules = rules;
     this.fleet = fleet;
@@ -53,7 +53,7 @@
       return;
     }
     look();
-    for (Rules.Known job : rules.jobs.values()) {
+    for (SafetyRules.Known job : rules.jobs.values()) {
       int now = job.completed.size() + places.getOrDefault(job.id, Map.of()).size();
       boolean moves = underWay.getOrDefault(job.id, 0) < now;
       underWay.put(job.id, now);
@@ -84,7 +84,7 @@
         usage.merge(spec.get("owner").asText(), each(spec), Resources::plus);
         places.computeIfAbsent(task.job(), j -> new HashMap<>()).put(task.index(), worker);
       }
-      if (worker.up && world.hears(World.host(worker.address))) {
+      if (worker.up && world.hears(SimulatedWorld.host(worker.address))) {
         free.put(worker, left);
       }
     }
@@ -101,10 +101,10 @@
    * It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a
    * machine.
    */
-  private boolean waits(Rules.Known job) {
+  private boolean waits(SafetyRules.Known job) {
     boolean wanted = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
     for (String id : job.prerequisites()) {
-      Rules.Known needed = rules.jobs.get(id);
+      SafetyRules.Known needed = rules.jobs.get(id);
       // A completion is seen, stored and told before what needs it can start.
       wanted &= needed.done;
     }
@@ -116,14 +116,14 @@
     return wanted && known.size() < job.tasks() && !(gang && !there.isEmpty());
   }
 
-  private boolean couldRun(Rules.Known job) {
+  private boolean couldRun(SafetyRules.Known job) {
     JsonNode spec = job.spec;
     boolean gang = spec.get("shape").asText().equals("group");
     int wanted = gang ? job.tasks() : 1;
     Resources each = each(spec);
     String owner = spec.get("owner").asText();
     Team team = teams.stream().filter(t -> t.name().equals(owner)).findFirst().orElseThrow();
-    Resources used = usage.getOrDefault(owner, Resources.NONE);
+    Resources used = usage.getOrDefault(owner, Resources.ZERO);
     if (!team.allows(used.plus(each.times(wanted)))) {
       return false;
     }
@@ -143,7 +143,7 @@
                   && (!spec.hasNonNull("hulls") || names(spec.get("hulls")).contains(worker.type));
           boolean apart = together && !inZone.isEmpty() && !inZone.containsKey(worker.zone);
           if (allowed && !apart) {
-            room.merge(worker.zone, each.countIn(left), Long::sum);
+            room.merge(worker.zone, each.timesFittingIn(left), Long::sum);
           }
         });
     room.replaceAll((zone, count) -> Math.min(count, most - inZone.getOrDefault(zone, 0)));
--- a/src/test/java/io/pineladder/sim/StarvationTest.java
+++ b/src/test/java/io/pineladder/sim/StarvationTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Policy may keep a job from room for a while, and not for ever. */
-class StarvationTest extends LaidOutCluster {
+class StarvationTest extends ConfigurableCluster {
   /**
    * Found by the simulation on 1 of 630 days: a job of one task that failed by chance on the only
    * two machines with room was taken to be at fault, kept off both, and waited for ever.
@@ -31,7 +31,7 @@
     }
     assertEquals(4, running());
     assertEquals(4, fleet.up().size());
-    Rules.Known job = submit(work("array", 1).put("guess_s", 5));
+    SafetyRules.Known job = submit(work("array", 1).put("guess_s", 5));
     job.broken = true;
     for (int i = 0; i < 60 && job.begins < 2; i++) {
       world.runFor(Duration.ofSeconds(1));
@@ -89,7 +89,7 @@
           spec.put("due_s", 60.0 + world.random.nextInt(600));
         }
       }
-      Rules.Known job = submit(spec);
+      SafetyRules.Known job = submit(spec);
       if (shape.equals("service")) {
         world.after(20_000 + world.random.nextInt(60_000), () -> cancel(job));
       }
--- a/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.recovery.Generations.State;
+import io.pineladder.recovery.GenerationManager.State;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
@@ -23,7 +23,7 @@
   /** What is on the machines, with its attempt. */
   private Map<String, String> there() {
     Map<String, String> found = new TreeMap<>();
-    for (FleetStandIn.Worker worker : fleet.machines.values()) {
+    for (FakeFleet.Worker worker : fleet.machines.values()) {
       worker.tasks.forEach(
           (key, task) -> {
             if (task.there) {
@@ -55,7 +55,7 @@
     Duration noticed = until(at, Duration.ofSeconds(2), () -> any(State.LOST));
     until(at, Duration.ofSeconds(15), () -> any(State.REBUILT));
     int written = store.changes.values().stream().mapToInt(n -> n).sum() - changes;
-    Rules.Known late = submit(job("array", 4, "red").put("together", false));
+    SafetyRules.Known late = submit(job("array", 4, "red").put("together", false));
     Duration accepted = until(at, Duration.ofSeconds(12), () -> late.accepted);
     Duration first =
         until(
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.Node;
-import io.pineladder.recovery.Generations;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.ControllerNode;
+import io.pineladder.recovery.GenerationManager;
+import io.pineladder.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -73,7 +73,7 @@
   private void work(int steps) {
     for (int step = 0; step < steps; step++) {
       submit(randomJob());
-      List<Rules.Known> open =
+      List<SafetyRules.Known> open =
           rules.jobs.values().stream().filter(j -> j.accepted && !j.isOver()).toList();
       if (!open.isEmpty() && world.random.nextInt(3) == 0) {
         cancel(open.get(world.random.nextInt(open.size())));
@@ -116,7 +116,8 @@
     settle(Duration.ofSeconds(400));
     boolean rebuilt =
         controllers.stream()
-            .anyMatch(c -> c.node.records().generations().state() == Generations.State.REBUILT);
+            .anyMatch(
+                c -> c.node.records().generations().state() == GenerationManager.State.REBUILT);
     assertTrue(rebuilt || loss == Loss.NOTHING || loss.name().startsWith("DAMAGED"));
   }
 
@@ -208,19 +209,19 @@
     losesData = true;
     world.runFor(Duration.ofSeconds(4));
     work(10);
-    List<Rules.Known> before = List.copyOf(rules.jobs.values());
+    List<SafetyRules.Known> before = List.copyOf(rules.jobs.values());
     world.runFor(Duration.ofSeconds(15));
     byte[] kept = controllers.get(leading()).node.records().takeSnapshot();
     store.loseEverything();
     controllers.forEach(each -> kill(each, 6_000 + each.index * 300L));
     // Users who ask meanwhile are told that nothing is certain.
     world.runFor(Duration.ofSeconds(45));
-    Node leader = controllers.get(leading()).node;
+    ControllerNode leader = controllers.get(leading()).node;
     byte[] damaged = kept.clone();
     damaged[damaged.length / 2] ^= 1;
-    assertThrows(MalformedException.class, () -> leader.records().handIn(damaged));
+    assertThrows(MalformedMessageException.class, () -> leader.records().handIn(damaged));
     assertThrows(
-        MalformedException.class,
+        MalformedMessageException.class,
         () -> leader.records().handIn(Arrays.copyOf(kept, kept.length / 2)));
     assertTrue(leader.records().handIn(kept) > 0);
     work(5);
--- a/src/test/java/io/pineladder/sim/TaskWatcher.java
+++ b/src/test/java/io/pineladder/sim/TaskWatcher.java
@@ -1,7 +1,7 @@
 package io.pineladder.sim;
 
-import io.pineladder.sim.FleetStandIn.Task;
-import io.pineladder.sim.FleetStandIn.Worker;
+import io.pineladder.sim.FakeFleet.Task;
+import io.pineladder.sim.FakeFleet.Worker;
 
 /** Follows what becomes of tasks on workers, and knows what kind of task each is. */
 interface TaskWatcher {
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -30,12 +30,13 @@
     Settings of = super.settings(index);
     List<Settings.Peer> peers =
         of.peers().stream()
-            .map(p -> new Settings.Peer(p.member(), zoneOf(p.member()), p.address()))
+            .map(
+                p -> new Settings.Peer(p.controllerName(), zoneOf(p.controllerName()), p.address()))
             .toList();
     return new Settings(
-        of.member(),
-        zoneOf(of.member()),
-        of.frontAddress(),
+        of.controllerName(),
+        zoneOf(of.controllerName()),
+        of.apiAddress(),
         of.clusterAddress(),
         peers,
         of.cloudAddress(),
@@ -43,10 +44,10 @@
         of.zones(),
         of.teams(),
         of.objectives(),
-        of.workers(),
-        of.store(),
-        of.storeInForce(),
-        of.cloud(),
+        of.workerTimes(),
+        of.storeLimits(),
+        of.currentStoreLimits(),
+        of.cloudLimits(),
         of.maxSockets(),
         of.coreShare());
   }
@@ -55,7 +56,7 @@
     List<String> hosts = new ArrayList<>();
     fleet.machines.values().stream()
         .filter(w -> w.zone.equals(zone))
-        .forEach(w -> hosts.add(World.host(w.address)));
+        .forEach(w -> hosts.add(SimulatedWorld.host(w.address)));
     hosts.addAll(zone.equals("b") ? List.of(INSIDE) : List.of("10.0.0.1", "10.0.0.3"));
     return hosts;
   }
@@ -73,7 +74,7 @@
 
   private Map<String, String> there(String zone) {
     Map<String, String> found = new TreeMap<>();
-    for (FleetStandIn.Worker worker : fleet.machines.values()) {
+    for (FakeFleet.Worker worker : fleet.machines.values()) {
       if (worker.zone.equals(zone)) {
         worker.tasks.forEach((key, task) -> found.put(key, worker.name));
       }
@@ -151,7 +152,7 @@
     lead(0);
     Runnable heal = part(true);
     world.runFor(Duration.ofSeconds(15));
-    Rules.Known job = rules.jobs.values().iterator().next();
+    SafetyRules.Known job = rules.jobs.values().iterator().next();
     cancel(job);
     world.runFor(Duration.ofSeconds(90));
     assertTrue(job.cancelled == null, "told while tasks of it run");
@@ -167,9 +168,9 @@
     begin(801);
     fill();
     lead(0);
-    List<FleetStandIn.Worker> dead =
+    List<FakeFleet.Worker> dead =
         fleet.machines.values().stream().filter(w -> w.zone.equals("b")).toList();
-    for (FleetStandIn.Worker worker : dead) {
+    for (FakeFleet.Worker worker : dead) {
       fleet.machines.remove(worker.name);
       worker.end();
     }
--- a/src/test/java/io/pineladder/store/JobPagesTest.java
+++ b/src/test/java/io/pineladder/store/JobPagesTest.java
@@ -10,12 +10,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
-import io.pineladder.model.Notice;
-import io.pineladder.model.Rank;
+import io.pineladder.model.Notification;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.time.Instant;
@@ -28,8 +28,8 @@
   private static final int VALUE_BYTES = 2048;
 
   /** Somebody is told of each job that is over. */
-  private static final NoticeBook WANTED =
-      new NoticeBook() {
+  private static final NotificationLog WANTED =
+      new NotificationLog() {
         @Override
         public boolean isWanted() {
           return true;
@@ -39,12 +39,13 @@
         public void begin() {}
 
         @Override
-        public Notice next(Job job) {
-          return new Notice(1, job.spec.id(), "red", "work", Job.State.DONE, 1, Instant.EPOCH);
+        public Notification next(Job job) {
+          return new Notification(
+              1, job.spec.id(), "red", "work", Job.State.DONE, 1, Instant.EPOCH);
         }
 
         @Override
-        public void stored(Notice notice, int bytes, Runnable drop) {}
+        public void stored(Notification notification, int bytes, Runnable drop) {}
 
         @Override
         public void committed() {}
@@ -65,8 +66,8 @@
               "req-" + i,
               "work",
               "red",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              PriorityClass.NORMAL,
               1,
               Resources.of(1, 0, 1),
               null,
@@ -94,7 +95,8 @@
   }
 
   @Test
-  void aPageThatIsTooLargeIsDividedInStepsAndItsCopiesCountAtTheEnd() throws MalformedException {
+  void aPageThatIsTooLargeIsDividedInStepsAndItsCopiesCountAtTheEnd()
+      throws MalformedMessageException {
     begin();
     JobPages.Edit waits = pages.remove(jobs.get(3));
     assertFalse(waits.mustWait(), "the limits before still hold");
--- a/src/test/java/io/pineladder/store/PagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -6,17 +6,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation.Priority;
 import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.time.Instant;
@@ -37,11 +37,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Packed records against a plain model that remembers what each entry was last told to hold. */
-class PagesTest {
+class RecordPagesTest {
   private static final int VALUE_BYTES = 1024;
 
   /** Timers and transactions that run when the test says so; each may be put off and asked anew. */
-  private static final class Store implements Timeline {
+  private static final class Store implements EventLoop {
     final ArrayDeque<Runnable> timers = new ArrayDeque<>();
     final List<Mutation> pending = new ArrayList<>();
     final Map<String, JsonNode> values = new LinkedHashMap<>();
@@ -55,7 +55,7 @@
     private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
 
     @Override
-    public Instant timeOfDay() {
+    public Instant wallClock() {
       return Instant.EPOCH;
     }
 
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable action) {
+    public void schedule(Duration delay, Runnable action) {
       timers.add(action);
     }
 
@@ -106,9 +106,9 @@
     }
   }
 
-  private static Pages<Entry> pages(Store store, Map<Integer, Integer> told) {
+  private static RecordPages<Entry> pages(Store store, Map<Integer, Integer> told) {
     Map<Integer, Integer> encoded = new HashMap<>();
-    return new Pages<>(
+    return new RecordPages<>(
         "page/",
         Priority.PLACE,
         Duration.ZERO,
@@ -123,7 +123,7 @@
         entry -> told.put(entry.id, encoded.get(entry.id)));
   }
 
-  private static Map<Integer, Integer> read(Store store) throws MalformedException {
+  private static Map<Integer, Integer> read(Store store) throws MalformedMessageException {
     Map<Integer, Integer> newest = new HashMap<>();
     for (JsonNode page : store.values.values()) {
       for (JsonNode entry : RecordWire.entries(page)) {
@@ -135,11 +135,11 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void whatWasToldStoredCanAlwaysBeRead(long seed) throws MalformedException {
+  void whatWasToldStoredCanAlwaysBeRead(long seed) throws MalformedMessageException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     Store store = new Store();
     Map<Integer, Integer> told = new HashMap<>();
-    Pages<Entry> pages = pages(store, told);
+    RecordPages<Entry> pages = pages(store, told);
     List<Entry> live = new ArrayList<>();
     int ids = 0;
     int due = 0;
@@ -201,8 +201,8 @@
             "req-000001",
             "class",
             "red",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            PriorityClass.NORMAL,
             100_000,
             Resources.of(1, 0, 1),
             null,
@@ -220,7 +220,7 @@
   }
 
   @Test
-  void completionsOfAHugeJobFitTheirValuesWhateverTheirPattern() throws MalformedException {
+  void completionsOfAHugeJobFitTheirValuesWhateverTheirPattern() throws MalformedMessageException {
     Store store = new Store();
     Job job = hugeJob();
     MachineType type =
@@ -247,7 +247,7 @@
               @Override
               public void onStoredTwice(Job job, Runnable again) {}
             },
-            NoticeBook.NONE);
+            NotificationLog.NONE);
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(7);
     Set<Attempt> done = new LinkedHashSet<>();
     // Every other task of the first half makes for the most ranges.
@@ -274,6 +274,6 @@
     }
     assertEquals(job.done, read);
     assertTrue(chunks.size() > 100, "it takes many entries");
-    assertTrue(done.stream().allMatch(attempt -> attempt.forgettable));
+    assertTrue(done.stream().allMatch(attempt -> attempt.mayBeForgotten));
   }
 }
--- a/src/test/java/io/pineladder/store/StoreClientTest.java
+++ b/src/test/java/io/pineladder/store/StoreClientTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.model.Settings;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.Timeline;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -20,9 +20,9 @@
   @Test
   void whatUsersAskForNeverStandsBeforeTheNodesOwnRequests() {
     List<String> sent = new ArrayList<>();
-    HttpCaller http = (request, onReply) -> sent.add(request.path());
-    Timeline time =
-        new Timeline() {
+    AsyncHttpClient httpClient = (request, onReply) -> sent.add(request.path());
+    EventLoop eventLoop =
+        new EventLoop() {
           @Override
           public Instant now() {
             return Instant.EPOCH;
@@ -32,7 +32,7 @@
               RandomGeneratorFactory.of("L64X128MixRandom").create(1);
 
           @Override
-          public Instant timeOfDay() {
+          public Instant wallClock() {
             return Instant.EPOCH;
           }
 
@@ -42,14 +42,14 @@
           }
 
           @Override
-          public void after(Duration delay, Runnable action) {}
+          public void schedule(Duration delay, Runnable action) {}
         };
-    StoreClient store =
+    StoreClient storeClient =
         new StoreClient(
-            http, time, "10.2.0.1:2379", new Settings.StoreLimits(100, 40, 8192, 12), 3);
+            httpClient, eventLoop, "10.2.0.1:2379", new Settings.StoreLimits(100, 40, 8192, 12), 3);
     int[] refused = new int[1];
     for (int i = 0; i < 1000; i++) {
-      store.readForUser(
+      storeClient.readForUser(
           "job/req-" + i,
           read -> {
             assertFalse(read.certain());
@@ -59,10 +59,10 @@
     int served = sent.size();
     assertEquals(1000, served + refused[0]);
     assertTrue(served >= 5 && served <= 20, "a node's part of the limit, not " + served);
-    store.list("job/", () -> true, listing -> {});
+    storeClient.list("job/", () -> true, listing -> {});
     assertEquals(served + 1, sent.size());
     // Found there too: while peers refused each other, polls used up what submissions needed.
-    store.changeForUser(store.post("/multi", new byte[0]), 2, reply -> {});
+    storeClient.changeForUser(storeClient.post("/multi", new byte[0]), 2, reply -> {});
     assertEquals(served + 2, sent.size());
   }
 }
--- a/src/test/java/io/pineladder/upgrade/FormatsTest.java
+++ b/src/test/java/io/pineladder/upgrade/FormatsTest.java
@@ -11,18 +11,18 @@
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Generation;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Notice;
+import io.pineladder.model.Notification;
 import io.pineladder.model.OperatorSettings;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.net.HttpAnswer;
-import io.pineladder.wire.BeatWire;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.wire.GossipWire;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.PeerWire;
 import io.pineladder.wire.RecordWire;
 import java.io.IOException;
@@ -62,8 +62,8 @@
           "req-000412",
           "train",
           "vision",
-          Shape.GANG,
-          Rank.HIGH,
+          JobKind.GANG,
+          PriorityClass.HIGH,
           16,
           Resources.of(8, 1, 64),
           List.of("g8"),
@@ -83,8 +83,8 @@
           "req-000413",
           "serve",
           "vision",
-          Shape.SERVICE,
-          Rank.PRODUCTION,
+          JobKind.SERVICE,
+          PriorityClass.PRODUCTION,
           3,
           Resources.of(4, 1, 29),
           null,
@@ -104,7 +104,7 @@
   private static ObjectNode load() {
     try (InputStream in = FormatsTest.class.getResourceAsStream("/upgrade/version-1.json")) {
       return Json.parseObject(in.readAllBytes());
-    } catch (IOException | MalformedException e) {
+    } catch (IOException | MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
@@ -129,21 +129,23 @@
     Machine machine = new Machine("m-000231", TYPE, "a", true, Instant.EPOCH);
     machine.address = "10.1.0.232:9000";
     Job job = new Job(GANG, AT, Job.State.ACTIVE);
-    return new Attempt(job, 4, (412L << 20) + 3, machine, Instant.EPOCH, Attempt.State.STORED);
+    return new Attempt(
+        job, 4, (412L << 20) + 3, machine, Instant.EPOCH, Attempt.State.PLACEMENT_STORED);
   }
 
   @Test
   void recordsAreWrittenAsBefore() {
     Map<String, JsonNode> written = new LinkedHashMap<>();
     written.put("job/req-000412", RecordWire.job(GANG, AT, Job.State.ACTIVE));
-    Notice notice = new Notice(17, "req-000399", "vision", "train", Job.State.DONE, 4, AT);
+    Notification notification =
+        new Notification(17, "req-000399", "vision", "train", Job.State.DONE, 4, AT);
     written.put(
         "accepted/0",
         RecordWire.page(
             Stream.of(
                 RecordWire.job(GANG, AT, Job.State.ACTIVE),
                 RecordWire.job(SERVICE, AT, Job.State.CANCELLED).put("at_fault", true)),
-            List.of(notice)));
+            List.of(notification)));
     written.put(
         "done/0",
         RecordWire.page(
@@ -162,7 +164,11 @@
         "generation/current",
         RecordWire.generation(
             new Generation(
-                900, 0, Generation.Phase.WHOLE, true, new Generation.Writer("rung-0", "nonce-0"))));
+                900,
+                0,
+                Generation.Phase.COMPLETE,
+                true,
+                new Generation.Writer("rung-0", "nonce-0"))));
     written.put("conf/types", RecordWire.types(List.of(TYPE)));
     written.put("conf/operator", RecordWire.operator(OperatorSettings.DEFAULTS));
     written.put(
@@ -172,7 +178,7 @@
   }
 
   @Test
-  void recordsOfBeforeAreRead() throws MalformedException {
+  void recordsOfBeforeAreRead() throws MalformedMessageException {
     List<JsonNode> jobs = RecordWire.entries(record("accepted/0"));
     RecordWire.StoredJob gang = RecordWire.parseJob(jobs.get(0));
     assertEquals(GANG, gang.spec());
@@ -198,36 +204,37 @@
 
   /** Readers of version 1 stop where its messages end, so what is added stands behind. */
   @Test
-  void messagesBeginAsBefore() throws MalformedException {
-    Map<String, BeatWire.Heard> heard = new LinkedHashMap<>();
-    heard.put("rung-1", new BeatWire.Heard(Duration.ofMillis(812), "nonce-1", 44));
-    heard.put("rung-2", new BeatWire.Heard(Duration.ofMillis(90), "nonce-2", 7));
-    BeatWire.Stored stored = new BeatWire.Stored(0, 950, 0, 949, true, 412, false);
+  void messagesBeginAsBefore() throws MalformedMessageException {
+    Map<String, GossipWire.PeerContact> heard = new LinkedHashMap<>();
+    heard.put("rung-1", new GossipWire.PeerContact(Duration.ofMillis(812), "nonce-1", 44));
+    heard.put("rung-2", new GossipWire.PeerContact(Duration.ofMillis(90), "nonce-2", 7));
+    GossipWire.Stored stored = new GossipWire.Stored(0, 950, 0, 949, true, 412, false);
     byte[] before = message("beat");
     byte[] beat =
-        BeatWire.write(new BeatWire.Beat("rung-0", "nonce-0", 91, true, 412, heard, stored, 2));
+        GossipWire.write(
+            new GossipWire.Heartbeat("rung-0", "nonce-0", 91, true, 412, heard, stored, 2));
     assertArrayEquals(before, Arrays.copyOf(beat, before.length));
-    assertEquals(ClusterVersion.UNVERSIONED, BeatWire.parse(before).version());
-    assertEquals(2, BeatWire.parse(beat).version());
-    assertEquals(stored, BeatWire.parse(before).stored());
+    assertEquals(ClusterVersion.UNVERSIONED, GossipWire.parse(before).version());
+    assertEquals(2, GossipWire.parse(beat).version());
+    assertEquals(stored, GossipWire.parse(before).stored());
     PeerWire.Forward forward =
         new PeerWire.Forward("POST", "/v1/jobs", "{\"ref\":\"req-7\"}".getBytes(), 1);
     assertArrayEquals(message("forward"), PeerWire.write(forward));
     PeerWire.Answer answer =
-        new PeerWire.Answer(true, new HttpAnswer(201, "{}".getBytes(), 0), "rung-1");
+        new PeerWire.Answer(true, new HttpResponse(201, "{}".getBytes(), 0), "rung-1");
     assertArrayEquals(message("answer"), PeerWire.write(answer));
     assertEquals("/v1/jobs", PeerWire.parseForward(message("forward")).path());
     assertEquals("rung-1", PeerWire.parseAnswer(message("answer")).leader());
   }
 
   @Test
-  void whatVersionTwoAddsIsReadBack() throws MalformedException {
+  void whatVersionTwoAddsIsReadBack() throws MalformedMessageException {
     RecordWire.StoredDone chunk =
         RecordWire.parseDone(RecordWire.sizedDone("req-000412", done(), 7, 54));
     assertEquals(54, chunk.chunkTasks());
     assertEquals(7, chunk.chunk());
     assertThrows(
-        MalformedException.class,
+        MalformedMessageException.class,
         () -> RecordWire.parseDone(RecordWire.sizedDone("req-000412", done(), 0, 0)));
     JsonNode job = RecordWire.job(GANG, AT, Job.State.ACTIVE);
     JsonNode copy = RecordWire.copied(job, "accepted/3");
--- a/src/test/java/io/pineladder/wire/JobWireTest.java
+++ b/src/test/java/io/pineladder/wire/JobWireTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void whatIsStoredReadsBackTheSame() throws MalformedException {
+  void whatIsStoredReadsBackTheSame() throws MalformedMessageException {
     JobSpec spec = JobWire.parse(utf8(GOOD));
     BitSet done = new BitSet();
     done.set(3);
@@ -64,18 +64,18 @@
       })
   void refusesWhatIsMalformed(String part, String instead) {
     String bad = GOOD.replace(part, instead);
-    assertThrows(MalformedException.class, () -> JobWire.parse(utf8(bad)), bad);
+    assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(bad)), bad);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "7", "null", "[]", "{", "{} x"})
   void refusesWhatIsNoObject(String body) {
-    assertThrows(MalformedException.class, () -> JobWire.parse(utf8(body)));
+    assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(body)));
   }
 
   @Test
   void refusesABodyOver64KiB() {
     String padded = GOOD.replace("[1]", "\"" + "x".repeat(JobWire.MAX_BODY) + "\"");
-    assertThrows(MalformedException.class, () -> JobWire.parse(utf8(padded)));
+    assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(padded)));
   }
 }
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -78,12 +78,12 @@
   @Test
   void readsWhatThePlatformHandsOver() throws SettingsReader.BadSettingsException {
     Settings settings = SettingsReader.parse(GOOD);
-    assertEquals("rung-0", settings.member());
+    assertEquals("rung-0", settings.controllerName());
     assertEquals(2, settings.peers().size());
-    assertEquals(Duration.ofSeconds(20), settings.workers().lease());
-    assertEquals(8192, settings.store().valueBytes());
+    assertEquals(Duration.ofSeconds(20), settings.workerTimes().leaseDuration());
+    assertEquals(8192, settings.storeLimits().valueBytes());
     assertEquals(1100, settings.maxSockets());
-    assertEquals(Duration.ofSeconds(6), settings.objectives().get(0).within());
+    assertEquals(Duration.ofSeconds(6), settings.objectives().get(0).latestAfter());
   }
 
   @Test
@@ -143,7 +143,7 @@
                 .replace("cancel_s = 40.0", "cancel_s = 4.0"));
     assertEquals(4, settings.zones().size());
     assertTrue(settings.objectives().isEmpty());
-    assertEquals(Duration.ZERO, Election.longestKeepAlive(settings.workers()));
+    assertEquals(Duration.ZERO, Election.longestKeepAlive(settings.workerTimes()));
   }
 
   @Test
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -6,12 +6,12 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.model.Attempt;
-import io.pineladder.model.Cause;
+import io.pineladder.model.EndReason;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.Machine;
-import io.pineladder.model.Rank;
-import io.pineladder.model.Shape;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.model.PriorityClass;
+import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.WorkerWire.TaskId;
 import io.pineladder.wire.WorkerWire.TaskReport;
@@ -40,7 +40,7 @@
       List<TaskReport> tasks = new ArrayList<>();
       for (Attempt attempt :
           machine == null ? List.<Attempt>of() : List.copyOf(machine.attempts.values())) {
-        if (attempt.state() == Attempt.State.STORING) {
+        if (attempt.state() == Attempt.State.PLACEMENT_PENDING) {
           continue;
         }
         boolean fails = broken.contains(attempt.job);
@@ -52,7 +52,7 @@
                 new TaskId(attempt.job.spec.id(), attempt.task),
                 attempt.number,
                 fails ? TaskState.EXITED : TaskState.RUNNING,
-                fails ? Cause.ERROR : null,
+                fails ? EndReason.ERROR : null,
                 false));
       }
       leader.report("m-" + i, sequence, tasks.toArray(TaskReport[]::new));
@@ -62,8 +62,8 @@
     leader.runFor(Duration.ofMillis(700));
   }
 
-  private Job breaking(String id, Shape shape, int tasks) {
-    Job job = leader.accept(LeaderHarness.spec(id, shape, Rank.LOW, tasks, "i"));
+  private Job breaking(String id, JobKind shape, int tasks) {
+    Job job = leader.accept(LeaderHarness.spec(id, shape, PriorityClass.LOW, tasks, "i"));
     broken.add(job);
     return job;
   }
@@ -75,17 +75,17 @@
   @Test
   void jobsWithAMistakeCostNoMachineAndFewStarts() {
     second();
-    Job array = breaking("req-000001", Shape.ARRAY, 8);
-    Job other = breaking("req-000002", Shape.ARRAY, 8);
-    breaking("req-000003", Shape.GANG, 2);
+    Job array = breaking("req-000001", JobKind.ARRAY, 8);
+    Job other = breaking("req-000002", JobKind.ARRAY, 8);
+    breaking("req-000003", JobKind.GANG, 2);
     for (int i = 0; i < 120; i++) {
       second();
     }
     for (int i = 0; i < MACHINES; i++) {
       Machine machine = leader.cluster.machine("m-" + i);
-      assertTrue(machine.takesWork(), machine.name);
+      assertTrue(machine.isSchedulable(), machine.name);
     }
-    assertTrue(array.atFault);
+    assertTrue(array.failing);
     assertTrue(array.isActive(), "it is the user's to cancel");
     // One wave of each, then a few probes each time the longest back-off of 10 s is over.
     assertTrue(failed.size() < 120, "started " + failed.size());
@@ -93,19 +93,21 @@
     leader.scheduler.cancel(other);
     second();
     assertTrue(other.attempts.isEmpty());
-    assertTrue(other.endStored);
+    assertTrue(other.finalStateStored);
   }
 
   @Test
   void aJobAtFaultDisplacesNobodyAndIsTriedWhereThereIsRoom() {
     second();
-    Job job = leader.accept(LeaderHarness.spec("req-000001", Shape.ARRAY, Rank.HIGH, 8, "i"));
+    Job job =
+        leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.HIGH, 8, "i"));
     broken.add(job);
     for (int i = 0; i < 4; i++) {
       second();
     }
-    assertTrue(job.atFault);
-    Job low = leader.accept(LeaderHarness.spec("req-000002", Shape.ARRAY, Rank.LOW, 24, "i"));
+    assertTrue(job.failing);
+    Job low =
+        leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 24, "i"));
     for (int i = 0; i < 40; i++) {
       second();
     }
@@ -116,32 +118,32 @@
   @Test
   void aJobThatGoesWellAfterAllGetsAllItsRoom() {
     second();
-    Job job = breaking("req-000001", Shape.ARRAY, 8);
+    Job job = breaking("req-000001", JobKind.ARRAY, 8);
     for (int i = 0; i < 4; i++) {
       second();
     }
-    assertTrue(job.atFault);
+    assertTrue(job.failing);
     broken.clear();
     for (int i = 0; i < 30; i++) {
       second();
     }
-    assertFalse(job.atFault, "what runs on for long is not at fault");
+    assertFalse(job.failing, "what runs on for long is not at fault");
     assertEquals(8, job.attempts.size());
   }
 
   /** Each takeover would start the whole array once more if a new leader had to find out anew. */
   @Test
-  void aNewLeaderTriesAJobFoundAtFaultWithCare() throws MalformedException {
+  void aNewLeaderTriesAJobFoundAtFaultWithCare() throws MalformedMessageException {
     ObjectNode stored =
         RecordWire.job(
-            LeaderHarness.spec("req-000001", Shape.ARRAY, Rank.LOW, 8, "i"),
+            LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"),
             leader.now(),
             Job.State.ACTIVE);
     assertFalse(RecordWire.parseJob(stored).atFault());
     assertTrue(RecordWire.parseJob(stored.put("at_fault", true)).atFault());
     second();
     Job job = new Job(RecordWire.parseJob(stored).spec(), leader.now(), Job.State.ACTIVE);
-    job.atFault = true;
+    job.failing = true;
     leader.scheduler.add(job);
     second();
     assertEquals(2, job.attempts.size());
--- a/src/test/java/io/pineladder/workers/LargeFleetTest.java
+++ b/src/test/java/io/pineladder/workers/LargeFleetTest.java
@@ -7,10 +7,10 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.model.Machine;
-import io.pineladder.net.HttpCaller.Reply;
+import io.pineladder.net.AsyncHttpClient.Reply;
 import io.pineladder.wire.CloudWire;
 import io.pineladder.wire.Json;
-import io.pineladder.wire.MalformedException;
+import io.pineladder.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.List;
 import java.util.NavigableSet;
@@ -37,7 +37,7 @@
     }
   }
 
-  private void runFor(int seconds) throws MalformedException {
+  private void runFor(int seconds) throws MalformedMessageException {
     for (int tenth = 0; tenth < 10 * seconds; tenth++) {
       while (!leader.sent.isEmpty()) {
         LeaderHarness.Sent sent = leader.sent.poll();
@@ -77,7 +77,7 @@
 
   /** A machine that was returned is not taken in again from a list that still names it. */
   @Test
-  void everyReturnedMachineOfALargeFleetStaysReturned() throws MalformedException {
+  void everyReturnedMachineOfALargeFleetStaysReturned() throws MalformedMessageException {
     for (String name : listed) {
       leader.cluster.addMachine(new Machine(name, LeaderHarness.TYPE, "a", false, leader.now()));
     }
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -1,21 +1,21 @@
 package io.pineladder.workers;
 
-import io.pineladder.fleet.Fleet;
+import io.pineladder.autoscaling.Autoscaler;
 import io.pineladder.model.Attempt;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
 import io.pineladder.model.OperatorSettings;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
 import io.pineladder.model.Settings;
-import io.pineladder.model.Shape;
-import io.pineladder.net.HttpCaller;
-import io.pineladder.net.Timeline;
-import io.pineladder.scheduling.Cluster;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.EventLoop;
+import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
-import io.pineladder.store.NoticeBook;
+import io.pineladder.store.NotificationLog;
 import io.pineladder.store.Records;
 import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.SettingsReader;
@@ -36,14 +36,14 @@
 import java.util.random.RandomGeneratorFactory;
 
 /** Scheduler, workers and fleet of one leader, with a store that commits at once. */
-final class LeaderHarness implements Timeline {
+final class LeaderHarness implements EventLoop {
   static final long TERM = 7;
   static final MachineType TYPE =
       new MachineType(
           "g4", Resources.of(16, 4, 64), 50, 0.1, 4, 1, Duration.ofSeconds(10), List.of("a", "b"));
 
   /** A request that went out and waits for its reply. */
-  record Sent(HttpCaller.Request request, Consumer<HttpCaller.Reply> onReply) {}
+  record Sent(AsyncHttpClient.Request request, Consumer<AsyncHttpClient.Reply> onReply) {}
 
   private record Timer(Instant at, long order, Runnable action) {}
 
@@ -59,10 +59,10 @@
 
   final ArrayDeque<Sent> sent = new ArrayDeque<>();
   final List<String> resigned = new ArrayList<>();
-  final Cluster cluster;
+  final ClusterState cluster;
   final Scheduler scheduler;
-  final Workers workers;
-  final Fleet fleet;
+  final WorkerManager workers;
+  final Autoscaler fleet;
 
   LeaderHarness() {
     Settings settings;
@@ -71,11 +71,11 @@
     } catch (SettingsReader.BadSettingsException e) {
       throw new AssertionError(e);
     }
-    cluster = new Cluster(settings);
+    cluster = new ClusterState(settings);
     cluster.setTypes(List.of(TYPE));
-    HttpCaller http = (request, onReply) -> sent.add(new Sent(request, onReply));
-    Workers[] later = new Workers[1];
-    Fleet[] fleetLater = new Fleet[1];
+    AsyncHttpClient httpClient = (request, onReply) -> sent.add(new Sent(request, onReply));
+    WorkerManager[] later = new WorkerManager[1];
+    Autoscaler[] fleetLater = new Autoscaler[1];
     scheduler =
         new Scheduler(
             cluster,
@@ -125,7 +125,7 @@
             this,
             mutation -> {
               mutation.writes().forEach(w -> w.value().get());
-              after(Duration.ZERO, mutation.onCommitted());
+              schedule(Duration.ZERO, mutation.onCommitted());
             },
             new Records.Listener() {
               @Override
@@ -146,18 +146,18 @@
               @Override
               public void onStoredTwice(Job job, Runnable again) {}
             },
-            NoticeBook.NONE);
+            NotificationLog.NONE);
     scheduler.useRecords(records);
     fleet =
-        new Fleet(
+        new Autoscaler(
             cluster,
             scheduler,
             records,
-            http,
+            httpClient,
             this,
             TERM,
             OperatorSettings.DEFAULTS,
-            new Fleet.Effects() {
+            new Autoscaler.Effects() {
               @Override
               public int heardInside(String zone) {
                 return 0;
@@ -188,14 +188,14 @@
             });
     fleetLater[0] = fleet;
     workers =
-        new Workers(
+        new WorkerManager(
             cluster,
             scheduler,
-            http,
+            httpClient,
             this,
             TERM,
             () -> true,
-            new Workers.Listener() {
+            new WorkerManager.Listener() {
               @Override
               public void onStranger(String job) {}
 
@@ -236,7 +236,7 @@
   }
 
   @Override
-  public Instant timeOfDay() {
+  public Instant wallClock() {
     return now;
   }
 
@@ -246,7 +246,7 @@
   }
 
   @Override
-  public void after(Duration delay, Runnable action) {
+  public void schedule(Duration delay, Runnable action) {
     timers.add(new Timer(now.plus(delay), order++, action));
   }
 
@@ -265,7 +265,7 @@
     now = now.plus(duration);
   }
 
-  static JobSpec spec(String id, Shape shape, Rank rank, int tasks, String image) {
+  static JobSpec spec(String id, JobKind shape, PriorityClass rank, int tasks, String image) {
     return new JobSpec(
         id,
         "class",
--- a/src/test/java/io/pineladder/workers/WorkersTest.java
+++ b/src/test/java/io/pineladder/workers/WorkerManagerTest.java
@@ -6,15 +6,15 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.model.Attempt;
-import io.pineladder.model.Cause;
+import io.pineladder.model.EndReason;
 import io.pineladder.model.Job;
+import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.MachineType;
-import io.pineladder.model.Rank;
+import io.pineladder.model.PriorityClass;
 import io.pineladder.model.Resources;
-import io.pineladder.model.Shape;
-import io.pineladder.net.HttpCaller;
+import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.WorkerWire;
 import io.pineladder.wire.WorkerWire.Report;
 import io.pineladder.wire.WorkerWire.TaskId;
@@ -31,14 +31,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class WorkersTest {
+class WorkerManagerTest {
   private final LeaderHarness leader = new LeaderHarness();
 
   private static String text(byte[] body) {
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  private static TaskReport exited(Attempt attempt, Cause cause) {
+  private static TaskReport exited(Attempt attempt, EndReason cause) {
     return new TaskReport(
         new TaskId(attempt.job.spec.id(), attempt.task),
         attempt.number,
@@ -51,15 +51,15 @@
   @Test
   void anUnansweredStartIsHeldForTheWholeSession() {
     leader.report("m-1", 1);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(HttpCaller.Reply.UNKNOWN);
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
+    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     Attempt attempt = LeaderHarness.only(job);
     String first = text(leader.report("m-1", 2));
     assertTrue(first.contains("start"), first);
-    assertEquals(Attempt.State.STORED, attempt.state(), "absence proves nothing yet");
+    assertEquals(Attempt.State.PLACEMENT_STORED, attempt.state(), "absence proves nothing yet");
     leader.report("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
     leader.scheduler.kill(attempt, Duration.ZERO);
-    String after = text(leader.report("m-1", 4, exited(attempt, Cause.STOPPED)));
+    String after = text(leader.report("m-1", 4, exited(attempt, EndReason.STOPPED)));
     assertFalse(
         after.contains("\"forget\",\"piece\":\"req-1/0\",\"try\":" + attempt.number), after);
     leader.workers.onReport(
@@ -89,22 +89,22 @@
   @Test
   void aLateCopyOfAReportChangesNothing() {
     reported(2, 5, LeaderHarness.TERM);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(HttpCaller.Reply.NOT_SENT);
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
+    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Machine machine = leader.cluster.machine("m-1");
     Attempt attempt = LeaderHarness.only(job);
-    Instant heard = machine.heardAt;
+    Instant heard = machine.lastHeartbeatAt;
     leader.runFor(Duration.ofSeconds(3));
     long[][] copies = {{2, 5}, {2, 4}, {1, 900}, {2, 0}, {0, 7}};
     for (long[] copy : copies) {
       for (long token : new long[] {0, LeaderHarness.TERM - 1, LeaderHarness.TERM}) {
         String answer = reported(copy[0], copy[1], token);
         assertFalse(answer.contains("start"), answer);
-        assertEquals(heard, machine.heardAt);
+        assertEquals(heard, machine.lastHeartbeatAt);
         assertEquals(Machine.State.CONFIRMED, machine.state());
-        assertEquals(2, machine.session);
-        assertEquals(5, machine.sequence);
-        assertEquals(Attempt.State.STORED, attempt.state());
+        assertEquals(2, machine.agentEpoch);
+        assertEquals(5, machine.lastHeartbeatSequence);
+        assertEquals(Attempt.State.PLACEMENT_STORED, attempt.state());
       }
     }
     assertTrue(reported(2, 6, LeaderHarness.TERM).contains("start"));
@@ -115,22 +115,22 @@
   void aMachineThatReportsAndHearsNothingGetsNoWorkUntilItAnswers() {
     reported(1, 1, LeaderHarness.TERM);
     Machine machine = leader.cluster.machine("m-1");
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(HttpCaller.Reply.UNKNOWN);
-    assertEquals(Machine.Hearing.DOUBTED, machine.hearing());
-    assertFalse(machine.takesWork());
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
+    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
+    assertEquals(Machine.Reachability.DOUBTFUL, machine.reachability());
+    assertFalse(machine.isSchedulable());
     reported(1, 2, LeaderHarness.TERM);
-    leader.nextDirect().onReply().accept(HttpCaller.Reply.UNKNOWN);
+    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     reported(2, 1, LeaderHarness.TERM);
-    assertEquals(Machine.Hearing.DEAF, machine.hearing());
+    assertEquals(Machine.Reachability.UNREACHABLE, machine.reachability());
     assertTrue(job.attempts.isEmpty(), "the new session is the proof");
     assertEquals(1, job.pending.cardinality(), "and the task waits for another machine");
     leader.runFor(Duration.ofSeconds(5));
     reported(2, 2, LeaderHarness.TERM);
     LeaderHarness.Sent probe = leader.nextDirect();
-    probe.onReply().accept(HttpCaller.Reply.answered(200, body(2, 3)));
-    assertEquals(Machine.Hearing.HEARS, machine.hearing());
-    assertTrue(machine.takesWork());
+    probe.onReply().accept(AsyncHttpClient.Reply.answered(200, body(2, 3)));
+    assertEquals(Machine.Reachability.REACHABLE, machine.reachability());
+    assertTrue(machine.isSchedulable());
   }
 
   private static byte[] body(long session, long sequence) {
@@ -152,27 +152,28 @@
   @Test
   void anAnswerToACommandSaysNothingOfAStartThatAResponseCarries() {
     reported(1, 1, LeaderHarness.TERM);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(HttpCaller.Reply.NOT_SENT);
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
+    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Attempt attempt = LeaderHarness.only(job);
     Machine machine = leader.cluster.machine("m-1");
     leader.workers.probe(machine);
     LeaderHarness.Sent probe = leader.nextDirect();
     assertTrue(reported(1, 2, LeaderHarness.TERM).contains("start"));
     // The worker answered the probe before the response with the start reached it.
-    probe.onReply().accept(HttpCaller.Reply.answered(200, body(1, 3)));
+    probe.onReply().accept(AsyncHttpClient.Reply.answered(200, body(1, 3)));
     leader.scheduler.cancel(job);
     leader.runFor(Duration.ofMillis(60));
-    assertTrue(attempt.holdsRoom(), "the start may be on its way");
-    assertFalse(job.endStored, "and so its user is told nothing yet");
+    assertTrue(attempt.holdsCapacity(), "the start may be on its way");
+    assertFalse(job.finalStateStored, "and so its user is told nothing yet");
     reported(1, 4, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
-    assertTrue(job.endStored, "a report of the worker's own shows that the response was dropped");
+    assertTrue(
+        job.finalStateStored, "a report of the worker's own shows that the response was dropped");
   }
 
   private LeaderHarness.Sent startSent() {
     reported(1, 1, LeaderHarness.TERM);
-    leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
+    leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     return leader.nextDirect();
   }
 
@@ -180,14 +181,14 @@
   @ParameterizedTest
   @ValueSource(ints = {200, 201, 404, 421, 429, 500, 502, 503})
   void anAnswerThatTheProtocolDoesNotNameSettlesNoStart(int status) {
-    startSent().onReply().accept(HttpCaller.Reply.answered(status, new byte[] {'?'}));
+    startSent().onReply().accept(AsyncHttpClient.Reply.answered(status, new byte[] {'?'}));
     Attempt attempt = leader.attempts().get(0);
     leader.scheduler.cancel(attempt.job);
     // Sent before the command arrived there.
     reported(1, 2, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
-    assertTrue(attempt.holdsRoom(), "it may run");
-    assertFalse(attempt.job.endStored, "and nothing is told");
+    assertTrue(attempt.holdsCapacity(), "it may run");
+    assertFalse(attempt.job.finalStateStored, "and nothing is told");
   }
 
   @ParameterizedTest
@@ -199,23 +200,25 @@
     start
         .onReply()
         .accept(
-            status < 0 ? HttpCaller.Reply.NOT_SENT : HttpCaller.Reply.answered(status, body(1, 0)));
+            status < 0
+                ? AsyncHttpClient.Reply.NOT_SENT
+                : AsyncHttpClient.Reply.answered(status, body(1, 0)));
     leader.runFor(Duration.ofMillis(60));
-    assertTrue(job.endStored);
+    assertTrue(job.finalStateStored);
   }
 
   /** One that is heard through a peer gets its orders with the responses, and goes on working. */
   @Test
   void aMachineHeardThroughAPeerTakesWorkThoughDirectOrdersFail() {
     reported(1, 1, LeaderHarness.TERM);
-    leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(HttpCaller.Reply.UNKNOWN);
+    leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
+    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     Machine machine = leader.cluster.machine("m-1");
     leader.workers.onReport(
         new Report(
             "m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, LeaderHarness.TERM, null, List.of()),
         true);
-    assertTrue(machine.takesWork());
+    assertTrue(machine.isSchedulable());
   }
 
   /**
@@ -236,7 +239,7 @@
                 Duration.ofSeconds(20),
                 List.of("a"))));
     leader.fleet.start();
-    leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.NORMAL, 8, "i"));
+    leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.NORMAL, 8, "i"));
     List<String> asked = new ArrayList<>();
     for (int second = 0; second < 6; second++) {
       leader.runFor(Duration.ofSeconds(1));
@@ -246,9 +249,9 @@
           String type = body.contains("\"big\"") ? "big" : "g4";
           asked.add(type + (body.contains("\"loaners\":true") ? " spot" : ""));
           byte[] refusal = "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
-          sent.onReply().accept(HttpCaller.Reply.answered(503, refusal));
+          sent.onReply().accept(AsyncHttpClient.Reply.answered(503, refusal));
         } else {
-          sent.onReply().accept(HttpCaller.Reply.answered(200, listOf()));
+          sent.onReply().accept(AsyncHttpClient.Reply.answered(200, listOf()));
         }
       }
     }
@@ -261,8 +264,8 @@
   @Test
   void aStartByAResponseThatWasDroppedGoesOutAgain() {
     leader.report("m-1", 1);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(HttpCaller.Reply.NOT_SENT);
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
+    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     assertTrue(text(leader.report("m-1", 2)).contains("start"));
     assertTrue(text(leader.report("m-1", 3)).contains("start"));
     leader.scheduler.cancel(job);
@@ -275,11 +278,11 @@
   @Test
   void aStartThatWasRefusedAfterItsTaskWasStoppedIsGone() {
     leader.report("m-1", 1);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     Attempt attempt = LeaderHarness.only(job);
     LeaderHarness.Sent start = leader.nextDirect();
     leader.scheduler.kill(attempt, Duration.ZERO);
-    start.onReply().accept(HttpCaller.Reply.NOT_SENT);
+    start.onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     assertEquals(Attempt.State.GONE, attempt.state());
   }
 
@@ -291,7 +294,7 @@
   @Test
   void aCompletionIsStoredOnceNoOtherAttemptOfTheTaskIsAnywhere() {
     leader.report("m-1", 1);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 2, "i"));
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 2, "i"));
     Attempt anew = job.attempts.get(0).iterator().next();
     Attempt other = job.attempts.get(1).iterator().next();
     leader.report(
@@ -300,24 +303,24 @@
         LeaderHarness.task(anew, TaskState.RUNNING),
         LeaderHarness.task(other, TaskState.RUNNING));
     TaskReport before =
-        new TaskReport(new TaskId("req-1", 0), 3, TaskState.EXITED, Cause.DONE, false);
+        new TaskReport(new TaskId("req-1", 0), 3, TaskState.EXITED, EndReason.DONE, false);
     leader.report("m-2", 1, before);
     Attempt complete = leader.cluster.machine("m-2").attempts.get(before.key());
     assertTrue(job.done.get(0));
     leader.runFor(Duration.ofSeconds(2));
-    assertFalse(complete.forgettable, "not stored while the new attempt may run");
+    assertFalse(complete.mayBeForgotten, "not stored while the new attempt may run");
     assertFalse(anew.isWanted(), "it is stopped");
     leader.report(
-        "m-1", 3, exited(anew, Cause.STOPPED), LeaderHarness.task(other, TaskState.RUNNING));
+        "m-1", 3, exited(anew, EndReason.STOPPED), LeaderHarness.task(other, TaskState.RUNNING));
     leader.runFor(Duration.ofSeconds(2));
-    assertTrue(complete.forgettable);
+    assertTrue(complete.mayBeForgotten);
     assertTrue(job.isActive());
   }
 
   /** Until a worker has our token an older leader's orders may still reach it. */
   @Test
   void aReportWithAnOlderTokenProvesNothingAndBringsNoWork() {
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.workers.onReport(
         new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 3, null, List.of()));
     leader.runFor(Duration.ofMillis(10));
@@ -325,10 +328,10 @@
     assertTrue(job.attempts.isEmpty());
     Machine machine = leader.cluster.machine("m-1");
     Attempt older =
-        leader.cluster.addAttempt(job, 0, 5, machine, leader.now(), Attempt.State.RECORDED);
+        leader.cluster.addAttempt(job, 0, 5, machine, leader.now(), Attempt.State.RECOVERED);
     leader.workers.onReport(
         new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, 3, null, List.of()));
-    assertEquals(Attempt.State.RECORDED, older.state());
+    assertEquals(Attempt.State.RECOVERED, older.state());
     leader.report("m-1", 3);
     assertEquals(Attempt.State.GONE, older.state());
   }
@@ -339,21 +342,27 @@
     leader.report("m-1", 1);
     leader.report("m-2", 1);
     leader.cluster.machine("m-1").draining = true;
-    Job gang = leader.accept(LeaderHarness.spec("req-1", Shape.GANG, Rank.LOW, 2, "i"));
+    Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     Attempt first = gang.attempts.get(0).iterator().next();
     Attempt second = gang.attempts.get(1).iterator().next();
     leader.report(
-        "m-2", 2, LeaderHarness.task(first, TaskState.GATHERING), exited(second, Cause.NO_ROOM));
+        "m-2",
+        2,
+        LeaderHarness.task(first, TaskState.WAITING_FOR_GANG),
+        exited(second, EndReason.NO_CAPACITY));
     assertFalse(first.isWanted(), "the only machine lists it already, so the gang starts again");
     LeaderHarness other = new LeaderHarness();
     other.report("m-2", 1);
-    gang = other.accept(LeaderHarness.spec("req-1", Shape.GANG, Rank.LOW, 2, "i"));
+    gang = other.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     first = gang.attempts.get(0).iterator().next();
     second = gang.attempts.get(1).iterator().next();
     other.cluster.machine("m-2").draining = true;
     other.report("m-1", 1);
     other.report(
-        "m-2", 2, LeaderHarness.task(first, TaskState.GATHERING), exited(second, Cause.NO_ROOM));
+        "m-2",
+        2,
+        LeaderHarness.task(first, TaskState.WAITING_FOR_GANG),
+        exited(second, EndReason.NO_CAPACITY));
     assertTrue(first.isWanted());
     Attempt replacement = gang.attempts.get(1).iterator().next();
     assertEquals(second.number, replacement.number);
@@ -369,9 +378,9 @@
   void aGangDisplacedBeforeItsStartsWentOutWaitsAsAWhole() {
     leader.report("m-1", 1);
     leader.report("m-2", 1);
-    Job gang = leader.accept(LeaderHarness.spec("req-1", Shape.GANG, Rank.LOW, 3, "i"));
+    Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 3, "i"));
     for (Attempt attempt : leader.attempts()) {
-      attempt.sentSession = 0;
+      attempt.startSession = 0;
     }
     leader.scheduler.displace(gang.attempts.get(2).iterator().next());
     assertTrue(gang.attempts.isEmpty(), "none was started anew: " + gang.attempts);
@@ -381,7 +390,7 @@
   @Test
   void aReportOlderThanOneKnownChangesNothing() {
     leader.report("m-1", 1);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     Attempt attempt = LeaderHarness.only(job);
     leader.report("m-1", 5, LeaderHarness.task(attempt, TaskState.RUNNING));
     leader.report("m-1", 4);
@@ -400,13 +409,13 @@
   @Test
   void aLateReportOfAReturnedMachineDoesNotBlockItsTasks() {
     leader.report("m-1", 1);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "i"));
+    Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     Attempt attempt = LeaderHarness.only(job);
     leader.report("m-1", 2, LeaderHarness.task(attempt, TaskState.RUNNING));
     leader.sent.clear();
     leader.fleet.release(leader.cluster.machine("m-1"));
     assertEquals("/rentals/release", leader.sent.peek().request().path());
-    leader.sent.poll().onReply().accept(HttpCaller.Reply.answered(200, new byte[] {'{', '}'}));
+    leader.sent.poll().onReply().accept(AsyncHttpClient.Reply.answered(200, new byte[] {'{', '}'}));
     assertTrue(job.attempts.isEmpty());
     leader.report("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
     assertTrue(job.attempts.isEmpty());
@@ -483,7 +492,7 @@
    */
   @Test
   void manySilentAtOnceAreWaitedForAsLongAsTheirTasksLiveWhereOthersTakeLong() {
-    leader.accept(LeaderHarness.spec("req-1", Shape.SERVICE, Rank.LOW, 1, "i"));
+    leader.accept(LeaderHarness.spec("req-1", JobKind.SERVICE, PriorityClass.LOW, 1, "i"));
     sixFallSilent("a", Duration.ofSeconds(14));
     for (int i = 0; i < 6; i++) {
       assertEquals(Machine.State.SILENT, leader.cluster.machine("m-" + i).state());
@@ -500,7 +509,7 @@
     leader.fleet.start();
     for (int i = 0; i < 3; i++) {
       Machine machine = new Machine("m-" + i, LeaderHarness.TYPE, "a", false, leader.now());
-      machine.recorded = true;
+      machine.knownFromPlacements = true;
       machine.listedRunning = true;
       leader.cluster.addMachine(machine);
     }
@@ -528,7 +537,7 @@
         leader.report("m-" + i, 1 + second);
         // After a takeover many come by detours, and two of five may be cut off themselves.
         boolean most = second < 10 || second >= 25;
-        leader.cluster.machine("m-" + i).relayed = i < (most ? 4 : 2);
+        leader.cluster.machine("m-" + i).reachedThroughPeer = i < (most ? 4 : 2);
       }
       leader.runFor(Duration.ofMillis(700));
       assertEquals(second < 25, leader.resigned.isEmpty(), "second " + second);
@@ -554,7 +563,7 @@
       leader.runFor(Duration.ofMillis(280));
     }
     // All have work, so none is returned for having none.
-    leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 48, "i"));
+    leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 48, "i"));
     assertEquals(48, leader.attempts().size());
     leader.certain = false;
     leader.runFor(Duration.ofSeconds(68));
@@ -598,7 +607,8 @@
    */
   @Test
   void aNewLeaderKeepsIdleMachinesWhereImagesAreSlowToFetch() {
-    leader.accept(LeaderHarness.spec("req-000001", Shape.SERVICE, Rank.PRODUCTION, 1, "i"));
+    leader.accept(
+        LeaderHarness.spec("req-000001", JobKind.SERVICE, PriorityClass.PRODUCTION, 1, "i"));
     leader.fleet.start();
     for (int second = 0; second < 40; second++) {
       for (int i = 0; i < 6; i++) {
@@ -634,19 +644,19 @@
   @Test
   void newPricesDoNotMakeBootingMachinesBeRentedAgain() {
     leader.fleet.start();
-    leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 4, "i"));
+    leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 4, "i"));
     assertEquals(1, rentals());
     MachineType was = LeaderHarness.TYPE;
     leader.cluster.setTypes(
         List.of(
             new MachineType(
                 was.name(),
-                was.size(),
+                was.capacity(),
                 was.cacheGb(),
                 was.fetchGbPerSecond(),
-                was.price(),
+                was.onDemandPrice(),
                 was.spotPrice() * 1.1,
-                was.boot(),
+                was.bootTime(),
                 was.zones())));
     leader.runFor(Duration.ofSeconds(3));
     assertEquals(0, rentals());
@@ -656,13 +666,13 @@
   @Test
   void workForIdleTimeHasNoOrdinaryMachineRentedUntilItHasWaitedForLong() {
     leader.fleet.start();
-    leader.accept(LeaderHarness.spec("req-000001", Shape.ARRAY, Rank.LOW, 8, "i"));
+    leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
     assertEquals(Set.of(true), kindsAskedFor(Duration.ofSeconds(60)));
-    leader.accept(LeaderHarness.spec("req-000002", Shape.ARRAY, Rank.NORMAL, 8, "i"));
+    leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.NORMAL, 8, "i"));
     assertEquals(Set.of(true, false), kindsAskedFor(Duration.ofSeconds(60)));
     LeaderHarness other = new LeaderHarness();
     other.fleet.start();
-    other.accept(LeaderHarness.spec("req-000001", Shape.ARRAY, Rank.LOW, 8, "i"));
+    other.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
     assertEquals(Set.of(true, false), kindsAskedFor(other, Duration.ofMinutes(11)));
   }
 
@@ -675,18 +685,19 @@
     for (int i = 0; i < 2; i++) {
       leader.report("m-" + i, 1);
     }
-    JobSpec like = LeaderHarness.spec("req-000002", Shape.ARRAY, Rank.LOW, 7, "i");
-    leader.accept(LeaderHarness.spec("req-000001", Shape.SERVICE, Rank.PRODUCTION, 1, "i"));
+    JobSpec like = LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 7, "i");
+    leader.accept(
+        LeaderHarness.spec("req-000001", JobKind.SERVICE, PriorityClass.PRODUCTION, 1, "i"));
     Job filler =
         leader.accept(
             new JobSpec(
                 like.id(),
                 like.jobClass(),
                 like.team(),
-                like.shape(),
-                like.rank(),
+                like.kind(),
+                like.priorityClass(),
                 7,
-                like.each(),
+                like.resourcesPerTask(),
                 null,
                 null,
                 false,
@@ -708,16 +719,16 @@
     }
     int kept = leader.cluster.machine("m-0").draining ? 1 : 0;
     assertTrue(leader.cluster.machine("m-" + (1 - kept)).draining, "only filled");
-    assertTrue(leader.cluster.machine("m-" + kept).takesWork(), "a replica runs there");
+    assertTrue(leader.cluster.machine("m-" + kept).isSchedulable(), "a replica runs there");
     assertEquals(
         4,
-        filler.attempts.values().stream().filter(WorkersTest::isStopped).count(),
+        filler.attempts.values().stream().filter(WorkerManagerTest::isStopped).count(),
         "what filled the one makes way");
   }
 
   private static TaskReport[] running(Machine machine) {
     return machine.attempts.values().stream()
-        .filter(a -> a.state() != Attempt.State.STORING)
+        .filter(a -> a.state() != Attempt.State.PLACEMENT_PENDING)
         .map(a -> LeaderHarness.task(a, TaskState.RUNNING))
         .toArray(TaskReport[]::new);
   }
@@ -735,9 +746,9 @@
         if (sent.request().path().equals("/rentals")) {
           kinds.add(text(sent.request().body()).contains("\"loaners\":true"));
           byte[] refusal = "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
-          sent.onReply().accept(HttpCaller.Reply.answered(503, refusal));
+          sent.onReply().accept(AsyncHttpClient.Reply.answered(503, refusal));
         } else {
-          sent.onReply().accept(HttpCaller.Reply.answered(200, listOf()));
+          sent.onReply().accept(AsyncHttpClient.Reply.answered(200, listOf()));
         }
       }
     }
@@ -753,9 +764,9 @@
         if (sent.request().path().equals("/rentals")) {
           wanted++;
           byte[] names = ("{\"hosts\":[\"m-1\"]}").getBytes(StandardCharsets.UTF_8);
-          sent.onReply().accept(HttpCaller.Reply.answered(200, names));
+          sent.onReply().accept(AsyncHttpClient.Reply.answered(200, names));
         } else {
-          sent.onReply().accept(HttpCaller.Reply.answered(200, listOf()));
+          sent.onReply().accept(AsyncHttpClient.Reply.answered(200, listOf()));
         }
       }
     }
@@ -766,14 +777,17 @@
   @Test
   void aGangTaskThatWaitedInVainStartsAgainAndTheOtherGoesOnFetching() {
     leader.report("m-1", 1);
-    Job gang = leader.accept(LeaderHarness.spec("req-1", Shape.GANG, Rank.LOW, 2, "i"));
+    Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     Attempt first = gang.attempts.get(0).iterator().next();
     Attempt second = gang.attempts.get(1).iterator().next();
     leader.report(
-        "m-1", 2, exited(first, Cause.INCOMPLETE), LeaderHarness.task(second, TaskState.FETCHING));
+        "m-1",
+        2,
+        exited(first, EndReason.GANG_INCOMPLETE),
+        LeaderHarness.task(second, TaskState.FETCHING_IMAGE));
     assertTrue(second.isWanted());
     assertFalse(gang.attempts.containsKey(0), "its machine still lists the attempt");
-    leader.report("m-1", 3, LeaderHarness.task(second, TaskState.FETCHING));
+    leader.report("m-1", 3, LeaderHarness.task(second, TaskState.FETCHING_IMAGE));
     Attempt again = gang.attempts.get(0).iterator().next();
     assertEquals(first.number, again.number);
     assertEquals("m-1", again.machine.name);
@@ -808,7 +822,7 @@
           boolean all = !wasListed;
           byte[] list = all ? listOf("m-1", "m-2") : listOf("m-2");
           wasListed = true;
-          sent.onReply().accept(HttpCaller.Reply.answered(200, list));
+          sent.onReply().accept(AsyncHttpClient.Reply.answered(200, list));
         }
       }
       if (second == 4) {
@@ -843,24 +857,26 @@
     leader.report("warm", 1);
     Machine warm = leader.cluster.machine("warm");
     warm.touchImage("img-s", 5);
-    Job array = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 4, "img-a"));
+    Job array =
+        leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 4, "img-a"));
     TaskReport[] running =
         array.attempts.values().stream()
             .map(set -> LeaderHarness.task(set.iterator().next(), TaskState.RUNNING))
             .toArray(TaskReport[]::new);
     leader.report("warm", 2, running);
     leader.report("cold", 1);
-    var service = LeaderHarness.spec("req-2", Shape.SERVICE, Rank.PRODUCTION, 1, "img-s");
+    var service =
+        LeaderHarness.spec("req-2", JobKind.SERVICE, PriorityClass.PRODUCTION, 1, "img-s");
     Job job =
         leader.accept(
             new JobSpec(
                 service.id(),
                 "serve",
                 "red",
-                service.shape(),
-                service.rank(),
+                service.kind(),
+                service.priorityClass(),
                 1,
-                service.each(),
+                service.resourcesPerTask(),
                 null,
                 null,
                 false,
@@ -885,7 +901,7 @@
             .map(
                 a ->
                     a == displaced
-                        ? exited(a, Cause.STOPPED)
+                        ? exited(a, EndReason.STOPPED)
                         : LeaderHarness.task(a, TaskState.RUNNING))
             .toArray(TaskReport[]::new);
     leader.report("warm", 3, after);
@@ -902,16 +918,17 @@
     for (int i = 0; i < 4; i++) {
       leader.report("m-" + i, 1);
     }
-    JobSpec cpus = LeaderHarness.spec("req-000001", Shape.ARRAY, Rank.LOW, 4, "i");
+    JobSpec cpus = LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 4, "i");
     Job tiny = leader.accept(of(cpus, Resources.of(1, 0, 1)));
-    Job low = leader.accept(LeaderHarness.spec("req-000002", Shape.ARRAY, Rank.LOW, 16, "i"));
+    Job low =
+        leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 16, "i"));
     assertTrue(low.pending.isEmpty());
     for (Attempt attempt : leader.attempts()) {
       leader.scheduler.seen(attempt, Attempt.State.RUNNING);
     }
-    leader.accept(LeaderHarness.spec("req-000003", Shape.ARRAY, Rank.HIGH, 3, "i"));
-    assertEquals(3, low.attempts.values().stream().filter(WorkersTest::isStopped).count());
-    assertEquals(0, tiny.attempts.values().stream().filter(WorkersTest::isStopped).count());
+    leader.accept(LeaderHarness.spec("req-000003", JobKind.ARRAY, PriorityClass.HIGH, 3, "i"));
+    assertEquals(3, low.attempts.values().stream().filter(WorkerManagerTest::isStopped).count());
+    assertEquals(0, tiny.attempts.values().stream().filter(WorkerManagerTest::isStopped).count());
   }
 
   /**
@@ -923,19 +940,22 @@
     for (int i = 0; i < 3; i++) {
       leader.report("m-" + i, 1);
     }
-    Job low = leader.accept(LeaderHarness.spec("req-000001", Shape.ARRAY, Rank.LOW, 12, "i"));
+    Job low =
+        leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 12, "i"));
     for (Attempt attempt : leader.attempts()) {
       leader.scheduler.seen(attempt, Attempt.State.RUNNING);
     }
     Resources whole = Resources.of(16, 4, 64);
-    leader.accept(of(LeaderHarness.spec("req-000002", Shape.GANG, Rank.HIGH, 4, "i"), whole));
+    leader.accept(
+        of(LeaderHarness.spec("req-000002", JobKind.GANG, PriorityClass.HIGH, 4, "i"), whole));
     assertEquals(
         0,
-        low.attempts.values().stream().filter(WorkersTest::isStopped).count(),
+        low.attempts.values().stream().filter(WorkerManagerTest::isStopped).count(),
         "three machines are no room for four");
     Job gang =
-        leader.accept(of(LeaderHarness.spec("req-000003", Shape.GANG, Rank.HIGH, 2, "i"), whole));
-    assertEquals(8, low.attempts.values().stream().filter(WorkersTest::isStopped).count());
+        leader.accept(
+            of(LeaderHarness.spec("req-000003", JobKind.GANG, PriorityClass.HIGH, 2, "i"), whole));
+    assertEquals(8, low.attempts.values().stream().filter(WorkerManagerTest::isStopped).count());
     for (int i = 0; i < 3; i++) {
       TaskReport[] tasks =
           leader.cluster.machine("m-" + i).attempts.values().stream()
@@ -943,7 +963,7 @@
                   a ->
                       a.isWanted()
                           ? LeaderHarness.task(a, TaskState.RUNNING)
-                          : exited(a, Cause.STOPPED))
+                          : exited(a, EndReason.STOPPED))
               .toArray(TaskReport[]::new);
       leader.report("m-" + i, 2, tasks);
     }
@@ -956,18 +976,18 @@
         like.id(),
         like.jobClass(),
         like.team(),
-        like.shape(),
-        like.rank(),
+        like.kind(),
+        like.priorityClass(),
         like.tasks(),
         each,
         null,
         null,
-        like.shape() == Shape.GANG,
+        like.kind() == JobKind.GANG,
         false,
         true,
         like.image(),
         5,
-        like.estimate(),
+        like.estimatedRunTime(),
         Duration.ZERO,
         Duration.ZERO,
         null);
@@ -983,11 +1003,12 @@
     for (int i = 0; i < 40; i++) {
       leader.report("m-" + i, 1);
     }
-    JobSpec many = LeaderHarness.spec("req-000001", Shape.ARRAY, Rank.NORMAL, 1000, "i");
+    JobSpec many = LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.NORMAL, 1000, "i");
     Job huge = leader.accept(of(many, Resources.of(0.25, 0, 0.5)));
     leader.runFor(Duration.ofMillis(500));
     assertTrue(huge.attempts.size() <= 240, "at once: " + huge.attempts.size());
-    Job small = leader.accept(LeaderHarness.spec("req-000002", Shape.ARRAY, Rank.LOW, 8, "i"));
+    Job small =
+        leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
     assertEquals(8, small.attempts.size());
     leader.runFor(Duration.ofSeconds(4));
     int later = huge.attempts.size();
@@ -999,15 +1020,16 @@
   @Test
   void aFetchingTaskMovesToRoomWhereItsImageIs() {
     leader.report("cold", 1);
-    Job job = leader.accept(LeaderHarness.spec("req-1", Shape.ARRAY, Rank.LOW, 1, "img"));
+    Job job =
+        leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "img"));
     Attempt first = LeaderHarness.only(job);
-    leader.report("cold", 2, LeaderHarness.task(first, TaskState.FETCHING));
+    leader.report("cold", 2, LeaderHarness.task(first, TaskState.FETCHING_IMAGE));
     Machine warm = new Machine("warm", LeaderHarness.TYPE, "a", false, leader.now());
     warm.touchImage("img", 5);
     leader.cluster.addMachine(warm);
     leader.report("warm", 1);
     assertFalse(first.isWanted());
-    leader.report("cold", 3, exited(first, Cause.STOPPED));
+    leader.report("cold", 3, exited(first, EndReason.STOPPED));
     assertEquals("warm", LeaderHarness.only(job).machine.name);
   }
 }
