--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -12,7 +12,7 @@
 import io.pineladder.model.MachineType;
 import io.pineladder.model.Team;
 import io.pineladder.net.HttpResponse;
-import io.pineladder.recovery.RecordReplica;
+import io.pineladder.replica.RecordReplica;
 import io.pineladder.store.AcceptedJobIndex;
 import io.pineladder.store.RecordKeys;
 import io.pineladder.store.Records;
--- a/src/main/java/io/pineladder/recovery/FailoverTimings.java
+++ b/src/main/java/io/pineladder/failover/FailoverTimings.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.failover;
 
 import io.pineladder.net.EventLoop;
 import java.time.Duration;
--- a/src/main/java/io/pineladder/recovery/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.failover;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.delivery.NotificationOutbox;
@@ -365,7 +365,7 @@
     return job;
   }
 
-  static Job toJob(JsonNode record) throws MalformedMessageException {
+  public static Job toJob(JsonNode record) throws MalformedMessageException {
     RecordWire.StoredJob stored = RecordWire.parseJob(record);
     Job job = new Job(stored.spec(), stored.acceptedAt(), stored.state());
     job.failing = stored.atFault();
--- a/src/main/java/io/pineladder/recovery/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -1,9 +1,10 @@
-package io.pineladder.recovery;
+package io.pineladder.generation;
 
 import io.pineladder.membership.Membership;
 import io.pineladder.model.Generation;
 import io.pineladder.model.Generation.Phase;
 import io.pineladder.net.EventLoop;
+import io.pineladder.replica.RecordReplica;
 import io.pineladder.retry.Backoff;
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.GossipWire.Stored;
--- a/src/main/java/io/pineladder/recovery/GenerationWriter.java
+++ b/src/main/java/io/pineladder/generation/GenerationWriter.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.generation;
 
 import io.pineladder.model.Generation;
 import io.pineladder.net.EventLoop;
--- a/src/main/java/io/pineladder/recovery/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -1,5 +1,6 @@
-package io.pineladder.recovery;
+package io.pineladder.reconciliation;
 
+import io.pineladder.failover.TermLoader;
 import io.pineladder.model.Job;
 import io.pineladder.retry.Backoff;
 import io.pineladder.scheduling.ClusterState;
--- a/src/main/java/io/pineladder/recovery/PrerequisiteReader.java
+++ b/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.reconciliation;
 
 import io.pineladder.model.Job;
 import io.pineladder.net.EventLoop;
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -1,11 +1,14 @@
 package io.pineladder.recovery;
 
+import io.pineladder.generation.GenerationManager;
 import io.pineladder.membership.Membership;
 import io.pineladder.model.Generation;
 import io.pineladder.model.Job;
 import io.pineladder.model.Settings;
 import io.pineladder.net.BackgroundExecutor;
 import io.pineladder.net.EventLoop;
+import io.pineladder.replica.RecordReplica;
+import io.pineladder.replica.ReplicaFollower;
 import io.pineladder.snapshot.Snapshot;
 import io.pineladder.snapshot.SnapshotManager;
 import io.pineladder.snapshot.SnapshotStore;
--- a/src/main/java/io/pineladder/recovery/RecordReplica.java
+++ b/src/main/java/io/pineladder/replica/RecordReplica.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.replica;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Generation;
@@ -433,7 +433,7 @@
    * Takes in what is left in the store when records are to be rebuilt: of each record the newer one
    * counts, of a record that only one has that one, of final states all.
    */
-  void merge(List<StoreWire.Entry> left) {
+  public void merge(List<StoreWire.Entry> left) {
     for (StoreWire.Entry entry : left) {
       Value mine = records.get(entry.key());
       boolean newer = mine == null || entry.version() > mine.version;
@@ -516,7 +516,7 @@
   }
 
   /** The same, in values of at most so many bytes. */
-  List<StoreWire.Entry> image(int valueBytes) {
+  public List<StoreWire.Entry> image(int valueBytes) {
     List<StoreWire.Entry> image = ReplicaPageSplitter.divide(recordImage(), valueBytes);
     addEnds(image, Math.min(ENDS_BYTES, valueBytes - ENDS_FRAME_BYTES));
     return image;
--- a/src/main/java/io/pineladder/recovery/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.replica;
 
 import io.pineladder.net.EventLoop;
 import io.pineladder.store.RecordKeys;
--- a/src/main/java/io/pineladder/recovery/ReplicaPageSplitter.java
+++ b/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.replica;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/test/java/io/pineladder/recovery/RecordReplicaTest.java
+++ b/src/test/java/io/pineladder/replica/RecordReplicaTest.java
@@ -1,4 +1,4 @@
-package io.pineladder.recovery;
+package io.pineladder.replica;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.recovery.FailoverTimings.CompletedFailover;
-import io.pineladder.recovery.FailoverTimings.Phase;
+import io.pineladder.failover.FailoverTimings.CompletedFailover;
+import io.pineladder.failover.FailoverTimings.Phase;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.recovery.GenerationManager.State;
+import io.pineladder.generation.GenerationManager.State;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Map;
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.ControllerNode;
-import io.pineladder.recovery.GenerationManager;
+import io.pineladder.generation.GenerationManager;
 import io.pineladder.wire.MalformedMessageException;
 import java.time.Duration;
 import java.util.ArrayList;
