--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -40,42 +40,42 @@
 /** One controller: its part in the leadership, and what it knows whether it leads or not. */
 public final class ControllerNode {
   private static final Logger log = LoggerFactory.getLogger(ControllerNode.class);
-  private static final Duration TICK = Duration.ofSeconds(2);
+  private static final Duration TICK_INTERVAL = Duration.ofSeconds(2);
 
   /** A tick that comes so much late is worth a line. */
-  private static final Duration PAUSE = Duration.ofSeconds(1);
+  private static final Duration MAX_TICK_DELAY = Duration.ofSeconds(1);
 
-  private static final Duration WATCH = Duration.ofSeconds(20);
-  private static final Duration TYPES_EVERY = Duration.ofSeconds(60);
-  private static final Duration HAND_OVER_EVERY = Duration.ofSeconds(60);
+  private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
+  private static final Duration MACHINE_TYPES_INTERVAL = Duration.ofSeconds(60);
+  private static final Duration MIN_HAND_OVER_INTERVAL = Duration.ofSeconds(60);
   private static final Duration CLOUD_TIMEOUT = Duration.ofSeconds(3);
-  private static final int FINALS_KEPT = 20_000;
+  private static final int FINAL_STATE_CACHE_SIZE = 20_000;
 
   private final Settings settings;
   private final EventLoop eventLoop;
   private final AsyncHttpClient httpClient;
   private final StoreClient storeClient;
   private final Election election;
-  private final AcceptedJobIndex accepted;
+  private final AcceptedJobIndex acceptedJobs;
   private final Membership membership;
-  private final FailoverTimings takeovers;
-  private final Backoff confRetry;
+  private final FailoverTimings failoverTimings;
+  private final Backoff configurationRetry;
   private final DeliveryContext delivery;
 
   /** Final states never change, so any copy of them may be told. */
-  private final Cache<String, JobWire.Status> finals =
-      Caffeine.newBuilder().maximumSize(FINALS_KEPT).executor(Runnable::run).build();
+  private final Cache<String, JobWire.Status> finalStates =
+      Caffeine.newBuilder().maximumSize(FINAL_STATE_CACHE_SIZE).executor(Runnable::run).build();
 
-  private final ReplicaManager records;
-  private final LeaseKeepAliveWriter keeping;
+  private final ReplicaManager replicaManager;
+  private final LeaseKeepAliveWriter leaseKeepAlives;
 
-  private final ClusterVersion version;
-  private LeaderTerm leader;
-  private List<MachineType> types = List.of();
-  private OperatorSettings operator = OperatorSettings.DEFAULTS;
-  private Instant typesAt;
+  private final ClusterVersion clusterVersion;
+  private LeaderTerm leaderTerm;
+  private List<MachineType> machineTypes = List.of();
+  private OperatorSettings operatorSettings = OperatorSettings.DEFAULTS;
+  private Instant machineTypesAskedAt;
   private Instant handedOverAt;
-  private Instant tickDue;
+  private Instant tickDueAt;
   private boolean stopped;
 
   /**
@@ -117,8 +117,8 @@
       DeliveryContext delivery,
       SnapshotStore snapshotStore,
       BackgroundExecutor backgroundExecutor,
-      ClusterVersion version) {
-    this.version = version;
+      ClusterVersion clusterVersion) {
+    this.clusterVersion = clusterVersion;
     this.settings = settings;
     this.delivery = delivery;
     this.eventLoop = eventLoop;
@@ -130,13 +130,19 @@
             settings.storeAddress(),
             settings.storeLimits(),
             settings.peers().size() + 1);
-    this.confRetry = storeClient.backoff();
-    this.accepted = new AcceptedJobIndex(storeClient, eventLoop);
-    this.takeovers = new FailoverTimings(eventLoop);
-    this.membership = new Membership(settings, nonce, eventLoop, this::sendBeat, this::own);
+    this.configurationRetry = storeClient.backoff();
+    this.acceptedJobs = new AcceptedJobIndex(storeClient, eventLoop);
+    this.failoverTimings = new FailoverTimings(eventLoop);
+    this.membership = new Membership(settings, nonce, eventLoop, this::sendGossip, this::ownGossip);
     this.election =
-        new Election(storeClient, eventLoop, settings, nonce, this::mayStand, new Part());
-    this.records =
+        new Election(
+            storeClient,
+            eventLoop,
+            settings,
+            nonce,
+            this::mayBecomeCandidate,
+            new ElectionEvents());
+    this.replicaManager =
         new ReplicaManager(
             settings,
             storeClient,
@@ -144,8 +150,8 @@
             nonce,
             snapshotStore,
             backgroundExecutor,
-            new RecordsHost());
-    this.keeping =
+            new ReplicaEvents());
+    this.leaseKeepAlives =
         new LeaseKeepAliveWriter(
             storeClient,
             eventLoop,
@@ -155,50 +161,50 @@
 
   public void start() {
     log.info("controller {} starts in zone {}", settings.controllerName(), settings.zone());
-    membership.onStored(records.generations()::heard);
+    membership.onStored(replicaManager.generations()::heard);
     membership.start();
     tick();
-    records.start();
+    replicaManager.start();
   }
 
   /** What this node keeps of the records, and does when the state service has lost them. */
-  public ReplicaManager records() {
-    return records;
+  public ReplicaManager replicaManager() {
+    return replicaManager;
   }
 
   /**
    * Whether a missing leader may be replaced: not before the peers were asked which revisions they
    * have seen, or a process that has just begun would lead in a store that has lost its data.
    */
-  private boolean mayStand() {
-    return membership.hasAskedAll() && records.mayStand() && !version.isUnsupported();
+  private boolean mayBecomeCandidate() {
+    return membership.hasAskedAll() && replicaManager.mayStand() && !clusterVersion.isUnsupported();
   }
 
   /** The version of the records that is in force, as far as this node knows. */
-  public ClusterVersion version() {
-    return version;
+  public ClusterVersion clusterVersion() {
+    return clusterVersion;
   }
 
-  private final class RecordsHost implements ReplicaManager.Host {
+  private final class ReplicaEvents implements ReplicaManager.Host {
     @Override
     public boolean leaseHolds() {
-      return election.leaseHolds();
+      return election.excludesOtherLeader();
     }
 
     @Override
     public void onLost() {
       membership.tellNow();
       election.pause();
-      accepted.forget();
+      acceptedJobs.forget();
     }
 
     @Override
     public void onGeneration(boolean whole) {
       election.pause();
-      accepted.forget();
+      acceptedJobs.forget();
       if (whole) {
         election.start();
-        readConf();
+        readConfiguration();
       }
     }
 
@@ -209,39 +215,39 @@
   }
 
   /** The workers whose leases this node keeps in the leader's place. */
-  public LeaseKeepAliveWriter keeping() {
-    return keeping;
+  public LeaseKeepAliveWriter leaseKeepAlives() {
+    return leaseKeepAlives;
   }
 
-  private void sendBeat(String address, byte[] beat, Consumer<byte[]> onAnswer) {
+  private void sendGossip(String address, byte[] message, Consumer<byte[]> onReply) {
     httpClient.call(
-        Request.post(address, GossipWire.PATH, beat, Membership.TIMEOUT),
-        reply -> onAnswer.accept(reply.is(200) ? reply.body() : null));
+        Request.post(address, GossipWire.PATH, message, Membership.TIMEOUT),
+        reply -> onReply.accept(reply.is(200) ? reply.body() : null));
   }
 
-  private Membership.Own own() {
+  private Membership.Own ownGossip() {
     return new Membership.Own(
         storeClient.isHealthy(),
-        election.isValid() ? election.term() : 0,
-        records.told(),
-        version.supported());
+        election.isLeaseValid() ? election.term() : 0,
+        replicaManager.told(),
+        clusterVersion.supported());
   }
 
   /** Ends all activity, as a killed process would. */
   public void stop() {
     stopped = true;
-    records.stop();
-    if (leader != null) {
-      leader.close();
+    replicaManager.stop();
+    if (leaderTerm != null) {
+      leaderTerm.close();
     }
   }
 
-  private final class Part implements Election.Listener {
+  private final class ElectionEvents implements Election.Listener {
     @Override
     public void onElected(long term, long version) {
-      FailoverTimings.OngoingFailover takeover = takeovers.begin(term, membership.ledAt());
-      RecordReplica fed = records.lead();
-      leader =
+      FailoverTimings.OngoingFailover takeover = failoverTimings.begin(term, membership.ledAt());
+      RecordReplica fed = replicaManager.lead();
+      leaderTerm =
           new LeaderTerm(
               settings,
               storeClient,
@@ -250,99 +256,99 @@
               term,
               version,
               fed,
-              operator,
+              operatorSettings,
               takeover,
               delivery,
-              new LeaderHost());
-      leader.load();
-      fetchTypes();
+              new TermHost());
+      leaderTerm.load();
+      fetchMachineTypes();
     }
 
     @Override
-    public void onLeaseGone() {
-      records.onKeyGone();
+    public void onLeaseNotFound() {
+      replicaManager.onKeyGone();
     }
 
     @Override
-    public void onCertain() {
-      if (leader != null) {
-        leader.onCertain();
+    public void onLeaseConfirmed() {
+      if (leaderTerm != null) {
+        leaderTerm.onLeaseConfirmed();
       }
     }
 
     @Override
-    public void onLost(String reason) {
-      if (leader != null) {
-        leader.close();
-        leader = null;
+    public void onLeadershipLost(String reason) {
+      if (leaderTerm != null) {
+        leaderTerm.close();
+        leaderTerm = null;
       }
-      records.follow();
+      replicaManager.follow();
     }
 
     @Override
-    public void onLeaderKnown(RecordWire.LeaderRecord known) {
-      records.leaderKnown(known != null);
+    public void onLeaderRead(RecordWire.LeaderRecord known) {
+      replicaManager.leaderKnown(known != null);
       log.debug("the leader is {}", known);
     }
   }
 
-  private final class LeaderHost implements LeaderTerm.Host {
+  private final class TermHost implements LeaderTerm.Host {
     @Override
     public boolean mayAct() {
-      return !stopped && election.isValid();
+      return !stopped && election.isLeaseValid();
     }
 
     @Override
     public boolean takesReports() {
-      return !stopped && election.mayKeepAlive();
+      return !stopped && election.mayExtendWorkerLeases();
     }
 
     @Override
     public void resign(String reason) {
       // Whatever stopped this node may not stop the others.
-      election.yield(reason);
+      election.yieldLeadership(reason);
     }
 
     @Override
     public void handOver(String reason) {
       Instant now = eventLoop.now();
       // Where no other node does better the leadership must not go round and round.
-      if (handedOverAt == null || handedOverAt.plus(HAND_OVER_EVERY).isBefore(now)) {
+      if (handedOverAt == null || handedOverAt.plus(MIN_HAND_OVER_INTERVAL).isBefore(now)) {
         handedOverAt = now;
-        election.yield(reason);
+        election.yieldLeadership(reason);
       }
     }
 
     @Override
     public void superseded(long token) {
       long term = election.term();
-      records.superseded(
+      replicaManager.superseded(
           token,
           term,
           () -> election.holdsTerm() && election.term() == term,
-          () -> election.lose("a worker follows a later leader"));
+          () -> election.stepDown("a worker follows a later leader"));
     }
 
     @Override
     public void onBegun(RecordReplica fed) {
-      records.begun(fed);
+      replicaManager.begun(fed);
     }
 
     @Override
     public void onLost(String reason) {
-      records.generations().lost(GenerationManager.Evidence.RECORD_MISSING, reason);
+      replicaManager.generations().lost(GenerationManager.Evidence.RECORD_MISSING, reason);
     }
 
     @Override
     public void onKeyGone() {
-      records.onKeyGone();
-      election.yield("another leader holds the store");
+      replicaManager.onKeyGone();
+      election.yieldLeadership("another leader holds the store");
     }
 
     @Override
     public void onUnknownJob(String job) {
       // Whoever was told that a job is accepted may ask for ever: none vanishes unless it is lost.
-      records
+      replicaManager
           .generations()
           .lost(
               GenerationManager.Evidence.JOB_UNKNOWN,
@@ -351,32 +357,34 @@
 
     @Override
     public void onDamaged(String key) {
-      records.generations().lost(GenerationManager.Evidence.UNREADABLE, key + " cannot be read");
+      replicaManager
+          .generations()
+          .lost(GenerationManager.Evidence.UNREADABLE, key + " cannot be read");
     }
 
     @Override
     public boolean recordsMayLack() {
-      return records.mayLack();
+      return replicaManager.mayLack();
     }
 
     @Override
     public Duration incompleteFor() {
-      return records.incompleteFor();
+      return replicaManager.incompleteFor();
     }
 
     @Override
     public void onFinal(String job, JobWire.Status status) {
-      finals.put(job, status);
+      finalStates.put(job, status);
     }
 
     @Override
     public JobWire.Status finalState(String job) {
-      return finals.getIfPresent(job);
+      return finalStates.getIfPresent(job);
     }
 
     @Override
     public ClusterVersion version() {
-      return version;
+      return clusterVersion;
     }
 
     @Override
@@ -386,12 +394,12 @@
 
     @Override
     public List<MachineType> types() {
-      return types;
+      return machineTypes;
     }
 
     @Override
     public void onConf(List<StoreWire.Entry> entries) {
-      entries.forEach(ControllerNode.this::learnConf);
+      entries.forEach(ControllerNode.this::onConfigurationEntry);
     }
   }
 
@@ -399,20 +407,20 @@
     return settings;
   }
 
-  public EventLoop time() {
+  public EventLoop eventLoop() {
     return eventLoop;
   }
 
-  public AsyncHttpClient http() {
+  public AsyncHttpClient httpClient() {
     return httpClient;
   }
 
-  public StoreClient store() {
+  public StoreClient storeClient() {
     return storeClient;
   }
 
-  public FailoverTimings takeovers() {
-    return takeovers;
+  public FailoverTimings failoverTimings() {
+    return failoverTimings;
   }
 
   public Membership membership() {
@@ -420,8 +428,8 @@
   }
 
   /** The jobs that leaders accepted, as this node can read them without one. */
-  public AcceptedJobIndex accepted() {
-    return accepted;
+  public AcceptedJobIndex acceptedJobs() {
+    return acceptedJobs;
   }
 
   public Election election() {
@@ -429,74 +437,76 @@
   }
 
   /** The leader when this node may act as such now, or null. */
-  public LeaderTerm actingLeader() {
-    boolean leading = leader != null && leader.state() == LeaderTerm.State.LEADING;
-    return leading && election.isValid() ? leader : null;
+  public LeaderTerm leadingTerm() {
+    boolean leading = leaderTerm != null && leaderTerm.state() == LeaderTerm.State.LEADING;
+    return leading && election.isLeaseValid() ? leaderTerm : null;
   }
 
   /**
    * The leader's memory while this node may answer reports, certain of its lease or not; or null.
    */
-  public LeaderTerm termHolder() {
-    return election.mayKeepAlive() ? leader : null;
+  public LeaderTerm heldTerm() {
+    return election.mayExtendWorkerLeases() ? leaderTerm : null;
   }
 
   public JobWire.Status finalState(String job) {
-    return finals.getIfPresent(job);
+    return finalStates.getIfPresent(job);
   }
 
-  public void learnFinal(String job, JobWire.Status status) {
-    finals.put(job, status);
+  public void recordFinalState(String job, JobWire.Status status) {
+    finalStates.put(job, status);
   }
 
-  public List<MachineType> types() {
-    return types;
+  public List<MachineType> machineTypes() {
+    return machineTypes;
   }
 
-  public OperatorSettings operator() {
-    return operator;
+  public OperatorSettings operatorSettings() {
+    return operatorSettings;
   }
 
   // ---- settings kept in the store
 
-  private void readConf() {
+  private void readConfiguration() {
     long of = storeClient.generation().base();
     BooleanSupplier wanted = () -> !stopped && storeClient.generation().base() == of;
     storeClient.list(
         RecordKeys.CONF,
         wanted,
         listing -> {
-          listing.entries().forEach(this::learnConf);
-          watchConf(listing.revision(), wanted);
+          listing.entries().forEach(this::onConfigurationEntry);
+          watchConfiguration(listing.revision(), wanted);
         });
   }
 
-  private void watchConf(long after, BooleanSupplier wanted) {
+  private void watchConfiguration(long after, BooleanSupplier wanted) {
     if (!wanted.getAsBoolean()) {
       return;
     }
     storeClient.watch(
         RecordKeys.CONF,
         after,
-        WATCH,
+        WATCH_TIMEOUT,
         followed -> {
           if (!wanted.getAsBoolean()) {
             return;
           }
           StoreWire.Changes changes = followed.changes();
           if (changes != null) {
-            confRetry.reset();
-            changes.entries().forEach(this::learnConf);
-            watchConf(changes.revision(), wanted);
+            configurationRetry.reset();
+            changes.entries().forEach(this::onConfigurationEntry);
+            watchConfiguration(changes.revision(), wanted);
           } else {
             storeClient.retry(
-                confRetry,
-                followed.reply().is(410) ? this::readConf : () -> watchConf(after, wanted));
+                configurationRetry,
+                followed.reply().is(410)
+                    ? this::readConfiguration
+                    : () -> watchConfiguration(after, wanted));
           }
         });
   }
 
-  private void learnConf(StoreWire.Entry entry) {
+  private void onConfigurationEntry(StoreWire.Entry entry) {
     if (entry.key().equals(RecordKeys.NETWORKS) && delivery != null) {
       delivery.learnNetworks(entry.value());
     }
@@ -504,18 +514,19 @@
       return;
     }
     if (entry.key().equals(RecordKeys.VERSION)) {
-      version.learn(entry.value());
-      if (version.isUnsupported() && leader != null) {
-        election.yield("the records have a version that this controller does not support");
+      clusterVersion.onRecord(entry.value());
+      if (clusterVersion.isUnsupported() && leaderTerm != null) {
+        election.yieldLeadership(
+            "the records have a version that this controller does not support");
       }
     }
     try {
       if (entry.key().equals(RecordKeys.TYPES)) {
-        learnTypes(RecordWire.parseTypes(entry.value()));
+        setMachineTypes(RecordWire.parseTypes(entry.value()));
       } else if (entry.key().equals(RecordKeys.OPERATOR)) {
-        operator = RecordWire.parseOperator(entry.value(), OperatorSettings.DEFAULTS);
-        if (leader != null) {
-          leader.configure(operator);
+        operatorSettings = RecordWire.parseOperator(entry.value(), OperatorSettings.DEFAULTS);
+        if (leaderTerm != null) {
+          leaderTerm.configure(operatorSettings);
         }
       }
     } catch (MalformedMessageException e) {
@@ -523,16 +534,16 @@
     }
   }
 
-  private void learnTypes(List<MachineType> known) {
-    types = List.copyOf(known);
-    if (leader != null) {
-      leader.onTypes(types);
+  private void setMachineTypes(List<MachineType> known) {
+    machineTypes = List.copyOf(known);
+    if (leaderTerm != null) {
+      leaderTerm.onMachineTypes(machineTypes);
     }
   }
 
   /** Asks the cloud for its machine types, and keeps them for times when it cannot be asked. */
-  private void fetchTypes() {
-    typesAt = eventLoop.now();
+  private void fetchMachineTypes() {
+    machineTypesAskedAt = eventLoop.now();
     httpClient.call(
         Request.get(settings.cloudAddress(), "/flavors", CLOUD_TIMEOUT),
         reply -> {
@@ -541,10 +552,10 @@
               return;
             }
             List<MachineType> known = CloudWire.parseTypes(reply.body());
-            boolean changed = !known.equals(types);
-            learnTypes(known);
-            if (changed && leader != null) {
-              leader.storeTypes(known);
+            boolean changed = !known.equals(machineTypes);
+            setMachineTypes(known);
+            if (changed && leaderTerm != null) {
+              leaderTerm.storeMachineTypes(known);
             }
           } catch (MalformedMessageException e) {
             log.warn("the cloud's machine types are malformed: {}", e.getMessage());
@@ -557,19 +568,20 @@
       return;
     }
     Instant now = eventLoop.now();
-    if (tickDue != null && tickDue.plus(PAUSE).isBefore(now)) {
-      log.warn("this process stood still or fell behind for {}", Duration.between(tickDue, now));
+    if (tickDueAt != null && tickDueAt.plus(MAX_TICK_DELAY).isBefore(now)) {
+      log.warn("this process stood still or fell behind for {}", Duration.between(tickDueAt, now));
     }
-    tickDue = now.plus(TICK);
+    tickDueAt = now.plus(TICK_INTERVAL);
     if (election.holdsTerm()) {
-      Duration every = types.isEmpty() ? TICK : TYPES_EVERY;
-      if (typesAt == null || !typesAt.plus(every).isAfter(eventLoop.now())) {
-        fetchTypes();
+      Duration every = machineTypes.isEmpty() ? TICK_INTERVAL : MACHINE_TYPES_INTERVAL;
+      if (machineTypesAskedAt == null
+          || !machineTypesAskedAt.plus(every).isAfter(eventLoop.now())) {
+        fetchMachineTypes();
       }
     } else {
       // Its watches may wait for long; this tells whether the store still answers this node.
       storeClient.read(RecordKeys.LEADER, read -> {});
     }
-    eventLoop.schedule(TICK, this::tick);
+    eventLoop.schedule(TICK_INTERVAL, this::tick);
   }
 }
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -54,7 +54,7 @@
   private static final Logger log = LoggerFactory.getLogger(LeaderTerm.class);
 
   /** How long a leader that still reads the store keeps workers' leases without orders. */
-  private static final Duration LOADING_KEEPS = Duration.ofSeconds(2);
+  private static final Duration LOADING_KEEP_ALIVE_DURATION = Duration.ofSeconds(2);
 
   /** Where a term stands. */
   public enum State {
@@ -117,16 +117,16 @@
   }
 
   /** Between two looks whether the store still holds what was stored. */
-  private static final Duration AUDIT = Duration.ofSeconds(1);
+  private static final Duration AUDIT_INTERVAL = Duration.ofSeconds(1);
 
   /**
    * A term that begins so long after an incomplete rebuild need not hold again: the terms before
    * have heard all machines, or have returned them.
    */
-  private static final Duration MOST_HOLDING = Duration.ofMinutes(5);
+  private static final Duration MAX_HOLD_AGE = Duration.ofMinutes(5);
 
   /** For so long after an incomplete rebuild what runs is kept, though no record tells of it. */
-  private static final Duration KEEPS = Duration.ofSeconds(60);
+  private static final Duration INCOMPLETE_RECORDS_DURATION = Duration.ofSeconds(60);
 
   private final RecordReplica replica;
   private final Settings settings;
@@ -135,10 +135,10 @@
   private final long term;
 
   /** The revision of this leader's key. */
-  private final long version;
+  private final long leaderKeyRevision;
 
   private final Host host;
-  private final FailoverTimings.OngoingFailover takeover;
+  private final FailoverTimings.OngoingFailover failover;
   private final ClusterState cluster;
   private final Committer committer;
   private final NotificationOutbox outbox;
@@ -146,34 +146,34 @@
   private final Records records;
   private final Scheduler scheduler;
   private final WorkerManager workers;
-  private final Autoscaler fleet;
-  private final LeaseKeepAliveReader notes;
+  private final Autoscaler autoscaler;
+  private final LeaseKeepAliveReader keepAliveReader;
   private final TermLoader loader;
-  private final JobReconciler adoption;
+  private final JobReconciler reconciler;
   private final PrerequisiteReader prerequisites;
   private final Instant begunAt;
   private State state = State.LOADING;
 
   /** It was asked of late whether a job that a worker knows is in the store. */
-  private boolean strangerAsked;
+  private boolean unknownJobChecked;
 
   /** No record of a job was in the store when this term began. */
   private boolean beganEmpty;
 
   /** No task is started, since an attempt of it may be somewhere unknown. */
-  private boolean holding;
+  private boolean taskStartsHeld;
 
   /** What could not be read, where the copy had it. */
-  private final List<StoreWire.Entry> mended = new ArrayList<>();
+  private final List<StoreWire.Entry> repairedEntries = new ArrayList<>();
 
   /** Machine types learned while loading, or null. */
-  private List<MachineType> typesToStore;
+  private List<MachineType> machineTypesToStore;
 
   /** Machines recorded by earlier leaders that this one has heard. */
-  private final Set<Machine> heardAgain = new HashSet<>();
+  private final Set<Machine> machinesHeard = new HashSet<>();
 
   /** Submissions being stored, with those who wait for the answer. */
-  private final Map<String, List<Consumer<JobWire.Status>>> accepting = new HashMap<>();
+  private final Map<String, List<Consumer<JobWire.Status>>> pendingSubmissions = new HashMap<>();
 
   LeaderTerm(
       Settings settings,
@@ -181,10 +181,10 @@
       AsyncHttpClient httpClient,
       EventLoop eventLoop,
       long term,
-      long version,
+      long leaderKeyRevision,
       RecordReplica replica,
       OperatorSettings operator,
-      FailoverTimings.OngoingFailover takeover,
+      FailoverTimings.OngoingFailover failover,
       DeliveryContext delivery,
       Host host) {
     this.replica = replica;
@@ -194,11 +194,11 @@
     this.term = term;
     this.begunAt = eventLoop.now();
     this.host = host;
-    this.takeover = takeover;
+    this.failover = failover;
     this.cluster = new ClusterState(settings);
     cluster.setTypes(host.types());
-    this.version = version;
-    this.committer = new Committer(storeClient, eventLoop, version, new Storing());
+    this.leaderKeyRevision = leaderKeyRevision;
+    this.committer = new Committer(storeClient, eventLoop, leaderKeyRevision, new CommitEvents());
     int valueBytes = settings.storeLimits().valueBytes();
     this.outbox =
         new NotificationOutbox(
@@ -206,13 +206,13 @@
             valueBytes,
             eventLoop,
             committer::submit,
-            this::onNotices);
+            this::onNotificationsStored);
     committer.number(outbox);
     this.subscriptions =
         new SubscriptionManager(
             delivery, outbox, eventLoop, committer::submit, valueBytes, this::mayAct);
-    this.notes =
-        new LeaseKeepAliveReader(storeClient, eventLoop, () -> fleet().zones().isAnyGone());
+    this.keepAliveReader =
+        new LeaseKeepAliveReader(storeClient, eventLoop, () -> autoscaler().zones().isAnyGone());
     this.scheduler =
         new Scheduler(
             cluster,
@@ -232,7 +232,7 @@
 
               @Override
               public boolean mayStart() {
-                return !holding && LeaderTerm.this.mayAct();
+                return !taskStartsHeld && LeaderTerm.this.mayAct();
               }
 
               @Override
@@ -242,7 +242,7 @@
 
               @Override
               public void onReady(Job job) {
-                fleet().accepted(job);
+                autoscaler().accepted(job);
               }
 
               @Override
@@ -270,7 +270,7 @@
             new Records.Listener() {
               @Override
               public void onPlacementStored(Attempt attempt) {
-                takeover.passed(FailoverTimings.Phase.FIRST_PLACEMENT);
+                failover.passed(FailoverTimings.Phase.FIRST_PLACEMENT);
                 scheduler.onPlacementStored(attempt);
               }
 
@@ -281,25 +281,27 @@
 
               @Override
               public void onRemoved(Job job) {
-                adoption.removed();
+                reconciler.removed();
                 cluster.removeJob(job);
               }
 
               @Override
               public void onStoredTwice(Job job, Runnable again) {
-                adoption.onStoredTwice(job, again);
+                reconciler.onStoredTwice(job, again);
               }
             },
             outbox);
     scheduler.useRecords(records);
     this.loader =
-        new TermLoader(storeClient, eventLoop, cluster, committer, records, outbox, new Loading());
-    this.adoption = new JobReconciler(storeClient, cluster, committer, records, new Adopting());
+        new TermLoader(
+            storeClient, eventLoop, cluster, committer, records, outbox, new LoadEvents());
+    this.reconciler =
+        new JobReconciler(storeClient, cluster, committer, records, new ReconciliationEvents());
     this.prerequisites =
         new PrerequisiteReader(
             cluster.jobs::get,
             this::finalState,
-            adoption,
+            reconciler,
             eventLoop,
             () -> state == State.LEADING,
             scheduler::dependencies);
@@ -321,7 +323,7 @@
 
               @Override
               public boolean isGone(String machine) {
-                return fleet.wasReleased(machine);
+                return autoscaler.wasReleased(machine);
               }
 
               @Override
@@ -332,15 +334,16 @@
               @Override
               public boolean recordsIncomplete() {
                 Duration incomplete = host.incompleteFor();
-                return holding || incomplete != null && incomplete.compareTo(KEEPS) < 0;
+                return taskStartsHeld
+                    || incomplete != null && incomplete.compareTo(INCOMPLETE_RECORDS_DURATION) < 0;
               }
 
               @Override
               public void onStranger(String job) {
-                if (!strangerAsked && host.incompleteFor() == null && !host.recordsMayLack()) {
-                  strangerAsked = true;
-                  eventLoop.schedule(AUDIT, () -> strangerAsked = false);
-                  adoption.ifUnknown(job, () -> host.onUnknownJob(job));
+                if (!unknownJobChecked && host.incompleteFor() == null && !host.recordsMayLack()) {
+                  unknownJobChecked = true;
+                  eventLoop.schedule(AUDIT_INTERVAL, () -> unknownJobChecked = false);
+                  reconciler.ifUnknown(job, () -> host.onUnknownJob(job));
                 }
               }
 
@@ -351,10 +354,10 @@
 
               @Override
               public void onUnprovable(Machine machine) {
-                eventLoop.schedule(Duration.ZERO, () -> fleet.release(machine));
+                eventLoop.schedule(Duration.ZERO, () -> autoscaler.release(machine));
               }
             });
-    this.fleet =
+    this.autoscaler =
         new Autoscaler(
             cluster,
             scheduler,
@@ -386,7 +389,7 @@
 
               @Override
               public int heardInside(String zone) {
-                return notes.heardInside(zone);
+                return keepAliveReader.heardInside(zone);
               }
 
               @Override
@@ -397,7 +400,7 @@
   }
 
   /** What becomes of what is stored. */
-  private final class Storing implements Committer.Listener {
+  private final class CommitEvents implements Committer.Listener {
     @Override
     public void onFenced(String reason) {
       host.resign(reason);
@@ -448,11 +451,11 @@
   }
 
   /** The machines, and the zones that they are in. */
-  public Autoscaler fleet() {
-    return fleet;
+  public Autoscaler autoscaler() {
+    return autoscaler;
   }
 
-  public int waitingWrites() {
+  public int pendingWrites() {
     return committer.waiting();
   }
 
@@ -484,7 +487,7 @@
     return state == State.LEADING && host.mayAct();
   }
 
-  private void onNotices() {
+  private void onNotificationsStored() {
     subscriptions.kick();
   }
 
@@ -506,33 +509,33 @@
 
   void close() {
     moveTo(State.OVER);
-    takeover.close();
+    failover.close();
     committer.close();
-    fleet.close();
+    autoscaler.close();
   }
 
   /** The lease was in doubt and holds after all. */
-  void onCertain() {
+  void onLeaseConfirmed() {
     scheduler.kick();
     subscriptions.kick();
   }
 
   void configure(OperatorSettings operator) {
     scheduler.queue().configure(operator);
-    fleet.configure(operator);
+    autoscaler.configure(operator);
   }
 
-  void onTypes(List<MachineType> types) {
+  void onMachineTypes(List<MachineType> types) {
     cluster.setTypes(types);
     scheduler.kick();
   }
 
   /** Stores the machine types, so that a cloud outage does not stop submissions. */
-  void storeTypes(List<MachineType> types) {
+  void storeMachineTypes(List<MachineType> types) {
     if (state != State.LEADING) {
       // They came while the store is still being read. Forgotten here, no other node would learn
       // them, and none could accept a job without a leader.
-      typesToStore = types;
+      machineTypesToStore = types;
       return;
     }
     committer.submit(
@@ -543,7 +546,7 @@
   }
 
   /** Stores what operators have set. */
-  public void storeOperator(OperatorSettings operator, Runnable onStored) {
+  public void storeOperatorSettings(OperatorSettings operator, Runnable onStored) {
     committer.submit(
         Mutation.of(
             Mutation.Priority.ACCEPT,
@@ -556,7 +559,7 @@
     loader.load();
   }
 
-  private final class Loading implements TermLoader.Listener {
+  private final class LoadEvents implements TermLoader.Listener {
     @Override
     public boolean wanted() {
       return state == State.LOADING;
@@ -583,7 +586,7 @@
       for (RecordReplica.Damaged each : reading.damaged()) {
         if (each.mended()) {
           log.warn("{} cannot be read and is mended from the copy", each.entry().key());
-          mended.add(each.entry());
+          repairedEntries.add(each.entry());
         } else {
           host.onDamaged(each.entry().key());
           return null;
@@ -608,7 +611,7 @@
     }
   }
 
-  private final class Adopting implements JobReconciler.Listener {
+  private final class ReconciliationEvents implements JobReconciler.Listener {
     @Override
     public boolean isLeading() {
       return state == State.LEADING;
@@ -616,7 +619,7 @@
 
     @Override
     public boolean isAccepting(String id) {
-      return accepting.containsKey(id);
+      return pendingSubmissions.containsKey(id);
     }
 
     @Override
@@ -662,13 +665,13 @@
     if (state != State.LEADING) {
       return;
     }
-    if (mayAct() && fleet.isAllHeard()) {
-      holding = false;
+    if (mayAct() && autoscaler.isAllHeard()) {
+      taskStartsHeld = false;
       log.info("all machines were heard; tasks are started again");
       scheduler.kick();
       return;
     }
-    eventLoop.schedule(AUDIT, this::reviewHold);
+    eventLoop.schedule(AUDIT_INTERVAL, this::reviewHold);
   }
 
   /** Keeps what could not be read aside, and stores the record anew. */
@@ -686,7 +689,7 @@
    */
   private void audit(String after) {
     if (state == State.LEADING) {
-      committer.audit(after, last -> eventLoop.schedule(AUDIT, () -> audit(last)));
+      committer.audit(after, last -> eventLoop.schedule(AUDIT_INTERVAL, () -> audit(last)));
     }
   }
 
@@ -694,9 +697,9 @@
     moveTo(State.LEADING);
     beganEmpty = jobs.isEmpty() && cluster.machines().isEmpty() && replica.ends() == 0;
     host.onBegun(replica);
-    takeover.passed(FailoverTimings.Phase.STORE_READ);
-    eventLoop.schedule(AUDIT, () -> audit(null));
-    takeover.awaits(cluster.machines().size());
+    failover.passed(FailoverTimings.Phase.STORE_READ);
+    eventLoop.schedule(AUDIT_INTERVAL, () -> audit(null));
+    failover.awaits(cluster.machines().size());
     for (Job job : jobs) {
       scheduler.add(job);
       if (job.isActive() && job.done.cardinality() == job.spec.tasks()) {
@@ -704,21 +707,22 @@
         records.end(job);
       }
     }
-    if (typesToStore != null) {
-      storeTypes(typesToStore);
+    if (machineTypesToStore != null) {
+      storeMachineTypes(machineTypesToStore);
     }
-    mended.forEach(this::store);
-    holding = host.incompleteFor() != null && host.incompleteFor().compareTo(MOST_HOLDING) < 0;
-    if (holding) {
+    repairedEntries.forEach(this::store);
+    taskStartsHeld =
+        host.incompleteFor() != null && host.incompleteFor().compareTo(MAX_HOLD_AGE) < 0;
+    if (taskStartsHeld) {
       log.info("nothing is started until all machines were heard: records may be missing");
-      eventLoop.schedule(AUDIT, this::reviewHold);
+      eventLoop.schedule(AUDIT_INTERVAL, this::reviewHold);
     }
     log.info(
         "term {} begins with {} jobs and {} machines",
         term,
         cluster.jobs.size(),
         cluster.machines().size());
-    adoption.start(inbox);
+    reconciler.start(inbox);
     new VersionRaiser(
             host.version(),
             host::peers,
@@ -728,9 +732,9 @@
             this::onVersion)
         .review();
     onVersion();
-    fleet.start();
-    notes.start(() -> state == State.OVER);
-    new GenerationGarbageCollector(storeClient, eventLoop, version, this::mayAct).start();
+    autoscaler.start();
+    keepAliveReader.start(() -> state == State.OVER);
+    new GenerationGarbageCollector(storeClient, eventLoop, leaderKeyRevision, this::mayAct).start();
     if (subscriptions.isOn() || outbox.isWanted()) {
       loader.loadBacklog(() -> state == State.LEADING, subscriptions::start);
     }
@@ -756,17 +760,17 @@
   // ---- users
 
   /** A job's state toward a user; a null status means that nothing certain can be said. */
-  public record View(JobWire.Status status, int done, int running) {
-    static final View UNKNOWN = new View(null, 0, 0);
+  public record JobView(JobWire.Status status, int done, int running) {
+    static final JobView UNKNOWN = new JobView(null, 0, 0);
   }
 
   /** The state of a job in memory, or null when it is not there. */
-  private View viewOf(Job job) {
+  private JobView viewOf(Job job) {
     if (job.cancelledByDependency || (!job.isActive() && job.finalStateStored)) {
-      return new View(toStatus(job.state()), job.done.cardinality(), 0);
+      return new JobView(toStatus(job.state()), job.done.cardinality(), 0);
     }
     int running = Scheduler.running(job);
-    return new View(
+    return new JobView(
         running > 0 ? JobWire.Status.RUNNING : JobWire.Status.PENDING,
         job.done.cardinality(),
         running);
@@ -778,24 +782,24 @@
    * what a user has been told already. So the answer waits for the commit, also where the final
    * state would follow from that of a job before it.
    */
-  private void tell(Job job, Consumer<View> onDone) {
-    Job before = job.cancellingPrerequisite;
+  private void answerWhenCertain(Job job, Consumer<JobView> onDone) {
+    Job prerequisite = job.cancellingPrerequisite;
     if (job.cancelledByDependency) {
       onDone.accept(viewOf(job));
     } else if (job.finalStatePending && !job.finalStateStored) {
       job.finalStateCallbacks.add(() -> onDone.accept(viewOf(job)));
-    } else if (before != null && !before.finalStateStored) {
-      before.finalStateCallbacks.add(() -> onDone.accept(viewOf(job)));
+    } else if (prerequisite != null && !prerequisite.finalStateStored) {
+      prerequisite.finalStateCallbacks.add(() -> onDone.accept(viewOf(job)));
     } else if (scheduler.dependencies().isUncertain(job)) {
-      onDone.accept(View.UNKNOWN);
+      onDone.accept(JobView.UNKNOWN);
     } else {
       onDone.accept(viewOf(job));
     }
   }
 
   /** Whether the job is known here, so that a repeated submission is no new one. */
-  public boolean knows(String id) {
-    return cluster.jobs.containsKey(id) || accepting.containsKey(id);
+  public boolean knowsJob(String id) {
+    return cluster.jobs.containsKey(id) || pendingSubmissions.containsKey(id);
   }
 
   /** Tells whether the jobs that a submission names were accepted. */
@@ -804,14 +808,14 @@
   }
 
   /** Stores a new job; the answer follows the commit. Null: nothing certain can be said. */
-  public void submit(JobSpec spec, Consumer<JobWire.Status> onDone, Consumer<View> onKnown) {
+  public void submit(JobSpec spec, Consumer<JobWire.Status> onDone, Consumer<JobView> onKnown) {
     String id = spec.id();
     Job known = cluster.jobs.get(id);
     if (known != null) {
-      tell(known, onKnown);
+      answerWhenCertain(known, onKnown);
       return;
     }
-    List<Consumer<JobWire.Status>> waiting = accepting.get(id);
+    List<Consumer<JobWire.Status>> waiting = pendingSubmissions.get(id);
     if (waiting != null) {
       waiting.add(onDone);
       return;
@@ -819,19 +823,19 @@
     Job.State ended = replica.end(id);
     if (ended != null) {
       // Its own record of that may be lost, or be one of many in a value of the generation before.
-      onKnown.accept(new View(toStatus(ended), 0, 0));
+      onKnown.accept(new JobView(toStatus(ended), 0, 0));
       return;
     }
     List<Consumer<JobWire.Status>> first = new ArrayList<>();
     first.add(onDone);
-    accepting.put(id, first);
+    pendingSubmissions.put(id, first);
     Job job = new Job(spec, eventLoop.wallClock(), Job.State.ACTIVE);
     records.accept(job, () -> accepted(job), () -> acceptedElsewhere(id));
   }
 
   private void accepted(Job job) {
     String id = job.spec.id();
-    List<Consumer<JobWire.Status>> all = accepting.remove(id);
+    List<Consumer<JobWire.Status>> all = pendingSubmissions.remove(id);
     log.debug(
         "job {} accepted: {} x {} of {} for {}",
         id,
@@ -854,13 +858,13 @@
   /** What waits for others counts as an arrival once it may start, which the scheduler tells. */
   private void countArrival(Job job) {
     if (job.spec.prerequisites().isEmpty()) {
-      fleet.accepted(job);
+      autoscaler.accepted(job);
     }
   }
 
   private void acceptedElsewhere(String id) {
-    List<Consumer<JobWire.Status>> all = accepting.remove(id);
-    adoption.adopt(
+    List<Consumer<JobWire.Status>> all = pendingSubmissions.remove(id);
+    reconciler.adopt(
         id,
         lookup -> {
           JobWire.Status status =
@@ -874,27 +878,27 @@
   }
 
   /** A job's state, from memory or a fresh read; {@code null} when no such job exists. */
-  public void view(String id, Consumer<View> onDone) {
+  public void readStatus(String id, Consumer<JobView> onDone) {
     Job job = cluster.jobs.get(id);
     if (job != null) {
-      tell(job, onDone);
+      answerWhenCertain(job, onDone);
       return;
     }
-    List<Consumer<JobWire.Status>> waiting = accepting.get(id);
+    List<Consumer<JobWire.Status>> waiting = pendingSubmissions.get(id);
     if (waiting != null) {
       // Its record may be there already: another node may have read it, and told its user so.
-      waiting.add(status -> onDone.accept(new View(status, 0, 0)));
+      waiting.add(status -> onDone.accept(new JobView(status, 0, 0)));
       return;
     }
-    adoption.adopt(
+    reconciler.adopt(
         id,
         lookup -> {
           if (lookup == null) {
-            onDone.accept(View.UNKNOWN);
+            onDone.accept(JobView.UNKNOWN);
           } else if (lookup.job() != null) {
-            tell(lookup.job(), onDone);
+            answerWhenCertain(lookup.job(), onDone);
           } else if (lookup.ended() != null) {
-            onDone.accept(new View(toStatus(lookup.ended()), 0, 0));
+            onDone.accept(new JobView(toStatus(lookup.ended()), 0, 0));
           } else {
             onDone.accept(null);
           }
@@ -902,23 +906,23 @@
   }
 
   /** Cancels a job; the answer follows the commit. */
-  public void cancel(String id, Consumer<View> onDone) {
+  public void cancel(String id, Consumer<JobView> onDone) {
     Job job = cluster.jobs.get(id);
-    if (job == null && accepting.containsKey(id)) {
-      onDone.accept(View.UNKNOWN);
+    if (job == null && pendingSubmissions.containsKey(id)) {
+      onDone.accept(JobView.UNKNOWN);
       return;
     }
     if (job == null) {
-      adoption.adopt(
+      reconciler.adopt(
           id,
           lookup -> {
             if (lookup == null) {
-              onDone.accept(View.UNKNOWN);
+              onDone.accept(JobView.UNKNOWN);
             } else if (lookup.job() != null) {
               cancelKnown(lookup.job(), onDone);
             } else {
               Job.State ended = lookup.ended();
-              onDone.accept(ended == null ? null : new View(toStatus(ended), 0, 0));
+              onDone.accept(ended == null ? null : new JobView(toStatus(ended), 0, 0));
             }
           });
       return;
@@ -926,7 +930,7 @@
     cancelKnown(job, onDone);
   }
 
-  private void cancelKnown(Job job, Consumer<View> onDone) {
+  private void cancelKnown(Job job, Consumer<JobView> onDone) {
     if (job.finalStateStored || job.cancelledByDependency) {
       onDone.accept(viewOf(job));
       return;
@@ -939,7 +943,7 @@
    * The least time that is left to a job of a chain until it should have started for the jobs that
    * need it, in seconds, negative when it should have; null when nothing is expected of any chain.
    */
-  public Double leastChainSlackSeconds() {
+  public Double minChainSlackSeconds() {
     Instant now = eventLoop.wallClock();
     Double least = null;
     for (Job job : cluster.jobs.values()) {
@@ -953,15 +957,15 @@
   }
 
   /** A request of a user was answered here. */
-  public void answered() {
-    takeover.passed(FailoverTimings.Phase.FIRST_ANSWER);
+  public void onRequestAnswered() {
+    failover.passed(FailoverTimings.Phase.FIRST_ANSWER);
   }
 
   // ---- workers
 
   private void countHeard(Machine machine) {
-    if (machine.state() == Machine.State.CONFIRMED && heardAgain.add(machine)) {
-      takeover.heard();
+    if (machine.state() == Machine.State.CONFIRMED && machinesHeard.add(machine)) {
+      failover.heard();
     }
   }
 
@@ -970,12 +974,12 @@
    *
    * @param relayed whether a peer handed it on
    */
-  public byte[] onReport(WorkerWire.Report report, boolean relayed) {
+  public byte[] onHeartbeat(WorkerWire.Report report, boolean relayed) {
     if (state != State.LEADING) {
       // The store is still being read: the lease is kept and our token learned, nothing more.
       return state == State.LOADING
               && host.mayAct()
-              && eventLoop.now().isBefore(begunAt.plus(LOADING_KEEPS))
+              && eventLoop.now().isBefore(begunAt.plus(LOADING_KEEP_ALIVE_DURATION))
           ? WorkerWire.reportResponse(term, new WorkerWire.Orders())
           : null;
     }
@@ -986,8 +990,8 @@
     WorkerWire.Orders orders = workers.onReport(report, relayed);
     Machine machine = cluster.machine(report.machine());
     if (orders != null) {
-      takeover.passed(FailoverTimings.Phase.FIRST_REPORT);
-      if (takeover.awaitsMore() && machine != null && machine.knownFromPlacements) {
+      failover.passed(FailoverTimings.Phase.FIRST_REPORT);
+      if (failover.awaitsMore() && machine != null && machine.knownFromPlacements) {
         countHeard(machine);
       }
     }
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -85,7 +85,7 @@
     } else if (!method.equals("GET")) {
       answer.accept(error(405, "use GET"));
     } else if (path.equals(PREFIX + SNAPSHOT)) {
-      byte[] snapshot = node.records().takeSnapshot();
+      byte[] snapshot = node.replicaManager().takeSnapshot();
       answer.accept(
           snapshot == null
               ? error(503, "this node has not read all records yet")
@@ -98,22 +98,22 @@
                 case PREFIX + "status" -> status();
                 case PREFIX + "metrics" -> metrics();
                 case PREFIX + "takeovers" -> takeovers();
-                default -> RecordWire.operator(node.operator());
+                default -> RecordWire.operator(node.operatorSettings());
               }));
     }
   }
 
   private ObjectNode status() {
-    var known = node.election().known();
-    LeaderTerm leader = node.termHolder();
+    var known = node.election().knownLeader();
+    LeaderTerm leader = node.heldTerm();
     ObjectNode out = Json.object();
     out.put("member", node.settings().controllerName())
         .put("zone", node.settings().zone())
         .put("leadership", node.election().state().name().toLowerCase(Locale.ROOT))
         .put("leader", known == null ? null : known.member())
-        .put("term", leader == null ? node.election().knownTerm() : leader.term())
-        .put("store_healthy", node.store().isHealthy())
-        .put("machine_types", node.types().size())
+        .put("term", leader == null ? node.election().knownLeaderTerm() : leader.term())
+        .put("store_healthy", node.storeClient().isHealthy())
+        .put("machine_types", node.machineTypes().size())
         .put("doubts_itself", node.membership().self() == Membership.Self.DOUBTFUL);
     ArrayNode peers = out.putArray("peers");
     for (Membership.View peer : node.membership().view()) {
@@ -137,8 +137,8 @@
   /** Which version of the records is in force, and what this controller supports. */
   private ObjectNode version() {
     return Json.object()
-        .put("in_force", node.version().inForce())
-        .put("supported", node.version().supported());
+        .put("in_force", node.clusterVersion().inForce())
+        .put("supported", node.clusterVersion().supported());
   }
 
   /**
@@ -146,7 +146,7 @@
    * second.
    */
   private ObjectNode storeLimits() {
-    Settings.StoreLimits kept = node.store().limits();
+    Settings.StoreLimits kept = node.storeClient().limits();
     Settings.StoreLimits inForce = node.settings().currentStoreLimits();
     return Json.object()
         .put("requests_per_second", kept.requestsPerSecond())
@@ -154,14 +154,14 @@
         .put("value_bytes", kept.valueBytes())
         .put("transaction_changes", kept.transactionOps())
         .put("change_announced", !kept.equals(inForce))
-        .put("requests", node.store().sent())
-        .put("refused_for_rate", node.store().refusedForRate())
-        .put("changes_left", node.store().writes().available(node.time().now()));
+        .put("requests", node.storeClient().sent())
+        .put("refused_for_rate", node.storeClient().refusedForRate())
+        .put("changes_left", node.storeClient().writes().available(node.eventLoop().now()));
   }
 
   private ObjectNode metrics() {
     ObjectNode out = metrics.read();
-    LeaderTerm leader = node.actingLeader();
+    LeaderTerm leader = node.leadingTerm();
     if (leader != null) {
       out.set("notices", leader.subscriptions().figures());
     }
@@ -173,13 +173,13 @@
     ObjectNode out = Json.object();
     ObjectNode phases = out.putObject("phases_s");
     for (FailoverTimings.Phase phase : FailoverTimings.Phase.values()) {
-      Histogram histogram = node.takeovers().histogram(phase);
+      Histogram histogram = node.failoverTimings().histogram(phase);
       if (histogram != null) {
         Metrics.percentiles(phases.putObject(phase.word()), histogram, 1e3);
       }
     }
     ArrayNode latest = out.putArray("latest");
-    for (FailoverTimings.CompletedFailover taken : node.takeovers().latest()) {
+    for (FailoverTimings.CompletedFailover taken : node.failoverTimings().latest()) {
       ObjectNode one = latest.addObject().put("term", taken.term());
       taken.phases().forEach((phase, took) -> one.put(phase.word(), took.toMillis() / 1e3));
     }
@@ -207,7 +207,7 @@
         Json.object()
             .put("term", leader.term())
             .put("jobs", leader.cluster().jobs.size())
-            .put("waiting_writes", leader.waitingWrites())
+            .put("waiting_writes", leader.pendingWrites())
             .put("jobs_at_fault", leader.scheduler().failures().jobsAtFault())
             .put("machines_under_suspicion", leader.scheduler().failures().suspects());
     ObjectNode places = out.putObject("entries");
@@ -221,7 +221,7 @@
     out.putObject("chains")
         .put("waiting", dependencies.waiting())
         .put("longest", dependencies.longestChain())
-        .put("least_slack_s", leader.leastChainSlackSeconds());
+        .put("least_slack_s", leader.minChainSlackSeconds());
     leader
         .scheduler()
         .queue()
@@ -233,7 +233,7 @@
   private ObjectNode machines(LeaderTerm leader) {
     ObjectNode out = Json.object();
     ArrayNode zones = out.putArray("zones");
-    for (Zones.View zone : leader.fleet().zones().view(node.time().now())) {
+    for (Zones.View zone : leader.autoscaler().zones().view(node.eventLoop().now())) {
       zones
           .addObject()
           .put("name", zone.name())
@@ -261,7 +261,7 @@
 
   private void handIn(byte[] body, Consumer<HttpResponse> answer) {
     try {
-      answer.accept(json(200, Json.object().put("jobs", node.records().handIn(body))));
+      answer.accept(json(200, Json.object().put("jobs", node.replicaManager().handIn(body))));
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
     }
@@ -269,28 +269,28 @@
 
   /** Where the records stand, as this node knows it. */
   private ObjectNode records() {
-    GenerationManager generations = node.records().generations();
-    RecordReplica replica = node.records().copy();
+    GenerationManager generations = node.replicaManager().generations();
+    RecordReplica replica = node.replicaManager().copy();
     GenerationManager.Evidence evidence = generations.evidence();
     ObjectNode out =
         Json.object()
             .put("state", generations.state().name().toLowerCase(Locale.ROOT))
-            .put("generation", node.store().generation().base())
-            .put("exact", node.store().generation().exact())
+            .put("generation", node.storeClient().generation().base())
+            .put("exact", node.storeClient().generation().exact())
             .put("losses", generations.losses())
             .put("evidence", evidence == null ? null : evidence.name().toLowerCase(Locale.ROOT))
             .put("rebuilt", generations.progress());
     out.putObject("copy")
-        .put("state", node.records().follower().state().name().toLowerCase(Locale.ROOT))
+        .put("state", node.replicaManager().follower().state().name().toLowerCase(Locale.ROOT))
         .put("generation", replica.base())
         .put("revision", replica.revision())
         .put("whole", replica.isComplete())
         .put("records", replica.size())
         .put("final_states", replica.ends());
-    if (node.records().snapshots() != null) {
+    if (node.replicaManager().snapshots() != null) {
       out.putObject("snapshots")
-          .put("kept", node.records().snapshots().kept())
-          .put("failures", node.records().snapshots().failures());
+          .put("kept", node.replicaManager().snapshots().kept())
+          .put("failures", node.replicaManager().snapshots().failures());
     }
     return out;
   }
@@ -299,13 +299,14 @@
   private void change(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
     OperatorSettings wanted;
     try {
-      wanted = RecordWire.parseOperator(Json.parseObject(body), node.operator());
+      wanted = RecordWire.parseOperator(Json.parseObject(body), node.operatorSettings());
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
     Consumer<HttpResponse> first =
-        HttpResponses.once(node.time(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
-    leader.storeOperator(wanted, () -> first.accept(json(200, RecordWire.operator(wanted))));
+        HttpResponses.once(node.eventLoop(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
+    leader.storeOperatorSettings(
+        wanted, () -> first.accept(json(200, RecordWire.operator(wanted))));
   }
 }
--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -49,7 +49,7 @@
       onDone.accept(Outcome.NONE_CANCELLED);
       return;
     }
-    node.accepted()
+    node.acceptedJobs()
         .refresh(
             fresh -> {
               if (fresh) {
@@ -79,7 +79,7 @@
           continue;
         }
         Job.State ended = knownEnd(id);
-        AcceptedJobIndex.Found found = node.accepted().find(id);
+        AcceptedJobIndex.Found found = node.acceptedJobs().find(id);
         if (ended == Job.State.CANCELLED) {
           onDone.accept(Outcome.CANCELLED);
           return;
@@ -109,7 +109,7 @@
 
     private Job.State knownEnd(String id) {
       Job.State known = LeaderTerm.toState(node.finalState(id));
-      return known != null ? known : node.records().copy().end(id);
+      return known != null ? known : node.replicaManager().copy().end(id);
     }
 
     /**
@@ -121,7 +121,7 @@
         onDone.accept(Outcome.UNCERTAIN);
         return;
       }
-      node.store()
+      node.storeClient()
           .readForUser(
               RecordKeys.JOB + id,
               read -> {
@@ -144,11 +144,11 @@
     }
 
     private void readEnd(String id) {
-      node.store()
+      node.storeClient()
           .readForUser(
               RecordKeys.END + id,
               read -> {
-                if (!read.certain() || !read.found() && node.records().mayBeLost(id)) {
+                if (!read.certain() || !read.found() && node.replicaManager().mayBeLost(id)) {
                   onDone.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
                   onDone.accept(Outcome.UNKNOWN_JOB);
@@ -161,7 +161,7 @@
     private void takeEnd(String id, JsonNode record) {
       try {
         Job.State ended = RecordWire.parseEnd(record);
-        node.learnFinal(id, LeaderTerm.toStatus(ended));
+        node.recordFinalState(id, LeaderTerm.toStatus(ended));
         take(ended, List.of());
         if (ended != Job.State.CANCELLED) {
           next();
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -66,7 +66,7 @@
   HeartbeatHandler(ControllerNode node, Forwarding forwarding) {
     this.node = node;
     this.forwarding = forwarding;
-    this.startedAt = node.time().now();
+    this.startedAt = node.eventLoop().now();
   }
 
   /**
@@ -82,36 +82,37 @@
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    node.records().generations().learnToken(report.token());
+    node.replicaManager().generations().learnToken(report.token());
     long keeping =
-        node.records()
+        node.replicaManager()
             .generations()
-            .keepingToken(report.token(), Election.longestKeepAlive(node.settings().workerTimes()));
+            .keepingToken(
+                report.token(), Election.maxWorkerLeaseExtension(node.settings().workerTimes()));
     if (keeping >= report.token() && keeping > 0) {
       // Nobody leads while the records are rebuilt; what runs must live through it.
       answer.accept(ok(WorkerWire.reportResponse(keeping, new WorkerWire.Orders())));
       return;
     }
-    LeaderTerm holder = node.termHolder();
+    LeaderTerm holder = node.heldTerm();
     if (holder != null && report.token() <= holder.term()) {
-      byte[] response = holder.onReport(report, relayed);
+      byte[] response = holder.onHeartbeat(report, relayed);
       if (response != null) {
         answer.accept(ok(response));
         return;
       }
     } else if (holder != null) {
-      holder.onReport(report, relayed);
+      holder.onHeartbeat(report, relayed);
     }
-    RecordWire.LeaderRecord known = node.election().known();
+    RecordWire.LeaderRecord known = node.election().knownLeader();
     boolean other = known != null && !known.member().equals(node.settings().controllerName());
     long token = keptWith(report, known, other);
     if (token > 0) {
       // At once: in a cut the way round the other nodes takes most of a lease.
-      node.keeping().kept(report.machine(), report.zone());
+      node.leaseKeepAlives().kept(report.machine(), report.zone());
       answer.accept(ok(WorkerWire.reportResponse(token, endsOf(report))));
       return;
     }
-    Instant now = node.time().now();
+    Instant now = node.eventLoop().now();
     if (other && !known.equals(redirectedTo)) {
       // That a worker did not reach an earlier leader says nothing of this one. Otherwise reports
       // once handed on would be handed on for ever, and each new leader make way in its turn.
@@ -148,7 +149,7 @@
         List.of(leader.address()),
         new PeerWire.Forward("POST", "/v1/report", body, 0),
         http -> {
-          redirects.put(report.machine(), node.time().now());
+          redirects.put(report.machine(), node.eventLoop().now());
           answer.accept(http);
         },
         () -> answer.accept(new HttpResponse(421, WorkerWire.redirect(null))));
@@ -161,21 +162,22 @@
    */
   private long keptWith(WorkerWire.Report report, RecordWire.LeaderRecord known, boolean other) {
     Election election = node.election();
-    long theirs = Math.max(report.token(), election.knownTerm());
-    boolean stored = node.store().isHealthy();
+    long theirs = Math.max(report.token(), election.knownLeaderTerm());
+    boolean stored = node.storeClient().isHealthy();
     if (other) {
       if (!node.membership().isUnreachable(known.member())) {
         return 0;
       }
       boolean follows =
-          report.token() <= election.knownTerm() && node.records().follower().isFresh();
+          report.token() <= election.knownLeaderTerm()
+              && node.replicaManager().follower().isFresh();
       return follows || keepsAlive(known, report) ? theirs : 0;
     }
     if (election.holdsTerm()) {
       // The leader itself is cut off with the zone: it decides nothing, and what runs goes on. A
       // later
       // leader's command that was held up may have shown the worker a higher token.
-      return !stored && keepsZone(report, election.certainUntil()) ? theirs : 0;
+      return !stored && keepsZone(report, election.leaseExpiresAt()) ? theirs : 0;
     }
     // A process that has begun in a zone that is cut off, or in an outage of the state service.
     boolean nobody = known == null && !stored && report.token() > 0;
@@ -192,7 +194,8 @@
     WorkerWire.Orders orders = new WorkerWire.Orders();
     for (WorkerWire.TaskReport task : report.tasks()) {
       String job = task.task().job();
-      if (task.state() != WorkerWire.TaskState.EXITED && node.records().copy().end(job) != null) {
+      if (task.state() != WorkerWire.TaskState.EXITED
+          && node.replicaManager().copy().end(job) != null) {
         orders.kill(job, task.task().index(), task.attempt(), Duration.ZERO);
       }
     }
@@ -209,12 +212,12 @@
    * laval-fleet, where it was luck whether the leader was in the zone that was cut off.
    */
   private boolean keepsAlive(RecordWire.LeaderRecord known, WorkerWire.Report report) {
-    Duration longest = Election.longestKeepAlive(node.settings().workerTimes());
+    Duration longest = Election.maxWorkerLeaseExtension(node.settings().workerTimes());
     Instant leaderAt = node.membership().answeredAt(known.member());
-    if (node.store().isHealthy()) {
-      return report.token() <= node.election().knownTerm()
+    if (node.storeClient().isHealthy()) {
+      return report.token() <= node.election().knownLeaderTerm()
           && leaderAt != null
-          && node.time().now().isBefore(leaderAt.plus(longest));
+          && node.eventLoop().now().isBefore(leaderAt.plus(longest));
     }
     return keepsZone(report, leaderAt);
   }
@@ -232,7 +235,7 @@
    * to it, until their leases ended.
    */
   private boolean keepsZone(WorkerWire.Report report, Instant since) {
-    Instant now = node.time().now();
+    Instant now = node.eventLoop().now();
     if (since == null
         // A peer that reaches the store has a leader or will: this node alone is cut off.
         || node.membership().hearsOfStore()
@@ -246,7 +249,7 @@
       return false;
     }
     Settings.WorkerTimes workers = node.settings().workerTimes();
-    if (now.isBefore(since.plus(Election.longestKeepAlive(workers)))) {
+    if (now.isBefore(since.plus(Election.maxWorkerLeaseExtension(workers)))) {
       return true;
     }
     Duration round =
@@ -260,7 +263,7 @@
     Instant sent = rounds.get(report.machine());
     if (sent == null) {
       // Not all at the same time.
-      long spread = (long) (node.time().random().nextDouble() * ROUND.toMillis());
+      long spread = (long) (node.eventLoop().random().nextDouble() * ROUND.toMillis());
       sent = now.minusMillis(spread);
       rounds.put(report.machine(), sent);
     }
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -60,7 +60,7 @@
       return "unknown team";
     }
     Set<String> zones = new HashSet<>();
-    for (MachineType type : node.types()) {
+    for (MachineType type : node.machineTypes()) {
       if (spec.allowsType(type.name()) && spec.resourcesPerTask().fitsIn(type.capacity())) {
         type.zones().stream().filter(spec::allowsZone).forEach(zones::add);
       }
@@ -83,21 +83,21 @@
    * conditions, and an entry in the inbox tells the next leader.
    */
   void submit(JobSpec spec, Consumer<HttpResponse> answer) {
-    if (node.types().isEmpty() || !node.store().isHealthy()) {
+    if (node.machineTypes().isEmpty() || !node.storeClient().isHealthy()) {
       answer.accept(later("no leader"));
       return;
     }
-    if (!node.records().generations().isTrusted()
-        || node.store().generation().base() != 0
-            && (!node.records().copy().knowsEnds()
-                || node.records().copy().base() != node.store().generation().base())) {
+    if (!node.replicaManager().generations().isTrusted()
+        || node.storeClient().generation().base() != 0
+            && (!node.replicaManager().copy().knowsEnds()
+                || node.replicaManager().copy().base() != node.storeClient().generation().base())) {
       // A job that was over before the loss could not be told from a new one.
       answer.accept(later("the records are rebuilt"));
       return;
     }
     String never = neverRuns(spec);
     String id = spec.id();
-    if (node.records().copy().end(id) != null) {
+    if (node.replicaManager().copy().end(id) != null) {
       read(id, false, answer);
       return;
     }
@@ -109,7 +109,7 @@
       store(spec, JobWire.Status.PENDING, answer);
       return;
     }
-    if (!node.version().allowsChainedJobs()) {
+    if (!node.clusterVersion().allowsChainedJobs()) {
       answer.accept(later(NOT_UPGRADED));
       return;
     }
@@ -138,27 +138,27 @@
    */
   private void store(JobSpec spec, JobWire.Status status, Consumer<HttpResponse> answer) {
     String id = spec.id();
-    JsonNode record = RecordWire.job(spec, node.time().wallClock(), Job.State.ACTIVE);
+    JsonNode record = RecordWire.job(spec, node.eventLoop().wallClock(), Job.State.ACTIVE);
     JsonNode note = Json.object().put("by", node.settings().controllerName());
     byte[] body =
-        node.store()
+        node.storeClient()
             .transaction()
             .require(RecordKeys.JOB + id, 0)
             .require(RecordKeys.END + id, 0)
             .put(RecordKeys.JOB + id, record)
             .put(RecordKeys.INBOX + id, note)
             .bytes();
-    RecordReplica replica = node.records().copy();
-    node.store()
+    RecordReplica replica = node.replicaManager().copy();
+    node.storeClient()
         .changeForUser(
-            node.store().post("/multi", body),
+            node.storeClient().post("/multi", body),
             2,
             reply -> {
               if (reply.is(200)) {
                 log.debug("job {} accepted without a leader", id);
                 replica.put(RecordKeys.JOB + id, record, 0, true);
                 replica.put(RecordKeys.INBOX + id, note, 0, true);
-                node.records().acceptedHere(() -> submit(spec, again -> {}));
+                node.replicaManager().acceptedHere(() -> submit(spec, again -> {}));
                 answer.accept(new HttpResponse(201, JobWire.view(id, status)));
               } else if (reply.is(409)) {
                 read(id, false, answer);
@@ -170,18 +170,18 @@
 
   /** Answers from a fresh read of the store; a cancel gets an answer only when the job is over. */
   void read(String id, boolean cancel, Consumer<HttpResponse> answer) {
-    if (!node.records().generations().isTrusted()) {
+    if (!node.replicaManager().generations().isTrusted()) {
       answer.accept(later("the records are rebuilt"));
       return;
     }
-    Job.State ended = node.records().copy().end(id);
+    Job.State ended = node.replicaManager().copy().end(id);
     if (ended != null) {
       tellState(id, cancel, ended, answer);
       return;
     }
     // A job goes from its own key or its page to its final state in one transaction, so this order
     // misses none.
-    node.store()
+    node.storeClient()
         .readForUser(
             RecordKeys.JOB + id,
             read -> {
@@ -196,14 +196,14 @@
   }
 
   private void readAccepted(String id, boolean cancel, Consumer<HttpResponse> answer) {
-    node.accepted()
+    node.acceptedJobs()
         .refresh(
             fresh -> {
               if (!fresh) {
                 answer.accept(later("no leader"));
                 return;
               }
-              AcceptedJobIndex.Found found = node.accepted().find(id);
+              AcceptedJobIndex.Found found = node.acceptedJobs().find(id);
               if (found != null) {
                 tellAccepted(id, cancel, found, answer);
               } else {
@@ -213,13 +213,13 @@
   }
 
   private void readEnd(String id, Consumer<HttpResponse> answer) {
-    node.store()
+    node.storeClient()
         .readForUser(
             RecordKeys.END + id,
             end -> {
               if (!end.certain()) {
                 answer.accept(later("no leader"));
-              } else if (!end.found() && node.records().mayBeLost(id)) {
+              } else if (!end.found() && node.replicaManager().mayBeLost(id)) {
                 answer.accept(later("not certain yet"));
               } else if (!end.found()) {
                 answer.accept(error(404, "no such job"));
@@ -262,7 +262,7 @@
       String id, boolean cancel, Job.State state, Consumer<HttpResponse> answer) {
     JobWire.Status status = LeaderTerm.toStatus(state);
     if (status.isFinal()) {
-      node.learnFinal(id, status);
+      node.recordFinalState(id, status);
       answer.accept(ok(JobWire.view(id, status)));
     } else if (cancel) {
       answer.accept(later("no leader"));
@@ -274,7 +274,7 @@
   private void tellEnd(String id, StoreWire.Entry entry, Consumer<HttpResponse> answer) {
     try {
       JobWire.Status status = LeaderTerm.toStatus(RecordWire.parseEnd(entry.value()));
-      node.learnFinal(id, status);
+      node.recordFinalState(id, status);
       answer.accept(ok(JobWire.view(id, status)));
     } catch (MalformedMessageException e) {
       answer.accept(later("the stored job cannot be read"));
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -60,17 +60,17 @@
 
   /** What users, workers and the load balancer ask. */
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> onAnswer) {
-    if (node.version().isUnsupported()) {
+    if (node.clusterVersion().isUnsupported()) {
       onAnswer.accept(later("the records have a version that this controller does not support"));
       return;
     }
-    Instant begun = node.time().now();
+    Instant begun = node.eventLoop().now();
     Consumer<HttpResponse> answer =
         http -> {
           metrics.answered(
               Metrics.Operation.of(method, path),
               http.status(),
-              Duration.between(begun, node.time().now()));
+              Duration.between(begun, node.eventLoop().now()));
           onAnswer.accept(http);
         };
     String plain = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
@@ -136,8 +136,8 @@
   /** Serves a user's request here if this node leads, else by the leader, else as it can. */
   private void serve(
       String method, String path, byte[] body, Consumer<HttpResponse> answer, Runnable alone) {
-    LeaderTerm leader = node.actingLeader();
-    if (leader != null && (!isSubmission(path) || node.store().isHealthy())) {
+    LeaderTerm leader = node.leadingTerm();
+    if (leader != null && (!isSubmission(path) || node.storeClient().isHealthy())) {
       lead(leader, method, path, body, answer);
       return;
     }
@@ -152,11 +152,11 @@
   private void forward(
       String method, String path, byte[] body, Consumer<HttpResponse> answer, Runnable alone) {
     List<String> ways = new ArrayList<>();
-    RecordWire.LeaderRecord known = node.election().known();
+    RecordWire.LeaderRecord known = node.election().knownLeader();
     if (reachesLeader(known)) {
       ways.add(known.address());
     }
-    if (!node.store().isHealthy()) {
+    if (!node.storeClient().isHealthy()) {
       // Cut off from the store this node may know an old leader only; its peers may know better.
       for (String peer : node.membership().likely()) {
         if (!ways.contains(peer)) {
@@ -171,7 +171,7 @@
   private boolean reachesLeader(RecordWire.LeaderRecord known) {
     boolean other = known != null && !known.member().equals(node.settings().controllerName());
     boolean failed =
-        leaderFailedAt != null && leaderFailedAt.plusMillis(1000).isAfter(node.time().now());
+        leaderFailedAt != null && leaderFailedAt.plusMillis(1000).isAfter(node.eventLoop().now());
     return other && !failed && !node.membership().isUnreachable(known.member());
   }
 
@@ -186,7 +186,7 @@
       return;
     }
     String way = ways.get(from);
-    node.http()
+    node.httpClient()
         .call(
             Request.post(
                 way,
@@ -205,9 +205,9 @@
               } catch (MalformedMessageException e) {
                 log.warn("a peer's answer is malformed");
               }
-              RecordWire.LeaderRecord known = node.election().known();
+              RecordWire.LeaderRecord known = node.election().knownLeader();
               if (known != null && known.address().equals(way)) {
-                leaderFailedAt = node.time().now();
+                leaderFailedAt = node.eventLoop().now();
               }
               forwardTo(ways, from + 1, forward, answer, alone);
             });
@@ -222,7 +222,7 @@
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    RecordWire.LeaderRecord known = node.election().known();
+    RecordWire.LeaderRecord known = node.election().knownLeader();
     String name = known == null ? null : known.member();
     Consumer<HttpResponse> decided =
         http -> answer.accept(ok(PeerWire.write(new PeerWire.Answer(true, http, name))));
@@ -240,7 +240,7 @@
               }
             }
             : decided;
-    LeaderTerm leader = node.actingLeader();
+    LeaderTerm leader = node.leadingTerm();
     if (leader != null) {
       lead(leader, forward.method(), forward.path(), forward.body(), taken);
       return;
@@ -264,7 +264,7 @@
   /** Stores a submission on behalf of a peer that reaches neither a leader nor the store. */
   private void storeFor(byte[] body, Consumer<HttpResponse> answer) {
     try {
-      leaderless.submit(JobWire.parse(body), once(node.time(), answer, COMMIT_TIMEOUT));
+      leaderless.submit(JobWire.parse(body), once(node.eventLoop(), answer, COMMIT_TIMEOUT));
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
     }
@@ -284,13 +284,13 @@
     Consumer<HttpResponse> counted =
         http -> {
           if (http.status() < 500) {
-            leader.answered();
+            leader.onRequestAnswered();
           }
           answer.accept(http);
         };
     if (path.equals("/v1/jobs")) {
       try {
-        submitTo(leader, JobWire.parse(body), once(node.time(), counted, COMMIT_TIMEOUT));
+        submitTo(leader, JobWire.parse(body), once(node.eventLoop(), counted, COMMIT_TIMEOUT));
       } catch (MalformedMessageException e) {
         answer.accept(error(400, e.getMessage()));
       }
@@ -299,19 +299,19 @@
     String rest = path.substring("/v1/jobs/".length());
     if (method.equals("POST")) {
       String id = rest.substring(0, rest.length() - "/cancel".length());
-      if (!node.store().isHealthy()) {
+      if (!node.storeClient().isHealthy()) {
         answer.accept(later("the state service is not available"));
         return;
       }
-      Consumer<HttpResponse> bounded = once(node.time(), counted, COMMIT_TIMEOUT);
+      Consumer<HttpResponse> bounded = once(node.eventLoop(), counted, COMMIT_TIMEOUT);
       leader.cancel(id, view -> bounded.accept(toAnswer(id, view)));
     } else {
-      Consumer<HttpResponse> bounded = once(node.time(), counted, FORWARD_TIMEOUT);
-      leader.view(rest, view -> bounded.accept(toAnswer(rest, view)));
+      Consumer<HttpResponse> bounded = once(node.eventLoop(), counted, FORWARD_TIMEOUT);
+      leader.readStatus(rest, view -> bounded.accept(toAnswer(rest, view)));
     }
   }
 
-  private static HttpResponse toAnswer(String id, LeaderTerm.View view) {
+  private static HttpResponse toAnswer(String id, LeaderTerm.JobView view) {
     if (view == null) {
       return error(404, "no such job");
     }
@@ -339,16 +339,16 @@
       answer.accept(ok(JobWire.view(spec.id(), known)));
       return;
     }
-    if (!spec.prerequisites().isEmpty() && !node.version().allowsChainedJobs()) {
+    if (!spec.prerequisites().isEmpty() && !node.clusterVersion().allowsChainedJobs()) {
       // Handed on to a leader of the version before, it would be accepted without its
       // prerequisites.
       answer.accept(later(LeaderlessApi.NOT_UPGRADED));
       return;
     }
-    Instant begun = node.time().now();
+    Instant begun = node.eventLoop().now();
     Consumer<HttpResponse> logged =
         http -> {
-          Duration took = Duration.between(begun, node.time().now());
+          Duration took = Duration.between(begun, node.eventLoop().now());
           log.debug("submission of {}: {} after {}", spec.id(), http.status(), took);
           answer.accept(http);
         };
@@ -357,12 +357,12 @@
         "/v1/jobs",
         body,
         logged,
-        () -> leaderless.submit(spec, once(node.time(), logged, COMMIT_TIMEOUT)));
+        () -> leaderless.submit(spec, once(node.eventLoop(), logged, COMMIT_TIMEOUT)));
   }
 
   private void submitTo(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
-    if (!leader.knows(spec.id())) {
-      if (node.types().isEmpty()) {
+    if (!leader.knowsJob(spec.id())) {
+      if (node.machineTypes().isEmpty()) {
         answer.accept(later("the machine types are not known yet"));
         return;
       }
@@ -372,15 +372,15 @@
         return;
       }
     }
-    if (!node.store().isHealthy()) {
+    if (!node.storeClient().isHealthy()) {
       answer.accept(later("the state service is not available"));
       return;
     }
-    if (spec.prerequisites().isEmpty() || leader.knows(spec.id())) {
+    if (spec.prerequisites().isEmpty() || leader.knowsJob(spec.id())) {
       store(leader, spec, answer);
       return;
     }
-    if (!node.version().allowsChainedJobs()) {
+    if (!node.clusterVersion().allowsChainedJobs()) {
       answer.accept(later(LeaderlessApi.NOT_UPGRADED));
       return;
     }
@@ -398,7 +398,7 @@
   /** Refuses a job, unless it was accepted once: then it stays so, whatever is judged now. */
   private static void refuse(
       LeaderTerm leader, JobSpec spec, String reason, Consumer<HttpResponse> answer) {
-    leader.view(
+    leader.readStatus(
         spec.id(),
         view -> answer.accept(view == null ? error(422, reason) : toAnswer(spec.id(), view)));
   }
@@ -417,17 +417,17 @@
   }
 
   private void alone(String id, boolean cancel, Consumer<HttpResponse> answer) {
-    if (!node.store().isHealthy()) {
+    if (!node.storeClient().isHealthy()) {
       answer.accept(later("no leader"));
       return;
     }
-    leaderless.read(id, cancel, once(node.time(), answer, FORWARD_TIMEOUT));
+    leaderless.read(id, cancel, once(node.eventLoop(), answer, FORWARD_TIMEOUT));
   }
 
   // ---- readiness
 
   private boolean isRecent(Instant at) {
-    return at != null && at.plus(CONTACT).isAfter(node.time().now());
+    return at != null && at.plus(CONTACT).isAfter(node.eventLoop().now());
   }
 
   /**
@@ -436,8 +436,8 @@
    */
   private boolean isReady() {
     boolean now =
-        node.actingLeader() != null
-            || isRecent(node.store().answeredAt())
+        node.leadingTerm() != null
+            || isRecent(node.storeClient().answeredAt())
             || isRecent(node.membership().heardAnyAt());
     if (now != ready) {
       log.info("ready: {}", now);
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -223,7 +223,7 @@
     }
     Settings.WorkerTimes workers = cluster.settings.workerTimes();
     Duration kept =
-        Election.longestKeepAlive(workers).plus(workers.leaseDuration()).plus(silence());
+        Election.maxWorkerLeaseExtension(workers).plus(workers.leaseDuration()).plus(silence());
     Duration least = workers.leaseDuration().multipliedBy(2);
     return kept.compareTo(least) > 0 ? kept : least;
   }
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -26,17 +26,17 @@
   private static final Logger log = LoggerFactory.getLogger(Election.class);
 
   /** The clocks' worst drift against one another, with room for rounding. */
-  private static final double DRIFT = 0.002;
+  private static final double MAX_CLOCK_DRIFT_RATIO = 0.002;
 
   /** Looking for a leader is most urgent right after an outage, so the pauses stay short. */
-  private static final Duration FIRST_RETRY = Duration.ofMillis(250);
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(250);
 
-  private static final Duration MOST_RETRY = Duration.ofMillis(400);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(400);
 
   /** How long a node that makes way for others lets them stand first. */
-  private static final Duration YIELD = Duration.ofSeconds(3);
+  private static final Duration YIELD_DURATION = Duration.ofSeconds(3);
 
-  private static final Duration WATCH = Duration.ofSeconds(20);
+  private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
   /** Where a node stands. */
   public enum State {
@@ -56,42 +56,42 @@
 
   /** What the node does when its part changes. */
   public interface Listener {
-    void onElected(long term, long version);
+    void onElected(long term, long leaderKeyRevision);
 
     /** The state service knows the lease no more. */
-    void onLeaseGone();
+    void onLeaseNotFound();
 
     /** The lease turned out to hold after all. */
-    void onCertain();
+    void onLeaseConfirmed();
 
-    void onLost(String reason);
+    void onLeadershipLost(String reason);
 
-    void onLeaderKnown(LeaderRecord leader);
+    void onLeaderRead(LeaderRecord leader);
   }
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
-  private final Duration life;
-  private final LeaderRecord self;
-  private final BooleanSupplier mayStand;
+  private final Duration leaseDuration;
+  private final LeaderRecord ownRecord;
+  private final BooleanSupplier mayBecomeCandidate;
   private final Listener listener;
-  private final Duration keepAlive;
+  private final Duration maxWorkerLeaseExtension;
   private final Backoff retry;
   private State state = State.FOLLOWING;
-  private long lease;
+  private long leaseId;
   private long term;
 
   /** The revision of the leader's key, of which the term is made. */
-  private long version;
+  private long leaderKeyRevision;
 
-  private Instant leaseUntil = Instant.MIN;
+  private Instant leaseExpiresAt = Instant.MIN;
 
   /** The lease was given up, so another may hold one before it has run out. */
-  private boolean released;
+  private boolean leaseReleased;
 
-  private Instant standFrom = Instant.MIN;
-  private LeaderRecord known;
-  private long knownTerm;
+  private Instant candidateFrom = Instant.MIN;
+  private LeaderRecord knownLeader;
+  private long knownLeaderTerm;
 
   /** Changes with every new try, so that late replies of an older one are told apart. */
   private int round;
@@ -106,27 +106,29 @@
       EventLoop eventLoop,
       Settings settings,
       String nonce,
-      BooleanSupplier mayStand,
+      BooleanSupplier mayBecomeCandidate,
       Listener listener) {
-    this.mayStand = mayStand;
+    this.mayBecomeCandidate = mayBecomeCandidate;
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
-    this.self = new LeaderRecord(settings.controllerName(), settings.clusterAddress(), nonce);
+    this.ownRecord = new LeaderRecord(settings.controllerName(), settings.clusterAddress(), nonce);
     this.listener = listener;
-    this.retry = new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
-    this.life = lifeFor(settings.workerTimes().leaseDuration());
-    this.keepAlive = longestKeepAlive(settings.workerTimes());
+    this.retry = new Backoff(eventLoop, INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
+    this.leaseDuration = leaseDurationFor(settings.workerTimes().leaseDuration());
+    this.maxWorkerLeaseExtension = maxWorkerLeaseExtension(settings.workerTimes());
   }
 
   /**
    * A takeover after a crash costs the lease's life, and a worker must hear the new leader well
    * before its own lease ends; too short a life makes a busy node lose it by a pause.
    */
-  static Duration lifeFor(Duration workerLease) {
-    Duration part = workerLease.dividedBy(10);
-    Duration least = Duration.ofMillis(2500);
-    Duration most = Duration.ofMillis(4000);
-    return part.compareTo(least) < 0 ? least : part.compareTo(most) > 0 ? most : part;
+  static Duration leaseDurationFor(Duration workerLease) {
+    Duration tenth = workerLease.dividedBy(10);
+    Duration shortest = Duration.ofMillis(2500);
+    Duration longest = Duration.ofMillis(4000);
+    return tenth.compareTo(shortest) < 0
+        ? shortest
+        : tenth.compareTo(longest) > 0 ? longest : tenth;
   }
 
   private void moveTo(State next) {
@@ -145,16 +147,16 @@
   }
 
   /** The leader as last heard of, perhaps this node itself, or null. */
-  public LeaderRecord known() {
-    return known;
+  public LeaderRecord knownLeader() {
+    return knownLeader;
   }
 
   /** Whether this node may act: asked before every effect, as any pause may have come before it. */
-  public boolean isValid() {
+  public boolean isLeaseValid() {
     if (state != State.LEADING) {
       return false;
     }
-    if (eventLoop.now().isBefore(leaseUntil)) {
+    if (eventLoop.now().isBefore(leaseExpiresAt)) {
       return true;
     }
     moveTo(State.IN_DOUBT);
@@ -165,27 +167,29 @@
    * How long workers' leases may be prolonged by a node that cannot give orders: what a user
    * cancels meanwhile must still end in time by the end of the lease.
    */
-  public static Duration longestKeepAlive(Settings.WorkerTimes workers) {
-    Duration longest = workers.cancellationBound().minus(workers.leaseDuration()).minusSeconds(4);
+  public static Duration maxWorkerLeaseExtension(Settings.WorkerTimes workerTimes) {
+    Duration longest =
+        workerTimes.cancellationBound().minus(workerTimes.leaseDuration()).minusSeconds(4);
     return longest.isNegative() ? Duration.ZERO : longest;
   }
 
   /** Until when this node was last certain to hold the term. */
-  public Instant certainUntil() {
-    return leaseUntil;
+  public Instant leaseExpiresAt() {
+    return leaseExpiresAt;
   }
 
   /** Whether this node leads, or its doubt is young enough to go on answering reports. */
-  public boolean mayKeepAlive() {
-    return isValid() || (holdsTerm() && eventLoop.now().isBefore(leaseUntil.plus(keepAlive)));
+  public boolean mayExtendWorkerLeases() {
+    return isLeaseValid()
+        || (holdsTerm() && eventLoop.now().isBefore(leaseExpiresAt.plus(maxWorkerLeaseExtension)));
   }
 
   /**
    * Whether no other can have been elected yet, as far as the lease goes that this node holds or
    * that it found gone too soon.
    */
-  public boolean leaseHolds() {
-    return !released && eventLoop.now().isBefore(leaseUntil);
+  public boolean excludesOtherLeader() {
+    return !leaseReleased && eventLoop.now().isBefore(leaseExpiresAt);
   }
 
   /** Whether this node holds the term, certain or in doubt. */
@@ -194,50 +198,50 @@
   }
 
   public void start() {
-    look(++round);
+    readLeader(++round);
   }
 
-  private void look(int of) {
-    if (of != round || holdsTerm()) {
+  private void readLeader(int expectedRound) {
+    if (expectedRound != round || holdsTerm()) {
       return;
     }
     storeClient.urgentRead(
         RecordKeys.LEADER,
         (read, reply) -> {
-          if (of != round) {
+          if (expectedRound != round) {
             return;
           }
           try {
             if (read.found()) {
               StoreWire.Entry entry = read.entry();
-              learn(entry);
-              long left = StoreWire.parseAttached(reply.body());
-              if (isOfBefore(known) && left != 0) {
-                endLeaseOfBefore(of, left);
+              setKnownLeader(entry);
+              long leaderLeaseId = StoreWire.parseAttached(reply.body());
+              if (isPreviousProcess(knownLeader) && leaderLeaseId != 0) {
+                releasePreviousLease(expectedRound, leaderLeaseId);
                 return;
               }
-              watch(of, entry.version());
+              watchLeader(expectedRound, entry.version());
               return;
             }
             if (read.certain()) {
-              learn(null);
-              if (!mayStand.getAsBoolean() || eventLoop.now().isBefore(standFrom)) {
-                eventLoop.schedule(retry.pause(), () -> look(of));
+              setKnownLeader(null);
+              if (!mayBecomeCandidate.getAsBoolean() || eventLoop.now().isBefore(candidateFrom)) {
+                eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
               } else {
-                stand(of);
+                acquireLease(expectedRound);
               }
               return;
             }
           } catch (MalformedMessageException e) {
             log.warn("the store's answer on the leader is malformed");
           }
-          eventLoop.schedule(retry.pause(), () -> look(of));
+          eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
         });
   }
 
   /** Whether the leader is this controller's process of before, which ended without a word. */
-  private boolean isOfBefore(LeaderRecord leader) {
-    return leader.member().equals(self.member()) && !leader.nonce().equals(self.nonce());
+  private boolean isPreviousProcess(LeaderRecord leader) {
+    return leader.member().equals(ownRecord.member()) && !leader.nonce().equals(ownRecord.nonce());
   }
 
   /**
@@ -246,109 +250,114 @@
    * leases lack then. Two processes of one controller cannot run at once, since they have the same
    * addresses; were it so, the older one's transactions and orders would be refused all the same.
    */
-  private void endLeaseOfBefore(int of, long left) {
-    log.info("the lease {} of this controller's process before is ended", left);
+  private void releasePreviousLease(int expectedRound, long previousLeaseId) {
+    log.info("the lease {} of this controller's process before is ended", previousLeaseId);
     storeClient.urgent(
-        storeClient.delete("/holds/" + left),
+        storeClient.delete("/holds/" + previousLeaseId),
         reply -> {
-          if (of == round) {
-            eventLoop.schedule(reply.isAnswered() ? Duration.ZERO : retry.pause(), () -> look(of));
+          if (expectedRound == round) {
+            eventLoop.schedule(
+                reply.isAnswered() ? Duration.ZERO : retry.pause(),
+                () -> readLeader(expectedRound));
           }
         });
   }
 
-  private void learn(StoreWire.Entry entry) throws MalformedMessageException {
-    known = entry == null ? null : RecordWire.parseLeader(entry.value());
-    knownTerm = entry == null ? 0 : storeClient.generation().token(entry.version());
-    listener.onLeaderKnown(known);
+  private void setKnownLeader(StoreWire.Entry entry) throws MalformedMessageException {
+    knownLeader = entry == null ? null : RecordWire.parseLeader(entry.value());
+    knownLeaderTerm = entry == null ? 0 : storeClient.generation().token(entry.version());
+    listener.onLeaderRead(knownLeader);
   }
 
-  private void watch(int of, long after) {
+  private void watchLeader(int expectedRound, long afterRevision) {
     storeClient.watch(
         RecordKeys.LEADER_PREFIX,
-        after,
-        WATCH,
-        followed -> {
-          if (of != round) {
+        afterRevision,
+        WATCH_TIMEOUT,
+        watched -> {
+          if (expectedRound != round) {
             return;
           }
-          if (followed.changes() == null) {
-            eventLoop.schedule(retry.pause(), () -> look(of));
+          if (watched.changes() == null) {
+            eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
             return;
           }
-          look(of);
+          readLeader(expectedRound);
         });
   }
 
-  private void stand(int of) {
+  private void acquireLease(int expectedRound) {
     moveTo(State.CANDIDATE);
-    Instant sent = eventLoop.now();
+    Instant sentAt = eventLoop.now();
     storeClient.urgent(
-        storeClient.post("/holds", StoreWire.lease(life)),
+        storeClient.post("/holds", StoreWire.lease(leaseDuration)),
         reply -> {
-          if (of != round) {
+          if (expectedRound != round) {
             return;
           }
           try {
             if (reply.is(200)) {
-              lease = StoreWire.parseLease(reply.body());
-              claim(of, sent, false);
+              leaseId = StoreWire.parseLease(reply.body());
+              claimLeaderKey(expectedRound, sentAt, false);
               return;
             }
           } catch (MalformedMessageException e) {
             log.warn("the store's answer on a lease is malformed");
           }
           moveTo(State.FOLLOWING);
-          eventLoop.schedule(retry.pause(), () -> look(of));
+          eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
         });
   }
 
-  private void claim(int of, Instant leaseSent, boolean again) {
+  private void claimLeaderKey(int expectedRound, Instant leaseSentAt, boolean repeated) {
     byte[] body =
         storeClient
             .transaction()
             .require(RecordKeys.LEADER, 0)
-            .put(RecordKeys.LEADER, RecordWire.leader(self), lease)
+            .put(RecordKeys.LEADER, RecordWire.leader(ownRecord), leaseId)
             .bytes();
-    long seen = storeClient.seen();
+    long revisionBefore = storeClient.seen();
     storeClient.urgent(
-        storeClient.post("/multi", body), reply -> onClaim(of, leaseSent, again, seen, reply));
+        storeClient.post("/multi", body),
+        reply -> onClaimReply(expectedRound, leaseSentAt, repeated, revisionBefore, reply));
   }
 
-  private void onClaim(int of, Instant leaseSent, boolean again, long seen, Reply reply) {
-    if (of != round) {
+  private void onClaimReply(
+      int expectedRound, Instant leaseSentAt, boolean repeated, long revisionBefore, Reply reply) {
+    if (expectedRound != round) {
       return;
     }
     try {
       if (reply.is(200)) {
         long revision = StoreWire.parseRevision(reply.body());
-        if (storeClient.isAhead(seen, revision)) {
-          elected(revision, leaseSent);
+        if (storeClient.isAhead(revisionBefore, revision)) {
+          becomeLeader(revision, leaseSentAt);
         } else {
-          giveUp(of);
+          abandonCandidacy(expectedRound);
         }
         return;
       }
     } catch (MalformedMessageException e) {
       log.warn("the store's answer on the claim is malformed");
     }
-    if (reply.is(409) && again) {
+    if (reply.is(409) && repeated) {
       // The first copy, which got no reply, may be what stands there.
       storeClient.urgentRead(
-          RecordKeys.LEADER, (read, same) -> onOwnClaimRead(of, leaseSent, read, same));
+          RecordKeys.LEADER,
+          (read, same) -> onLeaderReadAfterClaim(expectedRound, leaseSentAt, read, same));
       return;
     }
-    boolean unknown = reply.outcome() == Outcome.UNKNOWN;
-    if (unknown && eventLoop.now().isBefore(leaseSent.plus(life))) {
-      eventLoop.schedule(retry.pause(), () -> claimAgain(of, leaseSent));
+    boolean outcomeUnknown = reply.outcome() == Outcome.UNKNOWN;
+    if (outcomeUnknown && eventLoop.now().isBefore(leaseSentAt.plus(leaseDuration))) {
+      eventLoop.schedule(retry.pause(), () -> retryClaim(expectedRound, leaseSentAt));
       return;
     }
-    giveUp(of);
+    abandonCandidacy(expectedRound);
   }
 
-  private void claimAgain(int of, Instant leaseSent) {
-    if (of == round) {
-      claim(of, leaseSent, true);
+  private void retryClaim(int expectedRound, Instant leaseSentAt) {
+    if (expectedRound == round) {
+      claimLeaderKey(expectedRound, leaseSentAt, true);
     }
   }
 
@@ -357,78 +366,82 @@
    * goes with that round's lease, and this node would take itself for the leader for as long as it
    * renews the other one.
    */
-  private void onOwnClaimRead(int of, Instant leaseSent, StoreClient.Read read, Reply reply) {
-    if (of != round) {
+  private void onLeaderReadAfterClaim(
+      int expectedRound, Instant leaseSentAt, StoreClient.Read read, Reply reply) {
+    if (expectedRound != round) {
       return;
     }
     try {
       if (read.found()) {
         StoreWire.Entry entry = read.entry();
-        if (RecordWire.parseLeader(entry.value()).equals(self)
-            && StoreWire.parseAttached(reply.body()) == lease) {
-          elected(entry.version(), leaseSent);
+        if (RecordWire.parseLeader(entry.value()).equals(ownRecord)
+            && StoreWire.parseAttached(reply.body()) == leaseId) {
+          becomeLeader(entry.version(), leaseSentAt);
           return;
         }
       }
     } catch (MalformedMessageException e) {
       log.warn("the leader's record is malformed");
     }
-    giveUp(of);
+    abandonCandidacy(expectedRound);
   }
 
-  private void giveUp(int of) {
+  private void abandonCandidacy(int expectedRound) {
     // A late copy of the claim finds no lease and does nothing.
-    storeClient.urgent(storeClient.delete("/holds/" + lease), reply -> {});
+    storeClient.urgent(storeClient.delete("/holds/" + leaseId), reply -> {});
     moveTo(State.FOLLOWING);
-    eventLoop.schedule(retry.pause(), () -> look(of));
+    eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
   }
 
-  private void elected(long newVersion, Instant leaseSent) {
-    version = newVersion;
-    term = storeClient.generation().token(newVersion);
-    known = self;
-    knownTerm = term;
-    released = false;
-    extend(leaseSent);
-    int of = ++round;
+  private void becomeLeader(long revision, Instant leaseSentAt) {
+    leaderKeyRevision = revision;
+    term = storeClient.generation().token(revision);
+    knownLeader = ownRecord;
+    knownLeaderTerm = term;
+    leaseReleased = false;
+    extendLease(leaseSentAt);
+    int newRound = ++round;
     moveTo(State.LEADING);
-    listener.onLeaderKnown(self);
-    listener.onElected(term, version);
-    eventLoop.schedule(life.dividedBy(4), () -> renew(of));
+    listener.onLeaderRead(ownRecord);
+    listener.onElected(term, leaderKeyRevision);
+    eventLoop.schedule(leaseDuration.dividedBy(4), () -> renewLease(newRound));
   }
 
-  private void extend(Instant sent) {
-    long nanos = life.toNanos();
-    leaseUntil = sent.plusNanos(nanos - (long) (nanos * DRIFT)).minusMillis(20);
+  private void extendLease(Instant sentAt) {
+    long nanos = leaseDuration.toNanos();
+    leaseExpiresAt =
+        sentAt.plusNanos(nanos - (long) (nanos * MAX_CLOCK_DRIFT_RATIO)).minusMillis(20);
   }
 
-  private void renew(int of) {
-    if (of != round || !holdsTerm()) {
+  private void renewLease(int expectedRound) {
+    if (expectedRound != round || !holdsTerm()) {
       return;
     }
-    isValid();
-    Instant sent = eventLoop.now();
+    isLeaseValid();
+    Instant sentAt = eventLoop.now();
     storeClient.urgent(
-        storeClient.post("/holds/" + lease + "/touch", StoreWire.lease(life)),
+        storeClient.post("/holds/" + leaseId + "/touch", StoreWire.lease(leaseDuration)),
         reply -> {
-          if (of != round || !holdsTerm()) {
+          if (expectedRound != round || !holdsTerm()) {
             return;
           }
           if (reply.is(404)) {
-            listener.onLeaseGone();
-            end("the lease has ended", false);
+            listener.onLeaseNotFound();
+            endTerm("the lease has ended", false);
             return;
           }
-          boolean good = reply.is(200);
-          if (good) {
+          boolean renewed = reply.is(200);
+          if (renewed) {
             retry.reset();
             if (state == State.IN_DOUBT) {
-              makeSure(of, sent);
+              confirmLeaderKey(expectedRound, sentAt);
             } else {
-              extend(sent);
+              extendLease(sentAt);
             }
           }
-          eventLoop.schedule(good ? life.dividedBy(4) : retry.pause(), () -> renew(of));
+          eventLoop.schedule(
+              renewed ? leaseDuration.dividedBy(4) : retry.pause(),
+              () -> renewLease(expectedRound));
         });
   }
 
@@ -436,64 +449,64 @@
    * The lease was renewed after it had run out here. Where data was lost meanwhile, leases are
    * numbered anew and it may be another's; so the leader's key tells.
    */
-  private void makeSure(int of, Instant sent) {
+  private void confirmLeaderKey(int expectedRound, Instant sentAt) {
     storeClient.urgentRead(
         RecordKeys.LEADER,
         (read, reply) -> {
-          if (of != round || state != State.IN_DOUBT || !read.certain()) {
+          if (expectedRound != round || state != State.IN_DOUBT || !read.certain()) {
             return;
           }
-          if (!read.found() || read.entry().version() != version) {
-            end("the leader's key is another's or gone", false);
+          if (!read.found() || read.entry().version() != leaderKeyRevision) {
+            endTerm("the leader's key is another's or gone", false);
             return;
           }
-          extend(sent);
+          extendLease(sentAt);
           moveTo(State.LEADING);
-          if (isValid()) {
-            listener.onCertain();
+          if (isLeaseValid()) {
+            listener.onLeaseConfirmed();
           }
         });
   }
 
   /** Gives the term up: it is over, or this node cannot go on. */
-  public void lose(String reason) {
-    end(reason, true);
+  public void stepDown(String reason) {
+    endTerm(reason, true);
   }
 
   /** Ends the term; a lease that may be another's by now is left alone. */
-  private void end(String reason, boolean release) {
+  private void endTerm(String reason, boolean releaseLease) {
     if (!holdsTerm()) {
       return;
     }
     log.warn("term {} is over: {}", term, reason);
-    int of = ++round;
-    known = null;
+    int newRound = ++round;
+    knownLeader = null;
     moveTo(State.FOLLOWING);
-    released = release;
-    if (release) {
-      storeClient.urgent(storeClient.delete("/holds/" + lease), reply -> {});
+    leaseReleased = releaseLease;
+    if (releaseLease) {
+      storeClient.urgent(storeClient.delete("/holds/" + leaseId), reply -> {});
     }
-    listener.onLost(reason);
-    eventLoop.schedule(retry.pause(), () -> look(of));
+    listener.onLeadershipLost(reason);
+    eventLoop.schedule(retry.pause(), () -> readLeader(newRound));
   }
 
   /** Gives the term up in favour of any other node that stands within a while. */
-  public void yield(String reason) {
-    standFrom = eventLoop.now().plus(YIELD);
-    lose(reason);
+  public void yieldLeadership(String reason) {
+    candidateFrom = eventLoop.now().plus(YIELD_DURATION);
+    stepDown(reason);
   }
 
   /** The term of the leader that is known, to tell newer news from older; 0 when none is. */
-  public long knownTerm() {
-    return knownTerm;
+  public long knownLeaderTerm() {
+    return knownLeaderTerm;
   }
 
   /** Takes no part until it is started again: nobody leads while records are rebuilt. */
   public void pause() {
-    end("the records are rebuilt", false);
+    endTerm("the records are rebuilt", false);
     round++;
-    known = null;
-    knownTerm = 0;
+    knownLeader = null;
+    knownLeaderTerm = 0;
     moveTo(State.FOLLOWING);
   }
 }
--- a/src/main/java/io/pineladder/upgrade/ClusterVersion.java
+++ b/src/main/java/io/pineladder/upgrade/ClusterVersion.java
@@ -66,7 +66,7 @@
   }
 
   /** A version is recorded as in force. */
-  public void raise(int version) {
+  public void raiseTo(int version) {
     if (version > inForce) {
       log.info("cluster version {} is in force (was {})", version, inForce);
       inForce = version;
@@ -78,9 +78,9 @@
   }
 
   /** Takes in the record that names the version in force. */
-  public void learn(JsonNode record) {
+  public void onRecord(JsonNode record) {
     try {
-      raise(RecordWire.parseVersion(record));
+      raiseTo(RecordWire.parseVersion(record));
     } catch (MalformedMessageException e) {
       log.error("the record of the cluster version cannot be read: {}", e.getMessage());
     }
--- a/src/main/java/io/pineladder/upgrade/VersionRaiser.java
+++ b/src/main/java/io/pineladder/upgrade/VersionRaiser.java
@@ -17,13 +17,13 @@
  * older leader writes it late.
  */
 public final class VersionRaiser {
-  private static final Duration REVIEW = Duration.ofMillis(500);
+  private static final Duration REVIEW_INTERVAL = Duration.ofMillis(500);
 
-  private final ClusterVersion version;
+  private final ClusterVersion clusterVersion;
   private final Supplier<List<Membership.View>> peers;
   private final EventLoop eventLoop;
-  private final Consumer<Mutation> commit;
-  private final BooleanSupplier leading;
+  private final Consumer<Mutation> transactions;
+  private final BooleanSupplier isLeading;
   private final Runnable onRaised;
 
   /**
@@ -32,17 +32,17 @@
    * @param onRaised called when the record is stored
    */
   public VersionRaiser(
-      ClusterVersion version,
+      ClusterVersion clusterVersion,
       Supplier<List<Membership.View>> peers,
       EventLoop eventLoop,
-      Consumer<Mutation> commit,
-      BooleanSupplier leading,
+      Consumer<Mutation> transactions,
+      BooleanSupplier isLeading,
       Runnable onRaised) {
-    this.version = version;
+    this.clusterVersion = clusterVersion;
     this.peers = peers;
     this.eventLoop = eventLoop;
-    this.commit = commit;
-    this.leading = leading;
+    this.transactions = transactions;
+    this.isLeading = isLeading;
     this.onRaised = onRaised;
   }
 
@@ -51,28 +51,28 @@
    * over.
    */
   public void review() {
-    if (!leading.getAsBoolean() || version.inForce() >= version.supported()) {
+    if (!isLeading.getAsBoolean() || clusterVersion.inForce() >= clusterVersion.supported()) {
       return;
     }
-    if (!allSupportIt()) {
-      eventLoop.schedule(REVIEW, this::review);
+    if (!isSupportedByAllPeers()) {
+      eventLoop.schedule(REVIEW_INTERVAL, this::review);
       return;
     }
-    commit.accept(
+    transactions.accept(
         Mutation.of(
             Mutation.Priority.ACCEPT,
             List.of(
                 new Mutation.Write(
-                    RecordKeys.VERSION, () -> RecordWire.version(version.supported()))),
-            this::raised));
+                    RecordKeys.VERSION, () -> RecordWire.version(clusterVersion.supported()))),
+            this::onStored));
   }
 
-  private boolean allSupportIt() {
-    return peers.get().stream().allMatch(peer -> peer.version() >= version.supported());
+  private boolean isSupportedByAllPeers() {
+    return peers.get().stream().allMatch(peer -> peer.version() >= clusterVersion.supported());
   }
 
-  private void raised() {
-    version.raise(version.supported());
+  private void onStored() {
+    clusterVersion.raiseTo(clusterVersion.supported());
     onRaised.run();
   }
 }
--- a/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -28,7 +28,7 @@
   }
 
   private CompletedFailover latestTakeover() {
-    return controllers.get(leader()).node.takeovers().latest().get(0);
+    return controllers.get(leader()).node.failoverTimings().latest().get(0);
   }
 
   private void assertWithin(CompletedFailover taken, Phase phase, Duration most) {
--- a/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
+++ b/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
@@ -90,23 +90,23 @@
               }
 
               @Override
-              public void onLeaseGone() {}
+              public void onLeaseNotFound() {}
 
               @Override
-              public void onCertain() {}
+              public void onLeaseConfirmed() {}
 
               @Override
-              public void onLost(String reason) {}
+              public void onLeadershipLost(String reason) {}
 
               @Override
-              public void onLeaderKnown(LeaderRecord leader) {}
+              public void onLeaderRead(LeaderRecord leader) {}
             });
     election.start();
     world.runFor(Duration.ofMillis(1_800));
     assertTrue(claims.size() >= 4, "the round in question was reached");
     assertFalse(election.holdsTerm(), "the key goes with another round's lease");
     world.runFor(Duration.ofSeconds(12));
-    assertTrue(election.isValid(), "elected once that lease is over");
+    assertTrue(election.isLeaseValid(), "elected once that lease is over");
     assertEquals(1, terms.size());
     assertTrue(store.value("lead/holder") != null, "and its key stands");
   }
--- a/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
@@ -43,7 +43,8 @@
   }
 
   private boolean any(State state) {
-    return controllers.stream().anyMatch(c -> c.node.records().generations().state() == state);
+    return controllers.stream()
+        .anyMatch(c -> c.node.replicaManager().generations().state() == state);
   }
 
   private void loseAll(int cost) {
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -143,7 +143,7 @@
                 .replace("cancel_s = 40.0", "cancel_s = 4.0"));
     assertEquals(4, settings.zones().size());
     assertTrue(settings.objectives().isEmpty());
-    assertEquals(Duration.ZERO, Election.longestKeepAlive(settings.workerTimes()));
+    assertEquals(Duration.ZERO, Election.maxWorkerLeaseExtension(settings.workerTimes()));
   }
 
   @Test
