--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -219,19 +219,19 @@
             eventLoop,
             term,
             operator,
-            new Scheduler.Effects() {
+            new Scheduler.Callbacks() {
               @Override
               public boolean mayAct() {
                 return LeaderTerm.this.mayAct();
               }
 
               @Override
-              public void ordersDue(Machine machine) {
+              public void onCommandsDue(Machine machine) {
                 LeaderTerm.this.ordersDue(machine);
               }
 
               @Override
-              public boolean mayStart() {
+              public boolean mayStartTasks() {
                 return !taskStartsHeld && LeaderTerm.this.mayAct();
               }
 
@@ -246,17 +246,17 @@
               }
 
               @Override
-              public void onCancellationDerived(Job job) {
+              public void onCancelledByDependency(Job job) {
                 host.onFinal(job.spec.id(), JobWire.Status.CANCELLED);
               }
 
               @Override
-              public Job.State knownEnd(String job) {
+              public Job.State knownFinalState(String job) {
                 return finalState(job);
               }
 
               @Override
-              public void lookUp(String job) {
+              public void lookUpJob(String job) {
                 prerequisites().lookUp(job);
               }
             });
@@ -291,7 +291,7 @@
               }
             },
             outbox);
-    scheduler.useRecords(records);
+    scheduler.setRecords(records);
     this.loader =
         new TermLoader(
             storeClient, eventLoop, cluster, committer, records, outbox, new LoadEvents());
@@ -504,7 +504,7 @@
     host.onFinal(
         job.spec.id(),
         job.state() == Job.State.DONE ? JobWire.Status.DONE : JobWire.Status.CANCELLED);
-    scheduler.onEndStored(job);
+    scheduler.onFinalStateStored(job);
   }
 
   void close() {
@@ -516,18 +516,18 @@
 
   /** The lease was in doubt and holds after all. */
   void onLeaseConfirmed() {
-    scheduler.kick();
+    scheduler.requestRun();
     subscriptions.kick();
   }
 
   void configure(OperatorSettings operator) {
-    scheduler.queue().configure(operator);
+    scheduler.queue().updateSettings(operator);
     autoscaler.configure(operator);
   }
 
   void onMachineTypes(List<MachineType> types) {
     cluster.setTypes(types);
-    scheduler.kick();
+    scheduler.requestRun();
   }
 
   /** Stores the machine types, so that a cloud outage does not stop submissions. */
@@ -668,7 +668,7 @@
     if (mayAct() && autoscaler.isAllHeard()) {
       taskStartsHeld = false;
       log.info("all machines were heard; tasks are started again");
-      scheduler.kick();
+      scheduler.requestRun();
       return;
     }
     eventLoop.schedule(AUDIT_INTERVAL, this::reviewHold);
@@ -738,7 +738,7 @@
     if (subscriptions.isOn() || outbox.isWanted()) {
       loader.loadBacklog(() -> state == State.LEADING, subscriptions::start);
     }
-    scheduler.kick();
+    scheduler.requestRun();
   }
 
   public static JobWire.Status toStatus(Job.State state) {
@@ -769,7 +769,7 @@
     if (job.cancelledByDependency || (!job.isActive() && job.finalStateStored)) {
       return new JobView(toStatus(job.state()), job.done.cardinality(), 0);
     }
-    int running = Scheduler.running(job);
+    int running = Scheduler.countRunning(job);
     return new JobView(
         running > 0 ? JobWire.Status.RUNNING : JobWire.Status.PENDING,
         job.done.cardinality(),
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -208,8 +208,10 @@
             .put("term", leader.term())
             .put("jobs", leader.cluster().jobs.size())
             .put("waiting_writes", leader.pendingWrites())
-            .put("jobs_at_fault", leader.scheduler().failures().jobsAtFault())
-            .put("machines_under_suspicion", leader.scheduler().failures().suspects());
+            .put("jobs_at_fault", leader.scheduler().faultAttribution().countFailingJobs())
+            .put(
+                "machines_under_suspicion",
+                leader.scheduler().faultAttribution().countQuarantinedMachines());
     ObjectNode places = out.putObject("entries");
     leader
         .scheduler()
@@ -219,13 +221,13 @@
     ObjectNode parked = out.putObject("parked");
     JobDependencies dependencies = leader.scheduler().dependencies();
     out.putObject("chains")
-        .put("waiting", dependencies.waiting())
-        .put("longest", dependencies.longestChain())
+        .put("waiting", dependencies.countWaitingJobs())
+        .put("longest", dependencies.longestChainLength())
         .put("least_slack_s", leader.minChainSlackSeconds());
     leader
         .scheduler()
         .queue()
-        .parked()
+        .unschedulableByCheck()
         .forEach((check, size) -> parked.put(check.name().toLowerCase(Locale.ROOT), size));
     return out;
   }
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -150,8 +150,8 @@
       cluster.spotRisk.observe(spotUp(), now);
       silence.review(now).forEach(this::release);
       silence.findRelayed(now);
-      scheduler.failures().review(now);
-      scheduler.review(now);
+      scheduler.faultAttribution().reviewRunningJobs(now);
+      scheduler.retryUnschedulable(now);
       retire(now);
       sendReleases();
       renting.rent(now);
@@ -232,7 +232,7 @@
       log.info("{} machines are no longer listed", missing.size());
       for (Machine machine : missing) {
         if (machine.spot && machine.reclaimAt == null) {
-          cluster.spotRisk.lost();
+          cluster.spotRisk.recordReclaim();
         }
         release(machine);
       }
@@ -339,12 +339,12 @@
       return;
     }
     machine.transitionTo(Machine.State.GONE);
-    scheduler.failures().forget(machine);
+    scheduler.faultAttribution().forget(machine);
     boots.forget(machine);
     List<Attempt> lost = List.copyOf(machine.attempts.values());
     records.machineGone(lost);
     for (Attempt attempt : lost) {
-      scheduler.gone(attempt, "the machine was returned");
+      scheduler.onAttemptGone(attempt, "the machine was returned");
     }
   }
 
@@ -412,7 +412,7 @@
       return false;
     }
     machine.drainingSince = machine.drainingSince == null ? now : machine.drainingSince;
-    return machine.drainingSince.plus(Scheduler.MOST_WITHHELD).isBefore(now);
+    return machine.drainingSince.plus(Scheduler.MAX_POLICY_DELAY).isBefore(now);
   }
 
   /**
@@ -435,7 +435,7 @@
     }
     machine.draining = true;
     cluster.updateIndexes(machine);
-    List.copyOf(machine.attempts.values()).forEach(scheduler::displace);
+    List.copyOf(machine.attempts.values()).forEach(scheduler::preempt);
   }
 
   /**
--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -231,7 +231,7 @@
   }
 
   private boolean canWait(Job job) {
-    return arraysWait && cluster.canWait(job);
+    return arraysWait && cluster.canWaitForCapacity(job);
   }
 
   // ---- what waits
@@ -240,7 +240,7 @@
   private List<Waiting> waiting(Scheduler scheduler) {
     Map<String, Resources> planned = new HashMap<>();
     List<Waiting> waiting = new ArrayList<>();
-    for (QueueEntry entry : scheduler.waiting()) {
+    for (QueueEntry entry : scheduler.pendingEntries()) {
       Job job = entry.job;
       JobSpec spec = job.spec;
       boolean lacksRoom =
@@ -266,7 +266,7 @@
       }
       planned.merge(spec.team(), spec.resourcesPerTask().times(count), Resources::plus);
       if (count > 0) {
-        Instant due = job.acceptedAt.plus(cluster.latenessAllowance(job, today));
+        Instant due = job.acceptedAt.plus(cluster.startAllowance(job, today));
         waiting.add(new Waiting(job, count, due));
       }
     }
@@ -334,7 +334,7 @@
     JobSpec spec = waiting.job.spec;
     Duration ready = cluster.soonestStartElsewhere(spec);
     // For an objective that is missed soon after another machine is ready it is too late to rent.
-    Duration allowance = cluster.latenessAllowance(waiting.job, today.plus(ready.multipliedBy(2)));
+    Duration allowance = cluster.startAllowance(waiting.job, today.plus(ready.multipliedBy(2)));
     Duration slack = Duration.between(today, waiting.job.acceptedAt.plus(allowance));
     double run = seconds(spec.estimatedRunTime());
     // What is late for all of them must not wait for ever.
--- a/src/main/java/io/pineladder/autoscaling/ScaleOut.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleOut.java
@@ -152,13 +152,13 @@
     Duration ready = type.bootTime().plus(type.fetchTime(spec.imageGb()));
     boolean patient =
         job.priorityClass() != PriorityClass.PRODUCTION
-            && cluster.slack(job, eventLoop.wallClock()).compareTo(ready) > 0;
+            && cluster.startSlack(job, eventLoop.wallClock()).compareTo(ready) > 0;
     if (spec.spotAllowed()) {
       (patient ? patientSpot : tightSpot).add(worth, now);
     } else {
       (patient ? patientOrdinary : tightOrdinary).add(worth, now);
     }
-    if (cluster.canWait(job)) {
+    if (cluster.canWaitForCapacity(job)) {
       double work = worth * spec.estimatedRunTime().toMillis() / 1000.0;
       arrivals
           .computeIfAbsent(job.priorityClass(), r -> new ArrivalForecast(LONG_MEMORY))
@@ -339,7 +339,7 @@
       if (lacking > 0 || unmet > 0) {
         machine.retiring = false;
         cluster.updateIndexes(machine);
-        scheduler.machineReady(machine);
+        scheduler.onMachineReady(machine);
         unmet -= machine.type.onDemandPrice() * free(machine);
         lacking -= machine.type.onDemandPrice();
       }
@@ -417,7 +417,7 @@
         log.debug("machine {} is emptied: {} lost for {} s", machine, lost, longest);
         room -= worth;
         machine.draining = true;
-        List.copyOf(machine.attempts.values()).forEach(scheduler::displace);
+        List.copyOf(machine.attempts.values()).forEach(scheduler::preempt);
       }
     }
   }
--- a/src/main/java/io/pineladder/model/Resources.java
+++ b/src/main/java/io/pineladder/model/Resources.java
@@ -24,26 +24,28 @@
     return new Resources(microCpus * factor, microGpus * factor, microGb * factor);
   }
 
-  public boolean fitsIn(Resources room) {
-    return microCpus <= room.microCpus && microGpus <= room.microGpus && microGb <= room.microGb;
+  public boolean fitsIn(Resources capacity) {
+    return microCpus <= capacity.microCpus
+        && microGpus <= capacity.microGpus
+        && microGb <= capacity.microGb;
   }
 
   /** Whether it holds some of what {@code room} lacks for {@code each}. */
-  public boolean relievesShortage(Resources each, Resources room) {
-    return (microCpus > 0 && each.microCpus > room.microCpus)
-        || (microGpus > 0 && each.microGpus > room.microGpus)
-        || (microGb > 0 && each.microGb > room.microGb);
+  public boolean relievesShortage(Resources each, Resources capacity) {
+    return (microCpus > 0 && each.microCpus > capacity.microCpus)
+        || (microGpus > 0 && each.microGpus > capacity.microGpus)
+        || (microGb > 0 && each.microGb > capacity.microGb);
   }
 
   /** How many times this fits into {@code room}. */
-  public long timesFittingIn(Resources room) {
+  public long timesFittingIn(Resources capacity) {
     long count = Long.MAX_VALUE;
-    count = Math.min(count, timesIn(microCpus, room.microCpus));
-    count = Math.min(count, timesIn(microGpus, room.microGpus));
-    return Math.min(count, timesIn(microGb, room.microGb));
+    count = Math.min(count, unitsIn(microCpus, capacity.microCpus));
+    count = Math.min(count, unitsIn(microGpus, capacity.microGpus));
+    return Math.min(count, unitsIn(microGb, capacity.microGb));
   }
 
-  private static long timesIn(long part, long whole) {
+  private static long unitsIn(long part, long whole) {
     if (part == 0) {
       return Long.MAX_VALUE;
     }
--- a/src/main/java/io/pineladder/model/Team.java
+++ b/src/main/java/io/pineladder/model/Team.java
@@ -17,11 +17,11 @@
   /** How many more times {@code each} keeps a team with {@code usage} within its limit. */
   public long countWithin(Resources usage, Resources each) {
     Resources limit = limit();
-    long cpus = room(limit.microCpus(), usage.microCpus(), each.microCpus());
-    return Math.min(cpus, room(limit.microGpus(), usage.microGpus(), each.microGpus()));
+    long cpus = unitsWithin(limit.microCpus(), usage.microCpus(), each.microCpus());
+    return Math.min(cpus, unitsWithin(limit.microGpus(), usage.microGpus(), each.microGpus()));
   }
 
-  private static long room(long limit, long used, long each) {
+  private static long unitsWithin(long limit, long used, long each) {
     if (limit == 0) {
       return Long.MAX_VALUE;
     }
--- a/src/main/java/io/pineladder/queue/ClusterEvent.java
+++ b/src/main/java/io/pineladder/queue/ClusterEvent.java
@@ -10,25 +10,26 @@
  * after {@code since} have had their try at it.
  */
 public record ClusterEvent(
-    Kind kind, Machine machine, Resources room, long since, Job job, String team) {
+    Kind kind, Machine machine, Resources freeCapacity, long lastCycle, Job job, String team) {
   /** What happened. */
   public enum Kind {
-    ROOM_FREED,
+    CAPACITY_FREED,
     MACHINE_READY,
-    TEAM_FREED,
+    TEAM_USAGE_REDUCED,
     ATTEMPT_GONE
   }
 
-  public static ClusterEvent roomFreed(Machine machine, Resources room, long since) {
-    return new ClusterEvent(Kind.ROOM_FREED, machine, room, since, null, null);
+  public static ClusterEvent capacityFreed(
+      Machine machine, Resources freeCapacity, long lastCycle) {
+    return new ClusterEvent(Kind.CAPACITY_FREED, machine, freeCapacity, lastCycle, null, null);
   }
 
-  public static ClusterEvent machineReady(Machine machine, Resources room, long since) {
-    return new ClusterEvent(Kind.MACHINE_READY, machine, room, since, null, null);
+  public static ClusterEvent machineReady(Machine machine, Resources freeCapacity, long lastCycle) {
+    return new ClusterEvent(Kind.MACHINE_READY, machine, freeCapacity, lastCycle, null, null);
   }
 
-  public static ClusterEvent teamFreed(String team) {
-    return new ClusterEvent(Kind.TEAM_FREED, null, null, Long.MAX_VALUE, null, team);
+  public static ClusterEvent teamUsageReduced(String team) {
+    return new ClusterEvent(Kind.TEAM_USAGE_REDUCED, null, null, Long.MAX_VALUE, null, team);
   }
 
   public static ClusterEvent attemptGone(Job job) {
--- a/src/main/java/io/pineladder/queue/QueueEntry.java
+++ b/src/main/java/io/pineladder/queue/QueueEntry.java
@@ -23,23 +23,23 @@
   Place place = Place.OUTSIDE;
   SchedulingCheck rejectedBy;
   int attempts;
-  Instant triedAt = Instant.MIN;
+  Instant lastCycleAt = Instant.MIN;
 
   /** Which try of the whole queue was this entry's last. */
-  long triedAs;
+  long lastCycle;
 
-  Instant expiry = Instant.MIN;
+  Instant backoffExpiry = Instant.MIN;
 
   /** Sort keys, fixed while the entry is in the heap. */
   boolean guaranteed;
 
-  PriorityClass rank;
-  Instant due = Instant.MAX;
-  long arrival;
+  PriorityClass priorityClass;
+  Instant dueAt = Instant.MAX;
+  long arrivalNumber;
 
   public QueueEntry(Job job) {
     this.job = job;
-    this.rank = job.priorityClass();
+    this.priorityClass = job.priorityClass();
   }
 
   public Place place() {
@@ -52,8 +52,8 @@
   }
 
   /** When it was tried last. */
-  public Instant triedAt() {
-    return triedAt;
+  public Instant lastCycleAt() {
+    return lastCycleAt;
   }
 
   public int attempts() {
@@ -61,7 +61,7 @@
   }
 
   /** Part of it was placed: what is left starts its back-off anew. */
-  public void progressed() {
+  public void resetBackoff() {
     attempts = 0;
   }
 
--- a/src/main/java/io/pineladder/queue/QueueingHint.java
+++ b/src/main/java/io/pineladder/queue/QueueingHint.java
@@ -7,5 +7,5 @@
   /** It may be placed now: it is tried when its back-off is over. */
   QUEUE,
   /** It can be placed now: it is tried without waiting for its back-off. */
-  QUEUE_AT_ONCE
+  QUEUE_IMMEDIATELY
 }
--- a/src/main/java/io/pineladder/queue/QueueingHintTable.java
+++ b/src/main/java/io/pineladder/queue/QueueingHintTable.java
@@ -11,23 +11,23 @@
     QueueingHint hint(QueueEntry entry, ClusterEvent event);
   }
 
-  private final Map<ClusterEvent.Kind, EnumMap<SchedulingCheck, HintFunction>> table =
+  private final Map<ClusterEvent.Kind, EnumMap<SchedulingCheck, HintFunction>> functions =
       new EnumMap<>(ClusterEvent.Kind.class);
 
-  public QueueingHintTable on(
+  public QueueingHintTable register(
       SchedulingCheck check, ClusterEvent.Kind kind, HintFunction function) {
-    table.computeIfAbsent(kind, k -> new EnumMap<>(SchedulingCheck.class)).put(check, function);
+    functions.computeIfAbsent(kind, k -> new EnumMap<>(SchedulingCheck.class)).put(check, function);
     return this;
   }
 
   /** The checks that care about a kind of event. */
-  Map<SchedulingCheck, HintFunction> interested(ClusterEvent.Kind kind) {
-    Map<SchedulingCheck, HintFunction> found = table.get(kind);
-    return found == null ? Map.of() : found;
+  Map<SchedulingCheck, HintFunction> functionsFor(ClusterEvent.Kind kind) {
+    Map<SchedulingCheck, HintFunction> byCheck = functions.get(kind);
+    return byCheck == null ? Map.of() : byCheck;
   }
 
   QueueingHint hint(SchedulingCheck check, QueueEntry entry, ClusterEvent event) {
-    HintFunction function = interested(event.kind()).get(check);
+    HintFunction function = functionsFor(event.kind()).get(check);
     return function == null ? QueueingHint.SKIP : function.hint(entry, event);
   }
 }
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -21,22 +21,23 @@
 public final class SchedulingQueue {
   private static final Comparator<QueueEntry> BY_PRIORITY =
       Comparator.<QueueEntry, Boolean>comparing(e -> !e.guaranteed)
-          .thenComparing(e -> e.rank)
-          .thenComparing(e -> e.due)
-          .thenComparing(e -> e.arrival);
+          .thenComparing(e -> e.priorityClass)
+          .thenComparing(e -> e.dueAt)
+          .thenComparing(e -> e.arrivalNumber);
   private static final Comparator<QueueEntry> BY_EXPIRY =
-      Comparator.<QueueEntry, Instant>comparing(e -> e.expiry).thenComparing(e -> e.arrival);
+      Comparator.<QueueEntry, Instant>comparing(e -> e.backoffExpiry)
+          .thenComparing(e -> e.arrivalNumber);
 
   /** The sort keys of an entry, asked for whenever it enters the active heap. */
   public interface Ordering {
     boolean isGuaranteed(QueueEntry entry);
 
-    Instant due(QueueEntry entry);
+    Instant dueAt(QueueEntry entry);
   }
 
   private final PriorityQueue<QueueEntry> active = new PriorityQueue<>(BY_PRIORITY);
-  private final PriorityQueue<QueueEntry> rejected = new PriorityQueue<>(BY_EXPIRY);
-  private final PriorityQueue<QueueEntry> errors = new PriorityQueue<>(BY_EXPIRY);
+  private final PriorityQueue<QueueEntry> rejectedInBackoff = new PriorityQueue<>(BY_EXPIRY);
+  private final PriorityQueue<QueueEntry> failedInBackoff = new PriorityQueue<>(BY_EXPIRY);
   private final EnumMap<SchedulingCheck, Set<QueueEntry>> unschedulable =
       new EnumMap<>(SchedulingCheck.class);
 
@@ -47,7 +48,7 @@
   private final Ordering ordering;
   private OperatorSettings settings;
   private long arrivals;
-  private long tries;
+  private long cycles;
 
   public SchedulingQueue(QueueingHintTable hints, Ordering ordering, OperatorSettings settings) {
     this.hints = hints;
@@ -58,16 +59,16 @@
     }
   }
 
-  public void configure(OperatorSettings next) {
+  public void updateSettings(OperatorSettings next) {
     settings = next;
   }
 
   /** The one place where an entry changes its place. */
-  private void moveTo(QueueEntry entry, QueueEntry.Place next) {
+  private void transitionTo(QueueEntry entry, QueueEntry.Place next) {
     switch (entry.place) {
       case ACTIVE -> active.remove(entry);
-      case BACKOFF_REJECTED -> rejected.remove(entry);
-      case BACKOFF_ERROR -> errors.remove(entry);
+      case BACKOFF_REJECTED -> rejectedInBackoff.remove(entry);
+      case BACKOFF_ERROR -> failedInBackoff.remove(entry);
       case UNSCHEDULABLE -> unschedulable.get(entry.rejectedBy).remove(entry);
       case IN_FLIGHT -> inFlight.remove(entry);
       case OUTSIDE -> {}
@@ -76,12 +77,12 @@
     switch (next) {
       case ACTIVE -> {
         entry.guaranteed = ordering.isGuaranteed(entry);
-        entry.rank = entry.job.priorityClass();
-        entry.due = ordering.due(entry);
+        entry.priorityClass = entry.job.priorityClass();
+        entry.dueAt = ordering.dueAt(entry);
         active.add(entry);
       }
-      case BACKOFF_REJECTED -> rejected.add(entry);
-      case BACKOFF_ERROR -> errors.add(entry);
+      case BACKOFF_REJECTED -> rejectedInBackoff.add(entry);
+      case BACKOFF_ERROR -> failedInBackoff.add(entry);
       case UNSCHEDULABLE -> unschedulable.get(entry.rejectedBy).add(entry);
       case IN_FLIGHT -> inFlight.put(entry, new ArrayList<>());
       case OUTSIDE -> {}
@@ -94,13 +95,13 @@
       return;
     }
     if (entry.place == QueueEntry.Place.OUTSIDE) {
-      entry.arrival = ++arrivals;
+      entry.arrivalNumber = ++arrivals;
     }
-    moveTo(entry, QueueEntry.Place.ACTIVE);
+    transitionTo(entry, QueueEntry.Place.ACTIVE);
   }
 
   public void remove(QueueEntry entry) {
-    moveTo(entry, QueueEntry.Place.OUTSIDE);
+    transitionTo(entry, QueueEntry.Place.OUTSIDE);
   }
 
   /** Takes the entry with the highest priority to be tried; null when none is active. */
@@ -109,46 +110,46 @@
     if (entry == null) {
       return null;
     }
-    moveTo(entry, QueueEntry.Place.IN_FLIGHT);
-    entry.triedAt = now;
-    entry.triedAs = ++tries;
+    transitionTo(entry, QueueEntry.Place.IN_FLIGHT);
+    entry.lastCycleAt = now;
+    entry.lastCycle = ++cycles;
     entry.attempts++;
     return entry;
   }
 
   /** How many tries there have been; what an entry was tried after, it has seen. */
-  public long tries() {
-    return tries;
+  public long cycles() {
+    return cycles;
   }
 
   /** Puts an entry back after a try that left more to do, without any delay. */
-  public void again(QueueEntry entry) {
-    moveTo(entry, QueueEntry.Place.ACTIVE);
+  public void putBack(QueueEntry entry) {
+    transitionTo(entry, QueueEntry.Place.ACTIVE);
   }
 
   /** Has a tried entry wait for the initial back-off, which no event cuts short. */
-  public void postpone(QueueEntry entry, SchedulingCheck by, Instant now) {
-    entry.triedAt = now;
+  public void backOff(QueueEntry entry, SchedulingCheck check, Instant now) {
+    entry.lastCycleAt = now;
     entry.attempts = 1;
-    entry.rejectedBy = by;
-    entry.expiry = expiry(entry);
-    moveTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
+    entry.rejectedBy = check;
+    entry.backoffExpiry = backoffExpiry(entry);
+    transitionTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
   }
 
   /** Parks a tried entry under the check that rejected it, unless an event came in meanwhile. */
-  public void park(QueueEntry entry, SchedulingCheck by, Instant now) {
+  public void markUnschedulable(QueueEntry entry, SchedulingCheck check, Instant now) {
     List<ClusterEvent> seen = inFlight.getOrDefault(entry, List.of());
     QueueingHint best = QueueingHint.SKIP;
     for (ClusterEvent event : seen) {
-      QueueingHint hint = hints.hint(by, entry, event);
+      QueueingHint hint = hints.hint(check, entry, event);
       if (hint.compareTo(best) > 0) {
         best = hint;
       }
     }
-    entry.rejectedBy = by;
-    entry.expiry = expiry(entry);
-    moveTo(entry, QueueEntry.Place.UNSCHEDULABLE);
-    requeue(entry, best, now);
+    entry.rejectedBy = check;
+    entry.backoffExpiry = backoffExpiry(entry);
+    transitionTo(entry, QueueEntry.Place.UNSCHEDULABLE);
+    applyHint(entry, best, now);
   }
 
   /**
@@ -156,27 +157,27 @@
    *
    * @param times how often it has failed, whatever of it was placed in between
    */
-  public void failed(QueueEntry entry, int times, Instant now) {
-    entry.triedAt = now;
-    entry.attempts = Math.max(1, times);
-    entry.expiry = expiry(entry);
+  public void backOffAfterError(QueueEntry entry, int failures, Instant now) {
+    entry.lastCycleAt = now;
+    entry.attempts = Math.max(1, failures);
+    entry.backoffExpiry = backoffExpiry(entry);
     if (entry.place == QueueEntry.Place.OUTSIDE) {
-      entry.arrival = ++arrivals;
+      entry.arrivalNumber = ++arrivals;
     }
-    moveTo(entry, QueueEntry.Place.BACKOFF_ERROR);
+    transitionTo(entry, QueueEntry.Place.BACKOFF_ERROR);
   }
 
-  private void requeue(QueueEntry entry, QueueingHint hint, Instant now) {
-    if (hint == QueueingHint.QUEUE_AT_ONCE
-        || (hint == QueueingHint.QUEUE && !entry.expiry.isAfter(now))) {
-      moveTo(entry, QueueEntry.Place.ACTIVE);
+  private void applyHint(QueueEntry entry, QueueingHint hint, Instant now) {
+    if (hint == QueueingHint.QUEUE_IMMEDIATELY
+        || (hint == QueueingHint.QUEUE && !entry.backoffExpiry.isAfter(now))) {
+      transitionTo(entry, QueueEntry.Place.ACTIVE);
     } else if (hint == QueueingHint.QUEUE) {
-      moveTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
+      transitionTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
     }
   }
 
   /** The end of the back-off: initial times two to the attempts less one, capped, in windows. */
-  private Instant expiry(QueueEntry entry) {
+  private Instant backoffExpiry(QueueEntry entry) {
     Duration delay = settings.initialBackoff();
     for (int i = 1; i < entry.attempts && delay.compareTo(settings.maxBackoff()) < 0; i++) {
       delay = delay.multipliedBy(2);
@@ -184,14 +185,14 @@
     if (delay.compareTo(settings.maxBackoff()) > 0) {
       delay = settings.maxBackoff();
     }
-    Instant end = entry.triedAt.plus(delay);
+    Instant end = entry.lastCycleAt.plus(delay);
     long window = settings.backoffWindow().toNanos();
     if (window == 0) {
       return end;
     }
     Duration sinceOrigin = Duration.between(Instant.EPOCH, end);
-    long over = Math.floorMod(sinceOrigin.toNanos(), window);
-    return over == 0 ? end : end.plusNanos(window - over);
+    long pastWindow = Math.floorMod(sinceOrigin.toNanos(), window);
+    return pastWindow == 0 ? end : end.plusNanos(window - pastWindow);
   }
 
   /**
@@ -201,59 +202,59 @@
    * @return whether anything was woken
    */
   public boolean onEvent(ClusterEvent event, Instant now) {
-    Map<SchedulingCheck, QueueingHintTable.HintFunction> interested =
-        hints.interested(event.kind());
-    if (interested.isEmpty()) {
+    Map<SchedulingCheck, QueueingHintTable.HintFunction> hintFunctions =
+        hints.functionsFor(event.kind());
+    if (hintFunctions.isEmpty()) {
       return false;
     }
     inFlight.values().forEach(events -> events.add(event));
     List<QueueEntry> helped = new ArrayList<>();
-    interested.forEach(
+    hintFunctions.forEach(
         (check, function) -> {
           for (QueueEntry entry : unschedulable.get(check)) {
-            if (entry.triedAs <= event.since()
+            if (entry.lastCycle <= event.lastCycle()
                 && function.hint(entry, event) != QueueingHint.SKIP) {
               helped.add(entry);
             }
           }
         });
     // An entry in back-off for a rejection was parked too: a sure event need not wait either.
-    for (QueueEntry entry : rejected) {
-      QueueingHintTable.HintFunction function = interested.get(entry.rejectedBy);
+    for (QueueEntry entry : rejectedInBackoff) {
+      QueueingHintTable.HintFunction function = hintFunctions.get(entry.rejectedBy);
       if (function != null
-          && entry.triedAs <= event.since()
-          && function.hint(entry, event) == QueueingHint.QUEUE_AT_ONCE) {
+          && entry.lastCycle <= event.lastCycle()
+          && function.hint(entry, event) == QueueingHint.QUEUE_IMMEDIATELY) {
         helped.add(entry);
       }
     }
-    if (event.room() == null) {
-      helped.forEach(entry -> wake(entry, event, now));
+    if (event.freeCapacity() == null) {
+      helped.forEach(entry -> applyEvent(entry, event, now));
       return !helped.isEmpty();
     }
     helped.sort(BY_PRIORITY);
-    Resources left = event.room();
-    boolean woken = false;
+    Resources remaining = event.freeCapacity();
+    boolean activated = false;
     for (QueueEntry entry : helped) {
-      Resources each = entry.job.spec.resourcesPerTask();
-      long count = Math.min(entry.job.pending.cardinality(), each.timesFittingIn(left));
+      Resources perTask = entry.job.spec.resourcesPerTask();
+      long count = Math.min(entry.job.pending.cardinality(), perTask.timesFittingIn(remaining));
       if (count > 0) {
-        left = left.minus(each.times(count));
-        wake(entry, event, now);
-        woken = true;
+        remaining = remaining.minus(perTask.times(count));
+        applyEvent(entry, event, now);
+        activated = true;
       }
     }
-    return woken;
+    return activated;
   }
 
-  private void wake(QueueEntry entry, ClusterEvent event, Instant now) {
-    requeue(entry, hints.hint(entry.rejectedBy, entry, event), now);
+  private void applyEvent(QueueEntry entry, ClusterEvent event, Instant now) {
+    applyHint(entry, hints.hint(entry.rejectedBy, entry, event), now);
   }
 
   /** Moves what has served its back-off to the active heap. */
-  public void releaseExpired(Instant now) {
-    for (PriorityQueue<QueueEntry> heap : List.of(rejected, errors)) {
-      while (!heap.isEmpty() && !heap.peek().expiry.isAfter(now)) {
-        moveTo(heap.peek(), QueueEntry.Place.ACTIVE);
+  public void activateExpired(Instant now) {
+    for (PriorityQueue<QueueEntry> heap : List.of(rejectedInBackoff, failedInBackoff)) {
+      while (!heap.isEmpty() && !heap.peek().backoffExpiry.isAfter(now)) {
+        transitionTo(heap.peek(), QueueEntry.Place.ACTIVE);
       }
     }
   }
@@ -266,16 +267,16 @@
    * @param most so many of each check at the most, so that a full fleet's backlog costs a bounded
    *     number of tries
    */
-  public void flushLeftover(Instant before, int most) {
+  public void retryUnschedulable(Instant lastCycleBefore, int maxPerCheck) {
     unschedulable.forEach(
         (check, parked) -> {
           // That the last prerequisite is done is told for certain.
           if (check != SchedulingCheck.DEPENDENCY) {
             parked.stream()
-                .limit(most)
-                .filter(entry -> entry.triedAt.isBefore(before))
+                .limit(maxPerCheck)
+                .filter(entry -> entry.lastCycleAt.isBefore(lastCycleBefore))
                 .toList()
-                .forEach(entry -> moveTo(entry, QueueEntry.Place.ACTIVE));
+                .forEach(entry -> transitionTo(entry, QueueEntry.Place.ACTIVE));
           }
         });
   }
@@ -283,23 +284,23 @@
   /** An entry's place among the others has changed. */
   public void reorder(QueueEntry entry) {
     if (entry.place == QueueEntry.Place.ACTIVE) {
-      moveTo(entry, QueueEntry.Place.ACTIVE);
+      transitionTo(entry, QueueEntry.Place.ACTIVE);
     } else {
-      entry.rank = entry.job.priorityClass();
+      entry.priorityClass = entry.job.priorityClass();
     }
   }
 
   /** Moves a parked entry to the active heap. */
-  public void wake(QueueEntry entry) {
+  public void activateUnschedulable(QueueEntry entry) {
     if (entry.place == QueueEntry.Place.UNSCHEDULABLE) {
-      moveTo(entry, QueueEntry.Place.ACTIVE);
+      transitionTo(entry, QueueEntry.Place.ACTIVE);
     }
   }
 
   /** When the next back-off ends, or null. */
-  public Instant nextExpiry() {
-    Instant first = rejected.isEmpty() ? null : rejected.peek().expiry;
-    Instant second = errors.isEmpty() ? null : errors.peek().expiry;
+  public Instant nextBackoffExpiry() {
+    Instant first = rejectedInBackoff.isEmpty() ? null : rejectedInBackoff.peek().backoffExpiry;
+    Instant second = failedInBackoff.isEmpty() ? null : failedInBackoff.peek().backoffExpiry;
     if (first == null || (second != null && second.isBefore(first))) {
       return second;
     }
@@ -315,15 +316,15 @@
     EnumMap<QueueEntry.Place, Integer> sizes = new EnumMap<>(QueueEntry.Place.class);
     sizes.put(QueueEntry.Place.ACTIVE, active.size());
     sizes.put(QueueEntry.Place.IN_FLIGHT, inFlight.size());
-    sizes.put(QueueEntry.Place.BACKOFF_REJECTED, rejected.size());
-    sizes.put(QueueEntry.Place.BACKOFF_ERROR, errors.size());
+    sizes.put(QueueEntry.Place.BACKOFF_REJECTED, rejectedInBackoff.size());
+    sizes.put(QueueEntry.Place.BACKOFF_ERROR, failedInBackoff.size());
     sizes.put(
         QueueEntry.Place.UNSCHEDULABLE, unschedulable.values().stream().mapToInt(Set::size).sum());
     return sizes;
   }
 
   /** How many entries each check has parked, for operators. */
-  public Map<SchedulingCheck, Integer> parked() {
+  public Map<SchedulingCheck, Integer> unschedulableByCheck() {
     EnumMap<SchedulingCheck, Integer> counts = new EnumMap<>(SchedulingCheck.class);
     unschedulable.forEach((check, entries) -> counts.put(check, entries.size()));
     return counts;
--- a/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
+++ b/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
@@ -111,7 +111,7 @@
     }
     Job.State state = jobs.apply(id) == null ? ended.apply(id) : null;
     if (state != null) {
-      dependencies.get().settled(id, state);
+      dependencies.get().onFinalStateKnown(id, state);
       return;
     }
     adoption.adopt(
@@ -123,12 +123,12 @@
           if (lookup == null) {
             eventLoop.schedule(RETRY, () -> resolve(id));
           } else if (lookup.job() != null) {
-            dependencies.get().found(lookup.job());
+            dependencies.get().onPrerequisiteFound(lookup.job());
           } else if (lookup.ended() != null) {
-            dependencies.get().settled(id, lookup.ended());
+            dependencies.get().onFinalStateKnown(id, lookup.ended());
           } else {
             log.error("job {}, which others need, is not in the records", id);
-            dependencies.get().notFound(id);
+            dependencies.get().onPrerequisiteNotFound(id);
             eventLoop.schedule(MISSING, () -> resolve(id));
           }
         });
--- a/src/main/java/io/pineladder/scheduling/ClassLatencies.java
+++ b/src/main/java/io/pineladder/scheduling/ClassLatencies.java
@@ -13,25 +13,27 @@
  */
 final class ClassLatencies {
   /** Taken for a class of which none has ended yet. */
-  static final Duration UNKNOWN = Duration.ofSeconds(10);
+  static final Duration DEFAULT_OVERHEAD = Duration.ofSeconds(10);
 
   /** The weight of the latest job. */
-  private static final double WEIGHT = 0.2;
+  private static final double LATEST_JOB_WEIGHT = 0.2;
 
   private final Map<String, Double> overheadSeconds = new HashMap<>();
 
   /** A job was done at this time of day. */
-  void done(Job job, Instant at) {
-    Duration took = Duration.between(job.readyAt, at).minus(job.spec.estimatedRunTime());
-    double seconds = Math.max(0, took.toMillis() / 1000.0);
+  void recordCompletion(Job job, Instant completedAt) {
+    Duration overhead =
+        Duration.between(job.readyAt, completedAt).minus(job.spec.estimatedRunTime());
+    double seconds = Math.max(0, overhead.toMillis() / 1000.0);
     overheadSeconds.merge(
-        job.spec.jobClass(), seconds, (mean, latest) -> mean + WEIGHT * (latest - mean));
+        job.spec.jobClass(), seconds, (mean, latest) -> mean + LATEST_JOB_WEIGHT * (latest - mean));
   }
 
   /** How long the job is expected to take once it may start. */
-  Duration expected(Job job) {
+  Duration expectedDuration(Job job) {
     Double seconds = overheadSeconds.get(job.spec.jobClass());
-    Duration overhead = seconds == null ? UNKNOWN : Duration.ofMillis((long) (seconds * 1000));
+    Duration overhead =
+        seconds == null ? DEFAULT_OVERHEAD : Duration.ofMillis((long) (seconds * 1000));
     return job.spec.estimatedRunTime().plus(overhead);
   }
 }
--- a/src/main/java/io/pineladder/scheduling/ClusterState.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -54,15 +54,15 @@
   private final Set<Machine> withCapacity = new LinkedHashSet<>();
 
   /** Machines with any processor and memory left that policy alone keeps from work. */
-  private final Set<Machine> withheld = new LinkedHashSet<>();
+  private final Set<Machine> withheldByPolicy = new LinkedHashSet<>();
 
   /** How many machines there are of each kind. */
-  private final Map<Kind, Integer> machineCounts = new HashMap<>();
+  private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
 
   /** Attempts that wait for their image, by image; the one that gets it last comes first. */
   private final Map<String, NavigableSet<Attempt>> fetchingByImage = new HashMap<>();
 
-  private static final Comparator<Attempt> LAST_READY_FIRST =
+  private static final Comparator<Attempt> LATEST_IMAGE_FIRST =
       Comparator.<Attempt, Instant>comparing(attempt -> attempt.imageReadyAt)
           .reversed()
           .thenComparing(attempt -> attempt.key);
@@ -81,7 +81,7 @@
   private final Map<String, Map<String, Double>> expectedImages = new HashMap<>();
 
   /** What distinguishes machines for a job's wishes. */
-  record Kind(String type, String zone, boolean spot) {}
+  record MachineKind(String type, String zone, boolean spot) {}
 
   /** A team's jobs in the order of their acceptance, and which of them the guarantee covers. */
   private static final class TeamJobs {
@@ -103,53 +103,54 @@
   }
 
   /** How long after its submission the job should have started. */
-  public Duration latenessAllowance(Job job, Instant timeOfDay) {
-    return objectives.allowance(job, timeOfDay);
+  public Duration startAllowance(Job job, Instant wallClock) {
+    return objectives.startAllowance(job, wallClock);
   }
 
   /** When a job should be over by its own deadline; null without one. */
-  ChainDeadlines finishTimes(Job job) {
-    return objectives.finishTimes(job);
+  ChainDeadlines ownDeadlines(Job job) {
+    return objectives.ownDeadlines(job);
   }
 
   /**
    * How long the job may still wait before it should have started; negative when it should have.
    */
-  public Duration slack(Job job, Instant timeOfDay) {
-    return Duration.between(timeOfDay, job.acceptedAt.plus(latenessAllowance(job, timeOfDay)));
+  public Duration startSlack(Job job, Instant wallClock) {
+    return Duration.between(wallClock, job.acceptedAt.plus(startAllowance(job, wallClock)));
   }
 
   /**
    * Whether a job that may use spot machines is better kept off them: the loss of one would make it
    * miss an objective, and is likely enough for a job of its size and length.
    */
-  public boolean avoidsSpot(Job job, Instant timeOfDay) {
+  public boolean avoidsSpot(Job job, Instant wallClock) {
     JobSpec spec = job.spec;
     if (!spec.spotAllowed()
         || spec.isCheckpointed()
-        || !objectives.breaksByRestart(job, timeOfDay)) {
+        || !objectives.wouldMissObjectiveAfterRestart(job, wallClock)) {
       return false;
     }
-    double machines = 0;
+    double machineCount = 0;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name())) {
-        double each = Math.min(1, spec.resourcesPerTask().shareOf(type.capacity()));
-        machines = Math.max(machines, (spec.tasks() - job.done.cardinality()) * each);
+        double machinesPerTask = Math.min(1, spec.resourcesPerTask().shareOf(type.capacity()));
+        machineCount =
+            Math.max(machineCount, (spec.tasks() - job.done.cardinality()) * machinesPerTask);
       }
     }
-    return spotRisk.likelihood(machines, spec.estimatedRunTime()) > SPOT_LOSS_THRESHOLD;
+    return spotRisk.reclaimProbability(machineCount, spec.estimatedRunTime()) > SPOT_LOSS_THRESHOLD;
   }
 
   /**
    * Whether the job keeps an objective if its tasks run through, and not if one has to start anew.
    */
-  public boolean wouldMissObjectiveAfterRestart(Job job, Instant timeOfDay) {
-    return objectives.breaksByRestart(job, timeOfDay);
+  public boolean wouldMissObjectiveAfterRestart(Job job, Instant wallClock) {
+    return objectives.wouldMissObjectiveAfterRestart(job, wallClock);
   }
 
   /** Whether the operators expect nothing of the job's class. */
   public boolean hasNoObjective(Job job) {
-    return objectives.expectNothingOf(job);
+    return objectives.hasNoObjective(job);
   }
 
   /**
@@ -159,8 +160,9 @@
     Duration soonest = null;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name()) && spec.resourcesPerTask().fitsIn(type.capacity())) {
-        Duration ready = type.bootTime().plus(type.fetchTime(spec.imageGb()));
-        soonest = soonest == null || ready.compareTo(soonest) < 0 ? ready : soonest;
+        Duration imageReadyAfter = type.bootTime().plus(type.fetchTime(spec.imageGb()));
+        soonest =
+            soonest == null || imageReadyAfter.compareTo(soonest) < 0 ? imageReadyAfter : soonest;
       }
     }
     return soonest == null ? Duration.ZERO : soonest;
@@ -171,12 +173,12 @@
    * twice the time at its submission that another machine takes to be ready. Others get machines at
    * once.
    */
-  public boolean canWait(Job job) {
+  public boolean canWaitForCapacity(Job job) {
     JobSpec spec = job.spec;
     return spec.kind() == JobKind.ARRAY
         && spec.spotAllowed()
-        && latenessAllowance(job, job.readyAt)
-                .minus(ServiceObjectives.waited(job))
+        && startAllowance(job, job.readyAt)
+                .minus(ServiceObjectives.dependencyWait(job))
                 .compareTo(soonestStartElsewhere(spec).multipliedBy(2))
             >= 0;
   }
@@ -185,19 +187,19 @@
    * Work of the lowest rank of which nothing is expected: it fills what is idle and spot machines.
    * Found on colombo-ops: a guest's work for idle time had every ordinary machine rented.
    */
-  public boolean runsOnIdleCapacityOnly(Job job, Instant timeOfDay) {
+  public boolean runsOnIdleCapacityOnly(Job job, Instant wallClock) {
     return job.priorityClass() == PriorityClass.LOW
         && job.spec.deadline() == null
         && hasNoObjective(job)
-        && job.readyAt.plus(IDLE_ONLY_PERIOD).isAfter(timeOfDay);
+        && job.readyAt.plus(IDLE_ONLY_PERIOD).isAfter(wallClock);
   }
 
   public Team team(String name) {
     return teams.get(name);
   }
 
-  public void setTypes(List<MachineType> known) {
-    for (MachineType type : known) {
+  public void setTypes(List<MachineType> machineTypes) {
+    for (MachineType type : machineTypes) {
       types.put(type.name(), type);
     }
   }
@@ -222,18 +224,18 @@
 
   public void removeJob(Job job) {
     jobs.remove(job.spec.id());
-    TeamJobs of = jobsByTeam.get(job.spec.team());
-    if (of != null) {
-      of.jobs.remove(job.spec.id());
-      of.stale = true;
+    TeamJobs teamJobs = jobsByTeam.get(job.spec.team());
+    if (teamJobs != null) {
+      teamJobs.jobs.remove(job.spec.id());
+      teamJobs.stale = true;
     }
   }
 
   /** A job needs less, or no longer anything, of what its team may use. */
   public void onDemandChanged(Job job) {
-    TeamJobs of = jobsByTeam.get(job.spec.team());
-    if (of != null) {
-      of.stale = true;
+    TeamJobs teamJobs = jobsByTeam.get(job.spec.team());
+    if (teamJobs != null) {
+      teamJobs.stale = true;
     }
   }
 
@@ -243,28 +245,31 @@
     if (team == null || !team.hasGuarantee()) {
       return false;
     }
-    TeamJobs of = jobsByTeam.get(job.spec.team());
-    if (of == null) {
+    TeamJobs teamJobs = jobsByTeam.get(job.spec.team());
+    if (teamJobs == null) {
       return false;
     }
-    if (of.stale) {
-      of.stale = false;
-      of.guaranteed.clear();
-      Resources sum = Resources.ZERO;
-      for (Job each : of.jobs.values()) {
-        if (!each.isActive() || each.blockedByDependencies) {
+    if (teamJobs.stale) {
+      teamJobs.stale = false;
+      teamJobs.guaranteed.clear();
+      Resources demand = Resources.ZERO;
+      for (Job teamJob : teamJobs.jobs.values()) {
+        if (!teamJob.isActive() || teamJob.blockedByDependencies) {
           continue;
         }
-        sum =
-            sum.plus(
-                each.spec.resourcesPerTask().times(each.spec.tasks() - each.done.cardinality()));
-        if (!team.guarantees(sum)) {
+        demand =
+            demand.plus(
+                teamJob
+                    .spec
+                    .resourcesPerTask()
+                    .times(teamJob.spec.tasks() - teamJob.done.cardinality()));
+        if (!team.guarantees(demand)) {
           break;
         }
-        of.guaranteed.add(each);
+        teamJobs.guaranteed.add(teamJob);
       }
     }
-    return of.guaranteed.contains(job);
+    return teamJobs.guaranteed.contains(job);
   }
 
   // ---- machines
@@ -290,11 +295,11 @@
 
   public void addMachine(Machine machine) {
     machines.put(machine.name, machine);
-    Map<String, Double> images = expectedImages.remove(machine.name);
-    if (images != null) {
-      images.forEach(machine::touchImage);
+    Map<String, Double> expected = expectedImages.remove(machine.name);
+    if (expected != null) {
+      expected.forEach(machine::touchImage);
     }
-    machineCounts.merge(kind(machine), 1, Integer::sum);
+    machineCounts.merge(machineKind(machine), 1, Integer::sum);
     updateIndexes(machine);
   }
 
@@ -302,35 +307,37 @@
   public Machine removeMachine(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
-      machineCounts.computeIfPresent(kind(machine), (k, count) -> count == 1 ? null : count - 1);
+      machineCounts.computeIfPresent(
+          machineKind(machine), (k, count) -> count == 1 ? null : count - 1);
       unreserve(machine);
       withCapacity.remove(machine);
       withGpuCapacity.remove(machine);
-      withheld.remove(machine);
+      withheldByPolicy.remove(machine);
     }
     return machine;
   }
 
-  private static Kind kind(Machine machine) {
-    return new Kind(machine.type.name(), machine.zone, machine.spot);
+  private static MachineKind machineKind(Machine machine) {
+    return new MachineKind(machine.type.name(), machine.zone, machine.spot);
   }
 
-  Set<Kind> kinds() {
+  Set<MachineKind> machineKinds() {
     return machineCounts.keySet();
   }
 
   /** Brings the indexes in step with a machine whose state, notice or use has changed. */
   public void updateIndexes(Machine machine) {
     Resources free = machine.free();
-    boolean any = free.microCpus() > 0 && free.microGb() > 0;
-    boolean takes = machine.isSchedulable() && any;
-    put(withheld, machine, any && !takes && machine.isSafeToSchedule());
-    put(withCapacity, machine, takes);
-    put(withGpuCapacity, machine, takes && free.microGpus() > 0);
+    boolean hasFreeCapacity = free.microCpus() > 0 && free.microGb() > 0;
+    boolean isSchedulable = machine.isSchedulable() && hasFreeCapacity;
+    setMembership(
+        withheldByPolicy, machine, hasFreeCapacity && !isSchedulable && machine.isSafeToSchedule());
+    setMembership(withCapacity, machine, isSchedulable);
+    setMembership(withGpuCapacity, machine, isSchedulable && free.microGpus() > 0);
   }
 
-  private static <T> void put(Set<T> set, T item, boolean in) {
-    if (in) {
+  private static <T> void setMembership(Set<T> set, T item, boolean isMember) {
+    if (isMember) {
       set.add(item);
     } else {
       set.remove(item);
@@ -338,23 +345,23 @@
   }
 
   /** The machines on which a job's tasks may find room; all others have none for it. */
-  Collection<Machine> openFor(Job job) {
+  Collection<Machine> machinesWithCapacityFor(Job job) {
     return job.spec.resourcesPerTask().microGpus() > 0 ? withGpuCapacity : withCapacity;
   }
 
   /** The machines with room that policy alone keeps from work. */
-  Collection<Machine> withheld() {
-    return withheld;
+  Collection<Machine> machinesWithheldByPolicy() {
+    return withheldByPolicy;
   }
 
   /**
    * Whether policy may keep any room from the job; not which, which takes a look at the machines.
    */
   boolean isWithheldByPolicy(Job job) {
-    return !withheld.isEmpty()
+    return !withheldByPolicy.isEmpty()
         || !reservations.isEmpty()
         || !job.avoidedMachines.isEmpty()
-        || canWait(job);
+        || canWaitForCapacity(job);
   }
 
   // ---- room kept
@@ -376,8 +383,8 @@
     }
     machine.reservedFor = null;
     machine.reserved = Resources.ZERO;
-    Set<Machine> of = reservations.get(job);
-    if (of != null && of.remove(machine) && of.isEmpty()) {
+    Set<Machine> reserved = reservations.get(job);
+    if (reserved != null && reserved.remove(machine) && reserved.isEmpty()) {
       reservations.remove(job);
     }
   }
@@ -391,16 +398,16 @@
    * Attempts that wait for this image, on whatever machine; the one that gets it last comes first.
    */
   Collection<Attempt> fetching(String image) {
-    NavigableSet<Attempt> of = fetchingByImage.get(image);
-    return of == null ? List.of() : of;
+    NavigableSet<Attempt> attempts = fetchingByImage.get(image);
+    return attempts == null ? List.of() : attempts;
   }
 
   // ---- attempts
 
   /** Counts a new attempt everywhere it counts. */
   public Attempt addAttempt(
-      Job job, int task, long number, Machine machine, Instant now, Attempt.State first) {
-    Attempt attempt = new Attempt(job, task, number, machine, now, first);
+      Job job, int task, long number, Machine machine, Instant now, Attempt.State initialState) {
+    Attempt attempt = new Attempt(job, task, number, machine, now, initialState);
     job.add(attempt);
     machine.attempts.put(attempt.key, attempt);
     machine.used = machine.used.plus(job.spec.resourcesPerTask());
@@ -413,16 +420,16 @@
 
   /** Changes an attempt's state and, when it ends, gives back what it held. */
   public void transition(Attempt attempt, Attempt.State next) {
-    boolean held = attempt.holdsCapacity();
+    boolean heldCapacity = attempt.holdsCapacity();
     Attempt.State before = attempt.state();
     attempt.transitionTo(next);
     if (before != next) {
       indexFetch(attempt, before, next);
     }
-    if (held && !attempt.holdsCapacity()) {
-      Resources each = attempt.job.spec.resourcesPerTask();
-      attempt.machine.used = attempt.machine.used.minus(each);
-      usage.merge(attempt.job.spec.team(), each, Resources::minus);
+    if (heldCapacity && !attempt.holdsCapacity()) {
+      Resources freed = attempt.job.spec.resourcesPerTask();
+      attempt.machine.used = attempt.machine.used.minus(freed);
+      usage.merge(attempt.job.spec.team(), freed, Resources::minus);
       capacityHolders.merge(attempt.job.spec.priorityClass(), -1, Integer::sum);
       attempt.job.remove(attempt);
       updateIndexes(attempt.machine);
@@ -446,10 +453,10 @@
   private void indexFetch(Attempt attempt, Attempt.State before, Attempt.State next) {
     String image = attempt.job.spec.image();
     if (next == Attempt.State.FETCHING_IMAGE) {
-      fetchingByImage.computeIfAbsent(image, i -> new TreeSet<>(LAST_READY_FIRST)).add(attempt);
+      fetchingByImage.computeIfAbsent(image, i -> new TreeSet<>(LATEST_IMAGE_FIRST)).add(attempt);
     } else if (before == Attempt.State.FETCHING_IMAGE) {
-      Set<Attempt> of = fetchingByImage.get(image);
-      if (of != null && of.remove(attempt) && of.isEmpty()) {
+      Set<Attempt> attempts = fetchingByImage.get(image);
+      if (attempts != null && attempts.remove(attempt) && attempts.isEmpty()) {
         fetchingByImage.remove(image);
       }
     }
--- a/src/main/java/io/pineladder/scheduling/FaultAttribution.java
+++ b/src/main/java/io/pineladder/scheduling/FaultAttribution.java
@@ -31,146 +31,151 @@
   private static final Logger log = LoggerFactory.getLogger(FaultAttribution.class);
 
   /** Machines a job must have failed on to be at fault, and jobs for a machine to be suspect. */
-  static final int SEVERAL = 2;
+  static final int FAULT_THRESHOLD = 2;
 
   /** Machines remembered of one job; more say nothing new. */
-  private static final int REMEMBERED = 16;
+  private static final int MAX_FAILED_MACHINES_PER_JOB = 16;
 
   /** A task that runs so much longer than the one that failed goes well. */
-  private static final Duration LONGER = Duration.ofSeconds(10);
+  private static final Duration SUCCESS_RUN_TIME_MARGIN = Duration.ofSeconds(10);
 
   /** What follows from a verdict. */
   interface Listener {
     /** The job is at fault now, or is not any more. */
-    void onJob(Job job, boolean atFault);
+    void onJobFailingChanged(Job job, boolean failing);
 
     /** The machine is to get no work while it is suspect. */
-    void onSuspect(Machine machine, boolean suspect);
+    void onQuarantineChanged(Machine machine, boolean quarantined);
 
     /** The machine is at fault: it goes. */
-    void onFaulty(Machine machine);
+    void onMachineFaulty(Machine machine);
   }
 
   /** What is known of a job that failed somewhere. */
-  private static final class Case {
-    final Set<Machine> on = new LinkedHashSet<>();
-    Duration longest = Duration.ZERO;
-    int rounds;
-    boolean good;
-    boolean atFault;
+  private static final class FailureHistory {
+    final Set<Machine> failedMachines = new LinkedHashSet<>();
+    Duration longestFailedRun = Duration.ZERO;
+    int failureRounds;
+    boolean succeeded;
+    boolean failing;
 
     /** An earlier leader found it at fault, on evidence that this one does not have. */
     boolean inherited;
   }
 
   private final Listener listener;
-  private final Map<Job, Case> cases = new LinkedHashMap<>();
+  private final Map<Job, FailureHistory> historyByJob = new LinkedHashMap<>();
 
   /** Jobs that failed on a machine, for machines not found faulty. */
-  private final Map<Machine, Set<Job>> failed = new HashMap<>();
+  private final Map<Machine, Set<Job>> failedJobsByMachine = new HashMap<>();
 
-  private final Set<Machine> suspects = new LinkedHashSet<>();
+  private final Set<Machine> quarantinedMachines = new LinkedHashSet<>();
 
   /** Machines found faulty that are still there; what fails on them says nothing new. */
-  private final Set<Machine> faulty = new HashSet<>();
+  private final Set<Machine> faultyMachines = new HashSet<>();
 
-  private final Deque<Job> toJudge = new ArrayDeque<>();
+  private final Deque<Job> jobsToEvaluate = new ArrayDeque<>();
 
   FaultAttribution(Listener listener) {
     this.listener = listener;
   }
 
-  public int jobsAtFault() {
-    return (int) cases.values().stream().filter(c -> c.atFault).count();
+  public int countFailingJobs() {
+    return (int) historyByJob.values().stream().filter(c -> c.failing).count();
   }
 
-  public int suspects() {
-    return suspects.size();
+  public int countQuarantinedMachines() {
+    return quarantinedMachines.size();
   }
 
   /** An earlier leader found the job at fault. */
-  void inherit(Job job) {
-    Case of = cases.computeIfAbsent(job, j -> new Case());
-    of.inherited = true;
-    of.atFault = true;
-    of.rounds = SEVERAL;
+  void inheritFailing(Job job) {
+    FailureHistory history = historyByJob.computeIfAbsent(job, j -> new FailureHistory());
+    history.inherited = true;
+    history.failing = true;
+    history.failureRounds = FAULT_THRESHOLD;
   }
 
   /** How often the job has failed, counting what failed together once. */
-  int round(Job job) {
-    Case of = cases.get(job);
-    return of == null ? 1 : ++of.rounds;
+  int countFailureRound(Job job) {
+    FailureHistory history = historyByJob.get(job);
+    return history == null ? 1 : ++history.failureRounds;
   }
 
   /** A task of the job failed on the machine after it had run for so long. */
-  void failed(Job job, Machine machine, Duration ran, Instant now) {
-    Case of = cases.computeIfAbsent(job, j -> new Case());
-    if (ran.compareTo(of.longest) > 0) {
-      of.longest = ran;
+  void recordFailure(Job job, Machine machine, Duration ran, Instant now) {
+    FailureHistory history = historyByJob.computeIfAbsent(job, j -> new FailureHistory());
+    if (ran.compareTo(history.longestFailedRun) > 0) {
+      history.longestFailedRun = ran;
     }
-    if (!faulty.contains(machine) && of.on.size() < REMEMBERED && of.on.add(machine)) {
-      failed.computeIfAbsent(machine, m -> new LinkedHashSet<>()).add(job);
+    if (!faultyMachines.contains(machine)
+        && history.failedMachines.size() < MAX_FAILED_MACHINES_PER_JOB
+        && history.failedMachines.add(machine)) {
+      failedJobsByMachine.computeIfAbsent(machine, m -> new LinkedHashSet<>()).add(job);
     }
-    of.good = goesWell(job, of, now);
-    toJudge.add(job);
-    judge();
+    history.succeeded = isSuccessful(job, history, now);
+    jobsToEvaluate.add(job);
+    evaluatePendingJobs();
   }
 
   /** A task of the job is complete: it is not at fault. */
-  void succeeded(Job job) {
-    Case of = cases.get(job);
-    if (of != null && !of.good) {
-      of.good = true;
-      toJudge.add(job);
-      judge();
+  void recordSuccess(Job job) {
+    FailureHistory history = historyByJob.get(job);
+    if (history != null && !history.succeeded) {
+      history.succeeded = true;
+      jobsToEvaluate.add(job);
+      evaluatePendingJobs();
     }
   }
 
   /** Looks whether jobs that failed on suspect machines, or are at fault, run elsewhere by now. */
-  public void review(Instant now) {
-    for (Map.Entry<Job, Case> entry : List.copyOf(cases.entrySet())) {
-      Case of = entry.getValue();
-      boolean open = of.atFault || of.on.stream().anyMatch(suspects::contains);
-      if (open && !of.good && goesWell(entry.getKey(), of, now)) {
-        succeeded(entry.getKey());
+  public void reviewRunningJobs(Instant now) {
+    for (Map.Entry<Job, FailureHistory> entry : List.copyOf(historyByJob.entrySet())) {
+      FailureHistory history = entry.getValue();
+      boolean isUndecided =
+          history.failing
+              || history.failedMachines.stream().anyMatch(quarantinedMachines::contains);
+      if (isUndecided && !history.succeeded && isSuccessful(entry.getKey(), history, now)) {
+        recordSuccess(entry.getKey());
       }
     }
   }
 
   /** The job is over. */
   void forget(Job job) {
-    Case of = cases.remove(job);
-    if (of != null) {
-      of.on.forEach(machine -> withdraw(job, machine));
-      of.on.forEach(this::judge);
-      judge();
+    FailureHistory history = historyByJob.remove(job);
+    if (history != null) {
+      history.failedMachines.forEach(machine -> withdrawFailure(job, machine));
+      history.failedMachines.forEach(this::evaluateMachine);
+      evaluatePendingJobs();
     }
   }
 
   /** The machine is gone; what failed there stays known of its jobs. */
   public void forget(Machine machine) {
-    failed.remove(machine);
-    suspects.remove(machine);
-    faulty.remove(machine);
+    failedJobsByMachine.remove(machine);
+    quarantinedMachines.remove(machine);
+    faultyMachines.remove(machine);
   }
 
-  private void withdraw(Job job, Machine machine) {
-    Set<Job> of = failed.get(machine);
-    if (of != null && of.remove(job) && of.isEmpty()) {
-      failed.remove(machine);
+  private void withdrawFailure(Job job, Machine machine) {
+    Set<Job> jobs = failedJobsByMachine.get(machine);
+    if (jobs != null && jobs.remove(job) && jobs.isEmpty()) {
+      failedJobsByMachine.remove(machine);
     }
   }
 
-  private static boolean goesWell(Job job, Case of, Instant now) {
+  private static boolean isSuccessful(Job job, FailureHistory history, Instant now) {
     if (!job.done.isEmpty()) {
       return true;
     }
-    Duration enough = of.longest.multipliedBy(2).plus(LONGER);
+    Duration successRunTime =
+        history.longestFailedRun.multipliedBy(2).plus(SUCCESS_RUN_TIME_MARGIN);
     for (Set<Attempt> attempts : job.attempts.values()) {
       for (Attempt attempt : attempts) {
         if (attempt.state() == Attempt.State.RUNNING
             && attempt.runningSince != null
-            && attempt.runningSince.plus(enough).isBefore(now)) {
+            && attempt.runningSince.plus(successRunTime).isBefore(now)) {
           return true;
         }
       }
@@ -179,47 +184,53 @@
   }
 
   /** Judges the jobs whose evidence has changed, their machines, and what follows from those. */
-  private void judge() {
-    for (Job job = toJudge.poll(); job != null; job = toJudge.poll()) {
-      Case of = cases.get(job);
-      if (of == null) {
+  private void evaluatePendingJobs() {
+    for (Job job = jobsToEvaluate.poll(); job != null; job = jobsToEvaluate.poll()) {
+      FailureHistory history = historyByJob.get(job);
+      if (history == null) {
         continue;
       }
       // Machines found faulty are no longer in the set.
-      boolean atFault = !of.good && (of.inherited || of.on.size() >= SEVERAL);
-      if (atFault != of.atFault) {
-        of.atFault = atFault;
+      boolean failing =
+          !history.succeeded
+              && (history.inherited || history.failedMachines.size() >= FAULT_THRESHOLD);
+      if (failing != history.failing) {
+        history.failing = failing;
         log.info(
-            atFault ? "job {} is at fault: it fails on {}" : "job {} is not at fault: {}",
+            failing ? "job {} is at fault: it fails on {}" : "job {} is not at fault: {}",
             job,
-            atFault ? of.on : of.good ? "it goes well" : "its machines were");
-        listener.onJob(job, atFault);
+            failing
+                ? history.failedMachines
+                : history.succeeded ? "it goes well" : "its machines were");
+        listener.onJobFailingChanged(job, failing);
       }
-      List.copyOf(of.on).forEach(this::judge);
+      List.copyOf(history.failedMachines).forEach(this::evaluateMachine);
     }
   }
 
-  private void judge(Machine machine) {
-    int blaming = 0;
-    boolean proven = false;
-    for (Job job : failed.getOrDefault(machine, Set.of())) {
-      Case of = cases.get(job);
-      blaming += of.atFault ? 0 : 1;
-      proven |= of.good;
+  private void evaluateMachine(Machine machine) {
+    int jobsNotFailing = 0;
+    boolean anySucceededElsewhere = false;
+    for (Job job : failedJobsByMachine.getOrDefault(machine, Set.of())) {
+      FailureHistory history = historyByJob.get(job);
+      jobsNotFailing += history.failing ? 0 : 1;
+      anySucceededElsewhere |= history.succeeded;
     }
-    boolean suspect = blaming >= SEVERAL;
-    if (suspect && proven) {
+    boolean quarantine = jobsNotFailing >= FAULT_THRESHOLD;
+    if (quarantine && anySucceededElsewhere) {
       log.info("machine {} is faulty: jobs fail there that go well elsewhere", machine);
-      suspects.remove(machine);
-      faulty.add(machine);
-      for (Job job : failed.remove(machine)) {
-        cases.get(job).on.remove(machine);
-        toJudge.add(job);
+      quarantinedMachines.remove(machine);
+      faultyMachines.add(machine);
+      for (Job job : failedJobsByMachine.remove(machine)) {
+        historyByJob.get(job).failedMachines.remove(machine);
+        jobsToEvaluate.add(job);
       }
-      listener.onFaulty(machine);
-    } else if (suspect ? suspects.add(machine) : suspects.remove(machine)) {
-      log.info("machine {} is {} suspicion", machine, suspect ? "under" : "no longer under");
-      listener.onSuspect(machine, suspect);
+      listener.onMachineFaulty(machine);
+    } else if (quarantine
+        ? quarantinedMachines.add(machine)
+        : quarantinedMachines.remove(machine)) {
+      log.info("machine {} is {} suspicion", machine, quarantine ? "under" : "no longer under");
+      listener.onQuarantineChanged(machine, quarantine);
     }
   }
 }
--- a/src/main/java/io/pineladder/scheduling/GangReservation.java
+++ b/src/main/java/io/pineladder/scheduling/GangReservation.java
@@ -31,10 +31,10 @@
    * A gang that has waited so long has room held for it. It must begin within four minutes; what is
    * left of those is for the tasks that run on its machines, and for its images.
    */
-  static final Duration LONG_WAIT = Duration.ofSeconds(60);
+  static final Duration MIN_WAIT = Duration.ofSeconds(60);
 
   /** What runs for longer than it was said to is thought to run for this part of that yet. */
-  private static final int OVERRUN_PART = 4;
+  private static final int OVERRUN_DIVISOR = 4;
 
   private final ClusterState cluster;
   private final EventLoop eventLoop;
@@ -46,52 +46,57 @@
   }
 
   /** A machine, and the seconds until it is thought to have room. */
-  private record Soon(Machine machine, double seconds) {}
+  private record ExpectedCapacity(Machine machine, double secondsUntilFree) {}
 
   /** The gang was turned away once more: room is held for it, or longer, if it is its turn. */
-  void turnedAway(Job job, Instant now) {
+  void onGangRejected(Job job, Instant now) {
     JobSpec spec = job.spec;
-    if (!spec.isMultiTaskGang() || spec.spreadAcrossZones() || !isItsTurn(job)) {
+    if (!spec.isMultiTaskGang() || spec.spreadAcrossZones() || !mayReserve(job)) {
       return;
     }
-    List<Soon> first = first(job, now);
-    if (first.isEmpty()) {
+    List<ExpectedCapacity> soonest = soonestMachines(job, now);
+    if (soonest.isEmpty()) {
       return;
     }
     if (holder != job) {
-      log.info("room is held for {} on {} machines", job, first.size());
-      letGo();
+      log.info("room is held for {} on {} machines", job, soonest.size());
+      releaseReservations();
     }
     holder = job;
-    Instant start = now.plusMillis((long) (first.get(first.size() - 1).seconds * 1000));
-    for (Soon each : first) {
-      Machine machine = each.machine;
-      boolean others =
+    Instant expectedStart =
+        now.plusMillis((long) (soonest.get(soonest.size() - 1).secondsUntilFree * 1000));
+    for (ExpectedCapacity capacity : soonest) {
+      Machine machine = capacity.machine;
+      boolean reservedForOther =
           machine.reservedFor != null
               && machine.reservedFor != job
               && machine.reservationExpiresAt.isAfter(now);
-      if (!others) {
-        Instant started = machine.reservedFor == job ? machine.reservationStartsAt : null;
-        cluster.reserve(machine, job, now.plus(PreemptionPolicy.RESERVATION));
+      if (!reservedForOther) {
+        Instant earlierExpectedStart =
+            machine.reservedFor == job ? machine.reservationStartsAt : null;
+        cluster.reserve(machine, job, now.plus(PreemptionPolicy.RESERVATION_DURATION));
         // A wrong estimate must not put the start off again and again.
-        machine.reservationStartsAt = started != null && started.isBefore(start) ? started : start;
+        machine.reservationStartsAt =
+            earlierExpectedStart != null && earlierExpectedStart.isBefore(expectedStart)
+                ? earlierExpectedStart
+                : expectedStart;
       }
     }
   }
 
-  private boolean isItsTurn(Job job) {
-    if (job.failing || job.readyAt.plus(LONG_WAIT).isAfter(eventLoop.wallClock())) {
+  private boolean mayReserve(Job job) {
+    if (job.failing || job.readyAt.plus(MIN_WAIT).isAfter(eventLoop.wallClock())) {
       return false;
     }
-    boolean free = holder == null || !holder.isActive() || holder.pending.isEmpty();
-    return free
+    boolean unheld = holder == null || !holder.isActive() || holder.pending.isEmpty();
+    return unheld
         || holder == job
         || job.priorityClass().isAbove(holder.priorityClass())
         || (job.priorityClass() == holder.priorityClass()
             && job.acceptedAt.isBefore(holder.acceptedAt));
   }
 
-  private void letGo() {
+  private void releaseReservations() {
     if (holder != null) {
       List.copyOf(cluster.reservedFor(holder)).forEach(cluster::unreserve);
     }
@@ -100,40 +105,40 @@
   /**
    * As many machines as the gang has tasks, of one zone if they must be together; empty if too few.
    */
-  private List<Soon> first(Job job, Instant now) {
+  private List<ExpectedCapacity> soonestMachines(Job job, Instant now) {
     JobSpec spec = job.spec;
-    Map<String, List<Soon>> zones = new LinkedHashMap<>();
+    Map<String, List<ExpectedCapacity>> machinesByZone = new LinkedHashMap<>();
     for (Machine machine : cluster.machines()) {
       if (!machine.isSchedulable() || !Placer.isAllowed(job, machine)) {
         continue;
       }
-      double seconds = untilRoom(spec, machine, now);
+      double seconds = secondsUntilFree(spec, machine, now);
       if (seconds < Double.MAX_VALUE) {
-        zones
+        machinesByZone
             .computeIfAbsent(spec.sameZone() ? machine.zone : "", z -> new ArrayList<>())
-            .add(new Soon(machine, seconds));
+            .add(new ExpectedCapacity(machine, seconds));
       }
     }
-    List<Soon> best = List.of();
-    for (List<Soon> there : zones.values()) {
-      if (there.size() >= spec.tasks()) {
-        there.sort(Comparator.comparingDouble(Soon::seconds));
-        List<Soon> first = there.subList(0, spec.tasks());
-        if (best.isEmpty() || last(first) < last(best)) {
-          best = first;
+    List<ExpectedCapacity> best = List.of();
+    for (List<ExpectedCapacity> inZone : machinesByZone.values()) {
+      if (inZone.size() >= spec.tasks()) {
+        inZone.sort(Comparator.comparingDouble(ExpectedCapacity::secondsUntilFree));
+        List<ExpectedCapacity> soonest = inZone.subList(0, spec.tasks());
+        if (best.isEmpty() || secondsUntilAllFree(soonest) < secondsUntilAllFree(best)) {
+          best = soonest;
         }
       }
     }
     return best;
   }
 
-  private static double last(List<Soon> soon) {
-    return soon.get(soon.size() - 1).seconds;
+  private static double secondsUntilAllFree(List<ExpectedCapacity> machines) {
+    return machines.get(machines.size() - 1).secondsUntilFree;
   }
 
-  private static double untilRoom(JobSpec spec, Machine machine, Instant now) {
-    Resources room = machine.free();
-    if (spec.resourcesPerTask().fitsIn(room)) {
+  private static double secondsUntilFree(JobSpec spec, Machine machine, Instant now) {
+    Resources freeCapacity = machine.free();
+    if (spec.resourcesPerTask().fitsIn(freeCapacity)) {
       return 0;
     }
     List<Attempt> ending = new ArrayList<>();
@@ -143,24 +148,24 @@
         ending.add(attempt);
       }
     }
-    ending.sort(Comparator.comparingDouble(attempt -> left(attempt, now)));
+    ending.sort(Comparator.comparingDouble(attempt -> remainingSeconds(attempt, now)));
     for (Attempt attempt : ending) {
-      room = room.plus(attempt.job.spec.resourcesPerTask());
-      if (spec.resourcesPerTask().fitsIn(room)) {
-        return left(attempt, now);
+      freeCapacity = freeCapacity.plus(attempt.job.spec.resourcesPerTask());
+      if (spec.resourcesPerTask().fitsIn(freeCapacity)) {
+        return remainingSeconds(attempt, now);
       }
     }
     return Double.MAX_VALUE;
   }
 
-  private static double left(Attempt attempt, Instant now) {
+  private static double remainingSeconds(Attempt attempt, Instant now) {
     if (!attempt.isWanted()) {
       return 0;
     }
     Duration estimate = attempt.job.spec.estimatedRunTime();
-    Instant from = attempt.runningSince == null ? now : attempt.runningSince;
-    Duration left = estimate.minus(Duration.between(from, now));
-    Duration least = estimate.dividedBy(OVERRUN_PART);
-    return (left.compareTo(least) > 0 ? left : least).toMillis() / 1000.0;
+    Instant runningFrom = attempt.runningSince == null ? now : attempt.runningSince;
+    Duration remaining = estimate.minus(Duration.between(runningFrom, now));
+    Duration minimum = estimate.dividedBy(OVERRUN_DIVISOR);
+    return (remaining.compareTo(minimum) > 0 ? remaining : minimum).toMillis() / 1000.0;
   }
 }
--- a/src/main/java/io/pineladder/scheduling/JobDependencies.java
+++ b/src/main/java/io/pineladder/scheduling/JobDependencies.java
@@ -47,29 +47,29 @@
     void onUrgencyChanged(Job job);
 
     /** The final state of a job that is not in memory, if it is known without a read; or null. */
-    Job.State knownEnd(String id);
+    Job.State knownFinalState(String id);
 
     /**
-     * A prerequisite is not in memory and its state not known: {@link #found} or {@link #settled}
-     * is to be called for it.
+     * A prerequisite is not in memory and its state not known: {@link #onPrerequisiteFound} or
+     * {@link #onFinalStateKnown} is to be called for it.
      */
-    void lookUp(String id);
+    void lookUpJob(String id);
   }
 
-  private final Function<String, Job> jobs;
-  private final Supplier<Instant> timeOfDay;
+  private final Function<String, Job> jobsInMemory;
+  private final Supplier<Instant> wallClock;
   private final Listener listener;
-  private final Function<Job, ChainDeadlines> ownFinishTimes;
-  private final ClassLatencies times = new ClassLatencies();
+  private final Function<Job, ChainDeadlines> ownDeadlines;
+  private final ClassLatencies classLatencies = new ClassLatencies();
 
   /** The jobs that wait for a job, by its id. */
-  private final Map<String, Set<Job>> dependents = new HashMap<>();
+  private final Map<String, Set<Job>> dependentsById = new HashMap<>();
 
   /** What each waiting job still waits for. */
-  private final Map<Job, Set<String>> unmet = new LinkedHashMap<>();
+  private final Map<Job, Set<String>> unmetPrerequisites = new LinkedHashMap<>();
 
   /** Prerequisites that are being looked up. */
-  private final Set<String> lookups = new HashSet<>();
+  private final Set<String> pendingLookups = new HashSet<>();
 
   /**
    * An empty index.
@@ -78,27 +78,27 @@
    * @param ownFinishTimes what is expected of a job by itself; null for nothing
    */
   JobDependencies(
-      Function<String, Job> jobs,
-      Supplier<Instant> timeOfDay,
-      Function<Job, ChainDeadlines> ownFinishTimes,
+      Function<String, Job> jobsInMemory,
+      Supplier<Instant> wallClock,
+      Function<Job, ChainDeadlines> ownDeadlines,
       Listener listener) {
-    this.jobs = jobs;
-    this.timeOfDay = timeOfDay;
-    this.ownFinishTimes = ownFinishTimes;
+    this.jobsInMemory = jobsInMemory;
+    this.wallClock = wallClock;
+    this.ownDeadlines = ownDeadlines;
     this.listener = listener;
   }
 
   /** How many jobs wait for others. */
-  public int waiting() {
-    return unmet.size();
+  public int countWaitingJobs() {
+    return unmetPrerequisites.size();
   }
 
   /** The most jobs that come one after another in what waits. */
-  public int longestChain() {
+  public int longestChainLength() {
     Map<Job, Integer> depths = new HashMap<>();
     int longest = 0;
-    for (Job job : unmet.keySet()) {
-      longest = Math.max(longest, depth(job, depths));
+    for (Job job : unmetPrerequisites.keySet()) {
+      longest = Math.max(longest, chainDepth(job, depths));
     }
     return longest;
   }
@@ -107,23 +107,23 @@
    * The jobs from this one back to the first of its chain; without recursion, since chains may be
    * long.
    */
-  private int depth(Job from, Map<Job, Integer> depths) {
+  private int chainDepth(Job from, Map<Job, Integer> depths) {
     Deque<Job> stack = new ArrayDeque<>(List.of(from));
     while (!stack.isEmpty()) {
       Job job = stack.peek();
       int depth = 1;
-      boolean known = true;
-      for (String id : unmet.getOrDefault(job, Set.of())) {
-        Job needed = jobs.apply(id);
-        Integer of = needed == null ? Integer.valueOf(1) : depths.get(needed);
-        if (of == null) {
-          known = false;
+      boolean allKnown = true;
+      for (String id : unmetPrerequisites.getOrDefault(job, Set.of())) {
+        Job needed = jobsInMemory.apply(id);
+        Integer neededDepth = needed == null ? Integer.valueOf(1) : depths.get(needed);
+        if (neededDepth == null) {
+          allKnown = false;
           stack.push(needed);
         } else {
-          depth = Math.max(depth, of + 1);
+          depth = Math.max(depth, neededDepth + 1);
         }
       }
-      if (known) {
+      if (allKnown) {
         depths.put(stack.pop(), depth);
       }
     }
@@ -135,7 +135,7 @@
    * this job or of one before it, and may turn out to be cancelled.
    */
   public boolean isUncertain(Job job) {
-    return !lookups.isEmpty() && unmet.containsKey(job);
+    return !pendingLookups.isEmpty() && unmetPrerequisites.containsKey(job);
   }
 
   // ---- jobs that come and go
@@ -145,74 +145,74 @@
     if (job.isActive() && !job.spec.prerequisites().isEmpty()) {
       addWaiting(job);
     }
-    if (dependents.containsKey(job.spec.id())) {
-      review(job);
+    if (dependentsById.containsKey(job.spec.id())) {
+      recomputeUrgency(job);
     }
   }
 
   private void addWaiting(Job job) {
     job.blockedByDependencies = true;
-    unmet.put(job, new LinkedHashSet<>(job.spec.prerequisites()));
+    unmetPrerequisites.put(job, new LinkedHashSet<>(job.spec.prerequisites()));
     for (String id : job.spec.prerequisites()) {
-      dependents.computeIfAbsent(id, i -> new LinkedHashSet<>(2)).add(job);
+      dependentsById.computeIfAbsent(id, i -> new LinkedHashSet<>(2)).add(job);
     }
     for (String id : job.spec.prerequisites()) {
-      Job needed = jobs.apply(id);
-      Job.State ended = needed == null ? listener.knownEnd(id) : null;
-      if (ended != null) {
-        settled(id, ended);
+      Job needed = jobsInMemory.apply(id);
+      Job.State finalState = needed == null ? listener.knownFinalState(id) : null;
+      if (finalState != null) {
+        onFinalStateKnown(id, finalState);
       } else if (needed == null) {
-        lookUp(id);
+        startLookup(id);
       } else {
-        found(needed);
+        onPrerequisiteFound(needed);
       }
     }
-    ChainDeadlines before = timesBefore(job);
-    for (String id : unmet.getOrDefault(job, Set.of())) {
-      raise(jobs.apply(id), job.priorityClass(), before);
+    ChainDeadlines deadlines = prerequisiteDeadlines(job);
+    for (String id : unmetPrerequisites.getOrDefault(job, Set.of())) {
+      raiseUrgency(jobsInMemory.apply(id), job.priorityClass(), deadlines);
     }
   }
 
-  private void lookUp(String id) {
-    if (lookups.add(id)) {
-      listener.lookUp(id);
+  private void startLookup(String id) {
+    if (pendingLookups.add(id)) {
+      listener.lookUpJob(id);
     }
   }
 
   /**
    * A prerequisite that was looked up is in memory; its end will be told, if it is not known yet.
    */
-  public void found(Job needed) {
-    lookups.remove(needed.spec.id());
+  public void onPrerequisiteFound(Job needed) {
+    pendingLookups.remove(needed.spec.id());
     if (needed.finalStateStored || needed.cancelledByDependency) {
-      settled(needed.spec.id(), needed.state());
+      onFinalStateKnown(needed.spec.id(), needed.state());
     } else if (needed.state() == Job.State.CANCELLED && needed.finalStatePending) {
-      endUnderWay(needed);
+      onCancellationPending(needed);
     } else if (needed.cancellingPrerequisite != null) {
-      endUnderWay(needed.cancellingPrerequisite, needed);
+      markCancellationPending(needed.cancellingPrerequisite, needed);
     }
   }
 
   /** Nothing is known of a prerequisite for certain; those that need it wait on. */
-  public void notFound(String id) {
-    lookups.remove(id);
+  public void onPrerequisiteNotFound(String id) {
+    pendingLookups.remove(id);
   }
 
   /** The user cancelled a job that may wait for others: it waits no more. */
-  void leave(Job job) {
-    Set<String> left = unmet.remove(job);
-    if (left == null) {
+  void stopWaiting(Job job) {
+    Set<String> unmet = unmetPrerequisites.remove(job);
+    if (unmet == null) {
       return;
     }
     job.blockedByDependencies = false;
-    for (String id : left) {
-      Set<Job> of = dependents.get(id);
-      if (of != null && of.remove(job) && of.isEmpty()) {
-        dependents.remove(id);
+    for (String id : unmet) {
+      Set<Job> dependents = dependentsById.get(id);
+      if (dependents != null && dependents.remove(job) && dependents.isEmpty()) {
+        dependentsById.remove(id);
       }
-      Job needed = jobs.apply(id);
+      Job needed = jobsInMemory.apply(id);
       if (needed != null) {
-        review(needed);
+        recomputeUrgency(needed);
       }
     }
   }
@@ -220,38 +220,38 @@
   // ---- ends
 
   /** The final state of a job is stored. */
-  void ended(Job job) {
+  void onFinalStateStored(Job job) {
     if (job.state() == Job.State.DONE) {
-      times.done(job, timeOfDay.get());
+      classLatencies.recordCompletion(job, wallClock.get());
     }
-    settled(job.spec.id(), job.state());
+    onFinalStateKnown(job.spec.id(), job.state());
   }
 
   /** The final state of a job is known to be stored. */
-  public void settled(String id, Job.State state) {
-    lookups.remove(id);
-    Set<Job> of = dependents.remove(id);
-    if (of == null) {
+  public void onFinalStateKnown(String id, Job.State state) {
+    pendingLookups.remove(id);
+    Set<Job> dependents = dependentsById.remove(id);
+    if (dependents == null) {
       return;
     }
     if (state == Job.State.DONE) {
-      of.forEach(job -> met(job, id));
+      dependents.forEach(job -> onPrerequisiteDone(job, id));
     } else {
-      cancel(of);
+      cancelWithDependents(dependents);
     }
   }
 
-  private void met(Job job, String id) {
-    Set<String> left = unmet.get(job);
-    if (left != null && left.remove(id) && left.isEmpty()) {
-      unmet.remove(job);
+  private void onPrerequisiteDone(Job job, String id) {
+    Set<String> unmet = unmetPrerequisites.get(job);
+    if (unmet != null && unmet.remove(id) && unmet.isEmpty()) {
+      unmetPrerequisites.remove(job);
       job.blockedByDependencies = false;
       listener.onReady(job);
     }
   }
 
   /** Cancels jobs and all that need them; without recursion, since chains may be long. */
-  private void cancel(Set<Job> first) {
+  private void cancelWithDependents(Set<Job> first) {
     Deque<Job> stack = new ArrayDeque<>(first);
     while (!stack.isEmpty()) {
       Job job = stack.pop();
@@ -260,10 +260,10 @@
       }
       job.cancelledByDependency = true;
       job.transitionTo(Job.State.CANCELLED);
-      leave(job);
-      Set<Job> next = dependents.remove(job.spec.id());
-      if (next != null) {
-        stack.addAll(next);
+      stopWaiting(job);
+      Set<Job> dependents = dependentsById.remove(job.spec.id());
+      if (dependents != null) {
+        stack.addAll(dependents);
       }
       listener.onCancelled(job);
     }
@@ -273,14 +273,14 @@
    * The cancellation of a job is on its way to the store: other controllers may read it there
    * before this one hears of the commit, and call the jobs cancelled that need it.
    */
-  void endUnderWay(Job cancelled) {
-    endUnderWay(cancelled, cancelled);
+  void onCancellationPending(Job cancelled) {
+    markCancellationPending(cancelled, cancelled);
   }
 
-  private void endUnderWay(Job cancelled, Job from) {
+  private void markCancellationPending(Job cancelled, Job from) {
     Deque<Job> stack = new ArrayDeque<>(List.of(from));
     while (!stack.isEmpty()) {
-      for (Job job : dependents.getOrDefault(stack.pop().spec.id(), Set.of())) {
+      for (Job job : dependentsById.getOrDefault(stack.pop().spec.id(), Set.of())) {
         if (job.cancellingPrerequisite == null) {
           job.cancellingPrerequisite = cancelled;
           stack.push(job);
@@ -292,20 +292,21 @@
   // ---- urgency
 
   /** When the jobs that this one needs should be over for it, or null. */
-  private ChainDeadlines timesBefore(Job job) {
-    ChainDeadlines own = ChainDeadlines.earlier(job.chainDeadlines, ownFinishTimes.apply(job));
-    Duration expected = times.expected(job);
-    return own == null ? null : own.minus(expected);
+  private ChainDeadlines prerequisiteDeadlines(Job job) {
+    ChainDeadlines deadlines = ChainDeadlines.earlier(job.chainDeadlines, ownDeadlines.apply(job));
+    Duration expected = classLatencies.expectedDuration(job);
+    return deadlines == null ? null : deadlines.minus(expected);
   }
 
   /** A job is needed by one more: what is expected of it can only become more urgent. */
-  private void raise(Job needed, PriorityClass rank, ChainDeadlines before) {
+  private void raiseUrgency(Job needed, PriorityClass priorityClass, ChainDeadlines deadlines) {
     if (needed == null || !needed.isActive()) {
       return;
     }
-    PriorityClass highest = rank.isAbove(needed.priorityClass()) ? rank : needed.priorityClass();
-    if (set(needed, highest, ChainDeadlines.earlier(needed.chainDeadlines, before))) {
-      reviewBefore(needed);
+    PriorityClass highest =
+        priorityClass.isAbove(needed.priorityClass()) ? priorityClass : needed.priorityClass();
+    if (setUrgency(needed, highest, ChainDeadlines.earlier(needed.chainDeadlines, deadlines))) {
+      recomputePrerequisites(needed);
     }
   }
 
@@ -313,45 +314,45 @@
    * Computes a job's urgency anew from all that need it, and that of the jobs before it where it
    * changed.
    */
-  private void review(Job job) {
-    if (job.isActive() && reviewOne(job)) {
-      reviewBefore(job);
+  private void recomputeUrgency(Job job) {
+    if (job.isActive() && recomputeOne(job)) {
+      recomputePrerequisites(job);
     }
   }
 
-  private void reviewBefore(Job first) {
+  private void recomputePrerequisites(Job first) {
     Deque<Job> changed = new ArrayDeque<>(List.of(first));
     while (!changed.isEmpty()) {
       Job job = changed.poll();
-      for (String id : new ArrayList<>(unmet.getOrDefault(job, Set.of()))) {
-        Job needed = jobs.apply(id);
-        if (needed != null && needed.isActive() && reviewOne(needed)) {
+      for (String id : new ArrayList<>(unmetPrerequisites.getOrDefault(job, Set.of()))) {
+        Job needed = jobsInMemory.apply(id);
+        if (needed != null && needed.isActive() && recomputeOne(needed)) {
           changed.add(needed);
         }
       }
     }
   }
 
-  private boolean reviewOne(Job job) {
+  private boolean recomputeOne(Job job) {
     PriorityClass highest = job.spec.priorityClass();
     ChainDeadlines earliest = null;
-    for (Job dependent : dependents.getOrDefault(job.spec.id(), Set.of())) {
+    for (Job dependent : dependentsById.getOrDefault(job.spec.id(), Set.of())) {
       highest = dependent.priorityClass().isAbove(highest) ? dependent.priorityClass() : highest;
-      earliest = ChainDeadlines.earlier(earliest, timesBefore(dependent));
+      earliest = ChainDeadlines.earlier(earliest, prerequisiteDeadlines(dependent));
     }
-    return set(job, highest, earliest);
+    return setUrgency(job, highest, earliest);
   }
 
-  private boolean set(Job job, PriorityClass rank, ChainDeadlines finishTimes) {
-    boolean same =
-        rank == job.priorityClass()
-            && (finishTimes == null
+  private boolean setUrgency(Job job, PriorityClass priorityClass, ChainDeadlines deadlines) {
+    boolean unchanged =
+        priorityClass == job.priorityClass()
+            && (deadlines == null
                 ? job.chainDeadlines == null
-                : finishTimes.equals(job.chainDeadlines));
-    if (same) {
+                : deadlines.equals(job.chainDeadlines));
+    if (unchanged) {
       return false;
     }
-    job.setUrgency(rank, finishTimes);
+    job.setUrgency(priorityClass, deadlines);
     listener.onUrgencyChanged(job);
     return true;
   }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -27,13 +27,13 @@
 /** The checks that a placement must pass, and the choice among the machines that pass them. */
 public final class Placer {
   /** What speaks against a second task on a machine that is to fetch a slow image, in seconds. */
-  private static final double SECOND_COPY = 10;
+  private static final double SECOND_FETCH_COST_SECONDS = 10;
 
   /** What speaks against a spot machine for a job that its loss would make late, in seconds. */
-  private static final double SPOT_RISK = 12;
+  private static final double SPOT_RISK_COST_SECONDS = 12;
 
   /** What speaks for a machine rented in a rush that the task fills, in seconds. */
-  private static final double SURGE = 5;
+  private static final double DEADLINE_MACHINE_BONUS_SECONDS = 5;
 
   private final ClusterState cluster;
 
@@ -49,7 +49,7 @@
    * rest; null when none was rejected.
    */
   public record Decision(List<Machine> machines, SchedulingCheck rejectedBy) {
-    static Decision no(SchedulingCheck by) {
+    static Decision rejected(SchedulingCheck by) {
       return new Decision(List.of(), by);
     }
 
@@ -62,81 +62,82 @@
    * Decides for so many tasks in one look at the machines with room. A gang gets a place as a whole
    * or not at all; of other jobs the first tasks may be placed and the rest rejected.
    */
-  Decision place(Job job, int wanted, Instant now) {
-    return place(job, wanted, false, now);
+  Decision place(Job job, int taskCount, Instant now) {
+    return place(job, taskCount, false, now);
   }
 
   /** Decides as {@link #place(Job, int, Instant)} does, by the checks alone that the rules need. */
-  Decision placeByRules(Job job, int wanted, Instant now) {
-    return place(job, wanted, true, now);
+  Decision placeIgnoringPolicy(Job job, int taskCount, Instant now) {
+    return place(job, taskCount, true, now);
   }
 
-  private Decision place(Job job, int wanted, boolean byRules, Instant now) {
+  private Decision place(Job job, int taskCount, boolean ignorePolicy, Instant now) {
     JobSpec spec = job.spec;
-    boolean whole = spec.kind() == JobKind.GANG;
+    boolean allOrNothing = spec.kind() == JobKind.GANG;
     Team team = cluster.team(spec.team());
-    long within =
+    long withinLimit =
         team == null ? 0 : team.countWithin(cluster.usage(spec.team()), spec.resourcesPerTask());
-    if (within == 0 || (whole && within < wanted)) {
-      return Decision.no(SchedulingCheck.TEAM_LIMIT);
+    if (withinLimit == 0 || (allOrNothing && withinLimit < taskCount)) {
+      return Decision.rejected(SchedulingCheck.TEAM_LIMIT);
     }
-    int most = (int) Math.min(wanted, within);
+    int maxTasks = (int) Math.min(taskCount, withinLimit);
     boolean avoidsSpot = cluster.avoidsSpot(job, eventLoop.wallClock());
     // Of thousands of machines a job takes a few: a heap gives those without putting all in order.
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(BY_COST);
-    for (Machine machine : cluster.openFor(job)) {
-      consider(job, machine, wanted, byRules, avoidsSpot, now, candidates);
+    for (Machine machine : cluster.machinesWithCapacityFor(job)) {
+      addCandidate(job, machine, taskCount, ignorePolicy, avoidsSpot, now, candidates);
     }
-    if (byRules) {
-      for (Machine machine : cluster.withheld()) {
-        consider(job, machine, wanted, true, avoidsSpot, now, candidates);
+    if (ignorePolicy) {
+      for (Machine machine : cluster.machinesWithheldByPolicy()) {
+        addCandidate(job, machine, taskCount, true, avoidsSpot, now, candidates);
       }
     }
     if (candidates.isEmpty()) {
-      return Decision.no(anyAllowed(spec) ? SchedulingCheck.FIT : SchedulingCheck.PLACE);
+      return Decision.rejected(
+          anyMachineKindAllowed(spec) ? SchedulingCheck.FIT : SchedulingCheck.PLACE);
     }
     Decision decision =
         spec.sameZone()
-            ? together(job, most, inOrder(candidates), whole)
-            : free(job, most, candidates, whole);
-    boolean limited = decision.isPlaced() && most < wanted;
-    return limited ? new Decision(decision.machines(), SchedulingCheck.TEAM_LIMIT) : decision;
+            ? placeInOneZone(job, maxTasks, sortedByCost(candidates), allOrNothing)
+            : placeAnywhere(job, maxTasks, candidates, allOrNothing);
+    boolean isCutByLimit = decision.isPlaced() && maxTasks < taskCount;
+    return isCutByLimit ? new Decision(decision.machines(), SchedulingCheck.TEAM_LIMIT) : decision;
   }
 
-  private static List<Candidate> inOrder(PriorityQueue<Candidate> candidates) {
+  private static List<Candidate> sortedByCost(PriorityQueue<Candidate> candidates) {
     List<Candidate> sorted = new ArrayList<>(candidates);
     sorted.sort(BY_COST);
     return sorted;
   }
 
   /** Adds a machine that passes the checks and has room, once or in two parts of different cost. */
-  private void consider(
+  private void addCandidate(
       Job job,
       Machine machine,
-      int wanted,
-      boolean byRules,
+      int taskCount,
+      boolean ignorePolicy,
       boolean avoidsSpot,
       Instant now,
       Collection<Candidate> candidates) {
-    boolean may =
-        byRules
-            ? machine.isSafeToSchedule() && isLegal(job.spec, machine)
+    boolean isEligible =
+        ignorePolicy
+            ? machine.isSafeToSchedule() && satisfiesConstraints(job.spec, machine)
             : machine.isSchedulable()
                 && isAllowed(job, machine)
                 && !(machine.rentedForDeadlines
-                    && keepsLong(cluster, job, machine, eventLoop.wallClock()));
-    if (!may) {
+                    && wouldBlockDeadlineMachine(cluster, job, machine, eventLoop.wallClock()));
+    if (!isEligible) {
       return;
     }
-    Resources free = byRules ? machine.free() : room(job, machine, now);
-    int count = (int) Math.min(job.spec.resourcesPerTask().timesFittingIn(free), wanted);
+    Resources free = ignorePolicy ? machine.free() : availableCapacity(job, machine, now);
+    int count = (int) Math.min(job.spec.resourcesPerTask().timesFittingIn(free), taskCount);
     if (count <= 0) {
       return;
     }
     double cost = cost(job, machine, avoidsSpot);
     if (count > 1 && isSlowFetch(job, machine)) {
       candidates.add(new Candidate(machine, cost, 1));
-      candidates.add(new Candidate(machine, cost + SECOND_COPY, count - 1));
+      candidates.add(new Candidate(machine, cost + SECOND_FETCH_COST_SECONDS, count - 1));
     } else {
       candidates.add(new Candidate(machine, cost, count));
     }
@@ -151,8 +152,8 @@
     if (machine.images.containsKey(job.spec.image())) {
       return false;
     }
-    double alone = job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerSecond());
-    return alone > machine.type.bootTime().toMillis() / 1000.0;
+    double fetchSeconds = job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerSecond());
+    return fetchSeconds > machine.type.bootTime().toMillis() / 1000.0;
   }
 
   /** A machine with room for so many tasks of the job. */
@@ -161,9 +162,9 @@
   private static final Comparator<Candidate> BY_COST =
       Comparator.<Candidate>comparingDouble(c -> c.cost).thenComparing(c -> c.machine.name);
 
-  private boolean anyAllowed(JobSpec spec) {
-    for (ClusterState.Kind kind : cluster.kinds()) {
-      if (isLegal(spec, kind.type(), kind.zone(), kind.spot())) {
+  private boolean anyMachineKindAllowed(JobSpec spec) {
+    for (ClusterState.MachineKind kind : cluster.machineKinds()) {
+      if (satisfiesConstraints(spec, kind.type(), kind.zone(), kind.spot())) {
         return true;
       }
     }
@@ -171,17 +172,18 @@
   }
 
   /** Type, zone and kind. */
-  private static boolean isLegal(JobSpec spec, String type, String zone, boolean spot) {
+  private static boolean satisfiesConstraints(
+      JobSpec spec, String type, String zone, boolean spot) {
     return spec.allowsType(type) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
   }
 
-  private static boolean isLegal(JobSpec spec, Machine machine) {
-    return isLegal(spec, machine.type.name(), machine.zone, machine.spot);
+  private static boolean satisfiesConstraints(JobSpec spec, Machine machine) {
+    return satisfiesConstraints(spec, machine.type.name(), machine.zone, machine.spot);
   }
 
   /** Type, zone, kind, and no earlier failure of this job there. */
   static boolean isAllowed(Job job, Machine machine) {
-    return isLegal(job.spec, machine) && !job.avoidedMachines.contains(machine.name);
+    return satisfiesConstraints(job.spec, machine) && !job.avoidedMachines.contains(machine.name);
   }
 
   /**
@@ -190,48 +192,50 @@
    * minutes after the rush that it was rented for; the others leave it soon, and spot machines to
    * them.
    */
-  static boolean keepsLong(ClusterState cluster, Job job, Machine machine, Instant timeOfDay) {
-    Duration ready = cluster.soonestStartElsewhere(job.spec);
-    boolean isShort = job.spec.estimatedRunTime().compareTo(ready.multipliedBy(2)) <= 0;
-    if (isShort || fills(job.spec, machine.type) || !cluster.canWait(job)) {
+  static boolean wouldBlockDeadlineMachine(
+      ClusterState cluster, Job job, Machine machine, Instant wallClock) {
+    Duration readyElsewhereAfter = cluster.soonestStartElsewhere(job.spec);
+    boolean isShort =
+        job.spec.estimatedRunTime().compareTo(readyElsewhereAfter.multipliedBy(2)) <= 0;
+    if (isShort || fillsMachine(job.spec, machine.type) || !cluster.canWaitForCapacity(job)) {
       return false;
     }
-    return cluster.slack(job, timeOfDay).compareTo(ready) > 0;
+    return cluster.startSlack(job, wallClock).compareTo(readyElsewhereAfter) > 0;
   }
 
   /** Whether a task takes half of such a machine or more. */
-  public static boolean fills(JobSpec spec, MachineType type) {
+  public static boolean fillsMachine(JobSpec spec, MachineType type) {
     return 2 * spec.resourcesPerTask().shareOf(type.capacity()) >= 1;
   }
 
   /** Whether one more task there keeps to the job's wishes about zones. */
-  static boolean mayTake(Job job, Machine machine) {
-    Map<String, Integer> zones = byZone(job);
+  static boolean allowsZoneOf(Job job, Machine machine) {
+    Map<String, Integer> zones = attemptsByZone(job);
     if (job.spec.sameZone() && !zones.isEmpty() && !zones.containsKey(machine.zone)) {
       return false;
     }
-    return zones.getOrDefault(machine.zone, 0) < mostInZone(job);
+    return zones.getOrDefault(machine.zone, 0) < maxTasksPerZone(job);
   }
 
   /** So many of a job's tasks may be in one zone. */
-  private static int mostInZone(Job job) {
+  private static int maxTasksPerZone(Job job) {
     return job.spec.spreadAcrossZones() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
   }
 
   /** What a job may take of a machine: free room less what is kept there for another job. */
-  static Resources room(Job job, Machine machine, Instant now) {
+  static Resources availableCapacity(Job job, Machine machine, Instant now) {
     Resources free = machine.free();
-    boolean kept =
+    boolean isReservedForOther =
         machine.reservedFor != null
             && machine.reservedFor != job
             && machine.reservationExpiresAt.isAfter(now)
             && !job.priorityClass().isAbove(machine.reservedFor.priorityClass())
-            && !endsBefore(job, machine, now);
-    return kept ? free.minus(machine.reserved) : free;
+            && !endsBeforeReservation(job, machine, now);
+    return isReservedForOther ? free.minus(machine.reserved) : free;
   }
 
   /** Whether a task is thought to end there before the job that room is kept for can start. */
-  private static boolean endsBefore(Job job, Machine machine, Instant now) {
+  private static boolean endsBeforeReservation(Job job, Machine machine, Instant now) {
     if (machine.reservationStartsAt == null || job.spec.kind() != JobKind.ARRAY) {
       return false;
     }
@@ -242,7 +246,7 @@
   }
 
   /** Everything of a job that may be somewhere, by zone. */
-  private static Map<String, Integer> byZone(Job job) {
+  private static Map<String, Integer> attemptsByZone(Job job) {
     Map<String, Integer> zones = new HashMap<>();
     for (Set<Attempt> attempts : job.attempts.values()) {
       for (Attempt attempt : attempts) {
@@ -252,52 +256,60 @@
     return zones;
   }
 
-  private Decision together(Job job, int wanted, List<Candidate> candidates, boolean whole) {
-    Map<String, Integer> there = byZone(job);
-    Set<String> taken = there.keySet();
+  private Decision placeInOneZone(
+      Job job, int taskCount, List<Candidate> candidates, boolean allOrNothing) {
+    Map<String, Integer> attemptsByZone = attemptsByZone(job);
+    Set<String> occupiedZones = attemptsByZone.keySet();
     Set<String> zones = new LinkedHashSet<>();
     for (Candidate candidate : candidates) {
       String zone = candidate.machine.zone;
-      if (taken.isEmpty() || (taken.size() == 1 && taken.contains(zone))) {
+      if (occupiedZones.isEmpty() || (occupiedZones.size() == 1 && occupiedZones.contains(zone))) {
         zones.add(zone);
       }
     }
     List<Machine> best = List.of();
     double bestCost = Double.MAX_VALUE;
     for (String zone : zones) {
-      Iterator<Candidate> inside =
+      Iterator<Candidate> inZone =
           candidates.stream().filter(c -> c.machine.zone.equals(zone)).iterator();
       // One that is to be spread as well runs half at a time; a gang of several never does.
       List<Machine> chosen =
-          take(wanted, () -> inside.hasNext() ? inside.next() : null, there, mostInZone(job));
-      if (chosen.isEmpty() || (whole && chosen.size() < wanted)) {
+          fillCheapest(
+              taskCount,
+              () -> inZone.hasNext() ? inZone.next() : null,
+              attemptsByZone,
+              maxTasksPerZone(job));
+      if (chosen.isEmpty() || (allOrNothing && chosen.size() < taskCount)) {
         continue;
       }
-      double worst = 0;
+      double slowestFetch = 0;
       for (Machine machine : chosen) {
-        worst = Math.max(worst, fetchSeconds(job, machine));
+        slowestFetch = Math.max(slowestFetch, fetchSeconds(job, machine));
       }
-      if (chosen.size() > best.size() || (chosen.size() == best.size() && worst < bestCost)) {
+      if (chosen.size() > best.size()
+          || (chosen.size() == best.size() && slowestFetch < bestCost)) {
         best = chosen;
-        bestCost = worst;
+        bestCost = slowestFetch;
       }
     }
-    if (best.size() == wanted) {
+    if (best.size() == taskCount) {
       return new Decision(best, null);
     }
     return new Decision(
-        best, whole && taken.isEmpty() ? SchedulingCheck.FIT : SchedulingCheck.TOGETHER);
+        best,
+        allOrNothing && occupiedZones.isEmpty() ? SchedulingCheck.FIT : SchedulingCheck.TOGETHER);
   }
 
-  private Decision free(Job job, int wanted, PriorityQueue<Candidate> candidates, boolean whole) {
+  private Decision placeAnywhere(
+      Job job, int taskCount, PriorityQueue<Candidate> candidates, boolean allOrNothing) {
     boolean spread = job.spec.spreadAcrossZones();
-    Map<String, Integer> zones = spread ? byZone(job) : Map.of();
-    List<Machine> chosen = take(wanted, candidates::poll, zones, mostInZone(job));
-    if (chosen.size() == wanted) {
+    Map<String, Integer> zones = spread ? attemptsByZone(job) : Map.of();
+    List<Machine> chosen = fillCheapest(taskCount, candidates::poll, zones, maxTasksPerZone(job));
+    if (chosen.size() == taskCount) {
       return new Decision(chosen, null);
     }
     return new Decision(
-        whole ? List.of() : chosen, spread ? SchedulingCheck.SPREAD : SchedulingCheck.FIT);
+        allOrNothing ? List.of() : chosen, spread ? SchedulingCheck.SPREAD : SchedulingCheck.FIT);
   }
 
   /**
@@ -305,20 +317,21 @@
    *
    * @param cheapest gives the next machine by cost; null when there is none left
    */
-  private static List<Machine> take(
-      int wanted, Supplier<Candidate> cheapest, Map<String, Integer> zones, int mostInZone) {
-    Map<String, Integer> inZone = new HashMap<>(zones);
+  private static List<Machine> fillCheapest(
+      int taskCount, Supplier<Candidate> cheapest, Map<String, Integer> zones, int maxInZone) {
+    Map<String, Integer> tasksByZone = new HashMap<>(zones);
     List<Machine> chosen = new ArrayList<>();
     for (Candidate candidate = cheapest.get(); candidate != null; candidate = cheapest.get()) {
-      int there = inZone.getOrDefault(candidate.machine.zone, 0);
-      int count = Math.min(wanted - chosen.size(), Math.min(candidate.count, mostInZone - there));
+      int tasksInZone = tasksByZone.getOrDefault(candidate.machine.zone, 0);
+      int count =
+          Math.min(taskCount - chosen.size(), Math.min(candidate.count, maxInZone - tasksInZone));
       for (int i = 0; i < count; i++) {
         chosen.add(candidate.machine);
       }
       if (count > 0) {
-        inZone.put(candidate.machine.zone, there + count);
+        tasksByZone.put(candidate.machine.zone, tasksInZone + count);
       }
-      if (chosen.size() == wanted) {
+      if (chosen.size() == taskCount) {
         break;
       }
     }
@@ -333,9 +346,12 @@
   private static double cost(Job job, Machine machine, boolean avoidsSpot) {
     double cost = fetchSeconds(job, machine);
     if (avoidsSpot) {
-      cost += machine.spot ? SPOT_RISK : 0;
+      cost += machine.spot ? SPOT_RISK_COST_SECONDS : 0;
     } else if (job.spec.spotAllowed() && !machine.spot) {
-      cost += machine.rentedForDeadlines && fills(job.spec, machine.type) ? -SURGE : 3;
+      cost +=
+          machine.rentedForDeadlines && fillsMachine(job.spec, machine.type)
+              ? -DEADLINE_MACHINE_BONUS_SECONDS
+              : 3;
     }
     cost += 1 - machine.used.shareOf(machine.type.capacity());
     return cost;
--- a/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -20,37 +20,37 @@
   private static final Logger log = LoggerFactory.getLogger(PreemptionPolicy.class);
 
   /** A fetch that takes longer yet is worth a new start where the image is. */
-  private static final Duration WORTH_MOVING = Duration.ofSeconds(6);
+  private static final Duration MIN_REMAINING_FETCH_TO_MOVE = Duration.ofSeconds(6);
 
   /**
    * Tasks that fetch one image of which the last ones are looked at for one machine at the most.
    */
-  private static final int MOST_LOOKED = 64;
+  private static final int MAX_FETCHES_EXAMINED_PER_IMAGE = 64;
 
   /** Room that others made way for is kept so long. */
-  static final Duration RESERVATION = Duration.ofSeconds(20);
+  static final Duration RESERVATION_DURATION = Duration.ofSeconds(20);
 
   /** The part of the time that looks at the whole fleet for work to displace may take. */
-  private static final int LOOKS_PART = 5;
+  private static final int SCAN_TIME_DIVISOR = 5;
 
   private final ClusterState cluster;
   private final EventLoop eventLoop;
-  private final VictimSelector preemptor;
-  private final Consumer<Attempt> displace;
+  private final VictimSelector victimSelector;
+  private final Consumer<Attempt> preempt;
 
   /** When the fleet may next be looked over for work to displace. */
-  private Instant looksFrom = Instant.MIN;
+  private Instant nextScanAt = Instant.MIN;
 
   /**
    * A maker of room.
    *
    * @param displace stops an attempt to free its room
    */
-  PreemptionPolicy(ClusterState cluster, EventLoop eventLoop, Consumer<Attempt> displace) {
+  PreemptionPolicy(ClusterState cluster, EventLoop eventLoop, Consumer<Attempt> preempt) {
     this.cluster = cluster;
     this.eventLoop = eventLoop;
-    this.preemptor = new VictimSelector(cluster, eventLoop);
-    this.displace = displace;
+    this.victimSelector = new VictimSelector(cluster, eventLoop);
+    this.preempt = preempt;
   }
 
   /**
@@ -58,28 +58,34 @@
    * which no index answers. Looks take a bounded part of the time, and the first by priority get
    * them.
    */
-  boolean makeRoom(Job job, double mostFetchSeconds, Instant now) {
-    int lacking = job.pending.cardinality() - preemptor.waiting(job, now);
-    Instant begun = eventLoop.now();
-    if (lacking <= 0 || looksFrom.isAfter(begun) || !cluster.mayPreemptAny(job)) {
+  boolean preemptFor(Job job, double maxFetchSeconds, Instant now) {
+    int tasksWithoutCapacity =
+        job.pending.cardinality() - victimSelector.countMachinesBeingFreed(job, now);
+    Instant scanStartedAt = eventLoop.now();
+    if (tasksWithoutCapacity <= 0
+        || nextScanAt.isAfter(scanStartedAt)
+        || !cluster.mayPreemptAny(job)) {
       return false;
     }
-    boolean gang = job.spec.isMultiTaskGang();
-    if (gang
+    boolean isGang = job.spec.isMultiTaskGang();
+    if (isGang
         && cluster.reservedFor(job).stream().anyMatch(m -> m.reservationExpiresAt.isAfter(now))) {
       return false;
     }
-    List<VictimSelector.Plan> plans =
-        gang
-            ? preemptor.gangPlans(job, now)
-            : preemptor.plans(job, lacking, mostFetchSeconds, presses(job), now);
-    Instant looked = eventLoop.now();
-    looksFrom = looked.plus(Duration.between(begun, looked).multipliedBy(LOOKS_PART - 1));
-    for (VictimSelector.Plan plan : plans) {
+    List<VictimSelector.PreemptionPlan> plans =
+        isGang
+            ? victimSelector.selectForGang(job, now)
+            : victimSelector.selectForTasks(
+                job, tasksWithoutCapacity, maxFetchSeconds, isUrgent(job), now);
+    Instant scanEndedAt = eventLoop.now();
+    nextScanAt =
+        scanEndedAt.plus(
+            Duration.between(scanStartedAt, scanEndedAt).multipliedBy(SCAN_TIME_DIVISOR - 1));
+    for (VictimSelector.PreemptionPlan plan : plans) {
       Machine machine = plan.machine();
       log.debug("{} displaces {} on {}", job, plan.victims(), machine);
-      cluster.reserve(machine, job, now.plus(RESERVATION));
-      plan.victims().forEach(displace);
+      cluster.reserve(machine, job, now.plus(RESERVATION_DURATION));
+      plan.victims().forEach(preempt);
     }
     return !plans.isEmpty();
   }
@@ -90,11 +96,11 @@
    * start stop only work of which nothing is expected. Found on galleharbour, where two of five
    * tasks of low rank were stopped, many of them several times, for jobs that had minutes left.
    */
-  private boolean presses(Job job) {
+  private boolean isUrgent(Job job) {
     if (job.spec.kind() != JobKind.ARRAY || cluster.isGuaranteed(job)) {
       return true;
     }
-    Duration slack = cluster.slack(job, eventLoop.wallClock());
+    Duration slack = cluster.startSlack(job, eventLoop.wallClock());
     return slack.compareTo(cluster.soonestStartElsewhere(job.spec)) < 0;
   }
 
@@ -102,14 +108,19 @@
    * There is room, but fetching the image there would make the task late, while work of lower
    * priority sits where the image is: then that work makes way, and the entry waits for it.
    */
-  boolean waitsForWarmRoom(Job job, Machine cold, Duration allowance, Instant now) {
-    double fetch = Placer.fetchSeconds(job, cold);
-    Duration left = Duration.between(eventLoop.wallClock(), job.acceptedAt.plus(allowance));
-    double seconds = left.toMillis() / 1000.0;
-    if (job.failing || fetch < 1 || seconds < 0 || fetch < seconds) {
+  boolean waitsForCachedImage(
+      Job job, Machine machineWithoutImage, Duration allowance, Instant now) {
+    double fetchSeconds = Placer.fetchSeconds(job, machineWithoutImage);
+    Duration remaining = Duration.between(eventLoop.wallClock(), job.acceptedAt.plus(allowance));
+    double remainingSeconds = remaining.toMillis() / 1000.0;
+    if (job.failing
+        || fetchSeconds < 1
+        || remainingSeconds < 0
+        || fetchSeconds < remainingSeconds) {
       return false;
     }
-    return preemptor.waiting(job, now) > 0 || makeRoom(job, seconds, now);
+    return victimSelector.countMachinesBeingFreed(job, now) > 0
+        || preemptFor(job, remainingSeconds, now);
   }
 
   /**
@@ -119,33 +130,34 @@
    * @param roomy machines on which room came free
    * @param stop ends an attempt at once
    */
-  void shortenFetches(Iterable<Machine> roomy, Instant now, Consumer<Attempt> stop) {
-    for (Machine machine : roomy) {
+  void moveSlowFetches(Iterable<Machine> freedMachines, Instant now, Consumer<Attempt> stop) {
+    for (Machine machine : freedMachines) {
       if (!machine.isSchedulable()) {
         continue;
       }
-      Resources room = machine.free();
+      Resources freeCapacity = machine.free();
       while (true) {
-        Attempt best = worthMoving(machine, room, now);
+        Attempt best = slowestMovableFetch(machine, freeCapacity, now);
         if (best == null) {
           break;
         }
         log.debug("{} moves to {}, which has its image", best, machine);
-        room = room.minus(best.job.spec.resourcesPerTask());
-        cluster.reserve(machine, best.job, now.plus(RESERVATION));
+        freeCapacity = freeCapacity.minus(best.job.spec.resourcesPerTask());
+        cluster.reserve(machine, best.job, now.plus(RESERVATION_DURATION));
         stop.accept(best);
       }
     }
   }
 
   /** The fetching attempt that would gain most by starting on this machine instead, or null. */
-  private Attempt worthMoving(Machine machine, Resources room, Instant now) {
+  private Attempt slowestMovableFetch(Machine machine, Resources freeCapacity, Instant now) {
     Attempt best = null;
-    Instant latest = now.plus(WORTH_MOVING);
+    Instant latestImage = now.plus(MIN_REMAINING_FETCH_TO_MOVE);
     for (String image : machine.images.keySet()) {
-      int looked = 0;
+      int examined = 0;
       for (Attempt attempt : cluster.fetching(image)) {
-        if (!attempt.imageReadyAt.isAfter(latest) || ++looked > MOST_LOOKED) {
+        if (!attempt.imageReadyAt.isAfter(latestImage)
+            || ++examined > MAX_FETCHES_EXAMINED_PER_IMAGE) {
           // Whatever follows is ready sooner yet.
           break;
         }
@@ -153,12 +165,12 @@
         if (attempt.machine != machine
             && attempt.isWanted()
             && (job.spec.kind() != JobKind.GANG || job.spec.tasks() == 1)
-            && job.spec.resourcesPerTask().fitsIn(room)
-            && job.spec.resourcesPerTask().fitsIn(Placer.room(job, machine, now))
+            && job.spec.resourcesPerTask().fitsIn(freeCapacity)
+            && job.spec.resourcesPerTask().fitsIn(Placer.availableCapacity(job, machine, now))
             && Placer.isAllowed(job, machine)
-            && (Placer.mayTake(job, machine) || job.spec.tasks() == 1)) {
+            && (Placer.allowsZoneOf(job, machine) || job.spec.tasks() == 1)) {
           best = attempt;
-          latest = attempt.imageReadyAt;
+          latestImage = attempt.imageReadyAt;
         }
       }
     }
--- a/src/main/java/io/pineladder/scheduling/QueueingHints.java
+++ b/src/main/java/io/pineladder/scheduling/QueueingHints.java
@@ -15,23 +15,26 @@
   private QueueingHints() {}
 
   /** The hints of all checks. */
-  static QueueingHintTable table(ClusterState cluster, EventLoop eventLoop) {
-    QueueingHintTable.HintFunction room =
+  static QueueingHintTable createTable(ClusterState cluster, EventLoop eventLoop) {
+    QueueingHintTable.HintFunction onCapacity =
         (entry, event) -> {
           Machine machine = event.machine();
           Job job = entry.job;
           if (!machine.isSchedulable()
               || !Placer.isAllowed(job, machine)
               || (machine.rentedForDeadlines
-                  && Placer.keepsLong(cluster, job, machine, eventLoop.wallClock()))
-              || !job.spec.resourcesPerTask().fitsIn(Placer.room(job, machine, eventLoop.now()))) {
+                  && Placer.wouldBlockDeadlineMachine(cluster, job, machine, eventLoop.wallClock()))
+              || !job.spec
+                  .resourcesPerTask()
+                  .fitsIn(Placer.availableCapacity(job, machine, eventLoop.now()))) {
             return QueueingHint.SKIP;
           }
-          boolean waits = job.spec.isMultiTaskGang() && machine.reservedFor != job;
-          return waits ? QueueingHint.QUEUE : QueueingHint.QUEUE_AT_ONCE;
+          boolean needsOtherMachines = job.spec.isMultiTaskGang() && machine.reservedFor != job;
+          return needsOtherMachines ? QueueingHint.QUEUE : QueueingHint.QUEUE_IMMEDIATELY;
         };
-    QueueingHintTable.HintFunction ownTask =
-        (entry, event) -> event.job() == entry.job ? QueueingHint.QUEUE_AT_ONCE : QueueingHint.SKIP;
+    QueueingHintTable.HintFunction onOwnAttemptGone =
+        (entry, event) ->
+            event.job() == entry.job ? QueueingHint.QUEUE_IMMEDIATELY : QueueingHint.SKIP;
     QueueingHintTable table = new QueueingHintTable();
     for (SchedulingCheck check :
         List.of(
@@ -40,20 +43,20 @@
             SchedulingCheck.SPREAD,
             SchedulingCheck.TOGETHER)) {
       table
-          .on(check, ClusterEvent.Kind.ROOM_FREED, room)
-          .on(check, ClusterEvent.Kind.MACHINE_READY, room);
+          .register(check, ClusterEvent.Kind.CAPACITY_FREED, onCapacity)
+          .register(check, ClusterEvent.Kind.MACHINE_READY, onCapacity);
     }
     for (SchedulingCheck check :
         List.of(SchedulingCheck.SPREAD, SchedulingCheck.TOGETHER, SchedulingCheck.PREDECESSOR)) {
-      table.on(check, ClusterEvent.Kind.ATTEMPT_GONE, ownTask);
+      table.register(check, ClusterEvent.Kind.ATTEMPT_GONE, onOwnAttemptGone);
     }
-    table.on(
+    table.register(
         SchedulingCheck.FAILING,
         ClusterEvent.Kind.ATTEMPT_GONE,
         (entry, event) -> event.job() == entry.job ? QueueingHint.QUEUE : QueueingHint.SKIP);
-    return table.on(
+    return table.register(
         SchedulingCheck.TEAM_LIMIT,
-        ClusterEvent.Kind.TEAM_FREED,
+        ClusterEvent.Kind.TEAM_USAGE_REDUCED,
         (entry, event) -> {
           JobSpec spec = entry.job.spec;
           if (!spec.team().equals(event.team())) {
@@ -62,7 +65,7 @@
           return cluster
                   .team(spec.team())
                   .allows(cluster.usage(spec.team()).plus(spec.minimumResources()))
-              ? QueueingHint.QUEUE_AT_ONCE
+              ? QueueingHint.QUEUE_IMMEDIATELY
               : QueueingHint.SKIP;
         });
   }
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -33,77 +33,77 @@
   private static final Logger log = LoggerFactory.getLogger(Scheduler.class);
 
   /** Tasks of one entry placed before others of higher priority get a look. */
-  private static final int TASKS_A_TURN = 128;
+  private static final int MAX_TASKS_PER_CYCLE = 128;
 
   /** Turns taken before waiting messages are read. */
-  private static final int TURNS_A_PASS = 20;
+  private static final int MAX_CYCLES_PER_RUN = 20;
 
   /** A job of more tasks is started at a bounded pace. */
-  private static final int LARGE = 256;
+  private static final int MAX_UNTHROTTLED_ARRAY_TASKS = 256;
 
   /**
    * Tasks of large jobs started each second. Each costs orders, reports and a completion, and an
    * array of tens of thousands that starts at once keeps the leader from everything else.
    */
-  private static final double LARGE_A_SECOND = 120;
+  private static final double LARGE_ARRAY_STARTS_PER_SECOND = 120;
 
   /**
    * A job of which nothing has begun goes before others of its rank by then: the largest, and those
    * whose objectives are missed, must begin within four minutes too.
    */
-  private static final Duration LATEST_START = Duration.ofSeconds(200);
+  private static final Duration MAX_START_DELAY = Duration.ofSeconds(200);
 
   /** Tasks of a job at fault that are tried at a time. */
-  private static final int PROBES = 2;
+  private static final int MAX_PROBE_TASKS = 2;
 
   /**
    * What no event has woken for so long is tried again: a third of the starvation bound is left for
    * it.
    */
-  static final Duration LEFTOVER = Duration.ofSeconds(15);
+  static final Duration UNSCHEDULABLE_RETRY_DELAY = Duration.ofSeconds(15);
 
   /** The part of the parked entries that is tried again in a second at the most. */
-  private static final int LEFTOVER_PART = 15;
+  private static final int UNSCHEDULABLE_RETRY_DIVISOR = 15;
 
   /** Policy alone keeps a job from room, and room from work, for no longer than that. */
-  public static final Duration MOST_WITHHELD = StarvationBound.MOST;
+  public static final Duration MAX_POLICY_DELAY = StarvationBound.MAX_POLICY_DELAY;
 
   /** Parked entries of one check that are tried again in a second at the most. */
-  private static final int MOST_LEFTOVER = 32;
+  private static final int MAX_UNSCHEDULABLE_RETRIES_PER_CHECK = 32;
 
   /** Between two tries of a job that policy keeps from room. */
-  private static final Duration WITHHELD_AGAIN = Duration.ofSeconds(5);
+  private static final Duration WITHHELD_RETRY_DELAY = Duration.ofSeconds(5);
 
   /** Machines that a job keeps off because it failed there. */
-  private static final int AVOIDED = 16;
+  private static final int MAX_AVOIDED_MACHINES = 16;
 
   /** Attempt numbers of a term; they start from the term, so no other leader uses them. */
-  private static final int NUMBER_BITS = 20;
+  private static final int ATTEMPT_NUMBER_BITS = 20;
 
   /** What the scheduler causes outside. */
-  public interface Effects {
+  public interface Callbacks {
     boolean mayAct();
 
     /**
      * Whether tasks may be started: not while an earlier attempt may be somewhere that no record
      * and no report has told of yet.
      */
-    boolean mayStart();
+    boolean mayStartTasks();
 
     /** A job that waited for others may start from now on. */
     void onReady(Job job);
 
     /** A job is cancelled because one that it needs is stored as cancelled. */
-    void onCancellationDerived(Job job);
+    void onCancelledByDependency(Job job);
 
     /** The final state of a job that is not in memory, if it is known without a read; or null. */
-    Job.State knownEnd(String job);
+    Job.State knownFinalState(String job);
 
     /** A job that others need is not in memory: its state is to be told to the dependencies. */
-    void lookUp(String job);
+    void lookUpJob(String job);
 
     /** Orders for this machine are ready to go out. */
-    void ordersDue(Machine machine);
+    void onCommandsDue(Machine machine);
 
     /** This term can go no further. */
     void resign(String reason);
@@ -111,51 +111,59 @@
 
   private final ClusterState cluster;
   private final EventLoop eventLoop;
-  private final Effects effects;
+  private final Callbacks callbacks;
   private final Placer placer;
-  private final PreemptionPolicy rooms;
-  private final GangReservation held;
-  private final StarvationBound starvation;
+  private final PreemptionPolicy preemptionPolicy;
+  private final GangReservation gangReservation;
+  private final StarvationBound starvationBound;
   private final SchedulingQueue queue;
-  private final Map<String, QueueEntry> entries = new HashMap<>();
+  private final Map<String, QueueEntry> entriesByJob = new HashMap<>();
   private final long term;
-  private final TokenBucket large;
+  private final TokenBucket largeArrayStarts;
 
-  private final FaultAttribution failures = new FaultAttribution(new Verdicts());
+  private final FaultAttribution faultAttribution = new FaultAttribution(new FaultListener());
   private final JobDependencies dependencies;
 
   /** Machines on which room came free, with how many tries there had been by then. */
-  private final Map<Machine, Long> roomy = new LinkedHashMap<>();
+  private final Map<Machine, Long> machinesWithFreedCapacity = new LinkedHashMap<>();
 
   private Records records;
-  private long numbers;
-  private boolean passSet;
-  private Instant wakeAt;
+  private long attemptsNumbered;
+  private boolean runRequested;
+  private Instant backoffWakeUpAt;
 
   public Scheduler(
       ClusterState cluster,
       EventLoop eventLoop,
       long term,
-      OperatorSettings operator,
-      Effects effects) {
+      OperatorSettings operatorSettings,
+      Callbacks callbacks) {
     this.cluster = cluster;
     this.eventLoop = eventLoop;
     this.term = term;
-    this.effects = effects;
+    this.callbacks = callbacks;
     this.placer = new Placer(cluster, eventLoop);
-    this.rooms = new PreemptionPolicy(cluster, eventLoop, this::displace);
-    this.held = new GangReservation(cluster, eventLoop);
-    this.starvation = new StarvationBound(cluster, placer);
+    this.preemptionPolicy = new PreemptionPolicy(cluster, eventLoop, this::preempt);
+    this.gangReservation = new GangReservation(cluster, eventLoop);
+    this.starvationBound = new StarvationBound(cluster, placer);
     // A back-off with its window may last for two seconds, and what comes up in them is not lost.
-    this.large = new TokenBucket(LARGE_A_SECOND, 2 * LARGE_A_SECOND, eventLoop.now());
+    this.largeArrayStarts =
+        new TokenBucket(
+            LARGE_ARRAY_STARTS_PER_SECOND, 2 * LARGE_ARRAY_STARTS_PER_SECOND, eventLoop.now());
     this.dependencies =
         new JobDependencies(
-            cluster.jobs::get, eventLoop::wallClock, cluster::finishTimes, new DependencyEvents());
+            cluster.jobs::get,
+            eventLoop::wallClock,
+            cluster::ownDeadlines,
+            new DependencyListener());
     this.queue =
-        new SchedulingQueue(QueueingHints.table(cluster, eventLoop), new ByObjective(), operator);
+        new SchedulingQueue(
+            QueueingHints.createTable(cluster, eventLoop),
+            new ObjectiveOrdering(),
+            operatorSettings);
   }
 
-  public void useRecords(Records made) {
+  public void setRecords(Records made) {
     records = made;
   }
 
@@ -163,8 +171,8 @@
     return queue;
   }
 
-  public FaultAttribution failures() {
-    return failures;
+  public FaultAttribution faultAttribution() {
+    return faultAttribution;
   }
 
   /** Which jobs wait for which others. */
@@ -173,105 +181,107 @@
   }
 
   /** What follows when a job that others need is over. */
-  private final class DependencyEvents implements JobDependencies.Listener {
+  private final class DependencyListener implements JobDependencies.Listener {
     @Override
     public void onReady(Job job) {
       job.readyAt = eventLoop.wallClock();
       cluster.onDemandChanged(job);
-      QueueEntry entry = entries.get(job.spec.id());
+      QueueEntry entry = entriesByJob.get(job.spec.id());
       if (entry != null) {
-        queue.wake(entry);
+        queue.activateUnschedulable(entry);
       }
-      effects.onReady(job);
-      kick();
+      callbacks.onReady(job);
+      requestRun();
     }
 
     @Override
     public void onCancelled(Job job) {
       cluster.onDemandChanged(job);
-      leaveQueue(job);
-      runEndWaiters(job);
-      effects.onCancellationDerived(job);
+      removeFromQueue(job);
+      runFinalStateCallbacks(job);
+      callbacks.onCancelledByDependency(job);
       killAll(job, Duration.ZERO);
-      endIfQuiet(job);
+      storeCancellationIfStopped(job);
     }
 
     @Override
     public void onUrgencyChanged(Job job) {
-      QueueEntry entry = entries.get(job.spec.id());
+      QueueEntry entry = entriesByJob.get(job.spec.id());
       if (entry != null) {
         queue.reorder(entry);
       }
     }
 
     @Override
-    public Job.State knownEnd(String id) {
-      return effects.knownEnd(id);
+    public Job.State knownFinalState(String id) {
+      return callbacks.knownFinalState(id);
     }
 
     @Override
-    public void lookUp(String id) {
-      effects.lookUp(id);
+    public void lookUpJob(String id) {
+      callbacks.lookUpJob(id);
     }
   }
 
   /** What follows when a job or a machine is found to be at fault, or not to be. */
-  private final class Verdicts implements FaultAttribution.Listener {
+  private final class FaultListener implements FaultAttribution.Listener {
     @Override
-    public void onJob(Job job, boolean atFault) {
-      job.failing = atFault;
+    public void onJobFailingChanged(Job job, boolean failing) {
+      job.failing = failing;
       records.verdict(job);
-      if (!atFault) {
+      if (!failing) {
         enqueue(job);
       }
     }
 
     @Override
-    public void onSuspect(Machine machine, boolean suspect) {
-      machine.quarantined = suspect;
+    public void onQuarantineChanged(Machine machine, boolean quarantined) {
+      machine.quarantined = quarantined;
       cluster.updateIndexes(machine);
       if (machine.isSchedulable()) {
-        machineReady(machine);
+        onMachineReady(machine);
       }
     }
 
     @Override
-    public void onFaulty(Machine machine) {
+    public void onMachineFaulty(Machine machine) {
       machine.draining = true;
       cluster.updateIndexes(machine);
     }
   }
 
   /** Guarantees first, then what has the nearest time to keep. */
-  private final class ByObjective implements SchedulingQueue.Ordering {
+  private final class ObjectiveOrdering implements SchedulingQueue.Ordering {
     @Override
     public boolean isGuaranteed(QueueEntry entry) {
       return cluster.isGuaranteed(entry.job);
     }
 
     @Override
-    public Instant due(QueueEntry entry) {
-      return entry.job.acceptedAt.plus(allowance(entry.job));
+    public Instant dueAt(QueueEntry entry) {
+      return entry.job.acceptedAt.plus(startAllowance(entry.job));
     }
   }
 
-  private Duration allowance(Job job) {
+  private Duration startAllowance(Job job) {
     // What fails wherever it is tried makes no other job wait.
     Duration allowance =
         job.failing
-            ? ServiceObjectives.NO_HURRY
-            : cluster.objectives().allowance(job, eventLoop.wallClock());
-    Duration due = allowance.plus(turn(job));
-    boolean begun = job.attempts.size() + job.done.cardinality() > 0;
-    Duration latest = LATEST_START.plus(ServiceObjectives.waited(job));
-    return begun || job.failing || due.compareTo(latest) < 0 ? due : latest;
+            ? ServiceObjectives.DEFAULT_START_ALLOWANCE
+            : cluster.objectives().startAllowance(job, eventLoop.wallClock());
+    Duration withOccupancy = allowance.plus(teamLimitOccupancy(job));
+    boolean anyTaskStarted = job.attempts.size() + job.done.cardinality() > 0;
+    Duration latest = MAX_START_DELAY.plus(ServiceObjectives.dependencyWait(job));
+    return anyTaskStarted || job.failing || withOccupancy.compareTo(latest) < 0
+        ? withOccupancy
+        : latest;
   }
 
   /**
    * How long the job's tasks would keep its team's limit busy: of jobs that compete for one limit
    * the small ones go first, since then fewer of them are late.
    */
-  private Duration turn(Job job) {
+  private Duration teamLimitOccupancy(Job job) {
     JobSpec spec = job.spec;
     Team team = cluster.team(spec.team());
     if (spec.kind() != JobKind.ARRAY || team == null) {
@@ -291,7 +301,7 @@
       job.finalStatePending = true;
       job.finalStateStored = true;
       killAll(job, Duration.ZERO);
-      forgetIfOver(job);
+      removeRecordIfFinished(job);
       return;
     }
     dependencies.add(job);
@@ -299,7 +309,7 @@
       return;
     }
     if (job.failing) {
-      failures.inherit(job);
+      faultAttribution.inheritFailing(job);
     }
     if (job.spec.kind() == JobKind.GANG && !job.attempts.isEmpty()) {
       // A gang is started as a whole. One whose placements were stored in part never completes.
@@ -318,8 +328,8 @@
 
   private void enqueue(Job job) {
     if (job.isActive() && !job.pending.isEmpty()) {
-      queue.add(entries.computeIfAbsent(job.spec.id(), id -> new QueueEntry(job)));
-      kick();
+      queue.add(entriesByJob.computeIfAbsent(job.spec.id(), id -> new QueueEntry(job)));
+      requestRun();
     }
   }
 
@@ -327,10 +337,10 @@
    * Takes an attempt for wanted that a worker reports and no record tells of, if its task needs
    * one: after a loss of data that is where the task runs. False when it is to be ended.
    */
-  public boolean keep(Attempt attempt) {
+  public boolean adoptUnrecorded(Attempt attempt) {
     Job job = attempt.job;
-    boolean only = job.attempts.get(attempt.task).size() == 1;
-    if (!job.isActive() || job.done.get(attempt.task) || !only) {
+    boolean isOnlyAttempt = job.attempts.get(attempt.task).size() == 1;
+    if (!job.isActive() || job.done.get(attempt.task) || !isOnlyAttempt) {
       return false;
     }
     if (job.spec.kind() == JobKind.GANG) {
@@ -353,10 +363,10 @@
     }
     job.transitionTo(Job.State.CANCELLED);
     cluster.onDemandChanged(job);
-    leaveQueue(job);
-    dependencies.leave(job);
+    removeFromQueue(job);
+    dependencies.stopWaiting(job);
     killAll(job, Duration.ZERO);
-    endIfQuiet(job);
+    storeCancellationIfStopped(job);
   }
 
   /**
@@ -365,43 +375,43 @@
    * reached, and no lease could be kept for longer than that: a zone that is cut off would lose all
    * that runs in it for the few jobs that may have been cancelled.
    */
-  private void endIfQuiet(Job job) {
+  private void storeCancellationIfStopped(Job job) {
     if (job.state() != Job.State.CANCELLED || job.finalStatePending) {
       return;
     }
-    boolean quiet =
+    boolean stopped =
         job.attempts.values().stream()
             .allMatch(of -> of.stream().noneMatch(Attempt::holdsCapacity));
-    if (quiet) {
-      dependencies.endUnderWay(job);
+    if (stopped) {
+      dependencies.onCancellationPending(job);
       records.end(job);
     }
   }
 
-  private static void runEndWaiters(Job job) {
-    List<Runnable> waiting = List.copyOf(job.finalStateCallbacks);
+  private static void runFinalStateCallbacks(Job job) {
+    List<Runnable> callbacks = List.copyOf(job.finalStateCallbacks);
     job.finalStateCallbacks.clear();
-    waiting.forEach(Runnable::run);
+    callbacks.forEach(Runnable::run);
   }
 
-  private void leaveQueue(Job job) {
+  private void removeFromQueue(Job job) {
     job.pending.clear();
-    starvation.moved(job);
-    failures.forget(job);
-    QueueEntry entry = entries.remove(job.spec.id());
+    starvationBound.clear(job);
+    faultAttribution.forget(job);
+    QueueEntry entry = entriesByJob.remove(job.spec.id());
     if (entry != null) {
       queue.remove(entry);
     }
   }
 
   /** The job's final state is stored. */
-  public void onEndStored(Job job) {
+  public void onFinalStateStored(Job job) {
     log.debug("job {} is {}", job, job.state());
     // Those who wait for this end may ask about a job that is cancelled with it.
-    dependencies.ended(job);
-    runEndWaiters(job);
+    dependencies.onFinalStateStored(job);
+    runFinalStateCallbacks(job);
     killAll(job, Duration.ZERO);
-    forgetIfOver(job);
+    removeRecordIfFinished(job);
   }
 
   /**
@@ -414,24 +424,24 @@
     List<Attempt> all = new ArrayList<>();
     job.attempts.values().forEach(all::addAll);
     for (Attempt attempt : all) {
-      if (attempt.holdsCapacity() && isUnsent(attempt)) {
-        unwanted(attempt, grace);
+      if (attempt.holdsCapacity() && isNeverSent(attempt)) {
+        markKilled(attempt, grace);
       }
     }
     all.forEach(attempt -> kill(attempt, grace));
   }
 
-  private static boolean isUnsent(Attempt attempt) {
+  private static boolean isNeverSent(Attempt attempt) {
     return attempt.state() == Attempt.State.PLACEMENT_PENDING
         || (attempt.state() == Attempt.State.PLACEMENT_STORED && attempt.startSession == 0);
   }
 
-  private void unwanted(Attempt attempt, Duration grace) {
+  private void markKilled(Attempt attempt, Duration grace) {
     attempt.killedAt = eventLoop.now();
     attempt.killGracePeriod = grace;
   }
 
-  private void forgetIfOver(Job job) {
+  private void removeRecordIfFinished(Job job) {
     if (job.finalStateStored && job.attempts.isEmpty()) {
       records.remove(job);
     }
@@ -444,29 +454,29 @@
     if (!attempt.holdsCapacity()) {
       return;
     }
-    if (isUnsent(attempt)) {
-      gone(attempt, "never started");
+    if (isNeverSent(attempt)) {
+      onAttemptGone(attempt, "never started");
       return;
     }
     if (attempt.killGracePeriod == null) {
-      unwanted(attempt, grace);
+      markKilled(attempt, grace);
     } else if (grace.compareTo(attempt.killGracePeriod) < 0) {
       attempt.killGracePeriod = grace;
       attempt.killSent = false;
     } else {
       return;
     }
-    effects.ordersDue(attempt.machine);
+    callbacks.onCommandsDue(attempt.machine);
   }
 
   /** The placement is stored, so its start may go out. */
   public void onPlacementStored(Attempt attempt) {
     cluster.transition(attempt, Attempt.State.PLACEMENT_STORED);
-    effects.ordersDue(attempt.machine);
+    callbacks.onCommandsDue(attempt.machine);
   }
 
   /** A machine lists the attempt in a state other than exited. */
-  public void seen(Attempt attempt, Attempt.State state) {
+  public void onAttemptObserved(Attempt attempt, Attempt.State state) {
     if (attempt.state() == Attempt.State.EXITED) {
       return;
     }
@@ -491,40 +501,40 @@
   }
 
   /** A machine lists the attempt as exited. */
-  public void exited(Attempt attempt, EndReason cause) {
+  public void onAttemptExited(Attempt attempt, EndReason endReason) {
     if (!attempt.holdsCapacity()) {
       return;
     }
     boolean wanted = attempt.isWanted();
-    attempt.endReason = cause;
+    attempt.endReason = endReason;
     cluster.transition(attempt, Attempt.State.EXITED);
-    reveal(attempt);
+    resumeCompletion(attempt);
     Job job = attempt.job;
-    if (cause == EndReason.DONE && job.spec.kind() != JobKind.SERVICE) {
-      completed(attempt);
+    if (endReason == EndReason.DONE && job.spec.kind() != JobKind.SERVICE) {
+      onTaskCompleted(attempt);
     } else {
       attempt.mayBeForgotten = true;
-      if (cause == EndReason.ERROR && job.isActive()) {
-        failed(attempt);
+      if (endReason == EndReason.ERROR && job.isActive()) {
+        onTaskFailed(attempt);
       }
-      lost(attempt, wanted && isRefusalOrError(cause));
+      onAttemptLost(attempt, wanted && isRefusalOrError(endReason));
     }
-    freed(attempt);
+    onCapacityFreed(attempt);
   }
 
-  private static boolean isRefusalOrError(EndReason cause) {
-    return switch (cause) {
+  private static boolean isRefusalOrError(EndReason endReason) {
+    return switch (endReason) {
       case ERROR, NO_CAPACITY, MACHINE_BUSY, UNKNOWN_JOB -> true;
       default -> false;
     };
   }
 
-  private void completed(Attempt attempt) {
+  private void onTaskCompleted(Attempt attempt) {
     Job job = attempt.job;
     if (!job.isActive()) {
       attempt.mayBeForgotten = true;
-      endIfQuiet(job);
-      forgetIfOver(job);
+      storeCancellationIfStopped(job);
+      removeRecordIfFinished(job);
       return;
     }
     // The tasks of a gang complete together.
@@ -534,12 +544,12 @@
       job.done.set(attempt.task);
     }
     job.pending.clear(attempt.task);
-    failures.succeeded(job);
+    faultAttribution.recordSuccess(job);
     cluster.onDemandChanged(job);
-    endOthers(attempt);
+    stopOtherAttempts(attempt);
     if (job.done.cardinality() == job.spec.tasks()) {
       job.transitionTo(Job.State.DONE);
-      leaveQueue(job);
+      removeFromQueue(job);
       records.end(job);
     }
   }
@@ -550,7 +560,7 @@
    * attempt of a complete task for being anywhere. Found by the simulation, as a team's limit that
    * was broken after two takeovers.
    */
-  private void endOthers(Attempt complete) {
+  private void stopOtherAttempts(Attempt complete) {
     Job job = complete.job;
     List<Attempt> others = new ArrayList<>();
     for (Attempt other : job.attempts.getOrDefault(complete.task, Set.of())) {
@@ -569,37 +579,37 @@
   }
 
   /** An attempt is gone that kept its task's completion from being stored. */
-  private void reveal(Attempt gone) {
+  private void resumeCompletion(Attempt gone) {
     Attempt complete = gone.completedBy;
     if (complete != null) {
       gone.completedBy = null;
-      endOthers(complete);
+      stopOtherAttempts(complete);
     }
   }
 
   /** Proof has come that the attempt is not on its machine and never will be. */
-  public void gone(Attempt attempt, String proof) {
-    boolean held = attempt.holdsCapacity();
+  public void onAttemptGone(Attempt attempt, String proof) {
+    boolean heldCapacity = attempt.holdsCapacity();
     cluster.transition(attempt, Attempt.State.GONE);
-    reveal(attempt);
-    if (held) {
+    resumeCompletion(attempt);
+    if (heldCapacity) {
       log.debug("{}: {}", attempt, proof);
-      lost(attempt, false);
-      freed(attempt);
+      onAttemptLost(attempt, false);
+      onCapacityFreed(attempt);
     } else if (attempt.endReason == EndReason.GANG_INCOMPLETE
         && attempt.job.mayStartTask(attempt.task)
-        && stillGathers(attempt)) {
+        && isGangStillStarting(attempt)) {
       // Forgotten there, it can be started again where its image is.
-      replaced(attempt);
+      replaceInGang(attempt);
     }
   }
 
   /** The attempt ended without completing its task. */
-  private void lost(Attempt attempt, boolean backoff) {
+  private void onAttemptLost(Attempt attempt, boolean backoff) {
     Job job = attempt.job;
     if (!job.isActive()) {
-      endIfQuiet(job);
-      forgetIfOver(job);
+      storeCancellationIfStopped(job);
+      removeRecordIfFinished(job);
       return;
     }
     if (job.spec.kind() == JobKind.GANG) {
@@ -608,8 +618,8 @@
         return;
       }
       if (!job.attempts.isEmpty()) {
-        boolean mend = !job.failing && stillGathers(attempt);
-        if (mend && (replaced(attempt) || waitsForForget(attempt))) {
+        boolean mayReplace = !job.failing && isGangStillStarting(attempt);
+        if (mayReplace && (replaceInGang(attempt) || reserveUntilForgotten(attempt))) {
           return;
         }
         // A gang that lost a task is stopped as a whole and started again as a whole.
@@ -625,14 +635,14 @@
     }
     // Of a gang that fails the last task to go may have been stopped for the others.
     if (backoff || job.failing) {
-      QueueEntry entry = entries.computeIfAbsent(job.spec.id(), id -> new QueueEntry(job));
+      QueueEntry entry = entriesByJob.computeIfAbsent(job.spec.id(), id -> new QueueEntry(job));
       // What fails together while it waits already is one failure.
       if (entry.place() != QueueEntry.Place.ACTIVE
           && entry.place() != QueueEntry.Place.BACKOFF_ERROR) {
         boolean failing = job.failing || attempt.endReason == EndReason.ERROR;
-        int times = failing ? failures.round(job) : entry.attempts() + 1;
-        queue.failed(entry, times, eventLoop.now());
-        wakeForBackoff();
+        int times = failing ? faultAttribution.countFailureRound(job) : entry.attempts() + 1;
+        queue.backOffAfterError(entry, times, eventLoop.now());
+        scheduleBackoffWakeUp();
       }
     } else {
       enqueue(job);
@@ -644,7 +654,7 @@
    * can be started anew under the same attempt number and the others need not fetch again. That one
    * task waited in vain for the others is no reason to stop their fetches.
    */
-  private static boolean stillGathers(Attempt lost) {
+  private static boolean isGangStillStarting(Attempt lost) {
     Job job = lost.job;
     if (!lost.isWanted()
         || lost.endReason == EndReason.GANG_PEER_ENDED
@@ -653,12 +663,12 @@
     }
     for (Set<Attempt> attempts : job.attempts.values()) {
       for (Attempt other : attempts) {
-        boolean waits =
+        boolean isStarting =
             switch (other.state()) {
               case PLACEMENT_PENDING, PLACEMENT_STORED, FETCHING_IMAGE, WAITING_FOR_GANG -> true;
               default -> false;
             };
-        if (!waits || !other.isWanted() || other.number != lost.number) {
+        if (!isStarting || !other.isWanted() || other.number != lost.number) {
           return false;
         }
       }
@@ -670,7 +680,7 @@
    * Starts a lost task of a gathering gang anew. Not on a machine that still lists the attempt: a
    * start of what it knows already has no effect there.
    */
-  private boolean replaced(Attempt lost) {
+  private boolean replaceInGang(Attempt lost) {
     Job job = lost.job;
     Instant now = eventLoop.now();
     Placer.Decision decision = placer.place(job, 1, now);
@@ -679,89 +689,91 @@
     }
     Machine machine = decision.machines().get(0);
     String key = Machine.attemptKey(job.spec.id(), lost.task, lost.number);
-    if (machine.attempts.containsKey(key) || !effects.mayStart()) {
+    if (machine.attempts.containsKey(key) || !callbacks.mayStartTasks()) {
       return false;
     }
     log.debug("{} is replaced on {}", lost, machine);
-    start(job, lost.task, lost.number, machine, now);
+    startTask(job, lost.task, lost.number, machine, now);
     return true;
   }
 
   /** Keeps the place of a task that waited in vain until its machine has forgotten the attempt. */
-  private boolean waitsForForget(Attempt lost) {
+  private boolean reserveUntilForgotten(Attempt lost) {
     if (lost.endReason != EndReason.GANG_INCOMPLETE) {
       return false;
     }
-    cluster.reserve(lost.machine, lost.job, eventLoop.now().plus(PreemptionPolicy.RESERVATION));
+    cluster.reserve(
+        lost.machine, lost.job, eventLoop.now().plus(PreemptionPolicy.RESERVATION_DURATION));
     return true;
   }
 
-  private void freed(Attempt attempt) {
+  private void onCapacityFreed(Attempt attempt) {
     Machine machine = attempt.machine;
     Instant now = eventLoop.now();
-    queue.onEvent(ClusterEvent.teamFreed(attempt.job.spec.team()), now);
+    queue.onEvent(ClusterEvent.teamUsageReduced(attempt.job.spec.team()), now);
     if (machine.isSchedulable()) {
-      roomy.put(machine, queue.tries());
-      queue.onEvent(ClusterEvent.roomFreed(machine, machine.free(), queue.tries()), now);
+      machinesWithFreedCapacity.put(machine, queue.cycles());
+      queue.onEvent(ClusterEvent.capacityFreed(machine, machine.free(), queue.cycles()), now);
     }
     queue.onEvent(ClusterEvent.attemptGone(attempt.job), now);
-    kick();
+    requestRun();
   }
 
-  private void failed(Attempt attempt) {
+  private void onTaskFailed(Attempt attempt) {
     Job job = attempt.job;
     Instant now = eventLoop.now();
     job.avoidedMachines.add(attempt.machine.name);
     // A job that fails everywhere must not run out of machines.
-    if (job.avoidedMachines.size() > Math.min(AVOIDED, cluster.machines().size() / 2)) {
+    if (job.avoidedMachines.size()
+        > Math.min(MAX_AVOIDED_MACHINES, cluster.machines().size() / 2)) {
       job.avoidedMachines.remove(job.avoidedMachines.iterator().next());
     }
     Duration ran =
         attempt.runningSince == null ? Duration.ZERO : Duration.between(attempt.runningSince, now);
-    failures.failed(job, attempt.machine, ran, now);
+    faultAttribution.recordFailure(job, attempt.machine, ran, now);
   }
 
   /** A machine can take work now, or more than before. */
-  public void machineReady(Machine machine) {
-    roomy.put(machine, queue.tries());
+  public void onMachineReady(Machine machine) {
+    machinesWithFreedCapacity.put(machine, queue.cycles());
     queue.onEvent(
-        ClusterEvent.machineReady(machine, machine.free(), queue.tries()), eventLoop.now());
-    kick();
+        ClusterEvent.machineReady(machine, machine.free(), queue.cycles()), eventLoop.now());
+    requestRun();
   }
 
   // ---- the loop
 
   /** Has the queue looked at soon. */
-  public void kick() {
-    if (!passSet) {
-      passSet = true;
-      eventLoop.schedule(Duration.ZERO, this::pass);
+  public void requestRun() {
+    if (!runRequested) {
+      runRequested = true;
+      eventLoop.schedule(Duration.ZERO, this::runCycles);
     }
   }
 
-  private void pass() {
-    passSet = false;
-    if (!effects.mayStart()) {
+  private void runCycles() {
+    runRequested = false;
+    if (!callbacks.mayStartTasks()) {
       return;
     }
     Instant now = eventLoop.now();
-    queue.releaseExpired(now);
-    for (int turn = 0; turn < TURNS_A_PASS; turn++) {
+    queue.activateExpired(now);
+    for (int cycle = 0; cycle < MAX_CYCLES_PER_RUN; cycle++) {
       QueueEntry entry = queue.pop(now);
       if (entry == null) {
-        if (offerAgain(now)) {
+        if (reofferFreedCapacity(now)) {
           continue;
         }
         // An attempt that never started is gone at once, and its room is added to these.
-        List<Machine> roomyNow = List.copyOf(roomy.keySet());
-        roomy.clear();
-        rooms.shortenFetches(roomyNow, now, each -> kill(each, Duration.ZERO));
-        wakeForBackoff();
+        List<Machine> freedMachines = List.copyOf(machinesWithFreedCapacity.keySet());
+        machinesWithFreedCapacity.clear();
+        preemptionPolicy.moveSlowFetches(freedMachines, now, each -> kill(each, Duration.ZERO));
+        scheduleBackoffWakeUp();
         return;
       }
-      attempt(entry, now);
+      runCycle(entry, now);
     }
-    kick();
+    requestRun();
   }
 
   /**
@@ -769,109 +781,115 @@
    * by priority that have not been tried since get theirs. Without this the place would stay empty,
    * since an event wakes no more entries than its room holds.
    */
-  private boolean offerAgain(Instant now) {
+  private boolean reofferFreedCapacity(Instant now) {
     boolean woken = false;
-    for (Map.Entry<Machine, Long> entry : roomy.entrySet()) {
+    for (Map.Entry<Machine, Long> entry : machinesWithFreedCapacity.entrySet()) {
       Machine machine = entry.getKey();
       if (machine.isSchedulable()) {
-        ClusterEvent event = ClusterEvent.roomFreed(machine, machine.free(), entry.getValue());
+        ClusterEvent event = ClusterEvent.capacityFreed(machine, machine.free(), entry.getValue());
         woken |= queue.onEvent(event, now);
       }
     }
     return woken && queue.hasActive();
   }
 
-  private void wakeForBackoff() {
-    Instant next = queue.nextExpiry();
+  private void scheduleBackoffWakeUp() {
+    Instant next = queue.nextBackoffExpiry();
     Instant now = eventLoop.now();
-    if (next == null || (wakeAt != null && wakeAt.isAfter(now) && !next.isBefore(wakeAt))) {
+    if (next == null
+        || (backoffWakeUpAt != null
+            && backoffWakeUpAt.isAfter(now)
+            && !next.isBefore(backoffWakeUpAt))) {
       return;
     }
-    wakeAt = next;
+    backoffWakeUpAt = next;
     Duration wait = Duration.between(now, next);
     eventLoop.schedule(
         wait.isNegative() ? Duration.ZERO : wait.plusMillis(1),
         () -> {
-          wakeAt = null;
-          kick();
+          backoffWakeUpAt = null;
+          requestRun();
         });
   }
 
-  private void attempt(QueueEntry entry, Instant now) {
+  private void runCycle(QueueEntry entry, Instant now) {
     Job job = entry.job;
     if (!job.isActive() || job.pending.isEmpty()) {
       queue.remove(entry);
-      entries.remove(job.spec.id());
+      entriesByJob.remove(job.spec.id());
       return;
     }
     if (job.blockedByDependencies) {
-      queue.park(entry, SchedulingCheck.DEPENDENCY, now);
+      queue.markUnschedulable(entry, SchedulingCheck.DEPENDENCY, now);
       return;
     }
     if (job.spec.kind() == JobKind.GANG) {
       if (!job.attempts.isEmpty()) {
-        queue.park(entry, SchedulingCheck.PREDECESSOR, now);
+        queue.markUnschedulable(entry, SchedulingCheck.PREDECESSOR, now);
         return;
       }
       Placer.Decision decision = place(job, job.spec.tasks(), now);
       if (!decision.isPlaced()) {
-        reject(entry, decision.rejectedBy(), now);
+        onRejected(entry, decision.rejectedBy(), now);
         return;
       }
-      if (job.spec.tasks() == 1 && waitsForWarmRoom(entry, decision.machines().get(0), now)) {
+      if (job.spec.tasks() == 1 && waitsForCachedImage(entry, decision.machines().get(0), now)) {
         return;
       }
       List.copyOf(cluster.reservedFor(job)).forEach(cluster::unreserve);
-      long number = nextNumber();
+      long number = nextAttemptNumber();
       for (int task = 0; task < job.spec.tasks(); task++) {
-        start(job, task, number, decision.machines().get(task), now);
+        startTask(job, task, number, decision.machines().get(task), now);
       }
       queue.remove(entry);
-      entries.remove(job.spec.id());
+      entriesByJob.remove(job.spec.id());
       return;
     }
-    int wanted = Math.min(job.pending.cardinality(), TASKS_A_TURN);
+    int taskCount = Math.min(job.pending.cardinality(), MAX_TASKS_PER_CYCLE);
     if (job.failing) {
-      wanted = Math.min(wanted, PROBES - job.attempts.size());
-      if (wanted <= 0) {
-        queue.park(entry, SchedulingCheck.FAILING, now);
+      taskCount = Math.min(taskCount, MAX_PROBE_TASKS - job.attempts.size());
+      if (taskCount <= 0) {
+        queue.markUnschedulable(entry, SchedulingCheck.FAILING, now);
         return;
       }
     }
-    boolean paced = job.spec.kind() == JobKind.ARRAY && job.spec.tasks() > LARGE;
-    if (paced) {
-      wanted = Math.min(wanted, large.available(now));
-      if (wanted == 0) {
-        queue.postpone(entry, SchedulingCheck.PACE, now);
+    boolean isRateLimited =
+        job.spec.kind() == JobKind.ARRAY && job.spec.tasks() > MAX_UNTHROTTLED_ARRAY_TASKS;
+    if (isRateLimited) {
+      taskCount = Math.min(taskCount, largeArrayStarts.available(now));
+      if (taskCount == 0) {
+        queue.backOff(entry, SchedulingCheck.PACE, now);
         return;
       }
     }
-    Placer.Decision decision = place(job, wanted, now);
-    if (paced) {
-      large.take(decision.machines().size(), now);
+    Placer.Decision decision = place(job, taskCount, now);
+    if (isRateLimited) {
+      largeArrayStarts.take(decision.machines().size(), now);
     }
     for (Machine machine : decision.machines()) {
-      if (waitsForWarmRoom(entry, machine, now)) {
+      if (waitsForCachedImage(entry, machine, now)) {
         return;
       }
-      start(job, job.pending.nextSetBit(0), nextNumber(), machine, now);
+      startTask(job, job.pending.nextSetBit(0), nextAttemptNumber(), machine, now);
       if (!job.failing) {
-        entry.progressed();
+        entry.resetBackoff();
       }
     }
     if (!decision.isPlaced()) {
-      reject(entry, decision.rejectedBy(), now);
+      onRejected(entry, decision.rejectedBy(), now);
     } else if (job.pending.isEmpty()) {
       queue.remove(entry);
-      entries.remove(job.spec.id());
+      entriesByJob.remove(job.spec.id());
     } else {
-      queue.again(entry);
+      queue.putBack(entry);
     }
   }
 
-  private Placer.Decision place(Job job, int wanted, Instant now) {
-    Placer.Decision decision = placer.place(job, wanted, now);
-    return decision.isPlaced() ? decision : starvation.review(job, wanted, decision, now);
+  private Placer.Decision place(Job job, int taskCount, Instant now) {
+    Placer.Decision decision = placer.place(job, taskCount, now);
+    return decision.isPlaced()
+        ? decision
+        : starvationBound.reviewRejection(job, taskCount, decision, now);
   }
 
   /**
@@ -879,44 +897,49 @@
    * Without it a job waited for as long as nothing else happened on the machine whose room had been
    * reserved for another.
    */
-  public void review(Instant now) {
-    int parked = queue.sizes().get(QueueEntry.Place.UNSCHEDULABLE);
-    int most = Math.min(MOST_LEFTOVER, 1 + parked / LEFTOVER_PART);
-    queue.flushLeftover(now.minus(LEFTOVER), most);
-    for (Job job : starvation.withheld()) {
-      QueueEntry entry = entries.get(job.spec.id());
-      if (entry != null && !entry.triedAt().plus(WITHHELD_AGAIN).isAfter(now)) {
-        queue.wake(entry);
+  public void retryUnschedulable(Instant now) {
+    int unschedulable = queue.sizes().get(QueueEntry.Place.UNSCHEDULABLE);
+    int maxPerCheck =
+        Math.min(
+            MAX_UNSCHEDULABLE_RETRIES_PER_CHECK, 1 + unschedulable / UNSCHEDULABLE_RETRY_DIVISOR);
+    queue.retryUnschedulable(now.minus(UNSCHEDULABLE_RETRY_DELAY), maxPerCheck);
+    for (Job job : starvationBound.withheldJobs()) {
+      QueueEntry entry = entriesByJob.get(job.spec.id());
+      if (entry != null && !entry.lastCycleAt().plus(WITHHELD_RETRY_DELAY).isAfter(now)) {
+        queue.activateUnschedulable(entry);
       }
     }
     if (queue.hasActive()) {
-      kick();
+      requestRun();
     }
   }
 
-  private void reject(QueueEntry entry, SchedulingCheck by, Instant now) {
-    boolean room =
-        by == SchedulingCheck.FIT || by == SchedulingCheck.SPREAD || by == SchedulingCheck.TOGETHER;
-    if (room && !entry.job.failing) {
-      rooms.makeRoom(entry.job, Double.MAX_VALUE, now);
-      held.turnedAway(entry.job, now);
+  private void onRejected(QueueEntry entry, SchedulingCheck check, Instant now) {
+    boolean lacksCapacity =
+        check == SchedulingCheck.FIT
+            || check == SchedulingCheck.SPREAD
+            || check == SchedulingCheck.TOGETHER;
+    if (lacksCapacity && !entry.job.failing) {
+      preemptionPolicy.preemptFor(entry.job, Double.MAX_VALUE, now);
+      gangReservation.onGangRejected(entry.job, now);
     }
-    queue.park(entry, by, now);
+    queue.markUnschedulable(entry, check, now);
   }
 
   /** Whether the entry waits for room where its image is, which is being made. */
-  private boolean waitsForWarmRoom(QueueEntry entry, Machine cold, Instant now) {
-    if (starvation.isOver(entry.job, now)
-        || !rooms.waitsForWarmRoom(entry.job, cold, allowance(entry.job), now)) {
+  private boolean waitsForCachedImage(QueueEntry entry, Machine machineWithoutImage, Instant now) {
+    if (starvationBound.isExceeded(entry.job, now)
+        || !preemptionPolicy.waitsForCachedImage(
+            entry.job, machineWithoutImage, startAllowance(entry.job), now)) {
       return false;
     }
-    starvation.withholds(entry.job, now);
-    queue.park(entry, SchedulingCheck.FIT, now);
+    starvationBound.recordWithheld(entry.job, now);
+    queue.markUnschedulable(entry, SchedulingCheck.FIT, now);
     return true;
   }
 
   /** Stops an attempt to free its room; the rest of a gang goes with it. */
-  public void displace(Attempt attempt) {
+  public void preempt(Attempt attempt) {
     JobSpec spec = attempt.job.spec;
     Duration grace =
         spec.isCheckpointed() ? spec.checkpointDuration().plusSeconds(1) : Duration.ZERO;
@@ -927,34 +950,34 @@
     }
   }
 
-  private long nextNumber() {
-    if (++numbers >= 1L << NUMBER_BITS) {
-      effects.resign("the term's attempt numbers are used up");
+  private long nextAttemptNumber() {
+    if (++attemptsNumbered >= 1L << ATTEMPT_NUMBER_BITS) {
+      callbacks.resign("the term's attempt numbers are used up");
     }
-    return (term << NUMBER_BITS) + numbers;
+    return (term << ATTEMPT_NUMBER_BITS) + attemptsNumbered;
   }
 
-  private void start(Job job, int task, long number, Machine machine, Instant now) {
+  private void startTask(Job job, int task, long number, Machine machine, Instant now) {
     if (machine.reservedFor == job) {
       cluster.unreserve(machine);
     }
     job.pending.clear(task);
-    starvation.moved(job);
-    double fetch = Placer.fetchSeconds(job, machine);
-    log.debug("{}/{} goes to {} ({} s of fetching)", job, task, machine, fetch);
+    starvationBound.clear(job);
+    double fetchSeconds = Placer.fetchSeconds(job, machine);
+    log.debug("{}/{} goes to {} ({} s of fetching)", job, task, machine, fetchSeconds);
     Attempt attempt =
         cluster.addAttempt(job, task, number, machine, now, Attempt.State.PLACEMENT_PENDING);
-    attempt.imageReadyAt = now.plusMillis((long) (fetch * 1000));
+    attempt.imageReadyAt = now.plusMillis((long) (fetchSeconds * 1000));
     records.placementDue(attempt);
   }
 
   /** Tasks that wait, by job, for the fleet's demand. */
-  public Iterable<QueueEntry> waiting() {
-    return entries.values();
+  public Iterable<QueueEntry> pendingEntries() {
+    return entriesByJob.values();
   }
 
   /** Everything of a job that may be on a machine. */
-  public static int running(Job job) {
+  public static int countRunning(Job job) {
     int count = 0;
     for (Set<Attempt> attempts : job.attempts.values()) {
       for (Attempt attempt : attempts) {
--- a/src/main/java/io/pineladder/scheduling/SpotReclaimRisk.java
+++ b/src/main/java/io/pineladder/scheduling/SpotReclaimRisk.java
@@ -6,34 +6,34 @@
 /** How often spot machines are taken back, as seen of late. */
 public final class SpotReclaimRisk {
   /** What is seen counts for about so long. */
-  private static final Duration MEMORY = Duration.ofMinutes(5);
+  private static final Duration DECAY_TIME = Duration.ofMinutes(5);
 
   /** Before anything was seen: one taken in so many hours of one machine. */
-  private static final double PRIOR_HOURS = 4;
+  private static final double PRIOR_MACHINE_HOURS = 4;
 
-  private double hours;
-  private double losses;
-  private Instant at;
+  private double machineHours;
+  private double reclaims;
+  private Instant observedAt;
 
   /** So many spot machines are up now. */
   public void observe(int machines, Instant now) {
-    if (at != null) {
-      double seconds = Duration.between(at, now).toMillis() / 1000.0;
-      double kept = Math.exp(-seconds / MEMORY.toSeconds());
-      hours = hours * kept + machines * seconds / 3600;
-      losses *= kept;
+    if (observedAt != null) {
+      double seconds = Duration.between(observedAt, now).toMillis() / 1000.0;
+      double decay = Math.exp(-seconds / DECAY_TIME.toSeconds());
+      machineHours = machineHours * decay + machines * seconds / 3600;
+      reclaims *= decay;
     }
-    at = now;
+    observedAt = now;
   }
 
   /** A spot machine was taken back. */
-  public void lost() {
-    losses++;
+  public void recordReclaim() {
+    reclaims++;
   }
 
   /** The likelihood that one of so many machines is taken within that time. */
-  double likelihood(double machines, Duration time) {
-    double perHour = (losses + 1) / (hours + PRIOR_HOURS);
-    return 1 - Math.exp(-perHour * machines * time.toMillis() / 3.6e6);
+  double reclaimProbability(double machines, Duration runTime) {
+    double perHour = (reclaims + 1) / (machineHours + PRIOR_MACHINE_HOURS);
+    return 1 - Math.exp(-perHour * machines * runTime.toMillis() / 3.6e6);
   }
 }
--- a/src/main/java/io/pineladder/scheduling/VictimSelector.java
+++ b/src/main/java/io/pineladder/scheduling/VictimSelector.java
@@ -20,7 +20,7 @@
 /** Finds the work whose stopping costs least and lets a job of higher priority in. */
 final class VictimSelector {
   /** What speaks against stopping a task that its job cannot start again in time, in seconds. */
-  private static final double LATE = 60;
+  private static final double MISSED_OBJECTIVE_COST_SECONDS = 60;
 
   private final ClusterState cluster;
   private final EventLoop eventLoop;
@@ -31,10 +31,10 @@
   }
 
   /** Attempts to stop on one machine, and what that costs, in seconds. */
-  record Plan(Machine machine, List<Attempt> victims, double loss) {}
+  record PreemptionPlan(Machine machine, List<Attempt> victims, double costSeconds) {}
 
   /** On how many machines work stopped for this job is still leaving. */
-  int waiting(Job job, Instant now) {
+  int countMachinesBeingFreed(Job job, Instant now) {
     int count = 0;
     for (Machine machine : cluster.reservedFor(job)) {
       if (machine.reservationExpiresAt.isAfter(now)
@@ -53,24 +53,26 @@
    *
    * @param presses whether work of which something is expected may be stopped for it
    */
-  List<Plan> plans(Job job, int wanted, double mostFetchSeconds, boolean presses, Instant now) {
-    Look look = new Look(job, presses, now);
-    List<Plan> plans = new ArrayList<>();
+  List<PreemptionPlan> selectForTasks(
+      Job job, int taskCount, double maxFetchSeconds, boolean urgent, Instant now) {
+    FleetScan scan = new FleetScan(job, urgent, now);
+    List<PreemptionPlan> plans = new ArrayList<>();
     for (Machine machine : cluster.machines()) {
       if (!machine.isSchedulable()
           || !Placer.isAllowed(job, machine)
           || (machine.reservedFor == job && machine.reservationExpiresAt.isAfter(now))
-          || !Placer.mayTake(job, machine)) {
+          || !Placer.allowsZoneOf(job, machine)) {
         continue;
       }
-      double fetch = Placer.fetchSeconds(job, machine);
-      Plan plan = fetch > mostFetchSeconds ? null : look.plan(machine, fetch);
+      double fetchSeconds = Placer.fetchSeconds(job, machine);
+      PreemptionPlan plan =
+          fetchSeconds > maxFetchSeconds ? null : scan.plan(machine, fetchSeconds);
       if (plan != null) {
         plans.add(plan);
       }
     }
-    plans.sort(Comparator.comparingDouble(Plan::loss));
-    return plans.subList(0, Math.min(wanted, plans.size()));
+    plans.sort(Comparator.comparingDouble(PreemptionPlan::costSeconds));
+    return plans.subList(0, Math.min(taskCount, plans.size()));
   }
 
   /**
@@ -79,58 +81,63 @@
    * for a gang that may not be able to start. Found on laval-ops: a guest's work of low rank filled
    * every machine, and gangs of two waited until two happened to be empty at once.
    */
-  List<Plan> gangPlans(Job job, Instant now) {
+  List<PreemptionPlan> selectForGang(Job job, Instant now) {
     JobSpec spec = job.spec;
     if (spec.spreadAcrossZones()) {
       return List.of();
     }
-    Look look = new Look(job, true, now);
-    Map<String, List<Plan>> zones = new LinkedHashMap<>();
+    FleetScan scan = new FleetScan(job, true, now);
+    Map<String, List<PreemptionPlan>> plansByZone = new LinkedHashMap<>();
     for (Machine machine : cluster.machines()) {
       if (!machine.isSchedulable() || !Placer.isAllowed(job, machine)) {
         continue;
       }
-      double fetch = Placer.fetchSeconds(job, machine);
-      long free = spec.resourcesPerTask().timesFittingIn(Placer.room(job, machine, now));
-      Plan plan = free > 0 ? new Plan(machine, List.of(), fetch) : look.plan(machine, fetch);
+      double fetchSeconds = Placer.fetchSeconds(job, machine);
+      long tasksFitting =
+          spec.resourcesPerTask().timesFittingIn(Placer.availableCapacity(job, machine, now));
+      PreemptionPlan plan =
+          tasksFitting > 0
+              ? new PreemptionPlan(machine, List.of(), fetchSeconds)
+              : scan.plan(machine, fetchSeconds);
       if (plan != null) {
-        List<Plan> there =
-            zones.computeIfAbsent(spec.sameZone() ? machine.zone : "", z -> new ArrayList<>());
-        for (long i = 0; i < Math.max(1, Math.min(free, spec.tasks())); i++) {
-          there.add(plan);
+        List<PreemptionPlan> zonePlans =
+            plansByZone.computeIfAbsent(
+                spec.sameZone() ? machine.zone : "", z -> new ArrayList<>());
+        for (long i = 0; i < Math.max(1, Math.min(tasksFitting, spec.tasks())); i++) {
+          zonePlans.add(plan);
         }
       }
     }
-    List<Plan> best = List.of();
-    for (List<Plan> there : zones.values()) {
-      if (there.size() >= spec.tasks()) {
-        there.sort(Comparator.comparingDouble(Plan::loss));
-        List<Plan> first = there.subList(0, spec.tasks());
-        if (best.isEmpty() || loss(first) < loss(best)) {
-          best = first;
+    List<PreemptionPlan> best = List.of();
+    for (List<PreemptionPlan> zonePlans : plansByZone.values()) {
+      if (zonePlans.size() >= spec.tasks()) {
+        zonePlans.sort(Comparator.comparingDouble(PreemptionPlan::costSeconds));
+        List<PreemptionPlan> cheapest = zonePlans.subList(0, spec.tasks());
+        if (best.isEmpty() || totalCostSeconds(cheapest) < totalCostSeconds(best)) {
+          best = cheapest;
         }
       }
     }
     return best;
   }
 
-  private static double loss(List<Plan> plans) {
-    return plans.stream().mapToDouble(Plan::loss).sum();
+  private static double totalCostSeconds(List<PreemptionPlan> plans) {
+    return plans.stream().mapToDouble(PreemptionPlan::costSeconds).sum();
   }
 
   /** One look at the fleet for one job, with what it has found out about other jobs. */
-  private final class Look {
+  private final class FleetScan {
     private final Job job;
     private final Instant now;
     private final boolean guaranteed;
-    private final boolean presses;
+    private final boolean urgent;
 
     /** What speaks against stopping any task of a job, in seconds; infinite if that may not be. */
-    private final Map<Job, Double> penalties = new IdentityHashMap<>();
+    private final Map<Job, Double> penaltySecondsByJob = new IdentityHashMap<>();
 
-    Look(Job job, boolean presses, Instant now) {
+    FleetScan(Job job, boolean urgent, Instant now) {
       this.job = job;
-      this.presses = presses;
+      this.urgent = urgent;
       this.now = now;
       Team team = cluster.team(job.spec.team());
       guaranteed =
@@ -144,17 +151,19 @@
                               : job.spec.resourcesPerTask()));
     }
 
-    private double penalty(Job victim) {
-      if (!mayDisplace(job, victim, guaranteed) || !(presses || cluster.hasNoObjective(victim))) {
+    private double penaltySeconds(Job victim) {
+      if (!mayPreempt(job, victim, guaranteed) || !(urgent || cluster.hasNoObjective(victim))) {
         return Double.POSITIVE_INFINITY;
       }
-      return cluster.wouldMissObjectiveAfterRestart(victim, eventLoop.wallClock()) ? LATE : 0;
+      return cluster.wouldMissObjectiveAfterRestart(victim, eventLoop.wallClock())
+          ? MISSED_OBJECTIVE_COST_SECONDS
+          : 0;
     }
 
-    Plan plan(Machine machine, double fetch) {
-      Resources each = job.spec.resourcesPerTask();
-      Resources room = Placer.room(job, machine, now);
-      Resources most = room;
+    PreemptionPlan plan(Machine machine, double fetchSeconds) {
+      Resources perTask = job.spec.resourcesPerTask();
+      Resources available = Placer.availableCapacity(job, machine, now);
+      Resources reclaimable = available;
       List<Victim> candidates = new ArrayList<>();
       for (Attempt attempt : machine.attempts.values()) {
         if (!attempt.holdsCapacity()) {
@@ -163,40 +172,41 @@
         Resources held = attempt.job.spec.resourcesPerTask();
         if (!attempt.isWanted()) {
           // It is leaving anyway.
-          room = room.plus(held);
-          most = most.plus(held);
+          available = available.plus(held);
+          reclaimable = reclaimable.plus(held);
           continue;
         }
-        double penalty = penalties.computeIfAbsent(attempt.job, this::penalty);
-        if (penalty != Double.POSITIVE_INFINITY) {
-          candidates.add(new Victim(attempt, lostWork(attempt, now) + penalty));
-          most = most.plus(held);
+        double penaltySeconds =
+            penaltySecondsByJob.computeIfAbsent(attempt.job, this::penaltySeconds);
+        if (penaltySeconds != Double.POSITIVE_INFINITY) {
+          candidates.add(new Victim(attempt, lostWorkSeconds(attempt, now) + penaltySeconds));
+          reclaimable = reclaimable.plus(held);
         }
       }
-      if (!each.fitsIn(most) || each.fitsIn(room)) {
+      if (!perTask.fitsIn(reclaimable) || perTask.fitsIn(available)) {
         return null;
       }
-      candidates.sort(Comparator.comparingDouble(Victim::loss));
+      candidates.sort(Comparator.comparingDouble(Victim::costSeconds));
       List<Attempt> victims = new ArrayList<>();
-      double loss = fetch;
+      double costSeconds = fetchSeconds;
       for (Victim candidate : candidates) {
         Resources held = candidate.attempt.job.spec.resourcesPerTask();
         // Stopping what holds nothing of what is lacking would help nobody.
-        if (!each.fitsIn(room) && held.relievesShortage(each, room)) {
+        if (!perTask.fitsIn(available) && held.relievesShortage(perTask, available)) {
           victims.add(candidate.attempt);
-          loss += candidate.loss;
-          room = room.plus(held);
+          costSeconds += candidate.costSeconds;
+          available = available.plus(held);
         }
       }
-      return new Plan(machine, victims, loss);
+      return new PreemptionPlan(machine, victims, costSeconds);
     }
   }
 
   /** Work that may be stopped, and what that would cost, in seconds. */
-  private record Victim(Attempt attempt, double loss) {}
+  private record Victim(Attempt attempt, double costSeconds) {}
 
   /** A higher rank, or a guarantee against what another team has beyond its own. */
-  private boolean mayDisplace(Job job, Job victim, boolean guaranteed) {
+  private boolean mayPreempt(Job job, Job victim, boolean guaranteed) {
     boolean victimGuaranteed = cluster.isGuaranteed(victim);
     if (job.priorityClass().isAbove(victim.priorityClass())) {
       return guaranteed || !victimGuaranteed;
@@ -205,9 +215,9 @@
   }
 
   /** Seconds of work that stopping it throws away. */
-  private static double lostWork(Attempt attempt, Instant now) {
-    Instant from = attempt.runningSince == null ? attempt.createdAt : attempt.runningSince;
-    Duration ran = Duration.between(from, now);
+  private static double lostWorkSeconds(Attempt attempt, Instant now) {
+    Instant workStartedAt = attempt.runningSince == null ? attempt.createdAt : attempt.runningSince;
+    Duration ran = Duration.between(workStartedAt, now);
     if (attempt.job.spec.isCheckpointed()) {
       Duration save = attempt.job.spec.checkpointDuration();
       return Math.min(ran.toMillis(), save.toMillis()) / 1000.0;
--- a/src/main/java/io/pineladder/workers/WorkerManager.java
+++ b/src/main/java/io/pineladder/workers/WorkerManager.java
@@ -162,7 +162,7 @@
       machine.lastProbedAt = null;
     }
     if (!took && machine.isSchedulable()) {
-      scheduler.machineReady(machine);
+      scheduler.onMachineReady(machine);
     }
   }
 
@@ -215,7 +215,7 @@
         log.info("machine {} is taken back in {}", machine, report.notice());
         machine.reclaimAt = taken;
         if (machine.spot) {
-          cluster.spotRisk.lost();
+          cluster.spotRisk.recordReclaim();
         }
       } else if (taken.isBefore(machine.reclaimAt)) {
         machine.reclaimAt = taken;
@@ -236,7 +236,7 @@
     follow(machine, report, reported);
     cluster.updateIndexes(machine);
     if (!wasReady && machine.isSchedulable()) {
-      scheduler.machineReady(machine);
+      scheduler.onMachineReady(machine);
     }
     if (machine.reclaimAt != null) {
       evacuate(machine);
@@ -263,14 +263,14 @@
       boolean ofBefore =
           attempt.wasObserved() || (attempt.startSession != 0 && attempt.startSession < session);
       if (ofBefore) {
-        scheduler.gone(attempt, "the worker's session ended");
+        scheduler.onAttemptGone(attempt, "the worker's session ended");
       }
     }
     if (answered) {
       // What is left was never sent, and would wait for a machine that hears nothing.
       for (Attempt attempt : List.copyOf(machine.attempts.values())) {
         if (attempt.holdsCapacity() && attempt.isWanted()) {
-          scheduler.displace(attempt);
+          scheduler.preempt(attempt);
         }
       }
     }
@@ -299,9 +299,9 @@
         hear(machine, Machine.Reachability.REACHABLE);
       }
       if (task.state() == TaskState.EXITED) {
-        scheduler.exited(attempt, task.cause());
+        scheduler.onAttemptExited(attempt, task.cause());
       } else {
-        scheduler.seen(attempt, state(task.state()));
+        scheduler.onAttemptObserved(attempt, state(task.state()));
       }
     }
     List<Attempt> unlisted = new ArrayList<>();
@@ -339,7 +339,7 @@
             Attempt.State.RECOVERED);
     attempt.startSession = machine.agentEpoch;
     if (task.state() != TaskState.EXITED
-        && !(listener.recordsIncomplete() && scheduler.keep(attempt))) {
+        && !(listener.recordsIncomplete() && scheduler.adoptUnrecorded(attempt))) {
       log.info("{} is not expected there", attempt);
       job.pending.clear(attempt.task);
       scheduler.kill(attempt, Duration.ZERO);
@@ -368,10 +368,10 @@
           attempt.startSession = 0;
           attempt.startHeartbeatSequence = -1;
         } else {
-          scheduler.gone(attempt, "its start was dropped");
+          scheduler.onAttemptGone(attempt, "its start was dropped");
         }
       }
-      default -> scheduler.gone(attempt, "not in a newer report");
+      default -> scheduler.onAttemptGone(attempt, "not in a newer report");
     }
   }
 
@@ -391,7 +391,7 @@
           && attempt.runningSince.plus(attempt.job.spec.estimatedRunTime()).isAfter(now)) {
         continue;
       }
-      scheduler.displace(attempt);
+      scheduler.preempt(attempt);
     }
   }
 
@@ -492,7 +492,7 @@
         attempt.startSession = 0;
         if (!attempt.isWanted()) {
           // Decided while the start was on its way; nobody else would ever settle it.
-          scheduler.gone(attempt, "its start was refused");
+          scheduler.onAttemptGone(attempt, "its start was refused");
         }
       } else if (!executed) {
         attempt.startUnconfirmed = true;
--- a/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
+++ b/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
@@ -29,16 +29,16 @@
   /** Team events answer "at once" for the team named, and room events "queue". */
   private static QueueingHintTable hints() {
     return new QueueingHintTable()
-        .on(
+        .register(
             SchedulingCheck.TEAM_LIMIT,
-            ClusterEvent.Kind.TEAM_FREED,
+            ClusterEvent.Kind.TEAM_USAGE_REDUCED,
             (entry, event) ->
                 entry.job.spec.team().equals(event.team())
-                    ? QueueingHint.QUEUE_AT_ONCE
+                    ? QueueingHint.QUEUE_IMMEDIATELY
                     : QueueingHint.SKIP)
-        .on(
+        .register(
             SchedulingCheck.FIT,
-            ClusterEvent.Kind.ROOM_FREED,
+            ClusterEvent.Kind.CAPACITY_FREED,
             (entry, event) -> QueueingHint.QUEUE);
   }
 
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public Instant due(QueueEntry entry) {
+        public Instant dueAt(QueueEntry entry) {
           return entry.job.acceptedAt;
         }
       };
@@ -129,7 +129,7 @@
                       Comparator.<Plain, PriorityClass>comparing(
                               p -> p.entry.job.spec.priorityClass())
                           .thenComparing(p -> p.entry.job.acceptedAt)
-                          .thenComparing(p -> p.entry.arrival))
+                          .thenComparing(p -> p.entry.arrivalNumber))
                   .orElse(null);
           if (first == null) {
             assertNull(popped);
@@ -143,19 +143,19 @@
             queue.remove(popped);
             model.remove(first);
           } else if (fate == 1) {
-            queue.failed(popped, popped.attempts(), now);
+            queue.backOffAfterError(popped, popped.attempts(), now);
             first.backOff();
             first.place = QueueEntry.Place.BACKOFF_ERROR;
           } else {
             first.by = fate == 2 ? SchedulingCheck.TEAM_LIMIT : SchedulingCheck.FIT;
-            queue.park(popped, first.by, now);
+            queue.markUnschedulable(popped, first.by, now);
             first.backOff();
             first.place = QueueEntry.Place.UNSCHEDULABLE;
           }
         }
         case 3 -> {
           String team = "t" + random.nextInt(3);
-          queue.onEvent(ClusterEvent.teamFreed(team), now);
+          queue.onEvent(ClusterEvent.teamUsageReduced(team), now);
           for (Plain p : model) {
             boolean waits =
                 p.place == QueueEntry.Place.UNSCHEDULABLE
@@ -168,7 +168,7 @@
           }
         }
         case 4 -> {
-          queue.onEvent(ClusterEvent.roomFreed(null, null, Long.MAX_VALUE), now);
+          queue.onEvent(ClusterEvent.capacityFreed(null, null, Long.MAX_VALUE), now);
           for (Plain p : model) {
             if (p.place == QueueEntry.Place.UNSCHEDULABLE && p.by == SchedulingCheck.FIT) {
               p.place =
@@ -179,7 +179,7 @@
           }
         }
         default -> {
-          queue.releaseExpired(now);
+          queue.activateExpired(now);
           for (Plain p : model) {
             boolean backingOff =
                 p.place == QueueEntry.Place.BACKOFF_REJECTED
@@ -202,8 +202,8 @@
     QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
     queue.pop(ORIGIN);
-    queue.onEvent(ClusterEvent.teamFreed("t"), ORIGIN);
-    queue.park(entry, SchedulingCheck.TEAM_LIMIT, ORIGIN);
+    queue.onEvent(ClusterEvent.teamUsageReduced("t"), ORIGIN);
+    queue.markUnschedulable(entry, SchedulingCheck.TEAM_LIMIT, ORIGIN);
     assertEquals(QueueEntry.Place.ACTIVE, entry.place());
   }
 
@@ -213,10 +213,10 @@
     QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
     queue.pop(ORIGIN);
-    queue.park(entry, SchedulingCheck.PREDECESSOR, ORIGIN);
-    queue.onEvent(ClusterEvent.roomFreed(null, null, Long.MAX_VALUE), ORIGIN.plusSeconds(60));
-    queue.onEvent(ClusterEvent.teamFreed("t"), ORIGIN.plusSeconds(60));
+    queue.markUnschedulable(entry, SchedulingCheck.PREDECESSOR, ORIGIN);
+    queue.onEvent(ClusterEvent.capacityFreed(null, null, Long.MAX_VALUE), ORIGIN.plusSeconds(60));
+    queue.onEvent(ClusterEvent.teamUsageReduced("t"), ORIGIN.plusSeconds(60));
     assertEquals(QueueEntry.Place.UNSCHEDULABLE, entry.place());
-    assertEquals(1, queue.parked().get(SchedulingCheck.PREDECESSOR));
+    assertEquals(1, queue.unschedulableByCheck().get(SchedulingCheck.PREDECESSOR));
   }
 }
--- a/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
+++ b/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
@@ -37,17 +37,17 @@
       new FaultAttribution(
           new FaultAttribution.Listener() {
             @Override
-            public void onJob(Job job, boolean is) {
+            public void onJobFailingChanged(Job job, boolean is) {
               set(atFault, job, is);
             }
 
             @Override
-            public void onSuspect(Machine machine, boolean is) {
+            public void onQuarantineChanged(Machine machine, boolean is) {
               set(suspect, machine, is);
             }
 
             @Override
-            public void onFaulty(Machine machine) {
+            public void onMachineFaulty(Machine machine) {
               suspect.remove(machine);
               faulty.add(machine);
             }
@@ -91,12 +91,12 @@
   }
 
   private void fail(Job job, Machine machine) {
-    failures.failed(job, machine, Duration.ZERO, Instant.EPOCH);
+    failures.recordFailure(job, machine, Duration.ZERO, Instant.EPOCH);
   }
 
   private void complete(Job job) {
     job.done.set(0);
-    failures.succeeded(job);
+    failures.recordSuccess(job);
   }
 
   /** What failed where, and who went well: everything else follows from it. */
@@ -108,7 +108,7 @@
     boolean atFault(Job job) {
       Set<Machine> on = new HashSet<>(failed.getOrDefault(job, Set.of()));
       on.removeAll(faulty);
-      return !good.contains(job) && on.size() >= FaultAttribution.SEVERAL;
+      return !good.contains(job) && on.size() >= FaultAttribution.FAULT_THRESHOLD;
     }
 
     List<Job> blaming(Machine machine) {
@@ -118,7 +118,8 @@
     }
 
     boolean isSuspect(Machine machine) {
-      return !faulty.contains(machine) && blaming(machine).size() >= FaultAttribution.SEVERAL;
+      return !faulty.contains(machine)
+          && blaming(machine).size() >= FaultAttribution.FAULT_THRESHOLD;
     }
 
     /** Another machine may be faulty once one is, since that clears jobs. */
--- a/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
+++ b/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
@@ -54,12 +54,12 @@
             public void onUrgencyChanged(Job job) {}
 
             @Override
-            public Job.State knownEnd(String id) {
+            public Job.State knownFinalState(String id) {
               return stored.get(id);
             }
 
             @Override
-            public void lookUp(String id) {}
+            public void lookUpJob(String id) {}
           });
 
   private static ChainDeadlines own(Job job) {
@@ -105,12 +105,12 @@
   private void end(Job job, Job.State state) {
     job.transitionTo(state);
     if (state == Job.State.CANCELLED) {
-      dependencies.leave(job);
-      dependencies.endUnderWay(job);
+      dependencies.stopWaiting(job);
+      dependencies.onCancellationPending(job);
     }
     job.finalStateStored = true;
     stored.put(job.spec.id(), state);
-    dependencies.ended(job);
+    dependencies.onFinalStateStored(job);
     memory.remove(job.spec.id());
   }
 
@@ -141,7 +141,7 @@
     for (Job other : memory.values()) {
       if (other.isActive() && other.spec.prerequisites().contains(job.spec.id())) {
         ChainDeadlines of = ChainDeadlines.earlier(before(other), own(other));
-        Duration expected = other.spec.estimatedRunTime().plus(ClassLatencies.UNKNOWN);
+        Duration expected = other.spec.estimatedRunTime().plus(ClassLatencies.DEFAULT_OVERHEAD);
         earliest = ChainDeadlines.earlier(earliest, of == null ? null : of.minus(expected));
       }
     }
@@ -185,7 +185,8 @@
             end(job, Job.State.CANCELLED);
           } else if (job.isActive() && !job.blockedByDependencies && random.nextInt(3) == 0) {
             // A completion's time would be learned, which the model does not follow.
-            job.readyAt = now.minus(job.spec.estimatedRunTime()).minus(ClassLatencies.UNKNOWN);
+            job.readyAt =
+                now.minus(job.spec.estimatedRunTime()).minus(ClassLatencies.DEFAULT_OVERHEAD);
             end(job, Job.State.DONE);
           }
           compare();
@@ -200,14 +201,14 @@
     for (int number = 1; number <= 5_000; number++) {
       add(number, PriorityClass.LOW, null, "req-" + (number - 1));
     }
-    assertEquals(5_000, dependencies.waiting());
-    assertEquals(5_001, dependencies.longestChain());
+    assertEquals(5_000, dependencies.countWaitingJobs());
+    assertEquals(5_001, dependencies.longestChainLength());
     Job last = add(5_001, PriorityClass.HIGH, Duration.ofHours(100), "req-5000");
     assertEquals(PriorityClass.HIGH, all.get("req-0").priorityClass());
     assertEquals(own(last).minus(Duration.ofSeconds(15 * 5_001)), all.get("req-0").chainDeadlines);
     end(all.get("req-0"), Job.State.CANCELLED);
     assertEquals(5_001, cancelled.size());
-    assertEquals(0, dependencies.waiting());
+    assertEquals(0, dependencies.countWaitingJobs());
   }
 
   /**
@@ -217,7 +218,7 @@
   void aPrerequisiteThatIsLookedUpLeavesTheAnswerOpen() {
     Job job = add(2, PriorityClass.LOW, null, "req-1");
     assertTrue(dependencies.isUncertain(job));
-    dependencies.settled("req-1", Job.State.DONE);
+    dependencies.onFinalStateKnown("req-1", Job.State.DONE);
     assertTrue(!dependencies.isUncertain(job) && ready.contains(job));
   }
 }
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -196,7 +196,7 @@
           kept += possible && !placedAllTheSame ? 1 : 0;
         }
         Placer.Decision decision =
-            policy ? placer.placeByRules(job, wanted, NOW) : placer.place(job, wanted, NOW);
+            policy ? placer.placeIgnoringPolicy(job, wanted, NOW) : placer.place(job, wanted, NOW);
         assertEquals(possible, decision.isPlaced(), spec + " " + decision.rejectedBy());
         if (!possible) {
           refused++;
@@ -269,7 +269,7 @@
     for (int i = 0; i < 200; i++) {
       cluster.spotRisk.observe(10, NOW.plusSeconds(i));
       if (i % 20 == 0) {
-        cluster.spotRisk.lost();
+        cluster.spotRisk.recordReclaim();
       }
     }
     for (int seconds : List.of(20, 80, 130)) {
@@ -323,7 +323,7 @@
         Instant now = NOW.plusSeconds(age);
         List<Attempt> stopped = new ArrayList<>();
         new PreemptionPolicy(cluster, new FixedTime(now), stopped::add)
-            .makeRoom(high, Double.MAX_VALUE, now);
+            .preemptFor(high, Double.MAX_VALUE, now);
         // It runs for 10 s of its 120, and another machine would be ready after 11.
         assertEquals(!expected || age == 100, !stopped.isEmpty(), expected + " at " + age);
       }
--- a/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
+++ b/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
@@ -108,7 +108,7 @@
 
   private List<Attempt> moved(Machine to) {
     List<Attempt> moved = new ArrayList<>();
-    rooms.shortenFetches(
+    rooms.moveSlowFetches(
         List.of(to),
         NOW,
         attempt -> {
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -58,7 +58,7 @@
       leader.report("m-" + i, sequence, tasks.toArray(TaskReport[]::new));
     }
     leader.sent.clear();
-    leader.scheduler.failures().review(leader.now());
+    leader.scheduler.faultAttribution().reviewRunningJobs(leader.now());
     leader.runFor(Duration.ofMillis(700));
   }
 
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -82,9 +82,9 @@
             this,
             TERM,
             OperatorSettings.DEFAULTS,
-            new Scheduler.Effects() {
+            new Scheduler.Callbacks() {
               @Override
-              public boolean mayStart() {
+              public boolean mayStartTasks() {
                 return mayAct();
               }
 
@@ -94,7 +94,7 @@
               }
 
               @Override
-              public void ordersDue(Machine machine) {
+              public void onCommandsDue(Machine machine) {
                 later[0].ordersDue(machine);
               }
 
@@ -107,15 +107,15 @@
               public void onReady(Job job) {}
 
               @Override
-              public void onCancellationDerived(Job job) {}
+              public void onCancelledByDependency(Job job) {}
 
               @Override
-              public Job.State knownEnd(String job) {
+              public Job.State knownFinalState(String job) {
                 return null;
               }
 
               @Override
-              public void lookUp(String job) {}
+              public void lookUpJob(String job) {}
             });
     Records records =
         new Records(
@@ -135,7 +135,7 @@
 
               @Override
               public void onEndStored(Job job) {
-                scheduler.onEndStored(job);
+                scheduler.onFinalStateStored(job);
               }
 
               @Override
@@ -147,7 +147,7 @@
               public void onStoredTwice(Job job, Runnable again) {}
             },
             NotificationLog.NONE);
-    scheduler.useRecords(records);
+    scheduler.setRecords(records);
     fleet =
         new Autoscaler(
             cluster,
--- a/src/test/java/io/pineladder/workers/WorkerManagerTest.java
+++ b/src/test/java/io/pineladder/workers/WorkerManagerTest.java
@@ -382,7 +382,7 @@
     for (Attempt attempt : leader.attempts()) {
       attempt.startSession = 0;
     }
-    leader.scheduler.displace(gang.attempts.get(2).iterator().next());
+    leader.scheduler.preempt(gang.attempts.get(2).iterator().next());
     assertTrue(gang.attempts.isEmpty(), "none was started anew: " + gang.attempts);
     assertEquals(3, gang.pending.cardinality());
   }
@@ -924,7 +924,7 @@
         leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 16, "i"));
     assertTrue(low.pending.isEmpty());
     for (Attempt attempt : leader.attempts()) {
-      leader.scheduler.seen(attempt, Attempt.State.RUNNING);
+      leader.scheduler.onAttemptObserved(attempt, Attempt.State.RUNNING);
     }
     leader.accept(LeaderHarness.spec("req-000003", JobKind.ARRAY, PriorityClass.HIGH, 3, "i"));
     assertEquals(3, low.attempts.values().stream().filter(WorkerManagerTest::isStopped).count());
@@ -943,7 +943,7 @@
     Job low =
         leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 12, "i"));
     for (Attempt attempt : leader.attempts()) {
-      leader.scheduler.seen(attempt, Attempt.State.RUNNING);
+      leader.scheduler.onAttemptObserved(attempt, Attempt.State.RUNNING);
     }
     Resources whole = Resources.of(16, 4, 64);
     leader.accept(
