--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -49,6 +49,14 @@
    */
   static final int MAX_TRACKED_RETURNS = 6_000;
 
+  /**
+   * A list of which no more pages could be asked for at the time.
+   *
+   * @param after the last name that was read
+   * @param begun when its first page was asked for
+   */
+  private record Interrupted(String after, Instant begun) {}
+
   private final ClusterState cluster;
   private final Scheduler scheduler;
   private final Records records;
@@ -58,6 +66,10 @@
   private final Set<String> toRelease = new LinkedHashSet<>();
   private OperatorSettings operator;
   private boolean listing;
+
+  /** A list that the rate has interrupted, or null. */
+  private Interrupted interrupted;
+
   private Instant listedAt = Instant.MIN;
   private boolean releasing;
   private boolean closed;
@@ -174,37 +186,47 @@
     // ages.
     long pages = 1 + cluster.machines().size() / CloudWire.PAGE;
     Duration every = cluster.settings.cloudLimits().listLag().dividedBy(2).plusSeconds(pages / 2);
-    if (listing || now.isBefore(listedAt.plus(every))) {
+    if (listing) {
       return;
     }
-    listing = listPage("", now);
+    if (interrupted != null) {
+      // Begun anew a list of more pages than the rate allows at once would never be whole.
+      listing = listPage(interrupted.after, interrupted.begun);
+    } else if (!now.isBefore(listedAt.plus(every))) {
+      listing = listPage("", now);
+    }
   }
 
   private boolean listPage(String after, Instant begun) {
     String path = "/rentals?page=" + CloudWire.PAGE + (after.isEmpty() ? "" : "&since=" + after);
     Instant sent = eventLoop.now();
-    return cloud.get(
-        path,
-        reply -> {
-          listing = false;
-          if (!reply.is(200)) {
-            return;
-          }
-          try {
-            CloudWire.Page page = CloudWire.parsePage(reply.body());
-            page.machines().forEach(this::listed);
-            boolean more = page.more() && !page.machines().isEmpty();
-            String last = more ? page.machines().get(page.machines().size() - 1).name() : null;
-            releaseMissing(page, after, last, sent);
-            if (more) {
-              listing = listPage(last, begun);
-            } else {
-              listedAt = begun;
-            }
-          } catch (MalformedMessageException e) {
-            log.warn("the machine list is malformed: {}", e.getMessage());
-          }
-        });
+    interrupted = null;
+    boolean asked = cloud.get(path, reply -> onPage(reply, after, begun, sent));
+    if (!asked && !after.isEmpty()) {
+      interrupted = new Interrupted(after, begun);
+    }
+    return asked;
+  }
+
+  private void onPage(AsyncHttpClient.Reply reply, String after, Instant begun, Instant sent) {
+    listing = false;
+    if (!reply.is(200)) {
+      return;
+    }
+    try {
+      CloudWire.Page page = CloudWire.parsePage(reply.body());
+      page.machines().forEach(this::listed);
+      boolean more = page.more() && !page.machines().isEmpty();
+      String last = more ? page.machines().get(page.machines().size() - 1).name() : null;
+      releaseMissing(page, after, last, sent);
+      if (more) {
+        listing = listPage(last, begun);
+      } else {
+        listedAt = begun;
+      }
+    } catch (MalformedMessageException e) {
+      log.warn("the machine list is malformed: {}", e.getMessage());
+    }
   }
 
   /**
--- a/src/test/java/io/pineladder/workers/LargeFleetTest.java
+++ b/src/test/java/io/pineladder/workers/LargeFleetTest.java
@@ -1,6 +1,7 @@
 package io.pineladder.workers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -90,4 +91,16 @@
     }
     assertEquals(0, leader.cluster.machines().size());
   }
+
+  /** The rate of the cloud's interface allows fewer pages at once than the list has. */
+  @Test
+  void theListOfALargeFleetIsReadToItsEnd() throws MalformedMessageException {
+    leader.fleet.start();
+    runFor(10);
+    assertEquals(MACHINES, leader.cluster.machines().size());
+    // And so it goes on: what is added at the end is found, whatever else was asked for.
+    listed.add("n-0000");
+    runFor(20);
+    assertNotNull(leader.cluster.machine("n-0000"));
+  }
 }
