--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -11,6 +11,7 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
 /** Reads the settings file; every fault in it is named in one message. */
@@ -22,9 +23,21 @@
   /** The largest transaction that is not cut into steps changes so many keys (docs/upgrades.md). */
   private static final int LEAST_TRANSACTION_OPS = 4;
 
-  /** What a process is taken to be allowed where the platform does not say. */
+  /** What a process is taken to be allowed where neither the platform nor the system says more. */
   private static final int USUAL_SOCKETS = 1000;
 
+  /**
+   * The most that is taken where the platform does not say: what the shares kept for others leave
+   * to workers' reports is some 4,470, a connection for each of 4,000 machines and more.
+   */
+  static final int MAX_UNTOLD_SOCKETS = 7_000;
+
+  /** Files that the process has open beside its sockets: its archives, logs, snapshots. */
+  private static final int OTHER_FILES = 100;
+
+  private static final Path LIMITS = Path.of("/proc/self/limits");
+  private static final Pattern OPEN_FILES = Pattern.compile("Max open files +(\\d+) .*");
+
   private final List<String> faults = new ArrayList<>();
 
   private SettingsReader() {}
@@ -129,12 +142,35 @@
         new Settings.CloudLimits(cloud.number("rps", 0.01, MAX), cloud.seconds("list_lag_s", 0)),
         deployment.has("resources")
             ? (int) deployment.table("resources").number("max_sockets", 64, MAX)
-            : USUAL_SOCKETS,
+            : untoldSockets(openFiles()),
         deployment.has("resources") && deployment.table("resources").has("core_share")
             ? deployment.table("resources").number("core_share", 0.001, MAX)
             : 1);
   }
 
+  /** How many sockets are taken where the platform does not say, by the system's own limit. */
+  static int untoldSockets(long openFiles) {
+    return (int) Math.max(USUAL_SOCKETS, Math.min(MAX_UNTOLD_SOCKETS, openFiles - OTHER_FILES));
+  }
+
+  /** How many files the system lets this process open; 0 where it does not tell. */
+  private static long openFiles() {
+    try {
+      for (String line : Files.readAllLines(LIMITS)) {
+        Matcher limit = OPEN_FILES.matcher(line);
+        if (limit.matches()) {
+          return Long.parseLong(limit.group(1));
+        }
+        if (line.startsWith("Max open files")) {
+          return Long.MAX_VALUE;
+        }
+      }
+    } catch (IOException | NumberFormatException e) {
+      // Not told.
+    }
+    return 0;
+  }
+
   /**
    * The state service's limits.
    *
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -1,13 +1,18 @@
 package io.pineladder.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.leadership.Election;
 import io.pineladder.model.Settings;
+import io.pineladder.net.ConnectionLimiter;
+import io.pineladder.net.EventLoop;
 import java.time.Duration;
+import java.time.Instant;
 import java.util.Map;
+import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
 public class SettingsReaderTest {
@@ -146,6 +151,47 @@
     assertEquals(Duration.ZERO, Election.maxWorkerLeaseExtension(settings.workerTimes()));
   }
 
+  /** Where the platform names no sockets there is a connection for each worker of a large fleet. */
+  @Test
+  void takesSocketsForALargeFleetWhereTheSystemLetsIt() throws SettingsReader.BadSettingsException {
+    Instant now = Instant.EPOCH;
+    EventLoop eventLoop =
+        new EventLoop() {
+          @Override
+          public Instant now() {
+            return now;
+          }
+
+          @Override
+          public Instant wallClock() {
+            return now;
+          }
+
+          @Override
+          public RandomGenerator random() {
+            throw new UnsupportedOperationException();
+          }
+
+          @Override
+          public void schedule(Duration delay, Runnable action) {}
+        };
+    ConnectionLimiter sockets =
+        new ConnectionLimiter(
+            SettingsReader.untoldSockets(20_000), Duration.ofSeconds(3), eventLoop);
+    for (int worker = 0; worker < 4_200; worker++) {
+      assertNotNull(
+          sockets.open(ConnectionLimiter.TrafficClass.REPORTS, () -> {}), "worker " + worker);
+    }
+    assertEquals(1_000, SettingsReader.untoldSockets(0));
+    assertEquals(1_000, SettingsReader.untoldSockets(1_024));
+    assertEquals(3_996, SettingsReader.untoldSockets(4_096));
+    assertEquals(7_000, SettingsReader.untoldSockets(Long.MAX_VALUE));
+    int untold =
+        SettingsReader.parse(GOOD.substring(0, GOOD.indexOf("[deployment.resources]")))
+            .maxSockets();
+    assertTrue(untold >= 1_000 && untold <= 7_000);
+  }
+
   @Test
   void saysWhenItIsNoToml() {
     var thrown =
