--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -212,7 +212,8 @@
         new SubscriptionManager(
             delivery, outbox, eventLoop, committer::submit, valueBytes, this::mayAct);
     this.keepAliveReader =
-        new LeaseKeepAliveReader(storeClient, eventLoop, () -> autoscaler().zones().isAnyGone());
+        new LeaseKeepAliveReader(
+            storeClient, eventLoop, () -> autoscaler().zones().isAnyUnreachable());
     this.scheduler =
         new Scheduler(
             cluster,
@@ -242,7 +243,7 @@
 
               @Override
               public void onReady(Job job) {
-                autoscaler().accepted(job);
+                autoscaler().recordArrival(job);
               }
 
               @Override
@@ -316,30 +317,30 @@
             mayAct,
             new WorkerManager.Listener() {
               @Override
-              public void onSuperseded(long token) {
+              public void onNewerFencingToken(long token) {
                 log.warn("a worker has seen token {}, ours is {}", token, term);
                 host.superseded(token);
               }
 
               @Override
-              public boolean isGone(String machine) {
+              public boolean wasReleased(String machine) {
                 return autoscaler.wasReleased(machine);
               }
 
               @Override
-              public void onMachine(Machine machine) {
+              public void onUnexpectedMachine(Machine machine) {
                 log.debug("machine {} reports", machine);
               }
 
               @Override
-              public boolean recordsIncomplete() {
+              public boolean areRecordsIncomplete() {
                 Duration incomplete = host.incompleteFor();
                 return taskStartsHeld
                     || incomplete != null && incomplete.compareTo(INCOMPLETE_RECORDS_DURATION) < 0;
               }
 
               @Override
-              public void onStranger(String job) {
+              public void onUnknownTask(String job) {
                 if (!unknownJobChecked && host.incompleteFor() == null && !host.recordsMayLack()) {
                   unknownJobChecked = true;
                   eventLoop.schedule(AUDIT_INTERVAL, () -> unknownJobChecked = false);
@@ -348,12 +349,12 @@
               }
 
               @Override
-              public boolean isOver(String job) {
+              public boolean isJobEnded(String job) {
                 return replica.end(job) != null;
               }
 
               @Override
-              public void onUnprovable(Machine machine) {
+              public void onCancellationUnprovable(Machine machine) {
                 eventLoop.schedule(Duration.ZERO, () -> autoscaler.release(machine));
               }
             });
@@ -373,7 +374,7 @@
               }
 
               @Override
-              public boolean takesReports() {
+              public boolean acceptsHeartbeats() {
                 return host.takesReports();
               }
 
@@ -383,13 +384,13 @@
               }
 
               @Override
-              public void handOver(String reason) {
+              public void transferLeadership(String reason) {
                 host.handOver(reason);
               }
 
               @Override
-              public int heardInside(String zone) {
-                return keepAliveReader.heardInside(zone);
+              public int workersHeardByPeers(String zone) {
+                return keepAliveReader.workersHeardByPeers(zone);
               }
 
               @Override
@@ -497,7 +498,7 @@
   }
 
   private void ordersDue(Machine machine) {
-    workers.ordersDue(machine);
+    workers.requestCommand(machine);
   }
 
   private void onEndStored(Job job) {
@@ -665,7 +666,7 @@
     if (state != State.LEADING) {
       return;
     }
-    if (mayAct() && autoscaler.isAllHeard()) {
+    if (mayAct() && autoscaler.isInventoryConfirmed()) {
       taskStartsHeld = false;
       log.info("all machines were heard; tasks are started again");
       scheduler.requestRun();
@@ -858,7 +859,7 @@
   /** What waits for others counts as an arrival once it may start, which the scheduler tells. */
   private void countArrival(Job job) {
     if (job.spec.prerequisites().isEmpty()) {
-      autoscaler.accepted(job);
+      autoscaler.recordArrival(job);
     }
   }
 
@@ -983,11 +984,11 @@
           ? WorkerWire.reportResponse(term, new WorkerWire.Orders())
           : null;
     }
-    if (!host.mayAct() && workers.holdsEnded(report.machine())) {
+    if (!host.mayAct() && workers.holdsTasksOfEndedJobs(report.machine())) {
       // Without orders nothing ends a cancelled job's tasks but the end of the worker's lease.
       return null;
     }
-    WorkerWire.Orders orders = workers.onReport(report, relayed);
+    WorkerWire.Orders orders = workers.onHeartbeat(report, relayed);
     Machine machine = cluster.machine(report.machine());
     if (orders != null) {
       failover.passed(FailoverTimings.Phase.FIRST_REPORT);
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -241,7 +241,7 @@
           .put("name", zone.name())
           .put("state", zone.state().toLowerCase(Locale.ROOT))
           .put("losses", zone.losses())
-          .put("gone_s", zone.goneFor().toMillis() / 1e3);
+          .put("gone_s", zone.outageDuration().toMillis() / 1e3);
     }
     ArrayNode list = out.putArray("machines");
     for (Machine machine : leader.cluster().machines()) {
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -108,7 +108,7 @@
     long token = keptWith(report, known, other);
     if (token > 0) {
       // At once: in a cut the way round the other nodes takes most of a lease.
-      node.leaseKeepAlives().kept(report.machine(), report.zone());
+      node.leaseKeepAlives().onLeaseRenewed(report.machine(), report.zone());
       answer.accept(ok(WorkerWire.reportResponse(token, endsOf(report))));
       return;
     }
--- a/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
+++ b/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
@@ -5,17 +5,17 @@
 
 /** Machines' worth of work arriving per second, as an exponential average. */
 final class ArrivalForecast {
-  private final Duration memory;
+  private final Duration timeConstant;
   private double rate;
-  private Instant at;
+  private Instant updatedAt;
 
-  ArrivalForecast(Duration memory) {
-    this.memory = memory;
+  ArrivalForecast(Duration timeConstant) {
+    this.timeConstant = timeConstant;
   }
 
   void add(double machines, Instant now) {
     decay(now);
-    rate += machines / memory.toSeconds();
+    rate += machines / timeConstant.toSeconds();
   }
 
   double rate(Instant now) {
@@ -24,10 +24,10 @@
   }
 
   private void decay(Instant now) {
-    if (at != null) {
-      double seconds = Duration.between(at, now).toMillis() / 1000.0;
-      rate *= Math.exp(-seconds / memory.toSeconds());
+    if (updatedAt != null) {
+      double seconds = Duration.between(updatedAt, now).toMillis() / 1000.0;
+      rate *= Math.exp(-seconds / timeConstant.toSeconds());
     }
-    at = now;
+    updatedAt = now;
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -32,22 +32,22 @@
  */
 public final class Autoscaler {
   private static final Logger log = LoggerFactory.getLogger(Autoscaler.class);
-  private static final Duration TICK = Duration.ofSeconds(1);
+  private static final Duration TICK_INTERVAL = Duration.ofSeconds(1);
 
   /** A tick that comes so much late shows that this process stood still. */
-  private static final Duration PAUSE = Duration.ofSeconds(2);
+  private static final Duration PROCESS_PAUSE_THRESHOLD = Duration.ofSeconds(2);
 
   /** So many times the room to have ready is plenty: idle machines need not wait for long. */
-  private static final double SURPLUS = 2;
+  private static final double SURPLUS_HEADROOM_FACTOR = 2;
 
   /** An idle machine that is not needed even then waits for this part of the usual least time. */
-  private static final int SURPLUS_PART = 3;
+  private static final int SURPLUS_IDLE_DIVISOR = 3;
 
   /**
    * Returned machines that are remembered, so that what still names them is known to be late: half
    * as many again as the 4,000 machines of the largest fleets, which may all go within moments.
    */
-  static final int MAX_TRACKED_RETURNS = 6_000;
+  static final int MAX_TRACKED_RELEASES = 6_000;
 
   /**
    * A list of which no more pages could be asked for at the time.
@@ -62,40 +62,40 @@
   private final Records records;
   private final EventLoop eventLoop;
   private final Effects effects;
-  private final Map<String, Instant> released = new LinkedHashMap<>();
-  private final Set<String> toRelease = new LinkedHashSet<>();
+  private final Map<String, Instant> releasedAt = new LinkedHashMap<>();
+  private final Set<String> pendingReleases = new LinkedHashSet<>();
   private OperatorSettings operator;
-  private boolean listing;
+  private boolean listInFlight;
 
   /** A list that the rate has interrupted, or null. */
   private Interrupted interrupted;
 
-  private Instant listedAt = Instant.MIN;
-  private boolean releasing;
+  private Instant lastCompleteListAt = Instant.MIN;
+  private boolean releaseInFlight;
   private boolean closed;
   private final Instant startedAt;
-  private Instant tickedAt;
+  private Instant lastTickAt;
 
-  private final BootTimeEstimator boots = new BootTimeEstimator();
+  private final BootTimeEstimator bootTimes = new BootTimeEstimator();
   private final CloudClient cloud;
   private final Zones zones = new Zones();
-  private final ScaleOut renting;
-  private final FailureDetector silence;
+  private final ScaleOut scaleOut;
+  private final FailureDetector failureDetector;
 
   /** What the fleet asks of the leader. */
   public interface Effects {
     boolean mayAct();
 
     /** Workers' reports are taken in now, certain of the lease or not. */
-    boolean takesReports();
+    boolean acceptsHeartbeats();
 
     void resign(String reason);
 
     /** Another node can do better. */
-    void handOver(String reason);
+    void transferLeadership(String reason);
 
     /** How many machines of a zone another controller hears, as it has told lately. */
-    int heardInside(String zone);
+    int workersHeardByPeers(String zone);
 
     /** Asks a machine that is overdue whether it is there. */
     void probe(Machine machine);
@@ -117,11 +117,12 @@
     this.operator = operator;
     this.effects = effects;
     this.cloud = new CloudClient(cluster.settings, httpClient, eventLoop);
-    this.renting =
-        new ScaleOut(cluster, scheduler, eventLoop, term, cloud, boots, zones, this::wasReleased);
+    this.scaleOut =
+        new ScaleOut(
+            cluster, scheduler, eventLoop, term, cloud, bootTimes, zones, this::wasReleased);
     this.startedAt = eventLoop.now();
-    this.tickedAt = startedAt;
-    this.silence = new FailureDetector(cluster, renting, zones, effects, startedAt);
+    this.lastTickAt = startedAt;
+    this.failureDetector = new FailureDetector(cluster, scaleOut, zones, effects, startedAt);
   }
 
   public void configure(OperatorSettings next) {
@@ -134,7 +135,7 @@
   }
 
   public void start() {
-    renting.start();
+    scaleOut.start();
     tick();
   }
 
@@ -144,8 +145,8 @@
   }
 
   /** A job has come in: it counts for the forecast. */
-  public void accepted(Job job) {
-    renting.accepted(job);
+  public void recordArrival(Job job) {
+    scaleOut.recordArrival(job);
   }
 
   private void tick() {
@@ -153,25 +154,26 @@
       return;
     }
     Instant now = eventLoop.now();
-    if (now.isAfter(tickedAt.plus(TICK).plus(PAUSE)) || !effects.takesReports()) {
-      silence.notListening(now);
+    if (now.isAfter(lastTickAt.plus(TICK_INTERVAL).plus(PROCESS_PAUSE_THRESHOLD))
+        || !effects.acceptsHeartbeats()) {
+      failureDetector.onHeartbeatsNotAccepted(now);
     }
-    tickedAt = now;
+    lastTickAt = now;
     if (effects.mayAct()) {
-      list(now);
-      cluster.spotRisk.observe(spotUp(), now);
-      silence.review(now).forEach(this::release);
-      silence.findRelayed(now);
+      listMachines(now);
+      cluster.spotRisk.observe(countConfirmedSpotMachines(), now);
+      failureDetector.findMachinesToRelease(now).forEach(this::release);
+      failureDetector.resignIfWorkersReachPeersOnly(now);
       scheduler.faultAttribution().reviewRunningJobs(now);
       scheduler.retryUnschedulable(now);
-      retire(now);
+      scaleIn(now);
       sendReleases();
-      renting.rent(now);
+      scaleOut.rentMissing(now);
     }
-    eventLoop.schedule(TICK, this::tick);
+    eventLoop.schedule(TICK_INTERVAL, this::tick);
   }
 
-  private int spotUp() {
+  private int countConfirmedSpotMachines() {
     int count = 0;
     for (Machine machine : cluster.machines()) {
       count += machine.spot && machine.state() == Machine.State.CONFIRMED ? 1 : 0;
@@ -181,48 +183,49 @@
 
   // ---- what there is
 
-  private void list(Instant now) {
+  private void listMachines(Instant now) {
     // A list of many pages takes its part of the calls; a short one is asked for as often as it
     // ages.
     long pages = 1 + cluster.machines().size() / CloudWire.PAGE;
-    Duration every = cluster.settings.cloudLimits().listLag().dividedBy(2).plusSeconds(pages / 2);
-    if (listing) {
+    Duration interval =
+        cluster.settings.cloudLimits().listLag().dividedBy(2).plusSeconds(pages / 2);
+    if (listInFlight) {
       return;
     }
     if (interrupted != null) {
       // Begun anew a list of more pages than the rate allows at once would never be whole.
-      listing = listPage(interrupted.after, interrupted.begun);
-    } else if (!now.isBefore(listedAt.plus(every))) {
-      listing = listPage("", now);
+      listInFlight = requestPage(interrupted.after, interrupted.begun);
+    } else if (!now.isBefore(lastCompleteListAt.plus(interval))) {
+      listInFlight = requestPage("", now);
     }
   }
 
-  private boolean listPage(String after, Instant begun) {
+  private boolean requestPage(String after, Instant listStartedAt) {
     String path = "/rentals?page=" + CloudWire.PAGE + (after.isEmpty() ? "" : "&since=" + after);
-    Instant sent = eventLoop.now();
+    Instant sentAt = eventLoop.now();
     interrupted = null;
-    boolean asked = cloud.get(path, reply -> onPage(reply, after, begun, sent));
+    boolean asked = cloud.get(path, reply -> onPage(reply, after, listStartedAt, sentAt));
     if (!asked && !after.isEmpty()) {
-      interrupted = new Interrupted(after, begun);
+      interrupted = new Interrupted(after, listStartedAt);
     }
     return asked;
   }
 
   private void onPage(AsyncHttpClient.Reply reply, String after, Instant begun, Instant sent) {
-    listing = false;
+    listInFlight = false;
     if (!reply.is(200)) {
       return;
     }
     try {
       CloudWire.Page page = CloudWire.parsePage(reply.body());
-      page.machines().forEach(this::listed);
+      page.machines().forEach(this::onListed);
       boolean more = page.more() && !page.machines().isEmpty();
       String last = more ? page.machines().get(page.machines().size() - 1).name() : null;
       releaseMissing(page, after, last, sent);
       if (more) {
-        listing = listPage(last, begun);
+        listInFlight = requestPage(last, begun);
       } else {
-        listedAt = begun;
+        lastCompleteListAt = begun;
       }
     } catch (MalformedMessageException e) {
       log.warn("the machine list is malformed: {}", e.getMessage());
@@ -237,16 +240,17 @@
    *
    * @param last the last name of the page, or null when no more follow
    */
-  private void releaseMissing(CloudWire.Page page, String after, String last, Instant sent) {
+  private void releaseMissing(CloudWire.Page page, String after, String last, Instant sentAt) {
     Set<String> names = new HashSet<>();
     page.machines().forEach(listed -> names.add(listed.name()));
-    Instant before =
-        sent.minus(cluster.settings.cloudLimits().listLag().multipliedBy(2)).minusSeconds(1);
+    Instant knownBefore =
+        sentAt.minus(cluster.settings.cloudLimits().listLag().multipliedBy(2)).minusSeconds(1);
     List<Machine> missing = new ArrayList<>();
     for (Machine machine : cluster.machinesBetween(after, last)) {
-      Instant known = machine.knownFromPlacements ? startedAt : machine.firstListedAt;
-      boolean up = machine.state() != Machine.State.RELEASING && !names.contains(machine.name);
-      if (up && known != null && known.isBefore(before)) {
+      Instant knownSince = machine.knownFromPlacements ? startedAt : machine.firstListedAt;
+      boolean stillRented =
+          machine.state() != Machine.State.RELEASING && !names.contains(machine.name);
+      if (stillRented && knownSince != null && knownSince.isBefore(knownBefore)) {
         missing.add(machine);
       }
     }
@@ -261,8 +265,8 @@
     }
   }
 
-  private void listed(CloudWire.Listed listed) {
-    if (released.containsKey(listed.name())) {
+  private void onListed(CloudWire.Listed listed) {
+    if (releasedAt.containsKey(listed.name())) {
       return;
     }
     Machine machine = cluster.machine(listed.name());
@@ -295,9 +299,9 @@
    * list that is no older than the term has named them, and each was heard or its return was
    * answered.
    */
-  public boolean isAllHeard() {
+  public boolean isInventoryConfirmed() {
     Duration lag = cluster.settings.cloudLimits().listLag();
-    if (!listedAt.isAfter(startedAt.plus(lag.multipliedBy(2)).plusSeconds(1))) {
+    if (!lastCompleteListAt.isAfter(startedAt.plus(lag.multipliedBy(2)).plusSeconds(1))) {
       return false;
     }
     for (Machine machine : cluster.machines()) {
@@ -316,7 +320,7 @@
 
   /** Whether a machine has been returned: what still comes from it is late. */
   public boolean wasReleased(String machine) {
-    return released.containsKey(machine);
+    return releasedAt.containsKey(machine);
   }
 
   // ---- returning
@@ -329,32 +333,32 @@
     log.debug("returning machine {} ({}, {})", machine, machine.state(), machine.attempts.size());
     machine.transitionTo(Machine.State.RELEASING);
     cluster.updateIndexes(machine);
-    toRelease.add(machine.name);
+    pendingReleases.add(machine.name);
     sendReleases();
   }
 
   private void sendReleases() {
-    if (releasing || toRelease.isEmpty() || !effects.mayAct()) {
+    if (releaseInFlight || pendingReleases.isEmpty() || !effects.mayAct()) {
       return;
     }
-    List<String> names = toRelease.stream().limit(CloudWire.MOST_RELEASED).toList();
-    releasing =
+    List<String> names = pendingReleases.stream().limit(CloudWire.MOST_RELEASED).toList();
+    releaseInFlight =
         cloud.post(
             "/rentals/release",
             CloudWire.release(names),
             reply -> {
-              releasing = false;
+              releaseInFlight = false;
               if (reply.is(200)) {
-                names.forEach(this::gone);
+                names.forEach(this::onReleased);
               }
             });
   }
 
-  private void gone(String name) {
-    toRelease.remove(name);
-    released.put(name, eventLoop.now());
-    if (released.size() > MAX_TRACKED_RETURNS) {
-      released.remove(released.keySet().iterator().next());
+  private void onReleased(String name) {
+    pendingReleases.remove(name);
+    releasedAt.put(name, eventLoop.now());
+    if (releasedAt.size() > MAX_TRACKED_RELEASES) {
+      releasedAt.remove(releasedAt.keySet().iterator().next());
     }
     Machine machine = cluster.removeMachine(name);
     if (machine == null) {
@@ -362,7 +366,7 @@
     }
     machine.transitionTo(Machine.State.GONE);
     scheduler.faultAttribution().forget(machine);
-    boots.forget(machine);
+    bootTimes.forget(machine);
     List<Attempt> lost = List.copyOf(machine.attempts.values());
     records.machineGone(lost);
     for (Attempt attempt : lost) {
@@ -371,38 +375,43 @@
   }
 
   /** Returns machines that are to go: faulty or never up, or idle for long enough. */
-  private void retire(Instant now) {
+  private void scaleIn(Instant now) {
     // Without any job there is nothing to be ready for.
-    boolean quiet = cluster.jobs.isEmpty();
-    Map<Boolean, Double> spare = new HashMap<>();
+    boolean noJobs = cluster.jobs.isEmpty();
+    Map<Boolean, Double> freeByMarket = new HashMap<>();
     List<Machine> idle = new ArrayList<>();
     for (Machine machine : cluster.machines()) {
-      boots.observe(machine, now);
+      bootTimes.observe(machine, now);
       switch (machine.state()) {
         case EXPECTED -> {
-          if (!machine.listedRunning && machine.attempts.isEmpty() && boots.isLost(machine, now)) {
+          if (!machine.listedRunning
+              && machine.attempts.isEmpty()
+              && bootTimes.isGivenUp(machine, now)) {
             log.info("machine {} never came up", machine);
             release(machine);
           }
         }
         case CONFIRMED -> {
-          if (!renting.isIdle(machine)) {
+          if (!scaleOut.isIdle(machine)) {
             machine.idleSince = null;
           } else if (machine.idleSince == null) {
             machine.idleSince = now;
           }
           if ((machine.draining || machine.retiring) && machine.attempts.isEmpty()) {
             release(machine);
-          } else if (drainsForLong(machine, now)) {
-            empty(machine);
-          } else if (isDeafForLong(machine, now)) {
+          } else if (isDrainOverdue(machine, now)) {
+            drain(machine);
+          } else if (isUnreachableTooLong(machine, now)) {
             log.info("machine {} reports but hears nothing", machine);
             release(machine);
           } else if (machine.isSchedulable()) {
-            spare.merge(
-                machine.spot, renting.free(machine) * machine.type.onDemandPrice(), Double::sum);
-            Duration least = operator.idleReleaseAfter().dividedBy(SURPLUS_PART);
-            if (machine.idleSince != null && machine.idleSince.plus(least).isBefore(now)) {
+            freeByMarket.merge(
+                machine.spot,
+                scaleOut.freeShare(machine) * machine.type.onDemandPrice(),
+                Double::sum);
+            Duration surplusRetention = operator.idleReleaseAfter().dividedBy(SURPLUS_IDLE_DIVISOR);
+            if (machine.idleSince != null
+                && machine.idleSince.plus(surplusRetention).isBefore(now)) {
               idle.add(machine);
             }
           }
@@ -412,15 +421,16 @@
     }
     idle.sort(Comparator.comparing(m -> m.idleSince));
     for (Machine machine : idle) {
-      double left = spare.get(machine.spot) - machine.type.onDemandPrice();
-      double ready = renting.headroom(machine.spot);
+      double freeWithoutIt = freeByMarket.get(machine.spot) - machine.type.onDemandPrice();
+      double headroom = scaleOut.headroom(machine.spot);
       boolean surplus =
-          roomIsCheap(machine.type) && left >= SURPLUS * ready + machine.type.onDemandPrice();
-      Duration keep = quiet ? operator.idleReleaseAfter() : keepIdle(machine.type);
-      boolean waited = machine.idleSince.plus(keep).isBefore(now);
-      if (quiet ? waited : surplus || (waited && left >= ready)) {
-        spare.put(machine.spot, left);
-        empty(machine);
+          isCapacityQuicklyReplaced(machine.type)
+              && freeWithoutIt >= SURPLUS_HEADROOM_FACTOR * headroom + machine.type.onDemandPrice();
+      Duration retention = noJobs ? operator.idleReleaseAfter() : idleRetention(machine.type);
+      boolean retentionOver = machine.idleSince.plus(retention).isBefore(now);
+      if (noJobs ? retentionOver : surplus || (retentionOver && freeWithoutIt >= headroom)) {
+        freeByMarket.put(machine.spot, freeWithoutIt);
+        drain(machine);
       }
     }
   }
@@ -429,7 +439,7 @@
    * A machine that is to go is emptied after the time for which policy may keep a job from room:
    * what is left on a faulty one may be a service, which never ends by itself.
    */
-  private boolean drainsForLong(Machine machine, Instant now) {
+  private boolean isDrainOverdue(Machine machine, Instant now) {
     if (!machine.draining) {
       return false;
     }
@@ -441,16 +451,17 @@
    * Whether a machine that hears nothing has been waited for as long as another takes, and a lease,
    * by the end of which nothing of before runs there any more.
    */
-  private boolean isDeafForLong(Machine machine, Instant now) {
-    if (machine.reachedThroughPeer || zones.isGone(machine.zone)) {
+  private boolean isUnreachableTooLong(Machine machine, Instant now) {
+    if (machine.reachedThroughPeer || zones.isUnreachable(machine.zone)) {
       return false;
     }
-    Duration waited = cluster.settings.workerTimes().leaseDuration().plus(keepIdle(machine.type));
-    return machine.trackUnreachable(now).compareTo(waited) > 0;
+    Duration patience =
+        cluster.settings.workerTimes().leaseDuration().plus(idleRetention(machine.type));
+    return machine.trackUnreachable(now).compareTo(patience) > 0;
   }
 
   /** Returns a machine that is not needed; work for idle time saves first and goes elsewhere. */
-  private void empty(Machine machine) {
+  private void drain(Machine machine) {
     if (machine.attempts.isEmpty()) {
       release(machine);
       return;
@@ -464,13 +475,15 @@
    * Whether room is easily had again: a usual image is fetched sooner than a machine boots, and
    * machines boot as they should.
    */
-  private boolean roomIsCheap(MachineType type) {
-    return renting.isFetchedSooner(type) && boots.areUsual(type);
+  private boolean isCapacityQuicklyReplaced(MachineType type) {
+    return scaleOut.isFetchFasterThanBoot(type) && bootTimes.isTypical(type);
   }
 
   /** An idle machine is kept as long as having one ready again would take. */
-  private Duration keepIdle(MachineType type) {
-    Duration again = boots.usual(type).plus(renting.fetchTime(type));
-    return again.compareTo(operator.idleReleaseAfter()) > 0 ? again : operator.idleReleaseAfter();
+  private Duration idleRetention(MachineType type) {
+    Duration replacementTime = bootTimes.typicalBootTime(type).plus(scaleOut.fetchTime(type));
+    return replacementTime.compareTo(operator.idleReleaseAfter()) > 0
+        ? replacementTime
+        : operator.idleReleaseAfter();
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/BatchBacklog.java
+++ b/src/main/java/io/pineladder/autoscaling/BatchBacklog.java
@@ -18,20 +18,20 @@
    * @param within the seconds left to start it
    * @param rate the work that comes before it each second
    */
-  private record Due(double sum, double within, double rate) {
+  private record Deadline(double cumulativeWork, double secondsLeft, double arrivalRate) {
     /**
      * The capacity beyond that given which would start all in time, had it been there from now on.
      */
-    double lacks(double capacity) {
-      return sum / within + rate - capacity;
+    double missingCapacity(double capacity) {
+      return cumulativeWork / secondsLeft + arrivalRate - capacity;
     }
   }
 
   private final double capacity;
-  private final List<Due> dues = new ArrayList<>();
-  private double sum;
-  private double worth;
-  private double lacking;
+  private final List<Deadline> deadlines = new ArrayList<>();
+  private double cumulativeWork;
+  private double concurrentValue;
+  private double missingCapacity;
 
   BatchBacklog(double capacity) {
     this.capacity = capacity;
@@ -46,19 +46,31 @@
    * @param ready the seconds until a machine rented now would work on them
    * @param rate the work that still comes each second and goes before them
    */
-  void add(double tasksWorth, double run, double within, double ready, double rate) {
-    sum += tasksWorth * run;
-    worth += tasksWorth;
-    if (within > ready) {
-      Due due = new Due(sum, within, rate);
-      dues.add(due);
-      lacking = Math.max(lacking, Math.min(worth, due.lacks(capacity) * within / (within - ready)));
+  void add(
+      double tasksValue,
+      double runSeconds,
+      double secondsLeft,
+      double secondsToReady,
+      double arrivalRate) {
+    cumulativeWork += tasksValue * runSeconds;
+    concurrentValue += tasksValue;
+    if (secondsLeft > secondsToReady) {
+      Deadline deadline = new Deadline(cumulativeWork, secondsLeft, arrivalRate);
+      deadlines.add(deadline);
+      missingCapacity =
+          Math.max(
+              missingCapacity,
+              Math.min(
+                  concurrentValue,
+                  deadline.missingCapacity(capacity)
+                      * secondsLeft
+                      / (secondsLeft - secondsToReady)));
     }
   }
 
   /** The capacity that must be rented for all to start in time; 0 when what there is will do. */
-  double lacking() {
-    return lacking;
+  double missingCapacity() {
+    return missingCapacity;
   }
 
   /**
@@ -67,11 +79,11 @@
    *
    * @param rate all work that comes each second
    */
-  double needed(double of, double rate) {
-    double most = rate - (capacity - of);
-    for (Due due : dues) {
-      most = Math.max(most, due.lacks(capacity - of));
+  double neededCapacity(double reducibleCapacity, double arrivalRate) {
+    double needed = arrivalRate - (capacity - reducibleCapacity);
+    for (Deadline deadline : deadlines) {
+      needed = Math.max(needed, deadline.missingCapacity(capacity - reducibleCapacity));
     }
-    return Math.max(0, Math.min(of, most));
+    return Math.max(0, Math.min(reducibleCapacity, needed));
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -22,49 +22,49 @@
   private static final Logger log = LoggerFactory.getLogger(BootTimeEstimator.class);
 
   /** Boots remembered of a type. */
-  private static final int KEPT = 32;
+  private static final int HISTORY_SIZE = 32;
 
   /** A machine is not late before so many times its type's boot time. */
-  private static final double USUAL = 1.6;
+  private static final double MIN_LATE_FACTOR = 1.6;
 
   /** Longer than the slowest tenth of late by this is late. */
-  private static final double MARGIN = 1.25;
+  private static final double LATE_MARGIN = 1.25;
 
   /** A machine that is late by this is not counted on any more. */
-  private static final double VERY = 1.5;
+  private static final double VERY_LATE_MARGIN = 1.5;
 
   /** Before so many times the nominal time nothing is given up. */
-  private static final double LEAST_WAIT = 5;
+  private static final double MIN_GIVE_UP_FACTOR = 5;
 
   /** Boots that take so many times the nominal time on average are slow. */
-  private static final double SLOW = 1.75;
+  private static final double SLOW_FACTOR = 1.75;
 
   /** Boots to have seen before they are called usual. */
-  private static final int SEEN = 4;
+  private static final int MIN_OBSERVED_BOOTS = 4;
 
   /** With fewer of the machines coming up, room is not easily had again. */
-  private static final double MOST = 0.8;
+  private static final double MIN_ARRIVAL_SHARE = 0.8;
 
   /** What is known of a type: each boot as a part of the nominal time, and whether it came. */
-  private static final class Record {
-    final Deque<Double> took = new ArrayDeque<>();
-    final Deque<Boolean> came = new ArrayDeque<>();
+  private static final class TypeHistory {
+    final Deque<Double> bootFactors = new ArrayDeque<>();
+    final Deque<Boolean> arrivedInTime = new ArrayDeque<>();
     boolean slow;
   }
 
-  private final Map<String, Record> records = new HashMap<>();
+  private final Map<String, TypeHistory> histories = new HashMap<>();
   private final Set<Machine> booting = new HashSet<>();
   private final Set<Machine> overdue = new HashSet<>();
 
-  private static <T> void add(Deque<T> kept, T one) {
-    kept.addLast(one);
-    if (kept.size() > KEPT) {
-      kept.removeFirst();
+  private static <T> void add(Deque<T> history, T observation) {
+    history.addLast(observation);
+    if (history.size() > HISTORY_SIZE) {
+      history.removeFirst();
     }
   }
 
-  private Record of(MachineType type) {
-    return records.computeIfAbsent(type.name(), t -> new Record());
+  private TypeHistory historyOf(MachineType type) {
+    return histories.computeIfAbsent(type.name(), t -> new TypeHistory());
   }
 
   /** Looks at a machine, once in a while. */
@@ -75,18 +75,18 @@
         if (machine.rentedByThisLeader) {
           booting.add(machine);
           if (weight(machine, now) == 0 && overdue.add(machine)) {
-            add(of(machine.type).came, false);
+            add(historyOf(machine.type).arrivedInTime, false);
           }
         }
       }
       case HEARD, CONFIRMED -> {
         if (booting.remove(machine)) {
-          Record of = of(machine.type);
+          TypeHistory history = historyOf(machine.type);
           if (!overdue.remove(machine)) {
-            add(of.came, true);
+            add(history.arrivedInTime, true);
           }
-          add(of.took, parts(machine, now));
-          tell(machine.type, of);
+          add(history.bootFactors, bootFactor(machine, now));
+          logSpeedChange(machine.type, history);
         }
       }
       case SILENT -> {}
@@ -99,65 +99,71 @@
     overdue.remove(machine);
   }
 
-  private static double parts(Machine machine, Instant now) {
+  private static double bootFactor(Machine machine, Instant now) {
     double nominal = Math.max(1, machine.type.bootTime().toMillis());
     return Duration.between(machine.createdAt, now).toMillis() / nominal;
   }
 
-  private void tell(MachineType type, Record of) {
-    boolean slow = usual(of) >= SLOW;
-    if (slow != of.slow) {
-      of.slow = slow;
+  private void logSpeedChange(MachineType type, TypeHistory history) {
+    boolean slow = typicalBootTime(history) >= SLOW_FACTOR;
+    if (slow != history.slow) {
+      history.slow = slow;
       log.info(
-          "machines of {} boot {}: {}", type.name(), slow ? "slowly" : "as usual", usual(type));
+          "machines of {} boot {}: {}",
+          type.name(),
+          slow ? "slowly" : "as usual",
+          typicalBootTime(type));
     }
   }
 
-  private static double usual(Record of) {
-    return of.took.stream().mapToDouble(Double::doubleValue).average().orElse(1);
+  private static double typicalBootTime(TypeHistory history) {
+    return history.bootFactors.stream().mapToDouble(Double::doubleValue).average().orElse(1);
   }
 
   /** How long machines of the type have usually taken of late. */
-  Duration usual(MachineType type) {
-    return times(type, usual(of(type)));
+  Duration typicalBootTime(MachineType type) {
+    return scaledBootTime(type, typicalBootTime(historyOf(type)));
   }
 
-  private double slowest(MachineType type) {
-    double[] sorted = of(type).took.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-    double slow = sorted.length == 0 ? 1 : sorted[(sorted.length * 9) / 10];
-    return Math.max(USUAL, slow * MARGIN);
+  private double lateFactor(MachineType type) {
+    double[] sorted =
+        historyOf(type).bootFactors.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+    double slowFactor = sorted.length == 0 ? 1 : sorted[(sorted.length * 9) / 10];
+    return Math.max(MIN_LATE_FACTOR, slowFactor * LATE_MARGIN);
   }
 
   /** How much of a machine that is not up yet is to be counted on. */
   double weight(Machine machine, Instant now) {
-    double parts = parts(machine, now);
-    double late = slowest(machine.type);
-    return parts < late ? 1 : parts < VERY * late ? 0.5 : 0;
+    double factor = bootFactor(machine, now);
+    double lateFactor = lateFactor(machine.type);
+    return factor < lateFactor ? 1 : factor < VERY_LATE_MARGIN * lateFactor ? 0.5 : 0;
   }
 
   /** Whether a machine has been waited for in vain for long enough. */
-  boolean isLost(Machine machine, Instant now) {
+  boolean isGivenUp(Machine machine, Instant now) {
     // It is charged as long as it is waited for.
-    return parts(machine, now) > Math.max(LEAST_WAIT, slowest(machine.type));
+    return bootFactor(machine, now) > Math.max(MIN_GIVE_UP_FACTOR, lateFactor(machine.type));
   }
 
   /**
    * Whether a machine rented now is likely to be up about when its type says, as far as has been
    * seen: a new leader that has seen no boots yet must not count on good ones.
    */
-  boolean areUsual(MachineType type) {
-    Record of = of(type);
-    return of.took.size() >= SEEN && usual(of) < SLOW && comingPart(type) > MOST;
+  boolean isTypical(MachineType type) {
+    TypeHistory history = historyOf(type);
+    return history.bootFactors.size() >= MIN_OBSERVED_BOOTS
+        && typicalBootTime(history) < SLOW_FACTOR
+        && arrivalShare(type) > MIN_ARRIVAL_SHARE;
   }
 
   /** The part of the machines rented that came up in time; cautious before much was seen. */
-  double comingPart(MachineType type) {
-    Record of = of(type);
-    long came = of.came.stream().filter(c -> c).count();
-    return (came + 8.0) / (of.came.size() + 8.0);
+  double arrivalShare(MachineType type) {
+    TypeHistory history = historyOf(type);
+    long came = history.arrivedInTime.stream().filter(c -> c).count();
+    return (came + 8.0) / (history.arrivedInTime.size() + 8.0);
   }
 
-  private static Duration times(MachineType type, double factor) {
+  private static Duration scaledBootTime(MachineType type, double factor) {
     return Duration.ofMillis((long) (type.bootTime().toMillis() * factor));
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -33,18 +33,18 @@
  */
 final class CapacityDemand {
   /** The last task of an array takes so much longer than the estimate, as a part of it. */
-  private static final double MARGIN = 0.25;
+  private static final double LAST_TASK_MARGIN = 0.25;
 
   /** A kind of machine that can be rented, by the name of its type, since prices move. */
-  record Kind(String type, boolean spot) {}
+  record MachineKind(String type, boolean spot) {}
 
   /** Machines wanted of a kind, and for which zone if their jobs have one. */
-  static final class Want {
+  static final class MissingMachines {
     double machines;
-    final Map<String, Double> zones = new HashMap<>();
+    final Map<String, Double> byZone = new HashMap<>();
 
-    String heaviestZone() {
-      return zones.entrySet().stream()
+    String zoneInGreatestNeed() {
+      return byZone.entrySet().stream()
           .max(Map.Entry.comparingByValue())
           .map(Map.Entry::getKey)
           .orElse(null);
@@ -52,35 +52,35 @@
   }
 
   /** What waits of one job: tasks that found no room, within what its team may use. */
-  private record Waiting(Job job, int count, Instant due) {}
+  private record PendingJob(Job job, int tasks, Instant dueAt) {}
 
   private final ClusterState cluster;
   private final Instant now;
-  private final Instant today;
-  private final boolean arraysWait;
-  private final BiFunction<Boolean, JobSpec, MachineType> cheapest;
-  private final Function<JobSpec, MachineType> best;
-  private final ToDoubleFunction<PriorityClass> arriving;
-  private final Map<Kind, Double> booting = new HashMap<>();
-  private final Map<Kind, Want> wants = new LinkedHashMap<>();
+  private final Instant wallClock;
+  private final boolean mayDeferArrays;
+  private final BiFunction<Boolean, JobSpec, MachineType> cheapestAvailable;
+  private final Function<JobSpec, MachineType> cheapestListed;
+  private final ToDoubleFunction<PriorityClass> arrivalRate;
+  private final Map<MachineKind, Double> bootingMachines = new HashMap<>();
+  private final Map<MachineKind, MissingMachines> missing = new LinkedHashMap<>();
 
   /** Ordinary machines that work, and only for jobs that could wait. */
-  private final List<Machine> flexible = new ArrayList<>();
+  private final List<Machine> deferrableOnly = new ArrayList<>();
 
   private double capacity;
   private final BatchBacklog backlog;
 
   /** The first job that an ordinary machine would help, or null. */
-  private JobSpec pressing;
+  private JobSpec criticalJob;
 
   /**
    * At list prices an hour: what is wanted, boots, and is free; of ordinary machines, then of spot
    * ones.
    */
-  private final double[] wanted = new double[2];
+  private final double[] wantedValue = new double[2];
 
-  private final double[] coming = new double[2];
-  private final double[] free = new double[2];
+  private final double[] bootingValue = new double[2];
+  private final double[] freeValue = new double[2];
 
   /**
    * A look at the cluster.
@@ -100,52 +100,52 @@
   CapacityDemand(
       ClusterState cluster,
       Scheduler scheduler,
-      BootTimeEstimator boots,
-      ToDoubleFunction<Machine> freePart,
+      BootTimeEstimator bootTimes,
+      ToDoubleFunction<Machine> freeShare,
       Instant now,
-      Instant today,
-      boolean arraysWait,
-      ToDoubleFunction<PriorityClass> arriving,
-      Function<JobSpec, MachineType> best,
-      BiFunction<Boolean, JobSpec, MachineType> cheapest) {
+      Instant wallClock,
+      boolean mayDeferArrays,
+      ToDoubleFunction<PriorityClass> arrivalRate,
+      Function<JobSpec, MachineType> cheapestListed,
+      BiFunction<Boolean, JobSpec, MachineType> cheapestAvailable) {
     this.cluster = cluster;
     this.now = now;
-    this.today = today;
-    this.arraysWait = arraysWait;
-    this.best = best;
-    this.cheapest = cheapest;
-    this.arriving = arriving;
+    this.wallClock = wallClock;
+    this.mayDeferArrays = mayDeferArrays;
+    this.cheapestListed = cheapestListed;
+    this.cheapestAvailable = cheapestAvailable;
+    this.arrivalRate = arrivalRate;
     for (Machine machine : cluster.machines()) {
-      count(machine, boots, freePart);
+      countMachine(machine, bootTimes, freeShare);
     }
     backlog = new BatchBacklog(capacity);
-    waiting(scheduler).forEach(this::want);
+    pendingJobs(scheduler).forEach(this::addDemand);
   }
 
   /** What a task takes of such a machine, at its list price an hour. */
-  static double worth(JobSpec spec, MachineType type) {
+  static double taskValue(JobSpec spec, MachineType type) {
     return type.onDemandPrice()
         / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
   }
 
   /** Machines wanted of each kind by jobs that cannot wait, or of spot machines. */
-  Map<Kind, Want> wants() {
-    return wants;
+  Map<MachineKind, MissingMachines> missing() {
+    return missing;
   }
 
   /** What is wanted, at list prices an hour, whatever boots. */
-  double wanted(boolean spot) {
-    return wanted[kind(spot)];
+  double wantedValue(boolean spot) {
+    return wantedValue[market(spot)];
   }
 
   /** What boots, at list prices an hour. */
-  double coming(boolean spot) {
-    return coming[kind(spot)];
+  double bootingValue(boolean spot) {
+    return bootingValue[market(spot)];
   }
 
   /** What is free on machines that take work, at list prices an hour. */
-  double free(boolean spot) {
-    return free[kind(spot)];
+  double freeValue(boolean spot) {
+    return freeValue[market(spot)];
   }
 
   /**
@@ -153,28 +153,28 @@
    * Spot machines that are asked for now may well be had: what is refused of them lacks the next
    * time.
    */
-  double lacking() {
-    double asked = 0;
-    for (Map.Entry<Kind, Want> want : wants.entrySet()) {
+  double missingForDeferrable() {
+    double requestedSpotValue = 0;
+    for (Map.Entry<MachineKind, MissingMachines> want : missing.entrySet()) {
       double price = cluster.type(want.getKey().type()).onDemandPrice();
-      asked += want.getKey().spot() ? want.getValue().machines * price : 0;
+      requestedSpotValue += want.getKey().spot() ? want.getValue().machines * price : 0;
     }
-    return Math.max(0, backlog.lacking() - asked);
+    return Math.max(0, backlog.missingCapacity() - requestedSpotValue);
   }
 
-  JobSpec pressing() {
-    return pressing;
+  JobSpec criticalJob() {
+    return criticalJob;
   }
 
   /**
    * Ordinary machines that serve only arrays that can wait, and how much of them is needed in time.
    */
-  List<Machine> flexible() {
-    return flexible;
+  List<Machine> deferrableOnly() {
+    return deferrableOnly;
   }
 
-  double needed(double ofFlexible) {
-    return backlog.needed(ofFlexible, arriving.applyAsDouble(null));
+  double neededForDeferrable(double deferrableValue) {
+    return backlog.neededCapacity(deferrableValue, arrivalRate.applyAsDouble(null));
   }
 
   // ---- what there is
@@ -183,25 +183,27 @@
     return duration.toMillis() / 1000.0;
   }
 
-  private static int kind(boolean spot) {
+  private static int market(boolean spot) {
     return spot ? 1 : 0;
   }
 
-  private void count(Machine machine, BootTimeEstimator boots, ToDoubleFunction<Machine> freePart) {
+  private void countMachine(
+      Machine machine, BootTimeEstimator bootTimes, ToDoubleFunction<Machine> freeShare) {
     double price = machine.type.onDemandPrice();
     switch (machine.state()) {
       case EXPECTED, HEARD -> {
-        double counts = boots.weight(machine, now);
-        booting.merge(new Kind(machine.type.name(), machine.spot), counts, Double::sum);
-        coming[kind(machine.spot)] += counts * price;
-        capacity += counts * price;
+        double weight = bootTimes.weight(machine, now);
+        bootingMachines.merge(
+            new MachineKind(machine.type.name(), machine.spot), weight, Double::sum);
+        bootingValue[market(machine.spot)] += weight * price;
+        capacity += weight * price;
       }
       case CONFIRMED -> {
         if (machine.isSchedulable()) {
-          double part = freePart.applyAsDouble(machine);
-          free[kind(machine.spot)] += part * price;
+          double free = freeShare.applyAsDouble(machine);
+          freeValue[market(machine.spot)] += free * price;
           capacity += price;
-          countWork(machine, part < 1);
+          countUndeferrableWork(machine, free < 1);
         }
       }
       default -> {}
@@ -214,42 +216,42 @@
    * @param works whether anything is there that it is worth to; an idle one is kept for its images
    *     as long as that is worth it
    */
-  private void countWork(Machine machine, boolean works) {
-    boolean canWait = works && !machine.spot;
+  private void countUndeferrableWork(Machine machine, boolean isBusy) {
+    boolean onlyDeferrable = isBusy && !machine.spot;
     for (Attempt attempt : machine.attempts.values()) {
       if (!attempt.holdsCapacity()) {
         continue;
       }
-      if (!canWait(attempt.job)) {
-        canWait = false;
-        capacity -= worth(attempt.job.spec, machine.type);
+      if (!isDeferrable(attempt.job)) {
+        onlyDeferrable = false;
+        capacity -= taskValue(attempt.job.spec, machine.type);
       }
     }
-    if (canWait) {
-      flexible.add(machine);
+    if (onlyDeferrable) {
+      deferrableOnly.add(machine);
     }
   }
 
-  private boolean canWait(Job job) {
-    return arraysWait && cluster.canWaitForCapacity(job);
+  private boolean isDeferrable(Job job) {
+    return mayDeferArrays && cluster.canWaitForCapacity(job);
   }
 
   // ---- what waits
 
   /** What found no room, the first by priority first. */
-  private List<Waiting> waiting(Scheduler scheduler) {
+  private List<PendingJob> pendingJobs(Scheduler scheduler) {
     Map<String, Resources> planned = new HashMap<>();
-    List<Waiting> waiting = new ArrayList<>();
+    List<PendingJob> pendingJobs = new ArrayList<>();
     for (QueueEntry entry : scheduler.pendingEntries()) {
       Job job = entry.job;
       JobSpec spec = job.spec;
-      boolean lacksRoom =
+      boolean lacksCapacity =
           entry.rejectedBy() != null
               && switch (entry.rejectedBy()) {
                 case FIT, PLACE, SPREAD, TOGETHER -> true;
                 case TEAM_LIMIT, PREDECESSOR, FAILING, PACE, DEPENDENCY -> false;
               };
-      if (!lacksRoom || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
+      if (!lacksCapacity || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
         continue;
       }
       if (job.failing && entry.rejectedBy() != SchedulingCheck.PLACE) {
@@ -258,96 +260,99 @@
       }
       Team team = cluster.team(spec.team());
       Resources used = cluster.usage(spec.team());
-      Resources before = planned.getOrDefault(spec.team(), Resources.ZERO);
+      Resources plannedBefore = planned.getOrDefault(spec.team(), Resources.ZERO);
       int count = job.pending.cardinality();
       while (count > 0
-          && !team.allows(used.plus(before).plus(spec.resourcesPerTask().times(count)))) {
+          && !team.allows(used.plus(plannedBefore).plus(spec.resourcesPerTask().times(count)))) {
         count = count > 64 ? count / 2 : count - 1;
       }
       planned.merge(spec.team(), spec.resourcesPerTask().times(count), Resources::plus);
       if (count > 0) {
-        Instant due = job.acceptedAt.plus(cluster.startAllowance(job, today));
-        waiting.add(new Waiting(job, count, due));
+        Instant dueAt = job.acceptedAt.plus(cluster.startAllowance(job, wallClock));
+        pendingJobs.add(new PendingJob(job, count, dueAt));
       }
     }
-    waiting.sort(
-        Comparator.<Waiting, PriorityClass>comparing(w -> w.job.priorityClass())
-            .thenComparing(Waiting::due));
-    return waiting;
+    pendingJobs.sort(
+        Comparator.<PendingJob, PriorityClass>comparing(w -> w.job.priorityClass())
+            .thenComparing(PendingJob::dueAt));
+    return pendingJobs;
   }
 
-  private void want(Waiting waiting) {
-    Job job = waiting.job;
+  private void addDemand(PendingJob pendingJob) {
+    Job job = pendingJob.job;
     JobSpec spec = job.spec;
-    MachineType likely = best.apply(spec);
+    MachineType likely = cheapestListed.apply(spec);
     if (likely == null) {
       return;
     }
-    MachineType type = cheapest.apply(false, spec);
-    boolean canWait = canWait(job);
+    MachineType type = cheapestAvailable.apply(false, spec);
+    boolean deferrable = isDeferrable(job);
     // Those that can wait would all come to avoid them while they do so, and have dear machines at
     // once.
-    boolean avoidsSpot = type != null && !canWait && cluster.avoidsSpot(job, today);
+    boolean avoidsSpot = type != null && !deferrable && cluster.avoidsSpot(job, wallClock);
     boolean maySpot = spec.spotAllowed() && !avoidsSpot;
-    boolean forIdleTime = cluster.runsOnIdleCapacityOnly(job, today);
-    if (canWait && !forIdleTime) {
-      addToBacklog(waiting, likely);
+    boolean idleCapacityOnly = cluster.runsOnIdleCapacityOnly(job, wallClock);
+    if (deferrable && !idleCapacityOnly) {
+      addToBacklog(pendingJob, likely);
     }
-    double tasks = waiting.count;
+    double tasks = pendingJob.tasks;
     for (MachineType each : cluster.types()) {
       if (ScaleOut.isUsable(spec, each)) {
-        wanted[kind(maySpot)] += each == likely ? tasks * worth(spec, each) : 0;
-        tasks -= maySpot ? take(new Kind(each.name(), true), spec, each, tasks) : 0;
-        tasks -= take(new Kind(each.name(), false), spec, each, tasks);
+        wantedValue[market(maySpot)] += each == likely ? tasks * taskValue(spec, each) : 0;
+        tasks -= maySpot ? takeBooting(new MachineKind(each.name(), true), spec, each, tasks) : 0;
+        tasks -= takeBooting(new MachineKind(each.name(), false), spec, each, tasks);
       }
     }
     if (tasks <= 0) {
       return;
     }
-    MachineType spot = maySpot ? cheapest.apply(true, spec) : null;
+    MachineType spot = maySpot ? cheapestAvailable.apply(true, spec) : null;
     if (spot != null) {
-      add(new Kind(spot.name(), true), spec, spot, tasks);
-    } else if (type != null && (!maySpot || (!forIdleTime && !canWait))) {
-      add(new Kind(type.name(), false), spec, type, tasks);
+      addMissing(new MachineKind(spot.name(), true), spec, spot, tasks);
+    } else if (type != null && (!maySpot || (!idleCapacityOnly && !deferrable))) {
+      addMissing(new MachineKind(type.name(), false), spec, type, tasks);
     }
   }
 
   /** Gives the job what boots of that kind; how many of its tasks that is for. */
-  private double take(Kind kind, JobSpec spec, MachineType type, double tasks) {
-    double there = booting.getOrDefault(kind, 0.0);
-    double each = 1.0 / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
-    double taken = Math.min(tasks, there / each);
-    booting.computeIfPresent(kind, (k, machines) -> machines - taken * each);
+  private double takeBooting(MachineKind kind, JobSpec spec, MachineType type, double tasks) {
+    double booting = bootingMachines.getOrDefault(kind, 0.0);
+    double machinesPerTask =
+        1.0 / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
+    double taken = Math.min(tasks, booting / machinesPerTask);
+    bootingMachines.computeIfPresent(kind, (k, machines) -> machines - taken * machinesPerTask);
     return taken;
   }
 
-  private void add(Kind kind, JobSpec spec, MachineType type, double tasks) {
+  private void addMissing(MachineKind kind, JobSpec spec, MachineType type, double tasks) {
     double machines = tasks / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
-    Want want = wants.computeIfAbsent(kind, k -> new Want());
+    MissingMachines want = missing.computeIfAbsent(kind, k -> new MissingMachines());
     want.machines += machines;
     if (spec.zone() != null) {
-      want.zones.merge(spec.zone(), machines, Double::sum);
+      want.byZone.merge(spec.zone(), machines, Double::sum);
     }
   }
 
-  private void addToBacklog(Waiting waiting, MachineType type) {
-    JobSpec spec = waiting.job.spec;
-    Duration ready = cluster.soonestStartElsewhere(spec);
+  private void addToBacklog(PendingJob pendingJob, MachineType type) {
+    JobSpec spec = pendingJob.job.spec;
+    Duration startDelay = cluster.soonestStartElsewhere(spec);
     // For an objective that is missed soon after another machine is ready it is too late to rent.
-    Duration allowance = cluster.startAllowance(waiting.job, today.plus(ready.multipliedBy(2)));
-    Duration slack = Duration.between(today, waiting.job.acceptedAt.plus(allowance));
-    double run = seconds(spec.estimatedRunTime());
+    Duration allowance =
+        cluster.startAllowance(pendingJob.job, wallClock.plus(startDelay.multipliedBy(2)));
+    Duration slack = Duration.between(wallClock, pendingJob.job.acceptedAt.plus(allowance));
+    double runSeconds = seconds(spec.estimatedRunTime());
     // What is late for all of them must not wait for ever.
-    double within = Math.max(seconds(slack) - MARGIN * run, 2 * seconds(ready));
-    double lacked = backlog.lacking();
+    double secondsLeft =
+        Math.max(seconds(slack) - LAST_TASK_MARGIN * runSeconds, 2 * seconds(startDelay));
+    double missingBefore = backlog.missingCapacity();
     backlog.add(
-        waiting.count * worth(spec, type),
-        run,
-        within,
-        seconds(ready),
-        arriving.applyAsDouble(waiting.job.priorityClass()));
-    if (pressing == null && backlog.lacking() > lacked) {
-      pressing = spec;
+        pendingJob.tasks * taskValue(spec, type),
+        runSeconds,
+        secondsLeft,
+        seconds(startDelay),
+        arrivalRate.applyAsDouble(pendingJob.job.priorityClass()));
+    if (criticalJob == null && backlog.missingCapacity() > missingBefore) {
+      criticalJob = spec;
     }
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/CloudClient.java
+++ b/src/main/java/io/pineladder/autoscaling/CloudClient.java
@@ -15,23 +15,23 @@
 /** Calls to the cloud within its rate; it is left alone for a while when it has trouble. */
 final class CloudClient {
   private static final Duration TIMEOUT = Duration.ofSeconds(4);
-  private static final Duration FIRST_PAUSE = Duration.ofSeconds(2);
-  private static final Duration MOST_PAUSE = Duration.ofSeconds(4);
+  private static final Duration INITIAL_PAUSE = Duration.ofSeconds(2);
+  private static final Duration MAX_PAUSE = Duration.ofSeconds(4);
 
   private final AsyncHttpClient httpClient;
   private final EventLoop eventLoop;
   private final String address;
-  private final TokenBucket calls;
-  private final CircuitBreaker breaker;
+  private final TokenBucket callBudget;
+  private final CircuitBreaker circuitBreaker;
   private boolean closed;
 
   CloudClient(Settings settings, AsyncHttpClient httpClient, EventLoop eventLoop) {
     this.httpClient = httpClient;
     this.eventLoop = eventLoop;
     this.address = settings.cloudAddress();
-    this.breaker = new CircuitBreaker("the cloud", eventLoop, 1, FIRST_PAUSE, MOST_PAUSE);
+    this.circuitBreaker = new CircuitBreaker("the cloud", eventLoop, 1, INITIAL_PAUSE, MAX_PAUSE);
     double rps = settings.cloudLimits().requestsPerSecond() * 0.85;
-    this.calls = new TokenBucket(rps, Math.max(1, rps * 2), eventLoop.now());
+    this.callBudget = new TokenBucket(rps, Math.max(1, rps * 2), eventLoop.now());
   }
 
   /** No reply counts any more. */
@@ -50,17 +50,17 @@
   /** Sends at once, or not at all: false. */
   private boolean call(Request request, Consumer<Reply> onReply) {
     Instant now = eventLoop.now();
-    if (calls.available(now) < 1 || !breaker.mayCall()) {
+    if (callBudget.available(now) < 1 || !circuitBreaker.mayCall()) {
       return false;
     }
-    calls.take(1, now);
+    callBudget.take(1, now);
     httpClient.call(
         request,
         reply -> {
-          if (reply.is(200) || reply.is(400) || isRefusal(reply)) {
-            breaker.succeeded();
+          if (reply.is(200) || reply.is(400) || isCapacityRefusal(reply)) {
+            circuitBreaker.succeeded();
           } else {
-            breaker.failed();
+            circuitBreaker.failed();
           }
           if (!closed) {
             onReply.accept(reply);
@@ -70,7 +70,7 @@
   }
 
   /** Whether there is no capacity, which is no trouble. */
-  static boolean isRefusal(Reply reply) {
+  static boolean isCapacityRefusal(Reply reply) {
     return reply.is(503)
         && new String(reply.body(), StandardCharsets.UTF_8).contains("no capacity");
   }
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -20,66 +20,66 @@
   private static final Logger log = LoggerFactory.getLogger(FailureDetector.class);
 
   /** How long after a takeover workers are still on their way from node to node. */
-  private static final Duration SETTLING = Duration.ofSeconds(15);
+  private static final Duration FAILOVER_SETTLE_TIME = Duration.ofSeconds(15);
 
   /** So long a zone with a controller of its own is taken to live on, cut off. */
-  private static final Duration KEPT_INSIDE = Duration.ofMinutes(3);
+  private static final Duration PEER_KEPT_ZONE_PATIENCE = Duration.ofMinutes(3);
 
   /** Machines that may come back are waited for a third of the time that another takes. */
-  private static final int WAIT_PART = 3;
+  private static final int WORTHWHILE_WAIT_DIVISOR = 3;
 
   private final ClusterState cluster;
-  private final ScaleOut renting;
+  private final ScaleOut scaleOut;
   private final Zones zones;
-  private final ZoneLossPlan plan;
+  private final ZoneLossPlan zoneLossPlan;
   private final Autoscaler.Effects effects;
   private final Instant startedAt;
 
   /** Until when a zone that was cut is taken to be so. */
-  private final Map<String, Instant> cutUntil = new HashMap<>();
+  private final Map<String, Instant> unreachableUntil = new HashMap<>();
 
   /**
    * Since when this leader has taken in what came for it. After it stood still, what its workers
    * sent is yet to be read; in a long doubt of its lease they were answered without it, or went to
    * other nodes. Their silence is its own.
    */
-  private Instant listeningSince;
+  private Instant acceptingHeartbeatsSince;
 
   FailureDetector(
       ClusterState cluster,
-      ScaleOut renting,
+      ScaleOut scaleOut,
       Zones zones,
       Autoscaler.Effects effects,
       Instant now) {
     this.cluster = cluster;
-    this.renting = renting;
+    this.scaleOut = scaleOut;
     this.zones = zones;
-    this.plan = new ZoneLossPlan(cluster, renting, zones);
+    this.zoneLossPlan = new ZoneLossPlan(cluster, scaleOut, zones);
     this.effects = effects;
     this.startedAt = now;
-    this.listeningSince = now;
+    this.acceptingHeartbeatsSince = now;
   }
 
   /** Until now no reports were taken in. */
-  void notListening(Instant now) {
-    listeningSince = now;
+  void onHeartbeatsNotAccepted(Instant now) {
+    acceptingHeartbeatsSince = now;
   }
 
   /** How long a machine may be silent: a report's time, a lost response and another node's try. */
-  private Duration silence() {
-    Duration report = cluster.settings.workerTimes().heartbeatInterval();
-    return report.plus(report.dividedBy(4)).plusSeconds(6);
+  private Duration heartbeatTimeout() {
+    Duration heartbeatInterval = cluster.settings.workerTimes().heartbeatInterval();
+    return heartbeatInterval.plus(heartbeatInterval.dividedBy(4)).plusSeconds(6);
   }
 
   /** How the machines of one zone are heard. */
-  private static final class ZoneSilence {
-    int up;
+  private static final class ZoneHeartbeats {
+    int expected;
     int overdue;
-    int heardLately;
+    int recentlyHeard;
 
     /** Many at once are cut off or hang rather than have stopped one by one. */
-    boolean isManyAtOnce() {
-      return overdue >= 3 && overdue * 20 > up;
+    boolean isCorrelated() {
+      return overdue >= 3 && overdue * 20 > expected;
     }
   }
 
@@ -92,40 +92,41 @@
    *
    * @return the machines to return
    */
-  List<Machine> review(Instant now) {
-    Duration allowed = silence();
+  List<Machine> findMachinesToRelease(Instant now) {
+    Duration timeout = heartbeatTimeout();
     // A whole zone falls silent one report after the other: what counts for a cut is who is late,
     // or the first ones would be given up before the last ones are missed.
-    Duration overdue = allowed.minusSeconds(4);
+    Duration overdueAfter = timeout.minusSeconds(4);
     // In a zone that is cut all fall silent at once: when the first is missed none was heard since.
-    Duration lately = overdue.minus(cluster.settings.workerTimes().heartbeatInterval());
-    Map<String, ZoneSilence> byZone = new HashMap<>();
+    Duration recentPeriod = overdueAfter.minus(cluster.settings.workerTimes().heartbeatInterval());
+    Map<String, ZoneHeartbeats> byZone = new HashMap<>();
     List<Machine> silent = new ArrayList<>();
-    int up = 0;
+    int expected = 0;
     for (Machine machine : cluster.machines()) {
       Instant since = silentSince(machine);
       if (since == null) {
         continue;
       }
-      up++;
+      expected++;
       if (since.isAfter(now)) {
         // It need not report yet, so it says nothing of its zone. Found on laval-fleet: right after
         // a
         // takeover idle machines hid that none of those with tasks was heard, which were given up.
         continue;
       }
-      ZoneSilence zone = byZone.computeIfAbsent(machine.zone, z -> new ZoneSilence());
-      zone.up++;
-      boolean heard =
-          machine.lastHeartbeatAt != null && machine.lastHeartbeatAt.plus(lately).isAfter(now);
-      zone.heardLately += heard ? 1 : 0;
-      if (since.plus(overdue).isBefore(now)) {
+      ZoneHeartbeats zone = byZone.computeIfAbsent(machine.zone, z -> new ZoneHeartbeats());
+      zone.expected++;
+      boolean recentlyHeard =
+          machine.lastHeartbeatAt != null
+              && machine.lastHeartbeatAt.plus(recentPeriod).isAfter(now);
+      zone.recentlyHeard += recentlyHeard ? 1 : 0;
+      if (since.plus(overdueAfter).isBefore(now)) {
         zone.overdue++;
         if (now.getEpochSecond() % 2 == 0) {
           effects.probe(machine);
         }
       }
-      if (since.plus(allowed).isBefore(now)) {
+      if (since.plus(timeout).isBefore(now)) {
         silent.add(machine);
         if (machine.state() == Machine.State.CONFIRMED) {
           machine.transitionTo(Machine.State.SILENT);
@@ -135,46 +136,51 @@
       }
     }
     boolean heardBefore = silent.stream().anyMatch(m -> m.lastHeartbeatAt != null);
-    if (up >= 2 && silent.size() == up && heardBefore) {
+    if (expected >= 2 && silent.size() == expected && heardBefore) {
       // No worker reaches this node any more, while others may reach another. A successor that
       // hears none either keeps its term, or machines that all died would never be given up.
       effects.resign("no worker is heard");
       return List.of();
     }
     Duration lease = cluster.settings.workerTimes().leaseDuration();
-    List<Machine> givenUp = new ArrayList<>();
+    List<Machine> toRelease = new ArrayList<>();
     // Once a cut is over the first that are heard say nothing of the rest, which are on their way.
     byZone.forEach(
-        (zone, heard) -> {
+        (zone, recentlyHeard) -> {
           boolean cut =
               zones.review(
-                  zone, heard.up, heard.overdue, heard.heardLately, effects.heardInside(zone), now);
+                  zone,
+                  recentlyHeard.expected,
+                  recentlyHeard.overdue,
+                  recentlyHeard.recentlyHeard,
+                  effects.workersHeardByPeers(zone),
+                  now);
           if (cut) {
-            cutUntil.put(zone, now.plus(allowed));
+            unreachableUntil.put(zone, now.plus(timeout));
           }
         });
-    boolean anyHeard = byZone.values().stream().anyMatch(zone -> zone.heardLately > 0);
+    boolean anyHeard = byZone.values().stream().anyMatch(zone -> zone.recentlyHeard > 0);
     List<Machine> lost = new ArrayList<>();
     for (Machine machine : silent) {
-      ZoneSilence zone = byZone.get(machine.zone);
-      if (zones.isApart(machine.zone)) {
+      ZoneHeartbeats zone = byZone.get(machine.zone);
+      if (zones.isKeptAliveByPeers(machine.zone)) {
         // Another controller hears it, keeps its lease, and ends there what users have cancelled.
         continue;
       }
       Duration patience =
-          cutUntil.getOrDefault(machine.zone, Instant.MIN).isAfter(now)
-              ? longestLife(machine.zone, anyHeard)
-              : zone.isManyAtOnce() && isWorthWaiting(machine, lease.minus(allowed))
+          unreachableUntil.getOrDefault(machine.zone, Instant.MIN).isAfter(now)
+              ? longestTaskLifetime(machine.zone, anyHeard)
+              : zone.isCorrelated() && isWorthWaiting(machine, lease.minus(timeout))
                   ? lease
                   : Duration.ZERO;
-      if (isUrgent(machine, now)) {
-        givenUp.add(machine);
+      if (isCancellationBoundNear(machine, now)) {
+        toRelease.add(machine);
       } else if (silentSince(machine).plus(patience).isBefore(now)) {
-        (zones.isGone(machine.zone) ? lost : givenUp).add(machine);
+        (zones.isUnreachable(machine.zone) ? lost : toRelease).add(machine);
       }
     }
-    givenUp.addAll(plan.toGiveUp(lost, now));
-    return givenUp;
+    toRelease.addAll(zoneLossPlan.machinesToRelease(lost, now));
+    return toRelease;
   }
 
   /**
@@ -182,21 +188,21 @@
    * then go out only with reports handed on, so a peer serves better as the leader. Found on
    * colombo-ops, where a leader cut from its workers alone went on for a minute.
    */
-  void findRelayed(Instant now) {
-    if (startedAt.plus(SETTLING).isAfter(now)) {
+  void resignIfWorkersReachPeersOnly(Instant now) {
+    if (startedAt.plus(FAILOVER_SETTLE_TIME).isAfter(now)) {
       return;
     }
     Instant from = now.minus(cluster.settings.workerTimes().heartbeatInterval());
     int heard = 0;
-    int relayed = 0;
+    int throughPeers = 0;
     for (Machine machine : cluster.machines()) {
       if (machine.state() == Machine.State.CONFIRMED && machine.lastHeartbeatAt.isAfter(from)) {
         heard++;
-        relayed += machine.reachedThroughPeer ? 1 : 0;
+        throughPeers += machine.reachedThroughPeer ? 1 : 0;
       }
     }
-    if (relayed >= 3 && relayed * 2 > heard) {
-      effects.handOver("workers reach its peers and not this node");
+    if (throughPeers >= 3 && throughPeers * 2 > heard) {
+      effects.transferLeadership("workers reach its peers and not this node");
     }
   }
 
@@ -204,38 +210,40 @@
    * Whether a machine that may come back with its tasks is worth waiting for so much longer: having
    * another ready, with an image like most, takes several times as long.
    */
-  private boolean isWorthWaiting(Machine machine, Duration longer) {
-    Duration ready = machine.type.bootTime().plus(renting.fetchTime(machine.type));
-    return longer.multipliedBy(WAIT_PART).compareTo(ready) < 0;
+  private boolean isWorthWaiting(Machine machine, Duration extraWait) {
+    Duration replacementTime = machine.type.bootTime().plus(scaleOut.fetchTime(machine.type));
+    return extraWait.multipliedBy(WORTHWHILE_WAIT_DIVISOR).compareTo(replacementTime) < 0;
   }
 
   /**
    * How long tasks may live in a zone that is cut off, where nodes keep their workers' leases, and
    * how long a report then takes to come here.
    */
-  private Duration longestLife(String zone, boolean anyHeard) {
+  private Duration longestTaskLifetime(String zone, boolean anyHeard) {
     // Where no zone is heard nothing tells a cut from machines that have all died.
-    boolean controller =
+    boolean hasPeer =
         anyHeard && cluster.settings.peers().stream().anyMatch(peer -> peer.zone().equals(zone));
-    if (controller) {
+    if (hasPeer) {
       // It keeps the leases there for as long as it lives.
-      return KEPT_INSIDE;
+      return PEER_KEPT_ZONE_PATIENCE;
     }
     Settings.WorkerTimes workers = cluster.settings.workerTimes();
-    Duration kept =
-        Election.maxWorkerLeaseExtension(workers).plus(workers.leaseDuration()).plus(silence());
-    Duration least = workers.leaseDuration().multipliedBy(2);
-    return kept.compareTo(least) > 0 ? kept : least;
+    Duration renewedLifetime =
+        Election.maxWorkerLeaseExtension(workers)
+            .plus(workers.leaseDuration())
+            .plus(heartbeatTimeout());
+    Duration minimum = workers.leaseDuration().multipliedBy(2);
+    return renewedLifetime.compareTo(minimum) > 0 ? renewedLifetime : minimum;
   }
 
   /** A cancelled job's task is still there and its time is running out. */
-  private boolean isUrgent(Machine machine, Instant now) {
-    Duration half = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
+  private boolean isCancellationBoundNear(Machine machine, Instant now) {
+    Duration halfBound = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
     for (Attempt attempt : machine.attempts.values()) {
       if (attempt.job.finalStateStored
           && attempt.holdsCapacity()
           && attempt.killedAt != null
-          && attempt.killedAt.plus(half).isBefore(now)) {
+          && attempt.killedAt.plus(halfBound).isBefore(now)) {
         return true;
       }
     }
@@ -244,11 +252,13 @@
 
   /** Since when nothing was heard of a machine that should report, or null if it need not yet. */
   private Instant silentSince(Machine machine) {
-    Instant since = unheardSince(machine);
-    return since == null || since.isAfter(listeningSince) ? since : listeningSince;
+    Instant since = lastHeardSince(machine);
+    return since == null || since.isAfter(acceptingHeartbeatsSince)
+        ? since
+        : acceptingHeartbeatsSince;
   }
 
-  private Instant unheardSince(Machine machine) {
+  private Instant lastHeardSince(Machine machine) {
     return switch (machine.state()) {
       case HEARD, CONFIRMED, SILENT -> machine.lastHeartbeatAt;
       case EXPECTED -> {
--- a/src/main/java/io/pineladder/autoscaling/ScaleOut.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleOut.java
@@ -28,74 +28,75 @@
 /** What is rented: for what waits, and for what is likely to come while a machine boots. */
 final class ScaleOut {
   private static final Logger log = LoggerFactory.getLogger(ScaleOut.class);
-  private static final Duration REFUSED_FOR = Duration.ofSeconds(6);
+  private static final Duration MIN_REFUSAL_PERIOD = Duration.ofSeconds(6);
 
   /** The part of the cloud's calls that may go into asking again what was refused. */
-  private static final double ASKED_AGAIN = 0.4;
+  private static final double REFUSAL_RETRY_SHARE = 0.4;
 
   /**
    * A machine costs as much as if it had been kept for so long; returned much sooner it is money
    * lost.
    */
-  private static final Duration PAID_FOR = Duration.ofSeconds(45);
+  private static final Duration MIN_BILLED_PERIOD = Duration.ofSeconds(45);
 
   /** The last of some tasks runs for about so many times their estimate. */
-  private static final double LONGEST = 1.3;
+  private static final double LONGEST_TASK_FACTOR = 1.3;
 
   /** A smaller part of a machine is not worth renting one. */
-  private static final double LITTLE = 0.05;
+  private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
 
   /**
    * How much longer than its tasks run a machine is kept by the last of them, for e times as many
    * tasks.
    */
-  private static final double TAIL = 0.15;
+  private static final double TAIL_COST_FACTOR = 0.15;
 
-  private static final Duration MEMORY = Duration.ofSeconds(60);
+  private static final Duration ARRIVAL_TIME_CONSTANT = Duration.ofSeconds(60);
 
   /** Work that can wait comes in large pieces, so its rate is taken over longer. */
-  private static final Duration LONG_MEMORY = Duration.ofSeconds(90);
+  private static final Duration DEFERRABLE_TIME_CONSTANT = Duration.ofSeconds(90);
 
   /** Machines asked for at once: when hundreds are lost together, fifty a second are too few. */
-  private static final int MOST_ASKED = 200;
+  private static final int MAX_MACHINES_PER_RENT = 200;
 
   /** The part of the forecast kept ready for jobs that can wait for a machine to boot. */
-  private static final double PATIENT_PART = 0.25;
+  private static final double PATIENT_HEADROOM_SHARE = 0.25;
 
   private final ClusterState cluster;
   private final Scheduler scheduler;
   private final EventLoop eventLoop;
   private final long term;
   private final CloudClient cloud;
-  private final BootTimeEstimator boots;
+  private final BootTimeEstimator bootTimes;
 
   /** Whether a machine has been returned already. */
   private final Predicate<String> wasReleased;
 
-  private final Map<Pool, Instant> refused = new HashMap<>();
-  private final List<Rental> rentals = new ArrayList<>();
-  private final ArrivalForecast tightOrdinary = new ArrivalForecast(MEMORY);
-  private final ArrivalForecast tightSpot = new ArrivalForecast(MEMORY);
-  private final ArrivalForecast patientOrdinary = new ArrivalForecast(MEMORY);
-  private final ArrivalForecast patientSpot = new ArrivalForecast(MEMORY);
-  private final Map<PriorityClass, ArrivalForecast> arrivals = new EnumMap<>(PriorityClass.class);
+  private final Map<CapacityPool, Instant> refusedUntil = new HashMap<>();
+  private final List<Rental> openRentals = new ArrayList<>();
+  private final ArrivalForecast urgentOnDemand = new ArrivalForecast(ARRIVAL_TIME_CONSTANT);
+  private final ArrivalForecast urgentSpot = new ArrivalForecast(ARRIVAL_TIME_CONSTANT);
+  private final ArrivalForecast patientOnDemand = new ArrivalForecast(ARRIVAL_TIME_CONSTANT);
+  private final ArrivalForecast patientSpot = new ArrivalForecast(ARRIVAL_TIME_CONSTANT);
+  private final Map<PriorityClass, ArrivalForecast> deferrableWork =
+      new EnumMap<>(PriorityClass.class);
   private double meanImageGb;
-  private final Zones states;
-  private long requests;
+  private final Zones zones;
+  private long requestCount;
 
   /** What can be refused on its own. */
-  private record Pool(String type, String zone, boolean spot) {}
+  private record CapacityPool(String type, String zone, boolean spot) {}
 
   private static final class Rental {
-    final String request;
-    final Pool pool;
+    final String requestId;
+    final CapacityPool pool;
     final int count;
-    final boolean surge;
-    boolean sent;
+    final boolean forDeadlines;
+    boolean inFlight;
 
-    Rental(String request, Pool pool, int count, boolean surge) {
-      this.surge = surge;
-      this.request = request;
+    Rental(String requestId, CapacityPool pool, int count, boolean forDeadlines) {
+      this.forDeadlines = forDeadlines;
+      this.requestId = requestId;
       this.pool = pool;
       this.count = count;
     }
@@ -107,16 +108,16 @@
       EventLoop eventLoop,
       long term,
       CloudClient cloud,
-      BootTimeEstimator boots,
-      Zones states,
+      BootTimeEstimator bootTimes,
+      Zones zones,
       Predicate<String> wasReleased) {
-    this.states = states;
+    this.zones = zones;
     this.cluster = cluster;
     this.scheduler = scheduler;
     this.eventLoop = eventLoop;
     this.term = term;
     this.cloud = cloud;
-    this.boots = boots;
+    this.bootTimes = bootTimes;
     this.wasReleased = wasReleased;
   }
 
@@ -130,7 +131,7 @@
   }
 
   /** Whether images are known to be fetched sooner than a machine of the type boots. */
-  boolean isFetchedSooner(MachineType type) {
+  boolean isFetchFasterThanBoot(MachineType type) {
     return meanImageGb > 0 && fetchTime(type).compareTo(type.bootTime()) < 0;
   }
 
@@ -140,37 +141,37 @@
   }
 
   /** A job may start from now on: it counts for the forecast. */
-  void accepted(Job job) {
+  void recordArrival(Job job) {
     JobSpec spec = job.spec;
     MachineType type = cheapest(false, spec, true);
     if (type == null) {
       return;
     }
     Instant now = eventLoop.now();
-    double worth = spec.tasks() * CapacityDemand.worth(spec, type);
+    double value = spec.tasks() * CapacityDemand.taskValue(spec, type);
     // A job is patient if it can wait for a machine to boot and to fetch its image there.
-    Duration ready = type.bootTime().plus(type.fetchTime(spec.imageGb()));
+    Duration readyTime = type.bootTime().plus(type.fetchTime(spec.imageGb()));
     boolean patient =
         job.priorityClass() != PriorityClass.PRODUCTION
-            && cluster.startSlack(job, eventLoop.wallClock()).compareTo(ready) > 0;
+            && cluster.startSlack(job, eventLoop.wallClock()).compareTo(readyTime) > 0;
     if (spec.spotAllowed()) {
-      (patient ? patientSpot : tightSpot).add(worth, now);
+      (patient ? patientSpot : urgentSpot).add(value, now);
     } else {
-      (patient ? patientOrdinary : tightOrdinary).add(worth, now);
+      (patient ? patientOnDemand : urgentOnDemand).add(value, now);
     }
     if (cluster.canWaitForCapacity(job)) {
-      double work = worth * spec.estimatedRunTime().toMillis() / 1000.0;
-      arrivals
-          .computeIfAbsent(job.priorityClass(), r -> new ArrivalForecast(LONG_MEMORY))
+      double work = value * spec.estimatedRunTime().toMillis() / 1000.0;
+      deferrableWork
+          .computeIfAbsent(job.priorityClass(), r -> new ArrivalForecast(DEFERRABLE_TIME_CONSTANT))
           .add(work, now);
     }
     meanImageGb = meanImageGb == 0 ? spec.imageGb() : 0.9 * meanImageGb + 0.1 * spec.imageGb();
   }
 
   /** The work above a rank, or all if it is null, that comes each second and can wait. */
-  private double arriving(PriorityClass below) {
+  private double deferrableWorkRate(PriorityClass below) {
     Instant now = eventLoop.now();
-    return arrivals.entrySet().stream()
+    return deferrableWork.entrySet().stream()
         .filter(e -> below == null || e.getKey().isAbove(below))
         .mapToDouble(e -> e.getValue().rate(now))
         .sum();
@@ -179,11 +180,13 @@
   /** Room to have ready for what comes while another machine boots, at list prices an hour. */
   double headroom(boolean spot) {
     Instant now = eventLoop.now();
-    double boot =
+    double bootSeconds =
         cluster.types().stream().mapToDouble(t -> t.bootTime().toMillis() / 1000.0).min().orElse(0);
     return spot
-        ? tightSpot.rate(now) * boot + patientSpot.rate(now) * boot * PATIENT_PART
-        : tightOrdinary.rate(now) * boot + patientOrdinary.rate(now) * boot * PATIENT_PART;
+        ? urgentSpot.rate(now) * bootSeconds
+            + patientSpot.rate(now) * bootSeconds * PATIENT_HEADROOM_SHARE
+        : urgentOnDemand.rate(now) * bootSeconds
+            + patientOnDemand.rate(now) * bootSeconds * PATIENT_HEADROOM_SHARE;
   }
 
   /** Whether tasks of the job fit such a machine, and may be there. */
@@ -200,11 +203,11 @@
    * @param spec null for any job
    * @param all whether those refused count as well
    */
-  private MachineType cheapest(boolean spot, JobSpec spec, boolean all) {
+  private MachineType cheapest(boolean spot, JobSpec spec, boolean includeRefused) {
     MachineType best = null;
     double bestPrice = Double.MAX_VALUE;
     for (MachineType type : cluster.types()) {
-      if ((spec != null && !isUsable(spec, type)) || (!all && isRefused(type, spot))) {
+      if ((spec != null && !isUsable(spec, type)) || (!includeRefused && isRefused(type, spot))) {
         continue;
       }
       double price = type.price(spot);
@@ -216,7 +219,7 @@
         // paid for until the last of its tasks ends.
         long tasks =
             Math.min(spec.resourcesPerTask().timesFittingIn(type.capacity()), spec.tasks());
-        price *= (1 + TAIL * Math.log(tasks)) / tasks;
+        price *= (1 + TAIL_COST_FACTOR * Math.log(tasks)) / tasks;
       }
       if (price < bestPrice) {
         best = type;
@@ -243,13 +246,13 @@
   }
 
   /** The part of a machine that is free. */
-  double free(Machine machine) {
+  double freeShare(Machine machine) {
     return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.shareOf(machine.type.capacity()));
   }
 
-  void rent(Instant now) {
-    resend();
-    if (rentals.stream().anyMatch(r -> r.sent)) {
+  void rentMissing(Instant now) {
+    resendUnanswered();
+    if (openRentals.stream().anyMatch(r -> r.inFlight)) {
       return;
     }
     if (cluster.jobs.isEmpty()) {
@@ -259,41 +262,46 @@
         new CapacityDemand(
             cluster,
             scheduler,
-            boots,
-            this::free,
+            bootTimes,
+            this::freeShare,
             now,
             eventLoop.wallClock(),
-            arraysWait(),
-            this::arriving,
+            mayDeferArrays(),
+            this::deferrableWorkRate,
             spec -> cheapest(false, spec, true),
             (spot, spec) -> cheapest(spot, spec, false));
-    Map<CapacityDemand.Kind, CapacityDemand.Want> wants = demand.wants();
-    double lacking = spare(demand, now);
-    if (lacking > 0) {
-      MachineType type = cheapest(false, demand.pressing(), false);
+    Map<CapacityDemand.MachineKind, CapacityDemand.MissingMachines> missing = demand.missing();
+    double missingForDeadlines = reviewOnDemand(demand, now);
+    if (missingForDeadlines > 0) {
+      MachineType type = cheapest(false, demand.criticalJob(), false);
       if (type != null) {
-        int count = (int) Math.ceil(lacking / type.onDemandPrice() / boots.comingPart(type));
-        ask(type, null, false, count, true, now);
+        int count =
+            (int)
+                Math.ceil(
+                    missingForDeadlines / type.onDemandPrice() / bootTimes.arrivalShare(type));
+        rent(type, null, false, count, true, now);
       }
     }
     for (boolean spot : new boolean[] {false, true}) {
       // Nothing waits for this yet, so no dearer kind is taken.
-      double there = demand.free(spot) + Math.max(demand.wanted(spot), demand.coming(spot));
-      double ready = headroom(spot) - there;
-      MachineType type = ready > 0 ? cheapest(spot, null, false) : null;
+      double available =
+          demand.freeValue(spot) + Math.max(demand.wantedValue(spot), demand.bootingValue(spot));
+      double missingHeadroom = headroom(spot) - available;
+      MachineType type = missingHeadroom > 0 ? cheapest(spot, null, false) : null;
       if (type != null) {
-        wants.computeIfAbsent(
-                    new CapacityDemand.Kind(type.name(), spot), k -> new CapacityDemand.Want())
+        missing.computeIfAbsent(
+                    new CapacityDemand.MachineKind(type.name(), spot),
+                    k -> new CapacityDemand.MissingMachines())
                 .machines +=
-            ready / type.onDemandPrice();
+            missingHeadroom / type.onDemandPrice();
       }
     }
-    wants.forEach(
-        (kind, want) -> {
-          if (want.machines > LITTLE) {
+    missing.forEach(
+        (kind, missingOfKind) -> {
+          if (missingOfKind.machines > NEGLIGIBLE_MACHINE_SHARE) {
             MachineType type = cluster.type(kind.type());
-            int count = (int) Math.ceil(want.machines / boots.comingPart(type));
-            ask(type, want.heaviestZone(), kind.spot(), count, false, now);
+            int count = (int) Math.ceil(missingOfKind.machines / bootTimes.arrivalShare(type));
+            rent(type, missingOfKind.zoneInGreatestNeed(), kind.spot(), count, false, now);
           }
         });
   }
@@ -303,13 +311,13 @@
    * few of them rented for arrays replicas found no room at once, and 0.85 of them started in time
    * instead of 0.97.
    */
-  private boolean arraysWait() {
-    double least =
+  private boolean mayDeferArrays() {
+    double lowestPrice =
         cluster.types().stream()
             .mapToDouble(MachineType::onDemandPrice)
             .min()
             .orElse(Double.MAX_VALUE);
-    return headroom(false) < LITTLE * least;
+    return headroom(false) < NEGLIGIBLE_MACHINE_SHARE * lowestPrice;
   }
 
   /**
@@ -319,64 +327,70 @@
    *
    * @return what is still to be rented for arrays that would be late, at list prices an hour
    */
-  private double spare(CapacityDemand demand, Instant now) {
-    double wanted = 0;
-    for (Map.Entry<CapacityDemand.Kind, CapacityDemand.Want> want : demand.wants().entrySet()) {
-      double price = cluster.type(want.getKey().type()).onDemandPrice();
-      wanted += want.getKey().spot() ? 0 : want.getValue().machines * price;
+  private double reviewOnDemand(CapacityDemand demand, Instant now) {
+    double missingNow = 0;
+    for (Map.Entry<CapacityDemand.MachineKind, CapacityDemand.MissingMachines> missingOfKind :
+        demand.missing().entrySet()) {
+      double price = cluster.type(missingOfKind.getKey().type()).onDemandPrice();
+      missingNow += missingOfKind.getKey().spot() ? 0 : missingOfKind.getValue().machines * price;
     }
-    double lacking = demand.lacking();
-    double unmet = wanted;
-    List<Machine> spared = new ArrayList<>();
+    double missingForDeadlines = demand.missingForDeferrable();
+    double stillMissingNow = missingNow;
+    List<Machine> retiring = new ArrayList<>();
     for (Machine machine : cluster.machines()) {
       if (machine.retiring) {
-        spared.add(machine);
+        retiring.add(machine);
       }
     }
     // The dearer a machine is, the dearer are the last tasks that keep it.
-    spared.sort(Comparator.comparing(machine -> machine.type.onDemandPrice()));
-    for (Machine machine : spared) {
-      if (lacking > 0 || unmet > 0) {
+    retiring.sort(Comparator.comparing(machine -> machine.type.onDemandPrice()));
+    for (Machine machine : retiring) {
+      if (missingForDeadlines > 0 || stillMissingNow > 0) {
         machine.retiring = false;
         cluster.updateIndexes(machine);
         scheduler.onMachineReady(machine);
-        unmet -= machine.type.onDemandPrice() * free(machine);
-        lacking -= machine.type.onDemandPrice();
+        stillMissingNow -= machine.type.onDemandPrice() * freeShare(machine);
+        missingForDeadlines -= machine.type.onDemandPrice();
       }
     }
-    if (wanted > 0) {
-      double left = Math.max(0, unmet) / wanted;
-      demand.wants().forEach((kind, want) -> want.machines *= kind.spot() ? 1 : left);
+    if (missingNow > 0) {
+      double missingShare = Math.max(0, stillMissingNow) / missingNow;
+      demand
+          .missing()
+          .forEach(
+              (kind, missingOfKind) -> missingOfKind.machines *= kind.spot() ? 1 : missingShare);
     }
-    List<Machine> flexible = demand.flexible();
-    double of = flexible.stream().mapToDouble(m -> m.type.onDemandPrice()).sum();
-    double keep = Math.max(demand.needed(of), 2 * headroom(false));
+    List<Machine> deferrableOnly = demand.deferrableOnly();
+    double deferrableValue = deferrableOnly.stream().mapToDouble(m -> m.type.onDemandPrice()).sum();
+    double neededValue = Math.max(demand.neededForDeferrable(deferrableValue), 2 * headroom(false));
     // The larger a machine, the longer the last of its tasks keep it.
-    flexible.sort(
+    deferrableOnly.sort(
         Comparator.<Machine>comparingDouble(machine -> -machine.type.onDemandPrice())
-            .thenComparing(machine -> -free(machine)));
-    for (Machine machine : flexible) {
-      if (wanted > 0 || lacking > 0 || of - machine.type.onDemandPrice() < keep) {
+            .thenComparing(machine -> -freeShare(machine)));
+    for (Machine machine : deferrableOnly) {
+      if (missingNow > 0
+          || missingForDeadlines > 0
+          || deferrableValue - machine.type.onDemandPrice() < neededValue) {
         break;
       }
-      if (machine.createdAt.plus(PAID_FOR).isBefore(now)) {
+      if (machine.createdAt.plus(MIN_BILLED_PERIOD).isBefore(now)) {
         machine.retiring = true;
         cluster.updateIndexes(machine);
-        of -= machine.type.onDemandPrice();
+        deferrableValue -= machine.type.onDemandPrice();
       }
     }
     log.debug(
         "ordinary machines: lacking {}, wanted {}, flexible {}, of which to keep {}, spared before"
             + " {}",
-        demand.lacking(),
-        wanted,
-        of,
-        keep,
-        spared.size());
-    if (wanted <= 0 && lacking <= 0) {
-      emptySpared(demand.free(true) - headroom(true), now);
+        demand.missingForDeferrable(),
+        missingNow,
+        deferrableValue,
+        neededValue,
+        retiring.size());
+    if (missingNow <= 0 && missingForDeadlines <= 0) {
+      drainRetiring(demand.freeValue(true) - headroom(true), now);
     }
-    return Math.max(0, lacking);
+    return Math.max(0, missingForDeadlines);
   }
 
   /**
@@ -386,36 +400,41 @@
    *
    * @param room what is free on spot machines, at list prices an hour
    */
-  private void emptySpared(double room, Instant now) {
-    Instant today = eventLoop.wallClock();
+  private void drainRetiring(double freeSpotValue, Instant now) {
+    Instant wallClock = eventLoop.wallClock();
     for (Machine machine : cluster.machines()) {
       if (!machine.retiring || machine.attempts.isEmpty()) {
         continue;
       }
-      double lost = 0;
-      double worth = 0;
-      double longest = 0;
-      boolean inTime = true;
+      double lostValue = 0;
+      double movedValue = 0;
+      double longestSeconds = 0;
+      boolean meetsObjectives = true;
       for (Attempt attempt : machine.attempts.values()) {
         if (!attempt.holdsCapacity()) {
           continue;
         }
         JobSpec spec = attempt.job.spec;
-        double run = spec.estimatedRunTime().toMillis() / 1000.0;
-        Instant from = attempt.runningSince == null ? now : attempt.runningSince;
-        double ran = Duration.between(from, now).toMillis() / 1000.0;
-        double each = CapacityDemand.worth(spec, machine.type);
-        worth += each;
-        lost += each * ran * machine.type.spotPrice() / machine.type.onDemandPrice();
-        longest = Math.max(longest, Math.max(LONGEST * run - ran, run / 2));
-        inTime &= attempt.isWanted() && !cluster.wouldMissObjectiveAfterRestart(attempt.job, today);
+        double runSeconds = spec.estimatedRunTime().toMillis() / 1000.0;
+        Instant startedAt = attempt.runningSince == null ? now : attempt.runningSince;
+        double elapsedSeconds = Duration.between(startedAt, now).toMillis() / 1000.0;
+        double taskValue = CapacityDemand.taskValue(spec, machine.type);
+        movedValue += taskValue;
+        lostValue +=
+            taskValue * elapsedSeconds * machine.type.spotPrice() / machine.type.onDemandPrice();
+        longestSeconds =
+            Math.max(
+                longestSeconds,
+                Math.max(LONGEST_TASK_FACTOR * runSeconds - elapsedSeconds, runSeconds / 2));
+        meetsObjectives &=
+            attempt.isWanted() && !cluster.wouldMissObjectiveAfterRestart(attempt.job, wallClock);
       }
-      if (inTime
-          && worth > 0
-          && worth < room
-          && 2 * lost < longest * machine.type.onDemandPrice()) {
-        log.debug("machine {} is emptied: {} lost for {} s", machine, lost, longest);
-        room -= worth;
+      if (meetsObjectives
+          && movedValue > 0
+          && movedValue < freeSpotValue
+          && 2 * lostValue < longestSeconds * machine.type.onDemandPrice()) {
+        log.debug("machine {} is emptied: {} lost for {} s", machine, lostValue, longestSeconds);
+        freeSpotValue -= movedValue;
         machine.draining = true;
         List.copyOf(machine.attempts.values()).forEach(scheduler::preempt);
       }
@@ -426,7 +445,7 @@
   private boolean isRefused(MachineType type, boolean spot) {
     Instant now = eventLoop.now();
     for (String zone : type.zones()) {
-      Instant until = refused.get(new Pool(type.name(), zone, spot));
+      Instant until = refusedUntil.get(new CapacityPool(type.name(), zone, spot));
       if (until == null || until.isBefore(now)) {
         return false;
       }
@@ -435,80 +454,84 @@
   }
 
   /** For how long a refusal counts: kinds and zones are many and calls to the cloud few. */
-  private Duration refusedFor() {
+  private Duration refusalPeriod() {
     long pools = cluster.types().stream().mapToLong(t -> 2L * t.zones().size()).sum();
-    double calls = cluster.settings.cloudLimits().requestsPerSecond() * ASKED_AGAIN;
-    Duration paced = Duration.ofMillis((long) (pools * 1000 / Math.max(0.1, calls)));
-    return paced.compareTo(REFUSED_FOR) > 0 ? paced : REFUSED_FOR;
+    double retriesPerSecond =
+        cluster.settings.cloudLimits().requestsPerSecond() * REFUSAL_RETRY_SHARE;
+    Duration pacedPeriod =
+        Duration.ofMillis((long) (pools * 1000 / Math.max(0.1, retriesPerSecond)));
+    return pacedPeriod.compareTo(MIN_REFUSAL_PERIOD) > 0 ? pacedPeriod : MIN_REFUSAL_PERIOD;
   }
 
-  private void ask(
-      MachineType type, String zone, boolean spot, int count, boolean surge, Instant now) {
+  private void rent(
+      MachineType type, String zone, boolean spot, int count, boolean forDeadlines, Instant now) {
     // What is rented where nobody is heard serves nobody, and is money and calls lost.
-    List<String> zones = new ArrayList<>(states.rentable(type.zones()));
+    List<String> candidateZones = new ArrayList<>(zones.rentableZones(type.zones()));
     if (zone != null) {
-      zones.retainAll(List.of(zone));
+      candidateZones.retainAll(List.of(zone));
     }
-    Map<String, Integer> there = new HashMap<>();
+    Map<String, Integer> machinesByZone = new HashMap<>();
     for (Machine machine : cluster.machines()) {
       if (machine.hasType(type) && machine.spot == spot) {
-        there.merge(machine.zone, 1, Integer::sum);
+        machinesByZone.merge(machine.zone, 1, Integer::sum);
       }
     }
-    zones.sort(Comparator.comparing(z -> there.getOrDefault(z, 0)));
-    List<Pool> open = new ArrayList<>();
-    for (String each : zones) {
-      Pool pool = new Pool(type.name(), each, spot);
-      Instant until = refused.get(pool);
+    candidateZones.sort(Comparator.comparing(z -> machinesByZone.getOrDefault(z, 0)));
+    List<CapacityPool> openPools = new ArrayList<>();
+    for (String each : candidateZones) {
+      CapacityPool pool = new CapacityPool(type.name(), each, spot);
+      Instant until = refusedUntil.get(pool);
       if (until == null || until.isBefore(now)) {
-        open.add(pool);
+        openPools.add(pool);
       }
     }
-    int left = Math.min(count, MOST_ASKED);
-    for (int i = 0; i < open.size(); i++) {
-      int ofPool = (int) Math.ceil((double) left / (open.size() - i));
-      while (ofPool > 0) {
-        int part = Math.min(ofPool, CloudWire.MOST_RENTED);
-        Rental rental = new Rental("c-" + term + "-" + ++requests, open.get(i), part, surge);
+    int remaining = Math.min(count, MAX_MACHINES_PER_RENT);
+    for (int i = 0; i < openPools.size(); i++) {
+      int remainingOfPool = (int) Math.ceil((double) remaining / (openPools.size() - i));
+      while (remainingOfPool > 0) {
+        int batchSize = Math.min(remainingOfPool, CloudWire.MOST_RENTED);
+        Rental rental =
+            new Rental(
+                "c-" + term + "-" + ++requestCount, openPools.get(i), batchSize, forDeadlines);
         if (!send(rental)) {
           break;
         }
-        rentals.add(rental);
-        ofPool -= part;
-        left -= part;
+        openRentals.add(rental);
+        remainingOfPool -= batchSize;
+        remaining -= batchSize;
       }
     }
   }
 
-  private void resend() {
-    for (Rental rental : List.copyOf(rentals)) {
-      if (!rental.sent) {
+  private void resendUnanswered() {
+    for (Rental rental : List.copyOf(openRentals)) {
+      if (!rental.inFlight) {
         send(rental);
       }
     }
   }
 
   private boolean send(Rental rental) {
-    Pool pool = rental.pool;
-    rental.sent =
+    CapacityPool pool = rental.pool;
+    rental.inFlight =
         cloud.post(
             "/rentals",
-            CloudWire.rent(rental.request, pool.type, pool.zone, pool.spot, rental.count),
-            reply -> onRented(rental, reply));
-    return rental.sent;
+            CloudWire.rent(rental.requestId, pool.type, pool.zone, pool.spot, rental.count),
+            reply -> onRentalReply(rental, reply));
+    return rental.inFlight;
   }
 
-  private void onRented(Rental rental, Reply reply) {
-    rental.sent = false;
-    Pool pool = rental.pool;
+  private void onRentalReply(Rental rental, Reply reply) {
+    rental.inFlight = false;
+    CapacityPool pool = rental.pool;
     if (!reply.isAnswered()) {
       // It may have been executed: the same request again tells, and rents nothing twice.
       return;
     }
-    rentals.remove(rental);
+    openRentals.remove(rental);
     if (!reply.is(200)) {
-      if (CloudClient.isRefusal(reply)) {
-        refused.put(pool, eventLoop.now().plus(refusedFor()));
+      if (CloudClient.isCapacityRefusal(reply)) {
+        refusedUntil.put(pool, eventLoop.now().plus(refusalPeriod()));
       }
       return;
     }
@@ -516,14 +539,14 @@
       List<String> names = CloudWire.parseRented(reply.body());
       log.info("rented {} of {} {}", names.size(), rental.count, pool);
       if (names.size() < rental.count) {
-        refused.put(pool, eventLoop.now().plus(refusedFor()));
+        refusedUntil.put(pool, eventLoop.now().plus(refusalPeriod()));
       }
       for (String name : names) {
         if (cluster.machine(name) == null && !wasReleased.test(name)) {
           MachineType type = cluster.type(pool.type);
           Machine machine = new Machine(name, type, pool.zone, pool.spot, eventLoop.now());
           machine.rentedByThisLeader = true;
-          machine.rentedForDeadlines = rental.surge;
+          machine.rentedForDeadlines = rental.forDeadlines;
           cluster.addMachine(machine);
         }
       }
--- a/src/main/java/io/pineladder/autoscaling/ZoneLossPlan.java
+++ b/src/main/java/io/pineladder/autoscaling/ZoneLossPlan.java
@@ -23,18 +23,18 @@
  */
 final class ZoneLossPlan {
   /** A zone that is gone for longer is given up with all that is in it. */
-  private static final Duration MOST_KEPT = Duration.ofMinutes(10);
+  private static final Duration MAX_EXPECTED_OUTAGE = Duration.ofMinutes(10);
 
   /** Of the machines that live so many parts may be awaited anew at a time. */
-  private static final int PART = 20;
+  private static final int REPLACEMENT_DIVISOR = 20;
 
   private final ClusterState cluster;
-  private final ScaleOut renting;
+  private final ScaleOut scaleOut;
   private final Zones zones;
 
-  ZoneLossPlan(ClusterState cluster, ScaleOut renting, Zones zones) {
+  ZoneLossPlan(ClusterState cluster, ScaleOut scaleOut, Zones zones) {
     this.cluster = cluster;
-    this.renting = renting;
+    this.scaleOut = scaleOut;
     this.zones = zones;
   }
 
@@ -42,21 +42,21 @@
    * Of the machines that nobody has heard for longer than their tasks can live, those to return
    * now.
    */
-  List<Machine> toGiveUp(List<Machine> lost, Instant now) {
+  List<Machine> machinesToRelease(List<Machine> lost, Instant now) {
     if (lost.isEmpty()) {
       return List.of();
     }
     int alive = 0;
-    int coming = 0;
-    double spare = 0;
+    int booting = 0;
+    double freeMachines = 0;
     for (Machine machine : cluster.machines()) {
-      if (!zones.isGone(machine.zone)) {
+      if (!zones.isUnreachable(machine.zone)) {
         switch (machine.state()) {
           case CONFIRMED -> {
             alive++;
-            spare += machine.isSchedulable() ? renting.free(machine) : 0;
+            freeMachines += machine.isSchedulable() ? scaleOut.freeShare(machine) : 0;
           }
-          case EXPECTED, HEARD -> coming++;
+          case EXPECTED, HEARD -> booting++;
           default -> {}
         }
       }
@@ -66,64 +66,65 @@
       return lost;
     }
     List<Machine> ordered = new ArrayList<>();
-    Map<Machine, Integer> urgency = new HashMap<>();
+    Map<Machine, Integer> priorities = new HashMap<>();
     for (Machine machine : lost) {
-      if (zones.expectedAway(machine.zone, now).compareTo(MOST_KEPT) > 0) {
+      if (zones.expectedRemainingOutage(machine.zone, now).compareTo(MAX_EXPECTED_OUTAGE) > 0) {
         ordered.add(machine);
-        urgency.put(machine, Integer.MAX_VALUE);
+        priorities.put(machine, Integer.MAX_VALUE);
         continue;
       }
-      int rank = mostUrgentElsewhere(machine);
-      if (rank >= 0 && servesSooner(machine, spare, now)) {
+      int priority = highestMovablePriority(machine);
+      if (priority >= 0 && isFasterElsewhere(machine, freeMachines, now)) {
         ordered.add(machine);
-        urgency.put(machine, rank);
+        priorities.put(machine, priority);
       }
     }
-    ordered.sort(Comparator.comparing(urgency::get));
+    ordered.sort(Comparator.comparing(priorities::get));
     // What boots already is for what was given up before.
-    int most = (int) Math.max(1, spare) + Math.max(1, alive / PART) - coming;
-    return most <= 0 ? List.of() : ordered.subList(0, Math.min(most, ordered.size()));
+    int maxReleases =
+        (int) Math.max(1, freeMachines) + Math.max(1, alive / REPLACEMENT_DIVISOR) - booting;
+    return maxReleases <= 0 ? List.of() : ordered.subList(0, Math.min(maxReleases, ordered.size()));
   }
 
   /** Whether a task of the machine would serve elsewhere before the zone is likely to be back. */
-  private boolean servesSooner(Machine machine, double spare, Instant now) {
+  private boolean isFasterElsewhere(Machine machine, double freeMachines, Instant now) {
     MachineType type = machine.type;
-    Duration ready = renting.fetchTime(type);
-    if (spare < 1) {
+    Duration ready = scaleOut.fetchTime(type);
+    if (freeMachines < 1) {
       ready = ready.plus(type.bootTime());
     }
-    return ready.compareTo(zones.expectedAway(machine.zone, now)) < 0;
+    return ready.compareTo(zones.expectedRemainingOutage(machine.zone, now)) < 0;
   }
 
   /** The rank of the most urgent task on it that may run in another zone; -1 when there is none. */
-  private int mostUrgentElsewhere(Machine machine) {
-    int best = -1;
+  private int highestMovablePriority(Machine machine) {
+    int highest = -1;
     for (Attempt attempt : machine.attempts.values()) {
       Job job = attempt.job;
       if (attempt.holdsCapacity()
           && attempt.isWanted()
           && job.isActive()
-          && mayMove(job, machine)) {
-        int rank = job.priorityClass().ordinal();
-        best = best < 0 ? rank : Math.min(best, rank);
+          && canMoveFrom(job, machine)) {
+        int priority = job.priorityClass().ordinal();
+        highest = highest < 0 ? priority : Math.min(highest, priority);
       }
     }
-    return best;
+    return highest;
   }
 
-  private boolean mayMove(Job job, Machine from) {
-    int most = (job.spec.tasks() + 1) / 2;
-    Map<String, Integer> there = new HashMap<>();
+  private boolean canMoveFrom(Job job, Machine from) {
+    int maxPerZone = (job.spec.tasks() + 1) / 2;
+    Map<String, Integer> attemptsByZone = new HashMap<>();
     if (job.spec.spreadAcrossZones()) {
       job.attempts.values().stream()
           .flatMap(of -> of.stream())
-          .forEach(a -> there.merge(a.machine.zone, 1, Integer::sum));
+          .forEach(a -> attemptsByZone.merge(a.machine.zone, 1, Integer::sum));
     }
     for (String zone : from.type.zones()) {
       if (!zone.equals(from.zone)
-          && !zones.isGone(zone)
+          && !zones.isUnreachable(zone)
           && job.spec.allowsZone(zone)
-          && (!job.spec.spreadAcrossZones() || there.getOrDefault(zone, 0) < most)) {
+          && (!job.spec.spreadAcrossZones() || attemptsByZone.getOrDefault(zone, 0) < maxPerZone)) {
         return true;
       }
     }
--- a/src/main/java/io/pineladder/workers/WorkerManager.java
+++ b/src/main/java/io/pineladder/workers/WorkerManager.java
@@ -32,16 +32,16 @@
 /** Dealings with the workers: what their reports prove, and the orders they get. */
 public final class WorkerManager {
   private static final Logger log = LoggerFactory.getLogger(WorkerManager.class);
-  private static final Duration DIRECT_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(2);
 
   /**
    * Probes under way: when hundreds are silent, asking all at once used up the sockets. Those that
    * live answer within milliseconds, so the rest have their turn soon.
    */
-  private static final int MOST_PROBES = 100;
+  private static final int MAX_CONCURRENT_PROBES = 100;
 
   /** One that has been asked is not asked again sooner. */
-  private static final Duration PROBE_AGAIN = Duration.ofSeconds(4);
+  private static final Duration PROBE_INTERVAL = Duration.ofSeconds(4);
 
   private final ClusterState cluster;
   private final Scheduler scheduler;
@@ -50,37 +50,37 @@
   private final long term;
   private final BooleanSupplier mayAct;
   private final Listener listener;
-  private final Set<Machine> due = new LinkedHashSet<>();
+  private final Set<Machine> commandsRequested = new LinkedHashSet<>();
 
   /** How many reports have been dealt with. */
-  private long reports;
+  private long processedHeartbeats;
 
-  private final Set<Machine> toProbe = new LinkedHashSet<>();
-  private int probes;
-  private boolean flushSet;
+  private final Set<Machine> probeQueue = new LinkedHashSet<>();
+  private int probesInFlight;
+  private boolean commandsScheduled;
 
   /** What the rest of the leader learns from here. */
   public interface Listener {
     /** A worker has seen a higher token than ours. */
-    void onSuperseded(long token);
+    void onNewerFencingToken(long token);
 
     /** Whether a machine is proven gone, so that its late reports count for nothing. */
-    boolean isGone(String machine);
+    boolean wasReleased(String machine);
 
     /** A machine nobody expected reports. */
-    void onMachine(Machine machine);
+    void onUnexpectedMachine(Machine machine);
 
     /** Whether placements and jobs may be missing from the records, so that what runs is kept. */
-    boolean recordsIncomplete();
+    boolean areRecordsIncomplete();
 
     /** A worker runs a task of a job that is not in memory. */
-    void onStranger(String job);
+    void onUnknownTask(String job);
 
     /** Whether a job that is not in memory is known to be over. */
-    boolean isOver(String job);
+    boolean isJobEnded(String job);
 
     /** What a cancelled job has there can no longer be proven gone in time, but by its return. */
-    void onUnprovable(Machine machine);
+    void onCancellationUnprovable(Machine machine);
   }
 
   public WorkerManager(
@@ -104,8 +104,8 @@
    * Takes a report and gives the response's orders, or null when the worker follows a later leader
    * and must not be kept here.
    */
-  public Orders onReport(Report report) {
-    return onReport(report, false);
+  public Orders onHeartbeat(Report heartbeat) {
+    return onHeartbeat(heartbeat, false);
   }
 
   /**
@@ -113,35 +113,35 @@
    *
    * @param relayed whether it has
    */
-  public Orders onReport(Report report, boolean relayed) {
-    Machine known = cluster.machine(report.machine());
+  public Orders onHeartbeat(Report heartbeat, boolean viaPeer) {
+    Machine known = cluster.machine(heartbeat.machine());
     // A copy of a report may come long after it: nobody waits for its answer, so no order goes with
     // it.
-    boolean first = known == null || isNewer(report, known);
-    Machine machine = take(report, relayed, true);
-    if (report.token() > term) {
-      listener.onSuperseded(report.token());
+    boolean isNewest = known == null || isNewer(heartbeat, known);
+    Machine machine = applyHeartbeat(heartbeat, viaPeer, true);
+    if (heartbeat.token() > term) {
+      listener.onNewerFencingToken(heartbeat.token());
       return null;
     }
-    Orders orders = new Orders();
-    if (machine != null && first) {
-      if (report.token() == term && mayAct.getAsBoolean()) {
-        writeOrders(machine, orders, false);
-        writeStrangers(report, machine, orders);
+    Orders commands = new Orders();
+    if (machine != null && isNewest) {
+      if (heartbeat.token() == term && mayAct.getAsBoolean()) {
+        writeCommands(machine, commands, false);
+        writeCommandsForUnknownTasks(heartbeat, machine, commands);
       }
       machine.lastAnsweredAt = eventLoop.now();
-      if (machine.reachability() != Machine.Reachability.REACHABLE && !relayed) {
+      if (machine.reachability() != Machine.Reachability.REACHABLE && !viaPeer) {
         machine.trackUnreachable(eventLoop.now());
         probe(machine);
       }
     }
-    return orders;
+    return commands;
   }
 
-  private static boolean isNewer(Report report, Machine machine) {
-    return report.session() > machine.agentEpoch
-        || (report.session() == machine.agentEpoch
-            && report.sequence() > machine.lastHeartbeatSequence);
+  private static boolean isNewer(Report heartbeat, Machine machine) {
+    return heartbeat.session() > machine.agentEpoch
+        || (heartbeat.session() == machine.agentEpoch
+            && heartbeat.sequence() > machine.lastHeartbeatSequence);
   }
 
   /**
@@ -150,24 +150,24 @@
    * whose session ended although it was answered in time has heard nothing for a whole lease.
    * Without this it took new tasks with each new session, of which none ever started.
    */
-  private void hear(Machine machine, Machine.Reachability next) {
+  private void updateReachability(Machine machine, Machine.Reachability next) {
     if (machine.reachability() == next) {
       return;
     }
     log.info("machine {} {} (was {})", machine, next, machine.reachability());
-    boolean took = machine.isSchedulable();
+    boolean wasSchedulable = machine.isSchedulable();
     machine.setReachability(next);
     cluster.updateIndexes(machine);
     if (next == Machine.Reachability.DOUBTFUL) {
       machine.lastProbedAt = null;
     }
-    if (!took && machine.isSchedulable()) {
+    if (!wasSchedulable && machine.isSchedulable()) {
       scheduler.onMachineReady(machine);
     }
   }
 
   /** Whether tasks of jobs that are over may still be on a machine. */
-  public boolean holdsEnded(String name) {
+  public boolean holdsTasksOfEndedJobs(String name) {
     Machine machine = cluster.machine(name);
     return machine != null
         && machine.attempts.values().stream()
@@ -180,50 +180,52 @@
    * @param reported whether it is a report, which its worker sends only once it has taken in or
    *     given up the response to the one before
    */
-  private Machine take(Report report, boolean relayed, boolean reported) {
-    if (report.token() > term) {
+  private Machine applyHeartbeat(Report heartbeat, boolean viaPeer, boolean isHeartbeat) {
+    if (heartbeat.token() > term) {
       return null;
     }
-    Machine machine = cluster.machine(report.machine());
+    Machine machine = cluster.machine(heartbeat.machine());
     if (machine == null) {
-      if (listener.isGone(report.machine())) {
+      if (listener.wasReleased(heartbeat.machine())) {
         // A report held up in the network would bring its tasks back to life and block them.
         return null;
       }
-      MachineType type = cluster.type(report.type());
+      MachineType type = cluster.type(heartbeat.type());
       if (type == null) {
-        log.warn("machine {} is of the unknown type {}", report.machine(), report.type());
+        log.warn("machine {} is of the unknown type {}", heartbeat.machine(), heartbeat.type());
         return null;
       }
-      machine = new Machine(report.machine(), type, report.zone(), report.spot(), eventLoop.now());
+      machine =
+          new Machine(
+              heartbeat.machine(), type, heartbeat.zone(), heartbeat.spot(), eventLoop.now());
       cluster.addMachine(machine);
-      listener.onMachine(machine);
+      listener.onUnexpectedMachine(machine);
     }
-    if (!isNewer(report, machine)) {
+    if (!isNewer(heartbeat, machine)) {
       return machine;
     }
     machine.lastHeartbeatAt = eventLoop.now();
-    machine.reachedThroughPeer = relayed;
-    machine.address = report.address();
-    if (report.session() > machine.agentEpoch) {
-      newSession(machine, report.session());
-    }
-    machine.lastHeartbeatSequence = report.sequence();
-    if (report.notice() != null) {
-      Instant taken = eventLoop.now().plus(report.notice());
+    machine.reachedThroughPeer = viaPeer;
+    machine.address = heartbeat.address();
+    if (heartbeat.session() > machine.agentEpoch) {
+      onNewAgentEpoch(machine, heartbeat.session());
+    }
+    machine.lastHeartbeatSequence = heartbeat.sequence();
+    if (heartbeat.notice() != null) {
+      Instant announcedReclaimAt = eventLoop.now().plus(heartbeat.notice());
       if (machine.reclaimAt == null) {
-        log.info("machine {} is taken back in {}", machine, report.notice());
-        machine.reclaimAt = taken;
+        log.info("machine {} is taken back in {}", machine, heartbeat.notice());
+        machine.reclaimAt = announcedReclaimAt;
         if (machine.spot) {
           cluster.spotRisk.recordReclaim();
         }
-      } else if (taken.isBefore(machine.reclaimAt)) {
-        machine.reclaimAt = taken;
+      } else if (announcedReclaimAt.isBefore(machine.reclaimAt)) {
+        machine.reclaimAt = announcedReclaimAt;
       }
     } else {
       machine.reclaimAt = null;
     }
-    if (report.token() < term) {
+    if (heartbeat.token() < term) {
       // Orders of an older leader may still reach it: its list proves nothing yet.
       if (machine.state() == Machine.State.EXPECTED) {
         machine.transitionTo(Machine.State.HEARD);
@@ -231,42 +233,42 @@
       cluster.updateIndexes(machine);
       return machine;
     }
-    boolean wasReady = machine.isSchedulable();
+    boolean wasSchedulable = machine.isSchedulable();
     machine.transitionTo(Machine.State.CONFIRMED);
-    follow(machine, report, reported);
+    reconcile(machine, heartbeat, isHeartbeat);
     cluster.updateIndexes(machine);
-    if (!wasReady && machine.isSchedulable()) {
+    if (!wasSchedulable && machine.isSchedulable()) {
       scheduler.onMachineReady(machine);
     }
     if (machine.reclaimAt != null) {
-      evacuate(machine);
+      displaceBeforeReclaim(machine);
     }
     return machine;
   }
 
   /** A worker forgets all its tasks when its lease ends; the next session starts empty. */
-  private void newSession(Machine machine, long session) {
-    long before = machine.agentEpoch;
-    machine.agentEpoch = session;
-    if (before == 0) {
+  private void onNewAgentEpoch(Machine machine, long agentEpoch) {
+    long previousEpoch = machine.agentEpoch;
+    machine.agentEpoch = agentEpoch;
+    if (previousEpoch == 0) {
       return;
     }
-    log.info("machine {} is in session {}", machine, session);
-    Duration half = cluster.settings.workerTimes().leaseDuration().dividedBy(2);
-    boolean answered =
+    log.info("machine {} is in session {}", machine, agentEpoch);
+    Duration halfLease = cluster.settings.workerTimes().leaseDuration().dividedBy(2);
+    boolean responsesWereLost =
         machine.lastAnsweredAt != null
-            && machine.lastAnsweredAt.plus(half).isAfter(eventLoop.now());
-    if (answered) {
-      hear(machine, Machine.Reachability.UNREACHABLE);
+            && machine.lastAnsweredAt.plus(halfLease).isAfter(eventLoop.now());
+    if (responsesWereLost) {
+      updateReachability(machine, Machine.Reachability.UNREACHABLE);
     }
     for (Attempt attempt : List.copyOf(machine.attempts.values())) {
-      boolean ofBefore =
-          attempt.wasObserved() || (attempt.startSession != 0 && attempt.startSession < session);
-      if (ofBefore) {
+      boolean ofPreviousEpoch =
+          attempt.wasObserved() || (attempt.startSession != 0 && attempt.startSession < agentEpoch);
+      if (ofPreviousEpoch) {
         scheduler.onAttemptGone(attempt, "the worker's session ended");
       }
     }
-    if (answered) {
+    if (responsesWereLost) {
       // What is left was never sent, and would wait for a machine that hears nothing.
       for (Attempt attempt : List.copyOf(machine.attempts.values())) {
         if (attempt.holdsCapacity() && attempt.isWanted()) {
@@ -277,14 +279,14 @@
   }
 
   /** Brings the attempts of a machine in step with the newest report of one that has our token. */
-  private void follow(Machine machine, Report report, boolean reported) {
+  private void reconcile(Machine machine, Report heartbeat, boolean isHeartbeat) {
     // A mark on each attempt, not a set of names: a report may list hundreds of tasks.
-    long mark = ++reports;
+    long mark = ++processedHeartbeats;
     machine.hasUnknownTasks = false;
-    for (TaskReport task : report.tasks()) {
+    for (TaskReport task : heartbeat.tasks()) {
       Attempt attempt = machine.attempts.get(task.key());
       if (attempt == null) {
-        attempt = adopt(machine, task);
+        attempt = addUnrecordedAttempt(machine, task);
       }
       if (attempt == null) {
         if (task.state() != TaskState.EXITED) {
@@ -296,12 +298,12 @@
       if (attempt.state() == Attempt.State.PLACEMENT_STORED
           && attempt.startHeartbeatSequence >= 0) {
         // Its start went with a response, which has been heard.
-        hear(machine, Machine.Reachability.REACHABLE);
+        updateReachability(machine, Machine.Reachability.REACHABLE);
       }
       if (task.state() == TaskState.EXITED) {
         scheduler.onAttemptExited(attempt, task.cause());
       } else {
-        scheduler.onAttemptObserved(attempt, state(task.state()));
+        scheduler.onAttemptObserved(attempt, attemptState(task.state()));
       }
     }
     List<Attempt> unlisted = new ArrayList<>();
@@ -310,11 +312,11 @@
         unlisted.add(attempt);
       }
     }
-    unlisted.forEach(attempt -> absent(attempt, report, reported));
+    unlisted.forEach(attempt -> onUnlisted(attempt, heartbeat, isHeartbeat));
   }
 
-  private static Attempt.State state(TaskState reported) {
-    return switch (reported) {
+  private static Attempt.State attemptState(TaskState taskState) {
+    return switch (taskState) {
       case FETCHING_IMAGE -> Attempt.State.FETCHING_IMAGE;
       case WAITING_FOR_GANG -> Attempt.State.WAITING_FOR_GANG;
       case RUNNING -> Attempt.State.RUNNING;
@@ -324,7 +326,7 @@
   }
 
   /** A task that no stored placement accounts for: it counts while it is there, and is stopped. */
-  private Attempt adopt(Machine machine, TaskReport task) {
+  private Attempt addUnrecordedAttempt(Machine machine, TaskReport task) {
     Job job = cluster.jobs.get(task.task().job());
     if (job == null || task.task().index() >= job.spec.tasks()) {
       return null;
@@ -339,7 +341,7 @@
             Attempt.State.RECOVERED);
     attempt.startSession = machine.agentEpoch;
     if (task.state() != TaskState.EXITED
-        && !(listener.recordsIncomplete() && scheduler.adoptUnrecorded(attempt))) {
+        && !(listener.areRecordsIncomplete() && scheduler.adoptUnrecorded(attempt))) {
       log.info("{} is not expected there", attempt);
       job.pending.clear(attempt.task);
       scheduler.kill(attempt, Duration.ZERO);
@@ -348,7 +350,7 @@
   }
 
   /** The newest report of a machine that has our token does not list the attempt. */
-  private void absent(Attempt attempt, Report report, boolean reported) {
+  private void onUnlisted(Attempt attempt, Report heartbeat, boolean isHeartbeat) {
     switch (attempt.state()) {
       case PLACEMENT_PENDING, GONE -> {}
       case PLACEMENT_STORED -> {
@@ -356,7 +358,7 @@
           // Not sent yet, or a direct start is or may be still on its way.
           return;
         }
-        if (!reported || attempt.startHeartbeatSequence >= report.sequence()) {
+        if (!isHeartbeat || attempt.startHeartbeatSequence >= heartbeat.sequence()) {
           // What a worker answers to a command is newer than its report before it, and yet older
           // than
           // that report's response, which may be on its way for 4 s. Taken for proof it had tasks
@@ -376,7 +378,7 @@
   }
 
   /** The cloud takes the machine back: its work moves before that, unless it ends in time. */
-  private void evacuate(Machine machine) {
+  private void displaceBeforeReclaim(Machine machine) {
     Instant now = eventLoop.now();
     for (Attempt attempt : List.copyOf(machine.attempts.values())) {
       if (!attempt.holdsCapacity() || !attempt.isWanted()) {
@@ -398,26 +400,26 @@
   // ---- orders
 
   /** Orders for the machine are to go out directly, as soon as this message is dealt with. */
-  public void ordersDue(Machine machine) {
-    due.add(machine);
-    if (!flushSet) {
-      flushSet = true;
-      eventLoop.schedule(Duration.ZERO, this::flush);
+  public void requestCommand(Machine machine) {
+    commandsRequested.add(machine);
+    if (!commandsScheduled) {
+      commandsScheduled = true;
+      eventLoop.schedule(Duration.ZERO, this::sendRequestedCommands);
     }
   }
 
-  private void flush() {
-    flushSet = false;
-    List<Machine> now = new ArrayList<>(due);
-    due.clear();
-    now.forEach(this::direct);
+  private void sendRequestedCommands() {
+    commandsScheduled = false;
+    List<Machine> machines = new ArrayList<>(commandsRequested);
+    commandsRequested.clear();
+    machines.forEach(this::sendCommand);
   }
 
   /**
    * Sends what a machine is to do at once. An answer that does not come leaves open for ever
    * whether the orders run, so a machine that did not answer gets them with its reports only.
    */
-  private void direct(Machine machine) {
+  private void sendCommand(Machine machine) {
     if (machine.state() != Machine.State.CONFIRMED
         || machine.commandInFlight
         || machine.reachability() != Machine.Reachability.REACHABLE) {
@@ -426,17 +428,20 @@
     if (!mayAct.getAsBoolean()) {
       return;
     }
-    Orders orders = new Orders();
-    List<Attempt> started = writeOrders(machine, orders, true);
-    if (orders.isEmpty()) {
+    Orders commands = new Orders();
+    List<Attempt> started = writeCommands(machine, commands, true);
+    if (commands.isEmpty()) {
       return;
     }
     machine.commandInFlight = true;
-    long session = machine.agentEpoch;
+    long agentEpoch = machine.agentEpoch;
     httpClient.call(
         Request.post(
-            machine.address, "/do", WorkerWire.command(term, session, orders), DIRECT_TIMEOUT),
-        reply -> onDirectReply(machine, started, reply));
+            machine.address,
+            "/do",
+            WorkerWire.command(term, agentEpoch, commands),
+            COMMAND_TIMEOUT),
+        reply -> onCommandReply(machine, started, reply));
   }
 
   /**
@@ -445,27 +450,27 @@
    * reach us, or be on its way from node to node.
    */
   public void probe(Machine machine) {
-    toProbe.add(machine);
-    nextProbes();
+    probeQueue.add(machine);
+    sendNextProbes();
   }
 
-  private void nextProbes() {
-    Iterator<Machine> next = toProbe.iterator();
-    while (probes < MOST_PROBES && next.hasNext() && mayAct.getAsBoolean()) {
+  private void sendNextProbes() {
+    Iterator<Machine> next = probeQueue.iterator();
+    while (probesInFlight < MAX_CONCURRENT_PROBES && next.hasNext() && mayAct.getAsBoolean()) {
       Machine machine = next.next();
       next.remove();
       Instant now = eventLoop.now();
-      boolean asked =
-          machine.lastProbedAt != null && machine.lastProbedAt.plus(PROBE_AGAIN).isAfter(now);
-      boolean there = machine.state() != Machine.State.GONE && machine.address != null;
-      if (!asked && there && !machine.commandInFlight) {
+      boolean probedRecently =
+          machine.lastProbedAt != null && machine.lastProbedAt.plus(PROBE_INTERVAL).isAfter(now);
+      boolean isReachable = machine.state() != Machine.State.GONE && machine.address != null;
+      if (!probedRecently && isReachable && !machine.commandInFlight) {
         sendProbe(machine, now);
       }
     }
   }
 
   private void sendProbe(Machine machine, Instant now) {
-    probes++;
+    probesInFlight++;
     machine.lastProbedAt = now;
     machine.commandInFlight = true;
     httpClient.call(
@@ -473,15 +478,15 @@
             machine.address,
             "/do",
             WorkerWire.command(term, Math.max(1, machine.agentEpoch), new Orders()),
-            DIRECT_TIMEOUT),
+            COMMAND_TIMEOUT),
         reply -> {
-          probes--;
-          onDirectReply(machine, List.of(), reply);
-          nextProbes();
+          probesInFlight--;
+          onCommandReply(machine, List.of(), reply);
+          sendNextProbes();
         });
   }
 
-  private void onDirectReply(Machine machine, List<Attempt> started, Reply reply) {
+  private void onCommandReply(Machine machine, List<Attempt> started, Reply reply) {
     machine.commandInFlight = false;
     boolean executed = reply.is(200);
     // What the protocol does not name tells nothing, least of all that a start was not executed.
@@ -505,27 +510,27 @@
     if (!reply.isAnswered()) {
       if (machine.reachability() == Machine.Reachability.REACHABLE) {
         log.info("machine {} did not answer ({})", machine, reply);
-        hear(machine, Machine.Reachability.DOUBTFUL);
+        updateReachability(machine, Machine.Reachability.DOUBTFUL);
       }
       return;
     }
-    hear(machine, Machine.Reachability.REACHABLE);
+    updateReachability(machine, Machine.Reachability.REACHABLE);
     if (executed || reply.status() == 409) {
       try {
-        Report report = WorkerWire.parseReport(reply.body());
-        if (report.token() > term) {
-          listener.onSuperseded(report.token());
+        Report heartbeat = WorkerWire.parseReport(reply.body());
+        if (heartbeat.token() > term) {
+          listener.onNewerFencingToken(heartbeat.token());
           return;
         }
-        take(report, machine.reachedThroughPeer, false);
+        applyHeartbeat(heartbeat, machine.reachedThroughPeer, false);
       } catch (MalformedMessageException e) {
         log.warn("machine {} answered a command with {}", machine, reply);
         // It does not list what it started, and a report from before the command may still come.
         started.forEach(attempt -> attempt.startUnconfirmed |= executed);
-        hear(machine, Machine.Reachability.DOUBTFUL);
+        updateReachability(machine, Machine.Reachability.DOUBTFUL);
       }
     }
-    ordersDue(machine);
+    requestCommand(machine);
   }
 
   /**
@@ -535,21 +540,25 @@
    *     the report that the machine's present sequence number belongs to
    * @return the attempts whose starts it holds
    */
-  private List<Attempt> writeOrders(Machine machine, Orders orders, boolean direct) {
+  private List<Attempt> writeCommands(Machine machine, Orders commands, boolean direct) {
     List<Attempt> started = new ArrayList<>();
     for (Attempt attempt : machine.attempts.values()) {
       String job = attempt.job.spec.id();
       switch (attempt.state()) {
         case PLACEMENT_STORED -> {
-          boolean again = attempt.startUnconfirmed && !direct;
-          if (attempt.isWanted() ? attempt.startSession == 0 || again : again) {
-            if (!attempt.isWanted() && attempt.job.finalStateStored && isLate(attempt)) {
+          boolean retriesUnconfirmed = attempt.startUnconfirmed && !direct;
+          if (attempt.isWanted()
+              ? attempt.startSession == 0 || retriesUnconfirmed
+              : retriesUnconfirmed) {
+            if (!attempt.isWanted()
+                && attempt.job.finalStateStored
+                && isCancellationBoundNear(attempt)) {
               // Too late to make its start known and ended: only the machine's return keeps a late
               // copy of it from running. Found by the simulation, after a leader stood still.
-              listener.onUnprovable(machine);
+              listener.onCancellationUnprovable(machine);
               continue;
             }
-            orders.start(job, attempt.task, attempt.number);
+            commands.start(job, attempt.task, attempt.number);
             attempt.startSession = machine.agentEpoch;
             attempt.startHeartbeatSequence = direct ? -1 : machine.lastHeartbeatSequence;
             attempt.directStartPending = direct;
@@ -558,7 +567,7 @@
             }
             if (!attempt.isWanted()) {
               // Known and ended it cannot be started by a late copy of the first order.
-              orders.kill(job, attempt.task, attempt.number, Duration.ZERO);
+              commands.kill(job, attempt.task, attempt.number, Duration.ZERO);
             }
           }
         }
@@ -566,14 +575,14 @@
           if (!attempt.isWanted() && !(direct && attempt.killSent)) {
             boolean saving = attempt.state() == Attempt.State.SAVING_CHECKPOINT;
             if (!saving || attempt.killGracePeriod.isZero()) {
-              orders.kill(job, attempt.task, attempt.number, attempt.killGracePeriod);
+              commands.kill(job, attempt.task, attempt.number, attempt.killGracePeriod);
             }
             attempt.killSent = true;
           }
         }
         case EXITED -> {
           if (attempt.mayBeForgotten && !attempt.startUnconfirmed && !direct) {
-            orders.forget(job, attempt.task, attempt.number);
+            commands.forget(job, attempt.task, attempt.number);
           }
         }
         default -> {}
@@ -583,30 +592,30 @@
   }
 
   /** Whether the time in which a cancelled job's tasks must be gone is nearly over. */
-  private boolean isLate(Attempt attempt) {
-    Duration half = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
-    return attempt.killedAt.plus(half).isBefore(eventLoop.now());
+  private boolean isCancellationBoundNear(Attempt attempt) {
+    Duration halfBound = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
+    return attempt.killedAt.plus(halfBound).isBefore(eventLoop.now());
   }
 
   /** Forgets tasks of jobs that are over, which no attempt here accounts for. */
-  private void writeStrangers(Report report, Machine machine, Orders orders) {
-    boolean incomplete = listener.recordsIncomplete();
-    for (TaskReport task : report.tasks()) {
+  private void writeCommandsForUnknownTasks(Report heartbeat, Machine machine, Orders commands) {
+    boolean recordsIncomplete = listener.areRecordsIncomplete();
+    for (TaskReport task : heartbeat.tasks()) {
       String job = task.task().job();
       if (machine.attempts.containsKey(task.key())) {
         continue;
       }
       if (task.state() != TaskState.EXITED && !cluster.jobs.containsKey(job)) {
-        listener.onStranger(job);
+        listener.onUnknownTask(job);
       }
-      if (incomplete && !cluster.jobs.containsKey(job) && !listener.isOver(job)) {
+      if (recordsIncomplete && !cluster.jobs.containsKey(job) && !listener.isJobEnded(job)) {
         // The job may have been lost, and come back with its user's repeated submission.
         continue;
       }
       if (task.state() == TaskState.EXITED) {
-        orders.forget(task.task().job(), task.task().index(), task.attempt());
+        commands.forget(task.task().job(), task.task().index(), task.attempt());
       } else {
-        orders.kill(task.task().job(), task.task().index(), task.attempt(), Duration.ZERO);
+        commands.kill(task.task().job(), task.task().index(), task.attempt(), Duration.ZERO);
       }
     }
   }
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
@@ -16,18 +16,19 @@
  * LeaseKeepAliveWriter}).
  */
 public final class LeaseKeepAliveReader {
-  private static final Duration EVERY = Duration.ofSeconds(3);
+  private static final Duration READ_INTERVAL = Duration.ofSeconds(3);
 
   /** A note that was not renewed for so long is over: two in a row were lost. */
-  private static final Duration FRESH = LeaseKeepAliveWriter.PACE.multipliedBy(3);
+  private static final Duration KEEP_ALIVE_TTL =
+      LeaseKeepAliveWriter.WRITE_INTERVAL.multipliedBy(3);
 
   /** One controller's note; when it was first seen like this. */
-  private record KeepAlive(long version, Instant at, JsonNode zones) {}
+  private record KeepAlive(long revision, Instant changedAt, JsonNode workersByZone) {}
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
-  private final BooleanSupplier wanted;
-  private final Map<String, KeepAlive> notes = new HashMap<>();
+  private final BooleanSupplier needed;
+  private final Map<String, KeepAlive> keepAlives = new HashMap<>();
 
   /**
    * The notes that a leader reads.
@@ -35,44 +36,45 @@
    * @param wanted whether a zone is not heard, so that it is worth a request
    */
   public LeaseKeepAliveReader(
-      StoreClient storeClient, EventLoop eventLoop, BooleanSupplier wanted) {
+      StoreClient storeClient, EventLoop eventLoop, BooleanSupplier needed) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
-    this.wanted = wanted;
+    this.needed = needed;
   }
 
   /** Reads them while they are wanted, until {@code over} says so. */
-  public void start(BooleanSupplier over) {
-    if (over.getAsBoolean()) {
+  public void start(BooleanSupplier isOver) {
+    if (isOver.getAsBoolean()) {
       return;
     }
-    if (wanted.getAsBoolean()) {
-      storeClient.page(RecordKeys.APART, null, this::take);
+    if (needed.getAsBoolean()) {
+      storeClient.page(RecordKeys.APART, null, this::onPage);
     }
-    eventLoop.schedule(EVERY, () -> start(over));
+    eventLoop.schedule(READ_INTERVAL, () -> start(isOver));
   }
 
-  private void take(StoreWire.Page page) {
+  private void onPage(StoreWire.Page page) {
     if (page == null) {
       return;
     }
     Instant now = eventLoop.now();
     for (StoreWire.Entry entry : page.entries()) {
-      KeepAlive known = notes.get(entry.key());
-      if (known == null || known.version != entry.version()) {
+      KeepAlive previous = keepAlives.get(entry.key());
+      if (previous == null || previous.revision != entry.version()) {
         // What is there when it is read for the first time may be from an earlier parting.
-        Instant at = known == null ? now.minus(FRESH) : now;
-        notes.put(entry.key(), new KeepAlive(entry.version(), at, entry.value().path("zones")));
+        Instant changedAt = previous == null ? now.minus(KEEP_ALIVE_TTL) : now;
+        keepAlives.put(
+            entry.key(), new KeepAlive(entry.version(), changedAt, entry.value().path("zones")));
       }
     }
   }
 
   /** How many workers of a zone other controllers hear. */
-  public int heardInside(String zone) {
-    Instant from = eventLoop.now().minus(FRESH);
+  public int workersHeardByPeers(String zone) {
+    Instant from = eventLoop.now().minus(KEEP_ALIVE_TTL);
     int heard = 0;
-    for (KeepAlive note : notes.values()) {
-      heard += note.at.isAfter(from) ? note.zones.path(zone).asInt(0) : 0;
+    for (KeepAlive keepAlive : keepAlives.values()) {
+      heard += keepAlive.changedAt.isAfter(from) ? keepAlive.workersByZone.path(zone).asInt(0) : 0;
     }
     return heard;
   }
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -18,24 +18,24 @@
  */
 public final class LeaseKeepAliveWriter {
   /** Between two notes while there is anything to tell. */
-  static final Duration PACE = Duration.ofSeconds(4);
+  static final Duration WRITE_INTERVAL = Duration.ofSeconds(4);
 
   /** A worker that was not heard for so long is not counted; it reports more often than that. */
-  private final Duration counted;
+  private final Duration renewalTtl;
 
-  private record RenewedLease(String zone, Instant at) {}
+  private record RenewedLease(String zone, Instant renewedAt) {}
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
-  private final String member;
-  private final Map<String, RenewedLease> kept = new LinkedHashMap<>();
-  private boolean told;
+  private final String controllerName;
+  private final Map<String, RenewedLease> renewedLeases = new LinkedHashMap<>();
+  private boolean writeScheduled;
 
   /**
    * The revision of this controller's note as it is stored, 0 for none; null while that is not
    * known.
    */
-  private Long stored;
+  private Long storedRevision;
 
   /**
    * The notes of one controller.
@@ -43,43 +43,46 @@
    * @param report how often workers report
    */
   public LeaseKeepAliveWriter(
-      StoreClient storeClient, EventLoop eventLoop, String member, Duration report) {
+      StoreClient storeClient,
+      EventLoop eventLoop,
+      String controllerName,
+      Duration heartbeatInterval) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
-    this.member = member;
-    this.counted = report.multipliedBy(2);
+    this.controllerName = controllerName;
+    this.renewalTtl = heartbeatInterval.multipliedBy(2);
   }
 
   /** This controller has answered a report in the leader's place. */
-  public void kept(String machine, String zone) {
-    kept.put(machine, new RenewedLease(zone, eventLoop.now()));
-    if (!told) {
-      told = true;
+  public void onLeaseRenewed(String machine, String zone) {
+    renewedLeases.put(machine, new RenewedLease(zone, eventLoop.now()));
+    if (!writeScheduled) {
+      writeScheduled = true;
       // The first ones say nothing yet: a zone's workers come one after the other.
-      eventLoop.schedule(PACE, this::tell);
+      eventLoop.schedule(WRITE_INTERVAL, this::writeKeepAlive);
     }
   }
 
-  private void tell() {
-    Instant from = eventLoop.now().minus(counted);
-    kept.values().removeIf(each -> each.at.isBefore(from));
-    if (kept.isEmpty()) {
-      told = false;
+  private void writeKeepAlive() {
+    Instant from = eventLoop.now().minus(renewalTtl);
+    renewedLeases.values().removeIf(lease -> lease.renewedAt.isBefore(from));
+    if (renewedLeases.isEmpty()) {
+      writeScheduled = false;
       return;
     }
-    Map<String, Integer> zones = new HashMap<>();
-    kept.values().forEach(each -> zones.merge(each.zone, 1, Integer::sum));
-    eventLoop.schedule(PACE, this::tell);
-    if (stored != null) {
-      write(zones);
+    Map<String, Integer> workersByZone = new HashMap<>();
+    renewedLeases.values().forEach(lease -> workersByZone.merge(lease.zone, 1, Integer::sum));
+    eventLoop.schedule(WRITE_INTERVAL, this::writeKeepAlive);
+    if (storedRevision != null) {
+      write(workersByZone);
       return;
     }
     storeClient.readForUser(
-        RecordKeys.APART + member,
+        RecordKeys.APART + controllerName,
         read -> {
           if (read.certain()) {
-            stored = read.found() ? read.entry().version() : 0L;
-            write(zones);
+            storedRevision = read.found() ? read.entry().version() : 0L;
+            write(workersByZone);
           }
         });
   }
@@ -89,21 +92,21 @@
    * got no answer and was carried out late took the place of a newer note, and a second copy of it
    * had effect again.
    */
-  private void write(Map<String, Integer> zones) {
+  private void write(Map<String, Integer> workersByZone) {
     var value = Json.object();
     var counts = value.putObject("zones");
-    zones.forEach(counts::put);
-    String key = RecordKeys.APART + member;
-    byte[] body = storeClient.transaction().require(key, stored).put(key, value).bytes();
-    stored = null;
+    workersByZone.forEach(counts::put);
+    String key = RecordKeys.APART + controllerName;
+    byte[] body = storeClient.transaction().require(key, storedRevision).put(key, value).bytes();
+    storedRevision = null;
     storeClient.changeForUser(
         storeClient.post("/multi", body),
         1,
         reply -> {
           try {
-            stored = reply.is(200) ? StoreWire.parseRevision(reply.body()) : null;
+            storedRevision = reply.is(200) ? StoreWire.parseRevision(reply.body()) : null;
           } catch (MalformedMessageException e) {
-            stored = null;
+            storedRevision = null;
           }
         });
   }
--- a/src/main/java/io/pineladder/zones/Zone.java
+++ b/src/main/java/io/pineladder/zones/Zone.java
@@ -10,10 +10,10 @@
   private static final Logger log = LoggerFactory.getLogger(Zone.class);
 
   /** A zone that has just come back gets so long to have its workers heard. */
-  private static final Duration RETURNING = Duration.ofSeconds(30);
+  private static final Duration MAX_RETURNING_TIME = Duration.ofSeconds(30);
 
-  private static final Duration FIRST_PROBATION = Duration.ofSeconds(30);
-  private static final Duration MOST_PROBATION = Duration.ofMinutes(10);
+  private static final Duration INITIAL_PROBATION = Duration.ofSeconds(30);
+  private static final Duration MAX_PROBATION = Duration.ofMinutes(10);
 
   /** Where a zone stands. */
   enum State {
@@ -38,43 +38,43 @@
    * @param lately those heard since the first of them was missed
    * @param inside those that another controller was last heard to hear
    */
-  record Counts(int up, int overdue, int lately, int inside) {
-    boolean isCut() {
-      return overdue >= 3 && overdue * 3 > up && lately * 5 < up;
+  record HeartbeatCounts(int expected, int overdue, int recentlyHeard, int heardByPeers) {
+    boolean isUnreachable() {
+      return overdue >= 3 && overdue * 3 > expected && recentlyHeard * 5 < expected;
     }
 
     boolean isDoubtful() {
-      return overdue >= 3 && overdue * 10 > up || up >= 3 && lately == 0;
+      return overdue >= 3 && overdue * 10 > expected || expected >= 3 && recentlyHeard == 0;
     }
 
-    boolean isHeardInside() {
-      return inside * 2 >= up;
+    boolean isHeardByPeers() {
+      return heardByPeers * 2 >= expected;
     }
 
     /**
      * Some are heard again: that fewer are overdue may only mean that more have to report by now.
      */
     boolean isHeardAgain() {
-      return up > 0 && lately * 5 >= up;
+      return expected > 0 && recentlyHeard * 5 >= expected;
     }
 
-    boolean isBack() {
-      return lately * 10 >= up * 9;
+    boolean isRecovered() {
+      return recentlyHeard * 10 >= expected * 9;
     }
   }
 
   private final String name;
   private State state = State.UP;
-  private Instant since;
-  private Instant cutAt;
+  private Instant stateSince;
+  private Instant unreachableSince;
   private int losses;
 
   /** How long its earlier cuts lasted, all together. */
-  private Duration cutFor = Duration.ZERO;
+  private Duration totalEarlierOutage = Duration.ZERO;
 
   Zone(String name, Instant now) {
     this.name = name;
-    this.since = now;
+    this.stateSince = now;
   }
 
   State state() {
@@ -86,30 +86,30 @@
   }
 
   /** The one place where the state changes. */
-  private void moveTo(State next, Counts why, Instant now) {
-    log.info("zone {} is {} (was {}): {}", name, next, state, why);
-    boolean gone = next == State.CUT || next == State.APART;
-    if (gone && cutAt == null) {
-      cutAt = now;
+  private void transitionTo(State next, HeartbeatCounts evidence, Instant now) {
+    log.info("zone {} is {} (was {}): {}", name, next, state, evidence);
+    boolean becomesUnreachable = next == State.CUT || next == State.APART;
+    if (becomesUnreachable && unreachableSince == null) {
+      unreachableSince = now;
       losses++;
     } else if (next == State.RETURNING) {
-      cutFor = cutFor.plus(Duration.between(cutAt, now));
-      cutAt = null;
+      totalEarlierOutage = totalEarlierOutage.plus(Duration.between(unreachableSince, now));
+      unreachableSince = null;
     }
     state = next;
-    since = now;
+    stateSince = now;
   }
 
   /** Looks at how its machines are heard now. */
-  void review(Counts counts, Instant now) {
+  void review(HeartbeatCounts counts, Instant now) {
     State next =
         switch (state) {
           case UP, DOUBTED, PROBATION -> {
-            if (counts.isCut()) {
-              yield counts.isHeardInside() ? State.APART : State.CUT;
+            if (counts.isUnreachable()) {
+              yield counts.isHeardByPeers() ? State.APART : State.CUT;
             }
             if (state == State.PROBATION) {
-              yield since.plus(probation()).isAfter(now) ? state : State.UP;
+              yield stateSince.plus(probationDuration()).isAfter(now) ? state : State.UP;
             }
             yield counts.isDoubtful() ? State.DOUBTED : State.UP;
           }
@@ -117,47 +117,49 @@
             if (counts.isHeardAgain()) {
               yield State.RETURNING;
             }
-            yield counts.isHeardInside() ? State.APART : State.CUT;
+            yield counts.isHeardByPeers() ? State.APART : State.CUT;
           }
           case RETURNING -> {
-            if (counts.isCut()) {
-              yield counts.isHeardInside() ? State.APART : State.CUT;
+            if (counts.isUnreachable()) {
+              yield counts.isHeardByPeers() ? State.APART : State.CUT;
             }
-            yield counts.isBack() || since.plus(RETURNING).isBefore(now) ? State.PROBATION : state;
+            yield counts.isRecovered() || stateSince.plus(MAX_RETURNING_TIME).isBefore(now)
+                ? State.PROBATION
+                : state;
           }
         };
     if (next != state) {
-      moveTo(next, counts, now);
+      transitionTo(next, counts, now);
     }
   }
 
   /** How long it has to stand before it is as good as any: longer with each loss. */
-  private Duration probation() {
-    Duration wanted = FIRST_PROBATION.multipliedBy(1L << Math.min(10, Math.max(0, losses - 1)));
-    return wanted.compareTo(MOST_PROBATION) < 0 ? wanted : MOST_PROBATION;
+  private Duration probationDuration() {
+    Duration doubled = INITIAL_PROBATION.multipliedBy(1L << Math.min(10, Math.max(0, losses - 1)));
+    return doubled.compareTo(MAX_PROBATION) < 0 ? doubled : MAX_PROBATION;
   }
 
-  boolean isGone() {
+  boolean isUnreachable() {
     return state == State.CUT || state == State.APART;
   }
 
   /** For how long it has not been heard; zero when it is. */
-  Duration goneFor(Instant now) {
-    return cutAt == null ? Duration.ZERO : Duration.between(cutAt, now);
+  Duration outageDuration(Instant now) {
+    return unreachableSince == null ? Duration.ZERO : Duration.between(unreachableSince, now);
   }
 
   /**
    * How much longer it is likely to stay away: as long as it has been, which holds for faults of
    * all lengths alike, but where it was away before no longer than it was then on average.
    */
-  Duration expectedAway(Instant now) {
-    Duration gone = goneFor(now);
-    int earlier = losses - 1;
-    if (earlier < 1) {
-      return gone;
+  Duration expectedRemainingOutage(Instant now) {
+    Duration outage = outageDuration(now);
+    int earlierLosses = losses - 1;
+    if (earlierLosses < 1) {
+      return outage;
     }
-    Duration usual = cutFor.dividedBy(earlier);
-    Duration left = usual.minus(gone);
-    return left.compareTo(gone.dividedBy(2)) > 0 ? left : gone.dividedBy(2);
+    Duration averageOutage = totalEarlierOutage.dividedBy(earlierLosses);
+    Duration remaining = averageOutage.minus(outage);
+    return remaining.compareTo(outage.dividedBy(2)) > 0 ? remaining : outage.dividedBy(2);
   }
 }
--- a/src/main/java/io/pineladder/zones/Zones.java
+++ b/src/main/java/io/pineladder/zones/Zones.java
@@ -14,10 +14,10 @@
   private final Map<String, Zone> zones = new TreeMap<>();
 
   /** Zones that were heard in this review, with the share of their machines that was. */
-  private final Map<String, Boolean> heard = new TreeMap<>();
+  private final Map<String, Boolean> recentlyHeard = new TreeMap<>();
 
   /** One zone, for those who look from outside. */
-  public record View(String name, String state, int losses, Duration goneFor) {}
+  public record View(String name, String state, int losses, Duration outageDuration) {}
 
   /**
    * Looks at a zone once a second.
@@ -28,60 +28,69 @@
    * @param inside those that another controller hears, as it has told lately
    * @return whether hardly any of them is heard
    */
-  public boolean review(String name, int up, int overdue, int lately, int inside, Instant now) {
+  public boolean review(
+      String name,
+      int expected,
+      int overdue,
+      int recentlyHeardCount,
+      int heardByPeers,
+      Instant now) {
     Zone zone = zones.computeIfAbsent(name, n -> new Zone(n, now));
-    Zone.Counts counts = new Zone.Counts(up, overdue, lately, inside);
+    Zone.HeartbeatCounts counts =
+        new Zone.HeartbeatCounts(expected, overdue, recentlyHeardCount, heardByPeers);
     zone.review(counts, now);
-    heard.put(name, lately > 0 || up == 0);
-    return counts.isCut();
+    recentlyHeard.put(name, recentlyHeardCount > 0 || expected == 0);
+    return counts.isUnreachable();
   }
 
   /** Whether this node hears nothing of some zone. */
-  public boolean isAnyGone() {
-    return zones.values().stream().anyMatch(Zone::isGone);
+  public boolean isAnyUnreachable() {
+    return zones.values().stream().anyMatch(Zone::isUnreachable);
   }
 
   /** Whether this node hears nothing of the zone. */
-  public boolean isGone(String name) {
+  public boolean isUnreachable(String name) {
     Zone zone = zones.get(name);
-    return zone != null && zone.isGone();
+    return zone != null && zone.isUnreachable();
   }
 
   /** Whether another controller hears the zone and keeps its workers' leases. */
-  public boolean isApart(String name) {
+  public boolean isKeptAliveByPeers(String name) {
     Zone zone = zones.get(name);
     return zone != null && zone.state() == Zone.State.APART;
   }
 
   /** How much longer a zone that is gone is likely to stay away; zero for others. */
-  public Duration expectedAway(String name, Instant now) {
+  public Duration expectedRemainingOutage(String name, Instant now) {
     Zone zone = zones.get(name);
-    return zone == null || !zone.isGone() ? Duration.ZERO : zone.expectedAway(now);
+    return zone == null || !zone.isUnreachable()
+        ? Duration.ZERO
+        : zone.expectedRemainingOutage(now);
   }
 
   /**
    * Where machines may be rented, those first that are up: not where none is heard. Where that
    * holds for all of them nothing tells them apart.
    */
-  public List<String> rentable(List<String> wanted) {
-    List<String> good = new ArrayList<>();
-    List<String> fair = new ArrayList<>();
-    for (String name : wanted) {
+  public List<String> rentableZones(List<String> candidates) {
+    List<String> up = new ArrayList<>();
+    List<String> doubtful = new ArrayList<>();
+    for (String name : candidates) {
       Zone zone = zones.get(name);
       Zone.State state = zone == null ? Zone.State.UP : zone.state();
       switch (state) {
-        case UP -> good.add(name);
-        case PROBATION, RETURNING -> fair.add(name);
+        case UP -> up.add(name);
+        case PROBATION, RETURNING -> doubtful.add(name);
         case DOUBTED -> {
-          if (heard.getOrDefault(name, true)) {
-            fair.add(name);
+          if (recentlyHeard.getOrDefault(name, true)) {
+            doubtful.add(name);
           }
         }
         case CUT, APART -> {}
       }
     }
-    good.addAll(fair);
-    return good.isEmpty() ? wanted : good;
+    up.addAll(doubtful);
+    return up.isEmpty() ? candidates : up;
   }
 
   /** All zones as they stand. */
@@ -89,7 +98,8 @@
     List<View> views = new ArrayList<>();
     zones.forEach(
         (name, zone) ->
-            views.add(new View(name, zone.state().name(), zone.losses(), zone.goneFor(now))));
+            views.add(
+                new View(name, zone.state().name(), zone.losses(), zone.outageDuration(now))));
     return views;
   }
 }
--- a/src/test/java/io/pineladder/autoscaling/BatchBacklogTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BatchBacklogTest.java
@@ -80,7 +80,7 @@
     for (int round = 0; round < 400; round++) {
       List<Piece> pieces = random(random);
       double capacity = 4 + random.nextInt(60);
-      double lacking = of(pieces, capacity).lacking();
+      double lacking = of(pieces, capacity).missingCapacity();
       if (lacking > 0) {
         lacked++;
         assertTrue(!inTime(pieces, capacity * 0.98, 0), "nothing was to be rented");
@@ -102,7 +102,7 @@
       List<Piece> pieces = random(random);
       double capacity = 20 + random.nextInt(60);
       double part = capacity / 2;
-      double needed = of(pieces, capacity).needed(part, 0);
+      double needed = of(pieces, capacity).neededCapacity(part, 0);
       if (needed < part) {
         assertTrue(inTime(pieces, (capacity - part + needed) * 1.02, 0), "too little is kept");
       }
@@ -114,15 +114,15 @@
 
   @Test
   void whatComesKeepsMachinesThoughNothingWaits() {
-    assertEquals(3, new BatchBacklog(10).needed(5, 8));
-    assertEquals(0, new BatchBacklog(10).needed(5, 4));
-    assertEquals(5, new BatchBacklog(10).needed(5, 80));
+    assertEquals(3, new BatchBacklog(10).neededCapacity(5, 8));
+    assertEquals(0, new BatchBacklog(10).neededCapacity(5, 4));
+    assertEquals(5, new BatchBacklog(10).neededCapacity(5, 80));
   }
 
   @Test
   void whatCannotBeHelpedPressesNoMore() {
     BatchBacklog backlog = new BatchBacklog(1);
     backlog.add(100, 60, 15, 20, 0);
-    assertEquals(0, backlog.lacking());
+    assertEquals(0, backlog.missingCapacity());
   }
 }
--- a/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
@@ -43,9 +43,9 @@
     assertEquals(1, boots.weight(machine, after(15)));
     assertEquals(0.5, boots.weight(machine, after(20)));
     assertEquals(0, boots.weight(machine, after(30)));
-    assertFalse(boots.isLost(machine, after(30)));
-    assertFalse(boots.isLost(machine, after(49)));
-    assertTrue(boots.isLost(machine, after(51)));
+    assertFalse(boots.isGivenUp(machine, after(30)));
+    assertFalse(boots.isGivenUp(machine, after(49)));
+    assertTrue(boots.isGivenUp(machine, after(51)));
   }
 
   /** On the operators' nights all machines came up at several times the nominal time. */
@@ -57,10 +57,10 @@
     Machine next = rented();
     assertEquals(1, boots.weight(next, after(49)));
     assertEquals(0.5, boots.weight(next, after(51)));
-    assertFalse(boots.isLost(next, after(50)));
-    assertTrue(boots.isLost(next, after(51)));
-    assertEquals(Duration.ofSeconds(40), boots.usual(TYPE));
-    assertFalse(boots.areUsual(TYPE));
+    assertFalse(boots.isGivenUp(next, after(50)));
+    assertTrue(boots.isGivenUp(next, after(51)));
+    assertEquals(Duration.ofSeconds(40), boots.typicalBootTime(TYPE));
+    assertFalse(boots.isTypical(TYPE));
   }
 
   @Test
@@ -69,8 +69,8 @@
       comes(rented(), 10);
       boots.observe(rented(), after(35));
     }
-    assertTrue(boots.comingPart(TYPE) < 0.65, "part " + boots.comingPart(TYPE));
-    assertTrue(boots.comingPart(TYPE) >= 0.5);
+    assertTrue(boots.arrivalShare(TYPE) < 0.65, "part " + boots.arrivalShare(TYPE));
+    assertTrue(boots.arrivalShare(TYPE) >= 0.5);
   }
 
   /**
@@ -81,11 +81,11 @@
     Machine old = new Machine("m-0", TYPE, "a", false, START);
     boots.observe(old, after(300));
     comes(old, 301);
-    assertEquals(TYPE.bootTime(), boots.usual(TYPE));
-    assertFalse(boots.areUsual(TYPE), "nothing has been seen");
+    assertEquals(TYPE.bootTime(), boots.typicalBootTime(TYPE));
+    assertFalse(boots.isTypical(TYPE), "nothing has been seen");
     for (int i = 0; i < 4; i++) {
       comes(rented(), 10);
     }
-    assertTrue(boots.areUsual(TYPE));
+    assertTrue(boots.isTypical(TYPE));
   }
 }
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -55,7 +55,7 @@
                 fails ? EndReason.ERROR : null,
                 false));
       }
-      leader.report("m-" + i, sequence, tasks.toArray(TaskReport[]::new));
+      leader.heartbeat("m-" + i, sequence, tasks.toArray(TaskReport[]::new));
     }
     leader.sent.clear();
     leader.scheduler.faultAttribution().reviewRunningJobs(leader.now());
--- a/src/test/java/io/pineladder/workers/LargeFleetTest.java
+++ b/src/test/java/io/pineladder/workers/LargeFleetTest.java
@@ -41,7 +41,7 @@
   private void runFor(int seconds) throws MalformedMessageException {
     for (int tenth = 0; tenth < 10 * seconds; tenth++) {
       while (!leader.sent.isEmpty()) {
-        LeaderHarness.Sent sent = leader.sent.poll();
+        LeaderHarness.SentRequest sent = leader.sent.poll();
         String path = sent.request().path();
         if (path.equals("/rentals/release")) {
           for (JsonNode name : Json.parseObject(sent.request().body()).get("hosts")) {
@@ -82,12 +82,12 @@
     for (String name : listed) {
       leader.cluster.addMachine(new Machine(name, LeaderHarness.TYPE, "a", false, leader.now()));
     }
-    List.copyOf(leader.cluster.machines()).forEach(leader.fleet::release);
-    leader.fleet.start();
+    List.copyOf(leader.cluster.machines()).forEach(leader.autoscaler::release);
+    leader.autoscaler.start();
     runFor(60);
     assertEquals(MACHINES, returned.size());
     for (String name : listed) {
-      assertTrue(leader.fleet.wasReleased(name), name);
+      assertTrue(leader.autoscaler.wasReleased(name), name);
     }
     assertEquals(0, leader.cluster.machines().size());
   }
@@ -95,7 +95,7 @@
   /** The rate of the cloud's interface allows fewer pages at once than the list has. */
   @Test
   void theListOfALargeFleetIsReadToItsEnd() throws MalformedMessageException {
-    leader.fleet.start();
+    leader.autoscaler.start();
     runFor(10);
     assertEquals(MACHINES, leader.cluster.machines().size());
     // And so it goes on: what is added at the end is found, whatever else was asked for.
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -43,7 +43,7 @@
           "g4", Resources.of(16, 4, 64), 50, 0.1, 4, 1, Duration.ofSeconds(10), List.of("a", "b"));
 
   /** A request that went out and waits for its reply. */
-  record Sent(AsyncHttpClient.Request request, Consumer<AsyncHttpClient.Reply> onReply) {}
+  record SentRequest(AsyncHttpClient.Request request, Consumer<AsyncHttpClient.Reply> onReply) {}
 
   private record Timer(Instant at, long order, Runnable action) {}
 
@@ -55,14 +55,14 @@
   private long order;
 
   /** The lease is certain, and reports are taken in: by turns not so in a long doubt. */
-  boolean certain = true;
+  boolean leaseCertain = true;
 
-  final ArrayDeque<Sent> sent = new ArrayDeque<>();
-  final List<String> resigned = new ArrayList<>();
+  final ArrayDeque<SentRequest> sent = new ArrayDeque<>();
+  final List<String> resignations = new ArrayList<>();
   final ClusterState cluster;
   final Scheduler scheduler;
-  final WorkerManager workers;
-  final Autoscaler fleet;
+  final WorkerManager workerManager;
+  final Autoscaler autoscaler;
 
   LeaderHarness() {
     Settings settings;
@@ -73,7 +73,7 @@
     }
     cluster = new ClusterState(settings);
     cluster.setTypes(List.of(TYPE));
-    AsyncHttpClient httpClient = (request, onReply) -> sent.add(new Sent(request, onReply));
+    AsyncHttpClient httpClient = (request, onReply) -> sent.add(new SentRequest(request, onReply));
     WorkerManager[] later = new WorkerManager[1];
     Autoscaler[] fleetLater = new Autoscaler[1];
     scheduler =
@@ -95,12 +95,12 @@
 
               @Override
               public void onCommandsDue(Machine machine) {
-                later[0].ordersDue(machine);
+                later[0].requestCommand(machine);
               }
 
               @Override
               public void resign(String reason) {
-                resigned.add(reason);
+                resignations.add(reason);
               }
 
               @Override
@@ -148,7 +148,7 @@
             },
             NotificationLog.NONE);
     scheduler.setRecords(records);
-    fleet =
+    autoscaler =
         new Autoscaler(
             cluster,
             scheduler,
@@ -159,35 +159,35 @@
             OperatorSettings.DEFAULTS,
             new Autoscaler.Effects() {
               @Override
-              public int heardInside(String zone) {
+              public int workersHeardByPeers(String zone) {
                 return 0;
               }
 
               @Override
               public boolean mayAct() {
-                return certain;
+                return leaseCertain;
               }
 
               @Override
-              public boolean takesReports() {
-                return certain;
+              public boolean acceptsHeartbeats() {
+                return leaseCertain;
               }
 
               @Override
               public void resign(String reason) {
-                resigned.add(reason);
+                resignations.add(reason);
               }
 
               @Override
-              public void handOver(String reason) {
-                resigned.add(reason);
+              public void transferLeadership(String reason) {
+                resignations.add(reason);
               }
 
               @Override
               public void probe(Machine machine) {}
             });
-    fleetLater[0] = fleet;
-    workers =
+    fleetLater[0] = autoscaler;
+    workerManager =
         new WorkerManager(
             cluster,
             scheduler,
@@ -197,37 +197,37 @@
             () -> true,
             new WorkerManager.Listener() {
               @Override
-              public void onStranger(String job) {}
+              public void onUnknownTask(String job) {}
 
               @Override
-              public boolean isOver(String job) {
+              public boolean isJobEnded(String job) {
                 return false;
               }
 
               @Override
-              public boolean recordsIncomplete() {
+              public boolean areRecordsIncomplete() {
                 return false;
               }
 
               @Override
-              public void onSuperseded(long token) {
-                resigned.add("token " + token);
+              public void onNewerFencingToken(long token) {
+                resignations.add("token " + token);
               }
 
               @Override
-              public boolean isGone(String machine) {
+              public boolean wasReleased(String machine) {
                 return fleetLater[0].wasReleased(machine);
               }
 
               @Override
-              public void onMachine(Machine machine) {}
+              public void onUnexpectedMachine(Machine machine) {}
 
               @Override
-              public void onUnprovable(Machine machine) {
+              public void onCancellationUnprovable(Machine machine) {
                 fleetLater[0].release(machine);
               }
             });
-    later[0] = workers;
+    later[0] = workerManager;
   }
 
   @Override
@@ -261,7 +261,7 @@
   }
 
   /** Time passes for everybody else; what is due meanwhile runs late. */
-  void standStillFor(Duration duration) {
+  void pauseProcessFor(Duration duration) {
     now = now.plus(duration);
   }
 
@@ -300,13 +300,13 @@
   }
 
   /** A report of one machine in zone a, in its first session, with our token. */
-  byte[] report(String machine, long sequence, TaskReport... tasks) {
-    return report("a", machine, sequence, tasks);
+  byte[] heartbeat(String machine, long sequence, TaskReport... tasks) {
+    return heartbeat("a", machine, sequence, tasks);
   }
 
-  byte[] report(String zone, String machine, long sequence, TaskReport... tasks) {
+  byte[] heartbeat(String zone, String machine, long sequence, TaskReport... tasks) {
     WorkerWire.Orders orders =
-        workers.onReport(
+        workerManager.onHeartbeat(
             new Report(
                 machine,
                 "10.1.0.1:9000",
@@ -323,9 +323,9 @@
   }
 
   /** The next direct command that went out; list, rental and other requests are passed over. */
-  Sent nextDirect() {
+  SentRequest nextCommand() {
     while (!sent.isEmpty()) {
-      Sent next = sent.poll();
+      SentRequest next = sent.poll();
       if (next.request.path().equals("/do")) {
         return next;
       }
@@ -340,7 +340,7 @@
     return all;
   }
 
-  static Attempt only(Job job) {
+  static Attempt onlyAttempt(Job job) {
     return job.attempts.values().iterator().next().iterator().next();
   }
 }
--- a/src/test/java/io/pineladder/workers/WorkerManagerTest.java
+++ b/src/test/java/io/pineladder/workers/WorkerManagerTest.java
@@ -50,19 +50,19 @@
   /** A late copy of an unanswered start must find its attempt known, or it would run again. */
   @Test
   void anUnansweredStartIsHeldForTheWholeSession() {
-    leader.report("m-1", 1);
+    leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
-    Attempt attempt = LeaderHarness.only(job);
-    String first = text(leader.report("m-1", 2));
+    leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
+    Attempt attempt = LeaderHarness.onlyAttempt(job);
+    String first = text(leader.heartbeat("m-1", 2));
     assertTrue(first.contains("start"), first);
     assertEquals(Attempt.State.PLACEMENT_STORED, attempt.state(), "absence proves nothing yet");
-    leader.report("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
+    leader.heartbeat("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
     leader.scheduler.kill(attempt, Duration.ZERO);
-    String after = text(leader.report("m-1", 4, exited(attempt, EndReason.STOPPED)));
+    String after = text(leader.heartbeat("m-1", 4, exited(attempt, EndReason.STOPPED)));
     assertFalse(
         after.contains("\"forget\",\"piece\":\"req-1/0\",\"try\":" + attempt.number), after);
-    leader.workers.onReport(
+    leader.workerManager.onHeartbeat(
         new Report(
             "m-1", "10.1.0.1:9000", "g4", "a", false, 2, 1, LeaderHarness.TERM, null, List.of()));
     assertEquals(Attempt.State.GONE, attempt.state(), "the session's end settles it");
@@ -70,7 +70,7 @@
 
   private String reported(long session, long sequence, long token) {
     WorkerWire.Orders orders =
-        leader.workers.onReport(
+        leader.workerManager.onHeartbeat(
             new Report(
                 "m-1",
                 "10.1.0.1:9000",
@@ -90,9 +90,9 @@
   void aLateCopyOfAReportChangesNothing() {
     reported(2, 5, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
+    leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Machine machine = leader.cluster.machine("m-1");
-    Attempt attempt = LeaderHarness.only(job);
+    Attempt attempt = LeaderHarness.onlyAttempt(job);
     Instant heard = machine.lastHeartbeatAt;
     leader.runFor(Duration.ofSeconds(3));
     long[][] copies = {{2, 5}, {2, 4}, {1, 900}, {2, 0}, {0, 7}};
@@ -116,18 +116,18 @@
     reported(1, 1, LeaderHarness.TERM);
     Machine machine = leader.cluster.machine("m-1");
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
+    leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     assertEquals(Machine.Reachability.DOUBTFUL, machine.reachability());
     assertFalse(machine.isSchedulable());
     reported(1, 2, LeaderHarness.TERM);
-    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
+    leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     reported(2, 1, LeaderHarness.TERM);
     assertEquals(Machine.Reachability.UNREACHABLE, machine.reachability());
     assertTrue(job.attempts.isEmpty(), "the new session is the proof");
     assertEquals(1, job.pending.cardinality(), "and the task waits for another machine");
     leader.runFor(Duration.ofSeconds(5));
     reported(2, 2, LeaderHarness.TERM);
-    LeaderHarness.Sent probe = leader.nextDirect();
+    LeaderHarness.SentRequest probe = leader.nextCommand();
     probe.onReply().accept(AsyncHttpClient.Reply.answered(200, body(2, 3)));
     assertEquals(Machine.Reachability.REACHABLE, machine.reachability());
     assertTrue(machine.isSchedulable());
@@ -153,11 +153,11 @@
   void anAnswerToACommandSaysNothingOfAStartThatAResponseCarries() {
     reported(1, 1, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
-    Attempt attempt = LeaderHarness.only(job);
+    leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
+    Attempt attempt = LeaderHarness.onlyAttempt(job);
     Machine machine = leader.cluster.machine("m-1");
-    leader.workers.probe(machine);
-    LeaderHarness.Sent probe = leader.nextDirect();
+    leader.workerManager.probe(machine);
+    LeaderHarness.SentRequest probe = leader.nextCommand();
     assertTrue(reported(1, 2, LeaderHarness.TERM).contains("start"));
     // The worker answered the probe before the response with the start reached it.
     probe.onReply().accept(AsyncHttpClient.Reply.answered(200, body(1, 3)));
@@ -171,10 +171,10 @@
         job.finalStateStored, "a report of the worker's own shows that the response was dropped");
   }
 
-  private LeaderHarness.Sent startSent() {
+  private LeaderHarness.SentRequest startSent() {
     reported(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    return leader.nextDirect();
+    return leader.nextCommand();
   }
 
   /** Only what the protocol names says that a start was not executed. */
@@ -194,7 +194,7 @@
   @ParameterizedTest
   @ValueSource(ints = {400, 409, -1})
   void aStartThatTheProtocolSaysWasRefusedNeverRan(int status) {
-    LeaderHarness.Sent start = startSent();
+    LeaderHarness.SentRequest start = startSent();
     Job job = leader.attempts().get(0).job;
     leader.scheduler.cancel(job);
     start
@@ -212,9 +212,9 @@
   void aMachineHeardThroughAPeerTakesWorkThoughDirectOrdersFail() {
     reported(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
+    leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     Machine machine = leader.cluster.machine("m-1");
-    leader.workers.onReport(
+    leader.workerManager.onHeartbeat(
         new Report(
             "m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, LeaderHarness.TERM, null, List.of()),
         true);
@@ -238,7 +238,7 @@
                 3.9,
                 Duration.ofSeconds(20),
                 List.of("a"))));
-    leader.fleet.start();
+    leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.NORMAL, 8, "i"));
     List<String> asked = new ArrayList<>();
     for (int second = 0; second < 6; second++) {
@@ -263,24 +263,24 @@
   /** A response that was dropped is never executed late, so the next report proves absence. */
   @Test
   void aStartByAResponseThatWasDroppedGoesOutAgain() {
-    leader.report("m-1", 1);
+    leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    leader.nextDirect().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
-    assertTrue(text(leader.report("m-1", 2)).contains("start"));
-    assertTrue(text(leader.report("m-1", 3)).contains("start"));
+    leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
+    assertTrue(text(leader.heartbeat("m-1", 2)).contains("start"));
+    assertTrue(text(leader.heartbeat("m-1", 3)).contains("start"));
     leader.scheduler.cancel(job);
     leader.runFor(Duration.ofMillis(10));
-    assertFalse(text(leader.report("m-1", 4)).contains("start"));
+    assertFalse(text(leader.heartbeat("m-1", 4)).contains("start"));
     assertTrue(job.attempts.isEmpty());
   }
 
   /** Found by the simulation: such an attempt was never settled and its gang waited for ever. */
   @Test
   void aStartThatWasRefusedAfterItsTaskWasStoppedIsGone() {
-    leader.report("m-1", 1);
+    leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    Attempt attempt = LeaderHarness.only(job);
-    LeaderHarness.Sent start = leader.nextDirect();
+    Attempt attempt = LeaderHarness.onlyAttempt(job);
+    LeaderHarness.SentRequest start = leader.nextCommand();
     leader.scheduler.kill(attempt, Duration.ZERO);
     start.onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     assertEquals(Attempt.State.GONE, attempt.state());
@@ -293,24 +293,24 @@
    */
   @Test
   void aCompletionIsStoredOnceNoOtherAttemptOfTheTaskIsAnywhere() {
-    leader.report("m-1", 1);
+    leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 2, "i"));
     Attempt anew = job.attempts.get(0).iterator().next();
     Attempt other = job.attempts.get(1).iterator().next();
-    leader.report(
+    leader.heartbeat(
         "m-1",
         2,
         LeaderHarness.task(anew, TaskState.RUNNING),
         LeaderHarness.task(other, TaskState.RUNNING));
     TaskReport before =
         new TaskReport(new TaskId("req-1", 0), 3, TaskState.EXITED, EndReason.DONE, false);
-    leader.report("m-2", 1, before);
+    leader.heartbeat("m-2", 1, before);
     Attempt complete = leader.cluster.machine("m-2").attempts.get(before.key());
     assertTrue(job.done.get(0));
     leader.runFor(Duration.ofSeconds(2));
     assertFalse(complete.mayBeForgotten, "not stored while the new attempt may run");
     assertFalse(anew.isWanted(), "it is stopped");
-    leader.report(
+    leader.heartbeat(
         "m-1", 3, exited(anew, EndReason.STOPPED), LeaderHarness.task(other, TaskState.RUNNING));
     leader.runFor(Duration.ofSeconds(2));
     assertTrue(complete.mayBeForgotten);
@@ -321,7 +321,7 @@
   @Test
   void aReportWithAnOlderTokenProvesNothingAndBringsNoWork() {
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    leader.workers.onReport(
+    leader.workerManager.onHeartbeat(
         new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 3, null, List.of()));
     leader.runFor(Duration.ofMillis(10));
     assertEquals(Machine.State.HEARD, leader.cluster.machine("m-1").state());
@@ -329,36 +329,36 @@
     Machine machine = leader.cluster.machine("m-1");
     Attempt older =
         leader.cluster.addAttempt(job, 0, 5, machine, leader.now(), Attempt.State.RECOVERED);
-    leader.workers.onReport(
+    leader.workerManager.onHeartbeat(
         new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, 3, null, List.of()));
     assertEquals(Attempt.State.RECOVERED, older.state());
-    leader.report("m-1", 3);
+    leader.heartbeat("m-1", 3);
     assertEquals(Attempt.State.GONE, older.state());
   }
 
   /** While a gang gathers, the others keep waiting and a replacement completes it. */
   @Test
   void aLostTaskOfAGatheringGangIsReplacedUnderItsNumber() {
-    leader.report("m-1", 1);
-    leader.report("m-2", 1);
+    leader.heartbeat("m-1", 1);
+    leader.heartbeat("m-2", 1);
     leader.cluster.machine("m-1").draining = true;
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     Attempt first = gang.attempts.get(0).iterator().next();
     Attempt second = gang.attempts.get(1).iterator().next();
-    leader.report(
+    leader.heartbeat(
         "m-2",
         2,
         LeaderHarness.task(first, TaskState.WAITING_FOR_GANG),
         exited(second, EndReason.NO_CAPACITY));
     assertFalse(first.isWanted(), "the only machine lists it already, so the gang starts again");
     LeaderHarness other = new LeaderHarness();
-    other.report("m-2", 1);
+    other.heartbeat("m-2", 1);
     gang = other.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     first = gang.attempts.get(0).iterator().next();
     second = gang.attempts.get(1).iterator().next();
     other.cluster.machine("m-2").draining = true;
-    other.report("m-1", 1);
-    other.report(
+    other.heartbeat("m-1", 1);
+    other.heartbeat(
         "m-2",
         2,
         LeaderHarness.task(first, TaskState.WAITING_FOR_GANG),
@@ -376,8 +376,8 @@
    */
   @Test
   void aGangDisplacedBeforeItsStartsWentOutWaitsAsAWhole() {
-    leader.report("m-1", 1);
-    leader.report("m-2", 1);
+    leader.heartbeat("m-1", 1);
+    leader.heartbeat("m-2", 1);
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 3, "i"));
     for (Attempt attempt : leader.attempts()) {
       attempt.startSession = 0;
@@ -389,35 +389,35 @@
 
   @Test
   void aReportOlderThanOneKnownChangesNothing() {
-    leader.report("m-1", 1);
+    leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    Attempt attempt = LeaderHarness.only(job);
-    leader.report("m-1", 5, LeaderHarness.task(attempt, TaskState.RUNNING));
-    leader.report("m-1", 4);
+    Attempt attempt = LeaderHarness.onlyAttempt(job);
+    leader.heartbeat("m-1", 5, LeaderHarness.task(attempt, TaskState.RUNNING));
+    leader.heartbeat("m-1", 4);
     assertEquals(Attempt.State.RUNNING, attempt.state());
   }
 
   @Test
   void aHigherTokenMeansThatThisTermIsOver() {
     assertNull(
-        leader.workers.onReport(
+        leader.workerManager.onHeartbeat(
             new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 99, null, List.of())));
-    assertEquals(List.of("token 99"), leader.resigned);
+    assertEquals(List.of("token 99"), leader.resignations);
   }
 
   /** Incident: reports held up in the network revived machines that had been returned. */
   @Test
   void aLateReportOfAReturnedMachineDoesNotBlockItsTasks() {
-    leader.report("m-1", 1);
+    leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    Attempt attempt = LeaderHarness.only(job);
-    leader.report("m-1", 2, LeaderHarness.task(attempt, TaskState.RUNNING));
+    Attempt attempt = LeaderHarness.onlyAttempt(job);
+    leader.heartbeat("m-1", 2, LeaderHarness.task(attempt, TaskState.RUNNING));
     leader.sent.clear();
-    leader.fleet.release(leader.cluster.machine("m-1"));
+    leader.autoscaler.release(leader.cluster.machine("m-1"));
     assertEquals("/rentals/release", leader.sent.peek().request().path());
     leader.sent.poll().onReply().accept(AsyncHttpClient.Reply.answered(200, new byte[] {'{', '}'}));
     assertTrue(job.attempts.isEmpty());
-    leader.report("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
+    leader.heartbeat("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
     assertTrue(job.attempts.isEmpty());
     assertNull(leader.cluster.machine("m-1"));
   }
@@ -428,15 +428,15 @@
    * @param others the zone of the other four
    */
   private void sixFallSilent(String others, Duration watched) {
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int i = 0; i < 10; i++) {
-      leader.report(i < 6 ? "a" : others, "m-" + i, 1);
+      leader.heartbeat(i < 6 ? "a" : others, "m-" + i, 1);
       leader.runFor(Duration.ofMillis(300));
     }
     for (int second = 0; second < watched.toSeconds(); second++) {
       leader.runFor(Duration.ofSeconds(1));
       for (int i = 6; i < 10; i++) {
-        leader.report(others, "m-" + i, 2 + second);
+        leader.heartbeat(others, "m-" + i, 2 + second);
       }
     }
   }
@@ -449,7 +449,7 @@
       assertEquals(Machine.State.SILENT, leader.cluster.machine("m-" + i).state());
     }
     leader.runFor(Duration.ofSeconds(1));
-    assertTrue(leader.resigned.isEmpty());
+    assertTrue(leader.resignations.isEmpty());
   }
 
   /**
@@ -459,15 +459,15 @@
   void theRestOfAZoneThatWasCutHasTimeToBeHeardAgain() {
     sixFallSilent("b", Duration.ofSeconds(25));
     for (int i = 0; i < 3; i++) {
-      leader.report("a", "m-" + i, 2);
+      leader.heartbeat("a", "m-" + i, 2);
     }
     for (int second = 0; second < 6; second++) {
       leader.runFor(Duration.ofSeconds(1));
       for (int i = 6; i < 10; i++) {
-        leader.report("b", "m-" + i, 100 + second);
+        leader.heartbeat("b", "m-" + i, 100 + second);
       }
       for (int i = 0; i < 3; i++) {
-        leader.report("a", "m-" + i, 3 + second);
+        leader.heartbeat("a", "m-" + i, 3 + second);
       }
     }
     for (int i = 3; i < 6; i++) {
@@ -506,7 +506,7 @@
   /** A leader that no worker reaches makes way, but only if it has heard one in its term. */
   @Test
   void aLeaderThatLosesAllWorkersResignsAndOneThatNeverHadAnyDoesNot() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int i = 0; i < 3; i++) {
       Machine machine = new Machine("m-" + i, LeaderHarness.TYPE, "a", false, leader.now());
       machine.knownFromPlacements = true;
@@ -514,15 +514,15 @@
       leader.cluster.addMachine(machine);
     }
     leader.runFor(Duration.ofSeconds(30));
-    assertTrue(leader.resigned.isEmpty());
+    assertTrue(leader.resignations.isEmpty());
     leader.runFor(Duration.ofSeconds(20));
     assertEquals(Machine.State.RELEASING, leader.cluster.machine("m-0").state());
     LeaderHarness other = new LeaderHarness();
-    other.fleet.start();
-    other.report("m-1", 1);
-    other.report("m-2", 1);
+    other.autoscaler.start();
+    other.heartbeat("m-1", 1);
+    other.heartbeat("m-2", 1);
     other.runFor(Duration.ofSeconds(14));
-    assertTrue(other.resigned.contains("no worker is heard"));
+    assertTrue(other.resignations.contains("no worker is heard"));
   }
 
   /**
@@ -531,16 +531,16 @@
    */
   @Test
   void aLeaderThatMostWorkersReachOnlyThroughPeersMakesWay() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int second = 0; second < 30; second++) {
       for (int i = 0; i < 5; i++) {
-        leader.report("m-" + i, 1 + second);
+        leader.heartbeat("m-" + i, 1 + second);
         // After a takeover many come by detours, and two of five may be cut off themselves.
         boolean most = second < 10 || second >= 25;
         leader.cluster.machine("m-" + i).reachedThroughPeer = i < (most ? 4 : 2);
       }
       leader.runFor(Duration.ofMillis(700));
-      assertEquals(second < 25, leader.resigned.isEmpty(), "second " + second);
+      assertEquals(second < 25, leader.resignations.isEmpty(), "second " + second);
     }
   }
 
@@ -555,25 +555,25 @@
    */
   @Test
   void afterALongDoubtTheLeaderGivesNobodyUp() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int second = 0; second < 5; second++) {
       for (int i = 0; i < 12; i++) {
-        leader.report("m-" + i, 1 + second);
+        leader.heartbeat("m-" + i, 1 + second);
       }
       leader.runFor(Duration.ofMillis(280));
     }
     // All have work, so none is returned for having none.
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 48, "i"));
     assertEquals(48, leader.attempts().size());
-    leader.certain = false;
+    leader.leaseCertain = false;
     leader.runFor(Duration.ofSeconds(68));
-    leader.certain = true;
+    leader.leaseCertain = true;
     // Some are back at once; the others report within their time.
     for (int i = 0; i < 4; i++) {
-      leader.report("m-" + i, 20);
+      leader.heartbeat("m-" + i, 20);
     }
     leader.runFor(Duration.ofSeconds(6));
-    assertTrue(leader.resigned.isEmpty(), leader.resigned.toString());
+    assertTrue(leader.resignations.isEmpty(), leader.resignations.toString());
     for (int i = 0; i < 12; i++) {
       assertEquals(Machine.State.CONFIRMED, leader.cluster.machine("m-" + i).state());
     }
@@ -586,16 +586,16 @@
 
   @Test
   void afterAPauseOfItsOwnTheLeaderGivesNobodyUp() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int second = 0; second < 5; second++) {
       for (int i = 0; i < 4; i++) {
-        leader.report("m-" + i, 1 + second);
+        leader.heartbeat("m-" + i, 1 + second);
       }
       leader.runFor(Duration.ofMillis(760));
     }
-    leader.standStillFor(Duration.ofSeconds(20));
+    leader.pauseProcessFor(Duration.ofSeconds(20));
     leader.runFor(Duration.ofSeconds(3));
-    assertTrue(leader.resigned.isEmpty(), leader.resigned.toString());
+    assertTrue(leader.resignations.isEmpty(), leader.resignations.toString());
     for (int i = 0; i < 4; i++) {
       assertEquals(Machine.State.CONFIRMED, leader.cluster.machine("m-" + i).state());
     }
@@ -609,12 +609,12 @@
   void aNewLeaderKeepsIdleMachinesWhereImagesAreSlowToFetch() {
     leader.accept(
         LeaderHarness.spec("req-000001", JobKind.SERVICE, PriorityClass.PRODUCTION, 1, "i"));
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int second = 0; second < 40; second++) {
       for (int i = 0; i < 6; i++) {
         Machine machine = leader.cluster.machine("m-" + i);
         TaskReport[] tasks = machine == null ? new TaskReport[0] : running(machine);
-        leader.report("m-" + i, 1 + second, tasks);
+        leader.heartbeat("m-" + i, 1 + second, tasks);
       }
       leader.runFor(Duration.ofMillis(640));
     }
@@ -627,10 +627,10 @@
   /** Found by the bench's run of real processes: idle machines stayed rented after the last job. */
   @Test
   void withoutAnyJobIdleMachinesGoSoon() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int second = 0; second < 40; second++) {
-      leader.report("m-1", 1 + second);
-      leader.report("m-2", 1 + second);
+      leader.heartbeat("m-1", 1 + second);
+      leader.heartbeat("m-2", 1 + second);
       leader.runFor(Duration.ofSeconds(1));
     }
     assertEquals(Machine.State.RELEASING, leader.cluster.machine("m-1").state());
@@ -643,7 +643,7 @@
    */
   @Test
   void newPricesDoNotMakeBootingMachinesBeRentedAgain() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 4, "i"));
     assertEquals(1, rentals());
     MachineType was = LeaderHarness.TYPE;
@@ -665,13 +665,13 @@
   /** Found on colombo-ops: a guest's work for idle time had every ordinary machine rented. */
   @Test
   void workForIdleTimeHasNoOrdinaryMachineRentedUntilItHasWaitedForLong() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
     assertEquals(Set.of(true), kindsAskedFor(Duration.ofSeconds(60)));
     leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.NORMAL, 8, "i"));
     assertEquals(Set.of(true, false), kindsAskedFor(Duration.ofSeconds(60)));
     LeaderHarness other = new LeaderHarness();
-    other.fleet.start();
+    other.autoscaler.start();
     other.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
     assertEquals(Set.of(true, false), kindsAskedFor(other, Duration.ofMinutes(11)));
   }
@@ -683,7 +683,7 @@
   @Test
   void workForIdleTimeDoesNotKeepAnOrdinaryMachine() {
     for (int i = 0; i < 2; i++) {
-      leader.report("m-" + i, 1);
+      leader.heartbeat("m-" + i, 1);
     }
     JobSpec like = LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 7, "i");
     leader.accept(
@@ -709,11 +709,11 @@
                 Duration.ofSeconds(30),
                 Duration.ofSeconds(3),
                 null));
-    leader.fleet.start();
+    leader.autoscaler.start();
     assertTrue(filler.pending.isEmpty());
     for (int second = 0; second < 70; second++) {
       for (int i = 0; i < 2; i++) {
-        leader.report("m-" + i, 2 + second, running(leader.cluster.machine("m-" + i)));
+        leader.heartbeat("m-" + i, 2 + second, running(leader.cluster.machine("m-" + i)));
       }
       leader.runFor(Duration.ofMillis(880));
     }
@@ -776,18 +776,18 @@
   /** Found on the grown laval: one task's vain wait stopped the other's fetch, again and again. */
   @Test
   void aGangTaskThatWaitedInVainStartsAgainAndTheOtherGoesOnFetching() {
-    leader.report("m-1", 1);
+    leader.heartbeat("m-1", 1);
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     Attempt first = gang.attempts.get(0).iterator().next();
     Attempt second = gang.attempts.get(1).iterator().next();
-    leader.report(
+    leader.heartbeat(
         "m-1",
         2,
         exited(first, EndReason.GANG_INCOMPLETE),
         LeaderHarness.task(second, TaskState.FETCHING_IMAGE));
     assertTrue(second.isWanted());
     assertFalse(gang.attempts.containsKey(0), "its machine still lists the attempt");
-    leader.report("m-1", 3, LeaderHarness.task(second, TaskState.FETCHING_IMAGE));
+    leader.heartbeat("m-1", 3, LeaderHarness.task(second, TaskState.FETCHING_IMAGE));
     Attempt again = gang.attempts.get(0).iterator().next();
     assertEquals(first.number, again.number);
     assertEquals("m-1", again.machine.name);
@@ -810,11 +810,11 @@
   /** Found on the grown colombo: work on 148 machines taken at once waited for their silence. */
   @Test
   void aMachineThatIsNoLongerListedIsReturnedBeforeItIsMissed() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     boolean wasListed = false;
     for (int second = 0; second < 30; second++) {
-      leader.report("m-1", 1 + second);
-      leader.report("m-2", 1 + second);
+      leader.heartbeat("m-1", 1 + second);
+      leader.heartbeat("m-2", 1 + second);
       leader.runFor(Duration.ofSeconds(1));
       for (var sent = leader.sent.poll(); sent != null; sent = leader.sent.poll()) {
         if (sent.request().path().startsWith("/rentals?")) {
@@ -838,12 +838,12 @@
 
   @Test
   void oneSilentMachineIsReturned() {
-    leader.fleet.start();
+    leader.autoscaler.start();
     for (int second = 0; second < 14; second++) {
       leader.runFor(Duration.ofSeconds(1));
       for (int i = 0; i < 5; i++) {
         if (i > 0 || second == 0) {
-          leader.report("m-" + i, 1 + second);
+          leader.heartbeat("m-" + i, 1 + second);
         }
       }
     }
@@ -854,7 +854,7 @@
   /** Found on colombo: services started on machines without their image came too late. */
   @Test
   void lowerWorkMakesWayWhereTheImageIsWhenFetchingWouldBeTooLate() {
-    leader.report("warm", 1);
+    leader.heartbeat("warm", 1);
     Machine warm = leader.cluster.machine("warm");
     warm.touchImage("img-s", 5);
     Job array =
@@ -863,8 +863,8 @@
         array.attempts.values().stream()
             .map(set -> LeaderHarness.task(set.iterator().next(), TaskState.RUNNING))
             .toArray(TaskReport[]::new);
-    leader.report("warm", 2, running);
-    leader.report("cold", 1);
+    leader.heartbeat("warm", 2, running);
+    leader.heartbeat("cold", 1);
     var service =
         LeaderHarness.spec("req-2", JobKind.SERVICE, PriorityClass.PRODUCTION, 1, "img-s");
     Job job =
@@ -904,8 +904,8 @@
                         ? exited(a, EndReason.STOPPED)
                         : LeaderHarness.task(a, TaskState.RUNNING))
             .toArray(TaskReport[]::new);
-    leader.report("warm", 3, after);
-    assertEquals(warm, LeaderHarness.only(job).machine);
+    leader.heartbeat("warm", 3, after);
+    assertEquals(warm, LeaderHarness.onlyAttempt(job).machine);
   }
 
   /** Found on laval: tasks sat out fetches of minutes while machines with the image came free. */
@@ -916,7 +916,7 @@
   @Test
   void oneLookMakesRoomForAllTasksAndStopsOnlyWhatHelps() {
     for (int i = 0; i < 4; i++) {
-      leader.report("m-" + i, 1);
+      leader.heartbeat("m-" + i, 1);
     }
     JobSpec cpus = LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 4, "i");
     Job tiny = leader.accept(of(cpus, Resources.of(1, 0, 1)));
@@ -938,7 +938,7 @@
   @Test
   void lowerWorkMakesWayForAWholeGangOrNotAtAll() {
     for (int i = 0; i < 3; i++) {
-      leader.report("m-" + i, 1);
+      leader.heartbeat("m-" + i, 1);
     }
     Job low =
         leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 12, "i"));
@@ -965,7 +965,7 @@
                           ? LeaderHarness.task(a, TaskState.RUNNING)
                           : exited(a, EndReason.STOPPED))
               .toArray(TaskReport[]::new);
-      leader.report("m-" + i, 2, tasks);
+      leader.heartbeat("m-" + i, 2, tasks);
     }
     assertEquals(2, gang.attempts.size(), "the freed rooms are the gang's");
   }
@@ -1001,7 +1001,7 @@
   @Test
   void aHugeArrayStartsAtABoundedPaceAndASmallOneAtOnce() {
     for (int i = 0; i < 40; i++) {
-      leader.report("m-" + i, 1);
+      leader.heartbeat("m-" + i, 1);
     }
     JobSpec many = LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.NORMAL, 1000, "i");
     Job huge = leader.accept(of(many, Resources.of(0.25, 0, 0.5)));
@@ -1019,17 +1019,17 @@
 
   @Test
   void aFetchingTaskMovesToRoomWhereItsImageIs() {
-    leader.report("cold", 1);
+    leader.heartbeat("cold", 1);
     Job job =
         leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "img"));
-    Attempt first = LeaderHarness.only(job);
-    leader.report("cold", 2, LeaderHarness.task(first, TaskState.FETCHING_IMAGE));
+    Attempt first = LeaderHarness.onlyAttempt(job);
+    leader.heartbeat("cold", 2, LeaderHarness.task(first, TaskState.FETCHING_IMAGE));
     Machine warm = new Machine("warm", LeaderHarness.TYPE, "a", false, leader.now());
     warm.touchImage("img", 5);
     leader.cluster.addMachine(warm);
-    leader.report("warm", 1);
+    leader.heartbeat("warm", 1);
     assertFalse(first.isWanted());
-    leader.report("cold", 3, exited(first, EndReason.STOPPED));
-    assertEquals("warm", LeaderHarness.only(job).machine.name);
+    leader.heartbeat("cold", 3, exited(first, EndReason.STOPPED));
+    assertEquals("warm", LeaderHarness.onlyAttempt(job).machine.name);
   }
 }
