--- a/src/test/java/io/pineladder/zones/ZonesTest.java
+++ b/src/test/java/io/pineladder/zones/ZonesTest.java
@@ -32,21 +32,21 @@
     assertEquals("UP", state());
     heard(1, 85, 0);
     assertEquals("DOUBTED", state());
-    assertEquals(List.of("b", "a"), zones.rentable(List.of("a", "b")));
+    assertEquals(List.of("b", "a"), zones.rentableZones(List.of("a", "b")));
     heard(10, 3, 0);
     assertEquals("CUT", state());
-    assertEquals(List.of("b"), zones.rentable(List.of("a", "b")));
+    assertEquals(List.of("b"), zones.rentableZones(List.of("a", "b")));
     // With no other left it is as good as any.
-    assertEquals(List.of("a"), zones.rentable(List.of("a")));
+    assertEquals(List.of("a"), zones.rentableZones(List.of("a")));
     heard(5, 3, 60);
-    assertTrue(zones.isApart("a"));
+    assertTrue(zones.isKeptAliveByPeers("a"));
     heard(5, 3, 0);
-    assertFalse(zones.isApart("a"));
+    assertFalse(zones.isKeptAliveByPeers("a"));
     heard(1, 40, 0);
     assertEquals("RETURNING", state());
     heard(1, 95, 0);
     assertEquals("PROBATION", state());
-    assertEquals(List.of("b", "a"), zones.rentable(List.of("a", "b")));
+    assertEquals(List.of("b", "a"), zones.rentableZones(List.of("a", "b")));
     heard(32, 100, 0);
     assertEquals("UP", state());
   }
@@ -68,15 +68,15 @@
   @Test
   void aZoneIsExpectedBackAsItCameBackBefore() {
     heard(1, 0, 0);
-    assertEquals(Duration.ofSeconds(1), zones.expectedAway("a", now));
+    assertEquals(Duration.ofSeconds(1), zones.expectedRemainingOutage("a", now));
     heard(59, 0, 0);
-    assertEquals(Duration.ofSeconds(60), zones.expectedAway("a", now));
+    assertEquals(Duration.ofSeconds(60), zones.expectedRemainingOutage("a", now));
     heard(40, 100, 0);
     heard(10, 0, 0);
-    assertEquals(Duration.ofSeconds(50), zones.expectedAway("a", now));
+    assertEquals(Duration.ofSeconds(50), zones.expectedRemainingOutage("a", now));
     // Longer than before: half of what it has been is as good a guess as any.
     heard(90, 0, 0);
-    assertEquals(Duration.ofSeconds(50), zones.expectedAway("a", now));
-    assertEquals(Duration.ZERO, zones.expectedAway("b", now));
+    assertEquals(Duration.ofSeconds(50), zones.expectedRemainingOutage("a", now));
+    assertEquals(Duration.ZERO, zones.expectedRemainingOutage("b", now));
   }
 }
