--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -130,7 +130,7 @@
             settings.storeAddress(),
             settings.storeLimits(),
             settings.peers().size() + 1);
-    this.configurationRetry = storeClient.backoff();
+    this.configurationRetry = storeClient.newBackoff();
     this.acceptedJobs = new AcceptedJobIndex(storeClient, eventLoop);
     this.failoverTimings = new FailoverTimings(eventLoop);
     this.membership = new Membership(settings, nonce, eventLoop, this::sendGossip, this::ownGossip);
@@ -161,7 +161,7 @@
 
   public void start() {
     log.info("controller {} starts in zone {}", settings.controllerName(), settings.zone());
-    membership.onStored(replicaManager.generations()::heard);
+    membership.onStoreStatus(replicaManager.generations()::heard);
     membership.start();
     tick();
     replicaManager.start();
@@ -177,7 +177,9 @@
    * have seen, or a process that has just begun would lead in a store that has lost its data.
    */
   private boolean mayBecomeCandidate() {
-    return membership.hasAskedAll() && replicaManager.mayStand() && !clusterVersion.isUnsupported();
+    return membership.hasProbedAll()
+        && replicaManager.mayStand()
+        && !clusterVersion.isUnsupported();
   }
 
   /** The version of the records that is in force, as far as this node knows. */
@@ -193,15 +195,15 @@
 
     @Override
     public void onLost() {
-      membership.tellNow();
+      membership.sendHeartbeatsNow();
       election.pause();
-      acceptedJobs.forget();
+      acceptedJobs.invalidate();
     }
 
     @Override
     public void onGeneration(boolean whole) {
       election.pause();
-      acceptedJobs.forget();
+      acceptedJobs.invalidate();
       if (whole) {
         election.start();
         readConfiguration();
@@ -209,8 +211,8 @@
     }
 
     @Override
-    public List<Membership.View> peers() {
-      return membership.view();
+    public List<Membership.PeerStatus> peers() {
+      return membership.peerStatuses();
     }
   }
 
@@ -221,12 +223,12 @@
 
   private void sendGossip(String address, byte[] message, Consumer<byte[]> onReply) {
     httpClient.call(
-        Request.post(address, GossipWire.PATH, message, Membership.TIMEOUT),
+        Request.post(address, GossipWire.PATH, message, Membership.HEARTBEAT_TIMEOUT),
         reply -> onReply.accept(reply.is(200) ? reply.body() : null));
   }
 
-  private Membership.Own ownGossip() {
-    return new Membership.Own(
+  private Membership.LocalStatus ownGossip() {
+    return new Membership.LocalStatus(
         storeClient.isHealthy(),
         election.isLeaseValid() ? election.term() : 0,
         replicaManager.told(),
@@ -245,7 +247,8 @@
   private final class ElectionEvents implements Election.Listener {
     @Override
     public void onElected(long term, long version) {
-      FailoverTimings.OngoingFailover takeover = failoverTimings.begin(term, membership.ledAt());
+      FailoverTimings.OngoingFailover takeover =
+          failoverTimings.begin(term, membership.leaderContactAt());
       RecordReplica fed = replicaManager.lead();
       leaderTerm =
           new LeaderTerm(
@@ -388,8 +391,8 @@
     }
 
     @Override
-    public List<Membership.View> peers() {
-      return membership.view();
+    public List<Membership.PeerStatus> peers() {
+      return membership.peerStatuses();
     }
 
     @Override
@@ -470,8 +473,8 @@
   private void readConfiguration() {
     long of = storeClient.generation().base();
     BooleanSupplier wanted = () -> !stopped && storeClient.generation().base() == of;
-    storeClient.list(
-        RecordKeys.CONF,
+    storeClient.listAll(
+        RecordKeys.CONFIGURATION,
         wanted,
         listing -> {
           listing.entries().forEach(this::onConfigurationEntry);
@@ -484,7 +487,7 @@
       return;
     }
     storeClient.watch(
-        RecordKeys.CONF,
+        RecordKeys.CONFIGURATION,
         after,
         WATCH_TIMEOUT,
         followed -> {
@@ -497,7 +500,7 @@
             changes.entries().forEach(this::onConfigurationEntry);
             watchConfiguration(changes.revision(), wanted);
           } else {
-            storeClient.retry(
+            storeClient.scheduleRetry(
                 configurationRetry,
                 followed.reply().is(410)
                     ? this::readConfiguration
@@ -507,13 +510,13 @@
   }
 
   private void onConfigurationEntry(StoreWire.Entry entry) {
-    if (entry.key().equals(RecordKeys.NETWORKS) && delivery != null) {
+    if (entry.key().equals(RecordKeys.DELIVERY_NETWORKS) && delivery != null) {
       delivery.learnNetworks(entry.value());
     }
     if (entry.value() == null) {
       return;
     }
-    if (entry.key().equals(RecordKeys.VERSION)) {
+    if (entry.key().equals(RecordKeys.CLUSTER_VERSION)) {
       clusterVersion.onRecord(entry.value());
       if (clusterVersion.isUnsupported() && leaderTerm != null) {
         election.yieldLeadership(
@@ -521,9 +524,9 @@
       }
     }
     try {
-      if (entry.key().equals(RecordKeys.TYPES)) {
+      if (entry.key().equals(RecordKeys.MACHINE_TYPES)) {
         setMachineTypes(RecordWire.parseTypes(entry.value()));
-      } else if (entry.key().equals(RecordKeys.OPERATOR)) {
+      } else if (entry.key().equals(RecordKeys.OPERATOR_SETTINGS)) {
         operatorSettings = RecordWire.parseOperator(entry.value(), OperatorSettings.DEFAULTS);
         if (leaderTerm != null) {
           leaderTerm.configure(operatorSettings);
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -87,7 +87,7 @@
     /** The version of the records that is in force. */
     ClusterVersion version();
 
-    List<Membership.View> peers();
+    List<Membership.PeerStatus> peers();
 
     List<MachineType> types();
 
@@ -207,7 +207,7 @@
             eventLoop,
             committer::submit,
             this::onNotificationsStored);
-    committer.number(outbox);
+    committer.setNotificationLog(outbox);
     this.subscriptions =
         new SubscriptionManager(
             delivery, outbox, eventLoop, committer::submit, valueBytes, this::mayAct);
@@ -276,7 +276,7 @@
               }
 
               @Override
-              public void onEndStored(Job job) {
+              public void onFinalStateStored(Job job) {
                 LeaderTerm.this.onEndStored(job);
               }
 
@@ -287,7 +287,7 @@
               }
 
               @Override
-              public void onStoredTwice(Job job, Runnable again) {
+              public void onUnpagedRecordFound(Job job, Runnable again) {
                 reconciler.onStoredTwice(job, again);
               }
             },
@@ -408,12 +408,12 @@
     }
 
     @Override
-    public void onKeyGone() {
+    public void onLeaderKeyGone() {
       host.onKeyGone();
     }
 
     @Override
-    public void onLost(String reason) {
+    public void onDataLoss(String reason) {
       host.onLost(reason);
     }
 
@@ -457,7 +457,7 @@
   }
 
   public int pendingWrites() {
-    return committer.waiting();
+    return committer.pendingMutations();
   }
 
   private PrerequisiteReader prerequisites() {
@@ -475,7 +475,7 @@
 
   /** Has what earlier leaders stored in values that are too large stored in smaller ones. */
   private void shrinkPages() {
-    records.shrinkPages(() -> state == State.LEADING, committer::releaseHeld);
+    records.divideOversizedPages(() -> state == State.LEADING, committer::requeueDeferred);
   }
 
   private void onVersion() {
@@ -541,8 +541,8 @@
     }
     committer.submit(
         Mutation.of(
-            Mutation.Priority.TIDY,
-            List.of(new Mutation.Write(RecordKeys.TYPES, () -> RecordWire.types(types))),
+            Mutation.Priority.CLEANUP,
+            List.of(new Mutation.Write(RecordKeys.MACHINE_TYPES, () -> RecordWire.types(types))),
             () -> {}));
   }
 
@@ -550,8 +550,10 @@
   public void storeOperatorSettings(OperatorSettings operator, Runnable onStored) {
     committer.submit(
         Mutation.of(
-            Mutation.Priority.ACCEPT,
-            List.of(new Mutation.Write(RecordKeys.OPERATOR, () -> RecordWire.operator(operator))),
+            Mutation.Priority.ACCEPTANCE,
+            List.of(
+                new Mutation.Write(
+                    RecordKeys.OPERATOR_SETTINGS, () -> RecordWire.operator(operator))),
             onStored));
   }
 
@@ -679,10 +681,10 @@
   private void store(StoreWire.Entry damaged) {
     committer.submit(
         Mutation.of(
-            Mutation.Priority.TIDY,
-            List.of(new Mutation.Write(RecordKeys.DAMAGED + damaged.key(), damaged::value)),
+            Mutation.Priority.CLEANUP,
+            List.of(new Mutation.Write(RecordKeys.UNREADABLE + damaged.key(), damaged::value)),
             () -> {}));
-    records.rewrite(damaged.key());
+    records.rewritePage(damaged.key());
   }
 
   /**
@@ -705,7 +707,7 @@
       scheduler.add(job);
       if (job.isActive() && job.done.cardinality() == job.spec.tasks()) {
         job.transitionTo(Job.State.DONE);
-        records.end(job);
+        records.storeFinalState(job);
       }
     }
     if (machineTypesToStore != null) {
@@ -736,7 +738,7 @@
     autoscaler.start();
     keepAliveReader.start(() -> state == State.OVER);
     new GenerationGarbageCollector(storeClient, eventLoop, leaderKeyRevision, this::mayAct).start();
-    if (subscriptions.isOn() || outbox.isWanted()) {
+    if (subscriptions.isOn() || outbox.hasSubscribers()) {
       loader.loadBacklog(() -> state == State.LEADING, subscriptions::start);
     }
     scheduler.requestRun();
@@ -831,7 +833,7 @@
     first.add(onDone);
     pendingSubmissions.put(id, first);
     Job job = new Job(spec, eventLoop.wallClock(), Job.State.ACTIVE);
-    records.accept(job, () -> accepted(job), () -> acceptedElsewhere(id));
+    records.storeAcceptance(job, () -> accepted(job), () -> acceptedElsewhere(id));
   }
 
   private void accepted(Job job) {
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -114,17 +114,21 @@
         .put("term", leader == null ? node.election().knownLeaderTerm() : leader.term())
         .put("store_healthy", node.storeClient().isHealthy())
         .put("machine_types", node.machineTypes().size())
-        .put("doubts_itself", node.membership().self() == Membership.Self.DOUBTFUL);
+        .put(
+            "doubts_itself",
+            node.membership().selfAssessment() == Membership.SelfAssessment.DOUBTFUL);
     ArrayNode peers = out.putArray("peers");
-    for (Membership.View peer : node.membership().view()) {
+    for (Membership.PeerStatus peer : node.membership().peerStatuses()) {
       peers
           .addObject()
-          .put("member", peer.member())
+          .put("member", peer.controllerName())
           .put("state", peer.state().name().toLowerCase(Locale.ROOT))
-          .put("unheard_s", peer.unheard() == null ? null : peer.unheard().toMillis() / 1e3)
-          .put("store_healthy", peer.storeOk())
+          .put(
+              "unheard_s",
+              peer.sinceContact() == null ? null : peer.sinceContact().toMillis() / 1e3)
+          .put("store_healthy", peer.storeReachable())
           .put("term", peer.term())
-          .put("changes", peer.changes())
+          .put("changes", peer.stateChanges())
           .put("supported_version", peer.version());
     }
     out.set("version", version());
@@ -154,9 +158,9 @@
         .put("value_bytes", kept.valueBytes())
         .put("transaction_changes", kept.transactionOps())
         .put("change_announced", !kept.equals(inForce))
-        .put("requests", node.storeClient().sent())
-        .put("refused_for_rate", node.storeClient().refusedForRate())
-        .put("changes_left", node.storeClient().writes().available(node.eventLoop().now()));
+        .put("requests", node.storeClient().requestCount())
+        .put("refused_for_rate", node.storeClient().rateLimitedCount())
+        .put("changes_left", node.storeClient().writeBudget().available(node.eventLoop().now()));
   }
 
   private ObjectNode metrics() {
@@ -291,7 +295,7 @@
         .put("final_states", replica.ends());
     if (node.replicaManager().snapshots() != null) {
       out.putObject("snapshots")
-          .put("kept", node.replicaManager().snapshots().kept())
+          .put("kept", node.replicaManager().snapshots().snapshotCount())
           .put("failures", node.replicaManager().snapshots().failures());
     }
     return out;
--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -79,7 +79,7 @@
           continue;
         }
         Job.State ended = knownEnd(id);
-        AcceptedJobIndex.Found found = node.acceptedJobs().find(id);
+        AcceptedJobIndex.IndexedJob found = node.acceptedJobs().find(id);
         if (ended == Job.State.CANCELLED) {
           onDone.accept(Outcome.CANCELLED);
           return;
@@ -123,7 +123,7 @@
       }
       node.storeClient()
           .readForUser(
-              RecordKeys.JOB + id,
+              RecordKeys.UNPAGED_JOB + id,
               read -> {
                 if (!read.certain()) {
                   onDone.accept(Outcome.UNCERTAIN);
@@ -146,7 +146,7 @@
     private void readEnd(String id) {
       node.storeClient()
           .readForUser(
-              RecordKeys.END + id,
+              RecordKeys.FINAL_STATE + id,
               read -> {
                 if (!read.certain() || !read.found() && node.replicaManager().mayBeLost(id)) {
                   onDone.accept(Outcome.UNCERTAIN);
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -213,7 +213,7 @@
    */
   private boolean keepsAlive(RecordWire.LeaderRecord known, WorkerWire.Report report) {
     Duration longest = Election.maxWorkerLeaseExtension(node.settings().workerTimes());
-    Instant leaderAt = node.membership().answeredAt(known.member());
+    Instant leaderAt = node.membership().answeredHeartbeatSentAt(known.member());
     if (node.storeClient().isHealthy()) {
       return report.token() <= node.election().knownLeaderTerm()
           && leaderAt != null
@@ -238,11 +238,11 @@
     Instant now = node.eventLoop().now();
     if (since == null
         // A peer that reaches the store has a leader or will: this node alone is cut off.
-        || node.membership().hearsOfStore()
+        || node.membership().isStoreReachableByPeer()
         || now.isAfter(since.plus(MOST_KEPT))) {
       return false;
     }
-    if (node.membership().isStoreOutForMost()) {
+    if (node.membership().isStoreUnreachableForMost()) {
       return true;
     }
     if (!report.zone().equals(node.settings().zone())) {
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -143,20 +143,20 @@
     byte[] body =
         node.storeClient()
             .transaction()
-            .require(RecordKeys.JOB + id, 0)
-            .require(RecordKeys.END + id, 0)
-            .put(RecordKeys.JOB + id, record)
+            .require(RecordKeys.UNPAGED_JOB + id, 0)
+            .require(RecordKeys.FINAL_STATE + id, 0)
+            .put(RecordKeys.UNPAGED_JOB + id, record)
             .put(RecordKeys.INBOX + id, note)
             .bytes();
     RecordReplica replica = node.replicaManager().copy();
     node.storeClient()
-        .changeForUser(
+        .writeForUser(
             node.storeClient().post("/multi", body),
             2,
             reply -> {
               if (reply.is(200)) {
                 log.debug("job {} accepted without a leader", id);
-                replica.put(RecordKeys.JOB + id, record, 0, true);
+                replica.put(RecordKeys.UNPAGED_JOB + id, record, 0, true);
                 replica.put(RecordKeys.INBOX + id, note, 0, true);
                 node.replicaManager().acceptedHere(() -> submit(spec, again -> {}));
                 answer.accept(new HttpResponse(201, JobWire.view(id, status)));
@@ -183,7 +183,7 @@
     // misses none.
     node.storeClient()
         .readForUser(
-            RecordKeys.JOB + id,
+            RecordKeys.UNPAGED_JOB + id,
             read -> {
               if (!read.certain()) {
                 answer.accept(later("no leader"));
@@ -203,7 +203,7 @@
                 answer.accept(later("no leader"));
                 return;
               }
-              AcceptedJobIndex.Found found = node.acceptedJobs().find(id);
+              AcceptedJobIndex.IndexedJob found = node.acceptedJobs().find(id);
               if (found != null) {
                 tellAccepted(id, cancel, found, answer);
               } else {
@@ -215,7 +215,7 @@
   private void readEnd(String id, Consumer<HttpResponse> answer) {
     node.storeClient()
         .readForUser(
-            RecordKeys.END + id,
+            RecordKeys.FINAL_STATE + id,
             end -> {
               if (!end.certain()) {
                 answer.accept(later("no leader"));
@@ -234,7 +234,10 @@
     try {
       RecordWire.StoredJob job = RecordWire.parseJob(entry.value());
       tellAccepted(
-          id, cancel, new AcceptedJobIndex.Found(job.state(), job.spec().prerequisites()), answer);
+          id,
+          cancel,
+          new AcceptedJobIndex.IndexedJob(job.state(), job.spec().prerequisites()),
+          answer);
     } catch (MalformedMessageException e) {
       answer.accept(later("the stored job cannot be read"));
     }
@@ -242,7 +245,7 @@
 
   /** A job whose record names no final state may be cancelled with one before it. */
   private void tellAccepted(
-      String id, boolean cancel, AcceptedJobIndex.Found job, Consumer<HttpResponse> answer) {
+      String id, boolean cancel, AcceptedJobIndex.IndexedJob job, Consumer<HttpResponse> answer) {
     if (job.state() != Job.State.ACTIVE || job.prerequisites().isEmpty()) {
       tellState(id, cancel, job.state(), answer);
       return;
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -158,7 +158,7 @@
     }
     if (!node.storeClient().isHealthy()) {
       // Cut off from the store this node may know an old leader only; its peers may know better.
-      for (String peer : node.membership().likely()) {
+      for (String peer : node.membership().candidateAddresses()) {
         if (!ways.contains(peer)) {
           ways.add(peer);
         }
@@ -437,8 +437,8 @@
   private boolean isReady() {
     boolean now =
         node.leadingTerm() != null
-            || isRecent(node.storeClient().answeredAt())
-            || isRecent(node.membership().heardAnyAt());
+            || isRecent(node.storeClient().lastResponseAt())
+            || isRecent(node.membership().lastPeerContactAt());
     if (now != ready) {
       log.info("ready: {}", now);
       ready = now;
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -368,7 +368,7 @@
     scheduler.faultAttribution().forget(machine);
     bootTimes.forget(machine);
     List<Attempt> lost = List.copyOf(machine.attempts.values());
-    records.machineGone(lost);
+    records.removePlacements(lost);
     for (Attempt attempt : lost) {
       scheduler.onAttemptGone(attempt, "the machine was returned");
     }
--- a/src/main/java/io/pineladder/delivery/NotificationOutbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -244,7 +244,8 @@
               leaveJobs(twice);
             }
           }
-          backlogPages.put(Long.parseLong(key.substring(RecordKeys.BACKLOG.length())), last);
+          backlogPages.put(
+              Long.parseLong(key.substring(RecordKeys.NOTIFICATION_BACKLOG.length())), last);
           sealedTo = Math.max(sealedTo, last);
         });
     entries.sort(BY_NUMBER);
@@ -252,7 +253,8 @@
     subscriptions.values().forEach(subscription -> sources.add(subscription.source()));
     progress.forEach(
         (key, page) -> {
-          ProgressPage known = page(Integer.parseInt(key.substring(RecordKeys.DELIVERED.length())));
+          ProgressPage known =
+              page(Integer.parseInt(key.substring(RecordKeys.DELIVERY_PROGRESS.length())));
           page.forEach(
               (source, at) -> {
                 if (sources.contains(source)) {
@@ -260,7 +262,7 @@
                 }
               });
         });
-    subscriptions.values().forEach(this::begin);
+    subscriptions.values().forEach(this::beginTransaction);
     state = State.WHOLE;
     trim();
     mend();
@@ -301,7 +303,7 @@
     return entries.get(index).notification.number();
   }
 
-  private Cursor begin(Subscription subscription) {
+  private Cursor beginTransaction(Subscription subscription) {
     return cursors.computeIfAbsent(
         subscription.source(),
         source -> {
@@ -323,7 +325,7 @@
 
   private ProgressPage page(int index) {
     while (pages.size() <= index) {
-      pages.add(new ProgressPage(RecordKeys.DELIVERED + pages.size()));
+      pages.add(new ProgressPage(RecordKeys.DELIVERY_PROGRESS + pages.size()));
     }
     return pages.get(index);
   }
@@ -348,7 +350,7 @@
   public void subscribed(Subscription subscription) {
     coming.remove(subscription.name());
     subscriptions.put(subscription.name(), subscription);
-    begin(subscription);
+    beginTransaction(subscription);
     trim();
     onStored.run();
   }
@@ -380,17 +382,17 @@
   // ---- notices
 
   @Override
-  public boolean isWanted() {
+  public boolean hasSubscribers() {
     return !subscriptions.isEmpty() || !coming.isEmpty();
   }
 
   @Override
-  public void begin() {
+  public void beginTransaction() {
     assigned = committed;
   }
 
   @Override
-  public Notification next(Job job) {
+  public Notification allocate(Job job) {
     String owner = job.spec.team();
     String jobClass = job.spec.jobClass();
     boolean wanted =
@@ -410,14 +412,14 @@
   }
 
   @Override
-  public void stored(Notification notification, int bytes, Runnable drop) {
+  public void onStored(Notification notification, int bytes, Runnable drop) {
     Entry entry = new Entry(notification, bytes, drop);
     bytesInJobs += bytes;
     (state == State.READING_JOBS ? entries : fresh).add(entry);
   }
 
   @Override
-  public void committed() {
+  public void onTransactionCommitted() {
     if (fresh.isEmpty()) {
       return;
     }
@@ -463,10 +465,11 @@
     commit.accept(
         Mutation.of(
             // Among the ends: put off in a rush it would leave them ever more pages to change.
-            Mutation.Priority.END,
+            Mutation.Priority.FINAL_STATE,
             List.of(
                 new Mutation.Write(
-                    RecordKeys.BACKLOG + page, () -> RecordWire.page(Stream.of(), chunk))),
+                    RecordKeys.NOTIFICATION_BACKLOG + page,
+                    () -> RecordWire.page(Stream.of(), chunk))),
             () -> {
               sealing = false;
               backlogPages.put(page, last);
@@ -495,8 +498,8 @@
       long page = backlogPages.pollFirstEntry().getKey();
       commit.accept(
           Mutation.of(
-              Mutation.Priority.TIDY,
-              List.of(new Mutation.Write(RecordKeys.BACKLOG + page, () -> null)),
+              Mutation.Priority.CLEANUP,
+              List.of(new Mutation.Write(RecordKeys.NOTIFICATION_BACKLOG + page, () -> null)),
               () -> {}));
     }
   }
@@ -514,7 +517,7 @@
   }
 
   /** The subscriber's next notice, or null; what is not for it is passed over. */
-  public Notification next(Subscription subscription) {
+  public Notification allocate(Subscription subscription) {
     Cursor cursor = cursor(subscription);
     Notification found = null;
     while (found == null && cursor.number < committed) {
@@ -537,7 +540,7 @@
     if (!subscription.retainsNotifications()) {
       return new Backlog(0, null);
     }
-    Notification oldest = next(subscription);
+    Notification oldest = allocate(subscription);
     long count = 0;
     for (long n = cursor(subscription).number + 1; oldest != null && n <= committed; n++) {
       count += subscription.wants(at(n)) ? 1 : 0;
@@ -557,7 +560,7 @@
     if (position >= cursor.sequence) {
       cursor.lostFrom = 0;
       while (cursor.sequence < position) {
-        Notification next = next(subscription);
+        Notification next = allocate(subscription);
         if (next == null) {
           cursor.moveTo(before);
           return false;
@@ -646,7 +649,7 @@
     Map<Cursor, DeliveryProgress> rendered = new HashMap<>();
     commit.accept(
         Mutation.of(
-            Mutation.Priority.TIDY,
+            Mutation.Priority.CLEANUP,
             List.of(new Mutation.Write(page.key, () -> render(page, rendered))),
             () -> {
               page.writing = false;
--- a/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
+++ b/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
@@ -171,7 +171,7 @@
 
   private boolean isWaiting() {
     return outbox.cursor(subscription).now().firstLostSequence() > 0
-        || outbox.next(subscription) != null;
+        || outbox.allocate(subscription) != null;
   }
 
   /** It is its turn. */
@@ -185,7 +185,7 @@
       return;
     }
     DeliveryProgress at = outbox.cursor(subscription).now();
-    Notification next = at.firstLostSequence() > 0 ? null : outbox.next(subscription);
+    Notification next = at.firstLostSequence() > 0 ? null : outbox.allocate(subscription);
     if (at.firstLostSequence() == 0 && next == null) {
       moveTo(State.CURRENT);
       owner.done();
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -118,7 +118,7 @@
     // With the ends, in their order: an end whose change was begun without a notice goes first.
     commit.accept(
         new Mutation(
-            Mutation.Priority.END,
+            Mutation.Priority.FINAL_STATE,
             List.of(
                 new Mutation.Write(
                     RecordKeys.SUBSCRIPTION + name,
@@ -509,8 +509,8 @@
     ObjectNode record = DeliveryWire.networks(wanted);
     commit.accept(
         Mutation.of(
-            Mutation.Priority.ACCEPT,
-            List.of(new Mutation.Write(RecordKeys.NETWORKS, () -> record)),
+            Mutation.Priority.ACCEPTANCE,
+            List.of(new Mutation.Write(RecordKeys.DELIVERY_NETWORKS, () -> record)),
             within(
                 answer,
                 () -> {
--- a/src/main/java/io/pineladder/failover/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -97,10 +97,10 @@
     }
     BooleanSupplier wanted = listener::wanted;
     list(
-        RecordKeys.CONF,
+        RecordKeys.CONFIGURATION,
         wanted,
         conf -> {
-          conf.entries().forEach(e -> committer.known(e.key(), e.version()));
+          conf.entries().forEach(e -> committer.restoreRevision(e.key(), e.version()));
           listener.onConf(conf.entries());
           loadSubscriptions(conf.entries());
           loadRecords(wanted);
@@ -108,7 +108,7 @@
   }
 
   private void list(String prefix, BooleanSupplier wanted, Consumer<StoreClient.Listing> onDone) {
-    storeClient.list(
+    storeClient.listAll(
         prefix,
         wanted,
         listing -> {
@@ -141,14 +141,14 @@
           Stored stored = new Stored();
           // In one order, so that a simulated day is the same each time.
           Map<String, Consumer<StoreClient.Listing>> rest = new LinkedHashMap<>();
-          rest.put(RecordKeys.JOB, listing -> stored.jobs = listing);
-          rest.put(RecordKeys.ACCEPTED, listing -> stored.accepted = listing);
-          rest.put(RecordKeys.DONE, listing -> stored.done = listing);
-          rest.put(RecordKeys.PLACED, listing -> stored.placed = listing);
-          rest.put(RecordKeys.IMAGES, listing -> stored.images = listing);
+          rest.put(RecordKeys.UNPAGED_JOB, listing -> stored.jobs = listing);
+          rest.put(RecordKeys.JOB_PAGES, listing -> stored.accepted = listing);
+          rest.put(RecordKeys.COMPLETIONS, listing -> stored.done = listing);
+          rest.put(RecordKeys.PLACEMENTS, listing -> stored.placed = listing);
+          rest.put(RecordKeys.CACHED_IMAGES, listing -> stored.images = listing);
           if (storeClient.generation().base() != 0) {
             // Without them a job that was over before the loss would be taken for a new one.
-            rest.put(RecordKeys.ENDS, listing -> {});
+            rest.put(RecordKeys.ARCHIVED_FINAL_STATES, listing -> {});
           }
           int[] left = {rest.size()};
           rest.forEach(
@@ -172,22 +172,22 @@
    */
   public void loadBacklog(BooleanSupplier wanted, Runnable onDone) {
     list(
-        RecordKeys.BACKLOG,
+        RecordKeys.NOTIFICATION_BACKLOG,
         wanted,
         backlog ->
             list(
-                RecordKeys.DELIVERED,
+                RecordKeys.DELIVERY_PROGRESS,
                 wanted,
                 delivered -> {
                   try {
                     Map<String, List<Notification>> notices = new LinkedHashMap<>();
                     for (StoreWire.Entry page : backlog.entries()) {
-                      committer.known(page.key(), page.version());
+                      committer.restoreRevision(page.key(), page.version());
                       notices.put(page.key(), RecordWire.notices(page.value()));
                     }
                     Map<String, Map<String, DeliveryProgress>> progress = new LinkedHashMap<>();
                     for (StoreWire.Entry page : delivered.entries()) {
-                      committer.known(page.key(), page.version());
+                      committer.restoreRevision(page.key(), page.version());
                       progress.put(page.key(), DeliveryWire.parseProgress(page.value()));
                     }
                     outbox.complete(notices, progress);
@@ -220,7 +220,7 @@
       throws MalformedMessageException {
     List<Paged<T>> found = new ArrayList<>();
     for (StoreWire.Entry page : listing.entries()) {
-      committer.known(page.key(), page.version());
+      committer.restoreRevision(page.key(), page.version());
       for (JsonNode entry : RecordWire.entries(page.value())) {
         found.add(new Paged<>(page.key(), reader.read(entry)));
       }
@@ -243,9 +243,9 @@
         }
       }
       for (StoreWire.Entry page : stored.accepted.entries()) {
-        records.knownJobs(page.key());
+        records.restoreJobPage(page.key());
         for (Notification notification : RecordWire.notices(page.value())) {
-          records.knownNotice(page.key(), notification);
+          records.restoreNotification(page.key(), notification);
         }
       }
       outbox.loaded();
@@ -254,37 +254,37 @@
       for (Paged<JsonNode> record : readPages(stored.accepted, entry -> entry)) {
         String source = RecordWire.source(record.entry);
         if (source != null && accepted.contains(source)) {
-          records.knownCopy(record.page, source);
+          records.restoreCopy(record.page, source);
           continue;
         }
         if (source != null) {
-          records.knownDivided(source);
+          records.reservePageNumber(source);
         }
         Job job = known(toJob(record.entry));
-        records.knownJob(record.page, job, RecordWire.withoutSource(record.entry));
+        records.restoreJob(record.page, job, RecordWire.withoutSource(record.entry));
         found.put(job.spec.id(), job);
         ordered.add(job);
       }
       for (StoreWire.Entry entry : stored.jobs.entries()) {
-        committer.known(entry.key(), entry.version());
+        committer.restoreRevision(entry.key(), entry.version());
         Job job = known(toJob(entry.value()));
         Job paged = found.putIfAbsent(job.spec.id(), job);
         if (paged == null) {
           ordered.add(job);
         } else {
           // A node that did not reach the leader of the time stored it again.
-          records.knownTwice(paged, true);
+          records.setHasUnpagedRecord(paged, true);
         }
       }
       restoreDone(stored.done, found);
       // The pages are in the order of their keys; what was cached of a machine is a guess anyway.
       for (Paged<RecordWire.StoredImages> images :
           readPages(stored.images, RecordWire::parseImages)) {
-        records.knownImages(images.page);
+        records.restoreImagePage(images.page);
         cluster.expectImages(images.entry.machine(), images.entry.images());
       }
       restorePlacements(placements, found);
-      stored.placed.entries().forEach(page -> records.knownPlacements(page.key()));
+      stored.placed.entries().forEach(page -> records.restorePlacementPage(page.key()));
     } catch (MalformedMessageException e) {
       log.error("a stored record cannot be read: {}", e.getMessage());
       listener.onUnreadable("a stored record cannot be read");
@@ -300,7 +300,7 @@
 
   private void restoreDone(StoreClient.Listing listing, Map<String, Job> jobs)
       throws MalformedMessageException {
-    listing.entries().forEach(page -> records.knownCompletions(page.key()));
+    listing.entries().forEach(page -> records.restoreCompletionPage(page.key()));
     List<Paged<RecordWire.StoredDone>> all = readPages(listing, RecordWire::parseDone);
     all.removeIf(done -> !jobs.containsKey(done.entry.job()));
     for (Paged<RecordWire.StoredDone> done : all) {
@@ -308,7 +308,7 @@
       job.done.or(done.entry.done());
     }
     for (Paged<RecordWire.StoredDone> done : all) {
-      records.knownDone(done.page, jobs.get(done.entry.job()), done.entry);
+      records.restoreCompletions(done.page, jobs.get(done.entry.job()), done.entry);
     }
   }
 
@@ -349,7 +349,7 @@
         Attempt attempt =
             cluster.addAttempt(
                 job, placement.task(), placement.attempt(), machine, now, Attempt.State.RECOVERED);
-        records.knownPlacement(paged.page, attempt);
+        records.restorePlacement(paged.page, attempt);
       }
     }
   }
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -70,7 +70,7 @@
     if (!leads.getAsBoolean()) {
       return;
     }
-    storeClient.pageOfAll(
+    storeClient.readPageOfAllGenerations(
         after,
         page -> {
           if (!leads.getAsBoolean()) {
@@ -130,8 +130,8 @@
             .requireGeneration(present.recordRevision())
             .require(present.prefix() + RecordKeys.LEADER, version);
     old.forEach(remove::delete);
-    storeClient.writes().take(old.size(), eventLoop.now());
-    storeClient.urgent(
+    storeClient.writeBudget().take(old.size(), eventLoop.now());
+    storeClient.sendImmediately(
         storeClient.post("/multi", remove.bytes()),
         reply -> {
           removed += reply.is(200) ? old.size() : 0;
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -108,7 +108,7 @@
     void onGeneration(Generation generation);
 
     /** The peers, with what they told of the records. */
-    List<Membership.View> peers();
+    List<Membership.PeerStatus> peers();
   }
 
   private final StoreClient storeClient;
@@ -144,13 +144,16 @@
     this.eventLoop = eventLoop;
     this.self = self;
     this.host = host;
-    this.retry = storeClient.backoff();
+    this.retry = storeClient.newBackoff();
     this.startedAt = eventLoop.now();
-    storeClient.onWentBack(
+    storeClient.onRevisionRollback(
         revision ->
             lost(
                 Evidence.REVISION_BACK,
-                "the store tells revision " + revision + " and had " + storeClient.seen()));
+                "the store tells revision "
+                    + revision
+                    + " and had "
+                    + storeClient.highestRevision()));
   }
 
   public void start() {
@@ -206,7 +209,7 @@
 
   /** The highest token that anybody is known to have used. */
   public long highestToken() {
-    long seen = storeClient.generation().token(storeClient.seen());
+    long seen = storeClient.generation().token(storeClient.highestRevision());
     return Math.max(highestToken, seen);
   }
 
@@ -240,7 +243,7 @@
   /** A peer has told what it knows of the records. */
   public void heard(Stored told) {
     learnToken(told.token());
-    storeClient.learn(told.base(), told.seen());
+    storeClient.observeRevision(told.base(), told.seen());
     if (!isTrusted()) {
       return;
     }
@@ -259,7 +262,7 @@
 
   private long highestBase() {
     long highest = Math.max(storeClient.generation().base(), host.copy().base());
-    for (Membership.View peer : host.peers()) {
+    for (Membership.PeerStatus peer : host.peers()) {
       highest = Math.max(highest, peer.stored().base());
     }
     return highest;
@@ -426,7 +429,7 @@
     if (of != round || stopped || state != State.LOST) {
       return;
     }
-    storeClient.rest(
+    storeClient.readPageAfterDataLoss(
         after,
         page -> {
           if (page == null) {
@@ -494,7 +497,7 @@
     if (waited.compareTo(MOST_DEFERRED) > 0) {
       return false;
     }
-    for (Membership.View peer : host.peers()) {
+    for (Membership.PeerStatus peer : host.peers()) {
       Stored told = peer.stored();
       boolean newer =
           told.copyBase() > mine.base()
@@ -519,7 +522,7 @@
             .requireGeneration(pointer)
             .putGeneration(RecordWire.generation(next))
             .bytes();
-    storeClient.urgent(
+    storeClient.sendImmediately(
         storeClient.post("/multi", body),
         reply -> {
           if (of != round || stopped) {
@@ -579,8 +582,8 @@
   }
 
   private boolean isAtWork(Generation.Writer by) {
-    for (Membership.View peer : host.peers()) {
-      if (peer.member().equals(by.controllerName())) {
+    for (Membership.PeerStatus peer : host.peers()) {
+      if (peer.controllerName().equals(by.controllerName())) {
         return peer.state() == Membership.State.UP && by.nonce().equals(peer.nonce());
       }
     }
--- a/src/main/java/io/pineladder/generation/GenerationWriter.java
+++ b/src/main/java/io/pineladder/generation/GenerationWriter.java
@@ -45,7 +45,7 @@
     this.target = target;
     this.image = image;
     this.onEnd = onEnd;
-    this.retry = storeClient.backoff();
+    this.retry = storeClient.newBackoff();
   }
 
   /** How many records are stored. */
@@ -71,9 +71,11 @@
     }
     int most =
         Math.min(
-            storeClient.limits().transactionOps(), storeClient.writes().available(eventLoop.now()));
+            storeClient.limits().transactionOps(),
+            storeClient.writeBudget().available(eventLoop.now()));
     if (most < 1) {
-      eventLoop.schedule(storeClient.writes().until(1, eventLoop.now()).plusMillis(1), this::next);
+      eventLoop.schedule(
+          storeClient.writeBudget().until(1, eventLoop.now()).plusMillis(1), this::next);
       return;
     }
     StoreWire.Transaction part =
@@ -91,7 +93,7 @@
       count++;
     }
     int stored = count;
-    storeClient.writes().take(stored, eventLoop.now());
+    storeClient.writeBudget().take(stored, eventLoop.now());
     send(
         part,
         () -> {
@@ -112,7 +114,7 @@
   }
 
   private void send(StoreWire.Transaction transaction, Runnable onStored) {
-    storeClient.urgent(
+    storeClient.sendImmediately(
         storeClient.post("/multi", transaction.bytes()),
         reply -> {
           if (over) {
@@ -125,7 +127,7 @@
             // Another generation counts, or this is the second copy of the last transaction.
             end(false);
           } else {
-            storeClient.retry(retry, () -> send(transaction, onStored));
+            storeClient.scheduleRetry(retry, () -> send(transaction, onStored));
           }
         });
   }
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -205,7 +205,7 @@
     if (expectedRound != round || holdsTerm()) {
       return;
     }
-    storeClient.urgentRead(
+    storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
           if (expectedRound != round) {
@@ -252,7 +252,7 @@
    */
   private void releasePreviousLease(int expectedRound, long previousLeaseId) {
     log.info("the lease {} of this controller's process before is ended", previousLeaseId);
-    storeClient.urgent(
+    storeClient.sendImmediately(
         storeClient.delete("/holds/" + previousLeaseId),
         reply -> {
           if (expectedRound == round) {
@@ -289,7 +289,7 @@
   private void acquireLease(int expectedRound) {
     moveTo(State.CANDIDATE);
     Instant sentAt = eventLoop.now();
-    storeClient.urgent(
+    storeClient.sendImmediately(
         storeClient.post("/holds", StoreWire.lease(leaseDuration)),
         reply -> {
           if (expectedRound != round) {
@@ -316,8 +316,8 @@
             .require(RecordKeys.LEADER, 0)
             .put(RecordKeys.LEADER, RecordWire.leader(ownRecord), leaseId)
             .bytes();
-    long revisionBefore = storeClient.seen();
-    storeClient.urgent(
+    long revisionBefore = storeClient.highestRevision();
+    storeClient.sendImmediately(
         storeClient.post("/multi", body),
         reply -> onClaimReply(expectedRound, leaseSentAt, repeated, revisionBefore, reply));
   }
@@ -330,7 +330,7 @@
     try {
       if (reply.is(200)) {
         long revision = StoreWire.parseRevision(reply.body());
-        if (storeClient.isAhead(revisionBefore, revision)) {
+        if (storeClient.acceptCommitRevision(revisionBefore, revision)) {
           becomeLeader(revision, leaseSentAt);
         } else {
           abandonCandidacy(expectedRound);
@@ -342,7 +342,7 @@
     }
     if (reply.is(409) && repeated) {
       // The first copy, which got no reply, may be what stands there.
-      storeClient.urgentRead(
+      storeClient.readImmediately(
           RecordKeys.LEADER,
           (read, same) -> onLeaderReadAfterClaim(expectedRound, leaseSentAt, read, same));
       return;
@@ -388,7 +388,7 @@
 
   private void abandonCandidacy(int expectedRound) {
     // A late copy of the claim finds no lease and does nothing.
-    storeClient.urgent(storeClient.delete("/holds/" + leaseId), reply -> {});
+    storeClient.sendImmediately(storeClient.delete("/holds/" + leaseId), reply -> {});
     moveTo(State.FOLLOWING);
     eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
   }
@@ -419,7 +419,7 @@
     }
     isLeaseValid();
     Instant sentAt = eventLoop.now();
-    storeClient.urgent(
+    storeClient.sendImmediately(
         storeClient.post("/holds/" + leaseId + "/touch", StoreWire.lease(leaseDuration)),
         reply -> {
           if (expectedRound != round || !holdsTerm()) {
@@ -450,7 +450,7 @@
    * numbered anew and it may be another's; so the leader's key tells.
    */
   private void confirmLeaderKey(int expectedRound, Instant sentAt) {
-    storeClient.urgentRead(
+    storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
           if (expectedRound != round || state != State.IN_DOUBT || !read.certain()) {
@@ -484,7 +484,7 @@
     moveTo(State.FOLLOWING);
     leaseReleased = releaseLease;
     if (releaseLease) {
-      storeClient.urgent(storeClient.delete("/holds/" + leaseId), reply -> {});
+      storeClient.sendImmediately(storeClient.delete("/holds/" + leaseId), reply -> {});
     }
     listener.onLeadershipLost(reason);
     eventLoop.schedule(retry.pause(), () -> readLeader(newRound));
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -37,35 +37,35 @@
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
 
   /** How often each peer is sent a beat. */
-  public static final Duration BEAT = Duration.ofSeconds(1);
+  public static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(1);
 
   /** A beat without an answer for so long is missed. */
-  public static final Duration TIMEOUT = Duration.ofMillis(1300);
+  public static final Duration HEARTBEAT_TIMEOUT = Duration.ofMillis(1300);
 
   /**
    * Beats missed in a row before a peer is suspected. One lost message says nothing, and a leader
    * that has just taken over may answer nobody for two seconds.
    */
-  static final int MISSES = 3;
+  static final int SUSPECT_AFTER_MISSES = 3;
 
   /** A peer is suspected for so long before anything is concluded. */
-  static final Duration SUSPICION = Duration.ofSeconds(3);
+  static final Duration SUSPICION_PERIOD = Duration.ofSeconds(3);
 
   /** What a peer says of another counts while it is as fresh as this. */
-  static final Duration FRESH = Duration.ofMillis(2500);
+  static final Duration MAX_CONTACT_AGE = Duration.ofMillis(2500);
 
   /** Beats in a row that bring a peer back, and the least time that it stays as it was called. */
-  static final int RETURNS = 2;
+  static final int UP_AFTER_ANSWERS = 2;
 
-  static final Duration DWELL = Duration.ofSeconds(2);
+  static final Duration MIN_STATE_DURATION = Duration.ofSeconds(2);
 
-  private static final Duration NEVER = Duration.ofDays(1);
+  private static final Duration NEVER_CONTACTED_AGE = Duration.ofDays(1);
 
   /** A tick that comes so much late shows that this process stood still. */
-  static final Duration PAUSE = Duration.ofSeconds(1);
+  static final Duration PROCESS_PAUSE_THRESHOLD = Duration.ofSeconds(1);
 
   /** Beats whose time is remembered; some six are made in a second. */
-  private static final int REMEMBERED = 256;
+  private static final int SEND_TIME_HISTORY_SIZE = 256;
 
   /** How a peer stands. */
   public enum State {
@@ -82,7 +82,7 @@
   }
 
   /** What this node makes of itself. */
-  public enum Self {
+  public enum SelfAssessment {
     /** It hears others, or has just begun. */
     SURE,
     /** It hears nobody, or stood still: what it misses may be its own fault. */
@@ -90,32 +90,33 @@
   }
 
   /** Sends a beat to an address; the answer's body, or null when none came in time. */
-  public interface Sender {
-    void send(String address, byte[] beat, Consumer<byte[]> onAnswer);
+  public interface HeartbeatSender {
+    void send(String address, byte[] heartbeat, Consumer<byte[]> onAnswer);
   }
 
   /** What this node tells about itself. */
-  public record Own(boolean storeOk, long term, GossipWire.Stored stored, int version) {}
+  public record LocalStatus(
+      boolean storeReachable, long term, GossipWire.Stored stored, int version) {}
 
   /** One peer, as it stands now. */
-  public record View(
-      String member,
+  public record PeerStatus(
+      String controllerName,
       State state,
-      Duration unheard,
-      boolean storeOk,
+      Duration sinceContact,
+      boolean storeReachable,
       long term,
-      int changes,
+      int stateChanges,
       String nonce,
       GossipWire.Stored stored,
       int version) {}
 
   private static final class Peer {
-    final Settings.Peer at;
+    final Settings.Peer settings;
     State state = State.UNKNOWN;
     Instant changedAt;
 
     /** Not earlier than this it made a beat that was heard; null for never. */
-    Instant heardAt;
+    Instant contactAt;
 
     /** When a beat newer than all before came in, however old it may have been; null for never. */
     Instant arrivedAt;
@@ -126,11 +127,11 @@
     long sequence;
 
     /** When the latest beat that it answered was sent. */
-    Instant answeredAt;
+    Instant answeredHeartbeatSentAt;
 
-    int misses;
-    int answers;
-    int changes;
+    int consecutiveMisses;
+    int consecutiveAnswers;
+    int stateChanges;
 
     /**
      * The cluster version that its software supports, by the newest beat of its present process.
@@ -138,46 +139,50 @@
     int version = ClusterVersion.UNVERSIONED;
 
     /** What it told in the newest beat. */
-    Heartbeat told;
+    Heartbeat lastHeartbeat;
 
-    Peer(Settings.Peer at, Instant now) {
-      this.at = at;
+    Peer(Settings.Peer settings, Instant now) {
+      this.settings = settings;
       this.changedAt = now;
     }
   }
 
-  private final String self;
+  private final String controllerName;
   private final String nonce;
   private final EventLoop eventLoop;
-  private final Sender sender;
-  private final Supplier<Own> own;
+  private final HeartbeatSender sender;
+  private final Supplier<LocalStatus> localStatus;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
-  private Self mine = Self.SURE;
+  private SelfAssessment selfAssessment = SelfAssessment.SURE;
 
   /** Whether anybody was ever heard: until then that nobody is says nothing. */
-  private boolean met;
+  private boolean everHeardPeer;
 
   /** Before this nothing is concluded: the process stood still, and has to hear others first. */
-  private Instant soberFrom = Instant.MIN;
+  private Instant doubtfulUntil = Instant.MIN;
 
-  private Instant tickedAt;
+  private Instant lastTickAt;
 
   /** When some peer last was known to lead. */
-  private Instant ledAt;
+  private Instant leaderContactAt;
 
   /** When each of the latest beats was made, by its number. */
-  private final Instant[] made = new Instant[REMEMBERED];
+  private final Instant[] sendTimes = new Instant[SEND_TIME_HISTORY_SIZE];
 
   private long sequence;
-  private Consumer<GossipWire.Stored> onStored = stored -> {};
+  private Consumer<GossipWire.Stored> storeStatusListener = stored -> {};
 
   public Membership(
-      Settings settings, String nonce, EventLoop eventLoop, Sender sender, Supplier<Own> own) {
-    this.self = settings.controllerName();
+      Settings settings,
+      String nonce,
+      EventLoop eventLoop,
+      HeartbeatSender sender,
+      Supplier<LocalStatus> localStatus) {
+    this.controllerName = settings.controllerName();
     this.nonce = nonce;
     this.eventLoop = eventLoop;
     this.sender = sender;
-    this.own = own;
+    this.localStatus = localStatus;
     for (Settings.Peer peer : settings.peers()) {
       peers.put(peer.controllerName(), new Peer(peer, eventLoop.now()));
     }
@@ -189,79 +194,85 @@
   }
 
   /** Tells what each beat says of the records. */
-  public void onStored(Consumer<GossipWire.Stored> listener) {
-    onStored = listener;
+  public void onStoreStatus(Consumer<GossipWire.Stored> listener) {
+    storeStatusListener = listener;
   }
 
   /** Something was found that the others must not learn a beat later. */
-  public void tellNow() {
-    byte[] beat = GossipWire.write(beat());
+  public void sendHeartbeatsNow() {
+    byte[] heartbeat = GossipWire.write(nextHeartbeat());
     for (Peer peer : peers.values()) {
-      sender.send(peer.at.address(), beat, answer -> {});
+      sender.send(peer.settings.address(), heartbeat, answer -> {});
     }
   }
 
   private void tick() {
     Instant now = eventLoop.now();
-    if (tickedAt != null && tickedAt.plus(BEAT).plus(PAUSE).isBefore(now)) {
-      stoodStill(now);
+    if (lastTickAt != null
+        && lastTickAt.plus(HEARTBEAT_INTERVAL).plus(PROCESS_PAUSE_THRESHOLD).isBefore(now)) {
+      onProcessPause(now);
     }
-    tickedAt = now;
-    byte[] beat = GossipWire.write(beat());
+    lastTickAt = now;
+    byte[] heartbeat = GossipWire.write(nextHeartbeat());
     for (Peer peer : peers.values()) {
       sender.send(
-          peer.at.address(),
-          beat,
+          peer.settings.address(),
+          heartbeat,
           answer -> {
             if (answer == null) {
-              missed(peer);
+              onHeartbeatMissed(peer);
             } else {
-              peer.answeredAt = now;
-              onBeat(answer, now);
+              peer.answeredHeartbeatSentAt = now;
+              onHeartbeatAnswer(answer, now);
             }
           });
     }
-    peers.values().forEach(this::review);
+    peers.values().forEach(this::reviewPeer);
     reviewSelf();
-    eventLoop.schedule(BEAT, this::tick);
+    eventLoop.schedule(HEARTBEAT_INTERVAL, this::tick);
   }
 
-  private Heartbeat beat() {
+  private Heartbeat nextHeartbeat() {
     Instant now = eventLoop.now();
-    Map<String, PeerContact> heard = new LinkedHashMap<>();
+    Map<String, PeerContact> contacts = new LinkedHashMap<>();
     for (Peer peer : peers.values()) {
       if (peer.nonce != null) {
-        Duration ago = peer.heardAt == null ? NEVER : Duration.between(peer.heardAt, now);
-        heard.put(peer.at.controllerName(), new PeerContact(ago, peer.nonce, peer.sequence));
+        Duration ago =
+            peer.contactAt == null ? NEVER_CONTACTED_AGE : Duration.between(peer.contactAt, now);
+        contacts.put(
+            peer.settings.controllerName(), new PeerContact(ago, peer.nonce, peer.sequence));
       }
     }
-    made[(int) (++sequence % REMEMBERED)] = now;
-    Own mineNow = own.get();
+    sendTimes[(int) (++sequence % SEND_TIME_HISTORY_SIZE)] = now;
+    LocalStatus status = localStatus.get();
     return new Heartbeat(
-        self,
+        controllerName,
         nonce,
         sequence,
-        mineNow.storeOk(),
-        mineNow.term(),
-        heard,
-        mineNow.stored(),
-        mineNow.version());
+        status.storeReachable(),
+        status.term(),
+        contacts,
+        status.stored(),
+        status.version());
   }
 
   /** When this process made its beat of that number; null if that is too long ago, or never was. */
-  private Instant madeAt(PeerContact of) {
-    boolean mine = of != null && of.nonce().equals(nonce);
-    boolean remembered = mine && of.sequence() <= sequence && of.sequence() > sequence - REMEMBERED;
-    return remembered ? made[(int) (of.sequence() % REMEMBERED)] : null;
+  private Instant sentAt(PeerContact acknowledged) {
+    boolean ownHeartbeat = acknowledged != null && acknowledged.nonce().equals(nonce);
+    boolean remembered =
+        ownHeartbeat
+            && acknowledged.sequence() <= sequence
+            && acknowledged.sequence() > sequence - SEND_TIME_HISTORY_SIZE;
+    return remembered ? sendTimes[(int) (acknowledged.sequence() % SEND_TIME_HISTORY_SIZE)] : null;
   }
 
   /** What came while this process stood still is yet to be read: everybody starts anew. */
-  private void stoodStill(Instant now) {
+  private void onProcessPause(Instant now) {
     log.info("this controller stood still; it calls nobody down for now");
-    soberFrom = now.plus(SUSPICION);
+    doubtfulUntil = now.plus(SUSPICION_PERIOD);
     for (Peer peer : peers.values()) {
-      peer.misses = 0;
-      peer.told = null;
+      peer.consecutiveMisses = 0;
+      peer.lastHeartbeat = null;
       if (peer.state == State.SUSPECT) {
         peer.changedAt = now;
       }
@@ -271,13 +282,13 @@
 
   /** A beat has come in; the answer to it. */
   public byte[] handle(byte[] body) throws MalformedMessageException {
-    take(GossipWire.parse(body), null);
-    return GossipWire.write(beat());
+    processHeartbeat(GossipWire.parse(body), null);
+    return GossipWire.write(nextHeartbeat());
   }
 
-  private void onBeat(byte[] body, Instant sent) {
+  private void onHeartbeatAnswer(byte[] body, Instant sent) {
     try {
-      take(GossipWire.parse(body), sent);
+      processHeartbeat(GossipWire.parse(body), sent);
     } catch (MalformedMessageException e) {
       log.warn("a peer answered a beat with something else: {}", e.getMessage());
     }
@@ -289,92 +300,97 @@
    * @param asked when the beat was sent that this answers, or null: what merely comes from a peer
    *     does not show that it can be reached
    */
-  private void take(Heartbeat beat, Instant asked) {
-    Peer peer = peers.get(beat.member());
+  private void processHeartbeat(Heartbeat heartbeat, Instant requestSentAt) {
+    Peer peer = peers.get(heartbeat.member());
     if (peer == null) {
       return;
     }
-    boolean newer = !beat.nonce().equals(peer.nonce) || beat.sequence() > peer.sequence;
+    boolean newer = !heartbeat.nonce().equals(peer.nonce) || heartbeat.sequence() > peer.sequence;
     if (newer) {
       peer.arrivedAt = eventLoop.now();
-      onStored.accept(beat.stored());
+      storeStatusListener.accept(heartbeat.stored());
     }
-    Instant proven = asked != null ? asked : madeAt(beat.heard().get(self));
-    if (newer && (proven != null || peer.nonce == null)) {
-      peer.nonce = beat.nonce();
-      peer.sequence = beat.sequence();
-      peer.version = beat.version();
+    Instant contactAt =
+        requestSentAt != null ? requestSentAt : sentAt(heartbeat.heard().get(controllerName));
+    if (newer && (contactAt != null || peer.nonce == null)) {
+      peer.nonce = heartbeat.nonce();
+      peer.sequence = heartbeat.sequence();
+      peer.version = heartbeat.version();
     }
-    if (proven != null && (peer.heardAt == null || proven.isAfter(peer.heardAt))) {
-      met = true;
-      peer.heardAt = proven;
-      peer.told = beat;
+    if (contactAt != null && (peer.contactAt == null || contactAt.isAfter(peer.contactAt))) {
+      everHeardPeer = true;
+      peer.contactAt = contactAt;
+      peer.lastHeartbeat = heartbeat;
     }
-    if (proven != null && beat.term() != 0 && (ledAt == null || proven.isAfter(ledAt))) {
-      ledAt = proven;
+    if (contactAt != null
+        && heartbeat.term() != 0
+        && (leaderContactAt == null || contactAt.isAfter(leaderContactAt))) {
+      leaderContactAt = contactAt;
     }
-    if (asked != null) {
-      peer.misses = 0;
-      peer.answers++;
+    if (requestSentAt != null) {
+      peer.consecutiveMisses = 0;
+      peer.consecutiveAnswers++;
     }
-    review(peer);
+    reviewPeer(peer);
     reviewSelf();
   }
 
-  private void missed(Peer peer) {
-    peer.misses++;
-    peer.answers = 0;
-    review(peer);
+  private void onHeartbeatMissed(Peer peer) {
+    peer.consecutiveMisses++;
+    peer.consecutiveAnswers = 0;
+    reviewPeer(peer);
     reviewSelf();
   }
 
-  private void review(Peer peer) {
+  private void reviewPeer(Peer peer) {
     Instant now = eventLoop.now();
-    boolean stays = peer.changedAt.plus(DWELL).isAfter(now);
+    boolean tooSoon = peer.changedAt.plus(MIN_STATE_DURATION).isAfter(now);
     switch (peer.state) {
       case UNKNOWN -> {
-        if (peer.answers > 0) {
-          moveTo(peer, State.UP);
-        } else if (peer.misses >= MISSES) {
-          moveTo(peer, State.SUSPECT);
+        if (peer.consecutiveAnswers > 0) {
+          transitionTo(peer, State.UP);
+        } else if (peer.consecutiveMisses >= SUSPECT_AFTER_MISSES) {
+          transitionTo(peer, State.SUSPECT);
         }
       }
       case UP -> {
-        if (peer.misses >= MISSES && !stays) {
-          moveTo(peer, State.SUSPECT);
+        if (peer.consecutiveMisses >= SUSPECT_AFTER_MISSES && !tooSoon) {
+          transitionTo(peer, State.SUSPECT);
         }
       }
       case SUSPECT, APART, DOWN -> {
-        if (peer.answers >= RETURNS && !stays) {
-          moveTo(peer, State.UP);
-        } else if (peer.misses >= MISSES && !stays) {
-          conclude(peer, now);
+        if (peer.consecutiveAnswers >= UP_AFTER_ANSWERS && !tooSoon) {
+          transitionTo(peer, State.UP);
+        } else if (peer.consecutiveMisses >= SUSPECT_AFTER_MISSES && !tooSoon) {
+          classifyUnresponsive(peer, now);
         }
       }
     }
   }
 
   /** What to call a peer that does not answer. */
-  private void conclude(Peer peer, Instant now) {
+  private void classifyUnresponsive(Peer peer, Instant now) {
     boolean suspectedLong =
-        peer.state != State.SUSPECT || !peer.changedAt.plus(SUSPICION).isAfter(now);
-    if (isHeardBySomebody(peer, now)) {
-      moveTo(peer, State.APART);
-    } else if (suspectedLong && mine == Self.SURE && !isSure(peer, now)) {
-      moveTo(peer, State.SUSPECT);
-    } else if (suspectedLong && mine == Self.SURE && !isFresh(peer.arrivedAt, now)) {
-      moveTo(peer, State.DOWN);
+        peer.state != State.SUSPECT || !peer.changedAt.plus(SUSPICION_PERIOD).isAfter(now);
+    if (isHeardByAnyNode(peer, now)) {
+      transitionTo(peer, State.APART);
+    } else if (suspectedLong && selfAssessment == SelfAssessment.SURE && !hasUpWitness(peer, now)) {
+      transitionTo(peer, State.SUSPECT);
+    } else if (suspectedLong
+        && selfAssessment == SelfAssessment.SURE
+        && !isFresh(peer.arrivedAt, now)) {
+      transitionTo(peer, State.DOWN);
     }
   }
 
   /** Whether another node, or this one by what comes in, still hears from it. */
-  private boolean isHeardBySomebody(Peer peer, Instant now) {
-    if (isFresh(peer.heardAt, now)) {
+  private boolean isHeardByAnyNode(Peer peer, Instant now) {
+    if (isFresh(peer.contactAt, now)) {
       return true;
     }
     for (Peer other : peers.values()) {
-      Duration ago = other == peer ? null : heardAgo(other, peer, now);
-      if (ago != null && ago.compareTo(FRESH) < 0) {
+      Duration ago = other == peer ? null : reportedContactAge(other, peer, now);
+      if (ago != null && ago.compareTo(MAX_CONTACT_AGE) < 0) {
         return true;
       }
     }
@@ -382,9 +398,9 @@
   }
 
   /** Whether some other node that is up confirms that it does not hear the peer either. */
-  private boolean isSure(Peer peer, Instant now) {
+  private boolean hasUpWitness(Peer peer, Instant now) {
     for (Peer other : peers.values()) {
-      if (other != peer && other.state == State.UP && isFresh(other.heardAt, now)) {
+      if (other != peer && other.state == State.UP && isFresh(other.contactAt, now)) {
         return true;
       }
     }
@@ -392,45 +408,48 @@
   }
 
   private static boolean isFresh(Instant at, Instant now) {
-    return at != null && at.plus(FRESH).isAfter(now);
+    return at != null && at.plus(MAX_CONTACT_AGE).isAfter(now);
   }
 
   /** How long ago {@code other} heard the peer, by what it told lately; or null. */
-  private static Duration heardAgo(Peer other, Peer peer, Instant now) {
-    if (!isFresh(other.heardAt, now)) {
+  private static Duration reportedContactAge(Peer other, Peer peer, Instant now) {
+    if (!isFresh(other.contactAt, now)) {
       return null;
     }
-    PeerContact then = other.told.heard().get(peer.at.controllerName());
-    return then == null ? null : then.ago().plus(Duration.between(other.heardAt, now));
+    PeerContact then = other.lastHeartbeat.heard().get(peer.settings.controllerName());
+    return then == null ? null : then.ago().plus(Duration.between(other.contactAt, now));
   }
 
   private void reviewSelf() {
     Instant now = eventLoop.now();
     boolean hears = false;
     for (Peer peer : peers.values()) {
-      hears |= isFresh(peer.heardAt, now);
+      hears |= isFresh(peer.contactAt, now);
     }
-    Self next = soberFrom.isAfter(now) || (met && !hears) ? Self.DOUBTFUL : Self.SURE;
-    if (next != mine) {
+    SelfAssessment next =
+        doubtfulUntil.isAfter(now) || (everHeardPeer && !hears)
+            ? SelfAssessment.DOUBTFUL
+            : SelfAssessment.SURE;
+    if (next != selfAssessment) {
       log.info("membership: this controller is {}", next);
-      mine = next;
+      selfAssessment = next;
     }
   }
 
   /** The one place where a peer's state changes. */
-  private void moveTo(Peer peer, State next) {
+  private void transitionTo(Peer peer, State next) {
     if (peer.state != next) {
-      log.info("membership: {} is {} (was {})", peer.at.controllerName(), next, peer.state);
+      log.info("membership: {} is {} (was {})", peer.settings.controllerName(), next, peer.state);
       peer.state = next;
       peer.changedAt = eventLoop.now();
-      peer.changes++;
+      peer.stateChanges++;
     }
   }
 
   // ---- what it is asked
 
-  public Self self() {
-    return mine;
+  public SelfAssessment selfAssessment() {
+    return selfAssessment;
   }
 
   /** How a peer stands; {@code UNKNOWN} for one that the settings do not name. */
@@ -450,14 +469,15 @@
   /**
    * Whether each peer has answered a beat or failed to, so that what they know has been asked for.
    */
-  public boolean hasAskedAll() {
-    return peers.values().stream().allMatch(p -> p.answeredAt != null || p.misses > 0);
+  public boolean hasProbedAll() {
+    return peers.values().stream()
+        .allMatch(p -> p.answeredHeartbeatSentAt != null || p.consecutiveMisses > 0);
   }
 
   /** Whether some peer that is up has told that the state service answers it. */
-  public boolean hearsOfStore() {
+  public boolean isStoreReachableByPeer() {
     return peers.values().stream()
-        .anyMatch(p -> p.state == State.UP && p.told != null && p.told.storeOk());
+        .anyMatch(p -> p.state == State.UP && p.lastHeartbeat != null && p.lastHeartbeat.storeOk());
   }
 
   /**
@@ -465,31 +485,32 @@
    * that it does. A leader with a certain lease could then be only among the rest, of whom nothing
    * is heard.
    */
-  public boolean isStoreOutForMost() {
+  public boolean isStoreUnreachableForMost() {
     long without =
         peers.values().stream()
-            .filter(p -> p.state == State.UP && p.told != null && !p.told.storeOk())
+            .filter(
+                p -> p.state == State.UP && p.lastHeartbeat != null && !p.lastHeartbeat.storeOk())
             .count();
-    return without > 0 && 2 * without >= peers.size() && !hearsOfStore();
+    return without > 0 && 2 * without >= peers.size() && !isStoreReachableByPeer();
   }
 
   /** When the latest beat that the peer answered was sent; null for never. */
-  public Instant answeredAt(String member) {
+  public Instant answeredHeartbeatSentAt(String member) {
     Peer peer = peers.get(member);
-    return peer == null ? null : peer.answeredAt;
+    return peer == null ? null : peer.answeredHeartbeatSentAt;
   }
 
   /** When a peer was last known to lead; null for never. */
-  public Instant ledAt() {
-    return ledAt;
+  public Instant leaderContactAt() {
+    return leaderContactAt;
   }
 
   /** When any peer was last heard; null for never. */
-  public Instant heardAnyAt() {
+  public Instant lastPeerContactAt() {
     Instant latest = null;
     for (Peer peer : peers.values()) {
-      if (peer.heardAt != null && (latest == null || peer.heardAt.isAfter(latest))) {
-        latest = peer.heardAt;
+      if (peer.contactAt != null && (latest == null || peer.contactAt.isAfter(latest))) {
+        latest = peer.contactAt;
       }
     }
     return latest;
@@ -499,37 +520,37 @@
    * The addresses of peers that may be able to do what this node cannot: first those that reach the
    * state service; those that do not answer this node only when no other is left.
    */
-  public List<String> likely() {
-    List<String> good = new ArrayList<>();
-    List<String> fair = new ArrayList<>();
-    List<String> poor = new ArrayList<>();
+  public List<String> candidateAddresses() {
+    List<String> preferred = new ArrayList<>();
+    List<String> reachable = new ArrayList<>();
+    List<String> unreachable = new ArrayList<>();
     for (Peer peer : peers.values()) {
-      boolean stores = peer.told != null && peer.told.storeOk();
+      boolean reachesStore = peer.lastHeartbeat != null && peer.lastHeartbeat.storeOk();
       List<String> of =
-          isUnreachable(peer.at.controllerName())
-              ? poor
-              : peer.state == State.UP && stores ? good : fair;
-      of.add(peer.at.address());
+          isUnreachable(peer.settings.controllerName())
+              ? unreachable
+              : peer.state == State.UP && reachesStore ? preferred : reachable;
+      of.add(peer.settings.address());
     }
-    good.addAll(fair);
-    return good.isEmpty() ? poor : good;
+    preferred.addAll(reachable);
+    return preferred.isEmpty() ? unreachable : preferred;
   }
 
   /** All peers as they stand. */
-  public List<View> view() {
+  public List<PeerStatus> peerStatuses() {
     Instant now = eventLoop.now();
-    List<View> views = new ArrayList<>();
+    List<PeerStatus> views = new ArrayList<>();
     for (Peer peer : peers.values()) {
       views.add(
-          new View(
-              peer.at.controllerName(),
+          new PeerStatus(
+              peer.settings.controllerName(),
               peer.state,
-              peer.heardAt == null ? null : Duration.between(peer.heardAt, now),
-              peer.told != null && peer.told.storeOk(),
-              peer.told == null ? 0 : peer.told.term(),
-              peer.changes,
+              peer.contactAt == null ? null : Duration.between(peer.contactAt, now),
+              peer.lastHeartbeat != null && peer.lastHeartbeat.storeOk(),
+              peer.lastHeartbeat == null ? 0 : peer.lastHeartbeat.term(),
+              peer.stateChanges,
               peer.nonce,
-              peer.told == null ? GossipWire.Stored.NOTHING : peer.told.stored(),
+              peer.lastHeartbeat == null ? GossipWire.Stored.NOTHING : peer.lastHeartbeat.stored(),
               peer.version));
     }
     return views;
--- a/src/main/java/io/pineladder/reconciliation/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -71,7 +71,7 @@
     this.committer = committer;
     this.records = records;
     this.listener = listener;
-    this.retry = storeClient.backoff();
+    this.retry = storeClient.newBackoff();
   }
 
   /** A job has left the memory for good. */
@@ -104,7 +104,7 @@
             changes.entries().stream().filter(e -> e.value() != null).forEach(this::takeIn);
             watchInbox(changes.revision());
           } else if (followed.reply().is(410)) {
-            storeClient.list(
+            storeClient.listAll(
                 RecordKeys.INBOX,
                 listener::isLeading,
                 inbox -> {
@@ -112,7 +112,7 @@
                   watchInbox(inbox.revision());
                 });
           } else {
-            storeClient.retry(retry, () -> watchInbox(after));
+            storeClient.scheduleRetry(retry, () -> watchInbox(after));
           }
         });
   }
@@ -122,14 +122,14 @@
       return;
     }
     String id = entry.key().substring(RecordKeys.INBOX.length());
-    committer.known(entry.key(), entry.version());
+    committer.restoreRevision(entry.key(), entry.version());
     listener.onRead(entry);
     adopt(
         id,
         lookup -> {
           if (lookup == null) {
             // Without a certain answer the job may still be unknown here.
-            storeClient.retry(retry, () -> takeIn(entry));
+            storeClient.scheduleRetry(retry, () -> takeIn(entry));
             return;
           }
           if (lookup.ended() != null) {
@@ -143,16 +143,16 @@
   private void remove(String key) {
     committer.submit(
         Mutation.of(
-            Mutation.Priority.TIDY, List.of(new Mutation.Write(key, () -> null)), () -> {}));
+            Mutation.Priority.CLEANUP, List.of(new Mutation.Write(key, () -> null)), () -> {}));
   }
 
   private void removeOwn(String id) {
-    String key = RecordKeys.JOB + id;
+    String key = RecordKeys.UNPAGED_JOB + id;
     storeClient.read(
         key,
         read -> {
           if (listener.isLeading() && read.found()) {
-            committer.known(key, read.entry().version());
+            committer.restoreRevision(key, read.entry().version());
             remove(key);
           }
         });
@@ -177,7 +177,7 @@
     }
     long before = removals;
     storeClient.read(
-        RecordKeys.JOB + id,
+        RecordKeys.UNPAGED_JOB + id,
         read -> {
           if (!listener.isLeading() || !read.certain() || listener.isAccepting(id)) {
             onDone.accept(null);
@@ -199,7 +199,7 @@
           }
           try {
             Job job = TermLoader.toJob(read.entry().value());
-            committer.known(read.entry().key(), read.entry().version());
+            committer.restoreRevision(read.entry().key(), read.entry().version());
             listener.onRead(read.entry());
             listener.onAdopted(job);
             log.debug("job {} was accepted elsewhere", id);
@@ -213,7 +213,7 @@
 
   /** Looks for the copy of a job's record that another node has stored, so that it goes too. */
   public void onStoredTwice(Job job, Runnable again) {
-    String key = RecordKeys.JOB + job.spec.id();
+    String key = RecordKeys.UNPAGED_JOB + job.spec.id();
     storeClient.read(
         key,
         read -> {
@@ -221,13 +221,13 @@
             return;
           }
           if (!read.certain()) {
-            storeClient.retry(retry, () -> onStoredTwice(job, again));
+            storeClient.scheduleRetry(retry, () -> onStoredTwice(job, again));
             return;
           }
           if (read.found()) {
-            committer.known(key, read.entry().version());
+            committer.restoreRevision(key, read.entry().version());
           }
-          records.knownTwice(job, read.found());
+          records.setHasUnpagedRecord(job, read.found());
           again.run();
         });
   }
@@ -238,13 +238,13 @@
       return;
     }
     storeClient.read(
-        RecordKeys.JOB + id,
+        RecordKeys.UNPAGED_JOB + id,
         own -> {
           if (own.found() || !own.certain() || !listener.isLeading()) {
             return;
           }
           storeClient.read(
-              RecordKeys.END + id,
+              RecordKeys.FINAL_STATE + id,
               end -> {
                 boolean gone = end.certain() && !end.found() && listener.isLeading();
                 if (gone && !cluster.jobs.containsKey(id)) {
@@ -259,7 +259,7 @@
 
   private void readEnd(String id, Consumer<Lookup> onDone) {
     storeClient.read(
-        RecordKeys.END + id,
+        RecordKeys.FINAL_STATE + id,
         read -> {
           if (!read.certain()) {
             onDone.accept(null);
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -67,7 +67,7 @@
     /** Another generation counts; nobody leads before it is whole. */
     void onGeneration(boolean whole);
 
-    List<Membership.View> peers();
+    List<Membership.PeerStatus> peers();
   }
 
   private final Settings settings;
@@ -175,7 +175,7 @@
   public Stored told() {
     return new Stored(
         storeClient.generation().base(),
-        storeClient.seen(),
+        storeClient.highestRevision(),
         replica.base(),
         replica.revision(),
         replica.isComplete(),
@@ -244,7 +244,7 @@
       return;
     }
     generations.doubt("a worker has seen token " + token + ", ours is " + term);
-    storeClient.urgentRead(
+    storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
           boolean stands =
@@ -292,12 +292,12 @@
       boolean whole = generation.phase() == Generation.Phase.COMPLETE;
       boolean mine = generation.writer().equals(self);
       follower.stop();
-      storeClient.use(generation);
-      storeClient.learn(replica.base(), replica.revision());
+      storeClient.useGeneration(generation);
+      storeClient.observeRevision(replica.base(), replica.revision());
       if (whole && generation.base() != 0 && mine) {
         replica.moved(generation);
         if (snapshots != null) {
-          snapshots.renew();
+          snapshots.onReplicaReplaced();
         }
       }
       host.onGeneration(whole);
@@ -307,7 +307,7 @@
     }
 
     @Override
-    public List<Membership.View> peers() {
+    public List<Membership.PeerStatus> peers() {
       return host.peers();
     }
   }
@@ -328,11 +328,12 @@
    */
   public int handIn(byte[] bytes) throws MalformedMessageException {
     Snapshot snapshot = Snapshot.decode(bytes);
-    snapshot.requireOf(cluster(settings));
+    snapshot.requireCluster(cluster(settings));
     if (!host.leaseHolds() || ledWith != replica || !replica.isComplete()) {
       throw new MalformedMessageException("not now: no leader that has read all records");
     }
-    int jobs = replica.unite(RecordReplica.of(new SnapshotManager.Found(snapshot, List.of())));
+    int jobs =
+        replica.unite(RecordReplica.of(new SnapshotManager.LoadedSnapshot(snapshot, List.of())));
     generations.lost(
         GenerationManager.Evidence.HANDED_IN,
         "a snapshot of revision " + snapshot.revision() + " is handed in, with " + jobs + " jobs");
@@ -356,8 +357,8 @@
     replica.listen(null);
     replica = next;
     if (snapshots != null) {
-      next.listen(snapshots::changed);
-      snapshots.renew();
+      next.listen(snapshots::recordChange);
+      snapshots.onReplicaReplaced();
     }
   }
 
@@ -418,10 +419,10 @@
     if (next == null || stopped || !generations.isTrusted()) {
       return;
     }
-    String key = RecordKeys.END + next.getKey();
+    String key = RecordKeys.FINAL_STATE + next.getKey();
     byte[] body =
         storeClient.transaction().require(key, 0).put(key, RecordWire.end(next.getValue())).bytes();
-    storeClient.changeForUser(
+    storeClient.writeForUser(
         storeClient.post("/multi", body),
         1,
         reply -> {
--- a/src/main/java/io/pineladder/replica/RecordReplica.java
+++ b/src/main/java/io/pineladder/replica/RecordReplica.java
@@ -92,15 +92,15 @@
   }
 
   /** A copy as it was kept in a snapshot with the changes since: whole as of its revision. */
-  public static RecordReplica of(SnapshotManager.Found found) {
+  public static RecordReplica of(SnapshotManager.LoadedSnapshot found) {
     Snapshot snapshot = found.snapshot();
-    RecordReplica replica = new RecordReplica(snapshot.base());
+    RecordReplica replica = new RecordReplica(snapshot.generationBase());
     snapshot
         .records()
         .forEach(
             (key, entry) ->
                 replica.records.put(key, new Value(entry.version(), null, entry.json())));
-    replica.packed.putAll(snapshot.ends());
+    replica.packed.putAll(snapshot.finalStates());
     replica.revision = snapshot.revision();
     for (ChangeRecord change : found.changes()) {
       try {
@@ -208,9 +208,9 @@
     if (LEFT_OUT.matcher(key).matches()) {
       return;
     }
-    if (key.startsWith(RecordKeys.END)) {
-      putEnd(key.substring(RecordKeys.END.length()), value);
-    } else if (key.startsWith(RecordKeys.ENDS)) {
+    if (key.startsWith(RecordKeys.FINAL_STATE)) {
+      putEnd(key.substring(RecordKeys.FINAL_STATE.length()), value);
+    } else if (key.startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
       putEnds(key, value);
     } else if (value == null) {
       records.remove(key);
@@ -249,7 +249,7 @@
    * or older was lost.
    */
   private static final List<String> NEVER_REMOVED =
-      List.of(RecordKeys.ACCEPTED, RecordKeys.DONE, RecordKeys.PLACED);
+      List.of(RecordKeys.JOB_PAGES, RecordKeys.COMPLETIONS, RecordKeys.PLACEMENTS);
 
   /** A record under the prefix that the store has lost, going by what this copy saw; or null. */
   public String missing(String prefix, List<StoreWire.Entry> listed) {
@@ -284,7 +284,7 @@
       }
     }
     Map<String, Job.State> missing = endsMissingIn(newer);
-    return missing.isEmpty() ? null : RecordKeys.END + missing.keySet().iterator().next();
+    return missing.isEmpty() ? null : RecordKeys.FINAL_STATE + missing.keySet().iterator().next();
   }
 
   /**
@@ -300,7 +300,7 @@
       String key = each.getKey();
       try {
         JsonNode value = each.getValue().read();
-        if (key.startsWith(RecordKeys.ACCEPTED)) {
+        if (key.startsWith(RecordKeys.JOB_PAGES)) {
           List<JsonNode> kept = new ArrayList<>();
           for (JsonNode record : RecordWire.entries(value)) {
             if (isNews(RecordWire.parseJob(record).spec().id())) {
@@ -308,17 +308,17 @@
             }
           }
           jobs += kept.size();
-          put(above(key, RecordKeys.ACCEPTED), RecordWire.page(kept.stream()), 0, true);
-        } else if (key.startsWith(RecordKeys.JOB)) {
-          if (isNews(key.substring(RecordKeys.JOB.length()))) {
+          put(above(key, RecordKeys.JOB_PAGES), RecordWire.page(kept.stream()), 0, true);
+        } else if (key.startsWith(RecordKeys.UNPAGED_JOB)) {
+          if (isNews(key.substring(RecordKeys.UNPAGED_JOB.length()))) {
             jobs++;
             put(key, value, 0, true);
           }
-        } else if (key.startsWith(RecordKeys.DONE)) {
-          put(above(key, RecordKeys.DONE), value, 0, true);
-        } else if (key.startsWith(RecordKeys.PLACED)) {
-          put(above(key, RecordKeys.PLACED), value, 0, true);
-        } else if (key.startsWith(RecordKeys.CONF) && !records.containsKey(key)) {
+        } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
+          put(above(key, RecordKeys.COMPLETIONS), value, 0, true);
+        } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
+          put(above(key, RecordKeys.PLACEMENTS), value, 0, true);
+        } else if (key.startsWith(RecordKeys.CONFIGURATION) && !records.containsKey(key)) {
           put(key, value, 0, true);
         }
       } catch (MalformedMessageException e) {
@@ -448,22 +448,22 @@
     try {
       String key = entry.key();
       JsonNode value = entry.value();
-      if (key.startsWith(RecordKeys.JOB)) {
+      if (key.startsWith(RecordKeys.UNPAGED_JOB)) {
         RecordWire.parseJob(value);
-      } else if (key.startsWith(RecordKeys.ACCEPTED)) {
+      } else if (key.startsWith(RecordKeys.JOB_PAGES)) {
         RecordWire.notices(value);
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parseJob(each);
         }
-      } else if (key.startsWith(RecordKeys.DONE)) {
+      } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parseDone(each);
         }
-      } else if (key.startsWith(RecordKeys.PLACED)) {
+      } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parsePlacement(each);
         }
-      } else if (key.startsWith(RecordKeys.IMAGES)) {
+      } else if (key.startsWith(RecordKeys.CACHED_IMAGES)) {
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parseImages(each);
         }
@@ -482,10 +482,10 @@
 
   /** Whether a record says that the job was accepted and is not over. */
   public boolean holdsJob(String id) {
-    if (records.containsKey(RecordKeys.JOB + id)) {
+    if (records.containsKey(RecordKeys.UNPAGED_JOB + id)) {
       return true;
     }
-    for (Map.Entry<String, Value> page : under(RecordKeys.ACCEPTED).entrySet()) {
+    for (Map.Entry<String, Value> page : under(RecordKeys.JOB_PAGES).entrySet()) {
       Jobs known = accepted.get(page.getKey());
       if (known == null || known.version != page.getValue().version) {
         known = new Jobs(page.getValue().version, ids(page.getValue()));
@@ -548,13 +548,17 @@
         ids.add(end.getKey());
         bytes += end.getKey().length() + 3;
         if (bytes + LONGEST_ID_BYTES >= mostBytes) {
-          image.add(new StoreWire.Entry(RecordKeys.ENDS + pages++, RecordWire.ends(state, ids), 0));
+          image.add(
+              new StoreWire.Entry(
+                  RecordKeys.ARCHIVED_FINAL_STATES + pages++, RecordWire.ends(state, ids), 0));
           ids = new ArrayList<>();
           bytes = 0;
         }
       }
       if (!ids.isEmpty()) {
-        image.add(new StoreWire.Entry(RecordKeys.ENDS + pages++, RecordWire.ends(state, ids), 0));
+        image.add(
+            new StoreWire.Entry(
+                RecordKeys.ARCHIVED_FINAL_STATES + pages++, RecordWire.ends(state, ids), 0));
       }
     }
   }
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -128,13 +128,13 @@
     if (followed) {
       catchUp(of);
     } else {
-      after(PACE, of, () -> list(of, RecordKeys.END, null));
+      after(PACE, of, () -> list(of, RecordKeys.FINAL_STATE, null));
     }
   }
 
   /** Final states of the last moments before this node led; all else it has read by itself. */
   private void catchUp(int of) {
-    storeClient.changes(
+    storeClient.readChanges(
         revision,
         followed -> {
           if (of != round) {
@@ -142,11 +142,11 @@
           }
           StoreWire.Changes changes = followed.changes();
           if (changes == null) {
-            after(PACE, of, () -> list(of, RecordKeys.END, null));
+            after(PACE, of, () -> list(of, RecordKeys.FINAL_STATE, null));
             return;
           }
           changes.entries().stream()
-              .filter(e -> e.key().startsWith(RecordKeys.END))
+              .filter(e -> e.key().startsWith(RecordKeys.FINAL_STATE))
               .forEach(e -> replica.put(e.key(), e.value(), e.version(), false));
           fed();
         });
@@ -168,7 +168,7 @@
   }
 
   private void list(int of, String prefix, String after) {
-    storeClient.page(
+    storeClient.readPage(
         prefix,
         after,
         page -> {
@@ -218,9 +218,9 @@
    * @param then told after which the next page begins; null for the first
    */
   private void auditPage(int of, String after, Consumer<String> then) {
-    storeClient.page(
-        RecordKeys.END,
-        after == null ? null : RecordKeys.END + after,
+    storeClient.readPage(
+        RecordKeys.FINAL_STATE,
+        after == null ? null : RecordKeys.FINAL_STATE + after,
         page -> {
           if (of != round) {
             return;
@@ -228,13 +228,14 @@
           String last = after;
           if (page != null) {
             Set<String> there = new HashSet<>();
-            page.entries().forEach(e -> there.add(e.key().substring(RecordKeys.END.length())));
+            page.entries()
+                .forEach(e -> there.add(e.key().substring(RecordKeys.FINAL_STATE.length())));
             String next = page.next();
-            last = next == null ? null : next.substring(RecordKeys.END.length());
+            last = next == null ? null : next.substring(RecordKeys.FINAL_STATE.length());
             for (String job : replica.endsBetween(after, last)) {
               if (!there.contains(job)) {
                 // It may have been stored after the page was read.
-                confirm(of, RecordKeys.END + job, 1);
+                confirm(of, RecordKeys.FINAL_STATE + job, 1);
                 break;
               }
             }
@@ -271,7 +272,7 @@
     comparedTo = asked.size() < most ? null : asked.lastKey();
     StoreWire.Transaction compare = storeClient.transaction();
     asked.forEach(compare::require);
-    storeClient.compare(
+    storeClient.checkConditions(
         compare,
         failed -> {
           if (of != round) {
@@ -306,7 +307,7 @@
 
   private void changes(int of) {
     Instant sent = eventLoop.now();
-    storeClient.changes(
+    storeClient.readChanges(
         revision,
         followed -> {
           if (of != round) {
--- a/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
+++ b/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
@@ -20,7 +20,11 @@
 
   /** Kinds of pages whose items may stand in any page of the kind. */
   private static final List<String> PAGED =
-      List.of(RecordKeys.ACCEPTED, RecordKeys.PLACED, RecordKeys.DONE, RecordKeys.IMAGES);
+      List.of(
+          RecordKeys.JOB_PAGES,
+          RecordKeys.PLACEMENTS,
+          RecordKeys.COMPLETIONS,
+          RecordKeys.CACHED_IMAGES);
 
   private static final List<String> LISTS = List.of("entries", "notices");
 
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -228,7 +228,7 @@
     @Override
     public void onJobFailingChanged(Job job, boolean failing) {
       job.failing = failing;
-      records.verdict(job);
+      records.storeFaultAttribution(job);
       if (!failing) {
         enqueue(job);
       }
@@ -352,7 +352,7 @@
       }
     }
     job.pending.clear(attempt.task);
-    records.placementDue(attempt);
+    records.storePlacement(attempt);
     return true;
   }
 
@@ -384,7 +384,7 @@
             .allMatch(of -> of.stream().noneMatch(Attempt::holdsCapacity));
     if (stopped) {
       dependencies.onCancellationPending(job);
-      records.end(job);
+      records.storeFinalState(job);
     }
   }
 
@@ -443,7 +443,7 @@
 
   private void removeRecordIfFinished(Job job) {
     if (job.finalStateStored && job.attempts.isEmpty()) {
-      records.remove(job);
+      records.removeJob(job);
     }
   }
 
@@ -486,7 +486,7 @@
       boolean isNew = !attempt.machine.images.containsKey(image);
       attempt.machine.touchImage(image, attempt.job.spec.imageGb());
       if (isNew) {
-        records.imagesDue(attempt.machine);
+        records.storeImages(attempt.machine);
       }
     }
     if (state == Attempt.State.RUNNING && attempt.runningSince == null) {
@@ -550,7 +550,7 @@
     if (job.done.cardinality() == job.spec.tasks()) {
       job.transitionTo(Job.State.DONE);
       removeFromQueue(job);
-      records.end(job);
+      records.storeFinalState(job);
     }
   }
 
@@ -570,7 +570,7 @@
     }
     if (others.isEmpty()) {
       job.unprovenDone.clear(complete.task);
-      records.taskDone(job, complete);
+      records.storeCompletion(job, complete);
       return;
     }
     job.unprovenDone.set(complete.task);
@@ -968,7 +968,7 @@
     Attempt attempt =
         cluster.addAttempt(job, task, number, machine, now, Attempt.State.PLACEMENT_PENDING);
     attempt.imageReadyAt = now.plusMillis((long) (fetchSeconds * 1000));
-    records.placementDue(attempt);
+    records.storePlacement(attempt);
   }
 
   /** Tasks that wait, by job, for the fleet's demand. */
--- a/src/main/java/io/pineladder/snapshot/Snapshot.java
+++ b/src/main/java/io/pineladder/snapshot/Snapshot.java
@@ -30,21 +30,21 @@
  */
 public record Snapshot(
     String cluster,
-    long base,
+    long generationBase,
     long revision,
-    Instant at,
+    Instant createdAt,
     Map<String, Entry> records,
-    Map<String, Job.State> ends) {
+    Map<String, Job.State> finalStates) {
   private static final String MAGIC = "pineladder snapshot";
-  private static final int VERSION = 1;
+  private static final int FORMAT_VERSION = 1;
 
   /** A section holds so many bytes at most, and one entry more. */
-  private static final int SECTION_BYTES = 256 * 1024;
+  private static final int TARGET_SECTION_BYTES = 256 * 1024;
 
   /** More than any snapshot of this program; what claims more is damaged or hostile. */
-  private static final int MOST_SECTION_BYTES = 4 * 1024 * 1024;
+  private static final int MAX_SECTION_BYTES = 4 * 1024 * 1024;
 
-  private static final int MOST_SECTIONS = 4_096;
+  private static final int MAX_SECTIONS = 4_096;
 
   /** A value, as JSON, with the revision of its last change. */
   public interface Entry {
@@ -54,10 +54,10 @@
   }
 
   /** An entry that was read. */
-  record Read(long version, byte[] json) implements Entry {}
+  record DecodedEntry(long version, byte[] json) implements Entry {}
 
-  private interface Filler {
-    void fill(MessageBufferPacker out) throws IOException;
+  private interface EntryWriter {
+    void write(MessageBufferPacker out) throws IOException;
   }
 
   /**
@@ -65,8 +65,8 @@
    *
    * @throws MalformedMessageException when it is of another
    */
-  public void requireOf(String wanted) throws MalformedMessageException {
-    if (!cluster.equals(wanted)) {
+  public void requireCluster(String expected) throws MalformedMessageException {
+    if (!cluster.equals(expected)) {
       throw new MalformedMessageException("a snapshot of the cluster " + cluster);
     }
   }
@@ -76,13 +76,13 @@
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       List<byte[]> sections = sections();
       out.packString(MAGIC);
-      out.packInt(VERSION);
+      out.packInt(FORMAT_VERSION);
       out.packString(cluster);
-      out.packLong(base);
+      out.packLong(generationBase);
       out.packLong(revision);
-      out.packLong(at.toEpochMilli());
+      out.packLong(createdAt.toEpochMilli());
       out.packInt(records.size());
-      out.packInt(ends.size());
+      out.packInt(finalStates.size());
       out.packInt(sections.size());
       for (byte[] section : sections) {
         byte[] small = deflate(section);
@@ -98,7 +98,7 @@
   }
 
   private List<byte[]> sections() throws IOException {
-    List<Filler> fillers = new ArrayList<>();
+    List<EntryWriter> fillers = new ArrayList<>();
     records.forEach(
         (key, entry) ->
             fillers.add(
@@ -109,7 +109,7 @@
                   out.packBinaryHeader(json.length);
                   out.writePayload(json);
                 }));
-    ends.forEach(
+    finalStates.forEach(
         (job, state) ->
             fillers.add(
                 out -> {
@@ -118,9 +118,9 @@
                 }));
     List<byte[]> sections = new ArrayList<>();
     MessageBufferPacker out = MessagePack.newDefaultBufferPacker();
-    for (Filler filler : fillers) {
-      filler.fill(out);
-      if (out.getTotalWrittenBytes() >= SECTION_BYTES) {
+    for (EntryWriter filler : fillers) {
+      filler.write(out);
+      if (out.getTotalWrittenBytes() >= TARGET_SECTION_BYTES) {
         sections.add(out.toByteArray());
         out.clear();
       }
@@ -158,9 +158,9 @@
         throw new MalformedMessageException("not a snapshot");
       }
       int version = in.unpackInt();
-      if (version != VERSION) {
+      if (version != FORMAT_VERSION) {
         throw new MalformedMessageException(
-            "a snapshot of version " + version + ", not " + VERSION);
+            "a snapshot of version " + version + ", not " + FORMAT_VERSION);
       }
       String cluster = in.unpackString();
       long base = in.unpackLong();
@@ -169,7 +169,7 @@
       int recordCount = in.unpackInt();
       int endCount = in.unpackInt();
       int count = in.unpackInt();
-      if (count < 0 || count > MOST_SECTIONS || recordCount < 0 || endCount < 0) {
+      if (count < 0 || count > MAX_SECTIONS || recordCount < 0 || endCount < 0) {
         throw new MalformedMessageException("a snapshot with " + count + " sections");
       }
       ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -187,7 +187,7 @@
 
   private static byte[] inflate(byte[] small, int length, long sum, int section)
       throws MalformedMessageException {
-    if (length < 0 || length > MOST_SECTION_BYTES) {
+    if (length < 0 || length > MAX_SECTION_BYTES) {
       throw new MalformedMessageException("section " + section + " is too long");
     }
     try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(small))) {
@@ -216,7 +216,7 @@
       for (int i = 0; i < recordCount; i++) {
         String key = in.unpackString();
         long version = in.unpackLong();
-        records.put(key, new Read(version, in.readPayload(in.unpackBinaryHeader())));
+        records.put(key, new DecodedEntry(version, in.readPayload(in.unpackBinaryHeader())));
       }
       for (int i = 0; i < endCount; i++) {
         String job = in.unpackString();
--- a/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
@@ -26,16 +26,16 @@
   private static final Logger log = LoggerFactory.getLogger(SnapshotDirectory.class);
 
   /** Calls that wait; beyond, a disk that hangs would take the memory. */
-  private static final int MOST_WAITING = 256;
+  private static final int MAX_QUEUED_OPERATIONS = 256;
 
-  private interface Work {
+  private interface FileOperation {
     void run() throws IOException;
   }
 
   private final Path directory;
   private final BackgroundExecutor backgroundExecutor;
-  private final Deque<Work> waiting = new ArrayDeque<>();
-  private boolean working;
+  private final Deque<FileOperation> queue = new ArrayDeque<>();
+  private boolean operationRunning;
   private boolean failing;
   private long failures;
 
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public void load(Consumer<Map<String, byte[]>> onLoaded) {
+  public void loadAll(Consumer<Map<String, byte[]>> onLoaded) {
     backgroundExecutor.run(
         () -> {
           Map<String, byte[]> found = new HashMap<>();
@@ -72,7 +72,7 @@
   }
 
   @Override
-  public void put(String name, byte[] bytes) {
+  public void replace(String name, byte[] bytes) {
     submit(
         () -> {
           Path part = directory.resolve(name + ".part");
@@ -113,21 +113,21 @@
     submit(() -> Files.deleteIfExists(directory.resolve(name)));
   }
 
-  private void submit(Work work) {
-    if (waiting.size() >= MOST_WAITING) {
-      failed("the disk does not keep up");
+  private void submit(FileOperation work) {
+    if (queue.size() >= MAX_QUEUED_OPERATIONS) {
+      recordFailure("the disk does not keep up");
       return;
     }
-    waiting.addLast(work);
-    next();
+    queue.addLast(work);
+    runNext();
   }
 
-  private void next() {
-    Work work = working ? null : waiting.pollFirst();
+  private void runNext() {
+    FileOperation work = operationRunning ? null : queue.pollFirst();
     if (work == null) {
       return;
     }
-    working = true;
+    operationRunning = true;
     backgroundExecutor.run(
         () -> {
           try {
@@ -138,17 +138,17 @@
           }
         },
         failure -> {
-          working = false;
+          operationRunning = false;
           if (failure.isEmpty()) {
             failing = false;
           } else {
-            failed(failure);
+            recordFailure(failure);
           }
-          next();
+          runNext();
         });
   }
 
-  private void failed(String why) {
+  private void recordFailure(String why) {
     failures++;
     if (!failing) {
       failing = true;
--- a/src/main/java/io/pineladder/snapshot/SnapshotManager.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotManager.java
@@ -25,36 +25,37 @@
   private static final Logger log = LoggerFactory.getLogger(SnapshotManager.class);
 
   /** Between two snapshots, when something has changed. */
-  private static final Duration EVERY = Duration.ofSeconds(30);
+  private static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(30);
 
   /** Changes gather so long before they are written. */
-  private static final Duration GATHER = Duration.ofMillis(20);
+  private static final Duration CHANGE_FLUSH_DELAY = Duration.ofMillis(20);
 
   /** Snapshots kept, with the changes that follow each. */
-  private static final int KEPT = 3;
+  private static final int MAX_SNAPSHOTS = 3;
 
   /** Changes in bytes after which a snapshot is made sooner. */
-  private static final long MOST_CHANGES = 16L << 20;
+  private static final long MAX_CHANGE_BYTES = 16L << 20;
 
-  private static final Pattern NAME = Pattern.compile("(snapshot|changes)-([0-9]{19})-([0-9]{19})");
+  private static final Pattern FILE_NAME =
+      Pattern.compile("(snapshot|changes)-([0-9]{19})-([0-9]{19})");
 
   /** What was read back: a snapshot, and the changes after it in their order. */
-  public record Found(Snapshot snapshot, List<ChangeRecord> changes) {}
+  public record LoadedSnapshot(Snapshot snapshot, List<ChangeRecord> changes) {}
 
   private final SnapshotStore snapshotStore;
   private final BackgroundExecutor backgroundExecutor;
   private final EventLoop eventLoop;
   private final String cluster;
   private final Supplier<Snapshot> source;
-  private final TreeSet<String> names = new TreeSet<>(BY_AGE);
-  private String changes;
-  private long changed;
-  private ByteArrayOutputStream gathered = new ByteArrayOutputStream();
-  private boolean flushSet;
+  private final TreeSet<String> fileNames = new TreeSet<>(BY_AGE);
+  private String changeFile;
+  private long changeBytes;
+  private ByteArrayOutputStream bufferedChanges = new ByteArrayOutputStream();
+  private boolean flushScheduled;
   private boolean encoding;
 
   /** The copy has changed while a snapshot of the one before was made. */
-  private boolean again;
+  private boolean snapshotOutdated;
 
   private boolean stopped;
 
@@ -81,7 +82,7 @@
   }
 
   public void start() {
-    eventLoop.schedule(EVERY, this::tick);
+    eventLoop.schedule(SNAPSHOT_INTERVAL, this::tick);
   }
 
   public void stop() {
@@ -89,95 +90,96 @@
   }
 
   /** How many snapshots are on the shelf. */
-  public int kept() {
-    return (int) names.stream().filter(n -> n.startsWith("snapshot")).count();
+  public int snapshotCount() {
+    return (int) fileNames.stream().filter(n -> n.startsWith("snapshot")).count();
   }
 
   public long failures() {
     return snapshotStore.failures();
   }
 
-  private static String name(String kind, Snapshot of) {
-    return String.format("%s-%019d-%019d", kind, of.base(), of.revision());
+  private static String fileName(String kind, Snapshot of) {
+    return String.format("%s-%019d-%019d", kind, of.generationBase(), of.revision());
   }
 
   /** A record has changed in the store, as this controller sees it. */
-  public void changed(String key, long version, Supplier<byte[]> json) {
-    if (changes == null || stopped) {
+  public void recordChange(String key, long version, Supplier<byte[]> json) {
+    if (changeFile == null || stopped) {
       return;
     }
     byte[] bytes = new ChangeRecord(key, version, json.get()).encode();
-    gathered.writeBytes(bytes);
-    changed += bytes.length;
-    if (!flushSet) {
-      flushSet = true;
-      eventLoop.schedule(GATHER, this::flush);
+    bufferedChanges.writeBytes(bytes);
+    changeBytes += bytes.length;
+    if (!flushScheduled) {
+      flushScheduled = true;
+      eventLoop.schedule(CHANGE_FLUSH_DELAY, this::flush);
     }
-    if (changed > MOST_CHANGES && !encoding) {
-      make();
+    if (changeBytes > MAX_CHANGE_BYTES && !encoding) {
+      createSnapshot();
     }
   }
 
   private void flush() {
-    flushSet = false;
-    if (gathered.size() > 0 && changes != null) {
-      snapshotStore.append(changes, gathered.toByteArray());
+    flushScheduled = false;
+    if (bufferedChanges.size() > 0 && changeFile != null) {
+      snapshotStore.append(changeFile, bufferedChanges.toByteArray());
     }
-    gathered = new ByteArrayOutputStream();
+    bufferedChanges = new ByteArrayOutputStream();
   }
 
   private void tick() {
     if (stopped) {
       return;
     }
-    if (!encoding && (changes == null || changed > 0)) {
-      make();
+    if (!encoding && (changeFile == null || changeBytes > 0)) {
+      createSnapshot();
     }
-    eventLoop.schedule(EVERY, this::tick);
+    eventLoop.schedule(SNAPSHOT_INTERVAL, this::tick);
   }
 
   /** The copy is another one from here on, so a new snapshot is made of it. */
-  public void renew() {
+  public void onReplicaReplaced() {
     // Changes of the new copy must not follow a snapshot of the one before.
     flush();
-    changes = null;
+    changeFile = null;
     if (encoding) {
-      again = true;
+      snapshotOutdated = true;
     } else if (!stopped) {
-      make();
+      createSnapshot();
     }
   }
 
-  private void make() {
+  private void createSnapshot() {
     Snapshot snapshot = source.get();
     if (snapshot == null) {
       return;
     }
     flush();
     // From here on changes follow this snapshot; if it is never whole they follow the one before.
-    changes = name("changes", snapshot);
-    changed = 0;
+    changeFile = fileName("changes", snapshot);
+    changeBytes = 0;
     encoding = true;
     backgroundExecutor.run(
         snapshot::encode,
         bytes -> {
           encoding = false;
-          String name = name("snapshot", snapshot);
-          snapshotStore.put(name, bytes);
-          names.add(name);
-          names.add(name("changes", snapshot));
-          dropOld();
-          if (again && !stopped) {
-            again = false;
-            make();
+          String name = fileName("snapshot", snapshot);
+          snapshotStore.replace(name, bytes);
+          fileNames.add(name);
+          fileNames.add(fileName("changes", snapshot));
+          removeExpired();
+          if (snapshotOutdated && !stopped) {
+            snapshotOutdated = false;
+            createSnapshot();
           }
         });
   }
 
-  private void dropOld() {
+  private void removeExpired() {
     // A snapshot comes before the changes that follow it.
-    while (kept() > KEPT || !names.isEmpty() && names.first().startsWith("changes")) {
-      snapshotStore.remove(names.pollFirst());
+    while (snapshotCount() > MAX_SNAPSHOTS
+        || !fileNames.isEmpty() && fileNames.first().startsWith("changes")) {
+      snapshotStore.remove(fileNames.pollFirst());
     }
   }
 
@@ -186,27 +188,27 @@
    *
    * @param onFound told null when there is none
    */
-  public void load(Consumer<Found> onFound) {
-    snapshotStore.load(files -> onFound.accept(newest(files)));
+  public void load(Consumer<LoadedSnapshot> onFound) {
+    snapshotStore.loadAll(files -> onFound.accept(newestValid(files)));
   }
 
-  private Found newest(Map<String, byte[]> files) {
+  private LoadedSnapshot newestValid(Map<String, byte[]> files) {
     for (String name : files.keySet()) {
-      Matcher of = NAME.matcher(name);
+      Matcher of = FILE_NAME.matcher(name);
       if (of.matches()) {
-        names.add(name);
+        fileNames.add(name);
       }
     }
-    for (String name : names.descendingSet()) {
+    for (String name : fileNames.descendingSet()) {
       if (!name.startsWith("snapshot")) {
         continue;
       }
       try {
         Snapshot snapshot = Snapshot.decode(files.get(name));
-        snapshot.requireOf(cluster);
+        snapshot.requireCluster(cluster);
         List<ChangeRecord> since = new ArrayList<>();
-        String first = name("changes", snapshot);
-        for (String each : names.tailSet(first, true)) {
+        String first = fileName("changes", snapshot);
+        for (String each : fileNames.tailSet(first, true)) {
           // Changes of another generation do not follow from this snapshot.
           boolean same = each.startsWith(first.substring(0, first.lastIndexOf('-')));
           if (each.startsWith("changes") && same) {
@@ -214,7 +216,7 @@
           }
         }
         log.info("{} is read, with {} changes since", name, since.size());
-        return new Found(snapshot, since);
+        return new LoadedSnapshot(snapshot, since);
       } catch (MalformedMessageException e) {
         log.warn("{} is left out: {}", name, e.getMessage());
       }
--- a/src/main/java/io/pineladder/snapshot/SnapshotStore.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotStore.java
@@ -9,10 +9,10 @@
  */
 public interface SnapshotStore {
   /** Reads all files, by name; an empty map when there are none or they cannot be read. */
-  void load(Consumer<Map<String, byte[]>> onLoaded);
+  void loadAll(Consumer<Map<String, byte[]>> onLoaded);
 
   /** Puts a file there whole, or not at all. */
-  void put(String name, byte[] bytes);
+  void replace(String name, byte[] bytes);
 
   /** Adds to a file's end, which may be cut short if the process ends meanwhile. */
   void append(String name, byte[] bytes);
--- a/src/main/java/io/pineladder/store/AcceptedJobIndex.java
+++ b/src/main/java/io/pineladder/store/AcceptedJobIndex.java
@@ -25,7 +25,7 @@
   private static final Logger log = LoggerFactory.getLogger(AcceptedJobIndex.class);
 
   /** Not asked for so long, it is given up, for its memory. */
-  private static final Duration UNUSED = Duration.ofSeconds(60);
+  private static final Duration IDLE_EXPIRY = Duration.ofSeconds(60);
 
   /** Where the index stands. */
   private enum State {
@@ -34,24 +34,24 @@
     /** The pages, or the changes since, are being read. */
     READING,
     /** Everything up to a revision is known. */
-    KNOWN
+    LOADED
   }
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
-  private final Map<String, Map<String, Found>> pages = new HashMap<>();
+  private final Map<String, Map<String, IndexedJob>> pages = new HashMap<>();
   private State state = State.EMPTY;
   private long revision;
-  private Instant usedAt;
+  private Instant lastUsedAt;
 
   /** Changes with the generation that counts, so that a late answer is told apart. */
-  private int generation;
+  private int epoch;
 
   /** One timer looks whether the index is still in use, however often it is read. */
-  private boolean expirySet;
+  private boolean expiryScheduled;
 
   /** Those whose answer the read under way began too early for. */
-  private List<Consumer<Boolean>> next = new ArrayList<>();
+  private List<Consumer<Boolean>> waitingCallers = new ArrayList<>();
 
   public AcceptedJobIndex(StoreClient storeClient, EventLoop eventLoop) {
     this.storeClient = storeClient;
@@ -64,20 +64,20 @@
    * @param onDone told whether {@link #find} now answers as of a moment after this call
    */
   public void refresh(Consumer<Boolean> onDone) {
-    usedAt = eventLoop.now();
-    next.add(onDone);
+    lastUsedAt = eventLoop.now();
+    waitingCallers.add(onDone);
     if (state != State.READING) {
       read();
     }
   }
 
   /** A job in a page, with the jobs that it needs. */
-  public record Found(Job.State state, List<String> prerequisites) {}
+  public record IndexedJob(Job.State state, List<String> prerequisites) {}
 
   /** The job as last read, or null when no page holds it. */
-  public Found find(String id) {
-    for (Map<String, Found> page : pages.values()) {
-      Found found = page.get(id);
+  public IndexedJob find(String id) {
+    for (Map<String, IndexedJob> page : pages.values()) {
+      IndexedJob found = page.get(id);
       if (found != null) {
         return found;
       }
@@ -86,15 +86,15 @@
   }
 
   /** Another generation counts: nothing is known of it, and what is being read is of no use. */
-  public void forget() {
-    generation++;
-    List<Consumer<Boolean>> asked = next;
-    next = new ArrayList<>();
-    moveTo(State.EMPTY);
-    asked.forEach(each -> each.accept(false));
+  public void invalidate() {
+    epoch++;
+    List<Consumer<Boolean>> callers = waitingCallers;
+    waitingCallers = new ArrayList<>();
+    transitionTo(State.EMPTY);
+    callers.forEach(each -> each.accept(false));
   }
 
-  private void moveTo(State to) {
+  private void transitionTo(State to) {
     if (to == State.EMPTY) {
       pages.clear();
     }
@@ -102,89 +102,89 @@
   }
 
   private void read() {
-    List<Consumer<Boolean>> asked = next;
-    next = new ArrayList<>();
+    List<Consumer<Boolean>> callers = waitingCallers;
+    waitingCallers = new ArrayList<>();
     boolean whole = state == State.EMPTY;
-    int of = generation;
-    moveTo(State.READING);
+    int readEpoch = epoch;
+    transitionTo(State.READING);
     if (whole) {
       storeClient.listForUser(
-          RecordKeys.ACCEPTED,
+          RecordKeys.JOB_PAGES,
           listing -> {
-            if (of != generation) {
-              asked.forEach(each -> each.accept(false));
+            if (readEpoch != epoch) {
+              callers.forEach(each -> each.accept(false));
               return;
             }
             if (listing == null) {
-              finish(State.EMPTY, asked);
+              finish(State.EMPTY, callers);
               return;
             }
             revision = listing.revision();
-            if (!take(listing.entries())) {
-              finish(State.EMPTY, asked);
+            if (!indexPages(listing.entries())) {
+              finish(State.EMPTY, callers);
               return;
             }
             // A job may have moved between pages while they were read one after another.
-            moveTo(State.KNOWN);
-            next.addAll(0, asked);
+            transitionTo(State.LOADED);
+            waitingCallers.addAll(0, callers);
             read();
           });
       return;
     }
-    storeClient.changesForUser(
-        RecordKeys.ACCEPTED,
+    storeClient.readChangesForUser(
+        RecordKeys.JOB_PAGES,
         revision,
         followed -> {
-          if (of != generation) {
-            asked.forEach(each -> each.accept(false));
+          if (readEpoch != epoch) {
+            callers.forEach(each -> each.accept(false));
             return;
           }
           StoreWire.Changes changes = followed.changes();
           if (changes != null) {
             revision = changes.revision();
-            finish(take(changes.entries()) ? State.KNOWN : State.EMPTY, asked);
+            finish(indexPages(changes.entries()) ? State.LOADED : State.EMPTY, callers);
             return;
           }
           // 410: what is known is too old to be brought up to date.
-          finish(followed.reply().is(410) ? State.EMPTY : State.KNOWN, asked, false);
+          finish(followed.reply().is(410) ? State.EMPTY : State.LOADED, callers, false);
         });
   }
 
-  private void finish(State to, List<Consumer<Boolean>> asked) {
-    finish(to, asked, to == State.KNOWN);
+  private void finish(State to, List<Consumer<Boolean>> callers) {
+    finish(to, callers, to == State.LOADED);
   }
 
-  private void finish(State to, List<Consumer<Boolean>> asked, boolean fresh) {
-    moveTo(to);
-    asked.forEach(each -> each.accept(fresh));
-    if (!next.isEmpty() && state != State.READING) {
+  private void finish(State to, List<Consumer<Boolean>> callers, boolean fresh) {
+    transitionTo(to);
+    callers.forEach(each -> each.accept(fresh));
+    if (!waitingCallers.isEmpty() && state != State.READING) {
       read();
-    } else if (state == State.KNOWN && !expirySet) {
-      expirySet = true;
-      eventLoop.schedule(UNUSED, this::expire);
+    } else if (state == State.LOADED && !expiryScheduled) {
+      expiryScheduled = true;
+      eventLoop.schedule(IDLE_EXPIRY, this::expire);
     }
   }
 
   private void expire() {
-    Instant due = usedAt.plus(UNUSED);
+    Instant due = lastUsedAt.plus(IDLE_EXPIRY);
     if (due.isAfter(eventLoop.now())) {
       eventLoop.schedule(Duration.between(eventLoop.now(), due), this::expire);
       return;
     }
-    expirySet = false;
-    if (state == State.KNOWN) {
-      moveTo(State.EMPTY);
+    expiryScheduled = false;
+    if (state == State.LOADED) {
+      transitionTo(State.EMPTY);
     }
   }
 
-  private boolean take(List<StoreWire.Entry> entries) {
+  private boolean indexPages(List<StoreWire.Entry> entries) {
     try {
       for (StoreWire.Entry entry : entries) {
-        Map<String, Found> jobs = new HashMap<>();
+        Map<String, IndexedJob> jobs = new HashMap<>();
         if (entry.value() != null) {
           for (JsonNode record : RecordWire.entries(entry.value())) {
             RecordWire.StoredJob job = RecordWire.parseJob(record);
-            jobs.put(job.spec().id(), new Found(job.state(), job.spec().prerequisites()));
+            jobs.put(job.spec().id(), new IndexedJob(job.state(), job.spec().prerequisites()));
           }
         }
         pages.put(entry.key(), jobs);
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -38,13 +38,13 @@
   private static final Logger log = LoggerFactory.getLogger(Committer.class);
 
   /** The service takes 64 KiB; the rest is for conditions. */
-  private static final int MAX_BYTES = 48 * 1024;
+  private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-  private static final Duration FIRST_RETRY = Duration.ofMillis(100);
-  private static final Duration MOST_RETRY = Duration.ofSeconds(1);
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(1);
 
   /** Records compared at a time; more would take the processor from what waits. */
-  private static final int MOST_AUDITED = 100;
+  private static final int MAX_AUDITED_RECORDS = 100;
 
   /** Where the committer stands. */
   private enum State {
@@ -53,25 +53,25 @@
     WAITING,
     IN_FLIGHT,
     /** Reading back what a transaction without a reply did. */
-    SETTLING,
+    RESOLVING,
     CLOSED
   }
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
-  private final long version;
+  private final long fencingToken;
   private final Listener listener;
-  private final TreeMap<String, Long> versions = new TreeMap<>();
+  private final TreeMap<String, Long> revisions = new TreeMap<>();
   private final EnumMap<Mutation.Priority, Deque<Mutation>> queues =
       new EnumMap<>(Mutation.Priority.class);
 
   /** Mutations of pages that are being divided. */
-  private final Deque<Mutation> held = new ArrayDeque<>();
+  private final Deque<Mutation> deferred = new ArrayDeque<>();
 
   private State state = State.IDLE;
-  private Batch batch;
-  private final Backoff retry;
-  private NotificationLog notificationLog = NotificationLog.NONE;
+  private PendingTransaction pending;
+  private final Backoff backoff;
+  private NotificationLog notificationLog = NotificationLog.DISABLED;
 
   /** What the owner of the records learns. */
   public interface Listener {
@@ -79,13 +79,13 @@
     void onFenced(String reason);
 
     /** Our key as the leader is gone or another's. */
-    void onKeyGone();
+    void onLeaderKeyGone();
 
     /**
      * A record that only this leader writes is not as it stored it, though its key as the leader
      * still stands: the state service has lost data.
      */
-    void onLost(String reason);
+    void onDataLoss(String reason);
 
     /** A value that the limits before allowed was refused: the announced limits are in force. */
     void onLimitsLowered();
@@ -94,12 +94,12 @@
     void onStored(String key, JsonNode value, long revision);
   }
 
-  private static final class Batch {
+  private static final class PendingTransaction {
     final List<Mutation> mutations = new ArrayList<>();
     final Map<String, JsonNode> values = new HashMap<>();
 
     /** Pages of jobs that it changes, with what its mutations change there. */
-    final Map<JobPages.Page, List<JobPages.Edit>> pages = new LinkedHashMap<>();
+    final Map<JobPages.Page, List<JobPages.Edit>> pageEdits = new LinkedHashMap<>();
 
     byte[] body;
 
@@ -107,7 +107,7 @@
     boolean ambiguous;
 
     /** The highest revision that was seen when it was sent last. */
-    long seen;
+    long highestRevisionWhenSent;
   }
 
   /**
@@ -115,44 +115,45 @@
    *
    * @param version the revision of its key
    */
-  public Committer(StoreClient storeClient, EventLoop eventLoop, long version, Listener listener) {
+  public Committer(
+      StoreClient storeClient, EventLoop eventLoop, long fencingToken, Listener listener) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
-    this.version = version;
+    this.fencingToken = fencingToken;
     this.listener = listener;
-    this.retry = new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
+    this.backoff = new Backoff(eventLoop, INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
     for (Mutation.Priority priority : Mutation.Priority.values()) {
       queues.put(priority, new ArrayDeque<>());
     }
   }
 
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     if (state != State.CLOSED) {
       state = next;
     }
   }
 
   /** Has notices numbered by the book, in the order in which they go into transactions. */
-  public void number(NotificationLog by) {
-    notificationLog = by;
+  public void setNotificationLog(NotificationLog log) {
+    notificationLog = log;
   }
 
   /** Tells the revision of a key that was read. */
-  public void known(String key, long version) {
-    versions.put(key, version);
+  public void restoreRevision(String key, long revision) {
+    revisions.put(key, revision);
   }
 
   public void submit(Mutation mutation) {
     queues.get(mutation.priority()).addLast(mutation);
     if (state == State.IDLE) {
       // Changes decided by one message go together.
-      moveTo(State.WAITING);
-      eventLoop.schedule(Duration.ofMillis(1), this::next);
+      transitionTo(State.WAITING);
+      eventLoop.schedule(Duration.ofMillis(1), this::sendNext);
     }
   }
 
-  public int waiting() {
-    int count = held.size() + (batch == null ? 0 : batch.mutations.size());
+  public int pendingMutations() {
+    int count = deferred.size() + (pending == null ? 0 : pending.mutations.size());
     for (Deque<Mutation> queue : queues.values()) {
       count += queue.size();
     }
@@ -160,25 +161,26 @@
   }
 
   public void close() {
-    moveTo(State.CLOSED);
+    transitionTo(State.CLOSED);
   }
 
-  private void next() {
+  private void sendNext() {
     if (state == State.CLOSED) {
       return;
     }
-    if (batch == null) {
+    if (pending == null) {
       Instant now = eventLoop.now();
-      int ops =
-          Math.min(storeClient.limits().transactionOps(), storeClient.writes().available(now));
-      batch = gather(ops);
-      if (batch == null) {
-        Integer least = leastWaiting();
-        if (least == null) {
-          moveTo(State.IDLE);
+      int maxOperations =
+          Math.min(storeClient.limits().transactionOps(), storeClient.writeBudget().available(now));
+      pending = assemble(maxOperations);
+      if (pending == null) {
+        Integer cost = firstWaitingCost();
+        if (cost == null) {
+          transitionTo(State.IDLE);
         } else {
-          moveTo(State.WAITING);
-          eventLoop.schedule(storeClient.writes().until(least, now).plusMillis(1), this::next);
+          transitionTo(State.WAITING);
+          eventLoop.schedule(
+              storeClient.writeBudget().until(cost, now).plusMillis(1), this::sendNext);
         }
         return;
       }
@@ -187,64 +189,67 @@
   }
 
   /** A page was divided: what waited for that goes on, in the order in which it came. */
-  public void releaseHeld() {
-    List<Mutation> released = new ArrayList<>(held);
-    held.clear();
-    requeue(released);
+  public void requeueDeferred() {
+    List<Mutation> resumed = new ArrayList<>(deferred);
+    deferred.clear();
+    requeue(resumed);
     if (state == State.IDLE) {
-      moveTo(State.WAITING);
-      eventLoop.schedule(Duration.ofMillis(1), this::next);
+      transitionTo(State.WAITING);
+      eventLoop.schedule(Duration.ofMillis(1), this::sendNext);
     }
   }
 
-  private Integer leastWaiting() {
+  private Integer firstWaitingCost() {
     for (Deque<Mutation> queue : queues.values()) {
       if (!queue.isEmpty()) {
-        return cost(queue.peekFirst(), Collections.emptyMap());
+        return operationCost(queue.peekFirst(), Collections.emptyMap());
       }
     }
     return null;
   }
 
   /** How many keys the mutation changes that the transaction does not change already. */
-  private static int cost(Mutation mutation, Map<JobPages.Page, List<JobPages.Edit>> pages) {
-    long more =
-        mutation.edits().stream()
+  private static int operationCost(
+      Mutation mutation, Map<JobPages.Page, List<JobPages.Edit>> includedPages) {
+    long additionalPages =
+        mutation.pageEdits().stream()
             .map(JobPages.Edit::page)
-            .filter(page -> !pages.containsKey(page))
+            .filter(page -> !includedPages.containsKey(page))
             .distinct()
             .count();
-    return mutation.writes().size() + (int) more;
+    return mutation.writes().size() + (int) additionalPages;
   }
 
-  private Batch gather(int ops) {
-    Batch made = new Batch();
-    notificationLog.begin();
+  private PendingTransaction assemble(int maxOperations) {
+    PendingTransaction assembled = new PendingTransaction();
+    notificationLog.beginTransaction();
     StoreWire.Transaction transaction =
-        storeClient.transaction().require(RecordKeys.LEADER, version);
-    Set<String> keys = new HashSet<>();
-    int left = ops;
+        storeClient.transaction().require(RecordKeys.LEADER, fencingToken);
+    Set<String> writtenKeys = new HashSet<>();
+    int remainingOperations = maxOperations;
     int bytes = 0;
-    int conditions = 4 * storeClient.limits().transactionOps() - 2;
+    int remainingConditions = 4 * storeClient.limits().transactionOps() - 2;
     for (Deque<Mutation> queue : queues.values()) {
       while (!queue.isEmpty()) {
         Mutation mutation = queue.peekFirst();
-        if (!mutation.wanted().getAsBoolean()) {
+        if (!mutation.stillWanted().getAsBoolean()) {
           queue.pollFirst();
           continue;
         }
-        if (mutation.edits().stream().anyMatch(JobPages.Edit::mustWait)) {
+        if (mutation.pageEdits().stream().anyMatch(JobPages.Edit::mustWait)) {
           // Whoever divides the page has it tried again; what does not touch the page need not
           // wait.
-          mutation.edits().forEach(JobPages.Edit::held);
-          held.addLast(queue.pollFirst());
+          mutation.pageEdits().forEach(JobPages.Edit::defer);
+          deferred.addLast(queue.pollFirst());
           continue;
         }
-        int wants = cost(mutation, made.pages);
-        boolean repeats = mutation.writes().stream().anyMatch(w -> keys.contains(w.key()));
-        if (wants > left || repeats || wants + mutation.absent().size() > conditions) {
+        int cost = operationCost(mutation, assembled.pageEdits);
+        boolean repeats = mutation.writes().stream().anyMatch(w -> writtenKeys.contains(w.key()));
+        if (cost > remainingOperations
+            || repeats
+            || cost + mutation.mustNotExist().size() > remainingConditions) {
           // Nothing of lower priority may overtake it, or it could starve.
-          return made.mutations.isEmpty() ? null : finish(made, transaction);
+          return assembled.mutations.isEmpty() ? null : seal(assembled, transaction);
         }
         int size = 0;
         Map<String, JsonNode> values = new HashMap<>();
@@ -253,28 +258,28 @@
           values.put(write.key(), value);
           size += value == null ? 0 : Json.bytes(value).length;
         }
-        for (JobPages.Edit edit : mutation.edits()) {
-          size += made.pages.containsKey(edit.page()) ? 0 : edit.page().bytes();
+        for (JobPages.Edit edit : mutation.pageEdits()) {
+          size += assembled.pageEdits.containsKey(edit.page()) ? 0 : edit.page().maxValueBytes();
         }
-        if (!made.mutations.isEmpty() && bytes + size > MAX_BYTES) {
-          return finish(made, transaction);
+        if (!assembled.mutations.isEmpty() && bytes + size > MAX_TRANSACTION_BYTES) {
+          return seal(assembled, transaction);
         }
         queue.pollFirst();
         bytes += size;
-        left -= wants;
-        conditions -= wants + mutation.absent().size();
-        made.mutations.add(mutation);
-        made.values.putAll(values);
-        for (JobPages.Edit edit : mutation.edits()) {
-          edit.fix();
-          made.pages.computeIfAbsent(edit.page(), p -> new ArrayList<>()).add(edit);
+        remainingOperations -= cost;
+        remainingConditions -= cost + mutation.mustNotExist().size();
+        assembled.mutations.add(mutation);
+        assembled.values.putAll(values);
+        for (JobPages.Edit edit : mutation.pageEdits()) {
+          edit.prepare();
+          assembled.pageEdits.computeIfAbsent(edit.page(), p -> new ArrayList<>()).add(edit);
         }
-        for (String key : mutation.absent()) {
+        for (String key : mutation.mustNotExist()) {
           transaction.require(key, 0);
         }
         for (Mutation.Write write : mutation.writes()) {
-          keys.add(write.key());
-          transaction.require(write.key(), versions.getOrDefault(write.key(), 0L));
+          writtenKeys.add(write.key());
+          transaction.require(write.key(), revisions.getOrDefault(write.key(), 0L));
           JsonNode value = values.get(write.key());
           if (value == null) {
             transaction.delete(write.key());
@@ -284,15 +289,15 @@
         }
       }
     }
-    return made.mutations.isEmpty() ? null : finish(made, transaction);
+    return assembled.mutations.isEmpty() ? null : seal(assembled, transaction);
   }
 
-  private Batch finish(Batch made, StoreWire.Transaction transaction) {
-    made.pages.forEach(
+  private PendingTransaction seal(PendingTransaction made, StoreWire.Transaction transaction) {
+    made.pageEdits.forEach(
         (page, edits) -> {
           JsonNode value = page.render(edits);
           made.values.put(page.key, value);
-          transaction.require(page.key, versions.getOrDefault(page.key, 0L));
+          transaction.require(page.key, revisions.getOrDefault(page.key, 0L));
           transaction.put(page.key, value);
         });
     made.body = transaction.bytes();
@@ -300,10 +305,10 @@
   }
 
   private void sendBatch() {
-    moveTo(State.IN_FLIGHT);
-    batch.seen = storeClient.seen();
-    storeClient.writes().take(batch.values.size(), eventLoop.now());
-    storeClient.send(storeClient.post("/multi", batch.body), this::onReply);
+    transitionTo(State.IN_FLIGHT);
+    pending.highestRevisionWhenSent = storeClient.highestRevision();
+    storeClient.writeBudget().take(pending.values.size(), eventLoop.now());
+    storeClient.send(storeClient.post("/multi", pending.body), this::onReply);
   }
 
   private void onReply(Reply reply) {
@@ -313,8 +318,8 @@
     try {
       if (reply.is(200)) {
         long revision = StoreWire.parseRevision(reply.body());
-        if (!storeClient.isAhead(batch.seen, revision)) {
-          lost("the revision went back to " + revision);
+        if (!storeClient.acceptCommitRevision(pending.highestRevisionWhenSent, revision)) {
+          dataLost("the revision went back to " + revision);
           return;
         }
         committed(revision);
@@ -326,12 +331,12 @@
         if (failed.contains(RecordKeys.GENERATION)) {
           fenced("another generation of the records counts");
         } else if (failed.contains(RecordKeys.LEADER)) {
-          moveTo(State.CLOSED);
-          listener.onKeyGone();
-        } else if (batch.ambiguous) {
-          settle();
+          transitionTo(State.CLOSED);
+          listener.onLeaderKeyGone();
+        } else if (pending.ambiguous) {
+          resolveAmbiguity();
         } else {
-          refused(failed);
+          conditionsFailed(failed);
         }
         return;
       }
@@ -341,11 +346,11 @@
     if (reply.is(400) && exceedsLimits()) {
       // A value as an earlier leader left it: the announced limits are in force by now.
       log.warn("the store refused a transaction that exceeds the announced limits");
-      requeue(batch.mutations);
-      batch = null;
-      moveTo(State.WAITING);
+      requeue(pending.mutations);
+      pending = null;
+      transitionTo(State.WAITING);
       listener.onLimitsLowered();
-      storeClient.retry(retry, this::next);
+      storeClient.scheduleRetry(backoff, this::sendNext);
       return;
     }
     if (reply.is(400)) {
@@ -355,20 +360,20 @@
     boolean notExecuted = reply.is(503) || reply.is(429) || reply.outcome() == Outcome.NOT_SENT;
     if (!notExecuted) {
       // No answer, or one that the protocol does not name: it may have been executed, or be yet.
-      batch.ambiguous = true;
-    } else if (!batch.ambiguous) {
+      pending.ambiguous = true;
+    } else if (!pending.ambiguous) {
       // Not executed, so what waits may be put together anew when the store is back.
-      requeue(batch.mutations);
-      batch = null;
+      requeue(pending.mutations);
+      pending = null;
     }
-    moveTo(State.WAITING);
-    storeClient.retry(retry, this::next);
+    transitionTo(State.WAITING);
+    storeClient.scheduleRetry(backoff, this::sendNext);
   }
 
   /** Whether the transaction under way holds more than the announced limits allow. */
   private boolean exceedsLimits() {
-    return !batch.ambiguous
-        && batch.values.values().stream()
+    return !pending.ambiguous
+        && pending.values.values().stream()
             .anyMatch(
                 value ->
                     value != null && Json.bytes(value).length > storeClient.limits().valueBytes());
@@ -382,99 +387,99 @@
   }
 
   private void committed(long revision) {
-    Batch over = batch;
-    batch = null;
-    retry.reset();
-    over.values.forEach(
+    PendingTransaction committed = pending;
+    pending = null;
+    backoff.reset();
+    committed.values.forEach(
         (key, value) -> {
           // Final records are never written again; remembering them all would cost memory.
-          if (value == null || key.startsWith(RecordKeys.END)) {
-            versions.remove(key);
+          if (value == null || key.startsWith(RecordKeys.FINAL_STATE)) {
+            revisions.remove(key);
           } else {
-            versions.put(key, revision);
+            revisions.put(key, revision);
           }
           listener.onStored(key, value, revision);
         });
-    moveTo(State.WAITING);
-    over.pages.forEach((page, edits) -> page.committed(edits));
-    notificationLog.committed();
-    for (Mutation mutation : over.mutations) {
+    transitionTo(State.WAITING);
+    committed.pageEdits.forEach((page, edits) -> page.onCommitted(edits));
+    notificationLog.onTransactionCommitted();
+    for (Mutation mutation : committed.mutations) {
       mutation.onCommitted().run();
     }
-    next();
+    sendNext();
   }
 
   /** Nothing was executed: some conditions did not hold. */
-  private void refused(List<String> failed) {
-    Batch over = batch;
-    batch = null;
-    List<Mutation> again = new ArrayList<>();
+  private void conditionsFailed(List<String> failed) {
+    PendingTransaction refused = pending;
+    pending = null;
+    List<Mutation> retried = new ArrayList<>();
     List<Mutation> existing = new ArrayList<>();
-    for (Mutation mutation : over.mutations) {
+    for (Mutation mutation : refused.mutations) {
       boolean changed =
           mutation.writes().stream().anyMatch(w -> failed.contains(w.key()))
-              || mutation.edits().stream().anyMatch(e -> failed.contains(e.page().key));
+              || mutation.pageEdits().stream().anyMatch(e -> failed.contains(e.page().key));
       if (changed) {
         String reason = "a record changed under its owner: " + failed;
-        if (onlyByLoss(failed)) {
-          lost(reason);
+        if (impliesDataLoss(failed)) {
+          dataLost(reason);
         } else {
           fenced(reason);
         }
         return;
       }
-      boolean exists = mutation.absent().stream().anyMatch(failed::contains);
-      (exists ? existing : again).add(mutation);
+      boolean exists = mutation.mustNotExist().stream().anyMatch(failed::contains);
+      (exists ? existing : retried).add(mutation);
     }
-    requeue(again);
-    moveTo(State.WAITING);
-    existing.forEach(mutation -> mutation.onExists().run());
-    next();
+    requeue(retried);
+    transitionTo(State.WAITING);
+    existing.forEach(mutation -> mutation.onAlreadyExists().run());
+    sendNext();
   }
 
   /**
    * A copy without a reply came before this refusal. Only this leader writes its own records, and
    * every transaction writes one, so any of them tells whether that copy was executed.
    */
-  private void settle() {
-    moveTo(State.SETTLING);
-    String own = null;
-    for (Map.Entry<String, JsonNode> change : batch.values.entrySet()) {
+  private void resolveAmbiguity() {
+    transitionTo(State.RESOLVING);
+    String ownKey = null;
+    for (Map.Entry<String, JsonNode> change : pending.values.entrySet()) {
       // A deletion leaves no version to compare, unless there is nothing else.
-      own = own == null || change.getValue() != null ? change.getKey() : own;
+      ownKey = ownKey == null || change.getValue() != null ? change.getKey() : ownKey;
     }
-    String key = own;
-    storeClient.read(key, read -> onOwnRead(key, read));
+    String key = ownKey;
+    storeClient.read(key, read -> onOwnRecordRead(key, read));
   }
 
-  private void onOwnRead(String key, StoreClient.Read read) {
+  private void onOwnRecordRead(String key, StoreClient.Read read) {
     if (state == State.CLOSED) {
       return;
     }
     if (!read.certain()) {
-      storeClient.retry(retry, this::settle);
+      storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
       return;
     }
     long found = read.found() ? read.entry().version() : 0;
-    long known = versions.getOrDefault(key, 0L);
-    if (found < known && batch.values.get(key) != null) {
-      lost(key + " is missing or older than it was stored");
+    long known = revisions.getOrDefault(key, 0L);
+    if (found < known && pending.values.get(key) != null) {
+      dataLost(key + " is missing or older than it was stored");
       return;
     }
     if (found != known) {
-      confirmOwn(read.revision());
+      confirmLeadership(read.revision());
       return;
     }
     // Not executed: put together anew, the next refusal names what stands in the way.
-    batch.ambiguous = false;
-    refused(List.of());
+    pending.ambiguous = false;
+    conditionsFailed(List.of());
   }
 
   /**
    * A record of ours has changed. That was our copy only if no later leader can have written it: if
    * the leader's key, read after it, is still ours.
    */
-  private void confirmOwn(long revision) {
+  private void confirmLeadership(long revision) {
     storeClient.read(
         RecordKeys.LEADER,
         read -> {
@@ -482,8 +487,8 @@
             return;
           }
           if (!read.certain()) {
-            storeClient.retry(retry, this::settle);
-          } else if (read.found() && read.entry().version() == version) {
+            storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
+          } else if (read.found() && read.entry().version() == fencingToken) {
             committed(revision);
           } else {
             fenced("another leader holds the store");
@@ -492,22 +497,22 @@
   }
 
   private void fenced(String reason) {
-    moveTo(State.CLOSED);
+    transitionTo(State.CLOSED);
     listener.onFenced(reason);
   }
 
-  private void lost(String reason) {
-    moveTo(State.CLOSED);
-    listener.onLost(reason);
+  private void dataLost(String reason) {
+    transitionTo(State.CLOSED);
+    listener.onDataLoss(reason);
   }
 
   /**
    * Whether a record of these can only differ because data was lost. Other nodes create jobs' own
    * records and notes of them; all else is written by the leader alone.
    */
-  private static boolean onlyByLoss(List<String> keys) {
+  private static boolean impliesDataLoss(List<String> keys) {
     return keys.stream()
-        .anyMatch(k -> !k.startsWith(RecordKeys.JOB) && !k.startsWith(RecordKeys.INBOX));
+        .anyMatch(k -> !k.startsWith(RecordKeys.UNPAGED_JOB) && !k.startsWith(RecordKeys.INBOX));
   }
 
   // ---- the audit
@@ -523,20 +528,21 @@
       return;
     }
     TreeMap<String, Long> asked = new TreeMap<>();
-    StoreWire.Transaction compare = storeClient.transaction().require(RecordKeys.LEADER, version);
-    int most = Math.min(MOST_AUDITED, 4 * storeClient.limits().transactionOps() - 2);
-    var rest = after == null ? versions : versions.tailMap(after, false);
+    StoreWire.Transaction compare =
+        storeClient.transaction().require(RecordKeys.LEADER, fencingToken);
+    int most = Math.min(MAX_AUDITED_RECORDS, 4 * storeClient.limits().transactionOps() - 2);
+    var rest = after == null ? revisions : revisions.tailMap(after, false);
     for (Map.Entry<String, Long> each : rest.entrySet()) {
       if (asked.size() == most) {
         break;
       }
-      if (!isUnderWay(each.getKey())) {
+      if (!isInFlight(each.getKey())) {
         asked.put(each.getKey(), each.getValue());
         compare.require(each.getKey(), each.getValue());
       }
     }
     String last = asked.size() < most ? null : asked.lastKey();
-    storeClient.compare(
+    storeClient.checkConditions(
         compare,
         failed -> {
           if (state == State.CLOSED) {
@@ -544,32 +550,32 @@
           }
           onDone.accept(failed == null ? after : last);
           if (failed != null) {
-            audited(asked, failed);
+            onAudited(asked, failed);
           }
         });
   }
 
-  private boolean isUnderWay(String key) {
-    return batch != null && batch.values.containsKey(key);
+  private boolean isInFlight(String key) {
+    return pending != null && pending.values.containsKey(key);
   }
 
-  private void audited(Map<String, Long> asked, List<String> failed) {
+  private void onAudited(Map<String, Long> asked, List<String> failed) {
     if (failed.contains(RecordKeys.GENERATION)) {
       fenced("another generation of the records counts");
       return;
     }
     if (failed.contains(RecordKeys.LEADER)) {
-      moveTo(State.CLOSED);
-      listener.onKeyGone();
+      transitionTo(State.CLOSED);
+      listener.onLeaderKeyGone();
       return;
     }
     // What was written meanwhile differs, as it should.
     List<String> differ =
         failed.stream()
-            .filter(k -> !isUnderWay(k) && asked.get(k).equals(versions.get(k)))
+            .filter(k -> !isInFlight(k) && asked.get(k).equals(revisions.get(k)))
             .toList();
-    if (onlyByLoss(differ)) {
-      lost("records are missing or older than they were stored: " + differ);
+    if (impliesDataLoss(differ)) {
+      dataLost("records are missing or older than they were stored: " + differ);
     }
   }
 }
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -36,23 +36,23 @@
  */
 final class JobPages {
   /** What a record may still grow by: a final state, a verdict. */
-  private static final int GROWTH_BYTES = 32;
+  private static final int RECORD_GROWTH_BYTES = 32;
 
   /** No time that a notice tells takes more room. */
-  private static final Instant LATEST = Instant.ofEpochMilli(Long.MAX_VALUE / 1_000_000);
+  private static final Instant LONGEST_INSTANT = Instant.ofEpochMilli(Long.MAX_VALUE / 1_000_000);
 
   /** One value of the store. */
   static final class Page {
     final String key;
 
     /** What is stored, by job id. */
-    private final Map<String, JsonNode> entries = new LinkedHashMap<>();
+    private final Map<String, JsonNode> records = new LinkedHashMap<>();
 
     /** The notices that are stored, by number. */
-    private final Map<Long, Notification> notices = new TreeMap<>();
+    private final Map<Long, Notification> notifications = new TreeMap<>();
 
     /** What is in it takes, that included which is still on its way there. */
-    private int bytes;
+    private int reservedBytes;
 
     /** The jobs in it that are not over, by id. */
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -68,50 +68,50 @@
     }
 
     /** The most bytes that its next value can take. */
-    int bytes() {
-      return RecordPages.FRAME_BYTES + bytes;
+    int maxValueBytes() {
+      return RecordPages.PAGE_OVERHEAD_BYTES + reservedBytes;
     }
 
     /** Its value once these changes are made. */
     JsonNode render(List<Edit> edits) {
-      Map<String, JsonNode> next = new LinkedHashMap<>(entries);
-      Map<Long, Notification> told = new TreeMap<>(notices);
-      edits.forEach(edit -> edit.make(next, told));
-      return RecordWire.page(next.values().stream(), told.values());
+      Map<String, JsonNode> nextRecords = new LinkedHashMap<>(records);
+      Map<Long, Notification> nextNotifications = new TreeMap<>(notifications);
+      edits.forEach(edit -> edit.apply(nextRecords, nextNotifications));
+      return RecordWire.page(nextRecords.values().stream(), nextNotifications.values());
     }
 
     /** The transaction with these changes has committed. */
-    void committed(List<Edit> edits) {
-      edits.forEach(edit -> edit.make(entries, notices));
-      edits.forEach(Edit::committed);
+    void onCommitted(List<Edit> edits) {
+      edits.forEach(edit -> edit.apply(records, notifications));
+      edits.forEach(Edit::onCommitted);
     }
   }
 
   /** What happens to a job's record. */
-  private enum Kind {
+  private enum EditKind {
     ADD,
     REPLACE,
     REMOVE,
     /** A record of a page that is being divided is copied, with the name of that page. */
     COPY,
     /** Its notice is added. */
-    NOTE,
+    ADD_NOTIFICATION,
     /** Nothing changes: the page is stored anew. */
-    TOUCH
+    REWRITE
   }
 
   /** A change of one job's record, made in the same transaction as a mutation's other writes. */
   final class Edit {
     /** Where the change is made; null for the job's page at the time. */
-    private Page fixed;
+    private Page assignedPage;
 
-    private final Kind kind;
+    private final EditKind kind;
 
     /** Whose record it is; null for a change of none. */
     private final Job job;
 
     /** The page that a copy is made of. */
-    private Page source;
+    private Page copiedFrom;
 
     private final String id;
     private final Supplier<JsonNode> value;
@@ -123,13 +123,13 @@
     private Notification notification;
 
     /** The room kept for a notice. */
-    private int room;
+    private int notificationBytes;
 
     /** It is part of a transaction that is under way, or was when it was last looked at. */
-    private boolean underWay;
+    private boolean inFlight;
 
-    private Edit(Page fixed, Kind kind, Job job, Supplier<JsonNode> value) {
-      this.fixed = fixed;
+    private Edit(Page fixed, EditKind kind, Job job, Supplier<JsonNode> value) {
+      this.assignedPage = fixed;
       this.kind = kind;
       this.job = job;
       this.id = job == null ? "" : job.spec.id();
@@ -138,7 +138,7 @@
 
     /** The page that it changes, as things stand: a job's record moves when its page is divided. */
     Page page() {
-      return fixed != null ? fixed : homes.get(job);
+      return assignedPage != null ? assignedPage : pageByJob.get(job);
     }
 
     /** Whether it has to wait until its page is divided. */
@@ -147,29 +147,29 @@
       if (page == null || page.dividing || !page.inheritedTooLarge) {
         return page != null && page.dividing;
       }
-      int leaves = kind == Kind.REMOVE ? sizes.get(job) : 0;
-      return page.bytes - leaves > capacity;
+      int leaves = kind == EditKind.REMOVE ? recordBytesByJob.get(job) : 0;
+      return page.reservedBytes - leaves > capacity;
     }
 
     /** It waits, and is part of no transaction. */
-    void held() {
-      underWay = false;
+    void defer() {
+      inFlight = false;
     }
 
     /** Asks for the record as it is now; called once for each transaction it is put into. */
-    void fix() {
-      underWay = true;
-      if (kind == Kind.NOTE) {
-        notification = notificationLog.next(job);
-      } else if (kind == Kind.COPY) {
-        JsonNode record = source.entries.get(id);
-        rendered = record == null ? null : RecordWire.copied(record, source.key);
-      } else if (kind != Kind.REMOVE && kind != Kind.TOUCH) {
+    void prepare() {
+      inFlight = true;
+      if (kind == EditKind.ADD_NOTIFICATION) {
+        notification = notificationLog.allocate(job);
+      } else if (kind == EditKind.COPY) {
+        JsonNode record = copiedFrom.records.get(id);
+        rendered = record == null ? null : RecordWire.copied(record, copiedFrom.key);
+      } else if (kind != EditKind.REMOVE && kind != EditKind.REWRITE) {
         rendered = value.get();
       }
     }
 
-    private void make(Map<String, JsonNode> records, Map<Long, Notification> notices) {
+    private void apply(Map<String, JsonNode> records, Map<Long, Notification> notices) {
       switch (kind) {
         case ADD -> records.put(id, rendered);
         case REPLACE -> records.computeIfPresent(id, (same, old) -> rendered);
@@ -179,8 +179,8 @@
             records.put(id, rendered);
           }
         }
-        case TOUCH -> {}
-        case NOTE -> {
+        case REWRITE -> {}
+        case ADD_NOTIFICATION -> {
           if (notification != null) {
             notices.put(notification.number(), notification);
           }
@@ -188,36 +188,37 @@
       }
     }
 
-    private void committed() {
-      if (kind != Kind.NOTE) {
+    private void onCommitted() {
+      if (kind != EditKind.ADD_NOTIFICATION) {
         return;
       }
-      notes.remove(job);
-      Page page = fixed;
+      pendingNotifications.remove(job);
+      Page page = assignedPage;
       if (notification == null) {
-        page.bytes -= room;
+        page.reservedBytes -= notificationBytes;
       } else {
-        int taken = room(notification);
-        page.bytes -= room - taken;
-        notificationLog.stored(notification, taken, () -> drop(page, notification.number(), taken));
+        int taken = notificationBytes(notification);
+        page.reservedBytes -= notificationBytes - taken;
+        notificationLog.onStored(
+            notification, taken, () -> removeNotification(page, notification.number(), taken));
       }
     }
   }
 
   private final NotificationLog notificationLog;
   private final int capacity;
-  private final ArrayDeque<Page> ring = new ArrayDeque<>();
-  private final Map<Job, Page> homes = new HashMap<>();
-  private final Map<Job, Integer> sizes = new HashMap<>();
+  private final ArrayDeque<Page> pages = new ArrayDeque<>();
+  private final Map<Job, Page> pageByJob = new HashMap<>();
+  private final Map<Job, Integer> recordBytesByJob = new HashMap<>();
 
   /** Notices that wait to be stored. */
-  private final Map<Job, Edit> notes = new HashMap<>();
+  private final Map<Job, Edit> pendingNotifications = new HashMap<>();
 
   /** Pages that hold copies which do not count, by the page that was to be divided. */
-  private final Map<String, List<Page>> unfinished = new HashMap<>();
+  private final Map<String, List<Page>> copiesByDividedPage = new HashMap<>();
 
-  private Page open;
-  private long pages;
+  private Page openPage;
+  private long nextPageNumber;
 
   JobPages(int valueBytes, NotificationLog notificationLog) {
     capacity = RecordPages.capacity(valueBytes);
@@ -226,77 +227,78 @@
 
   /** Whether a job's record can be stored at all. */
   static boolean fits(JsonNode record, int valueBytes) {
-    return size(record) <= RecordPages.capacity(valueBytes);
+    return recordBytes(record) <= RecordPages.capacity(valueBytes);
   }
 
-  private static int size(JsonNode record) {
-    return Json.bytes(record).length + 1 + GROWTH_BYTES;
+  private static int recordBytes(JsonNode record) {
+    return Json.bytes(record).length + 1 + RECORD_GROWTH_BYTES;
   }
 
   /** The page in which the job's record is or will be, or null. */
-  Page homeOf(Job job) {
-    return homes.get(job);
+  Page pageOf(Job job) {
+    return pageByJob.get(job);
   }
 
   /** Takes in a page read at the start of a term. */
-  Page known(String key) {
-    for (Page page : ring) {
+  Page restore(String key) {
+    for (Page page : pages) {
       if (page.key.equals(key)) {
         return page;
       }
     }
     Page page = new Page(key);
-    ring.addLast(page);
-    pages = Math.max(pages, RecordKeys.number(key, RecordKeys.ACCEPTED) + 1);
+    pages.addLast(page);
+    nextPageNumber = Math.max(nextPageNumber, RecordKeys.pageNumber(key, RecordKeys.JOB_PAGES) + 1);
     return page;
   }
 
   /** Takes in a job read at the start of a term. */
-  void known(Page page, Job job, JsonNode record) {
-    page.entries.put(job.spec.id(), record);
-    settle(page, job, record);
+  void restore(Page page, Job job, JsonNode record) {
+    page.records.put(job.spec.id(), record);
+    assign(page, job, record);
   }
 
   /** Takes in a notice read at the start of a term. */
-  void known(Page page, Notification notification) {
-    int room = room(notification);
-    page.notices.put(notification.number(), notification);
-    page.bytes += room;
-    notificationLog.stored(notification, room, () -> drop(page, notification.number(), room));
+  void restore(Page page, Notification notification) {
+    int room = notificationBytes(notification);
+    page.notifications.put(notification.number(), notification);
+    page.reservedBytes += room;
+    notificationLog.onStored(
+        notification, room, () -> removeNotification(page, notification.number(), room));
   }
 
-  private static void drop(Page page, long number, int room) {
-    if (page.notices.remove(number) != null) {
-      page.bytes -= room;
+  private static void removeNotification(Page page, long number, int room) {
+    if (page.notifications.remove(number) != null) {
+      page.reservedBytes -= room;
     }
   }
 
-  private static int room(Notification notification) {
+  private static int notificationBytes(Notification notification) {
     return Json.bytes(RecordWire.notice(notification)).length + 1;
   }
 
-  private void settle(Page page, Job job, JsonNode record) {
-    int size = size(record);
-    page.bytes += size;
-    homes.put(job, page);
-    sizes.put(job, size);
+  private void assign(Page page, Job job, JsonNode record) {
+    int size = recordBytes(record);
+    page.reservedBytes += size;
+    pageByJob.put(job, page);
+    recordBytesByJob.put(job, size);
     page.jobs.put(job.spec.id(), job);
   }
 
   /** A new job's record, in a page that has room for it. */
-  Edit add(Job job, Supplier<JsonNode> value) {
+  Edit addRecord(Job job, Supplier<JsonNode> value) {
     JsonNode record = value.get();
-    int size = size(record);
-    Page page = open(size);
-    settle(page, job, record);
-    return new Edit(page, Kind.ADD, job, value);
+    int size = recordBytes(record);
+    Page page = pageWithCapacity(size);
+    assign(page, job, record);
+    return new Edit(page, EditKind.ADD, job, value);
   }
 
-  private Page open(int size) {
-    if (open == null || open.bytes + size > capacity) {
-      open = pick(size);
+  private Page pageWithCapacity(int size) {
+    if (openPage == null || openPage.reservedBytes + size > capacity) {
+      openPage = choosePage(size);
     }
-    return open;
+    return openPage;
   }
 
   /**
@@ -305,14 +307,14 @@
    *
    * @param leaves whether the record leaves its page in the same transaction
    */
-  Edit note(Job job, boolean leaves) {
-    Edit before = notes.remove(job);
+  Edit addNotification(Job job, boolean leaves) {
+    Edit before = pendingNotifications.remove(job);
     if (before != null) {
-      before.fixed.bytes -= before.room;
+      before.assignedPage.reservedBytes -= before.notificationBytes;
     }
     // Numbers are given when a transaction is put together; none is longer than this one.
     int room =
-        room(
+        notificationBytes(
             new Notification(
                 Long.MAX_VALUE,
                 job.spec.id(),
@@ -320,51 +322,51 @@
                 job.spec.jobClass(),
                 Job.State.CANCELLED,
                 job.spec.tasks(),
-                LATEST));
-    Page home = homes.get(job);
+                LONGEST_INSTANT));
+    Page home = pageByJob.get(job);
     // What leaves a page makes room for its notice there, unless the page is too large all the
     // same.
     boolean fits =
-        home != null && (leaves ? !home.inheritedTooLarge : home.bytes + room <= capacity);
-    Page page = fits ? home : open(room);
-    page.bytes += room;
-    Edit edit = new Edit(page, Kind.NOTE, job, null);
-    edit.room = room;
-    notes.put(job, edit);
+        home != null && (leaves ? !home.inheritedTooLarge : home.reservedBytes + room <= capacity);
+    Page page = fits ? home : pageWithCapacity(room);
+    page.reservedBytes += room;
+    Edit edit = new Edit(page, EditKind.ADD_NOTIFICATION, job, null);
+    edit.notificationBytes = room;
+    pendingNotifications.put(job, edit);
     return edit;
   }
 
-  private Page pick(int size) {
-    for (int i = ring.size(); i > 0; i--) {
-      Page page = ring.pollFirst();
-      ring.addLast(page);
-      if (page.bytes <= capacity / 2 && page.bytes + size <= capacity) {
+  private Page choosePage(int size) {
+    for (int i = pages.size(); i > 0; i--) {
+      Page page = pages.pollFirst();
+      pages.addLast(page);
+      if (page.reservedBytes <= capacity / 2 && page.reservedBytes + size <= capacity) {
         return page;
       }
     }
-    Page page = new Page(RecordKeys.ACCEPTED + pages++);
-    ring.addLast(page);
+    Page page = new Page(RecordKeys.JOB_PAGES + nextPageNumber++);
+    pages.addLast(page);
     return page;
   }
 
-  Edit replace(Job job, Supplier<JsonNode> value) {
-    return new Edit(null, Kind.REPLACE, job, value);
+  Edit replaceRecord(Job job, Supplier<JsonNode> value) {
+    return new Edit(null, EditKind.REPLACE, job, value);
   }
 
-  Edit remove(Job job) {
-    return new Edit(null, Kind.REMOVE, job, null);
+  Edit removeRecord(Job job) {
+    return new Edit(null, EditKind.REMOVE, job, null);
   }
 
   /** The page is stored anew as it should be. */
-  Edit touch(String key) {
-    return new Edit(known(key), Kind.TOUCH, null, null);
+  Edit rewrite(String key) {
+    return new Edit(restore(key), EditKind.REWRITE, null, null);
   }
 
   /** The job's record is not there, or no more. */
-  void forget(Job job) {
-    Page page = homes.remove(job);
+  void remove(Job job) {
+    Page page = pageByJob.remove(job);
     if (page != null) {
-      page.bytes -= sizes.remove(job);
+      page.reservedBytes -= recordBytesByJob.remove(job);
       page.jobs.remove(job.spec.id(), job);
     }
   }
@@ -372,8 +374,8 @@
   // ---- pages that are larger than a value may be
 
   /** Takes in a copy read at the start of a term whose page was not removed: it does not count. */
-  void knownCopy(String key, String source) {
-    unfinished.computeIfAbsent(source, s -> new ArrayList<>(2)).add(known(key));
+  void restoreCopy(String key, String source) {
+    copiesByDividedPage.computeIfAbsent(source, s -> new ArrayList<>(2)).add(restore(key));
     reserveNumber(source);
   }
 
@@ -381,16 +383,17 @@
    * No new page may have the name of one that was divided, or copies of it would seem unfinished.
    */
   void reserveNumber(String source) {
-    pages = Math.max(pages, RecordKeys.number(source, RecordKeys.ACCEPTED) + 1);
+    nextPageNumber =
+        Math.max(nextPageNumber, RecordKeys.pageNumber(source, RecordKeys.JOB_PAGES) + 1);
   }
 
   /** From here on a page that is too large is not stored again, but divided. */
-  void shrink() {
-    ring.forEach(page -> page.inheritedTooLarge = page.bytes > capacity);
+  void markOversizedPages() {
+    pages.forEach(page -> page.inheritedTooLarge = page.reservedBytes > capacity);
   }
 
-  private Stream<Edit> notesIn(Page page) {
-    return notes.values().stream().filter(note -> note.fixed == page);
+  private Stream<Edit> pendingNotificationsIn(Page page) {
+    return pendingNotifications.values().stream().filter(note -> note.assignedPage == page);
   }
 
   /**
@@ -398,16 +401,16 @@
    * or once the transaction under way is stored, and no record that takes more than a value by
    * itself.
    */
-  Page tooLarge() {
-    for (Page page : ring) {
-      boolean large = page.inheritedTooLarge && page.bytes > capacity;
+  Page nextOversizedPage() {
+    for (Page page : pages) {
+      boolean large = page.inheritedTooLarge && page.reservedBytes > capacity;
       boolean free =
-          page.notices.isEmpty()
+          page.notifications.isEmpty()
               && !page.dividing
-              && notesIn(page).noneMatch(note -> note.underWay);
+              && pendingNotificationsIn(page).noneMatch(note -> note.inFlight);
       if (large
           && free
-          && page.jobs.values().stream().allMatch(job -> sizes.get(job) <= capacity)) {
+          && page.jobs.values().stream().allMatch(job -> recordBytesByJob.get(job) <= capacity)) {
         return page;
       }
     }
@@ -415,7 +418,7 @@
   }
 
   /** Where a record of a page that is being divided goes, and the room kept for it there. */
-  private record Target(Page page, int size) {}
+  private record CopyTarget(Page page, int recordBytes) {}
 
   /**
    * Divides a page: from here on nothing else may change it.
@@ -424,67 +427,72 @@
    * @param commit takes the mutations, which have to be carried out in their order
    * @param onDivided called when the page is gone; what waited may go on
    */
-  void divide(Page page, int mostEdits, Consumer<Mutation> commit, Runnable onDivided) {
+  void divide(Page page, int maxEditsPerMutation, Consumer<Mutation> commit, Runnable onDivided) {
     page.dividing = true;
-    notesIn(page).forEach(this::moveNote);
-    Map<Job, Target> targets = new LinkedHashMap<>();
+    pendingNotificationsIn(page).forEach(this::relocate);
+    Map<Job, CopyTarget> targets = new LinkedHashMap<>();
     Map<Page, List<Edit>> copies = new LinkedHashMap<>();
     // Earlier copies of it would count as soon as it is gone.
-    for (Page stale : unfinished.getOrDefault(page.key, List.of())) {
+    for (Page stale : copiesByDividedPage.getOrDefault(page.key, List.of())) {
       copies
           .computeIfAbsent(stale, s -> new ArrayList<>())
-          .add(new Edit(stale, Kind.TOUCH, null, null));
+          .add(new Edit(stale, EditKind.REWRITE, null, null));
     }
     for (Job job : page.jobs.values()) {
-      int size = sizes.get(job);
-      Page target = open(size);
-      target.bytes += size;
-      targets.put(job, new Target(target, size));
-      Edit copy = new Edit(target, Kind.COPY, job, null);
-      copy.source = page;
+      int size = recordBytesByJob.get(job);
+      Page target = pageWithCapacity(size);
+      target.reservedBytes += size;
+      targets.put(job, new CopyTarget(target, size));
+      Edit copy = new Edit(target, EditKind.COPY, job, null);
+      copy.copiedFrom = page;
       copies.computeIfAbsent(target, t -> new ArrayList<>()).add(copy);
     }
     for (List<Edit> edits : copies.values()) {
-      for (int from = 0; from < edits.size(); from += mostEdits) {
-        List<Edit> part = edits.subList(from, Math.min(edits.size(), from + mostEdits));
+      for (int from = 0; from < edits.size(); from += maxEditsPerMutation) {
+        List<Edit> part = edits.subList(from, Math.min(edits.size(), from + maxEditsPerMutation));
         commit.accept(
-            Mutation.editing(
-                Mutation.Priority.END, List.of(), List.copyOf(part), List.of(), () -> {}, null));
+            Mutation.withPageEdits(
+                Mutation.Priority.FINAL_STATE,
+                List.of(),
+                List.copyOf(part),
+                List.of(),
+                () -> {},
+                null));
       }
     }
     commit.accept(
         Mutation.of(
-            Mutation.Priority.END,
+            Mutation.Priority.FINAL_STATE,
             List.of(new Mutation.Write(page.key, () -> null)),
             () -> {
-              divided(page, targets);
+              onDivided(page, targets);
               onDivided.run();
             }));
   }
 
   /** A notice that waits to be stored in a page that is being divided goes to another one. */
-  private void moveNote(Edit note) {
-    note.fixed.bytes -= note.room;
-    note.fixed = open(note.room);
-    note.fixed.bytes += note.room;
+  private void relocate(Edit note) {
+    note.assignedPage.reservedBytes -= note.notificationBytes;
+    note.assignedPage = pageWithCapacity(note.notificationBytes);
+    note.assignedPage.reservedBytes += note.notificationBytes;
   }
 
   /** The page is gone: the copies of its records count from here on. */
-  private void divided(Page page, Map<Job, Target> targets) {
-    unfinished.remove(page.key);
-    ring.remove(page);
+  private void onDivided(Page page, Map<Job, CopyTarget> targets) {
+    copiesByDividedPage.remove(page.key);
+    pages.remove(page);
     targets.forEach(
         (job, planned) -> {
           String id = job.spec.id();
           Page target = planned.page;
-          JsonNode copy = target.entries.get(id);
-          if (homes.get(job) == page && copy != null) {
-            target.entries.put(id, RecordWire.withoutSource(copy));
+          JsonNode copy = target.records.get(id);
+          if (pageByJob.get(job) == page && copy != null) {
+            target.records.put(id, RecordWire.withoutSource(copy));
             target.jobs.put(id, job);
-            homes.put(job, target);
+            pageByJob.put(job, target);
           } else {
             // It was over before the first copy was made.
-            target.bytes -= planned.size;
+            target.reservedBytes -= planned.recordBytes;
           }
         });
   }
--- a/src/main/java/io/pineladder/store/Mutation.java
+++ b/src/main/java/io/pineladder/store/Mutation.java
@@ -12,19 +12,19 @@
 public record Mutation(
     Priority priority,
     List<Write> writes,
-    List<JobPages.Edit> edits,
-    List<String> absent,
-    BooleanSupplier wanted,
+    List<JobPages.Edit> pageEdits,
+    List<String> mustNotExist,
+    BooleanSupplier stillWanted,
     Runnable onCommitted,
-    Runnable onExists) {
+    Runnable onAlreadyExists) {
 
   /** The order in which waiting changes get the write budget. */
   public enum Priority {
-    ACCEPT,
-    END,
-    PLACE,
-    COMPLETE,
-    TIDY
+    ACCEPTANCE,
+    FINAL_STATE,
+    PLACEMENT,
+    COMPLETION,
+    CLEANUP
   }
 
   /** A key with its new value; a supplied null deletes it. */
@@ -39,13 +39,14 @@
    * Changes to jobs' records together with other writes: {@code onExists} is called instead of
    * {@code onCommitted} when one of {@code absent}, which other nodes may create, is there already.
    */
-  static Mutation editing(
+  static Mutation withPageEdits(
       Priority priority,
       List<Write> writes,
-      List<JobPages.Edit> edits,
-      List<String> absent,
+      List<JobPages.Edit> pageEdits,
+      List<String> mustNotExist,
       Runnable onCommitted,
-      Runnable onExists) {
-    return new Mutation(priority, writes, edits, absent, () -> true, onCommitted, onExists);
+      Runnable onAlreadyExists) {
+    return new Mutation(
+        priority, writes, pageEdits, mustNotExist, () -> true, onCommitted, onAlreadyExists);
   }
 }
--- a/src/main/java/io/pineladder/store/NotificationLog.java
+++ b/src/main/java/io/pineladder/store/NotificationLog.java
@@ -6,36 +6,36 @@
 /** Numbers the notices of final states, and is told which are stored. */
 public interface NotificationLog {
   /** Nobody is to be told anything. */
-  NotificationLog NONE =
+  NotificationLog DISABLED =
       new NotificationLog() {
         @Override
-        public boolean isWanted() {
+        public boolean hasSubscribers() {
           return false;
         }
 
         @Override
-        public void begin() {}
+        public void beginTransaction() {}
 
         @Override
-        public Notification next(Job job) {
+        public Notification allocate(Job job) {
           return null;
         }
 
         @Override
-        public void stored(Notification notification, int bytes, Runnable drop) {}
+        public void onStored(Notification notification, int storedBytes, Runnable removeFromPage) {}
 
         @Override
-        public void committed() {}
+        public void onTransactionCommitted() {}
       };
 
   /** Whether anybody may want to be told of any job. */
-  boolean isWanted();
+  boolean hasSubscribers();
 
   /** A transaction is put together: numbers given since the last commit are free again. */
-  void begin();
+  void beginTransaction();
 
   /** The next notice, for a job whose end goes into the transaction; null when nobody wants it. */
-  Notification next(Job job);
+  Notification allocate(Job job);
 
   /**
    * The transaction with the notice has committed.
@@ -43,8 +43,8 @@
    * @param bytes what it takes in its page
    * @param drop takes the notice out of its page, with the page's next write
    */
-  void stored(Notification notification, int bytes, Runnable drop);
+  void onStored(Notification notification, int storedBytes, Runnable removeFromPage);
 
   /** All notices of the transaction have been told; they may have come in any order. */
-  void committed();
+  void onTransactionCommitted();
 }
--- a/src/main/java/io/pineladder/store/RecordPages.java
+++ b/src/main/java/io/pineladder/store/RecordPages.java
@@ -29,25 +29,25 @@
  */
 final class RecordPages<T> {
   /** Small pages cost little to write again for a few entries; many go into one transaction. */
-  private static final int MOST_BYTES = 12 * 1024;
+  private static final int MAX_PAGE_BYTES = 12 * 1024;
 
   /** What a page takes beside its entries. */
-  static final int FRAME_BYTES = 64;
+  static final int PAGE_OVERHEAD_BYTES = 64;
 
   /** An entry as it was encoded for its page. */
-  private record Packed(JsonNode json, int bytes) {}
+  private record EncodedEntry(JsonNode json, int bytes) {}
 
   private static final class Page<T> {
     final String key;
-    final Map<T, Packed> entries = new LinkedHashMap<>();
+    final Map<T, EncodedEntry> entries = new LinkedHashMap<>();
 
     /** Entries that the write under way adds. */
-    Set<T> adding = new LinkedHashSet<>();
+    Set<T> beingStored = new LinkedHashSet<>();
 
-    boolean queued;
+    boolean writeQueued;
 
     /** It is too large: its entries are being stored elsewhere. */
-    boolean emptying;
+    boolean evacuating;
 
     Page(String key) {
       this.key = key;
@@ -56,29 +56,29 @@
 
   private final String prefix;
   private final Priority priority;
-  private final Duration pace;
+  private final Duration flushInterval;
   private final int capacity;
   private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
   private final Predicate<T> isLive;
-  private final Function<T, JsonNode> encode;
+  private final Function<T, JsonNode> encoder;
   private final Consumer<T> onStored;
 
   /** Pages in the order in which they are filled, the one written last at the end. */
-  private final ArrayDeque<Page<T>> ring = new ArrayDeque<>();
+  private final ArrayDeque<Page<T>> pages = new ArrayDeque<>();
 
   /** The page that is known to be stored with an entry; it keeps its copy until another is. */
-  private final Map<T, Page<T>> homes = new HashMap<>();
+  private final Map<T, Page<T>> storedPage = new HashMap<>();
 
   /** The page that is about to be stored with an entry's newest content. */
-  private final Map<T, Page<T>> adding = new HashMap<>();
+  private final Map<T, Page<T>> beingStoredPage = new HashMap<>();
 
-  private final Set<T> waiting = new LinkedHashSet<>();
-  private long pages;
-  private boolean flushSet;
+  private final Set<T> pendingEntries = new LinkedHashSet<>();
+  private long nextPageNumber;
+  private boolean flushScheduled;
 
   /** A page whose turn to be filled has not come, or null. */
-  private Page<T> next;
+  private Page<T> pageToFill;
 
   /**
    * Pages under a prefix.
@@ -89,95 +89,95 @@
   RecordPages(
       String prefix,
       Priority priority,
-      Duration pace,
+      Duration flushInterval,
       int valueBytes,
       EventLoop eventLoop,
       Consumer<Mutation> commit,
       Predicate<T> isLive,
-      Function<T, JsonNode> encode,
+      Function<T, JsonNode> encoder,
       Consumer<T> onStored) {
     this.prefix = prefix;
     this.priority = priority;
-    this.pace = pace;
+    this.flushInterval = flushInterval;
     this.capacity = capacity(valueBytes);
     this.eventLoop = eventLoop;
     this.commit = commit;
     this.isLive = isLive;
-    this.encode = encode;
+    this.encoder = encoder;
     this.onStored = onStored;
   }
 
   /** What the entries of one page may take together. */
   static int capacity(int valueBytes) {
-    return Math.min(valueBytes, MOST_BYTES) - FRAME_BYTES;
+    return Math.min(valueBytes, MAX_PAGE_BYTES) - PAGE_OVERHEAD_BYTES;
   }
 
   /** Takes in an entry read at the start of a term. */
-  void known(String key, T entry, JsonNode json) {
-    Page<T> page = knownPage(key);
-    page.entries.put(entry, pack(json));
-    homes.put(entry, page);
+  void restore(String key, T entry, JsonNode json) {
+    Page<T> page = restorePage(key);
+    page.entries.put(entry, encode(json));
+    storedPage.put(entry, page);
   }
 
   /** Takes in a page read at the start of a term, so that its key is used and not taken for new. */
-  Page<T> knownPage(String key) {
-    for (Page<T> page : ring) {
+  Page<T> restorePage(String key) {
+    for (Page<T> page : pages) {
       if (page.key.equals(key)) {
         return page;
       }
     }
     Page<T> page = new Page<>(key);
-    ring.addLast(page);
-    pages = Math.max(pages, RecordKeys.number(key, prefix) + 1);
+    pages.addLast(page);
+    nextPageNumber = Math.max(nextPageNumber, RecordKeys.pageNumber(key, prefix) + 1);
     return page;
   }
 
-  private static Packed pack(JsonNode json) {
-    return new Packed(json, Json.bytes(json).length + 1);
+  private static EncodedEntry encode(JsonNode json) {
+    return new EncodedEntry(json, Json.bytes(json).length + 1);
   }
 
   /** The entry is new, or has changed since it was stored. */
-  void due(T entry) {
-    waiting.add(entry);
-    if (!flushSet) {
-      flushSet = true;
-      eventLoop.schedule(pace, this::flush);
+  void store(T entry) {
+    pendingEntries.add(entry);
+    if (!flushScheduled) {
+      flushScheduled = true;
+      eventLoop.schedule(flushInterval, this::flush);
     }
   }
 
   /** Writes the pages of these entries again soon, since they are live no more. */
-  void tidy(Iterable<T> entries) {
+  void rewritePagesOf(Iterable<T> entries) {
     Set<Page<T>> touched = new LinkedHashSet<>();
     for (T entry : entries) {
-      Page<T> page = homes.get(entry);
-      if (page != null && !page.queued) {
+      Page<T> page = storedPage.get(entry);
+      if (page != null && !page.writeQueued) {
         touched.add(page);
       }
     }
-    touched.forEach(this::storeAgain);
+    touched.forEach(this::rewriteOrEvacuate);
   }
 
   /** Writes the page again as it should be. */
-  void rewrite(String key) {
-    Page<T> page = knownPage(key);
-    if (!page.queued) {
-      storeAgain(page);
+  void rewritePage(String key) {
+    Page<T> page = restorePage(key);
+    if (!page.writeQueued) {
+      rewriteOrEvacuate(page);
     }
   }
 
-  private void storeAgain(Page<T> page) {
+  private void rewriteOrEvacuate(Page<T> page) {
     if (prune(page) <= capacity) {
-      queue(page, Priority.TIDY);
+      queueWrite(page, Priority.CLEANUP);
     } else {
-      empty(page);
+      evacuate(page);
     }
   }
 
   /** Has one page that is too large stored as pages that are not; false when there is none. */
-  boolean emptyTooLarge() {
-    for (Page<T> page : ring) {
-      if (!page.queued && !page.emptying && prune(page) > capacity) {
-        empty(page);
+  boolean evacuateOversizedPage() {
+    for (Page<T> page : pages) {
+      if (!page.writeQueued && !page.evacuating && prune(page) > capacity) {
+        evacuate(page);
         return true;
       }
     }
@@ -185,37 +185,37 @@
   }
 
   /** Has what is live in the page stored elsewhere, after which it can be stored again. */
-  private void empty(Page<T> page) {
-    if (!page.emptying) {
-      page.emptying = true;
-      List.copyOf(page.entries.keySet()).forEach(this::due);
+  private void evacuate(Page<T> page) {
+    if (!page.evacuating) {
+      page.evacuating = true;
+      List.copyOf(page.entries.keySet()).forEach(this::store);
     }
   }
 
   private void flush() {
-    flushSet = false;
-    queueNext();
+    flushScheduled = false;
+    queueNextPage();
   }
 
   /** How much there is shows when it is encoded; what finds no room waits for the page after. */
-  private void queueNext() {
-    if (!waiting.isEmpty() && next == null) {
-      next = pick();
-      queue(next, priority);
+  private void queueNextPage() {
+    if (!pendingEntries.isEmpty() && pageToFill == null) {
+      pageToFill = choosePage();
+      queueWrite(pageToFill, priority);
     }
   }
 
   /** The next page in turn that is at most half full of what is still live. */
-  private Page<T> pick() {
-    for (int i = ring.size(); i > 0; i--) {
-      Page<T> page = ring.pollFirst();
-      ring.addLast(page);
-      if (!page.queued && prune(page) <= capacity / 2) {
+  private Page<T> choosePage() {
+    for (int i = pages.size(); i > 0; i--) {
+      Page<T> page = pages.pollFirst();
+      pages.addLast(page);
+      if (!page.writeQueued && prune(page) <= capacity / 2) {
         return page;
       }
     }
-    Page<T> page = new Page<>(prefix + pages++);
-    ring.addLast(page);
+    Page<T> page = new Page<>(prefix + nextPageNumber++);
+    pages.addLast(page);
     return page;
   }
 
@@ -224,82 +224,83 @@
     int bytes = 0;
     var entries = page.entries.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<T, Packed> each = entries.next();
+      Map.Entry<T, EncodedEntry> each = entries.next();
       T entry = each.getKey();
-      boolean here = homes.get(entry) == page || page.adding.contains(entry);
+      boolean here = storedPage.get(entry) == page || page.beingStored.contains(entry);
       if (here && isLive.test(entry)) {
         bytes += each.getValue().bytes;
         continue;
       }
       entries.remove();
       if (here) {
-        homes.remove(entry, page);
-        adding.remove(entry, page);
-        page.adding.remove(entry);
+        storedPage.remove(entry, page);
+        beingStoredPage.remove(entry, page);
+        page.beingStored.remove(entry);
       }
     }
     return bytes;
   }
 
-  private void queue(Page<T> page, Priority as) {
-    page.queued = true;
+  private void queueWrite(Page<T> page, Priority as) {
+    page.writeQueued = true;
     commit.accept(
-        Mutation.of(as, List.of(new Write(page.key, () -> fill(page))), () -> stored(page)));
+        Mutation.of(
+            as, List.of(new Write(page.key, () -> nextValue(page))), () -> onPageStored(page)));
   }
 
   /** The page's next value; asked for again when the transaction was not executed. */
-  private JsonNode fill(Page<T> page) {
-    if (page == next) {
-      next = null;
+  private JsonNode nextValue(Page<T> page) {
+    if (page == pageToFill) {
+      pageToFill = null;
     }
-    page.emptying = false;
+    page.evacuating = false;
     int bytes = prune(page);
-    var left = waiting.iterator();
-    while (left.hasNext()) {
-      T entry = left.next();
+    var remaining = pendingEntries.iterator();
+    while (remaining.hasNext()) {
+      T entry = remaining.next();
       if (!isLive.test(entry)) {
-        left.remove();
+        remaining.remove();
         continue;
       }
-      Packed packed = pack(encode.apply(entry));
-      Packed before = page.entries.get(entry);
-      int more = packed.bytes - (before == null ? 0 : before.bytes);
-      if (bytes + more > capacity) {
-        if (packed.bytes > capacity) {
+      EncodedEntry encoded = encode(encoder.apply(entry));
+      EncodedEntry previous = page.entries.get(entry);
+      int additionalBytes = encoded.bytes - (previous == null ? 0 : previous.bytes);
+      if (bytes + additionalBytes > capacity) {
+        if (encoded.bytes > capacity) {
           // Of completions, a pattern that no value holds: it becomes shorter as its gaps close.
           continue;
         }
         break;
       }
-      left.remove();
-      bytes += more;
-      page.entries.put(entry, packed);
-      page.adding.add(entry);
-      Page<T> other = adding.put(entry, page);
+      remaining.remove();
+      bytes += additionalBytes;
+      page.entries.put(entry, encoded);
+      page.beingStored.add(entry);
+      Page<T> other = beingStoredPage.put(entry, page);
       if (other != null && other != page) {
         // Stored after this one, its older content would count as the newest.
-        other.adding.remove(entry);
-        if (homes.get(entry) != other) {
+        other.beingStored.remove(entry);
+        if (storedPage.get(entry) != other) {
           other.entries.remove(entry);
         }
       }
     }
     // Another page in the same transaction, if it takes one more.
-    queueNext();
-    return RecordWire.page(page.entries.values().stream().map(Packed::json));
+    queueNextPage();
+    return RecordWire.page(page.entries.values().stream().map(EncodedEntry::json));
   }
 
-  private void stored(Page<T> page) {
-    page.queued = false;
-    Set<T> added = page.adding;
-    page.adding = new LinkedHashSet<>();
+  private void onPageStored(Page<T> page) {
+    page.writeQueued = false;
+    Set<T> added = page.beingStored;
+    page.beingStored = new LinkedHashSet<>();
     for (T entry : added) {
-      Page<T> before = homes.put(entry, page);
-      adding.remove(entry, page);
+      Page<T> before = storedPage.put(entry, page);
+      beingStoredPage.remove(entry, page);
       onStored.accept(entry);
-      if (before != null && before.emptying && prune(before) <= capacity) {
-        before.emptying = false;
-        queue(before, Priority.TIDY);
+      if (before != null && before.evacuating && prune(before) <= capacity) {
+        before.evacuating = false;
+        queueWrite(before, Priority.CLEANUP);
       }
     }
   }
