--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -37,44 +37,45 @@
   private static final Logger log = LoggerFactory.getLogger(Records.class);
 
   /** The longest range of completions in JSON, with its commas. */
-  private static final int RANGE_BYTES = 16;
+  private static final int MAX_RANGE_BYTES = 16;
 
   /** Images remembered of a machine, the most recently used ones. */
-  private static final int IMAGES_KEPT = 8;
+  private static final int MAX_IMAGES_PER_MACHINE = 8;
 
   /** Placements gather this long; a start waits for its own to be stored. */
-  private static final Duration PLACE_PACE = Duration.ofMillis(40);
+  private static final Duration PLACEMENT_FLUSH_INTERVAL = Duration.ofMillis(40);
 
-  private static final Duration DONE_PACE = Duration.ofMillis(300);
-  private static final Duration IMAGES_PACE = Duration.ofSeconds(2);
+  private static final Duration COMPLETION_FLUSH_INTERVAL = Duration.ofMillis(300);
+  private static final Duration IMAGES_FLUSH_INTERVAL = Duration.ofSeconds(2);
 
   /** Jobs copied in one change of a page at the most. */
-  private static final int MOST_COPIES = 64;
+  private static final int MAX_COPIES_PER_MUTATION = 64;
 
   /** Between two looks for pages that are too large. */
-  private static final Duration SHRINK_PACE = Duration.ofSeconds(5);
+  private static final Duration OVERSIZED_PAGE_CHECK_INTERVAL = Duration.ofSeconds(5);
 
   /** Between two pages of jobs: their changes yield to those that users wait for. */
-  private static final Duration DIVIDE_PACE = Duration.ofMillis(200);
+  private static final Duration PAGE_DIVISION_INTERVAL = Duration.ofMillis(200);
 
   /** Between two pages of placements, completions or images. */
-  private static final Duration EMPTY_PACE = Duration.ofSeconds(3);
+  private static final Duration PAGE_EVACUATION_INTERVAL = Duration.ofSeconds(3);
 
   /** What follows when records are stored. */
   public interface Listener {
     void onPlacementStored(Attempt attempt);
 
     /** The job's final state is stored. */
-    void onEndStored(Job job);
+    void onFinalStateStored(Job job);
 
     /** The job's record is gone; only its final state is left. */
     void onRemoved(Job job);
 
     /**
      * Another node has stored the job too, while it could not reach this leader; its copy is to go
-     * with the end. {@code again} goes on once {@link #knownTwice} has been told, or it is not so.
+     * with the end. {@code again} goes on once {@link #setHasUnpagedRecord} has been told, or it is
+     * not so.
      */
-    void onStoredTwice(Job job, Runnable again);
+    void onUnpagedRecordFound(Job job, Runnable retry);
   }
 
   private final EventLoop eventLoop;
@@ -82,12 +83,12 @@
   private final Listener listener;
   private final NotificationLog notificationLog;
   private final int valueBytes;
-  private final JobPages jobs;
+  private final JobPages jobPages;
 
   /** Jobs in a page that have a record of their own as well. */
-  private final Set<Job> twice = new HashSet<>();
+  private final Set<Job> jobsWithUnpagedRecord = new HashSet<>();
 
-  private final ClusterVersion version;
+  private final ClusterVersion clusterVersion;
 
   /** Tasks of a chunk in entries that do not tell it. */
   private final int unversionedChunkTasks;
@@ -103,17 +104,17 @@
   private final Map<Job, Map<Integer, Chunk>> chunks = new HashMap<>();
 
   /** Pages that are too large are being stored anew. */
-  private boolean shrinking;
+  private boolean dividingOversizedPages;
 
   /** How many tasks a chunk of a job has, and whether its entries tell it. */
-  private record Chunking(int tasks, boolean told) {}
+  private record Chunking(int tasks, boolean explicit) {}
 
   /** So many tasks of a job that their completions fit into one entry, whatever their pattern. */
   private static final class Chunk {
     final Job job;
     final int number;
     final List<Attempt> waiting = new ArrayList<>();
-    List<Attempt> included = List.of();
+    List<Attempt> beingStored = List.of();
 
     Chunk(Job job, int number) {
       this.job = job;
@@ -132,25 +133,25 @@
   public Records(
       int valueBytes,
       int unversionedValueBytes,
-      ClusterVersion version,
+      ClusterVersion clusterVersion,
       EventLoop eventLoop,
       Consumer<Mutation> commit,
       Listener listener,
       NotificationLog notificationLog) {
     this.notificationLog = notificationLog;
     this.eventLoop = eventLoop;
-    this.version = version;
+    this.clusterVersion = clusterVersion;
     this.unversionedChunkTasks = chunkTasks(unversionedValueBytes);
     this.commit = commit;
     this.listener = listener;
     this.valueBytes = valueBytes;
-    this.jobs = new JobPages(valueBytes, notificationLog);
+    this.jobPages = new JobPages(valueBytes, notificationLog);
     this.chunkTasks = chunkTasks(valueBytes);
     this.placements =
         new RecordPages<>(
-            RecordKeys.PLACED,
-            Priority.PLACE,
-            PLACE_PACE,
+            RecordKeys.PLACEMENTS,
+            Priority.PLACEMENT,
+            PLACEMENT_FLUSH_INTERVAL,
             valueBytes,
             eventLoop,
             commit,
@@ -159,20 +160,20 @@
             this::placementStored);
     this.completions =
         new RecordPages<>(
-            RecordKeys.DONE,
-            Priority.COMPLETE,
-            DONE_PACE,
+            RecordKeys.COMPLETIONS,
+            Priority.COMPLETION,
+            COMPLETION_FLUSH_INTERVAL,
             valueBytes,
             eventLoop,
             commit,
             chunk -> !chunk.job.finalStatePending,
-            this::encode,
+            this::encodeCompletions,
             this::completionsStored);
     this.images =
         new RecordPages<>(
-            RecordKeys.IMAGES,
-            Priority.TIDY,
-            IMAGES_PACE,
+            RecordKeys.CACHED_IMAGES,
+            Priority.CLEANUP,
+            IMAGES_FLUSH_INTERVAL,
             valueBytes,
             eventLoop,
             commit,
@@ -183,14 +184,14 @@
 
   /** Tasks of a chunk, such that no pattern of completions outgrows half a page. */
   static int chunkTasks(int valueBytes) {
-    return Math.max(16, RecordPages.capacity(valueBytes) / 2 / RANGE_BYTES - 8);
+    return Math.max(16, RecordPages.capacity(valueBytes) / 2 / MAX_RANGE_BYTES - 8);
   }
 
   // ---- placements
 
   /** The attempt is decided on; its start may go out once it is stored. */
-  public void placementDue(Attempt attempt) {
-    placements.due(attempt);
+  public void storePlacement(Attempt attempt) {
+    placements.store(attempt);
   }
 
   private void placementStored(Attempt attempt) {
@@ -200,51 +201,51 @@
   }
 
   /** A placement read at the start of a term. */
-  public void knownPlacement(String page, Attempt attempt) {
-    placements.known(page, attempt, RecordWire.placement(attempt));
+  public void restorePlacement(String page, Attempt attempt) {
+    placements.restore(page, attempt, RecordWire.placement(attempt));
   }
 
-  public void knownPlacements(String page) {
-    placements.knownPage(page);
+  public void restorePlacementPage(String page) {
+    placements.restorePage(page);
   }
 
   /**
    * These attempts are gone together with their machine: what is stored of them is to go too, or
    * the next leader would wait for a machine that is not there.
    */
-  public void machineGone(List<Attempt> attempts) {
-    placements.tidy(attempts);
+  public void removePlacements(List<Attempt> attempts) {
+    placements.rewritePagesOf(attempts);
   }
 
   // ---- images
 
   /** The machine has got another image. */
-  public void imagesDue(Machine machine) {
-    images.due(machine);
+  public void storeImages(Machine machine) {
+    images.store(machine);
   }
 
   private static JsonNode encodeImages(Machine machine) {
     Map<String, Double> kept = new LinkedHashMap<>();
     List<String> cached = new ArrayList<>(machine.images.keySet());
-    int from = Math.max(0, cached.size() - IMAGES_KEPT);
+    int from = Math.max(0, cached.size() - MAX_IMAGES_PER_MACHINE);
     for (String image : cached.subList(from, cached.size())) {
       kept.put(image, machine.images.get(image));
     }
     return RecordWire.images(machine.name, kept);
   }
 
-  public void knownImages(String page) {
-    images.knownPage(page);
+  public void restoreImagePage(String page) {
+    images.restorePage(page);
   }
 
   // ---- completions
 
   /** A task of the job is complete, as {@code attempt} reported. */
-  public void taskDone(Job job, Attempt attempt) {
+  public void storeCompletion(Job job, Attempt attempt) {
     Chunk chunk = chunk(job, attempt.task / chunkingOf(job).tasks);
     chunk.waiting.add(attempt);
     if (!job.finalStatePending) {
-      completions.due(chunk);
+      completions.store(chunk);
     }
   }
 
@@ -252,7 +253,7 @@
     return chunkings.computeIfAbsent(
         job,
         j ->
-            version.inForce() >= ClusterVersion.CHAINED_JOBS
+            clusterVersion.inForce() >= ClusterVersion.CHAINED_JOBS
                 ? new Chunking(chunkTasks, true)
                 : new Chunking(unversionedChunkTasks, false));
   }
@@ -263,8 +264,8 @@
         .computeIfAbsent(number, n -> new Chunk(job, n));
   }
 
-  private JsonNode encode(Chunk chunk) {
-    chunk.included = List.copyOf(chunk.waiting);
+  private JsonNode encodeCompletions(Chunk chunk) {
+    chunk.beingStored = List.copyOf(chunk.waiting);
     BitSet done = chunk.job.done;
     if (!chunk.job.unprovenDone.isEmpty()) {
       done = (BitSet) done.clone();
@@ -272,19 +273,19 @@
     }
     Chunking chunking = chunkingOf(chunk.job);
     String id = chunk.job.spec.id();
-    return chunking.told
+    return chunking.explicit
         ? RecordWire.sizedDone(id, done, chunk.number, chunking.tasks)
         : RecordWire.done(id, done, chunk.number, chunking.tasks);
   }
 
   private void completionsStored(Chunk chunk) {
-    chunk.included.forEach(a -> a.mayBeForgotten = true);
-    chunk.waiting.removeAll(chunk.included);
-    chunk.included = List.of();
+    chunk.beingStored.forEach(a -> a.mayBeForgotten = true);
+    chunk.waiting.removeAll(chunk.beingStored);
+    chunk.beingStored = List.of();
   }
 
-  public void knownCompletions(String page) {
-    completions.knownPage(page);
+  public void restoreCompletionPage(String page) {
+    completions.restorePage(page);
   }
 
   /**
@@ -292,7 +293,7 @@
    * chunk's copies the newest holds everything, and only that one must not be lost. Entries that
    * are divided otherwise than the job's first one are stored anew as that one is.
    */
-  public void knownDone(String page, Job job, RecordWire.StoredDone entry) {
+  public void restoreCompletions(String page, Job job, RecordWire.StoredDone entry) {
     Chunking stored =
         entry.chunkTasks() == 0
             ? new Chunking(unversionedChunkTasks, false)
@@ -301,29 +302,34 @@
     if (!chunking.equals(stored)) {
       int last = job.spec.tasks() / chunking.tasks;
       for (int number = 0; number <= last; number++) {
-        completions.due(chunk(job, number));
+        completions.store(chunk(job, number));
       }
       return;
     }
     Chunk chunk = chunk(job, entry.chunk());
-    JsonNode all = encode(chunk);
+    JsonNode all = encodeCompletions(chunk);
     if (entry.json().equals(all)) {
-      completions.known(page, chunk, all);
+      completions.restore(page, chunk, all);
     }
   }
 
   /** Stores a record anew as it should be, since what stands there cannot be read. */
-  public void rewrite(String key) {
-    if (key.startsWith(RecordKeys.ACCEPTED)) {
+  public void rewritePage(String key) {
+    if (key.startsWith(RecordKeys.JOB_PAGES)) {
       commit.accept(
-          Mutation.editing(
-              Priority.TIDY, List.of(), List.of(jobs.touch(key)), List.of(), () -> {}, null));
-    } else if (key.startsWith(RecordKeys.PLACED)) {
-      placements.rewrite(key);
-    } else if (key.startsWith(RecordKeys.DONE)) {
-      completions.rewrite(key);
-    } else if (key.startsWith(RecordKeys.IMAGES)) {
-      images.rewrite(key);
+          Mutation.withPageEdits(
+              Priority.CLEANUP,
+              List.of(),
+              List.of(jobPages.rewrite(key)),
+              List.of(),
+              () -> {},
+              null));
+    } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
+      placements.rewritePage(key);
+    } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
+      completions.rewritePage(key);
+    } else if (key.startsWith(RecordKeys.CACHED_IMAGES)) {
+      images.rewritePage(key);
     }
   }
 
@@ -337,48 +343,53 @@
    * @param wanted whether the term goes on
    * @param onDivided called when a page of jobs is divided: what waited for it may go on
    */
-  public void shrinkPages(BooleanSupplier wanted, Runnable onDivided) {
-    if (shrinking) {
+  public void divideOversizedPages(BooleanSupplier stillWanted, Runnable onDivided) {
+    if (dividingOversizedPages) {
       return;
     }
-    shrinking = true;
-    jobs.shrink();
-    dividePages(wanted, onDivided);
-    emptyPages(wanted);
+    dividingOversizedPages = true;
+    jobPages.markOversizedPages();
+    divideJobPages(stillWanted, onDivided);
+    evacuatePages(stillWanted);
   }
 
-  private void dividePages(BooleanSupplier wanted, Runnable onDivided) {
-    if (!wanted.getAsBoolean()) {
+  private void divideJobPages(BooleanSupplier stillWanted, Runnable onDivided) {
+    if (!stillWanted.getAsBoolean()) {
       return;
     }
-    JobPages.Page page = jobs.tooLarge();
+    JobPages.Page page = jobPages.nextOversizedPage();
     if (page == null) {
-      eventLoop.schedule(SHRINK_PACE, () -> dividePages(wanted, onDivided));
+      eventLoop.schedule(
+          OVERSIZED_PAGE_CHECK_INTERVAL, () -> divideJobPages(stillWanted, onDivided));
       return;
     }
     log.info("{} is divided, since it is larger than a value may be", page.key);
-    jobs.divide(
+    jobPages.divide(
         page,
-        MOST_COPIES,
+        MAX_COPIES_PER_MUTATION,
         commit,
         () -> {
           onDivided.run();
-          eventLoop.schedule(DIVIDE_PACE, () -> dividePages(wanted, onDivided));
+          eventLoop.schedule(PAGE_DIVISION_INTERVAL, () -> divideJobPages(stillWanted, onDivided));
         });
   }
 
-  private void emptyPages(BooleanSupplier wanted) {
-    if (wanted.getAsBoolean()) {
+  private void evacuatePages(BooleanSupplier stillWanted) {
+    if (stillWanted.getAsBoolean()) {
       // One of any kind at a time: what the store takes in a second is needed for service.
       boolean any =
-          placements.emptyTooLarge() || completions.emptyTooLarge() || images.emptyTooLarge();
-      eventLoop.schedule(any ? EMPTY_PACE : SHRINK_PACE, () -> emptyPages(wanted));
+          placements.evacuateOversizedPage()
+              || completions.evacuateOversizedPage()
+              || images.evacuateOversizedPage();
+      eventLoop.schedule(
+          any ? PAGE_EVACUATION_INTERVAL : OVERSIZED_PAGE_CHECK_INTERVAL,
+          () -> evacuatePages(stillWanted));
     }
   }
 
   // ---- jobs
 
-  private static JsonNode jobValue(Job job) {
+  private static JsonNode encodeJob(Job job) {
     ObjectNode value = RecordWire.job(job.spec, job.acceptedAt, job.state());
     return job.failing ? value.put("at_fault", true) : value;
   }
@@ -392,137 +403,148 @@
    * Stores a new job; {@code onExists} is called instead of {@code onStored} when another node has
    * accepted it, or it is over.
    */
-  public void accept(Job job, Runnable onStored, Runnable onExists) {
+  public void storeAcceptance(Job job, Runnable onStored, Runnable onExists) {
     String id = job.spec.id();
     commit.accept(
-        Mutation.editing(
-            Priority.ACCEPT,
+        Mutation.withPageEdits(
+            Priority.ACCEPTANCE,
             List.of(),
-            List.of(jobs.add(job, () -> jobValue(job))),
-            List.of(RecordKeys.JOB + id, RecordKeys.END + id),
+            List.of(jobPages.addRecord(job, () -> encodeJob(job))),
+            List.of(RecordKeys.UNPAGED_JOB + id, RecordKeys.FINAL_STATE + id),
             onStored,
             () -> {
-              jobs.forget(job);
+              jobPages.remove(job);
               onExists.run();
             }));
   }
 
   /** A page of jobs read at the start of a term. */
-  public void knownJobs(String page) {
-    jobs.known(page);
+  public void restoreJobPage(String page) {
+    jobPages.restore(page);
   }
 
   /** A job in a page read at the start of a term. */
-  public void knownJob(String page, Job job, JsonNode record) {
-    jobs.known(jobs.known(page), job, record);
+  public void restoreJob(String page, Job job, JsonNode record) {
+    jobPages.restore(jobPages.restore(page), job, record);
   }
 
   /**
    * A copy of a job's record, read at the start of a term, that does not count: the page which it
    * was made of is there.
    */
-  public void knownCopy(String page, String source) {
-    jobs.knownCopy(page, source);
+  public void restoreCopy(String page, String source) {
+    jobPages.restoreCopy(page, source);
   }
 
   /** A copy of a job's record that counts, since the page that it was made of is gone. */
-  public void knownDivided(String source) {
-    jobs.reserveNumber(source);
+  public void reservePageNumber(String source) {
+    jobPages.reserveNumber(source);
   }
 
   /** A notice in a page read at the start of a term. */
-  public void knownNotice(String page, Notification notification) {
-    jobs.known(jobs.known(page), notification);
+  public void restoreNotification(String page, Notification notification) {
+    jobPages.restore(jobPages.restore(page), notification);
   }
 
   /** The job has a record of its own as well as one in a page. */
-  public void knownTwice(Job job, boolean is) {
-    if (is) {
-      twice.add(job);
+  public void setHasUnpagedRecord(Job job, boolean present) {
+    if (present) {
+      jobsWithUnpagedRecord.add(job);
     } else {
-      twice.remove(job);
+      jobsWithUnpagedRecord.remove(job);
     }
   }
 
   /** The job was found to be at fault, or not to be: the next leader need not find out anew. */
-  public void verdict(Job job) {
-    boolean paged = jobs.homeOf(job) != null;
+  public void storeFaultAttribution(Job job) {
+    boolean paged = jobPages.pageOf(job) != null;
     commit.accept(
         new Mutation(
-            Priority.TIDY,
-            paged ? List.of() : List.of(ownRecord(job)),
-            paged ? List.of(jobs.replace(job, () -> jobValue(job))) : List.of(),
+            Priority.CLEANUP,
+            paged ? List.of() : List.of(putUnpagedRecord(job)),
+            paged ? List.of(jobPages.replaceRecord(job, () -> encodeJob(job))) : List.of(),
             List.of(),
             () -> !job.finalStatePending,
             () -> {},
             null));
   }
 
-  private static Write ownRecord(Job job) {
-    return new Write(RecordKeys.JOB + job.spec.id(), () -> jobValue(job));
+  private static Write putUnpagedRecord(Job job) {
+    return new Write(RecordKeys.UNPAGED_JOB + job.spec.id(), () -> encodeJob(job));
   }
 
   /** The job is over. While tasks of it may be somewhere its record stays, with the final state. */
-  public void end(Job job) {
+  public void storeFinalState(Job job) {
     job.finalStatePending = true;
     if (job.attempts.isEmpty()) {
-      remove(job);
+      removeJob(job);
       return;
     }
     Runnable onStored =
         () -> {
-          endStored(job);
+          finalStateStored(job);
           if (job.attempts.isEmpty()) {
-            remove(job);
+            removeJob(job);
           }
         };
-    if (jobs.homeOf(job) == null) {
+    if (jobPages.pageOf(job) == null) {
       commit.accept(
-          Mutation.editing(
-              endPriority(job),
-              List.of(ownRecord(job)),
-              note(job, false),
+          Mutation.withPageEdits(
+              finalStatePriority(job),
+              List.of(putUnpagedRecord(job)),
+              notificationEdits(job, false),
               List.of(),
               onStored,
               null));
     } else {
       // The final state has its own key at once: nodes without a leader look for it there.
-      endPaged(job, () -> with(jobs.replace(job, () -> jobValue(job)), note(job, false)), onStored);
+      storePagedFinalState(
+          job,
+          () ->
+              prepend(
+                  jobPages.replaceRecord(job, () -> encodeJob(job)), notificationEdits(job, false)),
+          onStored);
     }
   }
 
   /** Nothing of an ended job is anywhere any more: only its final state is kept. */
-  public void remove(Job job) {
+  public void removeJob(Job job) {
     if (job.recordRemovalPending) {
       return;
     }
     job.recordRemovalPending = true;
     Runnable onStored =
         () -> {
-          jobs.forget(job);
-          twice.remove(job);
-          endStored(job);
+          jobPages.remove(job);
+          jobsWithUnpagedRecord.remove(job);
+          finalStateStored(job);
           listener.onRemoved(job);
         };
-    if (jobs.homeOf(job) == null) {
+    if (jobPages.pageOf(job) == null) {
       commit.accept(
-          Mutation.editing(
-              endPriority(job),
-              List.of(finalState(job), noOwnRecord(job)),
-              note(job, true),
+          Mutation.withPageEdits(
+              finalStatePriority(job),
+              List.of(putFinalState(job), deleteUnpagedRecord(job)),
+              notificationEdits(job, true),
               List.of(),
               onStored,
               null));
     } else if (job.finalStateStored) {
       commit.accept(
-          Mutation.editing(
-              Priority.TIDY, List.of(), List.of(jobs.remove(job)), List.of(), onStored, null));
+          Mutation.withPageEdits(
+              Priority.CLEANUP,
+              List.of(),
+              List.of(jobPages.removeRecord(job)),
+              List.of(),
+              onStored,
+              null));
     } else {
-      endPaged(job, () -> with(jobs.remove(job), note(job, true)), onStored);
+      storePagedFinalState(
+          job, () -> prepend(jobPages.removeRecord(job), notificationEdits(job, true)), onStored);
     }
   }
 
-  private static List<JobPages.Edit> with(JobPages.Edit edit, List<JobPages.Edit> more) {
+  private static List<JobPages.Edit> prepend(JobPages.Edit edit, List<JobPages.Edit> more) {
     List<JobPages.Edit> all = new ArrayList<>(more);
     all.add(0, edit);
     return all;
@@ -532,10 +554,10 @@
    * The notice of a final state, for the transaction that stores that state first: in one of its
    * own either could be there without the other.
    */
-  private List<JobPages.Edit> note(Job job, boolean leaves) {
-    return job.finalStateStored || !notificationLog.isWanted()
+  private List<JobPages.Edit> notificationEdits(Job job, boolean leaves) {
+    return job.finalStateStored || !notificationLog.hasSubscribers()
         ? List.of()
-        : List.of(jobs.note(job, leaves));
+        : List.of(jobPages.addNotification(job, leaves));
   }
 
   /**
@@ -543,35 +565,40 @@
    * node that reached the store and not this leader may have stored the job again, and the copy
    * would bring it back to life. Once the final state is there nobody creates another.
    */
-  private void endPaged(Job job, Supplier<List<JobPages.Edit>> edits, Runnable onStored) {
-    boolean copy = twice.contains(job);
+  private void storePagedFinalState(
+      Job job, Supplier<List<JobPages.Edit>> edits, Runnable onStored) {
+    boolean hasUnpagedRecord = jobsWithUnpagedRecord.contains(job);
     commit.accept(
-        Mutation.editing(
-            endPriority(job),
-            copy ? List.of(finalState(job), noOwnRecord(job)) : List.of(finalState(job)),
+        Mutation.withPageEdits(
+            finalStatePriority(job),
+            hasUnpagedRecord
+                ? List.of(putFinalState(job), deleteUnpagedRecord(job))
+                : List.of(putFinalState(job)),
             edits.get(),
-            copy ? List.of() : List.of(RecordKeys.JOB + job.spec.id()),
+            hasUnpagedRecord ? List.of() : List.of(RecordKeys.UNPAGED_JOB + job.spec.id()),
             () -> {
-              twice.remove(job);
+              jobsWithUnpagedRecord.remove(job);
               onStored.run();
             },
-            () -> listener.onStoredTwice(job, () -> endPaged(job, edits, onStored))));
+            () ->
+                listener.onUnpagedRecordFound(
+                    job, () -> storePagedFinalState(job, edits, onStored))));
   }
 
   /** A final state that follows from another one is known without its record, which can wait. */
-  private static Priority endPriority(Job job) {
-    return job.cancelledByDependency ? Priority.TIDY : Priority.END;
+  private static Priority finalStatePriority(Job job) {
+    return job.cancelledByDependency ? Priority.CLEANUP : Priority.FINAL_STATE;
   }
 
-  private static Write finalState(Job job) {
-    return new Write(RecordKeys.END + job.spec.id(), () -> RecordWire.end(job.state()));
+  private static Write putFinalState(Job job) {
+    return new Write(RecordKeys.FINAL_STATE + job.spec.id(), () -> RecordWire.end(job.state()));
   }
 
-  private static Write noOwnRecord(Job job) {
-    return new Write(RecordKeys.JOB + job.spec.id(), () -> null);
+  private static Write deleteUnpagedRecord(Job job) {
+    return new Write(RecordKeys.UNPAGED_JOB + job.spec.id(), () -> null);
   }
 
-  private void endStored(Job job) {
+  private void finalStateStored(Job job) {
     boolean first = !job.finalStateStored;
     job.finalStateStored = true;
     chunkings.remove(job);
@@ -580,7 +607,7 @@
       of.values().forEach(chunk -> chunk.waiting.forEach(a -> a.mayBeForgotten = true));
     }
     if (first) {
-      listener.onEndStored(job);
+      listener.onFinalStateStored(job);
     }
   }
 }
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -27,46 +27,46 @@
 /** Requests to the state service, within its rate and with what is known of its health. */
 public final class StoreClient {
   private static final Logger log = LoggerFactory.getLogger(StoreClient.class);
-  private static final Duration TIMEOUT = Duration.ofMillis(1500);
-  private static final Duration FIRST_RETRY = Duration.ofMillis(250);
-  private static final Duration MOST_RETRY = Duration.ofMillis(500);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(250);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(500);
 
   /** Of the tries again those that a twentieth of the successes do not pay for are paced. */
-  private static final double RETRY_SHARE = 0.05;
+  private static final double RETRY_TO_SUCCESS_RATIO = 0.05;
 
   private static final double RETRIES_PER_SECOND = 10;
-  private static final double MOST_RETRIES = 20;
+  private static final double MAX_RETRY_BURST = 20;
 
   /**
    * The limits are the whole cluster's. This part of them is for what all nodes together ask on
    * behalf of users while no leader answers; with more, the leader's commits, its renewals and a
    * new leader's first reads would be refused along with them.
    */
-  private static final double USERS_PART = 0.3;
+  private static final double USER_TRAFFIC_SHARE = 0.3;
 
   private final AsyncHttpClient httpClient;
   private final EventLoop eventLoop;
   private final String address;
   private final Settings.StoreLimits limits;
-  private final TokenBucket requests;
-  private final TokenBucket writes;
-  private final TokenBucket userReads;
-  private final TokenBucket userWrites;
-  private final Deque<Waiting> waiting = new ArrayDeque<>();
-  private boolean pumpSet;
-  private final RetryBudget retries;
-  private long sent;
-  private long refusedForRate;
-  private Instant answeredAt;
+  private final TokenBucket requestBudget;
+  private final TokenBucket writeBudget;
+  private final TokenBucket userReadBudget;
+  private final TokenBucket userWriteBudget;
+  private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+  private boolean drainScheduled;
+  private final RetryBudget retryBudget;
+  private long requestCount;
+  private long rateLimitedCount;
+  private Instant lastResponseAt;
   private boolean healthy;
   private Generation generation = Generation.FIRST;
 
   /** The highest revision that the service is known to have had in this generation. */
-  private long seen;
+  private long highestRevision;
 
-  private LongConsumer onWentBack = revision -> {};
+  private LongConsumer revisionRollbackListener = revision -> {};
 
-  private record Waiting(Request request, Consumer<Reply> onReply) {}
+  private record QueuedRequest(Request request, Consumer<Reply> onReply) {}
 
   public StoreClient(
       AsyncHttpClient httpClient,
@@ -79,15 +79,16 @@
     this.address = address;
     this.limits = limits;
     Instant now = eventLoop.now();
-    double rps = limits.requestsPerSecond() * (1 - USERS_PART);
-    double wps = limits.writesPerSecond() * (1 - USERS_PART);
-    requests = new TokenBucket(rps, Math.max(1, rps), now);
+    double rps = limits.requestsPerSecond() * (1 - USER_TRAFFIC_SHARE);
+    double wps = limits.writesPerSecond() * (1 - USER_TRAFFIC_SHARE);
+    requestBudget = new TokenBucket(rps, Math.max(1, rps), now);
     // A whole transaction must fit into the burst, or it would never be sent.
-    writes = new TokenBucket(wps, Math.max(limits.transactionOps(), wps), now);
-    retries = new RetryBudget(eventLoop, RETRY_SHARE, RETRIES_PER_SECOND, MOST_RETRIES);
-    double part = USERS_PART / nodes;
-    userReads = userBudget(limits.requestsPerSecond() * part * 0.7, now);
-    userWrites = userBudget(limits.writesPerSecond() * part, now);
+    writeBudget = new TokenBucket(wps, Math.max(limits.transactionOps(), wps), now);
+    retryBudget =
+        new RetryBudget(eventLoop, RETRY_TO_SUCCESS_RATIO, RETRIES_PER_SECOND, MAX_RETRY_BURST);
+    double part = USER_TRAFFIC_SHARE / nodes;
+    userReadBudget = userBudget(limits.requestsPerSecond() * part * 0.7, now);
+    userWriteBudget = userBudget(limits.writesPerSecond() * part, now);
   }
 
   private static TokenBucket userBudget(double perSecond, Instant now) {
@@ -95,8 +96,8 @@
   }
 
   /** Tells of revisions below what the service is known to have had: it has lost data. */
-  public void onWentBack(LongConsumer listener) {
-    onWentBack = listener;
+  public void onRevisionRollback(LongConsumer listener) {
+    revisionRollbackListener = listener;
   }
 
   /** The generation whose records are read and written. */
@@ -107,47 +108,47 @@
   /**
    * From here on the records of this generation count; what is under way belongs to the one before.
    */
-  public void use(Generation next) {
+  public void useGeneration(Generation next) {
     if (next.base() != generation.base()) {
-      seen = next.recordRevision();
+      highestRevision = next.recordRevision();
     }
     generation = next;
   }
 
   /** The highest revision that the service is known to have had in this generation. */
-  public long seen() {
-    return seen;
+  public long highestRevision() {
+    return highestRevision;
   }
 
   /** The service had this revision in the generation with that base, as a peer knows. */
-  public void learn(long base, long revision) {
+  public void observeRevision(long base, long revision) {
     if (base == generation.base()) {
-      seen = Math.max(seen, revision);
+      highestRevision = Math.max(highestRevision, revision);
     }
   }
 
   /** What a request was sent with, by which its answer is understood. */
-  private final class Sent {
-    final Generation in = generation;
-    final long before = seen;
+  private final class RequestContext {
+    final Generation requestGeneration = generation;
+    final long highestRevisionWhenSent = highestRevision;
 
-    String space() {
-      return in.prefix();
+    String keyspace() {
+      return requestGeneration.prefix();
     }
 
     /**
      * The service tells its revision in an answer. It is strongly consistent, so no answer to a
      * request that was sent after a revision was seen can be below that one, unless data was lost.
      */
-    boolean isGood(long revision) {
-      if (in.base() != generation.base()) {
+    boolean acceptRevision(long revision) {
+      if (requestGeneration.base() != generation.base()) {
         return false;
       }
-      if (revision < before) {
-        onWentBack.accept(revision);
+      if (revision < highestRevisionWhenSent) {
+        revisionRollbackListener.accept(revision);
         return false;
       }
-      seen = Math.max(seen, revision);
+      highestRevision = Math.max(highestRevision, revision);
       return true;
     }
   }
@@ -166,8 +167,8 @@
     return limits;
   }
 
-  public TokenBucket writes() {
-    return writes;
+  public TokenBucket writeBudget() {
+    return writeBudget;
   }
 
   /** Whether the last answer was one that executed, not a refusal, and came lately. */
@@ -176,29 +177,29 @@
   }
 
   /** When the service last answered with anything but a refusal; null for never. */
-  public Instant answeredAt() {
-    return answeredAt;
+  public Instant lastResponseAt() {
+    return lastResponseAt;
   }
 
   /** Requests sent so far. */
-  public long sent() {
-    return sent;
+  public long requestCount() {
+    return requestCount;
   }
 
   /** Requests that were refused because too many were sent. */
-  public long refusedForRate() {
-    return refusedForRate;
+  public long rateLimitedCount() {
+    return rateLimitedCount;
   }
 
-  private Consumer<Reply> observed(Consumer<Reply> onReply) {
-    sent++;
+  private Consumer<Reply> observing(Consumer<Reply> onReply) {
+    requestCount++;
     return reply -> {
-      refusedForRate += reply.is(429) ? 1 : 0;
+      rateLimitedCount += reply.is(429) ? 1 : 0;
       boolean executed = reply.isAnswered() && reply.status() < 429;
       if (executed) {
-        answeredAt = eventLoop.now();
+        lastResponseAt = eventLoop.now();
         healthy = true;
-        retries.succeeded();
+        retryBudget.succeeded();
       } else if (!reply.is(429)) {
         healthy = false;
       }
@@ -207,21 +208,22 @@
   }
 
   /** Pauses between tries of one request. */
-  public Backoff backoff() {
-    return new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
+  public Backoff newBackoff() {
+    return new Backoff(eventLoop, INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
   }
 
   /** Tries something again after a pause, or later when too much is tried again already. */
-  public void retry(Backoff backoff, Runnable again) {
-    Duration pause = backoff.pause();
-    Duration turn = retries.take();
-    eventLoop.schedule(turn.compareTo(pause) > 0 ? turn : pause, again);
+  public void scheduleRetry(Backoff backoff, Runnable action) {
+    Duration backoffDelay = backoff.pause();
+    Duration budgetDelay = retryBudget.take();
+    eventLoop.schedule(
+        budgetDelay.compareTo(backoffDelay) > 0 ? budgetDelay : backoffDelay, action);
   }
 
   /** Sends at once, whatever the budget says: for lease renewals, which everything depends on. */
-  public void urgent(Request request, Consumer<Reply> onReply) {
-    requests.take(1, eventLoop.now());
-    httpClient.call(request, observed(onReply));
+  public void sendImmediately(Request request, Consumer<Reply> onReply) {
+    requestBudget.take(1, eventLoop.now());
+    httpClient.call(request, observing(onReply));
   }
 
   /**
@@ -231,45 +233,45 @@
    *
    * @param changes puts and deletes in the request
    */
-  public void changeForUser(Request request, int changes, Consumer<Reply> onReply) {
-    sendForUser(userWrites, changes, request, onReply);
+  public void writeForUser(Request request, int changes, Consumer<Reply> onReply) {
+    sendForUser(userWriteBudget, changes, request, onReply);
   }
 
   /** Reads one key afresh for a user, at once or not at all. */
   public void readForUser(String key, Consumer<Read> onRead) {
-    Sent sent = new Sent();
-    sendForUser(userReads, 1, get(keyPath(key)), reply -> onRead.accept(toRead(reply, sent)));
+    RequestContext sent = new RequestContext();
+    sendForUser(userReadBudget, 1, get(keyPath(key)), reply -> onRead.accept(toRead(reply, sent)));
   }
 
   /** Reads all keys with a prefix for users, at once or not at all; null when that failed. */
   void listForUser(String prefix, Consumer<Listing> onDone) {
-    listForUser(prefix, new Partial(), onDone);
+    listForUser(prefix, new PrefixScan(), onDone);
   }
 
-  private void listForUser(String prefix, Partial partial, Consumer<Listing> onDone) {
+  private void listForUser(String prefix, PrefixScan scan, Consumer<Listing> onDone) {
     sendForUser(
-        userReads,
+        userReadBudget,
         1,
-        get(partial.path(prefix)),
+        get(scan.nextPath(prefix)),
         reply -> {
-          if (!partial.take(reply)) {
+          if (!scan.addPage(reply)) {
             onDone.accept(null);
-          } else if (partial.complete) {
-            onDone.accept(partial.listing());
+          } else if (scan.complete) {
+            onDone.accept(scan.listing());
           } else {
-            listForUser(prefix, partial, onDone);
+            listForUser(prefix, scan, onDone);
           }
         });
   }
 
   /** Asks for the changes under a prefix up to now, for users, at once or not at all. */
-  void changesForUser(String prefix, long after, Consumer<Followed> onReply) {
-    Sent sent = new Sent();
+  void readChangesForUser(String prefix, long after, Consumer<ChangesReply> onReply) {
+    RequestContext sent = new RequestContext();
     sendForUser(
-        userReads,
+        userReadBudget,
         1,
-        get(StoreWire.watchPath(sent.space() + prefix, after, Duration.ZERO)),
-        reply -> onReply.accept(toFollowed(reply, sent)));
+        get(StoreWire.watchPath(sent.keyspace() + prefix, after, Duration.ZERO)),
+        reply -> onReply.accept(toChangesReply(reply, sent)));
   }
 
   private void sendForUser(TokenBucket budget, int cost, Request request, Consumer<Reply> onReply) {
@@ -279,43 +281,43 @@
       return;
     }
     budget.take(cost, now);
-    httpClient.call(request, observed(onReply));
+    httpClient.call(request, observing(onReply));
   }
 
   /** Sends when the budget allows. */
   void send(Request request, Consumer<Reply> onReply) {
-    waiting.addLast(new Waiting(request, onReply));
-    pump();
+    queue.addLast(new QueuedRequest(request, onReply));
+    drainQueue();
   }
 
-  private void pump() {
+  private void drainQueue() {
     Instant now = eventLoop.now();
-    while (!waiting.isEmpty() && requests.available(now) >= 1) {
-      Waiting next = waiting.pollFirst();
-      requests.take(1, now);
-      httpClient.call(next.request, observed(next.onReply));
+    while (!queue.isEmpty() && requestBudget.available(now) >= 1) {
+      QueuedRequest next = queue.pollFirst();
+      requestBudget.take(1, now);
+      httpClient.call(next.request, observing(next.onReply));
     }
-    if (!waiting.isEmpty() && !pumpSet) {
-      pumpSet = true;
+    if (!queue.isEmpty() && !drainScheduled) {
+      drainScheduled = true;
       eventLoop.schedule(
-          requests.until(1, now).plusMillis(1),
+          requestBudget.until(1, now).plusMillis(1),
           () -> {
-            pumpSet = false;
-            pump();
+            drainScheduled = false;
+            drainQueue();
           });
     }
   }
 
   public Request get(String path) {
-    return Request.get(address, path, TIMEOUT);
+    return Request.get(address, path, REQUEST_TIMEOUT);
   }
 
   public Request post(String path, byte[] body) {
-    return Request.post(address, path, body, TIMEOUT);
+    return Request.post(address, path, body, REQUEST_TIMEOUT);
   }
 
   public Request delete(String path) {
-    return new Request(address, "DELETE", path, null, TIMEOUT);
+    return new Request(address, "DELETE", path, null, REQUEST_TIMEOUT);
   }
 
   /** What one read of a key gave. */
@@ -329,14 +331,14 @@
 
   /** Reads one key afresh; without certainty nothing may be concluded. */
   public void read(String key, Consumer<Read> onRead) {
-    Sent sent = new Sent();
+    RequestContext sent = new RequestContext();
     send(get(keyPath(key)), reply -> onRead.accept(toRead(reply, sent)));
   }
 
   /** Reads one key at once, whatever the budget says; told with the reply itself. */
-  public void urgentRead(String key, BiConsumer<Read, Reply> onRead) {
-    Sent sent = new Sent();
-    urgent(get(keyPath(key)), reply -> onRead.accept(toRead(reply, sent), reply));
+  public void readImmediately(String key, BiConsumer<Read, Reply> onRead) {
+    RequestContext sent = new RequestContext();
+    sendImmediately(get(keyPath(key)), reply -> onRead.accept(toRead(reply, sent), reply));
   }
 
   /**
@@ -344,8 +346,8 @@
    * makes this answer no less certain, since whoever rebuilds has to know what stands there now.
    */
   public void readGeneration(Consumer<Read> onRead) {
-    Sent sent = new Sent();
-    urgent(
+    RequestContext sent = new RequestContext();
+    sendImmediately(
         get(StoreWire.keyPath(RecordKeys.GENERATION)),
         reply -> {
           Read read = toRead(reply, sent);
@@ -360,15 +362,15 @@
         });
   }
 
-  private static Read toRead(Reply reply, Sent sent) {
+  private static Read toRead(Reply reply, RequestContext sent) {
     try {
       if (reply.is(200)) {
-        StoreWire.Entry entry = StoreWire.parseEntry(reply.body(), sent.space());
+        StoreWire.Entry entry = StoreWire.parseEntry(reply.body(), sent.keyspace());
         return new Read(true, entry, entry.version());
       }
       if (reply.is(404)) {
         long revision = StoreWire.parseRevision(reply.body());
-        return sent.isGood(revision) ? new Read(true, null, revision) : Read.FAILED;
+        return sent.acceptRevision(revision) ? new Read(true, null, revision) : Read.FAILED;
       }
     } catch (MalformedMessageException e) {
       return Read.FAILED;
@@ -380,33 +382,33 @@
   public record Listing(List<StoreWire.Entry> entries, long revision) {}
 
   /** Reads all keys with a prefix, trying again until it succeeds or {@code wanted} says no. */
-  public void list(String prefix, BooleanSupplier wanted, Consumer<Listing> onDone) {
-    listPage(prefix, new Partial(), wanted, backoff(), onDone);
+  public void listAll(String prefix, BooleanSupplier stillWanted, Consumer<Listing> onDone) {
+    listNextPage(prefix, new PrefixScan(), stillWanted, newBackoff(), onDone);
   }
 
-  private void listPage(
+  private void listNextPage(
       String prefix,
-      Partial partial,
-      BooleanSupplier wanted,
+      PrefixScan scan,
+      BooleanSupplier stillWanted,
       Backoff backoff,
       Consumer<Listing> onDone) {
-    if (!wanted.getAsBoolean()) {
+    if (!stillWanted.getAsBoolean()) {
       return;
     }
-    Runnable next = () -> listPage(prefix, partial, wanted, backoff, onDone);
+    Runnable next = () -> listNextPage(prefix, scan, stillWanted, backoff, onDone);
     send(
-        get(partial.path(prefix)),
+        get(scan.nextPath(prefix)),
         reply -> {
-          if (!wanted.getAsBoolean()) {
+          if (!stillWanted.getAsBoolean()) {
             return;
           }
-          if (!partial.take(reply)) {
-            retry(backoff, next);
+          if (!scan.addPage(reply)) {
+            scheduleRetry(backoff, next);
             return;
           }
           backoff.reset();
-          if (partial.complete) {
-            onDone.accept(partial.listing());
+          if (scan.complete) {
+            onDone.accept(scan.listing());
           } else {
             next.run();
           }
@@ -414,37 +416,38 @@
   }
 
   /** What has been read of a prefix so far. */
-  private final class Partial {
-    private Sent sent;
+  private final class PrefixScan {
+    private RequestContext context;
     final List<StoreWire.Entry> entries = new ArrayList<>();
     long revision = -1;
 
     /** The last key read, after which the next page begins; null before the first. */
-    String after;
+    String lastKey;
 
     boolean complete;
 
     /** The request for the next page. */
-    String path(String prefix) {
-      sent = new Sent();
-      return StoreWire.listPath(sent.space() + prefix, after == null ? null : sent.space() + after);
+    String nextPath(String prefix) {
+      context = new RequestContext();
+      return StoreWire.listPath(
+          context.keyspace() + prefix, lastKey == null ? null : context.keyspace() + lastKey);
     }
 
     /** Takes in an answer; false when it is no page. */
-    boolean take(Reply reply) {
+    boolean addPage(Reply reply) {
       if (!reply.is(200)) {
         return false;
       }
       try {
-        StoreWire.Page page = StoreWire.parsePage(reply.body(), sent.space());
-        if (!sent.isGood(page.revision())) {
+        StoreWire.Page page = StoreWire.parsePage(reply.body(), context.keyspace());
+        if (!context.acceptRevision(page.revision())) {
           return false;
         }
         entries.addAll(page.entries());
         // Changes made while later pages are read are seen again by following from the first.
         revision = revision < 0 ? page.revision() : revision;
-        after = page.next();
-        complete = after == null;
+        lastKey = page.next();
+        complete = lastKey == null;
         return true;
       } catch (MalformedMessageException e) {
         return false;
@@ -459,79 +462,83 @@
   /**
    * How changes were followed: the reply, and what changed, or null when it tells of no changes.
    */
-  public record Followed(Reply reply, StoreWire.Changes changes) {}
+  public record ChangesReply(Reply reply, StoreWire.Changes changes) {}
 
-  private static Followed toFollowed(Reply reply, Sent sent) {
+  private static ChangesReply toChangesReply(Reply reply, RequestContext sent) {
     try {
       if (reply.is(200)) {
-        StoreWire.Changes changes = StoreWire.parseChanges(reply.body(), sent.space());
-        return new Followed(reply, sent.isGood(changes.revision()) ? changes : null);
+        StoreWire.Changes changes = StoreWire.parseChanges(reply.body(), sent.keyspace());
+        return new ChangesReply(reply, sent.acceptRevision(changes.revision()) ? changes : null);
       }
     } catch (MalformedMessageException e) {
       log.warn("what the store tells of changes is malformed: {}", e.getMessage());
     }
-    return new Followed(reply, null);
+    return new ChangesReply(reply, null);
   }
 
   /** Waits for changes under a prefix. */
-  public void watch(String prefix, long after, Duration wait, Consumer<Followed> onReply) {
-    Sent sent = new Sent();
-    follow(sent.space() + prefix, after, wait, reply -> onReply.accept(toFollowed(reply, sent)));
+  public void watch(String prefix, long after, Duration wait, Consumer<ChangesReply> onReply) {
+    RequestContext sent = new RequestContext();
+    longPoll(
+        sent.keyspace() + prefix,
+        after,
+        wait,
+        reply -> onReply.accept(toChangesReply(reply, sent)));
   }
 
   /** Waits for another generation to count; the reply says no more than that it is time to look. */
   public void watchGeneration(long after, Duration wait, Consumer<Reply> onReply) {
-    follow(RecordKeys.GENERATION_PREFIX, after, wait, onReply);
+    longPoll(RecordKeys.GENERATION_PREFIX, after, wait, onReply);
   }
 
-  private void follow(String path, long after, Duration wait, Consumer<Reply> onReply) {
-    requests.take(1, eventLoop.now());
+  private void longPoll(String path, long after, Duration wait, Consumer<Reply> onReply) {
+    requestBudget.take(1, eventLoop.now());
     httpClient.call(
         Request.get(address, StoreWire.watchPath(path, after, wait), wait.plusSeconds(5)), onReply);
   }
 
   /** Everything that changed up to now, for a node that keeps a copy; when the budget allows. */
-  public void changes(long after, Consumer<Followed> onReply) {
-    Sent sent = new Sent();
+  public void readChanges(long after, Consumer<ChangesReply> onReply) {
+    RequestContext sent = new RequestContext();
     send(
-        get(StoreWire.watchPath(sent.space(), after, Duration.ZERO)),
-        reply -> onReply.accept(toFollowed(reply, sent)));
+        get(StoreWire.watchPath(sent.keyspace(), after, Duration.ZERO)),
+        reply -> onReply.accept(toChangesReply(reply, sent)));
   }
 
   /** One page of everything under a prefix, when the budget allows; null when that failed. */
-  public void page(String prefix, String after, Consumer<StoreWire.Page> onPage) {
-    page(prefix, after, false, onPage);
+  public void readPage(String prefix, String after, Consumer<StoreWire.Page> onPage) {
+    readPage(prefix, after, false, onPage);
   }
 
   /** One page of whatever the service still holds of this generation after it lost data. */
-  public void rest(String after, Consumer<StoreWire.Page> onPage) {
-    page("", after, true, onPage);
+  public void readPageAfterDataLoss(String after, Consumer<StoreWire.Page> onPage) {
+    readPage("", after, true, onPage);
   }
 
   /** One page of all keys of all generations, under their whole names. */
-  public void pageOfAll(String after, Consumer<StoreWire.Page> onPage) {
-    page("", "", after, false, onPage);
+  public void readPageOfAllGenerations(String after, Consumer<StoreWire.Page> onPage) {
+    readPage("", "", after, false, onPage);
   }
 
-  private void page(
+  private void readPage(
       String prefix, String after, boolean anyRevision, Consumer<StoreWire.Page> onPage) {
-    page(generation.prefix(), prefix, after, anyRevision, onPage);
+    readPage(generation.prefix(), prefix, after, anyRevision, onPage);
   }
 
-  private void page(
+  private void readPage(
       String space,
       String prefix,
       String after,
       boolean anyRevision,
       Consumer<StoreWire.Page> onPage) {
-    Sent sent = new Sent();
+    RequestContext sent = new RequestContext();
     send(
         get(StoreWire.listPath(space + prefix, after == null ? null : space + after)),
         reply -> {
           try {
             if (reply.is(200)) {
               StoreWire.Page page = StoreWire.parsePage(reply.body(), space);
-              onPage.accept(anyRevision || sent.isGood(page.revision()) ? page : null);
+              onPage.accept(anyRevision || sent.acceptRevision(page.revision()) ? page : null);
               return;
             }
           } catch (MalformedMessageException e) {
@@ -546,8 +553,8 @@
    *
    * @param onDone told the keys whose conditions do not hold; null when that is not known
    */
-  public void compare(StoreWire.Transaction compare, Consumer<List<String>> onDone) {
-    Sent sent = new Sent();
+  public void checkConditions(StoreWire.Transaction compare, Consumer<List<String>> onDone) {
+    RequestContext sent = new RequestContext();
     send(
         post("/multi", compare.bytes()),
         reply -> {
@@ -557,7 +564,7 @@
               return;
             }
             if (reply.is(409)) {
-              onDone.accept(StoreWire.parseFailed(reply.body(), sent.space()));
+              onDone.accept(StoreWire.parseFailed(reply.body(), sent.keyspace()));
               return;
             }
           } catch (MalformedMessageException e) {
@@ -570,12 +577,12 @@
   /**
    * A transaction has committed at this revision; false when that is not above all that was seen.
    */
-  public boolean isAhead(long before, long revision) {
+  public boolean acceptCommitRevision(long before, long revision) {
     if (revision <= before) {
-      onWentBack.accept(revision);
+      revisionRollbackListener.accept(revision);
       return false;
     }
-    seen = Math.max(seen, revision);
+    highestRevision = Math.max(highestRevision, revision);
     return true;
   }
 }
--- a/src/main/java/io/pineladder/upgrade/VersionRaiser.java
+++ b/src/main/java/io/pineladder/upgrade/VersionRaiser.java
@@ -20,7 +20,7 @@
   private static final Duration REVIEW_INTERVAL = Duration.ofMillis(500);
 
   private final ClusterVersion clusterVersion;
-  private final Supplier<List<Membership.View>> peers;
+  private final Supplier<List<Membership.PeerStatus>> peers;
   private final EventLoop eventLoop;
   private final Consumer<Mutation> transactions;
   private final BooleanSupplier isLeading;
@@ -33,7 +33,7 @@
    */
   public VersionRaiser(
       ClusterVersion clusterVersion,
-      Supplier<List<Membership.View>> peers,
+      Supplier<List<Membership.PeerStatus>> peers,
       EventLoop eventLoop,
       Consumer<Mutation> transactions,
       BooleanSupplier isLeading,
@@ -60,10 +60,11 @@
     }
     transactions.accept(
         Mutation.of(
-            Mutation.Priority.ACCEPT,
+            Mutation.Priority.ACCEPTANCE,
             List.of(
                 new Mutation.Write(
-                    RecordKeys.VERSION, () -> RecordWire.version(clusterVersion.supported()))),
+                    RecordKeys.CLUSTER_VERSION,
+                    () -> RecordWire.version(clusterVersion.supported()))),
             this::onStored));
   }
 
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
@@ -48,7 +48,7 @@
       return;
     }
     if (needed.getAsBoolean()) {
-      storeClient.page(RecordKeys.APART, null, this::onPage);
+      storeClient.readPage(RecordKeys.WORKER_KEEP_ALIVES, null, this::onPage);
     }
     eventLoop.schedule(READ_INTERVAL, () -> start(isOver));
   }
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -78,7 +78,7 @@
       return;
     }
     storeClient.readForUser(
-        RecordKeys.APART + controllerName,
+        RecordKeys.WORKER_KEEP_ALIVES + controllerName,
         read -> {
           if (read.certain()) {
             storedRevision = read.found() ? read.entry().version() : 0L;
@@ -96,10 +96,10 @@
     var value = Json.object();
     var counts = value.putObject("zones");
     workersByZone.forEach(counts::put);
-    String key = RecordKeys.APART + controllerName;
+    String key = RecordKeys.WORKER_KEEP_ALIVES + controllerName;
     byte[] body = storeClient.transaction().require(key, storedRevision).put(key, value).bytes();
     storedRevision = null;
-    storeClient.changeForUser(
+    storeClient.writeForUser(
         storeClient.post("/multi", body),
         1,
         reply -> {
--- a/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
@@ -91,7 +91,7 @@
     // Pages come in no order of numbers.
     while (!notices.isEmpty()) {
       Notification notification = notices.remove(random.nextInt(notices.size()));
-      outbox.stored(
+      outbox.onStored(
           notification,
           Json.bytes(RecordWire.notice(notification)).length + 1,
           () -> dropped.add(notification.number()));
@@ -119,7 +119,9 @@
         () -> {
           JsonNode value = write.value().get();
           Map<String, JsonNode> to =
-              write.key().startsWith(RecordKeys.BACKLOG) ? storedBacklog : storedProgress;
+              write.key().startsWith(RecordKeys.NOTIFICATION_BACKLOG)
+                  ? storedBacklog
+                  : storedProgress;
           if (value == null) {
             to.remove(write.key());
           } else {
@@ -156,9 +158,9 @@
   }
 
   private Notification end(String job, String owner) {
-    outbox.begin();
+    outbox.beginTransaction();
     Notification notification =
-        outbox.next(
+        outbox.allocate(
             new Job(
                 new io.pineladder.model.JobSpec(
                     job,
@@ -183,11 +185,11 @@
                 Job.State.DONE));
     if (notification != null) {
       storedNotices.put(notification.number(), notification);
-      outbox.stored(
+      outbox.onStored(
           notification,
           Json.bytes(RecordWire.notice(notification)).length + 1,
           () -> dropped.add(notification.number()));
-      outbox.committed();
+      outbox.onTransactionCommitted();
     }
     return notification;
   }
@@ -272,7 +274,7 @@
       }
       model.position = Math.max(model.position, at.lastSequence());
     } else {
-      Notification next = outbox.next(to);
+      Notification next = outbox.allocate(to);
       if (next == null) {
         return false;
       }
@@ -314,11 +316,11 @@
     end("c", "red");
     end("d", "blue");
     Subscription desk = outbox.subscriptions().get("desk");
-    assertEquals("a", outbox.next(desk).job());
+    assertEquals("a", outbox.allocate(desk).job());
     assertTrue(outbox.has(desk, 1));
-    assertEquals("d", outbox.next(desk).job());
+    assertEquals("d", outbox.allocate(desk).job());
     begin();
-    assertEquals("a", outbox.next(desk).job(), "a later leader counts the same");
+    assertEquals("a", outbox.allocate(desk).job(), "a later leader counts the same");
   }
 
   /** A receiver that claims what was never sent would pass over all that comes. */
@@ -328,7 +330,7 @@
     end("a", "red");
     Subscription desk = outbox.subscriptions().get("desk");
     assertFalse(outbox.has(desk, 2));
-    assertEquals("a", outbox.next(desk).job());
+    assertEquals("a", outbox.allocate(desk).job());
   }
 
   @Test
@@ -339,13 +341,13 @@
     }
     Subscription desk = outbox.subscriptions().get("desk");
     assertTrue(outbox.has(desk, 10));
-    assertNull(outbox.next(desk));
+    assertNull(outbox.allocate(desk));
     assertTrue(outbox.has(desk, 4));
-    assertEquals("job-5", outbox.next(desk).job());
+    assertEquals("job-5", outbox.allocate(desk).job());
     assertTrue(outbox.seek(desk, 2));
-    assertEquals("job-2", outbox.next(desk).job());
+    assertEquals("job-2", outbox.allocate(desk).job());
     assertFalse(outbox.seek(desk, 12));
-    assertEquals("job-2", outbox.next(desk).job());
+    assertEquals("job-2", outbox.allocate(desk).job());
   }
 
   /**
--- a/src/test/java/io/pineladder/replica/RecordReplicaTest.java
+++ b/src/test/java/io/pineladder/replica/RecordReplicaTest.java
@@ -35,8 +35,9 @@
     final Map<String, Job.State> ends = new TreeMap<>();
 
     void take(Entry entry) {
-      if (entry.key().startsWith(RecordKeys.END)) {
-        ends.putIfAbsent(entry.key().substring(RecordKeys.END.length()), state(entry.value()));
+      if (entry.key().startsWith(RecordKeys.FINAL_STATE)) {
+        ends.putIfAbsent(
+            entry.key().substring(RecordKeys.FINAL_STATE.length()), state(entry.value()));
       } else {
         records.merge(entry.key(), entry, (a, b) -> b.version() > a.version() ? b : a);
       }
@@ -53,7 +54,8 @@
     for (long revision = 1; revision <= 60; revision++) {
       if (random.nextInt(3) == 0) {
         Job.State state = random.nextBoolean() ? Job.State.DONE : Job.State.CANCELLED;
-        all.add(new Entry(RecordKeys.END + "req-" + revision, RecordWire.end(state), revision));
+        all.add(
+            new Entry(RecordKeys.FINAL_STATE + "req-" + revision, RecordWire.end(state), revision));
       } else {
         JsonNode value = Json.object().put("n", "r" + revision).set("entries", Json.array());
         all.add(new Entry(PAGES.get(random.nextInt(PAGES.size())), value, revision));
@@ -65,7 +67,7 @@
   private static Map<String, JsonNode> records(RecordReplica replica) {
     Map<String, JsonNode> found = new TreeMap<>();
     for (Entry entry : replica.image()) {
-      if (!entry.key().startsWith(RecordKeys.ENDS)) {
+      if (!entry.key().startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
         found.put(entry.key(), entry.value());
       }
     }
@@ -75,7 +77,7 @@
   private static Map<String, Job.State> ends(RecordReplica replica) throws Exception {
     Map<String, Job.State> found = new TreeMap<>();
     for (Entry entry : replica.image()) {
-      if (entry.key().startsWith(RecordKeys.ENDS)) {
+      if (entry.key().startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
         for (String job : RecordWire.parseEnds(entry.value())) {
           assertEquals(null, found.put(job, state(entry.value())), job + " is there twice");
         }
@@ -110,7 +112,7 @@
 
       // A snapshot with the changes since is the same again, in whatever generation.
       Snapshot kept = Snapshot.decode(replica.snapshot("c", Instant.EPOCH).encode());
-      RecordReplica back = RecordReplica.of(new SnapshotManager.Found(kept, List.of()));
+      RecordReplica back = RecordReplica.of(new SnapshotManager.LoadedSnapshot(kept, List.of()));
       assertEquals(replica.image(), back.image());
       back.moved(
           new Generation(
@@ -128,12 +130,12 @@
     replica.put("placed/1", page, 9, false);
     replica.begun();
     List<Entry> whole = List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
-    assertEquals(null, replica.missing(RecordKeys.PLACED, whole));
-    assertEquals("placed/1", replica.missing(RecordKeys.PLACED, whole.subList(0, 1)));
+    assertEquals(null, replica.missing(RecordKeys.PLACEMENTS, whole));
+    assertEquals("placed/1", replica.missing(RecordKeys.PLACEMENTS, whole.subList(0, 1)));
     assertEquals(
         "placed/0",
         replica.missing(
-            RecordKeys.PLACED,
+            RecordKeys.PLACEMENTS,
             List.of(new Entry("placed/0", page, 6), new Entry("placed/1", page, 9))));
   }
 }
--- a/src/test/java/io/pineladder/sim/CommitterTest.java
+++ b/src/test/java/io/pineladder/sim/CommitterTest.java
@@ -55,12 +55,12 @@
     }
 
     @Override
-    public void onKeyGone() {
+    public void onLeaderKeyGone() {
       ended.add("key gone");
     }
 
     @Override
-    public void onLost(String reason) {
+    public void onDataLoss(String reason) {
       ended.add(reason);
     }
 
@@ -101,7 +101,7 @@
     Committer committer = new Committer(storeClient, eventLoop, 5, new Listener());
     committer.submit(
         Mutation.of(
-            Mutation.Priority.PLACE,
+            Mutation.Priority.PLACEMENT,
             List.of(new Mutation.Write("placed/1", this::value)),
             () -> stored++));
     Sent first = next();
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.membership.Membership;
-import io.pineladder.membership.Membership.Self;
+import io.pineladder.membership.Membership.SelfAssessment;
 import io.pineladder.membership.Membership.State;
 import io.pineladder.model.Settings;
 import io.pineladder.net.AsyncHttpClient;
@@ -66,7 +66,7 @@
                 noteMade(beat);
                 httpClient.call(
                     AsyncHttpClient.Request.post(
-                        address, GossipWire.PATH, beat, Membership.TIMEOUT),
+                        address, GossipWire.PATH, beat, Membership.HEARTBEAT_TIMEOUT),
                     reply -> {
                       byte[] body = reply.is(200) ? reply.body() : null;
                       record(body == null ? Kind.MISS : Kind.ANSWER, peer, body);
@@ -75,7 +75,8 @@
                     });
               },
               () ->
-                  new Membership.Own(true, 0, GossipWire.Stored.NOTHING, ClusterVersion.SUPPORTED));
+                  new Membership.LocalStatus(
+                      true, 0, GossipWire.Stored.NOTHING, ClusterVersion.SUPPORTED));
       world.serve(
           host + ":8081",
           (method, path, body, answer) -> {
@@ -238,8 +239,8 @@
 
   private int changes() {
     return nodes.values().stream()
-        .flatMap(n -> n.membership.view().stream())
-        .mapToInt(Membership.View::changes)
+        .flatMap(n -> n.membership.peerStatuses().stream())
+        .mapToInt(Membership.PeerStatus::stateChanges)
         .sum();
   }
 
@@ -281,7 +282,7 @@
       for (int b = 0; b < NODES; b++) {
         assertEquals(a == b ? State.UNKNOWN : State.UP, state(a, b));
       }
-      assertEquals(Self.SURE, nodes.get(a).membership.self());
+      assertEquals(SelfAssessment.SURE, nodes.get(a).membership.selfAssessment());
     }
   }
 
@@ -328,10 +329,10 @@
     world.cut("10.0.0.1", "10.0.0.2");
     world.cut("10.0.0.1", "10.0.0.3");
     world.runFor(Duration.ofSeconds(20));
-    assertEquals(Self.DOUBTFUL, nodes.get(0).membership.self());
+    assertEquals(SelfAssessment.DOUBTFUL, nodes.get(0).membership.selfAssessment());
     assertNotEquals(State.DOWN, state(0, 1));
     assertEquals(State.DOWN, state(1, 0));
-    assertEquals(Self.SURE, nodes.get(1).membership.self());
+    assertEquals(SelfAssessment.SURE, nodes.get(1).membership.selfAssessment());
   }
 
   @Test
@@ -346,6 +347,6 @@
     world.cut("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofSeconds(10));
     assertEquals(State.APART, state(0, 1), "the third hears it");
-    assertEquals(List.of("10.0.0.3:8081"), nodes.get(0).membership.likely());
+    assertEquals(List.of("10.0.0.3:8081"), nodes.get(0).membership.candidateAddresses());
   }
 }
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -76,12 +76,12 @@
     final Map<String, byte[]> files = new TreeMap<>();
 
     @Override
-    public void load(Consumer<Map<String, byte[]>> onLoaded) {
+    public void loadAll(Consumer<Map<String, byte[]>> onLoaded) {
       onLoaded.accept(new HashMap<>(files));
     }
 
     @Override
-    public void put(String name, byte[] bytes) {
+    public void replace(String name, byte[] bytes) {
       files.put(name, bytes);
     }
 
--- a/src/test/java/io/pineladder/store/JobPagesTest.java
+++ b/src/test/java/io/pineladder/store/JobPagesTest.java
@@ -31,29 +31,29 @@
   private static final NotificationLog WANTED =
       new NotificationLog() {
         @Override
-        public boolean isWanted() {
+        public boolean hasSubscribers() {
           return true;
         }
 
         @Override
-        public void begin() {}
+        public void beginTransaction() {}
 
         @Override
-        public Notification next(Job job) {
+        public Notification allocate(Job job) {
           return new Notification(
               1, job.spec.id(), "red", "work", Job.State.DONE, 1, Instant.EPOCH);
         }
 
         @Override
-        public void stored(Notification notification, int bytes, Runnable drop) {}
+        public void onStored(Notification notification, int bytes, Runnable drop) {}
 
         @Override
-        public void committed() {}
+        public void onTransactionCommitted() {}
       };
 
   private final JobPages pages = new JobPages(VALUE_BYTES, WANTED);
   private final List<Job> jobs = new ArrayList<>();
-  private final JobPages.Page large = pages.known("accepted/7");
+  private final JobPages.Page large = pages.restore("accepted/7");
 
   private static JsonNode record(Job job) {
     return RecordWire.job(job.spec, Instant.EPOCH, job.state());
@@ -83,14 +83,14 @@
               null);
       Job job = new Job(spec, Instant.EPOCH, Job.State.ACTIVE);
       jobs.add(job);
-      pages.known(large, job, record(job));
+      pages.restore(large, job, record(job));
     }
   }
 
   /** Carries out a mutation as a committed transaction would. */
   private static void commit(Mutation mutation) {
-    mutation.edits().forEach(JobPages.Edit::fix);
-    mutation.edits().forEach(edit -> edit.page().committed(List.of(edit)));
+    mutation.pageEdits().forEach(JobPages.Edit::prepare);
+    mutation.pageEdits().forEach(edit -> edit.page().onCommitted(List.of(edit)));
     mutation.onCommitted().run();
   }
 
@@ -98,20 +98,20 @@
   void aPageThatIsTooLargeIsDividedInStepsAndItsCopiesCountAtTheEnd()
       throws MalformedMessageException {
     begin();
-    JobPages.Edit waits = pages.remove(jobs.get(3));
+    JobPages.Edit waits = pages.removeRecord(jobs.get(3));
     assertFalse(waits.mustWait(), "the limits before still hold");
-    pages.shrink();
+    pages.markOversizedPages();
     assertTrue(waits.mustWait());
-    assertSame(large, pages.tooLarge());
+    assertSame(large, pages.nextOversizedPage());
     List<Mutation> steps = new ArrayList<>();
     boolean[] divided = new boolean[1];
     pages.divide(large, 64, steps::add, () -> divided[0] = true);
     for (Mutation step : steps) {
       assertFalse(divided[0]);
       assertTrue(waits.mustWait());
-      for (JobPages.Edit edit : step.edits()) {
-        edit.fix();
-        assertTrue(edit.page().bytes() <= VALUE_BYTES);
+      for (JobPages.Edit edit : step.pageEdits()) {
+        edit.prepare();
+        assertTrue(edit.page().maxValueBytes() <= VALUE_BYTES);
         JsonNode copies = edit.page().render(List.of(edit));
         for (JsonNode copy : RecordWire.entries(copies)) {
           assertEquals("accepted/7", RecordWire.source(copy));
@@ -122,7 +122,7 @@
     assertTrue(divided[0]);
     assertFalse(waits.mustWait());
     assertNotSame(large, waits.page());
-    assertNull(pages.tooLarge());
+    assertNull(pages.nextOversizedPage());
     for (JsonNode entry : RecordWire.entries(waits.page().render(List.of()))) {
       assertNull(RecordWire.source(entry));
     }
@@ -132,11 +132,11 @@
   @Test
   void aNoticeThatWaitsForThePageGoesElsewhere() {
     begin();
-    JobPages.Edit note = pages.note(jobs.get(0), true);
+    JobPages.Edit note = pages.addNotification(jobs.get(0), true);
     assertSame(large, note.page());
-    pages.shrink();
-    note.held();
-    assertNotNull(pages.tooLarge());
+    pages.markOversizedPages();
+    note.defer();
+    assertNotNull(pages.nextOversizedPage());
     pages.divide(large, 64, mutation -> {}, () -> {});
     assertNotSame(large, note.page());
     assertFalse(note.mustWait());
@@ -146,11 +146,11 @@
   @Test
   void aPageIsNotDividedWhileANoticeIsOnItsWayThere() {
     begin();
-    JobPages.Edit note = pages.note(jobs.get(0), true);
-    note.fix();
-    pages.shrink();
-    assertNull(pages.tooLarge());
-    large.committed(List.of(note));
-    assertNull(pages.tooLarge(), "the notice is in the page now");
+    JobPages.Edit note = pages.addNotification(jobs.get(0), true);
+    note.prepare();
+    pages.markOversizedPages();
+    assertNull(pages.nextOversizedPage());
+    large.onCommitted(List.of(note));
+    assertNull(pages.nextOversizedPage(), "the notice is in the page now");
   }
 }
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -110,7 +110,7 @@
     Map<Integer, Integer> encoded = new HashMap<>();
     return new RecordPages<>(
         "page/",
-        Priority.PLACE,
+        Priority.PLACEMENT,
         Duration.ZERO,
         VALUE_BYTES,
         store,
@@ -148,14 +148,14 @@
         case 0, 1 -> {
           Entry entry = new Entry(ids++);
           live.add(entry);
-          pages.due(entry);
+          pages.store(entry);
           due++;
         }
         case 2 -> {
           if (!live.isEmpty()) {
             Entry entry = live.get(random.nextInt(live.size()));
             entry.number++;
-            pages.due(entry);
+            pages.store(entry);
             due++;
           }
         }
@@ -164,7 +164,7 @@
             Entry over = live.remove(random.nextInt(live.size()));
             over.live = false;
             if (random.nextInt(4) == 0) {
-              pages.tidy(List.of(over));
+              pages.rewritePagesOf(List.of(over));
             }
           }
         }
@@ -239,15 +239,15 @@
               public void onPlacementStored(Attempt attempt) {}
 
               @Override
-              public void onEndStored(Job ended) {}
+              public void onFinalStateStored(Job ended) {}
 
               @Override
               public void onRemoved(Job removed) {}
 
               @Override
-              public void onStoredTwice(Job job, Runnable again) {}
+              public void onUnpagedRecordFound(Job job, Runnable again) {}
             },
-            NotificationLog.NONE);
+            NotificationLog.DISABLED);
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(7);
     Set<Attempt> done = new LinkedHashSet<>();
     // Every other task of the first half makes for the most ranges.
@@ -256,7 +256,7 @@
         Attempt attempt = new Attempt(job, task, 1, machine, Instant.EPOCH, Attempt.State.RUNNING);
         job.done.set(task);
         done.add(attempt);
-        records.taskDone(job, attempt);
+        records.storeCompletion(job, attempt);
       }
     }
     for (int i = 0; i < 2000 && !(store.pending.isEmpty() && store.timers.isEmpty()); i++) {
--- a/src/test/java/io/pineladder/store/StoreClientTest.java
+++ b/src/test/java/io/pineladder/store/StoreClientTest.java
@@ -59,10 +59,10 @@
     int served = sent.size();
     assertEquals(1000, served + refused[0]);
     assertTrue(served >= 5 && served <= 20, "a node's part of the limit, not " + served);
-    storeClient.list("job/", () -> true, listing -> {});
+    storeClient.listAll("job/", () -> true, listing -> {});
     assertEquals(served + 1, sent.size());
     // Found there too: while peers refused each other, polls used up what submissions needed.
-    storeClient.changeForUser(storeClient.post("/multi", new byte[0]), 2, reply -> {});
+    storeClient.writeForUser(storeClient.post("/multi", new byte[0]), 2, reply -> {});
     assertEquals(served + 2, sent.size());
   }
 }
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -134,7 +134,7 @@
               }
 
               @Override
-              public void onEndStored(Job job) {
+              public void onFinalStateStored(Job job) {
                 scheduler.onFinalStateStored(job);
               }
 
@@ -144,9 +144,9 @@
               }
 
               @Override
-              public void onStoredTwice(Job job, Runnable again) {}
+              public void onUnpagedRecordFound(Job job, Runnable again) {}
             },
-            NotificationLog.NONE);
+            NotificationLog.DISABLED);
     scheduler.setRecords(records);
     autoscaler =
         new Autoscaler(
