--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -161,7 +161,7 @@
 
   public void start() {
     log.info("controller {} starts in zone {}", settings.controllerName(), settings.zone());
-    membership.onStoreStatus(replicaManager.generations()::heard);
+    membership.onStoreStatus(replicaManager.generations()::onPeerStatus);
     membership.start();
     tick();
     replicaManager.start();
@@ -178,7 +178,7 @@
    */
   private boolean mayBecomeCandidate() {
     return membership.hasProbedAll()
-        && replicaManager.mayStand()
+        && replicaManager.mayStandForElection()
         && !clusterVersion.isUnsupported();
   }
 
@@ -189,19 +189,19 @@
 
   private final class ReplicaEvents implements ReplicaManager.Host {
     @Override
-    public boolean leaseHolds() {
+    public boolean holdsLease() {
       return election.excludesOtherLeader();
     }
 
     @Override
-    public void onLost() {
+    public void onDataLoss() {
       membership.sendHeartbeatsNow();
       election.pause();
       acceptedJobs.invalidate();
     }
 
     @Override
-    public void onGeneration(boolean whole) {
+    public void onGenerationChange(boolean whole) {
       election.pause();
       acceptedJobs.invalidate();
       if (whole) {
@@ -231,7 +231,7 @@
     return new Membership.LocalStatus(
         storeClient.isHealthy(),
         election.isLeaseValid() ? election.term() : 0,
-        replicaManager.told(),
+        replicaManager.recordStatus(),
         clusterVersion.supported());
   }
 
@@ -249,7 +249,7 @@
     public void onElected(long term, long version) {
       FailoverTimings.OngoingFailover takeover =
           failoverTimings.begin(term, membership.leaderContactAt());
-      RecordReplica fed = replicaManager.lead();
+      RecordReplica fed = replicaManager.onElected();
       leaderTerm =
           new LeaderTerm(
               settings,
@@ -269,7 +269,7 @@
 
     @Override
     public void onLeaseNotFound() {
-      replicaManager.onKeyGone();
+      replicaManager.onLeaderKeyMissing();
     }
 
     @Override
@@ -285,12 +285,12 @@
         leaderTerm.close();
         leaderTerm = null;
       }
-      replicaManager.follow();
+      replicaManager.onTermEnded();
     }
 
     @Override
     public void onLeaderRead(RecordWire.LeaderRecord known) {
-      replicaManager.leaderKnown(known != null);
+      replicaManager.onLeaderRead(known != null);
       log.debug("the leader is {}", known);
     }
   }
@@ -325,7 +325,7 @@
     @Override
     public void superseded(long token) {
       long term = election.term();
-      replicaManager.superseded(
+      replicaManager.onHigherToken(
           token,
           term,
           () -> election.holdsTerm() && election.term() == term,
@@ -334,17 +334,17 @@
 
     @Override
     public void onBegun(RecordReplica fed) {
-      replicaManager.begun(fed);
+      replicaManager.onTermStarted(fed);
     }
 
     @Override
     public void onLost(String reason) {
-      replicaManager.generations().lost(GenerationManager.Evidence.RECORD_MISSING, reason);
+      replicaManager.generations().declareLoss(GenerationManager.Evidence.RECORD_MISSING, reason);
     }
 
     @Override
     public void onKeyGone() {
-      replicaManager.onKeyGone();
+      replicaManager.onLeaderKeyMissing();
       election.yieldLeadership("another leader holds the store");
     }
 
@@ -353,7 +353,7 @@
       // Whoever was told that a job is accepted may ask for ever: none vanishes unless it is lost.
       replicaManager
           .generations()
-          .lost(
+          .declareLoss(
               GenerationManager.Evidence.JOB_UNKNOWN,
               "a worker runs " + job + ", of which nothing is stored");
     }
@@ -362,17 +362,17 @@
     public void onDamaged(String key) {
       replicaManager
           .generations()
-          .lost(GenerationManager.Evidence.UNREADABLE, key + " cannot be read");
+          .declareLoss(GenerationManager.Evidence.UNREADABLE, key + " cannot be read");
     }
 
     @Override
     public boolean recordsMayLack() {
-      return replicaManager.mayLack();
+      return replicaManager.recordsMayBeIncomplete();
     }
 
     @Override
     public Duration incompleteFor() {
-      return replicaManager.incompleteFor();
+      return replicaManager.timeSinceInexactRebuild();
     }
 
     @Override
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -271,7 +271,7 @@
             new Records.Listener() {
               @Override
               public void onPlacementStored(Attempt attempt) {
-                failover.passed(FailoverTimings.Phase.FIRST_PLACEMENT);
+                failover.recordPhase(FailoverTimings.Phase.FIRST_PLACEMENT);
                 scheduler.onPlacementStored(attempt);
               }
 
@@ -282,13 +282,13 @@
 
               @Override
               public void onRemoved(Job job) {
-                reconciler.removed();
+                reconciler.onJobRemoved();
                 cluster.removeJob(job);
               }
 
               @Override
               public void onUnpagedRecordFound(Job job, Runnable again) {
-                reconciler.onStoredTwice(job, again);
+                reconciler.findDuplicateRecord(job, again);
               }
             },
             outbox);
@@ -350,7 +350,7 @@
 
               @Override
               public boolean isJobEnded(String job) {
-                return replica.end(job) != null;
+                return replica.finalState(job) != null;
               }
 
               @Override
@@ -466,7 +466,7 @@
 
   /** A final state that is known without a read, or null. */
   private Job.State finalState(String id) {
-    Job.State ended = replica.end(id);
+    Job.State ended = replica.finalState(id);
     if (ended != null) {
       return ended;
     }
@@ -564,30 +564,30 @@
 
   private final class LoadEvents implements TermLoader.Listener {
     @Override
-    public boolean wanted() {
+    public boolean isLoading() {
       return state == State.LOADING;
     }
 
     @Override
-    public void onConf(List<StoreWire.Entry> entries) {
+    public void onConfiguration(List<StoreWire.Entry> entries) {
       host.onConf(entries);
     }
 
     @Override
-    public List<MachineType> types() {
+    public List<MachineType> machineTypes() {
       return host.types();
     }
 
     @Override
-    public StoreClient.Listing onRead(String prefix, StoreClient.Listing listing) {
-      String missing = replica.missing(prefix, listing.entries());
+    public StoreClient.Listing onPrefixRead(String prefix, StoreClient.Listing listing) {
+      String missing = replica.firstMissingKey(prefix, listing.entries());
       if (missing != null) {
         host.onLost(missing + " is missing or older than it was seen");
         return null;
       }
-      RecordReplica.Reading reading = replica.read(prefix, listing.entries());
-      for (RecordReplica.Damaged each : reading.damaged()) {
-        if (each.mended()) {
+      RecordReplica.ListingResult reading = replica.applyListing(prefix, listing.entries());
+      for (RecordReplica.DamagedRecord each : reading.damaged()) {
+        if (each.repaired()) {
           log.warn("{} cannot be read and is mended from the copy", each.entry().key());
           repairedEntries.add(each.entry());
         } else {
@@ -595,16 +595,16 @@
           return null;
         }
       }
-      return new StoreClient.Listing(reading.good(), listing.revision());
+      return new StoreClient.Listing(reading.entries(), listing.revision());
     }
 
     @Override
-    public Job.State ended(String id) {
-      return replica.end(id);
+    public Job.State finalState(String id) {
+      return replica.finalState(id);
     }
 
     @Override
-    public void onUnreadable(String reason) {
+    public void onUnreadableRecord(String reason) {
       host.resign(reason);
     }
 
@@ -626,28 +626,28 @@
     }
 
     @Override
-    public void onAdopted(Job job) {
+    public void onJobFound(Job job) {
       scheduler.add(job);
       countArrival(job);
     }
 
     @Override
-    public void onFinal(String id, Job.State ended) {
+    public void onFinalState(String id, Job.State ended) {
       host.onFinal(id, toStatus(ended));
     }
 
     @Override
-    public Job.State ended(String id) {
-      return replica.end(id);
+    public Job.State finalState(String id) {
+      return replica.finalState(id);
     }
 
     @Override
-    public void onRead(StoreWire.Entry entry) {
+    public void onRecordRead(StoreWire.Entry entry) {
       replica.put(entry.key(), entry.value(), entry.version(), false);
     }
 
     @Override
-    public boolean mayBeLost() {
+    public boolean recordsMayBeIncomplete() {
       return host.recordsMayLack() || !replica.isComplete() || mayHaveBegunAnew();
     }
   }
@@ -698,11 +698,11 @@
 
   private void begin(List<Job> jobs, StoreClient.Listing inbox) {
     moveTo(State.LEADING);
-    beganEmpty = jobs.isEmpty() && cluster.machines().isEmpty() && replica.ends() == 0;
+    beganEmpty = jobs.isEmpty() && cluster.machines().isEmpty() && replica.finalStateCount() == 0;
     host.onBegun(replica);
-    failover.passed(FailoverTimings.Phase.STORE_READ);
+    failover.recordPhase(FailoverTimings.Phase.STORE_READ);
     eventLoop.schedule(AUDIT_INTERVAL, () -> audit(null));
-    failover.awaits(cluster.machines().size());
+    failover.expectReports(cluster.machines().size());
     for (Job job : jobs) {
       scheduler.add(job);
       if (job.isActive() && job.done.cardinality() == job.spec.tasks()) {
@@ -806,7 +806,7 @@
   }
 
   /** Tells whether the jobs that a submission names were accepted. */
-  public void verifyPrerequisites(JobSpec spec, Consumer<PrerequisiteReader.Known> onDone) {
+  public void verifyPrerequisites(JobSpec spec, Consumer<PrerequisiteReader.Verification> onDone) {
     prerequisites.verify(spec.prerequisites(), onDone);
   }
 
@@ -823,7 +823,7 @@
       waiting.add(onDone);
       return;
     }
-    Job.State ended = replica.end(id);
+    Job.State ended = replica.finalState(id);
     if (ended != null) {
       // Its own record of that may be lost, or be one of many in a value of the generation before.
       onKnown.accept(new JobView(toStatus(ended), 0, 0));
@@ -867,7 +867,7 @@
 
   private void acceptedElsewhere(String id) {
     List<Consumer<JobWire.Status>> all = pendingSubmissions.remove(id);
-    reconciler.adopt(
+    reconciler.lookUp(
         id,
         lookup -> {
           JobWire.Status status =
@@ -875,7 +875,7 @@
                   ? null
                   : lookup.job() != null
                       ? viewOf(lookup.job()).status()
-                      : lookup.ended() == null ? null : toStatus(lookup.ended());
+                      : lookup.finalState() == null ? null : toStatus(lookup.finalState());
           all.forEach(each -> each.accept(status));
         });
   }
@@ -893,15 +893,15 @@
       waiting.add(status -> onDone.accept(new JobView(status, 0, 0)));
       return;
     }
-    reconciler.adopt(
+    reconciler.lookUp(
         id,
         lookup -> {
           if (lookup == null) {
             onDone.accept(JobView.UNKNOWN);
           } else if (lookup.job() != null) {
             answerWhenCertain(lookup.job(), onDone);
-          } else if (lookup.ended() != null) {
-            onDone.accept(new JobView(toStatus(lookup.ended()), 0, 0));
+          } else if (lookup.finalState() != null) {
+            onDone.accept(new JobView(toStatus(lookup.finalState()), 0, 0));
           } else {
             onDone.accept(null);
           }
@@ -916,7 +916,7 @@
       return;
     }
     if (job == null) {
-      reconciler.adopt(
+      reconciler.lookUp(
           id,
           lookup -> {
             if (lookup == null) {
@@ -924,7 +924,7 @@
             } else if (lookup.job() != null) {
               cancelKnown(lookup.job(), onDone);
             } else {
-              Job.State ended = lookup.ended();
+              Job.State ended = lookup.finalState();
               onDone.accept(ended == null ? null : new JobView(toStatus(ended), 0, 0));
             }
           });
@@ -961,14 +961,14 @@
 
   /** A request of a user was answered here. */
   public void onRequestAnswered() {
-    failover.passed(FailoverTimings.Phase.FIRST_ANSWER);
+    failover.recordPhase(FailoverTimings.Phase.FIRST_ANSWER);
   }
 
   // ---- workers
 
   private void countHeard(Machine machine) {
     if (machine.state() == Machine.State.CONFIRMED && machinesHeard.add(machine)) {
-      failover.heard();
+      failover.onMachineReported();
     }
   }
 
@@ -993,8 +993,8 @@
     WorkerWire.Orders orders = workers.onHeartbeat(report, relayed);
     Machine machine = cluster.machine(report.machine());
     if (orders != null) {
-      failover.passed(FailoverTimings.Phase.FIRST_REPORT);
-      if (failover.awaitsMore() && machine != null && machine.knownFromPlacements) {
+      failover.recordPhase(FailoverTimings.Phase.FIRST_REPORT);
+      if (failover.expectsMoreReports() && machine != null && machine.knownFromPlacements) {
         countHeard(machine);
       }
     }
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -85,7 +85,7 @@
     } else if (!method.equals("GET")) {
       answer.accept(error(405, "use GET"));
     } else if (path.equals(PREFIX + SNAPSHOT)) {
-      byte[] snapshot = node.replicaManager().takeSnapshot();
+      byte[] snapshot = node.replicaManager().exportSnapshot();
       answer.accept(
           snapshot == null
               ? error(503, "this node has not read all records yet")
@@ -179,13 +179,13 @@
     for (FailoverTimings.Phase phase : FailoverTimings.Phase.values()) {
       Histogram histogram = node.failoverTimings().histogram(phase);
       if (histogram != null) {
-        Metrics.percentiles(phases.putObject(phase.word()), histogram, 1e3);
+        Metrics.percentiles(phases.putObject(phase.label()), histogram, 1e3);
       }
     }
     ArrayNode latest = out.putArray("latest");
     for (FailoverTimings.CompletedFailover taken : node.failoverTimings().latest()) {
       ObjectNode one = latest.addObject().put("term", taken.term());
-      taken.phases().forEach((phase, took) -> one.put(phase.word(), took.toMillis() / 1e3));
+      taken.phases().forEach((phase, took) -> one.put(phase.label(), took.toMillis() / 1e3));
     }
     return out;
   }
@@ -267,7 +267,8 @@
 
   private void handIn(byte[] body, Consumer<HttpResponse> answer) {
     try {
-      answer.accept(json(200, Json.object().put("jobs", node.replicaManager().handIn(body))));
+      answer.accept(
+          json(200, Json.object().put("jobs", node.replicaManager().importSnapshot(body))));
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
     }
@@ -276,23 +277,23 @@
   /** Where the records stand, as this node knows it. */
   private ObjectNode records() {
     GenerationManager generations = node.replicaManager().generations();
-    RecordReplica replica = node.replicaManager().copy();
-    GenerationManager.Evidence evidence = generations.evidence();
+    RecordReplica replica = node.replicaManager().replica();
+    GenerationManager.Evidence evidence = generations.lastEvidence();
     ObjectNode out =
         Json.object()
             .put("state", generations.state().name().toLowerCase(Locale.ROOT))
             .put("generation", node.storeClient().generation().base())
             .put("exact", node.storeClient().generation().exact())
-            .put("losses", generations.losses())
+            .put("losses", generations.lossCount())
             .put("evidence", evidence == null ? null : evidence.name().toLowerCase(Locale.ROOT))
-            .put("rebuilt", generations.progress());
+            .put("rebuilt", generations.rebuildProgress());
     out.putObject("copy")
         .put("state", node.replicaManager().follower().state().name().toLowerCase(Locale.ROOT))
         .put("generation", replica.base())
         .put("revision", replica.revision())
         .put("whole", replica.isComplete())
-        .put("records", replica.size())
-        .put("final_states", replica.ends());
+        .put("records", replica.recordCount())
+        .put("final_states", replica.finalStateCount());
     if (node.replicaManager().snapshots() != null) {
       out.putObject("snapshots")
           .put("kept", node.replicaManager().snapshots().snapshotCount())
--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -109,7 +109,7 @@
 
     private Job.State knownEnd(String id) {
       Job.State known = LeaderTerm.toState(node.finalState(id));
-      return known != null ? known : node.replicaManager().copy().end(id);
+      return known != null ? known : node.replicaManager().replica().finalState(id);
     }
 
     /**
@@ -148,7 +148,7 @@
           .readForUser(
               RecordKeys.FINAL_STATE + id,
               read -> {
-                if (!read.certain() || !read.found() && node.replicaManager().mayBeLost(id)) {
+                if (!read.certain() || !read.found() && node.replicaManager().jobMayBeMissing(id)) {
                   onDone.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
                   onDone.accept(Outcome.UNKNOWN_JOB);
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -82,11 +82,11 @@
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    node.replicaManager().generations().learnToken(report.token());
+    node.replicaManager().generations().observeToken(report.token());
     long keeping =
         node.replicaManager()
             .generations()
-            .keepingToken(
+            .keepAliveToken(
                 report.token(), Election.maxWorkerLeaseExtension(node.settings().workerTimes()));
     if (keeping >= report.token() && keeping > 0) {
       // Nobody leads while the records are rebuilt; what runs must live through it.
@@ -195,7 +195,7 @@
     for (WorkerWire.TaskReport task : report.tasks()) {
       String job = task.task().job();
       if (task.state() != WorkerWire.TaskState.EXITED
-          && node.replicaManager().copy().end(job) != null) {
+          && node.replicaManager().replica().finalState(job) != null) {
         orders.kill(job, task.task().index(), task.attempt(), Duration.ZERO);
       }
     }
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -89,15 +89,16 @@
     }
     if (!node.replicaManager().generations().isTrusted()
         || node.storeClient().generation().base() != 0
-            && (!node.replicaManager().copy().knowsEnds()
-                || node.replicaManager().copy().base() != node.storeClient().generation().base())) {
+            && (!node.replicaManager().replica().hasAllFinalStates()
+                || node.replicaManager().replica().base()
+                    != node.storeClient().generation().base())) {
       // A job that was over before the loss could not be told from a new one.
       answer.accept(later("the records are rebuilt"));
       return;
     }
     String never = neverRuns(spec);
     String id = spec.id();
-    if (node.replicaManager().copy().end(id) != null) {
+    if (node.replicaManager().replica().finalState(id) != null) {
       read(id, false, answer);
       return;
     }
@@ -148,7 +149,7 @@
             .put(RecordKeys.UNPAGED_JOB + id, record)
             .put(RecordKeys.INBOX + id, note)
             .bytes();
-    RecordReplica replica = node.replicaManager().copy();
+    RecordReplica replica = node.replicaManager().replica();
     node.storeClient()
         .writeForUser(
             node.storeClient().post("/multi", body),
@@ -158,7 +159,7 @@
                 log.debug("job {} accepted without a leader", id);
                 replica.put(RecordKeys.UNPAGED_JOB + id, record, 0, true);
                 replica.put(RecordKeys.INBOX + id, note, 0, true);
-                node.replicaManager().acceptedHere(() -> submit(spec, again -> {}));
+                node.replicaManager().onAcceptedWithoutLeader(() -> submit(spec, again -> {}));
                 answer.accept(new HttpResponse(201, JobWire.view(id, status)));
               } else if (reply.is(409)) {
                 read(id, false, answer);
@@ -174,7 +175,7 @@
       answer.accept(later("the records are rebuilt"));
       return;
     }
-    Job.State ended = node.replicaManager().copy().end(id);
+    Job.State ended = node.replicaManager().replica().finalState(id);
     if (ended != null) {
       tellState(id, cancel, ended, answer);
       return;
@@ -219,7 +220,7 @@
             end -> {
               if (!end.certain()) {
                 answer.accept(later("no leader"));
-              } else if (!end.found() && node.replicaManager().mayBeLost(id)) {
+              } else if (!end.found() && node.replicaManager().jobMayBeMissing(id)) {
                 answer.accept(later("not certain yet"));
               } else if (!end.found()) {
                 answer.accept(error(404, "no such job"));
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -388,9 +388,10 @@
         spec,
         known -> {
           switch (known) {
-            case ALL -> store(leader, spec, answer);
+            case ALL_ACCEPTED -> store(leader, spec, answer);
             case UNCERTAIN -> answer.accept(later("not certain yet"));
-            case NOT_ALL -> refuse(leader, spec, LeaderlessApi.UNKNOWN_PREREQUISITE, answer);
+            case NOT_ALL_ACCEPTED ->
+                refuse(leader, spec, LeaderlessApi.UNKNOWN_PREREQUISITE, answer);
           }
         });
   }
--- a/src/main/java/io/pineladder/failover/FailoverTimings.java
+++ b/src/main/java/io/pineladder/failover/FailoverTimings.java
@@ -18,11 +18,11 @@
 /** How long this node's takeovers took, phase by phase. */
 public final class FailoverTimings {
   private static final Logger log = LoggerFactory.getLogger(FailoverTimings.class);
-  private static final long MOST_MILLIS = TimeUnit.HOURS.toMillis(1);
-  private static final int KEPT = 10;
+  private static final long MAX_PHASE_MILLIS = TimeUnit.HOURS.toMillis(1);
+  private static final int HISTORY_SIZE = 10;
 
   /** A takeover that is not complete by then is logged as it is. */
-  private static final Duration LOGGED_AFTER = Duration.ofSeconds(60);
+  private static final Duration LOG_DELAY = Duration.ofSeconds(60);
 
   /** What a takeover goes through. All but the first are counted from the election. */
   public enum Phase {
@@ -39,7 +39,7 @@
     /** Nine tenths of the machines with recorded placements were heard. */
     FLEET_HEARD;
 
-    public String word() {
+    public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
@@ -60,13 +60,14 @@
    *
    * @param before when the leader before was last known to live; null if none was known
    */
-  public OngoingFailover begin(long term, Instant before) {
-    OngoingFailover takeover = new OngoingFailover(term);
-    if (before != null) {
-      takeover.passed(Phase.ELECTED, Duration.between(before, takeover.electedAt));
+  public OngoingFailover begin(long term, Instant previousLeaderSeenAt) {
+    OngoingFailover failover = new OngoingFailover(term);
+    if (previousLeaderSeenAt != null) {
+      failover.recordPhase(
+          Phase.ELECTED, Duration.between(previousLeaderSeenAt, failover.electedAt));
     }
-    eventLoop.schedule(LOGGED_AFTER, takeover::close);
-    return takeover;
+    eventLoop.schedule(LOG_DELAY, failover::close);
+    return failover;
   }
 
   /** How long a phase took in the takeovers so far, in milliseconds; null before the first. */
@@ -84,52 +85,52 @@
     private final long term;
     private final Instant electedAt = eventLoop.now();
     private final Map<Phase, Duration> phases = new EnumMap<>(Phase.class);
-    private int awaited = -1;
-    private int heard;
+    private int expectedMachines = -1;
+    private int reportedMachines;
     private boolean closed;
 
     private OngoingFailover(long term) {
       this.term = term;
       latest.addFirst(new CompletedFailover(term, phases));
-      if (latest.size() > KEPT) {
+      if (latest.size() > HISTORY_SIZE) {
         latest.removeLast();
       }
     }
 
     /** A phase is over now; only the first time counts. */
-    public void passed(Phase phase) {
+    public void recordPhase(Phase phase) {
       if (!phases.containsKey(phase)) {
-        passed(phase, Duration.between(electedAt, eventLoop.now()));
+        recordPhase(phase, Duration.between(electedAt, eventLoop.now()));
       }
     }
 
-    private void passed(Phase phase, Duration took) {
+    private void recordPhase(Phase phase, Duration took) {
       phases.put(phase, took);
       histograms
-          .computeIfAbsent(phase, p -> new Histogram(MOST_MILLIS, 2))
-          .recordValue(Math.min(MOST_MILLIS, Math.max(0, took.toMillis())));
+          .computeIfAbsent(phase, p -> new Histogram(MAX_PHASE_MILLIS, 2))
+          .recordValue(Math.min(MAX_PHASE_MILLIS, Math.max(0, took.toMillis())));
     }
 
     /** Reports of so many machines are waited for. */
-    public void awaits(int machines) {
-      awaited = machines;
-      reviewHeard();
+    public void expectReports(int machines) {
+      expectedMachines = machines;
+      checkFleetHeard();
     }
 
     /** Whether reports still count for {@link Phase#FLEET_HEARD}. */
-    public boolean awaitsMore() {
-      return awaited >= 0 && !phases.containsKey(Phase.FLEET_HEARD);
+    public boolean expectsMoreReports() {
+      return expectedMachines >= 0 && !phases.containsKey(Phase.FLEET_HEARD);
     }
 
     /** One more of the awaited machines has been heard. */
-    public void heard() {
-      heard++;
-      reviewHeard();
+    public void onMachineReported() {
+      reportedMachines++;
+      checkFleetHeard();
     }
 
-    private void reviewHeard() {
-      if (awaitsMore() && heard * 10 >= awaited * 9) {
-        passed(Phase.FLEET_HEARD);
+    private void checkFleetHeard() {
+      if (expectsMoreReports() && reportedMachines * 10 >= expectedMachines * 9) {
+        recordPhase(Phase.FLEET_HEARD);
       }
     }
 
@@ -140,7 +141,7 @@
       }
       closed = true;
       List<String> passed = new ArrayList<>();
-      phases.forEach((phase, took) -> passed.add(phase.word() + " " + took.toMillis() + " ms"));
+      phases.forEach((phase, took) -> passed.add(phase.label() + " " + took.toMillis() + " ms"));
       log.info("takeover of term {}: {}", term, String.join(", ", passed));
     }
   }
--- a/src/main/java/io/pineladder/failover/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -35,17 +35,17 @@
 /** Reads what earlier leaders stored, from which a term goes on. */
 public final class TermLoader {
   private static final Logger log = LoggerFactory.getLogger(TermLoader.class);
-  private static final Duration TYPES_RETRY = Duration.ofSeconds(1);
+  private static final Duration MACHINE_TYPES_RETRY_DELAY = Duration.ofSeconds(1);
 
   /** What the term does with it. */
   public interface Listener {
     /** The term still reads. */
-    boolean wanted();
+    boolean isLoading();
 
     /** Stored settings were read. */
-    void onConf(List<StoreWire.Entry> entries);
+    void onConfiguration(List<StoreWire.Entry> entries);
 
-    List<MachineType> types();
+    List<MachineType> machineTypes();
 
     /**
      * A prefix was read.
@@ -53,13 +53,13 @@
      * @return the listing to go on with, mended where this controller's copy can; null when the
      *     term cannot go on
      */
-    StoreClient.Listing onRead(String prefix, StoreClient.Listing listing);
+    StoreClient.Listing onPrefixRead(String prefix, StoreClient.Listing listing);
 
     /** A final state that is known of a job, whatever its record says; or null. */
-    Job.State ended(String id);
+    Job.State finalState(String id);
 
     /** Half a memory could break every rule: the term cannot go on. */
-    void onUnreadable(String reason);
+    void onUnreadableRecord(String reason);
 
     /** All jobs with their attempts, in the order in which they were accepted, and the inbox. */
     void onLoaded(List<Job> jobs, StoreClient.Listing inbox);
@@ -92,16 +92,16 @@
 
   /** Reads everything that earlier leaders stored; their late transactions can no longer apply. */
   public void load() {
-    if (!listener.wanted()) {
+    if (!listener.isLoading()) {
       return;
     }
-    BooleanSupplier wanted = listener::wanted;
+    BooleanSupplier wanted = listener::isLoading;
     list(
         RecordKeys.CONFIGURATION,
         wanted,
         conf -> {
           conf.entries().forEach(e -> committer.restoreRevision(e.key(), e.version()));
-          listener.onConf(conf.entries());
+          listener.onConfiguration(conf.entries());
           loadSubscriptions(conf.entries());
           loadRecords(wanted);
         });
@@ -112,7 +112,7 @@
         prefix,
         wanted,
         listing -> {
-          StoreClient.Listing good = listener.onRead(prefix, listing);
+          StoreClient.Listing good = listener.onPrefixRead(prefix, listing);
           if (good != null) {
             onDone.accept(good);
           }
@@ -138,7 +138,7 @@
         RecordKeys.INBOX,
         wanted,
         inbox -> {
-          Stored stored = new Stored();
+          StoredListings stored = new StoredListings();
           // In one order, so that a simulated day is the same each time.
           Map<String, Consumer<StoreClient.Listing>> rest = new LinkedHashMap<>();
           rest.put(RecordKeys.UNPAGED_JOB, listing -> stored.jobs = listing);
@@ -200,7 +200,7 @@
   }
 
   /** What earlier leaders stored. */
-  private static final class Stored {
+  private static final class StoredListings {
     StoreClient.Listing jobs;
     StoreClient.Listing accepted;
     StoreClient.Listing done;
@@ -209,36 +209,36 @@
   }
 
   /** A page's entry with the page it stands in. */
-  private record Paged<T>(String page, T entry) {}
+  private record PageEntry<T>(String page, T entry) {}
 
   /** Reads one kind of page entry. */
   private interface EntryReader<T> {
     T read(JsonNode entry) throws MalformedMessageException;
   }
 
-  private <T> List<Paged<T>> readPages(StoreClient.Listing listing, EntryReader<T> reader)
+  private <T> List<PageEntry<T>> readPages(StoreClient.Listing listing, EntryReader<T> reader)
       throws MalformedMessageException {
-    List<Paged<T>> found = new ArrayList<>();
+    List<PageEntry<T>> found = new ArrayList<>();
     for (StoreWire.Entry page : listing.entries()) {
       committer.restoreRevision(page.key(), page.version());
       for (JsonNode entry : RecordWire.entries(page.value())) {
-        found.add(new Paged<>(page.key(), reader.read(entry)));
+        found.add(new PageEntry<>(page.key(), reader.read(entry)));
       }
     }
     return found;
   }
 
-  private void build(Stored stored, StoreClient.Listing inbox) {
+  private void build(StoredListings stored, StoreClient.Listing inbox) {
     Map<String, Job> found = new HashMap<>();
     List<Job> ordered = new ArrayList<>();
-    cluster.setTypes(listener.types());
+    cluster.setTypes(listener.machineTypes());
     try {
-      List<Paged<RecordWire.Placement>> placements =
+      List<PageEntry<RecordWire.Placement>> placements =
           readPages(stored.placed, RecordWire::parsePlacement);
-      for (Paged<RecordWire.Placement> placement : placements) {
+      for (PageEntry<RecordWire.Placement> placement : placements) {
         if (cluster.type(placement.entry.type()) == null) {
           log.warn("machine {} is of a type not known yet", placement.entry.machine());
-          eventLoop.schedule(TYPES_RETRY, this::load);
+          eventLoop.schedule(MACHINE_TYPES_RETRY_DELAY, this::load);
           return;
         }
       }
@@ -251,7 +251,7 @@
       outbox.loaded();
       Set<String> accepted = new HashSet<>();
       stored.accepted.entries().forEach(page -> accepted.add(page.key()));
-      for (Paged<JsonNode> record : readPages(stored.accepted, entry -> entry)) {
+      for (PageEntry<JsonNode> record : readPages(stored.accepted, entry -> entry)) {
         String source = RecordWire.source(record.entry);
         if (source != null && accepted.contains(source)) {
           records.restoreCopy(record.page, source);
@@ -278,7 +278,7 @@
       }
       restoreDone(stored.done, found);
       // The pages are in the order of their keys; what was cached of a machine is a guess anyway.
-      for (Paged<RecordWire.StoredImages> images :
+      for (PageEntry<RecordWire.StoredImages> images :
           readPages(stored.images, RecordWire::parseImages)) {
         records.restoreImagePage(images.page);
         cluster.expectImages(images.entry.machine(), images.entry.images());
@@ -287,7 +287,7 @@
       stored.placed.entries().forEach(page -> records.restorePlacementPage(page.key()));
     } catch (MalformedMessageException e) {
       log.error("a stored record cannot be read: {}", e.getMessage());
-      listener.onUnreadable("a stored record cannot be read");
+      listener.onUnreadableRecord("a stored record cannot be read");
       return;
     }
     ordered.sort(
@@ -301,13 +301,13 @@
   private void restoreDone(StoreClient.Listing listing, Map<String, Job> jobs)
       throws MalformedMessageException {
     listing.entries().forEach(page -> records.restoreCompletionPage(page.key()));
-    List<Paged<RecordWire.StoredDone>> all = readPages(listing, RecordWire::parseDone);
+    List<PageEntry<RecordWire.StoredDone>> all = readPages(listing, RecordWire::parseDone);
     all.removeIf(done -> !jobs.containsKey(done.entry.job()));
-    for (Paged<RecordWire.StoredDone> done : all) {
+    for (PageEntry<RecordWire.StoredDone> done : all) {
       Job job = jobs.get(done.entry.job());
       job.done.or(done.entry.done());
     }
-    for (Paged<RecordWire.StoredDone> done : all) {
+    for (PageEntry<RecordWire.StoredDone> done : all) {
       records.restoreCompletions(done.page, jobs.get(done.entry.job()), done.entry);
     }
   }
@@ -320,14 +320,14 @@
    * complete: it is stored as complete only when no other attempt of it can be anywhere.
    */
   private void restorePlacements(
-      List<Paged<RecordWire.Placement>> placements, Map<String, Job> jobs) {
+      List<PageEntry<RecordWire.Placement>> placements, Map<String, Job> jobs) {
     Map<String, Long> newest = new HashMap<>();
-    for (Paged<RecordWire.Placement> paged : placements) {
+    for (PageEntry<RecordWire.Placement> paged : placements) {
       RecordWire.Placement placement = paged.entry;
       newest.merge(placement.job() + "/" + placement.task(), placement.attempt(), Math::max);
     }
     Instant now = eventLoop.now();
-    for (Paged<RecordWire.Placement> paged : placements) {
+    for (PageEntry<RecordWire.Placement> paged : placements) {
       RecordWire.Placement placement = paged.entry;
       Job job = jobs.get(placement.job());
       if (job == null
@@ -358,7 +358,7 @@
    * A final state is never undone, also where an older record of the job came back with a rebuild.
    */
   private Job known(Job job) {
-    Job.State ended = listener.ended(job.spec.id());
+    Job.State ended = listener.finalState(job.spec.id());
     if (job.isActive() && ended != null) {
       job.transitionTo(ended);
     }
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -23,28 +23,28 @@
   private static final Logger log = LoggerFactory.getLogger(GenerationGarbageCollector.class);
 
   /** So long what was there before a rebuild may be looked at. */
-  static final Duration KEPT = Duration.ofMinutes(10);
+  static final Duration RETENTION = Duration.ofMinutes(10);
 
-  private static final Duration PACE = Duration.ofSeconds(1);
+  private static final Duration STEP_INTERVAL = Duration.ofSeconds(1);
 
   /** What late transactions of before have brought back is looked for now and then. */
-  private static final Duration AGAIN = Duration.ofHours(1);
+  private static final Duration RESCAN_INTERVAL = Duration.ofHours(1);
 
   /** A part of the changes a second, which service needs more. */
-  private static final int PART = 8;
+  private static final int WRITE_RATE_DIVISOR = 8;
 
   /** Keys of the first generation; what else there may be is not ours to remove. */
-  private static final Pattern FIRST =
+  private static final Pattern FIRST_GENERATION_KEY =
       Pattern.compile(
           "(accepted|job|done|end|placed|images|inbox|conf|backlog|delivered|damaged|apart|lead)/.*");
 
-  private static final Pattern LATER = Pattern.compile("g([0-9]{1,18})/.*");
+  private static final Pattern LATER_GENERATION_KEY = Pattern.compile("g([0-9]{1,18})/.*");
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
-  private final long version;
-  private final BooleanSupplier leads;
-  private long removed;
+  private final long leaderKeyRevision;
+  private final BooleanSupplier isLeading;
+  private long removedCount;
 
   /**
    * The clearing of one term.
@@ -52,91 +52,95 @@
    * @param version the revision of the leader's key
    */
   public GenerationGarbageCollector(
-      StoreClient storeClient, EventLoop eventLoop, long version, BooleanSupplier leads) {
+      StoreClient storeClient,
+      EventLoop eventLoop,
+      long leaderKeyRevision,
+      BooleanSupplier isLeading) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
-    this.version = version;
-    this.leads = leads;
+    this.leaderKeyRevision = leaderKeyRevision;
+    this.isLeading = isLeading;
   }
 
   /** Begins after a while, if there is anything to clear. */
   public void start() {
     if (storeClient.generation().base() != 0) {
-      eventLoop.schedule(KEPT, () -> step(null));
+      eventLoop.schedule(RETENTION, () -> scanPage(null));
     }
   }
 
-  private void step(String after) {
-    if (!leads.getAsBoolean()) {
+  private void scanPage(String after) {
+    if (!isLeading.getAsBoolean()) {
       return;
     }
     storeClient.readPageOfAllGenerations(
         after,
         page -> {
-          if (!leads.getAsBoolean()) {
+          if (!isLeading.getAsBoolean()) {
             return;
           }
           if (page == null) {
-            eventLoop.schedule(PACE, () -> step(after));
+            eventLoop.schedule(STEP_INTERVAL, () -> scanPage(after));
             return;
           }
-          List<String> old = new ArrayList<>();
-          String last = after;
+          List<String> obsoleteKeys = new ArrayList<>();
+          String lastKey = after;
           Generation present = storeClient.generation();
-          int most = most();
+          int maxDeletes = maxDeletes();
           for (StoreWire.Entry entry : page.entries()) {
-            if (isOld(entry.key(), present)) {
-              if (old.size() == most) {
+            if (isObsolete(entry.key(), present)) {
+              if (obsoleteKeys.size() == maxDeletes) {
                 break;
               }
-              old.add(entry.key());
+              obsoleteKeys.add(entry.key());
             }
-            last = entry.key();
+            lastKey = entry.key();
           }
-          if (last != null && last.startsWith(present.prefix())) {
+          if (lastKey != null && lastKey.startsWith(present.prefix())) {
             // Nothing of the present generation need be read: '0' follows '/'.
-            last = "g" + present.base() + "0";
+            lastKey = "g" + present.base() + "0";
           }
-          boolean more = page.more() || !old.isEmpty();
-          next(old, last, more);
+          boolean more = page.more() || !obsoleteKeys.isEmpty();
+          deleteAndContinue(obsoleteKeys, lastKey, more);
         });
   }
 
-  private int most() {
-    int share = (int) Math.max(1, storeClient.limits().writesPerSecond() / PART);
+  private int maxDeletes() {
+    int share = (int) Math.max(1, storeClient.limits().writesPerSecond() / WRITE_RATE_DIVISOR);
     return Math.min(share, storeClient.limits().transactionOps());
   }
 
   /** Whether a key is of an earlier generation. */
-  static boolean isOld(String key, Generation present) {
-    Matcher later = LATER.matcher(key);
+  static boolean isObsolete(String key, Generation present) {
+    Matcher later = LATER_GENERATION_KEY.matcher(key);
     return later.matches()
         ? Long.parseLong(later.group(1)) < present.base()
-        : FIRST.matcher(key).matches();
+        : FIRST_GENERATION_KEY.matcher(key).matches();
   }
 
-  private void next(List<String> old, String last, boolean more) {
-    if (old.isEmpty()) {
-      if (!more && removed > 0) {
-        log.info("{} keys of earlier generations are cleared away", removed);
-        removed = 0;
+  private void deleteAndContinue(List<String> obsoleteKeys, String lastKey, boolean more) {
+    if (obsoleteKeys.isEmpty()) {
+      if (!more && removedCount > 0) {
+        log.info("{} keys of earlier generations are cleared away", removedCount);
+        removedCount = 0;
       }
-      eventLoop.schedule(more ? PACE : AGAIN, () -> step(more ? last : null));
+      eventLoop.schedule(
+          more ? STEP_INTERVAL : RESCAN_INTERVAL, () -> scanPage(more ? lastKey : null));
       return;
     }
     Generation present = storeClient.generation();
     StoreWire.Transaction remove =
         new StoreWire.Transaction("")
             .requireGeneration(present.recordRevision())
-            .require(present.prefix() + RecordKeys.LEADER, version);
-    old.forEach(remove::delete);
-    storeClient.writeBudget().take(old.size(), eventLoop.now());
+            .require(present.prefix() + RecordKeys.LEADER, leaderKeyRevision);
+    obsoleteKeys.forEach(remove::delete);
+    storeClient.writeBudget().take(obsoleteKeys.size(), eventLoop.now());
     storeClient.sendImmediately(
         storeClient.post("/multi", remove.bytes()),
         reply -> {
-          removed += reply.is(200) ? old.size() : 0;
+          removedCount += reply.is(200) ? obsoleteKeys.size() : 0;
           // What was not removed is found again from the beginning.
-          eventLoop.schedule(PACE, () -> step(reply.is(200) ? last : null));
+          eventLoop.schedule(STEP_INTERVAL, () -> scanPage(reply.is(200) ? lastKey : null));
         });
   }
 }
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -28,29 +28,29 @@
  */
 public final class GenerationManager {
   private static final Logger log = LoggerFactory.getLogger(GenerationManager.class);
-  private static final Duration WATCH = Duration.ofSeconds(20);
+  private static final Duration GENERATION_WATCH_TIMEOUT = Duration.ofSeconds(20);
 
   /**
    * Before this a controller that did not lead names no generation: the leader of before may not
    * have noticed the loss, and what it tells must be over when another begins. No lease lasts
    * longer.
    */
-  static final Duration LEASE = Duration.ofSeconds(4);
+  static final Duration MAX_PREVIOUS_LEASE = Duration.ofSeconds(4);
 
   /** So much longer whoever has no whole copy leaves it to the others. */
-  private static final Duration WITHOUT_COPY = Duration.ofSeconds(8);
+  private static final Duration INCOMPLETE_REPLICA_DELAY = Duration.ofSeconds(8);
 
   /** A process so young may have peers that are not up yet. */
-  private static final Duration STARTING = Duration.ofSeconds(20);
+  private static final Duration STARTUP_PERIOD = Duration.ofSeconds(20);
 
   /** A controller with a better copy that does nothing is waited for so long. */
-  private static final Duration MOST_DEFERRED = Duration.ofSeconds(12);
+  private static final Duration MAX_DEFERRAL = Duration.ofSeconds(12);
 
   /** A controller that rebuilds and cannot be reached is waited for so long. */
-  private static final Duration ABANDONED = Duration.ofSeconds(5);
+  private static final Duration WRITER_UNREACHABLE_TIMEOUT = Duration.ofSeconds(5);
 
   /** A pause after which something that is not answered is worth another look. */
-  private static final Duration LOOK = Duration.ofMillis(500);
+  private static final Duration GENERATION_POLL_INTERVAL = Duration.ofMillis(500);
 
   /** Where the records stand, as far as this controller knows. */
   public enum State {
@@ -88,7 +88,7 @@
     JOB_UNKNOWN;
 
     /** Whether whoever notices by it knows no more than the store that has lost the data. */
-    boolean tellsOfIgnorance() {
+    boolean impliesStaleReplica() {
       return this == TOKEN_ABOVE || this == JOB_UNKNOWN;
     }
   }
@@ -96,16 +96,16 @@
   /** What the node does. */
   public interface Host {
     /** The copy of the records that would be written. */
-    RecordReplica copy();
+    RecordReplica replica();
 
     /** Whether this node led when the loss was noticed, with a lease that held then. */
-    boolean leads();
+    boolean isLeader();
 
     /** Nothing in the store counts: no leading, no reading, no copying. */
-    void onLost();
+    void onDataLoss();
 
     /** Another generation is named; it may be whole or not. */
-    void onGeneration(Generation generation);
+    void onGenerationChange(Generation generation);
 
     /** The peers, with what they told of the records. */
     List<Membership.PeerStatus> peers();
@@ -115,22 +115,22 @@
   private final EventLoop eventLoop;
   private final Generation.Writer self;
   private final Host host;
-  private final Backoff retry;
+  private final Backoff backoff;
   private State state = State.UNREAD;
-  private long highestToken;
-  private boolean exact;
+  private long highestObservedToken;
+  private boolean claimIsExact;
 
   /** This controller led, so no other can have acted since and none has a better copy. */
-  private boolean atOnce;
+  private boolean replicaIsAuthoritative;
 
   private final Instant startedAt;
-  private Instant lostAt;
+  private Instant lossDetectedAt;
   private Instant unreachableSince;
   private GenerationWriter writer;
-  private int round;
-  private int losses;
-  private Evidence evidence;
-  private Instant adoptedAt;
+  private int currentSequence;
+  private int lossCount;
+  private Evidence lastEvidence;
+  private Instant rebuiltGenerationAdoptedAt;
   private boolean stopped;
 
   /**
@@ -144,11 +144,11 @@
     this.eventLoop = eventLoop;
     this.self = self;
     this.host = host;
-    this.retry = storeClient.newBackoff();
+    this.backoff = storeClient.newBackoff();
     this.startedAt = eventLoop.now();
     storeClient.onRevisionRollback(
         revision ->
-            lost(
+            declareLoss(
                 Evidence.REVISION_BACK,
                 "the store tells revision "
                     + revision
@@ -157,8 +157,8 @@
   }
 
   public void start() {
-    read(++round);
-    watchRebuild();
+    readGeneration(++currentSequence);
+    checkRebuildWriter();
   }
 
   public void stop() {
@@ -166,9 +166,9 @@
   }
 
   /** The one place where the state changes. */
-  private void moveTo(State next, String why) {
+  private void transitionTo(State next, String reason) {
     if (state != next) {
-      log.info("records: {} -> {} ({})", state, next, why);
+      log.info("records: {} -> {} ({})", state, next, reason);
       state = next;
     }
   }
@@ -178,13 +178,13 @@
   }
 
   /** How often data was found to be lost since this process began. */
-  public int losses() {
-    return losses;
+  public int lossCount() {
+    return lossCount;
   }
 
   /** What showed the latest loss; null when there was none. */
-  public Evidence evidence() {
-    return evidence;
+  public Evidence lastEvidence() {
+    return lastEvidence;
   }
 
   /** Whether what the store says counts. */
@@ -193,24 +193,28 @@
   }
 
   /** Which part of the records is rebuilt by this controller now; 1 when it rebuilds nothing. */
-  public double progress() {
-    return writer == null || writer.all() == 0 ? 1 : (double) writer.written() / writer.all();
+  public double rebuildProgress() {
+    return writer == null || writer.totalCount() == 0
+        ? 1
+        : (double) writer.writtenCount() / writer.totalCount();
   }
 
   /** For how long a generation that was rebuilt has counted here; null for the first generation. */
-  public Duration rebuiltFor() {
-    return adoptedAt == null ? null : Duration.between(adoptedAt, eventLoop.now());
+  public Duration timeSinceRebuild() {
+    return rebuiltGenerationAdoptedAt == null
+        ? null
+        : Duration.between(rebuiltGenerationAdoptedAt, eventLoop.now());
   }
 
   /** Somebody has used this token. */
-  public void learnToken(long token) {
-    highestToken = Math.max(highestToken, token);
+  public void observeToken(long token) {
+    highestObservedToken = Math.max(highestObservedToken, token);
   }
 
   /** The highest token that anybody is known to have used. */
-  public long highestToken() {
+  public long highestObservedToken() {
     long seen = storeClient.generation().token(storeClient.highestRevision());
-    return Math.max(highestToken, seen);
+    return Math.max(highestObservedToken, seen);
   }
 
   /**
@@ -223,45 +227,45 @@
    * @param seen the highest token that the worker has seen
    * @param longest for how long leases may be kept
    */
-  public long keepingToken(long seen, Duration longest) {
-    if (lostAt == null || !lostAt.plus(longest).isAfter(eventLoop.now())) {
+  public long keepAliveToken(long workerToken, Duration maxKeepAlive) {
+    if (lossDetectedAt == null || !lossDetectedAt.plus(maxKeepAlive).isAfter(eventLoop.now())) {
       return 0;
     }
     return switch (state) {
-      case LOST -> seen;
-      case REBUILDING -> isMine(storeClient.generation()) ? storeClient.generation().base() : 0;
+      case LOST -> workerToken;
+      case REBUILDING -> isOwn(storeClient.generation()) ? storeClient.generation().base() : 0;
       default -> 0;
     };
   }
 
-  private boolean isMine(Generation generation) {
+  private boolean isOwn(Generation generation) {
     return generation.writer().equals(self);
   }
 
   // ---- what peers know
 
   /** A peer has told what it knows of the records. */
-  public void heard(Stored told) {
-    learnToken(told.token());
-    storeClient.observeRevision(told.base(), told.seen());
+  public void onPeerStatus(Stored status) {
+    observeToken(status.token());
+    storeClient.observeRevision(status.base(), status.seen());
     if (!isTrusted()) {
       return;
     }
-    if (told.base() > storeClient.generation().base()) {
-      look();
-    } else if (told.lost() && told.base() == storeClient.generation().base()) {
-      lost(Evidence.PEER, "another controller has noticed");
+    if (status.base() > storeClient.generation().base()) {
+      readGeneration();
+    } else if (status.lost() && status.base() == storeClient.generation().base()) {
+      declareLoss(Evidence.PEER, "another controller has noticed");
     }
   }
 
   /** Takes in what peers told last; whether the store can be read as they have seen it. */
-  public boolean hearsPeers() {
-    host.peers().forEach(peer -> heard(peer.stored()));
-    return isTrusted() && highestBase() == storeClient.generation().base();
+  public boolean syncWithPeers() {
+    host.peers().forEach(peer -> onPeerStatus(peer.stored()));
+    return isTrusted() && highestKnownBase() == storeClient.generation().base();
   }
 
-  private long highestBase() {
-    long highest = Math.max(storeClient.generation().base(), host.copy().base());
+  private long highestKnownBase() {
+    long highest = Math.max(storeClient.generation().base(), host.replica().base());
     for (Membership.PeerStatus peer : host.peers()) {
       highest = Math.max(highest, peer.stored().base());
     }
@@ -271,44 +275,45 @@
   // ---- which generation counts
 
   /** Reads at once which generation counts. */
-  public void look() {
-    read(++round);
+  public void readGeneration() {
+    readGeneration(++currentSequence);
   }
 
-  private void read(int of) {
-    if (of != round || stopped) {
+  private void readGeneration(int sequence) {
+    if (sequence != currentSequence || stopped) {
       return;
     }
     storeClient.readGeneration(
         found -> {
-          if (of != round || stopped) {
+          if (sequence != currentSequence || stopped) {
             return;
           }
           if (!found.certain()) {
-            eventLoop.schedule(retry.pause(), () -> read(of));
+            eventLoop.schedule(backoff.pause(), () -> readGeneration(sequence));
             return;
           }
-          retry.reset();
-          take(found);
-          if (of == round) {
-            goOn(of, found.revision());
+          backoff.reset();
+          evaluate(found);
+          if (sequence == currentSequence) {
+            scheduleNextRead(sequence, found.revision());
           }
         });
   }
 
-  private void goOn(int of, long revision) {
+  private void scheduleNextRead(int sequence, long revision) {
     if (isTrusted() || state == State.DOUBTED) {
       storeClient.watchGeneration(
           revision,
-          WATCH,
+          GENERATION_WATCH_TIMEOUT,
           reply ->
-              eventLoop.schedule(reply.is(200) ? Duration.ZERO : retry.pause(), () -> read(of)));
+              eventLoop.schedule(
+                  reply.is(200) ? Duration.ZERO : backoff.pause(), () -> readGeneration(sequence)));
     } else {
-      eventLoop.schedule(LOOK, () -> read(of));
+      eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> readGeneration(sequence));
     }
   }
 
-  private void take(StoreClient.Read read) {
+  private void evaluate(StoreClient.Read read) {
     Generation found;
     try {
       found =
@@ -316,34 +321,34 @@
               ? RecordWire.parseGeneration(read.entry().value(), read.entry().version())
               : Generation.FIRST;
     } catch (MalformedMessageException e) {
-      lost(Evidence.GENERATION_BACK, "the generation that counts cannot be read");
+      declareLoss(Evidence.GENERATION_BACK, "the generation that counts cannot be read");
       return;
     }
     Generation present = storeClient.generation();
     if (found.base() > present.base()) {
       adopt(found);
-    } else if (found.base() < highestBase()) {
-      lost(Evidence.GENERATION_BACK, "generation " + found.base() + " is named");
+    } else if (found.base() < highestKnownBase()) {
+      declareLoss(Evidence.GENERATION_BACK, "generation " + found.base() + " is named");
     } else if (state == State.UNREAD) {
       adopt(found);
     } else if (found.recordRevision() > present.recordRevision()) {
       adopt(found);
     } else if (found.recordRevision() < present.recordRevision()) {
-      lost(Evidence.GENERATION_BACK, "generation " + found.base() + " is named anew");
+      declareLoss(Evidence.GENERATION_BACK, "generation " + found.base() + " is named anew");
     }
   }
 
   /** Something does not fit that may have another reason; it is being looked into. */
-  public void doubt(String why) {
+  public void suspectLoss(String reason) {
     if (isTrusted()) {
-      moveTo(State.DOUBTED, why);
+      transitionTo(State.DOUBTED, reason);
     }
   }
 
   /** What was looked into has another reason, or cannot be told now. */
-  public void cleared() {
+  public void clearSuspicion() {
     if (state == State.DOUBTED) {
-      moveTo(
+      transitionTo(
           storeClient.generation().base() == 0 ? State.TRUSTED : State.REBUILT, "no loss is shown");
     }
   }
@@ -355,20 +360,20 @@
     }
     boolean whole = found.phase() == Phase.COMPLETE;
     if (found.base() != 0 && (whole || found.base() != storeClient.generation().base())) {
-      adoptedAt = eventLoop.now();
+      rebuiltGenerationAdoptedAt = eventLoop.now();
     }
     if (writer != null) {
       writer.stop();
       writer = null;
     }
     unreachableSince = null;
-    learnToken(found.base());
-    moveTo(
+    observeToken(found.base());
+    transitionTo(
         !whole ? State.REBUILDING : found.base() == 0 ? State.TRUSTED : State.REBUILT,
         "generation " + found.base() + " of " + found.writer().controllerName());
-    host.onGeneration(found);
-    if (!whole && isMine(found)) {
-      write(found);
+    host.onGenerationChange(found);
+    if (!whole && isOwn(found)) {
+      startWriting(found);
     }
   }
 
@@ -378,46 +383,48 @@
    * A worker has seen a token above ours, while our key as the leader still stands. No later leader
    * can have been elected in this store, so the token is of one whose key was lost.
    */
-  public void tokenAbove(long token) {
-    learnToken(token);
-    lost(Evidence.TOKEN_ABOVE, "a worker has seen token " + token);
+  public void onHigherToken(long token) {
+    observeToken(token);
+    declareLoss(Evidence.TOKEN_ABOVE, "a worker has seen token " + token);
   }
 
   /** Something shows that data was lost. */
-  public void lost(Evidence shown, String detail) {
-    if (state == State.LOST || state == State.UNREAD && shown == Evidence.REVISION_BACK) {
+  public void declareLoss(Evidence newEvidence, String detail) {
+    if (state == State.LOST || state == State.UNREAD && newEvidence == Evidence.REVISION_BACK) {
       return;
     }
-    losses++;
-    evidence = shown;
+    lossCount++;
+    lastEvidence = newEvidence;
     Generation present = storeClient.generation();
-    boolean rebuilding = state == State.REBUILDING && isMine(present) && present.exact();
-    boolean leads = (isTrusted() || state == State.DOUBTED) && host.leads();
-    atOnce = rebuilding || leads && !shown.tellsOfIgnorance();
-    exact = atOnce && shown != Evidence.HANDED_IN;
-    lostAt = eventLoop.now();
-    log.error("the state service has lost data ({}): {}", shown, detail);
-    moveTo(State.LOST, shown.name());
+    boolean rebuilding = state == State.REBUILDING && isOwn(present) && present.exact();
+    boolean leads = (isTrusted() || state == State.DOUBTED) && host.isLeader();
+    replicaIsAuthoritative = rebuilding || leads && !newEvidence.impliesStaleReplica();
+    claimIsExact = replicaIsAuthoritative && newEvidence != Evidence.HANDED_IN;
+    lossDetectedAt = eventLoop.now();
+    log.error("the state service has lost data ({}): {}", newEvidence, detail);
+    transitionTo(State.LOST, newEvidence.name());
     if (writer != null) {
       writer.stop();
       writer = null;
     }
-    host.onLost();
-    int of = ++round;
-    eventLoop.schedule(atOnce ? Duration.ZERO : LEASE, () -> name(of));
+    host.onDataLoss();
+    int sequence = ++currentSequence;
+    eventLoop.schedule(
+        replicaIsAuthoritative ? Duration.ZERO : MAX_PREVIOUS_LEASE, () -> tryClaim(sequence));
   }
 
   /** Names a new generation, unless another controller is better placed to. */
-  private void name(int of) {
-    if (of != round || stopped || state != State.LOST) {
+  private void tryClaim(int sequence) {
+    if (sequence != currentSequence || stopped || state != State.LOST) {
       return;
     }
-    if (defers()) {
-      lookThen(of, () -> eventLoop.schedule(LOOK, () -> name(of)));
-    } else if (atOnce) {
-      lookThen(of, () -> claim(of));
+    if (mustDefer()) {
+      readGenerationThen(
+          sequence, () -> eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> tryClaim(sequence)));
+    } else if (replicaIsAuthoritative) {
+      readGenerationThen(sequence, () -> claimGeneration(sequence));
     } else {
-      lookThen(of, () -> collect(of, new ArrayList<>(), null));
+      readGenerationThen(sequence, () -> readSurvivingRecords(sequence, new ArrayList<>(), null));
     }
   }
 
@@ -425,62 +432,62 @@
    * Reads what the store still holds. A leader's copy holds all that anybody acted upon; any other
    * lacks the last moments, and where only a part was lost the rest of the store has them.
    */
-  private void collect(int of, List<StoreWire.Entry> found, String after) {
-    if (of != round || stopped || state != State.LOST) {
+  private void readSurvivingRecords(int sequence, List<StoreWire.Entry> found, String after) {
+    if (sequence != currentSequence || stopped || state != State.LOST) {
       return;
     }
     storeClient.readPageAfterDataLoss(
         after,
         page -> {
           if (page == null) {
-            eventLoop.schedule(retry.pause(), () -> collect(of, found, after));
+            eventLoop.schedule(backoff.pause(), () -> readSurvivingRecords(sequence, found, after));
             return;
           }
           found.addAll(page.entries());
           if (page.next() != null) {
-            collect(of, found, page.next());
+            readSurvivingRecords(sequence, found, page.next());
             return;
           }
-          if (of == round && state == State.LOST) {
-            RecordReplica replica = host.copy();
+          if (sequence == currentSequence && state == State.LOST) {
+            RecordReplica replica = host.replica();
             if (replica.base() == storeClient.generation().base()) {
-              replica.merge(found);
+              replica.mergeSurviving(found);
             }
-            claim(of);
+            claimGeneration(sequence);
           }
         });
   }
 
   /** Reads whether another controller has named one; what follows if not. */
-  private void lookThen(int of, Runnable then) {
+  private void readGenerationThen(int sequence, Runnable then) {
     storeClient.readGeneration(
         found -> {
-          if (of != round || stopped || state != State.LOST) {
+          if (sequence != currentSequence || stopped || state != State.LOST) {
             return;
           }
           if (!found.certain()) {
-            eventLoop.schedule(retry.pause(), () -> name(of));
+            eventLoop.schedule(backoff.pause(), () -> tryClaim(sequence));
             return;
           }
-          pointer = found.found() ? found.entry().version() : 0;
-          take(found);
+          generationRecordRevision = found.found() ? found.entry().version() : 0;
+          evaluate(found);
           if (state == State.LOST) {
             then.run();
-          } else if (of == round) {
-            goOn(of, found.revision());
+          } else if (sequence == currentSequence) {
+            scheduleNextRead(sequence, found.revision());
           }
         });
   }
 
   /** The revision of the record that names a generation, as last read; 0 when there is none. */
-  private long pointer;
+  private long generationRecordRevision;
 
-  private boolean defers() {
-    Duration waited = Duration.between(lostAt, eventLoop.now());
-    if (atOnce) {
+  private boolean mustDefer() {
+    Duration waited = Duration.between(lossDetectedAt, eventLoop.now());
+    if (replicaIsAuthoritative) {
       return false;
     }
-    RecordReplica mine = host.copy();
+    RecordReplica mine = host.replica();
     boolean othersMayHave =
         host.peers().stream()
             .anyMatch(
@@ -488,13 +495,13 @@
                     p.state() != Membership.State.UP
                         || !mine.isComplete() && p.stored().complete());
     // Where all began anew, whoever has the best copy may be the last to be up.
-    boolean early = startedAt.plus(STARTING).isAfter(eventLoop.now());
+    boolean early = startedAt.plus(STARTUP_PERIOD).isAfter(eventLoop.now());
     if ((early || !mine.isComplete())
         && othersMayHave
-        && waited.compareTo(LEASE.plus(WITHOUT_COPY)) < 0) {
+        && waited.compareTo(MAX_PREVIOUS_LEASE.plus(INCOMPLETE_REPLICA_DELAY)) < 0) {
       return true;
     }
-    if (waited.compareTo(MOST_DEFERRED) > 0) {
+    if (waited.compareTo(MAX_DEFERRAL) > 0) {
       return false;
     }
     for (Membership.PeerStatus peer : host.peers()) {
@@ -513,33 +520,38 @@
     return false;
   }
 
-  private void claim(int of) {
-    host.peers().forEach(peer -> learnToken(peer.stored().token()));
-    long base = Generation.nextBase(Math.max(highestToken(), highestBase()), eventLoop.wallClock());
-    Generation next = new Generation(base, 0, Phase.REBUILDING, exact, self);
+  private void claimGeneration(int sequence) {
+    host.peers().forEach(peer -> observeToken(peer.stored().token()));
+    long base =
+        Generation.nextBase(
+            Math.max(highestObservedToken(), highestKnownBase()), eventLoop.wallClock());
+    Generation next = new Generation(base, 0, Phase.REBUILDING, claimIsExact, self);
     byte[] body =
         new StoreWire.Transaction("")
-            .requireGeneration(pointer)
+            .requireGeneration(generationRecordRevision)
             .putGeneration(RecordWire.generation(next))
             .bytes();
     storeClient.sendImmediately(
         storeClient.post("/multi", body),
         reply -> {
-          if (of != round || stopped) {
+          if (sequence != currentSequence || stopped) {
             return;
           }
           // Whatever came of it stands in the store now.
-          lookThen(of, () -> eventLoop.schedule(LOOK, () -> name(of)));
+          readGenerationThen(
+              sequence,
+              () -> eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> tryClaim(sequence)));
         });
   }
 
-  private void write(Generation target) {
-    List<StoreWire.Entry> image = host.copy().image(storeClient.limits().valueBytes());
+  private void startWriting(Generation target) {
+    List<StoreWire.Entry> image =
+        host.replica().generationEntries(storeClient.limits().valueBytes());
     log.info(
         "generation {} is written with {} records from a copy of revision {}{}",
         target.base(),
         image.size(),
-        host.copy().revision(),
+        host.replica().revision(),
         target.exact() ? "" : "; what was stored after that may be missing");
     Instant begun = eventLoop.now();
     writer =
@@ -555,33 +567,33 @@
                   good ? "is whole" : "could not be finished",
                   Duration.between(begun, eventLoop.now()));
               writer = null;
-              look();
+              readGeneration();
             });
-    writer.next();
+    writer.writeNext();
   }
 
   /**
    * A controller that rebuilds may end or be cut off; then another names a generation of its own.
    */
-  private void watchRebuild() {
+  private void checkRebuildWriter() {
     if (stopped) {
       return;
     }
     Generation.Writer by = storeClient.generation().writer();
-    if (state == State.REBUILDING && !by.equals(self) && !isAtWork(by)) {
+    if (state == State.REBUILDING && !by.equals(self) && !isWriterUp(by)) {
       Instant now = eventLoop.now();
       unreachableSince = unreachableSince == null ? now : unreachableSince;
-      if (unreachableSince.plus(ABANDONED).isBefore(now)) {
+      if (unreachableSince.plus(WRITER_UNREACHABLE_TIMEOUT).isBefore(now)) {
         unreachableSince = null;
-        lost(Evidence.GENERATION_BACK, by.controllerName() + " has given the rebuild up");
+        declareLoss(Evidence.GENERATION_BACK, by.controllerName() + " has given the rebuild up");
       }
     } else {
       unreachableSince = null;
     }
-    eventLoop.schedule(Duration.ofSeconds(1), this::watchRebuild);
+    eventLoop.schedule(Duration.ofSeconds(1), this::checkRebuildWriter);
   }
 
-  private boolean isAtWork(Generation.Writer by) {
+  private boolean isWriterUp(Generation.Writer by) {
     for (Membership.PeerStatus peer : host.peers()) {
       if (peer.controllerName().equals(by.controllerName())) {
         return peer.state() == Membership.State.UP && by.nonce().equals(peer.nonce());
--- a/src/main/java/io/pineladder/generation/GenerationWriter.java
+++ b/src/main/java/io/pineladder/generation/GenerationWriter.java
@@ -17,16 +17,16 @@
  */
 final class GenerationWriter {
   /** The service takes 64 KiB; the rest is for names and conditions. */
-  private static final int MOST_BYTES = 48 * 1024;
+  private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
   private final Generation target;
-  private final List<StoreWire.Entry> image;
+  private final List<StoreWire.Entry> entries;
   private final Consumer<Boolean> onEnd;
-  private final Backoff retry;
-  private int written;
-  private boolean over;
+  private final Backoff backoff;
+  private int writtenCount;
+  private boolean finished;
 
   /**
    * A writer.
@@ -38,71 +38,71 @@
       StoreClient storeClient,
       EventLoop eventLoop,
       Generation target,
-      List<StoreWire.Entry> image,
+      List<StoreWire.Entry> entries,
       Consumer<Boolean> onEnd) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
     this.target = target;
-    this.image = image;
+    this.entries = entries;
     this.onEnd = onEnd;
-    this.retry = storeClient.newBackoff();
+    this.backoff = storeClient.newBackoff();
   }
 
   /** How many records are stored. */
-  int written() {
-    return written;
+  int writtenCount() {
+    return writtenCount;
   }
 
-  int all() {
-    return image.size();
+  int totalCount() {
+    return entries.size();
   }
 
   void stop() {
-    over = true;
+    finished = true;
   }
 
-  void next() {
-    if (over) {
+  void writeNext() {
+    if (finished) {
       return;
     }
-    if (written == image.size()) {
-      finish();
+    if (writtenCount == entries.size()) {
+      writeCompletion();
       return;
     }
-    int most =
+    int maxOperations =
         Math.min(
             storeClient.limits().transactionOps(),
             storeClient.writeBudget().available(eventLoop.now()));
-    if (most < 1) {
+    if (maxOperations < 1) {
       eventLoop.schedule(
-          storeClient.writeBudget().until(1, eventLoop.now()).plusMillis(1), this::next);
+          storeClient.writeBudget().until(1, eventLoop.now()).plusMillis(1), this::writeNext);
       return;
     }
-    StoreWire.Transaction part =
+    StoreWire.Transaction transaction =
         new StoreWire.Transaction(target.prefix()).requireGeneration(target.recordRevision());
     int count = 0;
     int bytes = 0;
-    while (count < most && written + count < image.size()) {
-      StoreWire.Entry entry = image.get(written + count);
+    while (count < maxOperations && writtenCount + count < entries.size()) {
+      StoreWire.Entry entry = entries.get(writtenCount + count);
       int size = Json.bytes(entry.value()).length + entry.key().length();
-      if (count > 0 && bytes + size > MOST_BYTES) {
+      if (count > 0 && bytes + size > MAX_TRANSACTION_BYTES) {
         break;
       }
-      part.put(entry.key(), entry.value());
+      transaction.put(entry.key(), entry.value());
       bytes += size;
       count++;
     }
     int stored = count;
     storeClient.writeBudget().take(stored, eventLoop.now());
     send(
-        part,
+        transaction,
         () -> {
-          written += stored;
-          next();
+          writtenCount += stored;
+          writeNext();
         });
   }
 
-  private void finish() {
+  private void writeCompletion() {
     Generation whole =
         new Generation(
             target.base(), 0, Generation.Phase.COMPLETE, target.exact(), target.writer());
@@ -110,30 +110,30 @@
         new StoreWire.Transaction("")
             .requireGeneration(target.recordRevision())
             .putGeneration(RecordWire.generation(whole)),
-        () -> end(true));
+        () -> finish(true));
   }
 
   private void send(StoreWire.Transaction transaction, Runnable onStored) {
     storeClient.sendImmediately(
         storeClient.post("/multi", transaction.bytes()),
         reply -> {
-          if (over) {
+          if (finished) {
             return;
           }
           if (reply.is(200)) {
-            retry.reset();
+            backoff.reset();
             onStored.run();
           } else if (reply.is(409) || reply.is(400)) {
             // Another generation counts, or this is the second copy of the last transaction.
-            end(false);
+            finish(false);
           } else {
-            storeClient.scheduleRetry(retry, () -> send(transaction, onStored));
+            storeClient.scheduleRetry(backoff, () -> send(transaction, onStored));
           }
         });
   }
 
-  private void end(boolean good) {
-    over = true;
+  private void finish(boolean good) {
+    finished = true;
     onEnd.accept(good);
   }
 }
--- a/src/main/java/io/pineladder/reconciliation/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -23,7 +23,7 @@
  */
 public final class JobReconciler {
   private static final Logger log = LoggerFactory.getLogger(JobReconciler.class);
-  private static final Duration WATCH = Duration.ofSeconds(20);
+  private static final Duration INBOX_WATCH_TIMEOUT = Duration.ofSeconds(20);
 
   /** What the term does with it. */
   public interface Listener {
@@ -33,21 +33,21 @@
     boolean isAccepting(String id);
 
     /** A job is taken up. */
-    void onAdopted(Job job);
+    void onJobFound(Job job);
 
     /** A job was found to be over. */
-    void onFinal(String id, Job.State state);
+    void onFinalState(String id, Job.State state);
 
     /** The final state of a job, as the copy of the records has it; null when it has none. */
-    Job.State ended(String id);
+    Job.State finalState(String id);
 
     /** A record of another node was read. */
-    void onRead(StoreWire.Entry entry);
+    void onRecordRead(StoreWire.Entry entry);
 
     /**
      * Whether a job that nothing is known of may have been lost: then nothing certain can be said.
      */
-    boolean mayBeLost();
+    boolean recordsMayBeIncomplete();
   }
 
   private final StoreClient storeClient;
@@ -55,10 +55,10 @@
   private final Committer committer;
   private final Records records;
   private final Listener listener;
-  private final Backoff retry;
+  private final Backoff backoff;
 
   /** How many jobs have left the memory for good; a read that saw one before is too old then. */
-  private long removals;
+  private long removalCount;
 
   public JobReconciler(
       StoreClient storeClient,
@@ -71,17 +71,17 @@
     this.committer = committer;
     this.records = records;
     this.listener = listener;
-    this.retry = storeClient.newBackoff();
+    this.backoff = storeClient.newBackoff();
   }
 
   /** A job has left the memory for good. */
-  public void removed() {
-    removals++;
+  public void onJobRemoved() {
+    removalCount++;
   }
 
   /** Begins with the inbox as it was read, and follows it. */
   public void start(StoreClient.Listing inbox) {
-    inbox.entries().forEach(this::takeIn);
+    inbox.entries().forEach(this::reconcileInboxEntry);
     watchInbox(inbox.revision());
   }
 
@@ -93,73 +93,75 @@
     storeClient.watch(
         RecordKeys.INBOX,
         after,
-        WATCH,
+        INBOX_WATCH_TIMEOUT,
         followed -> {
           if (!listener.isLeading()) {
             return;
           }
           StoreWire.Changes changes = followed.changes();
           if (changes != null) {
-            retry.reset();
-            changes.entries().stream().filter(e -> e.value() != null).forEach(this::takeIn);
+            backoff.reset();
+            changes.entries().stream()
+                .filter(e -> e.value() != null)
+                .forEach(this::reconcileInboxEntry);
             watchInbox(changes.revision());
           } else if (followed.reply().is(410)) {
             storeClient.listAll(
                 RecordKeys.INBOX,
                 listener::isLeading,
                 inbox -> {
-                  inbox.entries().forEach(this::takeIn);
+                  inbox.entries().forEach(this::reconcileInboxEntry);
                   watchInbox(inbox.revision());
                 });
           } else {
-            storeClient.scheduleRetry(retry, () -> watchInbox(after));
+            storeClient.scheduleRetry(backoff, () -> watchInbox(after));
           }
         });
   }
 
-  private void takeIn(StoreWire.Entry entry) {
+  private void reconcileInboxEntry(StoreWire.Entry entry) {
     if (!listener.isLeading()) {
       return;
     }
     String id = entry.key().substring(RecordKeys.INBOX.length());
     committer.restoreRevision(entry.key(), entry.version());
-    listener.onRead(entry);
-    adopt(
+    listener.onRecordRead(entry);
+    lookUp(
         id,
         lookup -> {
           if (lookup == null) {
             // Without a certain answer the job may still be unknown here.
-            storeClient.scheduleRetry(retry, () -> takeIn(entry));
+            storeClient.scheduleRetry(backoff, () -> reconcileInboxEntry(entry));
             return;
           }
-          if (lookup.ended() != null) {
+          if (lookup.finalState() != null) {
             // Stored again after a loss by a node that did not know that it was over.
-            removeOwn(id);
+            deleteJobRecord(id);
           }
-          remove(entry.key());
+          deleteRecord(entry.key());
         });
   }
 
-  private void remove(String key) {
+  private void deleteRecord(String key) {
     committer.submit(
         Mutation.of(
             Mutation.Priority.CLEANUP, List.of(new Mutation.Write(key, () -> null)), () -> {}));
   }
 
-  private void removeOwn(String id) {
+  private void deleteJobRecord(String id) {
     String key = RecordKeys.UNPAGED_JOB + id;
     storeClient.read(
         key,
         read -> {
           if (listener.isLeading() && read.found()) {
             committer.restoreRevision(key, read.entry().version());
-            remove(key);
+            deleteRecord(key);
           }
         });
   }
 
   /** Reads a job that is in the store but not in memory; null is no certain answer. */
-  public void adopt(String id, Consumer<Lookup> onDone) {
+  public void lookUp(String id, Consumer<Lookup> onDone) {
     if (cluster.jobs.containsKey(id)) {
       onDone.accept(new Lookup(cluster.jobs.get(id), null));
       return;
@@ -169,13 +171,13 @@
       onDone.accept(null);
       return;
     }
-    Job.State ended = listener.ended(id);
+    Job.State ended = listener.finalState(id);
     if (ended != null) {
-      listener.onFinal(id, ended);
+      listener.onFinalState(id, ended);
       onDone.accept(new Lookup(null, ended));
       return;
     }
-    long before = removals;
+    long before = removalCount;
     storeClient.read(
         RecordKeys.UNPAGED_JOB + id,
         read -> {
@@ -188,20 +190,20 @@
             onDone.accept(new Lookup(known, null));
             return;
           }
-          if (read.found() && removals != before) {
+          if (read.found() && removalCount != before) {
             // It may be a job that has left meanwhile: taken up again it would end twice.
-            adopt(id, onDone);
+            lookUp(id, onDone);
             return;
           }
           if (!read.found()) {
-            readEnd(id, onDone);
+            lookUpFinalState(id, onDone);
             return;
           }
           try {
             Job job = TermLoader.toJob(read.entry().value());
             committer.restoreRevision(read.entry().key(), read.entry().version());
-            listener.onRead(read.entry());
-            listener.onAdopted(job);
+            listener.onRecordRead(read.entry());
+            listener.onJobFound(job);
             log.debug("job {} was accepted elsewhere", id);
             onDone.accept(new Lookup(job, null));
           } catch (MalformedMessageException e) {
@@ -212,7 +214,7 @@
   }
 
   /** Looks for the copy of a job's record that another node has stored, so that it goes too. */
-  public void onStoredTwice(Job job, Runnable again) {
+  public void findDuplicateRecord(Job job, Runnable again) {
     String key = RecordKeys.UNPAGED_JOB + job.spec.id();
     storeClient.read(
         key,
@@ -221,7 +223,7 @@
             return;
           }
           if (!read.certain()) {
-            storeClient.scheduleRetry(retry, () -> onStoredTwice(job, again));
+            storeClient.scheduleRetry(backoff, () -> findDuplicateRecord(job, again));
             return;
           }
           if (read.found()) {
@@ -234,7 +236,9 @@
 
   /** Tells when the store has no record of a job that is not in memory, nor of its end. */
   public void ifUnknown(String id, Runnable onUnknown) {
-    if (cluster.jobs.containsKey(id) || listener.isAccepting(id) || listener.ended(id) != null) {
+    if (cluster.jobs.containsKey(id)
+        || listener.isAccepting(id)
+        || listener.finalState(id) != null) {
       return;
     }
     storeClient.read(
@@ -255,9 +259,9 @@
   }
 
   /** What a look into the store gave: a live job, a final state, or neither. */
-  public record Lookup(Job job, Job.State ended) {}
+  public record Lookup(Job job, Job.State finalState) {}
 
-  private void readEnd(String id, Consumer<Lookup> onDone) {
+  private void lookUpFinalState(String id, Consumer<Lookup> onDone) {
     storeClient.read(
         RecordKeys.FINAL_STATE + id,
         read -> {
@@ -266,12 +270,12 @@
             return;
           }
           if (!read.found()) {
-            onDone.accept(listener.mayBeLost() ? null : new Lookup(null, null));
+            onDone.accept(listener.recordsMayBeIncomplete() ? null : new Lookup(null, null));
             return;
           }
           try {
             Job.State ended = RecordWire.parseEnd(read.entry().value());
-            listener.onFinal(id, ended);
+            listener.onFinalState(id, ended);
             onDone.accept(new Lookup(null, ended));
           } catch (MalformedMessageException e) {
             onDone.accept(null);
--- a/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
+++ b/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
@@ -22,17 +22,17 @@
   private static final Logger log = LoggerFactory.getLogger(PrerequisiteReader.class);
 
   /** Between two reads of which the first gave no certain answer. */
-  private static final Duration RETRY = Duration.ofMillis(250);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
   /** Between two looks for a job that was accepted and that no record tells of. */
-  private static final Duration MISSING = Duration.ofSeconds(5);
+  private static final Duration MISSING_JOB_RETRY_DELAY = Duration.ofSeconds(5);
 
   /** What is known of the jobs that a submission names. */
-  public enum Known {
+  public enum Verification {
     /** Each was accepted. */
-    ALL,
+    ALL_ACCEPTED,
     /** One was never accepted. */
-    NOT_ALL,
+    NOT_ALL_ACCEPTED,
     /** Nothing certain can be said now. */
     UNCERTAIN
   }
@@ -40,11 +40,11 @@
   private final Function<String, Job> jobs;
 
   /** A final state that is known without a read, or null. */
-  private final Function<String, Job.State> ended;
+  private final Function<String, Job.State> finalStates;
 
-  private final JobReconciler adoption;
+  private final JobReconciler reconciler;
   private final EventLoop eventLoop;
-  private final BooleanSupplier leading;
+  private final BooleanSupplier isLeading;
   private final Supplier<JobDependencies> dependencies;
 
   /**
@@ -55,47 +55,47 @@
    */
   public PrerequisiteReader(
       Function<String, Job> jobs,
-      Function<String, Job.State> ended,
-      JobReconciler adoption,
+      Function<String, Job.State> finalStates,
+      JobReconciler reconciler,
       EventLoop eventLoop,
-      BooleanSupplier leading,
+      BooleanSupplier isLeading,
       Supplier<JobDependencies> dependencies) {
     this.jobs = jobs;
-    this.ended = ended;
-    this.adoption = adoption;
+    this.finalStates = finalStates;
+    this.reconciler = reconciler;
     this.eventLoop = eventLoop;
-    this.leading = leading;
+    this.isLeading = isLeading;
     this.dependencies = dependencies;
   }
 
   /** Tells whether all these jobs were accepted. */
-  public void verify(List<String> ids, Consumer<Known> onDone) {
+  public void verify(List<String> ids, Consumer<Verification> onDone) {
     verifyNext(new ArrayDeque<>(ids), onDone);
   }
 
-  private void verifyNext(Deque<String> left, Consumer<Known> onDone) {
-    while (!left.isEmpty() && isKnown(left.peek())) {
-      left.poll();
+  private void verifyNext(Deque<String> remainingIds, Consumer<Verification> onDone) {
+    while (!remainingIds.isEmpty() && isKnown(remainingIds.peek())) {
+      remainingIds.poll();
     }
-    if (left.isEmpty()) {
-      onDone.accept(Known.ALL);
+    if (remainingIds.isEmpty()) {
+      onDone.accept(Verification.ALL_ACCEPTED);
       return;
     }
-    adoption.adopt(
-        left.poll(),
+    reconciler.lookUp(
+        remainingIds.poll(),
         lookup -> {
           if (lookup == null) {
-            onDone.accept(Known.UNCERTAIN);
-          } else if (lookup.job() == null && lookup.ended() == null) {
-            onDone.accept(Known.NOT_ALL);
+            onDone.accept(Verification.UNCERTAIN);
+          } else if (lookup.job() == null && lookup.finalState() == null) {
+            onDone.accept(Verification.NOT_ALL_ACCEPTED);
           } else {
-            verifyNext(left, onDone);
+            verifyNext(remainingIds, onDone);
           }
         });
   }
 
   private boolean isKnown(String id) {
-    return jobs.apply(id) != null || ended.apply(id) != null;
+    return jobs.apply(id) != null || finalStates.apply(id) != null;
   }
 
   /**
@@ -106,30 +106,30 @@
   }
 
   private void resolve(String id) {
-    if (!leading.getAsBoolean()) {
+    if (!isLeading.getAsBoolean()) {
       return;
     }
-    Job.State state = jobs.apply(id) == null ? ended.apply(id) : null;
+    Job.State state = jobs.apply(id) == null ? finalStates.apply(id) : null;
     if (state != null) {
       dependencies.get().onFinalStateKnown(id, state);
       return;
     }
-    adoption.adopt(
+    reconciler.lookUp(
         id,
         lookup -> {
-          if (!leading.getAsBoolean()) {
+          if (!isLeading.getAsBoolean()) {
             return;
           }
           if (lookup == null) {
-            eventLoop.schedule(RETRY, () -> resolve(id));
+            eventLoop.schedule(RETRY_DELAY, () -> resolve(id));
           } else if (lookup.job() != null) {
             dependencies.get().onPrerequisiteFound(lookup.job());
-          } else if (lookup.ended() != null) {
-            dependencies.get().onFinalStateKnown(id, lookup.ended());
+          } else if (lookup.finalState() != null) {
+            dependencies.get().onFinalStateKnown(id, lookup.finalState());
           } else {
             log.error("job {}, which others need, is not in the records", id);
             dependencies.get().onPrerequisiteNotFound(id);
-            eventLoop.schedule(MISSING, () -> resolve(id));
+            eventLoop.schedule(MISSING_JOB_RETRY_DELAY, () -> resolve(id));
           }
         });
   }
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -37,35 +37,35 @@
   private static final Logger log = LoggerFactory.getLogger(ReplicaManager.class);
 
   /** What was accepted here without a leader in this time is stored again after a loss. */
-  private static final Duration ACCEPTED_AGAIN = Duration.ofMinutes(10);
+  private static final Duration ACCEPTED_JOB_RETENTION = Duration.ofMinutes(10);
 
-  private static final int MOST_ACCEPTED_AGAIN = 2_000;
+  private static final int MAX_RETAINED_ACCEPTED_JOBS = 2_000;
 
   /** For so long after an incomplete rebuild nobody is told that a job does not exist. */
-  private static final Duration DOUBT = Duration.ofMinutes(2);
+  private static final Duration INEXACT_REBUILD_UNCERTAINTY = Duration.ofMinutes(2);
 
   /** Between two final states that are stored again; no more is missing than the last moments'. */
-  private static final Duration ENDS_PACE = Duration.ofMillis(100);
+  private static final Duration FINAL_STATE_WRITE_INTERVAL = Duration.ofMillis(100);
 
   /** By then all that began with snapshots have compared them with the store. */
-  private static final Duration COMPARED = Duration.ofSeconds(20);
+  private static final Duration SNAPSHOT_VERIFICATION_PERIOD = Duration.ofSeconds(20);
 
   /** So long a node without a copy of the records lets one that has it lead. */
-  private static final Duration LEFT_TO_OTHERS = Duration.ofSeconds(2);
+  private static final Duration INCOMPLETE_REPLICA_ELECTION_DELAY = Duration.ofSeconds(2);
 
   /** By then all nodes have stored again what they accepted right before a loss. */
-  private static final Duration RESTORED = Duration.ofSeconds(15);
+  private static final Duration EXACT_REBUILD_UNCERTAINTY = Duration.ofSeconds(15);
 
   /** What the node does. */
   public interface Host {
     /** The lease of this node's present or last term holds by its own clock. */
-    boolean leaseHolds();
+    boolean holdsLease();
 
     /** Nothing in the store counts: no leading, no reading. */
-    void onLost();
+    void onDataLoss();
 
     /** Another generation counts; nobody leads before it is whole. */
-    void onGeneration(boolean whole);
+    void onGenerationChange(boolean whole);
 
     List<Membership.PeerStatus> peers();
   }
@@ -78,23 +78,23 @@
   private final SnapshotManager snapshots;
   private final GenerationManager generations;
   private final ReplicaFollower follower;
-  private final Deque<Accepted> acceptedHere = new ArrayDeque<>();
+  private final Deque<AcceptedJob> acceptedJobs = new ArrayDeque<>();
   private RecordReplica replica = new RecordReplica(0);
 
   /** The copy that this node fed when it last led, or null. */
-  private RecordReplica ledWith;
+  private RecordReplica leaderReplica;
 
   /**
    * When this node last was elected it could compare the store with a copy of its own, or no other
    * could either: it knows all that anybody does.
    */
-  private boolean soundStart;
+  private boolean electedWithBestReplica;
 
   /** Since when this node has found no leader; null while there is one. */
-  private Instant vacantSince;
+  private Instant leaderlessSince;
 
   /** When this process began with a copy from a snapshot; null without one. */
-  private Instant restoredAt;
+  private Instant snapshotRestoredAt;
 
   private boolean stopped;
 
@@ -120,10 +120,14 @@
         snapshotStore == null
             ? null
             : new SnapshotManager(
-                snapshotStore, backgroundExecutor, eventLoop, cluster(settings), this::snapshot);
+                snapshotStore,
+                backgroundExecutor,
+                eventLoop,
+                clusterIdentity(settings),
+                this::snapshot);
     this.self = new Generation.Writer(settings.controllerName(), nonce);
-    this.generations = new GenerationManager(storeClient, eventLoop, self, new Rebuilding());
-    this.follower = new ReplicaFollower(storeClient, eventLoop, new Copying());
+    this.generations = new GenerationManager(storeClient, eventLoop, self, new GenerationHost());
+    this.follower = new ReplicaFollower(storeClient, eventLoop, new FollowerListener());
   }
 
   /** Reads what a snapshot has, and which generation counts. */
@@ -135,10 +139,12 @@
     snapshots.load(
         found -> {
           if (found != null) {
-            use(RecordReplica.of(found));
-            restoredAt = eventLoop.now();
+            useReplica(RecordReplica.fromSnapshot(found));
+            snapshotRestoredAt = eventLoop.now();
             log.info(
-                "the snapshot has {} records of revision {}", replica.size(), replica.revision());
+                "the snapshot has {} records of revision {}",
+                replica.recordCount(),
+                replica.revision());
           }
           generations.start();
           snapshots.start();
@@ -163,7 +169,7 @@
   }
 
   /** The records as this node has seen them stored. */
-  public RecordReplica copy() {
+  public RecordReplica replica() {
     return replica;
   }
 
@@ -172,34 +178,34 @@
   }
 
   /** What peers are told of all this. */
-  public Stored told() {
+  public Stored recordStatus() {
     return new Stored(
         storeClient.generation().base(),
         storeClient.highestRevision(),
         replica.base(),
         replica.revision(),
         replica.isComplete(),
-        generations.highestToken(),
+        generations.highestObservedToken(),
         generations.state() == GenerationManager.State.LOST);
   }
 
   // ---- the leadership
 
   /** Whether this node may lead in the store as it is, and no other had better. */
-  public boolean mayStand() {
-    return generations.hearsPeers() && !leavesItToOthers();
+  public boolean mayStandForElection() {
+    return generations.syncWithPeers() && !leavesElectionToOthers();
   }
 
   /** Whether there is a leader, as was just read. */
-  public void leaderKnown(boolean is) {
-    vacantSince = is ? null : vacantSince;
+  public void onLeaderRead(boolean is) {
+    leaderlessSince = is ? null : leaderlessSince;
   }
 
   /** This node was elected; the copy that it is to feed. */
-  public RecordReplica lead() {
+  public RecordReplica onElected() {
     long base = storeClient.generation().base();
     boolean compares = replica.base() == base && replica.isComplete();
-    soundStart =
+    electedWithBestReplica =
         compares
             || host.peers().stream()
                 .noneMatch(p -> p.stored().complete() && p.stored().copyBase() == base);
@@ -209,23 +215,23 @@
   }
 
   /** The new leader has read all records. */
-  public void begun(RecordReplica fed) {
-    fed.begun();
-    use(fed);
-    ledWith = fed;
+  public void onTermStarted(RecordReplica fed) {
+    fed.recordsLoaded();
+    useReplica(fed);
+    leaderReplica = fed;
   }
 
   /** This node leads no more. */
-  public void follow() {
+  public void onTermEnded() {
     if (generations.isTrusted()) {
       follower.follow();
     }
   }
 
   /** The service ends no lease early; a leader's key that is gone too soon was lost. */
-  public void onKeyGone() {
-    if (host.leaseHolds()) {
-      generations.lost(
+  public void onLeaderKeyMissing() {
+    if (host.holdsLease()) {
+      generations.declareLoss(
           GenerationManager.Evidence.RECORD_MISSING,
           "the leader's key is gone while its lease holds");
     }
@@ -238,22 +244,22 @@
    * @param leads whether this node still holds that term
    * @param lose ends it
    */
-  public void superseded(long token, long term, BooleanSupplier leads, Runnable lose) {
-    generations.learnToken(token);
+  public void onHigherToken(long token, long term, BooleanSupplier leads, Runnable lose) {
+    generations.observeToken(token);
     if (generations.state() == GenerationManager.State.DOUBTED) {
       return;
     }
-    generations.doubt("a worker has seen token " + token + ", ours is " + term);
+    generations.suspectLoss("a worker has seen token " + token + ", ours is " + term);
     storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
           boolean stands =
               read.found() && storeClient.generation().token(read.entry().version()) == term;
           if (leads.getAsBoolean() && stands) {
-            generations.tokenAbove(token);
+            generations.onHigherToken(token);
             return;
           }
-          generations.cleared();
+          generations.clearSuspicion();
           if (leads.getAsBoolean()) {
             // Also where the store does not tell: whoever has the higher token leads, and not this
             // node.
@@ -263,44 +269,47 @@
   }
 
   /** For how long something may be missing from the records; null when nothing can be. */
-  public Duration incompleteFor() {
-    return storeClient.generation().exact() ? null : generations.rebuiltFor();
+  public Duration timeSinceInexactRebuild() {
+    return storeClient.generation().exact() ? null : generations.timeSinceRebuild();
   }
 
   // ---- a rebuild
 
   /** What this node does as the records are found to be lost, rebuilt, and whole again. */
-  private final class Rebuilding implements GenerationManager.Host {
+  private final class GenerationHost implements GenerationManager.Host {
     @Override
-    public RecordReplica copy() {
+    public RecordReplica replica() {
       return replica;
     }
 
     @Override
-    public boolean leads() {
-      return ledWith == replica && soundStart && replica.isComplete() && host.leaseHolds();
+    public boolean isLeader() {
+      return leaderReplica == replica
+          && electedWithBestReplica
+          && replica.isComplete()
+          && host.holdsLease();
     }
 
     @Override
-    public void onLost() {
-      host.onLost();
+    public void onDataLoss() {
+      host.onDataLoss();
       follower.stop();
     }
 
     @Override
-    public void onGeneration(Generation generation) {
+    public void onGenerationChange(Generation generation) {
       boolean whole = generation.phase() == Generation.Phase.COMPLETE;
       boolean mine = generation.writer().equals(self);
       follower.stop();
       storeClient.useGeneration(generation);
       storeClient.observeRevision(replica.base(), replica.revision());
       if (whole && generation.base() != 0 && mine) {
-        replica.moved(generation);
+        replica.rebaseTo(generation);
         if (snapshots != null) {
           snapshots.onReplicaReplaced();
         }
       }
-      host.onGeneration(whole);
+      host.onGenerationChange(whole);
       if (whole) {
         follower.follow();
       }
@@ -313,7 +322,7 @@
   }
 
   /** The records as this node has them, as a snapshot; null while it has not read them all. */
-  public byte[] takeSnapshot() {
+  public byte[] exportSnapshot() {
     Snapshot now = snapshot();
     return now == null ? null : now.encode();
   }
@@ -326,22 +335,23 @@
    * @throws MalformedMessageException when it is no snapshot of this cluster, or this node cannot
    *     take it now
    */
-  public int handIn(byte[] bytes) throws MalformedMessageException {
+  public int importSnapshot(byte[] bytes) throws MalformedMessageException {
     Snapshot snapshot = Snapshot.decode(bytes);
-    snapshot.requireCluster(cluster(settings));
-    if (!host.leaseHolds() || ledWith != replica || !replica.isComplete()) {
+    snapshot.requireCluster(clusterIdentity(settings));
+    if (!host.holdsLease() || leaderReplica != replica || !replica.isComplete()) {
       throw new MalformedMessageException("not now: no leader that has read all records");
     }
     int jobs =
-        replica.unite(RecordReplica.of(new SnapshotManager.LoadedSnapshot(snapshot, List.of())));
-    generations.lost(
+        replica.restoreFrom(
+            RecordReplica.fromSnapshot(new SnapshotManager.LoadedSnapshot(snapshot, List.of())));
+    generations.declareLoss(
         GenerationManager.Evidence.HANDED_IN,
         "a snapshot of revision " + snapshot.revision() + " is handed in, with " + jobs + " jobs");
     return jobs;
   }
 
   /** What tells one cluster's snapshots from another's. */
-  private static String cluster(Settings settings) {
+  private static String clusterIdentity(Settings settings) {
     List<String> members = new ArrayList<>(List.of(settings.controllerName()));
     settings.peers().forEach(peer -> members.add(peer.controllerName()));
     members.sort(null);
@@ -349,25 +359,27 @@
   }
 
   private Snapshot snapshot() {
-    return replica.isComplete() ? replica.snapshot(cluster(settings), eventLoop.wallClock()) : null;
+    return replica.isComplete()
+        ? replica.snapshot(clusterIdentity(settings), eventLoop.wallClock())
+        : null;
   }
 
   /** This copy of the records is the one that would be written if they were lost. */
-  private void use(RecordReplica next) {
-    replica.listen(null);
+  private void useReplica(RecordReplica next) {
+    replica.setListener(null);
     replica = next;
     if (snapshots != null) {
-      next.listen(snapshots::recordChange);
+      next.setListener(snapshots::recordChange);
       snapshots.onReplicaReplaced();
     }
   }
 
   /** A node with a whole copy of the records leads better than one that has just begun. */
-  private boolean leavesItToOthers() {
+  private boolean leavesElectionToOthers() {
     Instant now = eventLoop.now();
-    vacantSince = vacantSince == null ? now : vacantSince;
+    leaderlessSince = leaderlessSince == null ? now : leaderlessSince;
     return !replica.isComplete()
-        && vacantSince.plus(LEFT_TO_OTHERS).isAfter(now)
+        && leaderlessSince.plus(INCOMPLETE_REPLICA_ELECTION_DELAY).isAfter(now)
         && host.peers().stream()
             .anyMatch(
                 peer ->
@@ -377,25 +389,25 @@
   }
 
   /** What becomes of a copy that follows the store. */
-  private final class Copying implements ReplicaFollower.Listener {
+  private final class FollowerListener implements ReplicaFollower.Listener {
     @Override
-    public void onCopy(RecordReplica whole) {
-      String lacks = replica.lackedBy(whole);
+    public void onReplicaComplete(RecordReplica whole) {
+      String lacks = replica.firstKeyMissingFrom(whole);
       if (lacks == null) {
         RecordReplica before = replica;
-        use(whole);
+        useReplica(whole);
         if (before.base() != whole.base()) {
-          acceptAgain();
-          storeEnds(new ArrayDeque<>(before.endsMissingIn(whole).entrySet()));
+          storeAcceptedJobsAgain();
+          storeFinalStates(new ArrayDeque<>(before.finalStatesMissingFrom(whole).entrySet()));
         }
       } else {
-        onMissing(lacks);
+        onRecordMissing(lacks);
       }
     }
 
     @Override
-    public void onMissing(String key) {
-      generations.lost(
+    public void onRecordMissing(String key) {
+      generations.declareLoss(
           GenerationManager.Evidence.RECORD_MISSING, key + " is missing or older than it was seen");
     }
   }
@@ -404,17 +416,17 @@
    * Stores again what this node accepted without a leader of late: whoever rebuilt the records may
    * not have had it yet. A job that is there twice is still one job.
    */
-  private void acceptAgain() {
-    Instant from = eventLoop.now().minus(ACCEPTED_AGAIN);
-    acceptedHere.removeIf(each -> each.at.isBefore(from));
-    acceptedHere.forEach(each -> each.again.run());
+  private void storeAcceptedJobsAgain() {
+    Instant from = eventLoop.now().minus(ACCEPTED_JOB_RETENTION);
+    acceptedJobs.removeIf(each -> each.at.isBefore(from));
+    acceptedJobs.forEach(each -> each.again.run());
   }
 
   /**
    * Stores final states that this node has seen and that whoever rebuilt the records had not: they
    * are united, and never undone.
    */
-  private void storeEnds(Deque<Map.Entry<String, Job.State>> left) {
+  private void storeFinalStates(Deque<Map.Entry<String, Job.State>> left) {
     Map.Entry<String, Job.State> next = left.peekFirst();
     if (next == null || stopped || !generations.isTrusted()) {
       return;
@@ -429,33 +441,33 @@
           if (reply.is(200) || reply.is(409)) {
             left.pollFirst();
           }
-          eventLoop.schedule(ENDS_PACE, () -> storeEnds(left));
+          eventLoop.schedule(FINAL_STATE_WRITE_INTERVAL, () -> storeFinalStates(left));
         });
   }
 
   /** This node has accepted a job without a leader. */
-  public void acceptedHere(Runnable again) {
-    acceptedHere.addLast(new Accepted(eventLoop.now(), again));
-    if (acceptedHere.size() > MOST_ACCEPTED_AGAIN) {
-      acceptedHere.removeFirst();
+  public void onAcceptedWithoutLeader(Runnable again) {
+    acceptedJobs.addLast(new AcceptedJob(eventLoop.now(), again));
+    if (acceptedJobs.size() > MAX_RETAINED_ACCEPTED_JOBS) {
+      acceptedJobs.removeFirst();
     }
   }
 
   /** A job that this node accepted without a leader, and how to store it again. */
-  private record Accepted(Instant at, Runnable again) {}
+  private record AcceptedJob(Instant at, Runnable again) {}
 
   /**
    * Whether nothing certain can be said of a job that the store does not hold: it may have been
    * lost. What this node itself has seen stored was not removed, or the copy would know of it.
    */
-  public boolean mayBeLost(String job) {
+  public boolean jobMayBeMissing(String job) {
     if (!generations.isTrusted() || !replica.isComplete()) {
       return true;
     }
-    if (replica.holdsJob(job) || replica.end(job) != null) {
+    if (replica.holdsJob(job) || replica.finalState(job) != null) {
       return true;
     }
-    return mayLack();
+    return recordsMayBeIncomplete();
   }
 
   /**
@@ -463,12 +475,14 @@
    * other controllers accepted without a leader right before it they are storing again, and
    * controllers that begin with their snapshots have yet to compare them with the store.
    */
-  public boolean mayLack() {
-    if (restoredAt != null && restoredAt.plus(COMPARED).isAfter(eventLoop.now())) {
+  public boolean recordsMayBeIncomplete() {
+    if (snapshotRestoredAt != null
+        && snapshotRestoredAt.plus(SNAPSHOT_VERIFICATION_PERIOD).isAfter(eventLoop.now())) {
       return true;
     }
-    Duration rebuilt = generations.rebuiltFor();
-    Duration until = storeClient.generation().exact() ? RESTORED : DOUBT;
+    Duration rebuilt = generations.timeSinceRebuild();
+    Duration until =
+        storeClient.generation().exact() ? EXACT_REBUILD_UNCERTAINTY : INEXACT_REBUILD_UNCERTAINTY;
     return rebuilt != null && rebuilt.compareTo(until) < 0;
   }
 }
--- a/src/main/java/io/pineladder/replica/RecordReplica.java
+++ b/src/main/java/io/pineladder/replica/RecordReplica.java
@@ -36,19 +36,19 @@
   private static final Logger log = LoggerFactory.getLogger(RecordReplica.class);
 
   /** Final states that are copied, for the memory of the smallest node; some 100 bytes each. */
-  static final int MOST_ENDS = 100_000;
+  static final int MAX_FINAL_STATES = 100_000;
 
   /** Bytes of final states in one value when a generation is written. */
-  private static final int ENDS_BYTES = 6 * 1024;
+  private static final int MAX_FINAL_STATE_PAGE_BYTES = 6 * 1024;
 
   /** What such a value takes beside the ids. */
-  private static final int ENDS_FRAME_BYTES = 64;
+  private static final int FINAL_STATE_PAGE_OVERHEAD_BYTES = 64;
 
   /** An id in JSON with its comma at the most. */
-  private static final int LONGEST_ID_BYTES = 128;
+  private static final int MAX_ID_BYTES = 128;
 
   /** What belongs to a leader's lease, to no generation or to another one is not copied. */
-  private static final Pattern LEFT_OUT =
+  private static final Pattern NOT_REPLICATED =
       Pattern.compile("(g[0-9]+|lead|generation|damaged|apart)/.*");
 
   /** A value with the revision of its last change. */
@@ -58,28 +58,28 @@
       return bytes != null ? bytes : Json.bytes(value);
     }
 
-    JsonNode read() throws MalformedMessageException {
+    JsonNode parse() throws MalformedMessageException {
       return value != null ? value : Json.parseObject(bytes);
     }
   }
 
   /** The jobs in a page, as of a revision. */
-  private record Jobs(long version, Set<String> ids) {}
+  private record AcceptedPage(long version, Set<String> ids) {}
 
   private final TreeMap<String, Value> records = new TreeMap<>();
 
   /**
    * Final states that have a key of their own, and those of earlier generations that share values.
    */
-  private final TreeMap<String, Job.State> ends = new TreeMap<>();
+  private final TreeMap<String, Job.State> finalStates = new TreeMap<>();
 
-  private final Map<String, Job.State> packed = new HashMap<>();
-  private final Map<String, Jobs> accepted = new HashMap<>();
+  private final Map<String, Job.State> inheritedFinalStates = new HashMap<>();
+  private final Map<String, AcceptedPage> acceptedPages = new HashMap<>();
   private long base;
   private long revision;
   private Listener listener;
-  private boolean recordsKnown;
-  private boolean endsKnown;
+  private boolean recordsComplete;
+  private boolean finalStatesComplete;
 
   /** An empty copy of a generation's records. */
   public RecordReplica(long base) {
@@ -92,7 +92,7 @@
   }
 
   /** A copy as it was kept in a snapshot with the changes since: whole as of its revision. */
-  public static RecordReplica of(SnapshotManager.LoadedSnapshot found) {
+  public static RecordReplica fromSnapshot(SnapshotManager.LoadedSnapshot found) {
     Snapshot snapshot = found.snapshot();
     RecordReplica replica = new RecordReplica(snapshot.generationBase());
     snapshot
@@ -100,7 +100,7 @@
         .forEach(
             (key, entry) ->
                 replica.records.put(key, new Value(entry.version(), null, entry.json())));
-    replica.packed.putAll(snapshot.finalStates());
+    replica.inheritedFinalStates.putAll(snapshot.finalStates());
     replica.revision = snapshot.revision();
     for (ChangeRecord change : found.changes()) {
       try {
@@ -113,19 +113,19 @@
         log.warn("a change of {} cannot be read", change.key());
       }
     }
-    replica.recordsKnown = true;
-    replica.endsKnown = true;
+    replica.recordsComplete = true;
+    replica.finalStatesComplete = true;
     return replica;
   }
 
   /** The copy as it is now; later changes do not show in it. */
   public Snapshot snapshot(String cluster, Instant at) {
-    Map<String, Job.State> all = allEnds();
+    Map<String, Job.State> all = allFinalStates();
     return new Snapshot(cluster, base, revision, at, new TreeMap<>(records), all);
   }
 
   /** Has somebody told of each change from now on; null for nobody. */
-  public void listen(Listener to) {
+  public void setListener(Listener to) {
     listener = to;
   }
 
@@ -141,21 +141,21 @@
 
   /** Whether nothing was left out when it was made. */
   public boolean isComplete() {
-    return recordsKnown && endsKnown;
+    return recordsComplete && finalStatesComplete;
   }
 
   /** Whether all final states are known. */
-  public boolean knowsEnds() {
-    return endsKnown;
+  public boolean hasAllFinalStates() {
+    return finalStatesComplete;
   }
 
   /** How many records there are, final states apart. */
-  public int size() {
+  public int recordCount() {
     return records.size();
   }
 
-  public int ends() {
-    return ends.size() + packed.size();
+  public int finalStateCount() {
+    return finalStates.size() + inheritedFinalStates.size();
   }
 
   /**
@@ -164,54 +164,54 @@
    * @param after the job after which they begin, or null
    * @param to the last job, or null
    */
-  List<String> endsBetween(String after, String to) {
-    var rest = after == null ? ends : ends.tailMap(after, false);
+  List<String> finalStatesBetween(String after, String to) {
+    var rest = after == null ? finalStates : finalStates.tailMap(after, false);
     return new ArrayList<>((to == null ? rest : rest.headMap(to, true)).keySet());
   }
 
   /** All final states have been told. */
-  void endsRead() {
-    endsKnown = true;
+  void finalStatesLoaded() {
+    finalStatesComplete = true;
   }
 
   /** A leader has read the records of its generation, and feeds this copy from now on. */
-  public void begun() {
-    recordsKnown = true;
+  public void recordsLoaded() {
+    recordsComplete = true;
   }
 
   /** All records have been told. */
   void recordsRead() {
-    recordsKnown = true;
+    recordsComplete = true;
   }
 
   /** The same records count in another generation from here on, which was written from them. */
-  public void moved(Generation to) {
+  public void rebaseTo(Generation to) {
     base = to.base();
     revision = to.recordRevision();
     // Revisions of the generation before say nothing in this one.
     records.replaceAll((key, value) -> new Value(0, value.value, value.bytes));
-    packed.putAll(ends);
-    ends.clear();
+    inheritedFinalStates.putAll(finalStates);
+    finalStates.clear();
   }
 
   /** Everything up to this revision is in it. */
-  void reached(long upTo) {
+  void advanceTo(long upTo) {
     revision = Math.max(revision, upTo);
   }
 
   /** A value as the store holds it at this revision; null for a key that is gone. */
   public void put(String key, JsonNode value, long version, boolean asBytes) {
     revision = Math.max(revision, version);
-    if (listener != null && !LEFT_OUT.matcher(key).matches()) {
+    if (listener != null && !NOT_REPLICATED.matcher(key).matches()) {
       listener.onChange(key, version, () -> value == null ? null : Json.bytes(value));
     }
-    if (LEFT_OUT.matcher(key).matches()) {
+    if (NOT_REPLICATED.matcher(key).matches()) {
       return;
     }
     if (key.startsWith(RecordKeys.FINAL_STATE)) {
-      putEnd(key.substring(RecordKeys.FINAL_STATE.length()), value);
+      putFinalState(key.substring(RecordKeys.FINAL_STATE.length()), value);
     } else if (key.startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
-      putEnds(key, value);
+      putInheritedFinalStates(key, value);
     } else if (value == null) {
       records.remove(key);
     } else {
@@ -220,25 +220,25 @@
     }
   }
 
-  private void putEnd(String id, JsonNode value) {
+  private void putFinalState(String id, JsonNode value) {
     // Final states do not change, and what is gone from the store is kept here.
-    if (value == null || end(id) != null || ends() >= MOST_ENDS) {
+    if (value == null || finalState(id) != null || finalStateCount() >= MAX_FINAL_STATES) {
       return;
     }
     try {
-      ends.put(id, RecordWire.parseEnd(value));
+      finalStates.put(id, RecordWire.parseEnd(value));
     } catch (MalformedMessageException e) {
       log.warn("the final state of {} cannot be read", id);
     }
   }
 
-  private void putEnds(String key, JsonNode value) {
+  private void putInheritedFinalStates(String key, JsonNode value) {
     if (value == null) {
       return;
     }
     try {
       Job.State state = RecordWire.parseEnd(value);
-      RecordWire.parseEnds(value).forEach(id -> packed.putIfAbsent(id, state));
+      RecordWire.parseEnds(value).forEach(id -> inheritedFinalStates.putIfAbsent(id, state));
     } catch (MalformedMessageException e) {
       log.warn("{} cannot be read: {}", key, e.getMessage());
     }
@@ -252,13 +252,13 @@
       List.of(RecordKeys.JOB_PAGES, RecordKeys.COMPLETIONS, RecordKeys.PLACEMENTS);
 
   /** A record under the prefix that the store has lost, going by what this copy saw; or null. */
-  public String missing(String prefix, List<StoreWire.Entry> listed) {
-    if (!recordsKnown || !NEVER_REMOVED.contains(prefix)) {
+  public String firstMissingKey(String prefix, List<StoreWire.Entry> listed) {
+    if (!recordsComplete || !NEVER_REMOVED.contains(prefix)) {
       return null;
     }
     Map<String, Long> there = new HashMap<>();
     listed.forEach(entry -> there.put(entry.key(), entry.version()));
-    for (Map.Entry<String, Value> each : under(prefix).entrySet()) {
+    for (Map.Entry<String, Value> each : recordsWithPrefix(prefix).entrySet()) {
       if (there.getOrDefault(each.getKey(), 0L) < each.getValue().version) {
         return each.getKey();
       }
@@ -270,12 +270,12 @@
    * What a newer copy of the same generation lacks of what this one saw stored and nobody removes;
    * null when it lacks nothing.
    */
-  public String lackedBy(RecordReplica newer) {
+  public String firstKeyMissingFrom(RecordReplica newer) {
     if (newer.base != base) {
       return null;
     }
     for (String prefix : NEVER_REMOVED) {
-      for (Map.Entry<String, Value> each : under(prefix).entrySet()) {
+      for (Map.Entry<String, Value> each : recordsWithPrefix(prefix).entrySet()) {
         // Revisions are 0 in a copy that was just written anew: that it is there counts then.
         Value there = newer.records.get(each.getKey());
         if (there == null || there.version < each.getValue().version) {
@@ -283,7 +283,7 @@
         }
       }
     }
-    Map<String, Job.State> missing = endsMissingIn(newer);
+    Map<String, Job.State> missing = finalStatesMissingFrom(newer);
     return missing.isEmpty() ? null : RecordKeys.FINAL_STATE + missing.keySet().iterator().next();
   }
 
@@ -294,30 +294,30 @@
    *
    * @return how many jobs have come back
    */
-  public int unite(RecordReplica before) {
+  public int restoreFrom(RecordReplica before) {
     int jobs = 0;
     for (Map.Entry<String, Value> each : before.records.entrySet()) {
       String key = each.getKey();
       try {
-        JsonNode value = each.getValue().read();
+        JsonNode value = each.getValue().parse();
         if (key.startsWith(RecordKeys.JOB_PAGES)) {
           List<JsonNode> kept = new ArrayList<>();
           for (JsonNode record : RecordWire.entries(value)) {
-            if (isNews(RecordWire.parseJob(record).spec().id())) {
+            if (isUnknownJob(RecordWire.parseJob(record).spec().id())) {
               kept.add(record);
             }
           }
           jobs += kept.size();
-          put(above(key, RecordKeys.JOB_PAGES), RecordWire.page(kept.stream()), 0, true);
+          put(restoredPageKey(key, RecordKeys.JOB_PAGES), RecordWire.page(kept.stream()), 0, true);
         } else if (key.startsWith(RecordKeys.UNPAGED_JOB)) {
-          if (isNews(key.substring(RecordKeys.UNPAGED_JOB.length()))) {
+          if (isUnknownJob(key.substring(RecordKeys.UNPAGED_JOB.length()))) {
             jobs++;
             put(key, value, 0, true);
           }
         } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
-          put(above(key, RecordKeys.COMPLETIONS), value, 0, true);
+          put(restoredPageKey(key, RecordKeys.COMPLETIONS), value, 0, true);
         } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
-          put(above(key, RecordKeys.PLACEMENTS), value, 0, true);
+          put(restoredPageKey(key, RecordKeys.PLACEMENTS), value, 0, true);
         } else if (key.startsWith(RecordKeys.CONFIGURATION) && !records.containsKey(key)) {
           put(key, value, 0, true);
         }
@@ -325,31 +325,31 @@
         log.warn("{} of the snapshot cannot be read and is left out", key);
       }
     }
-    before.endsMissingIn(this).forEach(packed::put);
+    before.finalStatesMissingFrom(this).forEach(inheritedFinalStates::put);
     return jobs;
   }
 
-  private boolean isNews(String job) {
-    return end(job) == null && !holdsJob(job);
+  private boolean isUnknownJob(String job) {
+    return finalState(job) == null && !holdsJob(job);
   }
 
   /** Numbers of pages that no leader comes to by counting. */
-  private static final long ABOVE = 1_000_000_000L;
+  private static final long RESTORED_PAGE_OFFSET = 1_000_000_000L;
 
-  private static String above(String key, String prefix) {
-    return prefix + (Long.parseLong(key.substring(prefix.length())) + ABOVE);
+  private static String restoredPageKey(String key, String prefix) {
+    return prefix + (Long.parseLong(key.substring(prefix.length())) + RESTORED_PAGE_OFFSET);
   }
 
-  private Map<String, Job.State> allEnds() {
-    Map<String, Job.State> all = new TreeMap<>(packed);
-    all.putAll(ends);
+  private Map<String, Job.State> allFinalStates() {
+    Map<String, Job.State> all = new TreeMap<>(inheritedFinalStates);
+    all.putAll(finalStates);
     return all;
   }
 
   /** Final states that a copy of another generation lacks; they hold in every generation. */
-  public Map<String, Job.State> endsMissingIn(RecordReplica other) {
-    Map<String, Job.State> missing = allEnds();
-    missing.keySet().removeIf(job -> other.end(job) != null);
+  public Map<String, Job.State> finalStatesMissingFrom(RecordReplica other) {
+    Map<String, Job.State> missing = allFinalStates();
+    missing.keySet().removeIf(job -> other.finalState(job) != null);
     return missing;
   }
 
@@ -358,10 +358,10 @@
    *
    * @param after the last key of those before, or null
    */
-  SortedMap<String, Long> pages(String after, int most) {
+  SortedMap<String, Long> neverRemovedPages(String after, int most) {
     SortedMap<String, Long> found = new TreeMap<>();
     for (String prefix : NEVER_REMOVED) {
-      for (Map.Entry<String, Value> each : under(prefix).entrySet()) {
+      for (Map.Entry<String, Value> each : recordsWithPrefix(prefix).entrySet()) {
         if (found.size() < most && (after == null || each.getKey().compareTo(after) > 0)) {
           found.put(each.getKey(), each.getValue().version);
         }
@@ -371,59 +371,59 @@
   }
 
   /** The revision of a record, or 0. */
-  long version(String key) {
+  long revisionOf(String key) {
     Value known = records.get(key);
     return known == null ? 0 : known.version;
   }
 
-  private NavigableMap<String, Value> under(String prefix) {
+  private NavigableMap<String, Value> recordsWithPrefix(String prefix) {
     return records.subMap(prefix, true, prefix + Character.MAX_VALUE, false);
   }
 
   /** What was read of the store, as far as it can be read, and what could not be. */
-  public record Reading(List<StoreWire.Entry> good, List<Damaged> damaged) {}
+  public record ListingResult(List<StoreWire.Entry> entries, List<DamagedRecord> damaged) {}
 
   /**
    * A value that cannot be read.
    *
    * @param mended whether this copy had it of the same revision, so that it is among the good ones
    */
-  public record Damaged(StoreWire.Entry entry, boolean mended) {}
+  public record DamagedRecord(StoreWire.Entry entry, boolean repaired) {}
 
   /**
    * Takes in what was read under a prefix. A value that cannot be read is replaced by the one that
    * this copy has of the same revision, or left out.
    */
-  public Reading read(String prefix, List<StoreWire.Entry> listed) {
+  public ListingResult applyListing(String prefix, List<StoreWire.Entry> listed) {
     List<StoreWire.Entry> good = new ArrayList<>(listed.size());
-    List<Damaged> damaged = new ArrayList<>();
+    List<DamagedRecord> damaged = new ArrayList<>();
     for (StoreWire.Entry entry : listed) {
-      if (readable(entry)) {
+      if (isReadable(entry)) {
         good.add(entry);
         continue;
       }
-      StoreWire.Entry mended = mended(entry);
-      damaged.add(new Damaged(entry, mended != null));
+      StoreWire.Entry mended = repair(entry);
+      damaged.add(new DamagedRecord(entry, mended != null));
       if (mended != null) {
         good.add(mended);
       }
     }
-    if (damaged.stream().allMatch(Damaged::mended)) {
-      under(prefix).clear();
+    if (damaged.stream().allMatch(DamagedRecord::repaired)) {
+      recordsWithPrefix(prefix).clear();
     }
     // Else an older value of a page that cannot be read is better than none.
     good.forEach(entry -> put(entry.key(), entry.value(), entry.version(), false));
-    return new Reading(good, damaged);
+    return new ListingResult(good, damaged);
   }
 
-  private StoreWire.Entry mended(StoreWire.Entry damaged) {
+  private StoreWire.Entry repair(StoreWire.Entry damaged) {
     Value known = records.get(damaged.key());
     if (known == null || known.version != damaged.version()) {
       return null;
     }
     try {
-      StoreWire.Entry entry = new StoreWire.Entry(damaged.key(), known.read(), damaged.version());
-      return readable(entry) ? entry : null;
+      StoreWire.Entry entry = new StoreWire.Entry(damaged.key(), known.parse(), damaged.version());
+      return isReadable(entry) ? entry : null;
     } catch (MalformedMessageException e) {
       return null;
     }
@@ -433,18 +433,18 @@
    * Takes in what is left in the store when records are to be rebuilt: of each record the newer one
    * counts, of a record that only one has that one, of final states all.
    */
-  public void merge(List<StoreWire.Entry> left) {
+  public void mergeSurviving(List<StoreWire.Entry> left) {
     for (StoreWire.Entry entry : left) {
       Value mine = records.get(entry.key());
       boolean newer = mine == null || entry.version() > mine.version;
-      if (newer && readable(entry)) {
+      if (newer && isReadable(entry)) {
         put(entry.key(), entry.value(), entry.version(), true);
       }
     }
   }
 
   /** Whether a record can be read as what its key says it is. */
-  static boolean readable(StoreWire.Entry entry) {
+  static boolean isReadable(StoreWire.Entry entry) {
     try {
       String key = entry.key();
       JsonNode value = entry.value();
@@ -475,9 +475,9 @@
   }
 
   /** A job's final state, or null when none is known. */
-  public Job.State end(String id) {
-    Job.State own = ends.get(id);
-    return own != null ? own : packed.get(id);
+  public Job.State finalState(String id) {
+    Job.State own = finalStates.get(id);
+    return own != null ? own : inheritedFinalStates.get(id);
   }
 
   /** Whether a record says that the job was accepted and is not over. */
@@ -485,11 +485,11 @@
     if (records.containsKey(RecordKeys.UNPAGED_JOB + id)) {
       return true;
     }
-    for (Map.Entry<String, Value> page : under(RecordKeys.JOB_PAGES).entrySet()) {
-      Jobs known = accepted.get(page.getKey());
+    for (Map.Entry<String, Value> page : recordsWithPrefix(RecordKeys.JOB_PAGES).entrySet()) {
+      AcceptedPage known = acceptedPages.get(page.getKey());
       if (known == null || known.version != page.getValue().version) {
-        known = new Jobs(page.getValue().version, ids(page.getValue()));
-        accepted.put(page.getKey(), known);
+        known = new AcceptedPage(page.getValue().version, jobIds(page.getValue()));
+        acceptedPages.put(page.getKey(), known);
       }
       if (known.ids.contains(id)) {
         return true;
@@ -498,10 +498,10 @@
     return false;
   }
 
-  private static Set<String> ids(Value page) {
+  private static Set<String> jobIds(Value page) {
     Set<String> ids = new HashSet<>();
     try {
-      for (JsonNode each : RecordWire.entries(page.read())) {
+      for (JsonNode each : RecordWire.entries(page.parse())) {
         ids.add(RecordWire.parseJob(each).spec().id());
       }
     } catch (MalformedMessageException e) {
@@ -511,23 +511,24 @@
   }
 
   /** Everything that is to be written when these records are to count in another generation. */
-  public List<StoreWire.Entry> image() {
-    return image(Integer.MAX_VALUE);
+  public List<StoreWire.Entry> generationEntries() {
+    return generationEntries(Integer.MAX_VALUE);
   }
 
   /** The same, in values of at most so many bytes. */
-  public List<StoreWire.Entry> image(int valueBytes) {
-    List<StoreWire.Entry> image = ReplicaPageSplitter.divide(recordImage(), valueBytes);
-    addEnds(image, Math.min(ENDS_BYTES, valueBytes - ENDS_FRAME_BYTES));
+  public List<StoreWire.Entry> generationEntries(int valueBytes) {
+    List<StoreWire.Entry> image = ReplicaPageSplitter.split(recordEntries(), valueBytes);
+    addFinalStateEntries(
+        image, Math.min(MAX_FINAL_STATE_PAGE_BYTES, valueBytes - FINAL_STATE_PAGE_OVERHEAD_BYTES));
     return image;
   }
 
-  private List<StoreWire.Entry> recordImage() {
+  private List<StoreWire.Entry> recordEntries() {
     List<StoreWire.Entry> image = new ArrayList<>();
     records.forEach(
         (key, value) -> {
           try {
-            image.add(new StoreWire.Entry(key, value.read(), value.version));
+            image.add(new StoreWire.Entry(key, value.parse(), value.version));
           } catch (MalformedMessageException e) {
             log.error("the copy of {} cannot be read and is left out", key);
           }
@@ -535,8 +536,8 @@
     return image;
   }
 
-  private void addEnds(List<StoreWire.Entry> image, int mostBytes) {
-    Map<String, Job.State> all = allEnds();
+  private void addFinalStateEntries(List<StoreWire.Entry> image, int mostBytes) {
+    Map<String, Job.State> all = allFinalStates();
     int pages = 0;
     for (Job.State state : List.of(Job.State.DONE, Job.State.CANCELLED)) {
       List<String> ids = new ArrayList<>();
@@ -547,7 +548,7 @@
         }
         ids.add(end.getKey());
         bytes += end.getKey().length() + 3;
-        if (bytes + LONGEST_ID_BYTES >= mostBytes) {
+        if (bytes + MAX_ID_BYTES >= mostBytes) {
           image.add(
               new StoreWire.Entry(
                   RecordKeys.ARCHIVED_FINAL_STATES + pages++, RecordWire.ends(state, ids), 0));
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -21,22 +21,22 @@
  */
 public final class ReplicaFollower {
   /** A start and a new term have better things to do first. */
-  private static final Duration SOON = Duration.ofSeconds(5);
+  private static final Duration INITIAL_DELAY = Duration.ofSeconds(5);
 
   /** Between requests, which also spreads the reading of a large store over the time. */
-  private static final Duration PACE = Duration.ofSeconds(1);
+  private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
   /** A copy that was in step so long ago still tells which jobs are over in time. */
-  private static final Duration FRESH = Duration.ofSeconds(6);
+  private static final Duration MAX_STALENESS = Duration.ofSeconds(6);
 
   /** Between two pages of final states that a leader compares with what it knows. */
-  private static final Duration AUDIT = Duration.ofSeconds(5);
+  private static final Duration AUDIT_INTERVAL = Duration.ofSeconds(5);
 
   /** Pages compared at a time. */
-  private static final int MOST_COMPARED = 100;
+  private static final int MAX_COMPARED_PAGES = 100;
 
   /** Behind by more the changes may take more memory than the records. */
-  private static final Duration MOST_BEHIND = Duration.ofSeconds(10);
+  private static final Duration MAX_LAG = Duration.ofSeconds(10);
 
   /** Where the copy stands. */
   public enum State {
@@ -58,29 +58,29 @@
   private RecordReplica replica;
   private State state = State.OFF;
   private long revision;
-  private Instant readAt;
+  private Instant upToDateAt;
 
   /** Pages that differed when they were last compared, with the revision that this copy had. */
-  private final Map<String, Long> differed = new HashMap<>();
+  private final Map<String, Long> mismatchedPages = new HashMap<>();
 
   /** The last page compared, or null at the beginning. */
-  private String comparedTo;
+  private String lastComparedPage;
 
   /** The last final state compared, or null at the beginning. */
-  private String endsTo;
+  private String lastAuditedJob;
 
-  private int turn;
+  private int stepCount;
 
   /** Changes with the state, so that late answers are told apart. */
-  private int round;
+  private int currentSequence;
 
   /** What the node learns. */
   public interface Listener {
     /** The copy is whole; it may be a new one in the place of the one before. */
-    void onCopy(RecordReplica whole);
+    void onReplicaComplete(RecordReplica whole);
 
     /** A record that was stored and that nobody removes is not there any more, or older. */
-    void onMissing(String key);
+    void onRecordMissing(String key);
   }
 
   public ReplicaFollower(StoreClient storeClient, EventLoop eventLoop, Listener listener) {
@@ -89,12 +89,12 @@
     this.listener = listener;
   }
 
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     state = next;
-    differed.clear();
-    comparedTo = null;
-    endsTo = null;
-    round++;
+    mismatchedPages.clear();
+    lastComparedPage = null;
+    lastAuditedJob = null;
+    currentSequence++;
   }
 
   public State state() {
@@ -105,16 +105,16 @@
   public boolean isFresh() {
     return state == State.FOLLOWING
         && replica.base() == storeClient.generation().base()
-        && readAt.plus(FRESH).isAfter(eventLoop.now());
+        && upToDateAt.plus(MAX_STALENESS).isAfter(eventLoop.now());
   }
 
   /** The records can be trusted, and this node does not lead: they are read and followed. */
   public void follow() {
-    moveTo(State.LISTING);
-    int of = round;
+    transitionTo(State.LISTING);
+    int sequence = currentSequence;
     replica = new RecordReplica(storeClient.generation().base());
     revision = -1;
-    after(SOON, of, () -> list(of, "", null));
+    schedule(INITIAL_DELAY, sequence, () -> readPage(sequence, "", null));
   }
 
   /**
@@ -123,93 +123,95 @@
   public void lead(RecordReplica fed) {
     boolean followed = state == State.FOLLOWING && fed == replica;
     replica = fed;
-    moveTo(State.LEADING);
-    int of = round;
+    transitionTo(State.LEADING);
+    int sequence = currentSequence;
     if (followed) {
-      catchUp(of);
+      catchUpFinalStates(sequence);
     } else {
-      after(PACE, of, () -> list(of, RecordKeys.FINAL_STATE, null));
+      schedule(REQUEST_INTERVAL, sequence, () -> readPage(sequence, RecordKeys.FINAL_STATE, null));
     }
   }
 
   /** Final states of the last moments before this node led; all else it has read by itself. */
-  private void catchUp(int of) {
+  private void catchUpFinalStates(int sequence) {
     storeClient.readChanges(
         revision,
         followed -> {
-          if (of != round) {
+          if (sequence != currentSequence) {
             return;
           }
           StoreWire.Changes changes = followed.changes();
           if (changes == null) {
-            after(PACE, of, () -> list(of, RecordKeys.FINAL_STATE, null));
+            schedule(
+                REQUEST_INTERVAL, sequence, () -> readPage(sequence, RecordKeys.FINAL_STATE, null));
             return;
           }
           changes.entries().stream()
               .filter(e -> e.key().startsWith(RecordKeys.FINAL_STATE))
               .forEach(e -> replica.put(e.key(), e.value(), e.version(), false));
-          fed();
+          startAudit();
         });
   }
 
   /** Nothing is read until it is said again. */
   public void stop() {
-    moveTo(State.OFF);
+    transitionTo(State.OFF);
   }
 
-  private void after(Duration pause, int of, Runnable action) {
+  private void schedule(Duration pause, int sequence, Runnable action) {
     eventLoop.schedule(
         pause,
         () -> {
-          if (of == round) {
+          if (sequence == currentSequence) {
             action.run();
           }
         });
   }
 
-  private void list(int of, String prefix, String after) {
+  private void readPage(int sequence, String prefix, String after) {
     storeClient.readPage(
         prefix,
         after,
         page -> {
-          if (of != round) {
+          if (sequence != currentSequence) {
             return;
           }
           if (page == null) {
-            after(PACE, of, () -> list(of, prefix, after));
+            schedule(REQUEST_INTERVAL, sequence, () -> readPage(sequence, prefix, after));
             return;
           }
           boolean own = state == State.LISTING;
           revision = revision < 0 ? page.revision() : revision;
           page.entries().forEach(e -> replica.put(e.key(), e.value(), e.version(), own));
           if (page.next() != null) {
-            after(PACE, of, () -> list(of, prefix, page.next()));
+            schedule(REQUEST_INTERVAL, sequence, () -> readPage(sequence, prefix, page.next()));
             return;
           }
-          replica.endsRead();
+          replica.finalStatesLoaded();
           if (own) {
             replica.recordsRead();
-            listener.onCopy(replica);
-            readAt = eventLoop.now();
-            moveTo(State.FOLLOWING);
-            int now = round;
-            after(PACE, now, () -> step(now));
+            listener.onReplicaComplete(replica);
+            upToDateAt = eventLoop.now();
+            transitionTo(State.FOLLOWING);
+            int now = currentSequence;
+            schedule(REQUEST_INTERVAL, now, () -> step(now));
           } else {
-            fed();
+            startAudit();
           }
         });
   }
 
   /** All is read; from here on final states are compared with the store, a page at a time. */
-  private void fed() {
-    moveTo(State.FED);
-    listener.onCopy(replica);
-    int of = round;
-    after(AUDIT, of, () -> audit(of, null));
+  private void startAudit() {
+    transitionTo(State.FED);
+    listener.onReplicaComplete(replica);
+    int sequence = currentSequence;
+    schedule(AUDIT_INTERVAL, sequence, () -> audit(sequence, null));
   }
 
-  private void audit(int of, String from) {
-    auditPage(of, from, next -> after(AUDIT, of, () -> audit(of, next)));
+  private void audit(int sequence, String from) {
+    auditPage(
+        sequence, from, next -> schedule(AUDIT_INTERVAL, sequence, () -> audit(sequence, next)));
   }
 
   /**
@@ -217,12 +219,12 @@
    *
    * @param then told after which the next page begins; null for the first
    */
-  private void auditPage(int of, String after, Consumer<String> then) {
+  private void auditPage(int sequence, String after, Consumer<String> then) {
     storeClient.readPage(
         RecordKeys.FINAL_STATE,
         after == null ? null : RecordKeys.FINAL_STATE + after,
         page -> {
-          if (of != round) {
+          if (sequence != currentSequence) {
             return;
           }
           String last = after;
@@ -232,10 +234,10 @@
                 .forEach(e -> there.add(e.key().substring(RecordKeys.FINAL_STATE.length())));
             String next = page.next();
             last = next == null ? null : next.substring(RecordKeys.FINAL_STATE.length());
-            for (String job : replica.endsBetween(after, last)) {
+            for (String job : replica.finalStatesBetween(after, last)) {
               if (!there.contains(job)) {
                 // It may have been stored after the page was read.
-                confirm(of, RecordKeys.FINAL_STATE + job, 1);
+                confirmMissing(sequence, RecordKeys.FINAL_STATE + job, 1);
                 break;
               }
             }
@@ -245,20 +247,20 @@
   }
 
   /** Every third request compares pages or final states in place of following. */
-  private void step(int of) {
-    turn = (turn + 1) % 6;
-    if (turn == 0) {
-      compare(of);
-    } else if (turn == 3) {
+  private void step(int sequence) {
+    stepCount = (stepCount + 1) % 6;
+    if (stepCount == 0) {
+      comparePages(sequence);
+    } else if (stepCount == 3) {
       auditPage(
-          of,
-          endsTo,
+          sequence,
+          lastAuditedJob,
           next -> {
-            endsTo = next;
-            after(PACE, of, () -> step(of));
+            lastAuditedJob = next;
+            schedule(REQUEST_INTERVAL, sequence, () -> step(sequence));
           });
     } else {
-      changes(of);
+      readChanges(sequence);
     }
   }
 
@@ -266,65 +268,65 @@
    * Compares pages with the store in a transaction that changes nothing. One that differs was
    * written meanwhile, or is lost: what differs twice while this copy has no newer one is read.
    */
-  private void compare(int of) {
-    int most = Math.min(MOST_COMPARED, 4 * storeClient.limits().transactionOps() - 1);
-    SortedMap<String, Long> asked = replica.pages(comparedTo, most);
-    comparedTo = asked.size() < most ? null : asked.lastKey();
+  private void comparePages(int sequence) {
+    int most = Math.min(MAX_COMPARED_PAGES, 4 * storeClient.limits().transactionOps() - 1);
+    SortedMap<String, Long> asked = replica.neverRemovedPages(lastComparedPage, most);
+    lastComparedPage = asked.size() < most ? null : asked.lastKey();
     StoreWire.Transaction compare = storeClient.transaction();
     asked.forEach(compare::require);
     storeClient.checkConditions(
         compare,
         failed -> {
-          if (of != round) {
+          if (sequence != currentSequence) {
             return;
           }
           for (String key : failed == null ? List.<String>of() : failed) {
-            Long before = differed.put(key, asked.getOrDefault(key, 0L));
-            if (before != null && before == replica.version(key) && asked.containsKey(key)) {
-              confirm(of, key, replica.version(key));
+            Long before = mismatchedPages.put(key, asked.getOrDefault(key, 0L));
+            if (before != null && before == replica.revisionOf(key) && asked.containsKey(key)) {
+              confirmMissing(sequence, key, replica.revisionOf(key));
             }
           }
           if (failed != null) {
-            differed.keySet().removeIf(k -> asked.containsKey(k) && !failed.contains(k));
+            mismatchedPages.keySet().removeIf(k -> asked.containsKey(k) && !failed.contains(k));
           }
-          after(PACE, of, () -> step(of));
+          schedule(REQUEST_INTERVAL, sequence, () -> step(sequence));
         });
   }
 
   /**
    * Reads a record that seems to be older than this revision, or missing; what it tells is certain.
    */
-  private void confirm(int of, String key, long known) {
+  private void confirmMissing(int sequence, String key, long known) {
     storeClient.read(
         key,
         read -> {
           long found = read.found() ? read.entry().version() : 0;
-          if (of == round && read.certain() && found < known) {
-            listener.onMissing(key);
+          if (sequence == currentSequence && read.certain() && found < known) {
+            listener.onRecordMissing(key);
           }
         });
   }
 
-  private void changes(int of) {
+  private void readChanges(int sequence) {
     Instant sent = eventLoop.now();
     storeClient.readChanges(
         revision,
         followed -> {
-          if (of != round) {
+          if (sequence != currentSequence) {
             return;
           }
           StoreWire.Changes changes = followed.changes();
           if (changes != null) {
             revision = changes.revision();
-            readAt = sent;
+            upToDateAt = sent;
             changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.version(), true));
-            replica.reached(revision);
+            replica.advanceTo(revision);
           } else if (followed.reply().is(410)
-              || readAt.plus(MOST_BEHIND).isBefore(eventLoop.now()) && storeClient.isHealthy()) {
+              || upToDateAt.plus(MAX_LAG).isBefore(eventLoop.now()) && storeClient.isHealthy()) {
             follow();
             return;
           }
-          after(PACE, of, () -> step(of));
+          schedule(REQUEST_INTERVAL, sequence, () -> step(sequence));
         });
   }
 }
--- a/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
+++ b/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
@@ -16,81 +16,82 @@
  */
 final class ReplicaPageSplitter {
   /** What a page takes beside its items. */
-  private static final int FRAME_BYTES = 64;
+  private static final int PAGE_OVERHEAD_BYTES = 64;
 
   /** Kinds of pages whose items may stand in any page of the kind. */
-  private static final List<String> PAGED =
+  private static final List<String> PAGED_PREFIXES =
       List.of(
           RecordKeys.JOB_PAGES,
           RecordKeys.PLACEMENTS,
           RecordKeys.COMPLETIONS,
           RecordKeys.CACHED_IMAGES);
 
-  private static final List<String> LISTS = List.of("entries", "notices");
+  private static final List<String> LIST_FIELDS = List.of("entries", "notices");
 
-  private final int valueBytes;
-  private final List<StoreWire.Entry> divided = new ArrayList<>();
+  private final int maxValueBytes;
+  private final List<StoreWire.Entry> splitEntries = new ArrayList<>();
 
-  private ReplicaPageSplitter(int valueBytes) {
-    this.valueBytes = valueBytes;
+  private ReplicaPageSplitter(int maxValueBytes) {
+    this.maxValueBytes = maxValueBytes;
   }
 
   /**
    * The same records in values of at most so many bytes each; an item that takes more stays as it
    * is.
    */
-  static List<StoreWire.Entry> divide(List<StoreWire.Entry> image, int valueBytes) {
-    ReplicaPageSplitter pages = new ReplicaPageSplitter(valueBytes);
-    for (String kind : PAGED) {
-      pages.divideKind(kind, image.stream().filter(e -> e.key().startsWith(kind)).toList());
+  static List<StoreWire.Entry> split(List<StoreWire.Entry> entries, int maxValueBytes) {
+    ReplicaPageSplitter splitter = new ReplicaPageSplitter(maxValueBytes);
+    for (String prefix : PAGED_PREFIXES) {
+      splitter.splitPages(
+          prefix, entries.stream().filter(e -> e.key().startsWith(prefix)).toList());
     }
-    for (StoreWire.Entry entry : image) {
-      if (PAGED.stream().noneMatch(kind -> entry.key().startsWith(kind))) {
-        pages.divided.add(entry);
+    for (StoreWire.Entry entry : entries) {
+      if (PAGED_PREFIXES.stream().noneMatch(prefix -> entry.key().startsWith(prefix))) {
+        splitter.splitEntries.add(entry);
       }
     }
-    return pages.divided;
+    return splitter.splitEntries;
   }
 
-  private void divideKind(String kind, List<StoreWire.Entry> pages) {
-    long next = 0;
+  private void splitPages(String prefix, List<StoreWire.Entry> pages) {
+    long nextPageNumber = 0;
     for (StoreWire.Entry page : pages) {
-      next = Math.max(next, number(page.key(), kind) + 1);
+      nextPageNumber = Math.max(nextPageNumber, number(page.key(), prefix) + 1);
       for (JsonNode item : page.value().path("entries")) {
         // A page with the name of one that was divided would make the copies of its records void.
         String source = RecordWire.source(item);
-        next = Math.max(next, source == null ? 0 : number(source, kind) + 1);
+        nextPageNumber = Math.max(nextPageNumber, source == null ? 0 : number(source, prefix) + 1);
       }
     }
     for (StoreWire.Entry page : pages) {
-      if (Json.bytes(page.value()).length <= valueBytes) {
-        divided.add(page);
+      if (Json.bytes(page.value()).length <= maxValueBytes) {
+        splitEntries.add(page);
         continue;
       }
       // The first part keeps the name, for copies that do not count as long as it is there.
       String key = page.key();
-      for (ObjectNode part : parts(page.value())) {
-        divided.add(new StoreWire.Entry(key, part, page.version()));
-        key = kind + next++;
+      for (ObjectNode part : splitPage(page.value())) {
+        splitEntries.add(new StoreWire.Entry(key, part, page.version()));
+        key = prefix + nextPageNumber++;
       }
     }
   }
 
-  private static long number(String key, String kind) {
-    String rest = key.substring(kind.length());
+  private static long number(String key, String prefix) {
+    String rest = key.substring(prefix.length());
     return rest.matches("[0-9]{1,18}") ? Long.parseLong(rest) : -1;
   }
 
-  private List<ObjectNode> parts(JsonNode page) {
+  private List<ObjectNode> splitPage(JsonNode page) {
     List<ObjectNode> parts = new ArrayList<>();
-    ObjectNode part = emptyPart();
+    ObjectNode part = emptyPage();
     int bytes = 0;
-    for (String list : LISTS) {
+    for (String list : LIST_FIELDS) {
       for (JsonNode item : page.path(list)) {
         int size = Json.bytes(item).length + 1;
-        if (bytes > 0 && bytes + size > valueBytes - FRAME_BYTES) {
+        if (bytes > 0 && bytes + size > maxValueBytes - PAGE_OVERHEAD_BYTES) {
           parts.add(part);
-          part = emptyPart();
+          part = emptyPage();
           bytes = 0;
         }
         part.withArray(list).add(item);
@@ -101,7 +102,7 @@
     return parts;
   }
 
-  private static ObjectNode emptyPart() {
+  private static ObjectNode emptyPage() {
     ObjectNode part = Json.object();
     part.putArray("entries");
     return part;
--- a/src/test/java/io/pineladder/replica/RecordReplicaTest.java
+++ b/src/test/java/io/pineladder/replica/RecordReplicaTest.java
@@ -66,7 +66,7 @@
 
   private static Map<String, JsonNode> records(RecordReplica replica) {
     Map<String, JsonNode> found = new TreeMap<>();
-    for (Entry entry : replica.image()) {
+    for (Entry entry : replica.generationEntries()) {
       if (!entry.key().startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
         found.put(entry.key(), entry.value());
       }
@@ -76,7 +76,7 @@
 
   private static Map<String, Job.State> ends(RecordReplica replica) throws Exception {
     Map<String, Job.State> found = new TreeMap<>();
-    for (Entry entry : replica.image()) {
+    for (Entry entry : replica.generationEntries()) {
       if (entry.key().startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
         for (String job : RecordWire.parseEnds(entry.value())) {
           assertEquals(null, found.put(job, state(entry.value())), job + " is there twice");
@@ -104,7 +104,7 @@
           model.take(entry);
         }
       }
-      replica.merge(rest);
+      replica.mergeSurviving(rest);
       Map<String, JsonNode> expected = new TreeMap<>();
       model.records.forEach((key, entry) -> expected.put(key, entry.value()));
       assertEquals(expected, records(replica));
@@ -112,9 +112,10 @@
 
       // A snapshot with the changes since is the same again, in whatever generation.
       Snapshot kept = Snapshot.decode(replica.snapshot("c", Instant.EPOCH).encode());
-      RecordReplica back = RecordReplica.of(new SnapshotManager.LoadedSnapshot(kept, List.of()));
-      assertEquals(replica.image(), back.image());
-      back.moved(
+      RecordReplica back =
+          RecordReplica.fromSnapshot(new SnapshotManager.LoadedSnapshot(kept, List.of()));
+      assertEquals(replica.generationEntries(), back.generationEntries());
+      back.rebaseTo(
           new Generation(
               1L << 30, 5, Generation.Phase.COMPLETE, true, new Generation.Writer("m", "n")));
       assertEquals(expected, records(back));
@@ -128,13 +129,13 @@
     JsonNode page = Json.object().set("entries", Json.array());
     replica.put("placed/0", page, 7, false);
     replica.put("placed/1", page, 9, false);
-    replica.begun();
+    replica.recordsLoaded();
     List<Entry> whole = List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
-    assertEquals(null, replica.missing(RecordKeys.PLACEMENTS, whole));
-    assertEquals("placed/1", replica.missing(RecordKeys.PLACEMENTS, whole.subList(0, 1)));
+    assertEquals(null, replica.firstMissingKey(RecordKeys.PLACEMENTS, whole));
+    assertEquals("placed/1", replica.firstMissingKey(RecordKeys.PLACEMENTS, whole.subList(0, 1)));
     assertEquals(
         "placed/0",
-        replica.missing(
+        replica.firstMissingKey(
             RecordKeys.PLACEMENTS,
             List.of(new Entry("placed/0", page, 6), new Entry("placed/1", page, 9))));
   }
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -213,7 +213,7 @@
     work(10);
     List<SafetyRules.Known> before = List.copyOf(rules.jobs.values());
     world.runFor(Duration.ofSeconds(15));
-    byte[] kept = controllers.get(leading()).node.replicaManager().takeSnapshot();
+    byte[] kept = controllers.get(leading()).node.replicaManager().exportSnapshot();
     store.loseEverything();
     controllers.forEach(each -> kill(each, 6_000 + each.index * 300L));
     // Users who ask meanwhile are told that nothing is certain.
@@ -221,11 +221,12 @@
     ControllerNode leader = controllers.get(leading()).node;
     byte[] damaged = kept.clone();
     damaged[damaged.length / 2] ^= 1;
-    assertThrows(MalformedMessageException.class, () -> leader.replicaManager().handIn(damaged));
+    assertThrows(
+        MalformedMessageException.class, () -> leader.replicaManager().importSnapshot(damaged));
     assertThrows(
         MalformedMessageException.class,
-        () -> leader.replicaManager().handIn(Arrays.copyOf(kept, kept.length / 2)));
-    assertTrue(leader.replicaManager().handIn(kept) > 0);
+        () -> leader.replicaManager().importSnapshot(Arrays.copyOf(kept, kept.length / 2)));
+    assertTrue(leader.replicaManager().importSnapshot(kept) > 0);
     work(5);
     settle(Duration.ofSeconds(400));
     assertTrue(before.stream().allMatch(job -> job.accepted));
