--- /dev/null
+++ b/src/test/java/io/pineladder/sim/BehaviourDigest.java
@@ -0,0 +1,390 @@
+package io.pineladder.sim;
+
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.sim.ConfigurableCluster.Layout;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.io.PrintWriter;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.DigestOutputStream;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.security.Provider;
+import java.security.SecureRandomSpi;
+import java.security.Security;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.function.Supplier;
+
+/**
+ * Plays a fixed set of simulated scenarios and prints, for each, a SHA-256 of all that the
+ * controllers send: each request (time, host, address, method, path, timeout, body) and each answer
+ * (time, address, method, path, status, {@code Retry-After}, body), in order, and at the end one
+ * over all scenarios. A change that is meant to leave the behaviour as it is must leave the digests
+ * as they are. No class names, log lines or metrics are part of them.
+ *
+ * <p>Arguments: {@code --record DIR} writes the traffic of each scenario as text to a file in that
+ * directory, so that two versions can be compared line by line; any other argument selects the
+ * scenarios whose name begins with it. The scenarios check what the tests check that they are taken
+ * from; the program ends with status 1 if one fails.
+ *
+ * <p>Random bytes of {@link java.security.SecureRandom}, which the encryption of subscribers'
+ * secrets draws, are replaced by ones that follow a fixed seed; so all bodies can be part of the
+ * digests. The iteration order of hash tables of enum constants differs between versions of the
+ * program, and that of {@code Set.of} between processes. No digest was seen to depend on either:
+ * runs with {@code -XX:hashCode=2} print the same as runs without.
+ */
+final class BehaviourDigest {
+  /** Addresses of controllers, and of nothing else, begin so. */
+  private static final String CONTROLLERS = "10.0.0.";
+
+  /** What a scenario does with its cluster. */
+  private interface Play<C extends SimulatedCluster> {
+    void on(C cluster) throws Exception;
+  }
+
+  /** A scenario that can be played once, watched by the observer. */
+  private record Scenario(String name, Player player) {
+    private interface Player {
+      void play(TrafficObserver observer) throws Exception;
+    }
+  }
+
+  private final List<Scenario> scenarios = new ArrayList<>();
+
+  private <C extends SimulatedCluster> void add(String name, Supplier<C> begin, Play<C> play) {
+    scenarios.add(
+        new Scenario(
+            name,
+            observer -> {
+              C cluster = begin.get();
+              cluster.traffic = observer;
+              play.on(cluster);
+            }));
+  }
+
+  private BehaviourDigest() {
+    add("quiet", ClusterSimulationTest::new, ClusterSimulationTest::aQuietDayIsServedPromptly);
+    add(
+        "cut-leader",
+        ClusterSimulationTest::new,
+        ClusterSimulationTest::aLeaderWhoseWorkersOnlyReachItsPeersMakesWayOnce);
+    add(
+        "cut-follower",
+        ClusterSimulationTest::new,
+        ClusterSimulationTest::aPeerStoresWhatANodeWithoutLeaderAndStoreCannot);
+    for (long seed : new long[] {1, 2, 3145}) {
+      add(
+          "faults-" + seed,
+          ClusterSimulationTest::new,
+          cluster -> cluster.theRulesHoldUnderFaultsTogether(seed));
+    }
+    for (Layout layout : Layout.values()) {
+      int number = layout.ordinal();
+      add(
+          "upgrade-" + number,
+          ChainedJobsTest::new,
+          cluster -> cluster.anUpgradeAndChainsKeepTheRules(layout, number % 2));
+    }
+    add("chain-input", ChainedJobsTest::new, ChainedJobsTest::whatIsSubmittedIsChecked);
+    add(
+        "chain-cancelled",
+        ChainedJobsTest::new,
+        ChainedJobsTest::aCancellationReachesAllThatNeedTheJob);
+    add(
+        "chain-version",
+        ChainedJobsTest::new,
+        ChainedJobsTest::theVersionIsRaisedOnceAllControllersSupportIt);
+    add("too-old", ChainedJobsTest::new, ChainedJobsTest::aControllerThatIsTooOldServesNothing);
+    for (StateLossTest.Loss loss : StateLossTest.Loss.values()) {
+      int number = loss.ordinal();
+      add(
+          "loss-" + number,
+          StateLossTest::new,
+          cluster -> {
+            switch (number % 3) {
+              case 0 -> cluster.whatIsLostIsRebuiltByControllersThatLive(loss, 1);
+              case 1 -> cluster.whatIsLostWithTheLeaderIsRebuiltByTheOthers(loss, 1);
+              default -> cluster.whatIsLostWithAllControllersIsRebuiltFromSnapshots(loss, 1);
+            }
+          });
+    }
+    add("loss-twice", StateLossTest::new, StateLossTest::aSecondLossFindsWhatTheFirstHasLeft);
+    add("loss-hand-in", StateLossTest::new, StateLossTest::aSnapshotThatIsHandedInBringsJobsBack);
+    add(
+        "loss-cleared",
+        StateLossTest::new,
+        StateLossTest::whatEarlierGenerationsLeaveIsClearedAway);
+    add(
+        "loss-early",
+        StateLossTest::new,
+        cluster -> cluster.aLossInAClustersFirstSecondsIsRebuiltByWhoKnowsMost(3));
+    for (long seed : new long[] {0, 4}) {
+      add(
+          "zone-cut-" + seed,
+          ZoneSimulationTest::new,
+          cluster -> cluster.whatRunsInAZoneLivesThroughItsCutWhoeverLeads(seed));
+    }
+    add(
+        "zones-parted",
+        ZoneSimulationTest::new,
+        cluster -> cluster.zonesThatDoNotReachOneAnotherGoOn(1));
+    add(
+        "zone-cancelled",
+        ZoneSimulationTest::new,
+        ZoneSimulationTest::aJobInAZoneThatIsAwayIsCalledCancelledOnceItIsBack);
+    add("zone-lost", ZoneSimulationTest::new, ZoneSimulationTest::aZoneThatIsLostForGoodIsReplaced);
+    for (int i = 0; i < FaultCombinationsTest.Combination.values().length; i += 2) {
+      int first = i;
+      add(
+          "combination-" + first,
+          FaultCombinationsTest::new,
+          cluster -> cluster.theRulesHoldWhereThreeMeet(first, 0));
+    }
+    add(
+        "repeated-writes",
+        FaultCombinationsTest::new,
+        FaultCombinationsTest::aTransactionThatWasExecutedHasNoEffectASecondTime);
+    add(
+        "lost-answers",
+        FaultCombinationsTest::new,
+        FaultCombinationsTest::anAnswerThatIsLostIsNoRefusalAndNobodyElsesWork);
+    for (RandomFaultsTest.Trouble trouble : RandomFaultsTest.Trouble.values()) {
+      for (RandomFaultsTest.Beside beside : RandomFaultsTest.Beside.values()) {
+        if ((trouble.ordinal() + beside.ordinal()) % 2 == 0) {
+          add(
+              "unlisted-" + trouble.ordinal() + "-" + beside.ordinal(),
+              RandomFaultsTest::new,
+              cluster -> cluster.allIsKnownAndServed(trouble, beside, 0));
+        }
+      }
+    }
+    add(
+        "gang",
+        RandomFaultsTest::new,
+        RandomFaultsTest::aGangBeginsThoughSmallTasksOfItsRankTakeEachFreedPiece);
+    for (long seed : new long[] {1, 2}) {
+      add(
+          "delivery-" + seed,
+          DeliverySimulationTest::new,
+          cluster -> cluster.eachEndIsToldOnceUnderFaultsTogether(seed));
+    }
+    add(
+        "delivery-wanted",
+        DeliverySimulationTest::new,
+        DeliverySimulationTest::eachEndIsToldOnceToThoseWhoWantIt);
+    add(
+        "delivery-refused",
+        DeliverySimulationTest::new,
+        DeliverySimulationTest::refusalsEndParkOrPauseOnlyTheirOwnSubscription);
+    add(
+        "delivery-administered",
+        DeliverySimulationTest::new,
+        DeliverySimulationTest::whatIsAdministeredHoldsAtOnceAndForLaterLeaders);
+    add(
+        "delivery-backlog",
+        DeliverySimulationTest::new,
+        DeliverySimulationTest::whatWaitsForLongLeavesThePagesOfJobs);
+    add(
+        "delivery-outage",
+        DeliverySimulationTest::new,
+        DeliverySimulationTest::anOutageOfTheStoreRepeatsAndLosesNothing);
+    add(
+        "delivery-secrets",
+        DeliverySimulationTest::new,
+        DeliverySimulationTest::secretsAreReplacedWhileNoticesAreUnderWay);
+    add(
+        "starved-chance",
+        StarvationTest::new,
+        StarvationTest::aJobThatFailedByChanceWhereverThereIsRoomRunsAllTheSame);
+    add(
+        "starved-pressed",
+        StarvationTest::new,
+        cluster -> cluster.whereThereIsMoreWorkThanRoomNothingWaitsBesideRoom(Layout.PAIR, 1));
+    add(
+        "recovery-burst",
+        RecoverySimulationTest::new,
+        RecoverySimulationTest::aBurstOfSubmissionsCostsFewChangesOfTheStore);
+    add(
+        "recovery-pages",
+        RecoverySimulationTest::new,
+        RecoverySimulationTest::aNodeWithoutLeaderAnswersForJobsInPages);
+    add(
+        "pile-up",
+        CascadingFaultsSimulationTest::new,
+        CascadingFaultsSimulationTest::aFleetComesThroughFaultsThatPileUp);
+  }
+
+  /** Hashes what controllers send, and writes it down if it is given a writer. */
+  private static final class Recorder implements TrafficObserver {
+    private final MessageDigest digest = sha256();
+    private final DataOutputStream out =
+        new DataOutputStream(new DigestOutputStream(OutputStream.nullOutputStream(), digest));
+    private final PrintWriter lines;
+    private int requests;
+    private int answers;
+
+    Recorder(PrintWriter lines) {
+      this.lines = lines;
+    }
+
+    @Override
+    public void sent(Instant time, String from, AsyncHttpClient.Request request) {
+      if (from.startsWith(CONTROLLERS)) {
+        requests++;
+        String timeout = Long.toString(request.timeout().toMillis());
+        record("request", time, from, request, timeout, request.body());
+      }
+    }
+
+    @Override
+    public void answered(Instant time, AsyncHttpClient.Request request, HttpResponse answer) {
+      if (request.address().startsWith(CONTROLLERS)) {
+        answers++;
+        String status = answer.status() + " " + answer.retryAfterSeconds();
+        record("answer", time, "", request, status, answer.body());
+      }
+    }
+
+    private void record(
+        String kind,
+        Instant time,
+        String from,
+        AsyncHttpClient.Request request,
+        String more,
+        byte[] body) {
+      byte[] bytes = body == null ? new byte[0] : body;
+      String head =
+          String.join(
+              "\t",
+              Long.toString(time.toEpochMilli()),
+              kind,
+              from,
+              request.address(),
+              request.method(),
+              request.path(),
+              more);
+      try {
+        byte[] headBytes = head.getBytes(StandardCharsets.UTF_8);
+        out.writeInt(headBytes.length);
+        out.write(headBytes);
+        out.writeInt(body == null ? -1 : bytes.length);
+        out.write(bytes);
+      } catch (IOException e) {
+        throw new UncheckedIOException(e);
+      }
+      if (lines != null) {
+        String text = new String(bytes, StandardCharsets.ISO_8859_1);
+        lines.println(head + "\t" + text.replaceAll("[^ -~]", "."));
+      }
+    }
+  }
+
+  private static MessageDigest sha256() {
+    try {
+      return MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** Random bytes that follow a fixed seed, begun anew with each scenario. */
+  public static final class SeededRandom extends SecureRandomSpi {
+    private static SplittableRandom random = new SplittableRandom(1);
+
+    static void beginAnew() {
+      random = new SplittableRandom(1);
+    }
+
+    @Override
+    protected void engineSetSeed(byte[] seed) {}
+
+    @Override
+    protected void engineNextBytes(byte[] bytes) {
+      random.nextBytes(bytes);
+    }
+
+    @Override
+    protected byte[] engineGenerateSeed(int count) {
+      byte[] bytes = new byte[count];
+      random.nextBytes(bytes);
+      return bytes;
+    }
+  }
+
+  /** Provides {@link SeededRandom} wherever a random generator of this process is secure. */
+  private static final class SeededProvider extends Provider {
+    private static final long serialVersionUID = 1;
+
+    SeededProvider() {
+      super("Seeded", "1", "random bytes that follow a fixed seed");
+      put("SecureRandom.Seeded", SeededRandom.class.getName());
+    }
+  }
+
+  /** Plays the scenarios that the arguments select, all by default, and prints their digests. */
+  public static void main(String[] arguments) throws IOException {
+    Security.insertProviderAt(new SeededProvider(), 1);
+    List<String> selected = new ArrayList<>(Arrays.asList(arguments));
+    Path directory = null;
+    int option = selected.indexOf("--record");
+    if (option >= 0) {
+      selected.remove(option);
+      directory = Files.createDirectories(Path.of(selected.remove(option)));
+    }
+    long begun = System.nanoTime();
+    MessageDigest total = sha256();
+    int played = 0;
+    int failed = 0;
+    for (Scenario scenario : new BehaviourDigest().scenarios) {
+      if (selected.isEmpty() || selected.stream().anyMatch(scenario.name()::startsWith)) {
+        played++;
+        String line = play(scenario, directory);
+        failed += line.endsWith("failed") ? 1 : 0;
+        System.out.println(line);
+        total.update((line + "\n").getBytes(StandardCharsets.UTF_8));
+      }
+    }
+    System.out.println(HexFormat.of().formatHex(total.digest()) + "  total of " + played);
+    System.err.println(Duration.ofNanos(System.nanoTime() - begun).toSeconds() + " s");
+    System.exit(failed == 0 && played > 0 ? 0 : 1);
+  }
+
+  private static String play(Scenario scenario, Path directory) throws IOException {
+    SeededRandom.beginAnew();
+    long begun = System.nanoTime();
+    String end = "";
+    Recorder recorder;
+    try (PrintWriter lines =
+        directory == null
+            ? null
+            : new PrintWriter(
+                Files.newBufferedWriter(directory.resolve(scenario.name() + ".txt")))) {
+      recorder = new Recorder(lines);
+      try {
+        scenario.player().play(recorder);
+      } catch (Exception | AssertionError e) {
+        e.printStackTrace();
+        end = " failed";
+      }
+    }
+    System.err.println(scenario.name() + " " + (System.nanoTime() - begun) / 1_000_000 + " ms");
+    return String.format(
+        "%s  %s  %d requests, %d answers%s",
+        HexFormat.of().formatHex(recorder.digest.digest()),
+        scenario.name(),
+        recorder.requests,
+        recorder.answers,
+        end);
+  }
+}
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -21,6 +21,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
@@ -144,7 +145,7 @@
     return (message, onAnswer) -> {
       ObjectNode envelope = Json.object();
       ObjectNode headers = envelope.putObject("headers");
-      message.headers().forEach(headers::put);
+      new TreeMap<>(message.headers()).forEach(headers::put);
       envelope.put("body", Base64.getEncoder().encodeToString(message.body()));
       httpClient.call(
           AsyncHttpClient.Request.post(
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -60,6 +60,9 @@
   /** The store may lose data on this day; on any other nobody may think that it has. */
   boolean losesData;
 
+  /** Told of all traffic of the simulated network; set it before the simulation begins. */
+  TrafficObserver traffic = TrafficObserver.NONE;
+
   /** What controllers keep snapshots on, by their number; none unless a test sets them up. */
   final Map<Integer, SnapshotStore> shelves = new HashMap<>();
 
@@ -106,6 +109,7 @@
 
   void begin(long seed) {
     world = new SimulatedWorld(seed);
+    world.traffic = traffic;
     rules = new SafetyRules(world, settings(0).teams());
     store = new FakeKeyValueStore(world, 12, 8192);
     fleet = new FakeFleet(world, rules, fronts);
--- a/src/test/java/io/pineladder/sim/SimulatedWorld.java
+++ b/src/test/java/io/pineladder/sim/SimulatedWorld.java
@@ -88,6 +88,9 @@
 
   Outside outside;
 
+  /** Told of what is sent and answered here; not of what goes through {@link #outside}. */
+  TrafficObserver traffic = TrafficObserver.NONE;
+
   void serve(String address, AsyncHttpHandler handler) {
     servers.put(address, handler);
     if (outside != null) {
@@ -208,6 +211,7 @@
                   });
     }
     return (request, onReply) -> {
+      traffic.sent(now(), from, request);
       boolean[] over = new boolean[1];
       Consumer<AsyncHttpClient.Reply> once =
           reply ->
@@ -289,7 +293,14 @@
           host(request.address()),
           () -> {
             if (servers.get(request.address()) == server) {
-              server.handle(request.method(), request.path(), body, onAnswer);
+              server.handle(
+                  request.method(),
+                  request.path(),
+                  body,
+                  answer -> {
+                    traffic.answered(now(), request, answer);
+                    onAnswer.accept(answer);
+                  });
             }
           });
     }
