--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -1,10 +1,7 @@
 package io.pineladder;
 
-import com.github.benmanes.caffeine.cache.Cache;
-import com.github.benmanes.caffeine.cache.Caffeine;
 import io.pineladder.delivery.DeliveryContext;
 import io.pineladder.failover.FailoverTimings;
-import io.pineladder.generation.GenerationManager;
 import io.pineladder.leadership.Election;
 import io.pineladder.membership.Membership;
 import io.pineladder.model.MachineType;
@@ -15,24 +12,17 @@
 import io.pineladder.net.BackgroundExecutor;
 import io.pineladder.net.EventLoop;
 import io.pineladder.recovery.ReplicaManager;
-import io.pineladder.replica.RecordReplica;
-import io.pineladder.retry.Backoff;
 import io.pineladder.snapshot.SnapshotStore;
 import io.pineladder.store.AcceptedJobIndex;
 import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
 import io.pineladder.upgrade.ClusterVersion;
-import io.pineladder.wire.CloudWire;
 import io.pineladder.wire.GossipWire;
-import io.pineladder.wire.JobWire;
-import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
-import io.pineladder.wire.StoreWire;
 import io.pineladder.zones.LeaseKeepAliveWriter;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,11 +35,7 @@
   /** A tick that comes so much late is worth a line. */
   private static final Duration MAX_TICK_DELAY = Duration.ofSeconds(1);
 
-  private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
-  private static final Duration MACHINE_TYPES_INTERVAL = Duration.ofSeconds(60);
   private static final Duration MIN_HAND_OVER_INTERVAL = Duration.ofSeconds(60);
-  private static final Duration CLOUD_TIMEOUT = Duration.ofSeconds(3);
-  private static final int FINAL_STATE_CACHE_SIZE = 20_000;
 
   private final Settings settings;
   private final EventLoop eventLoop;
@@ -59,23 +45,24 @@
   private final AcceptedJobIndex acceptedJobs;
   private final Membership membership;
   private final FailoverTimings failoverTimings;
-  private final Backoff configurationRetry;
-  private final DeliveryContext delivery;
-
-  /** Final states never change, so any copy of them may be told. */
-  private final Cache<String, JobWire.Status> finalStates =
-      Caffeine.newBuilder().maximumSize(FINAL_STATE_CACHE_SIZE).executor(Runnable::run).build();
-
+  private final ClusterConfiguration configuration;
+  private final MachineTypeFetcher machineTypeFetcher;
+  private final FinalStateCache finalStates = new FinalStateCache();
   private final ReplicaManager replicaManager;
   private final LeaseKeepAliveWriter leaseKeepAlives;
+  private final RecordLossReporter recordLoss;
+  private final Leadership leadership = new NodeLeadership();
+  private final ControllerContext context;
 
-  private final ClusterVersion clusterVersion;
+  /** The present term of this controller; null while it does not hold one. */
   private LeaderTerm leaderTerm;
-  private List<MachineType> machineTypes = List.of();
-  private OperatorSettings operatorSettings = OperatorSettings.DEFAULTS;
-  private Instant machineTypesAskedAt;
+
+  /** When this controller last gave a term up because others could do better; null if never. */
   private Instant handedOverAt;
+
+  /** When the next tick should come; null before the first. */
   private Instant tickDueAt;
+
   private boolean stopped;
 
   /**
@@ -118,9 +105,7 @@
       SnapshotStore snapshotStore,
       BackgroundExecutor backgroundExecutor,
       ClusterVersion clusterVersion) {
-    this.clusterVersion = clusterVersion;
     this.settings = settings;
-    this.delivery = delivery;
     this.eventLoop = eventLoop;
     this.httpClient = httpClient;
     this.storeClient =
@@ -130,7 +115,11 @@
             settings.storeAddress(),
             settings.storeLimits(),
             settings.peers().size() + 1);
-    this.configurationRetry = storeClient.newBackoff();
+    this.configuration =
+        new ClusterConfiguration(storeClient, clusterVersion, delivery, new ConfigurationEvents());
+    this.machineTypeFetcher =
+        new MachineTypeFetcher(
+            httpClient, eventLoop, settings.cloudAddress(), configuration, this::storeMachineTypes);
     this.acceptedJobs = new AcceptedJobIndex(storeClient, eventLoop);
     this.failoverTimings = new FailoverTimings(eventLoop);
     this.membership = new Membership(settings, nonce, eventLoop, this::sendGossip, this::ownGossip);
@@ -157,6 +146,17 @@
             eventLoop,
             settings.controllerName(),
             settings.workerTimes().heartbeatInterval());
+    this.recordLoss = new RecordLossReporter(replicaManager);
+    this.context =
+        new ControllerContext(
+            settings,
+            eventLoop,
+            httpClient,
+            storeClient,
+            membership,
+            configuration,
+            finalStates,
+            delivery);
   }
 
   public void start() {
@@ -179,12 +179,12 @@
   private boolean mayBecomeCandidate() {
     return membership.hasProbedAll()
         && replicaManager.mayStandForElection()
-        && !clusterVersion.isUnsupported();
+        && !clusterVersion().isUnsupported();
   }
 
   /** The version of the records that is in force, as far as this node knows. */
   public ClusterVersion clusterVersion() {
-    return clusterVersion;
+    return configuration.clusterVersion();
   }
 
   private final class ReplicaEvents implements ReplicaManager.Host {
@@ -206,7 +206,7 @@
       acceptedJobs.invalidate();
       if (whole) {
         election.start();
-        readConfiguration();
+        configuration.follow();
       }
     }
 
@@ -232,12 +232,13 @@
         storeClient.isHealthy(),
         election.isLeaseValid() ? election.term() : 0,
         replicaManager.recordStatus(),
-        clusterVersion.supported());
+        clusterVersion().supported());
   }
 
   /** Ends all activity, as a killed process would. */
   public void stop() {
     stopped = true;
+    configuration.close();
     replicaManager.stop();
     if (leaderTerm != null) {
       leaderTerm.close();
@@ -246,25 +247,19 @@
 
   private final class ElectionEvents implements Election.Listener {
     @Override
-    public void onElected(long term, long version) {
-      FailoverTimings.OngoingFailover takeover =
+    public void onElected(long term, long leaderKeyRevision) {
+      FailoverTimings.OngoingFailover failover =
           failoverTimings.begin(term, membership.leaderContactAt());
-      RecordReplica fed = replicaManager.onElected();
       leaderTerm =
           new LeaderTerm(
-              settings,
-              storeClient,
-              httpClient,
-              eventLoop,
-              term,
-              version,
-              fed,
-              operatorSettings,
-              takeover,
-              delivery,
-              new TermHost());
+              context,
+              new ElectedTerm(term, leaderKeyRevision),
+              replicaManager.onElected(),
+              failover,
+              leadership,
+              recordLoss);
       leaderTerm.load();
-      fetchMachineTypes();
+      machineTypeFetcher.fetch();
     }
 
     @Override
@@ -295,27 +290,27 @@
     }
   }
 
-  private final class TermHost implements LeaderTerm.Host {
+  /** This controller's leadership as its term sees it. */
+  private final class NodeLeadership implements Leadership {
     @Override
-    public boolean mayAct() {
+    public boolean isLeaseValid() {
       return !stopped && election.isLeaseValid();
     }
 
     @Override
-    public boolean takesReports() {
+    public boolean acceptsHeartbeats() {
       return !stopped && election.mayExtendWorkerLeases();
     }
 
     @Override
     public void resign(String reason) {
-      // Whatever stopped this node may not stop the others.
+      // What stops this controller may not stop the others, so they go first.
       election.yieldLeadership(reason);
     }
 
     @Override
-    public void handOver(String reason) {
+    public void transferLeadership(String reason) {
       Instant now = eventLoop.now();
-      // Where no other node does better the leadership must not go round and round.
       if (handedOverAt == null || handedOverAt.plus(MIN_HAND_OVER_INTERVAL).isBefore(now)) {
         handedOverAt = now;
         election.yieldLeadership(reason);
@@ -323,7 +318,7 @@
     }
 
     @Override
-    public void superseded(long token) {
+    public void onNewerToken(long token) {
       long term = election.term();
       replicaManager.onHigherToken(
           token,
@@ -333,76 +328,40 @@
     }
 
     @Override
-    public void onBegun(RecordReplica fed) {
-      replicaManager.onTermStarted(fed);
-    }
-
-    @Override
-    public void onLost(String reason) {
-      replicaManager.generations().declareLoss(GenerationManager.Evidence.RECORD_MISSING, reason);
-    }
-
-    @Override
-    public void onKeyGone() {
+    public void onLeaderKeyLost() {
       replicaManager.onLeaderKeyMissing();
       election.yieldLeadership("another leader holds the store");
     }
+  }
 
+  /** What follows from the configuration that all controllers share. */
+  private final class ConfigurationEvents implements ClusterConfiguration.Listener {
     @Override
-    public void onUnknownJob(String job) {
-      // Whoever was told that a job is accepted may ask for ever: none vanishes unless it is lost.
-      replicaManager
-          .generations()
-          .declareLoss(
-              GenerationManager.Evidence.JOB_UNKNOWN,
-              "a worker runs " + job + ", of which nothing is stored");
-    }
-
-    @Override
-    public void onDamaged(String key) {
-      replicaManager
-          .generations()
-          .declareLoss(GenerationManager.Evidence.UNREADABLE, key + " cannot be read");
-    }
-
-    @Override
-    public boolean recordsMayLack() {
-      return replicaManager.recordsMayBeIncomplete();
-    }
-
-    @Override
-    public Duration incompleteFor() {
-      return replicaManager.timeSinceInexactRebuild();
-    }
-
-    @Override
-    public void onFinal(String job, JobWire.Status status) {
-      finalStates.put(job, status);
-    }
-
-    @Override
-    public JobWire.Status finalState(String job) {
-      return finalStates.getIfPresent(job);
-    }
-
-    @Override
-    public ClusterVersion version() {
-      return clusterVersion;
+    public void onUnsupportedVersion() {
+      if (leaderTerm != null) {
+        election.yieldLeadership(
+            "the records have a version that this controller does not support");
+      }
     }
 
     @Override
-    public List<Membership.PeerStatus> peers() {
-      return membership.peerStatuses();
+    public void onMachineTypes(List<MachineType> machineTypes) {
+      if (leaderTerm != null) {
+        leaderTerm.onMachineTypes(machineTypes);
+      }
     }
 
     @Override
-    public List<MachineType> types() {
-      return machineTypes;
+    public void onOperatorSettings(OperatorSettings operatorSettings) {
+      if (leaderTerm != null) {
+        leaderTerm.configure(operatorSettings);
+      }
     }
+  }
 
-    @Override
-    public void onConf(List<StoreWire.Entry> entries) {
-      entries.forEach(ControllerNode.this::onConfigurationEntry);
+  private void storeMachineTypes(List<MachineType> machineTypes) {
+    if (leaderTerm != null) {
+      leaderTerm.storeMachineTypes(machineTypes);
     }
   }
 
@@ -441,7 +400,7 @@
 
   /** The leader when this node may act as such now, or null. */
   public LeaderTerm leadingTerm() {
-    boolean leading = leaderTerm != null && leaderTerm.state() == LeaderTerm.State.LEADING;
+    boolean leading = leaderTerm != null && leaderTerm.isLeading();
     return leading && election.isLeaseValid() ? leaderTerm : null;
   }
 
@@ -452,118 +411,17 @@
     return election.mayExtendWorkerLeases() ? leaderTerm : null;
   }
 
-  public JobWire.Status finalState(String job) {
-    return finalStates.getIfPresent(job);
-  }
-
-  public void recordFinalState(String job, JobWire.Status status) {
-    finalStates.put(job, status);
+  /** Final states that this node has seen stored, which it may answer whether it leads or not. */
+  public FinalStateCache finalStates() {
+    return finalStates;
   }
 
   public List<MachineType> machineTypes() {
-    return machineTypes;
+    return configuration.machineTypes();
   }
 
   public OperatorSettings operatorSettings() {
-    return operatorSettings;
-  }
-
-  // ---- settings kept in the store
-
-  private void readConfiguration() {
-    long of = storeClient.generation().base();
-    BooleanSupplier wanted = () -> !stopped && storeClient.generation().base() == of;
-    storeClient.listAll(
-        RecordKeys.CONFIGURATION,
-        wanted,
-        listing -> {
-          listing.entries().forEach(this::onConfigurationEntry);
-          watchConfiguration(listing.revision(), wanted);
-        });
-  }
-
-  private void watchConfiguration(long after, BooleanSupplier wanted) {
-    if (!wanted.getAsBoolean()) {
-      return;
-    }
-    storeClient.watch(
-        RecordKeys.CONFIGURATION,
-        after,
-        WATCH_TIMEOUT,
-        followed -> {
-          if (!wanted.getAsBoolean()) {
-            return;
-          }
-          StoreWire.Changes changes = followed.changes();
-          if (changes != null) {
-            configurationRetry.reset();
-            changes.entries().forEach(this::onConfigurationEntry);
-            watchConfiguration(changes.revision(), wanted);
-          } else {
-            storeClient.scheduleRetry(
-                configurationRetry,
-                followed.reply().is(410)
-                    ? this::readConfiguration
-                    : () -> watchConfiguration(after, wanted));
-          }
-        });
-  }
-
-  private void onConfigurationEntry(StoreWire.Entry entry) {
-    if (entry.key().equals(RecordKeys.DELIVERY_NETWORKS) && delivery != null) {
-      delivery.learnNetworks(entry.value());
-    }
-    if (entry.value() == null) {
-      return;
-    }
-    if (entry.key().equals(RecordKeys.CLUSTER_VERSION)) {
-      clusterVersion.onRecord(entry.value());
-      if (clusterVersion.isUnsupported() && leaderTerm != null) {
-        election.yieldLeadership(
-            "the records have a version that this controller does not support");
-      }
-    }
-    try {
-      if (entry.key().equals(RecordKeys.MACHINE_TYPES)) {
-        setMachineTypes(RecordWire.parseTypes(entry.value()));
-      } else if (entry.key().equals(RecordKeys.OPERATOR_SETTINGS)) {
-        operatorSettings = RecordWire.parseOperator(entry.value(), OperatorSettings.DEFAULTS);
-        if (leaderTerm != null) {
-          leaderTerm.configure(operatorSettings);
-        }
-      }
-    } catch (MalformedMessageException e) {
-      log.warn("{} cannot be read: {}", entry.key(), e.getMessage());
-    }
-  }
-
-  private void setMachineTypes(List<MachineType> known) {
-    machineTypes = List.copyOf(known);
-    if (leaderTerm != null) {
-      leaderTerm.onMachineTypes(machineTypes);
-    }
-  }
-
-  /** Asks the cloud for its machine types, and keeps them for times when it cannot be asked. */
-  private void fetchMachineTypes() {
-    machineTypesAskedAt = eventLoop.now();
-    httpClient.call(
-        Request.get(settings.cloudAddress(), "/flavors", CLOUD_TIMEOUT),
-        reply -> {
-          try {
-            if (!reply.is(200)) {
-              return;
-            }
-            List<MachineType> known = CloudWire.parseTypes(reply.body());
-            boolean changed = !known.equals(machineTypes);
-            setMachineTypes(known);
-            if (changed && leaderTerm != null) {
-              leaderTerm.storeMachineTypes(known);
-            }
-          } catch (MalformedMessageException e) {
-            log.warn("the cloud's machine types are malformed: {}", e.getMessage());
-          }
-        });
+    return configuration.operatorSettings();
   }
 
   private void tick() {
@@ -576,11 +434,7 @@
     }
     tickDueAt = now.plus(TICK_INTERVAL);
     if (election.holdsTerm()) {
-      Duration every = machineTypes.isEmpty() ? TICK_INTERVAL : MACHINE_TYPES_INTERVAL;
-      if (machineTypesAskedAt == null
-          || !machineTypesAskedAt.plus(every).isAfter(eventLoop.now())) {
-        fetchMachineTypes();
-      }
+      machineTypeFetcher.fetchIfDue();
     } else {
       // Its watches may wait for long; this tells whether the store still answers this node.
       storeClient.read(RecordKeys.LEADER, read -> {});
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -23,6 +23,7 @@
 import io.pineladder.zones.Zones;
 import java.time.Duration;
 import java.util.Locale;
+import java.util.OptionalDouble;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 
@@ -224,10 +225,11 @@
         .forEach((place, size) -> places.put(place.name().toLowerCase(Locale.ROOT), size));
     ObjectNode parked = out.putObject("parked");
     JobDependencies dependencies = leader.scheduler().dependencies();
+    OptionalDouble slack = leader.minChainSlackSeconds();
     out.putObject("chains")
         .put("waiting", dependencies.countWaitingJobs())
         .put("longest", dependencies.longestChainLength())
-        .put("least_slack_s", leader.minChainSlackSeconds());
+        .put("least_slack_s", slack.isPresent() ? (Double) slack.getAsDouble() : null);
     leader
         .scheduler()
         .queue()
--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.ControllerNode;
-import io.pineladder.LeaderTerm;
+import io.pineladder.JobView;
 import io.pineladder.model.Job;
 import io.pineladder.store.AcceptedJobIndex;
 import io.pineladder.store.RecordKeys;
@@ -108,7 +108,7 @@
     }
 
     private Job.State knownEnd(String id) {
-      Job.State known = LeaderTerm.toState(node.finalState(id));
+      Job.State known = node.finalStates().stateOf(id);
       return known != null ? known : node.replicaManager().replica().finalState(id);
     }
 
@@ -161,7 +161,7 @@
     private void takeEnd(String id, JsonNode record) {
       try {
         Job.State ended = RecordWire.parseEnd(record);
-        node.recordFinalState(id, LeaderTerm.toStatus(ended));
+        node.finalStates().put(id, JobView.toStatus(ended));
         take(ended, List.of());
         if (ended != Job.State.CANCELLED) {
           next();
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -6,7 +6,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.ControllerNode;
-import io.pineladder.LeaderTerm;
+import io.pineladder.JobView;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.MachineType;
@@ -264,9 +264,9 @@
 
   private void tellState(
       String id, boolean cancel, Job.State state, Consumer<HttpResponse> answer) {
-    JobWire.Status status = LeaderTerm.toStatus(state);
+    JobWire.Status status = JobView.toStatus(state);
     if (status.isFinal()) {
-      node.recordFinalState(id, status);
+      node.finalStates().put(id, status);
       answer.accept(ok(JobWire.view(id, status)));
     } else if (cancel) {
       answer.accept(later("no leader"));
@@ -277,8 +277,8 @@
 
   private void tellEnd(String id, StoreWire.Entry entry, Consumer<HttpResponse> answer) {
     try {
-      JobWire.Status status = LeaderTerm.toStatus(RecordWire.parseEnd(entry.value()));
-      node.recordFinalState(id, status);
+      JobWire.Status status = JobView.toStatus(RecordWire.parseEnd(entry.value()));
+      node.finalStates().put(id, status);
       answer.accept(ok(JobWire.view(id, status)));
     } catch (MalformedMessageException e) {
       answer.accept(later("the stored job cannot be read"));
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -6,6 +6,7 @@
 import static io.pineladder.net.HttpResponses.once;
 
 import io.pineladder.ControllerNode;
+import io.pineladder.JobView;
 import io.pineladder.LeaderTerm;
 import io.pineladder.admin.AdminApi;
 import io.pineladder.admin.Metrics;
@@ -115,7 +116,7 @@
       answer.accept(error(404, "no such job"));
       return;
     }
-    JobWire.Status known = node.finalState(id);
+    JobWire.Status known = node.finalStates().statusOf(id);
     if (known != null) {
       answer.accept(new HttpResponse(200, JobWire.view(id, known)));
       return;
@@ -311,17 +312,17 @@
     }
   }
 
-  private static HttpResponse toAnswer(String id, LeaderTerm.JobView view) {
-    if (view == null) {
+  private static HttpResponse toAnswer(String id, JobView view) {
+    if (!view.exists()) {
       return error(404, "no such job");
     }
-    if (view.status() == null) {
+    if (view.isUncertain()) {
       return later("not certain yet");
     }
     return ok(
         view.status().isFinal()
             ? JobWire.view(id, view.status())
-            : JobWire.view(id, view.status(), view.done(), view.running()));
+            : JobWire.view(id, view.status(), view.completedTasks(), view.runningTasks()));
   }
 
   // ---- submissions
@@ -334,7 +335,7 @@
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    JobWire.Status known = node.finalState(spec.id());
+    JobWire.Status known = node.finalStates().statusOf(spec.id());
     if (known != null) {
       answer.accept(ok(JobWire.view(spec.id(), known)));
       return;
@@ -401,19 +402,19 @@
       LeaderTerm leader, JobSpec spec, String reason, Consumer<HttpResponse> answer) {
     leader.readStatus(
         spec.id(),
-        view -> answer.accept(view == null ? error(422, reason) : toAnswer(spec.id(), view)));
+        view -> answer.accept(view.exists() ? toAnswer(spec.id(), view) : error(422, reason)));
   }
 
   private void store(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
     leader.submit(
         spec,
-        status ->
+        view ->
             answer.accept(
-                status == null
+                view.isUncertain()
                     ? later("not certain yet")
                     : new HttpResponse(
-                        status == JobWire.Status.PENDING ? 201 : 200,
-                        JobWire.view(spec.id(), status))),
+                        view.status() == JobWire.Status.PENDING ? 201 : 200,
+                        JobWire.view(spec.id(), view.status()))),
         view -> answer.accept(toAnswer(spec.id(), view)));
   }
 
