--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -314,7 +314,8 @@
       return;
     }
     Consumer<HttpResponse> first =
-        HttpResponses.once(node.eventLoop(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
+        HttpResponses.withTimeout(
+            node.eventLoop(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
     leader.storeOperatorSettings(
         wanted, () -> first.accept(json(200, RecordWire.operator(wanted))));
   }
--- a/src/main/java/io/pineladder/admin/Metrics.java
+++ b/src/main/java/io/pineladder/admin/Metrics.java
@@ -78,7 +78,7 @@
                       .put("open", usage.open())
                       .put("idle", usage.idle())
                       .put("peak", usage.peak())
-                      .put("most", usage.most())
+                      .put("most", usage.maxOpen())
                       .put("refused", usage.refused()));
     }
     return out;
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -1,8 +1,8 @@
 package io.pineladder.api;
 
 import static io.pineladder.net.HttpResponses.error;
-import static io.pineladder.net.HttpResponses.later;
 import static io.pineladder.net.HttpResponses.ok;
+import static io.pineladder.net.HttpResponses.unavailable;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.ControllerNode;
@@ -84,7 +84,7 @@
    */
   void submit(JobSpec spec, Consumer<HttpResponse> answer) {
     if (node.machineTypes().isEmpty() || !node.storeClient().isHealthy()) {
-      answer.accept(later("no leader"));
+      answer.accept(unavailable("no leader"));
       return;
     }
     if (!node.replicaManager().generations().isTrusted()
@@ -93,7 +93,7 @@
                 || node.replicaManager().replica().base()
                     != node.storeClient().generation().base())) {
       // A job that was over before the loss could not be told from a new one.
-      answer.accept(later("the records are rebuilt"));
+      answer.accept(unavailable("the records are rebuilt"));
       return;
     }
     String never = neverRuns(spec);
@@ -111,7 +111,7 @@
       return;
     }
     if (!node.clusterVersion().allowsChainedJobs()) {
-      answer.accept(later(NOT_UPGRADED));
+      answer.accept(unavailable(NOT_UPGRADED));
       return;
     }
     chains.review(
@@ -119,7 +119,7 @@
         outcome -> {
           switch (outcome) {
             case UNKNOWN_JOB -> refuse(id, UNKNOWN_PREREQUISITE, answer);
-            case UNCERTAIN -> answer.accept(later("no leader"));
+            case UNCERTAIN -> answer.accept(unavailable("no leader"));
             case NONE_CANCELLED -> store(spec, JobWire.Status.PENDING, answer);
             case CANCELLED -> store(spec, JobWire.Status.CANCELLED, answer);
           }
@@ -164,7 +164,7 @@
               } else if (reply.is(409)) {
                 read(id, false, answer);
               } else {
-                answer.accept(later("no leader"));
+                answer.accept(unavailable("no leader"));
               }
             });
   }
@@ -172,7 +172,7 @@
   /** Answers from a fresh read of the store; a cancel gets an answer only when the job is over. */
   void read(String id, boolean cancel, Consumer<HttpResponse> answer) {
     if (!node.replicaManager().generations().isTrusted()) {
-      answer.accept(later("the records are rebuilt"));
+      answer.accept(unavailable("the records are rebuilt"));
       return;
     }
     Job.State ended = node.replicaManager().replica().finalState(id);
@@ -187,7 +187,7 @@
             RecordKeys.UNPAGED_JOB + id,
             read -> {
               if (!read.certain()) {
-                answer.accept(later("no leader"));
+                answer.accept(unavailable("no leader"));
               } else if (read.found()) {
                 tellStored(id, cancel, read.entry(), answer);
               } else {
@@ -201,7 +201,7 @@
         .refresh(
             fresh -> {
               if (!fresh) {
-                answer.accept(later("no leader"));
+                answer.accept(unavailable("no leader"));
                 return;
               }
               AcceptedJobIndex.IndexedJob found = node.acceptedJobs().find(id);
@@ -219,9 +219,9 @@
             RecordKeys.FINAL_STATE + id,
             end -> {
               if (!end.certain()) {
-                answer.accept(later("no leader"));
+                answer.accept(unavailable("no leader"));
               } else if (!end.found() && node.replicaManager().jobMayBeMissing(id)) {
-                answer.accept(later("not certain yet"));
+                answer.accept(unavailable("not certain yet"));
               } else if (!end.found()) {
                 answer.accept(error(404, "no such job"));
               } else {
@@ -240,7 +240,7 @@
           new AcceptedJobIndex.IndexedJob(job.state(), job.spec().prerequisites()),
           answer);
     } catch (MalformedMessageException e) {
-      answer.accept(later("the stored job cannot be read"));
+      answer.accept(unavailable("the stored job cannot be read"));
     }
   }
 
@@ -257,7 +257,7 @@
           switch (outcome) {
             case CANCELLED -> tellState(id, cancel, Job.State.CANCELLED, answer);
             case NONE_CANCELLED -> tellState(id, cancel, Job.State.ACTIVE, answer);
-            case UNKNOWN_JOB, UNCERTAIN -> answer.accept(later("no leader"));
+            case UNKNOWN_JOB, UNCERTAIN -> answer.accept(unavailable("no leader"));
           }
         });
   }
@@ -269,7 +269,7 @@
       node.finalStates().put(id, status);
       answer.accept(ok(JobWire.view(id, status)));
     } else if (cancel) {
-      answer.accept(later("no leader"));
+      answer.accept(unavailable("no leader"));
     } else {
       answer.accept(ok(JobWire.view(id, status, 0, 0)));
     }
@@ -281,7 +281,7 @@
       node.finalStates().put(id, status);
       answer.accept(ok(JobWire.view(id, status)));
     } catch (MalformedMessageException e) {
-      answer.accept(later("the stored job cannot be read"));
+      answer.accept(unavailable("the stored job cannot be read"));
     }
   }
 }
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -1,9 +1,9 @@
 package io.pineladder.api;
 
 import static io.pineladder.net.HttpResponses.error;
-import static io.pineladder.net.HttpResponses.later;
 import static io.pineladder.net.HttpResponses.ok;
-import static io.pineladder.net.HttpResponses.once;
+import static io.pineladder.net.HttpResponses.unavailable;
+import static io.pineladder.net.HttpResponses.withTimeout;
 
 import io.pineladder.ControllerNode;
 import io.pineladder.JobView;
@@ -62,7 +62,8 @@
   /** What users, workers and the load balancer ask. */
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> onAnswer) {
     if (node.clusterVersion().isUnsupported()) {
-      onAnswer.accept(later("the records have a version that this controller does not support"));
+      onAnswer.accept(
+          unavailable("the records have a version that this controller does not support"));
       return;
     }
     Instant begun = node.eventLoop().now();
@@ -229,7 +230,8 @@
         http -> answer.accept(ok(PeerWire.write(new PeerWire.Answer(true, http, name))));
     Runnable undecided =
         () ->
-            answer.accept(ok(PeerWire.write(new PeerWire.Answer(false, later("no leader"), name))));
+            answer.accept(
+                ok(PeerWire.write(new PeerWire.Answer(false, unavailable("no leader"), name))));
     // A submission that this node cannot take is better tried by the next one than given up.
     Consumer<HttpResponse> taken =
         isSubmission(forward.path())
@@ -265,7 +267,7 @@
   /** Stores a submission on behalf of a peer that reaches neither a leader nor the store. */
   private void storeFor(byte[] body, Consumer<HttpResponse> answer) {
     try {
-      leaderless.submit(JobWire.parse(body), once(node.eventLoop(), answer, COMMIT_TIMEOUT));
+      leaderless.submit(JobWire.parse(body), withTimeout(node.eventLoop(), answer, COMMIT_TIMEOUT));
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
     }
@@ -291,7 +293,8 @@
         };
     if (path.equals("/v1/jobs")) {
       try {
-        submitTo(leader, JobWire.parse(body), once(node.eventLoop(), counted, COMMIT_TIMEOUT));
+        submitTo(
+            leader, JobWire.parse(body), withTimeout(node.eventLoop(), counted, COMMIT_TIMEOUT));
       } catch (MalformedMessageException e) {
         answer.accept(error(400, e.getMessage()));
       }
@@ -301,13 +304,13 @@
     if (method.equals("POST")) {
       String id = rest.substring(0, rest.length() - "/cancel".length());
       if (!node.storeClient().isHealthy()) {
-        answer.accept(later("the state service is not available"));
+        answer.accept(unavailable("the state service is not available"));
         return;
       }
-      Consumer<HttpResponse> bounded = once(node.eventLoop(), counted, COMMIT_TIMEOUT);
+      Consumer<HttpResponse> bounded = withTimeout(node.eventLoop(), counted, COMMIT_TIMEOUT);
       leader.cancel(id, view -> bounded.accept(toAnswer(id, view)));
     } else {
-      Consumer<HttpResponse> bounded = once(node.eventLoop(), counted, FORWARD_TIMEOUT);
+      Consumer<HttpResponse> bounded = withTimeout(node.eventLoop(), counted, FORWARD_TIMEOUT);
       leader.readStatus(rest, view -> bounded.accept(toAnswer(rest, view)));
     }
   }
@@ -317,7 +320,7 @@
       return error(404, "no such job");
     }
     if (view.isUncertain()) {
-      return later("not certain yet");
+      return unavailable("not certain yet");
     }
     return ok(
         view.status().isFinal()
@@ -343,7 +346,7 @@
     if (!spec.prerequisites().isEmpty() && !node.clusterVersion().allowsChainedJobs()) {
       // Handed on to a leader of the version before, it would be accepted without its
       // prerequisites.
-      answer.accept(later(LeaderlessApi.NOT_UPGRADED));
+      answer.accept(unavailable(LeaderlessApi.NOT_UPGRADED));
       return;
     }
     Instant begun = node.eventLoop().now();
@@ -358,13 +361,13 @@
         "/v1/jobs",
         body,
         logged,
-        () -> leaderless.submit(spec, once(node.eventLoop(), logged, COMMIT_TIMEOUT)));
+        () -> leaderless.submit(spec, withTimeout(node.eventLoop(), logged, COMMIT_TIMEOUT)));
   }
 
   private void submitTo(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
     if (!leader.knowsJob(spec.id())) {
       if (node.machineTypes().isEmpty()) {
-        answer.accept(later("the machine types are not known yet"));
+        answer.accept(unavailable("the machine types are not known yet"));
         return;
       }
       String never = leaderless.neverRuns(spec);
@@ -374,7 +377,7 @@
       }
     }
     if (!node.storeClient().isHealthy()) {
-      answer.accept(later("the state service is not available"));
+      answer.accept(unavailable("the state service is not available"));
       return;
     }
     if (spec.prerequisites().isEmpty() || leader.knowsJob(spec.id())) {
@@ -382,7 +385,7 @@
       return;
     }
     if (!node.clusterVersion().allowsChainedJobs()) {
-      answer.accept(later(LeaderlessApi.NOT_UPGRADED));
+      answer.accept(unavailable(LeaderlessApi.NOT_UPGRADED));
       return;
     }
     leader.verifyPrerequisites(
@@ -390,7 +393,7 @@
         known -> {
           switch (known) {
             case ALL_ACCEPTED -> store(leader, spec, answer);
-            case UNCERTAIN -> answer.accept(later("not certain yet"));
+            case UNCERTAIN -> answer.accept(unavailable("not certain yet"));
             case NOT_ALL_ACCEPTED ->
                 refuse(leader, spec, LeaderlessApi.UNKNOWN_PREREQUISITE, answer);
           }
@@ -411,7 +414,7 @@
         view ->
             answer.accept(
                 view.isUncertain()
-                    ? later("not certain yet")
+                    ? unavailable("not certain yet")
                     : new HttpResponse(
                         view.status() == JobWire.Status.PENDING ? 201 : 200,
                         JobWire.view(spec.id(), view.status()))),
@@ -420,10 +423,10 @@
 
   private void alone(String id, boolean cancel, Consumer<HttpResponse> answer) {
     if (!node.storeClient().isHealthy()) {
-      answer.accept(later("no leader"));
+      answer.accept(unavailable("no leader"));
       return;
     }
-    leaderless.read(id, cancel, once(node.eventLoop(), answer, FORWARD_TIMEOUT));
+    leaderless.read(id, cancel, withTimeout(node.eventLoop(), answer, FORWARD_TIMEOUT));
   }
 
   // ---- readiness
@@ -460,7 +463,7 @@
     } else if (path.equals(PeerWire.PATH)) {
       handlePeer(body, answer);
     } else if (admin.isLeadersMatter(method, path)) {
-      serve(method, path, body, answer, () -> answer.accept(later("no leader")));
+      serve(method, path, body, answer, () -> answer.accept(unavailable("no leader")));
     } else {
       admin.handle(method, path, answer);
     }
--- a/src/main/java/io/pineladder/autoscaling/CloudClient.java
+++ b/src/main/java/io/pineladder/autoscaling/CloudClient.java
@@ -50,17 +50,17 @@
   /** Sends at once, or not at all: false. */
   private boolean call(Request request, Consumer<Reply> onReply) {
     Instant now = eventLoop.now();
-    if (callBudget.available(now) < 1 || !circuitBreaker.mayCall()) {
+    if (callBudget.available(now) < 1 || !circuitBreaker.tryAcquire()) {
       return false;
     }
-    callBudget.take(1, now);
+    callBudget.consume(1, now);
     httpClient.call(
         request,
         reply -> {
           if (reply.is(200) || reply.is(400) || isCapacityRefusal(reply)) {
-            circuitBreaker.succeeded();
+            circuitBreaker.onSuccess();
           } else {
-            circuitBreaker.failed();
+            circuitBreaker.onFailure();
           }
           if (!closed) {
             onReply.accept(reply);
--- a/src/main/java/io/pineladder/cli/Controller.java
+++ b/src/main/java/io/pineladder/cli/Controller.java
@@ -132,7 +132,11 @@
             SecretCipher.read(key),
             own,
             settings.coreShare(),
-            runtime.sockets().usage().get(ConnectionLimiter.TrafficClass.NOTICES).most());
+            runtime
+                .connectionLimiter()
+                .usage()
+                .get(ConnectionLimiter.TrafficClass.NOTICES)
+                .maxOpen());
     delivery.sendThrough(new OutboundHttpClient(runtime, delivery::allows));
     return delivery;
   }
@@ -158,7 +162,7 @@
                     extras.snapshots.resolve(settings.controllerName()), runtime),
             runtime);
     Metrics metrics = new Metrics();
-    metrics.watch(runtime.sockets());
+    metrics.watch(runtime.connectionLimiter());
     RequestRouter front = new RequestRouter(node, metrics);
     runtime.serve(
         new XnioEventLoop.Listener(
--- a/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
@@ -123,14 +123,14 @@
       if (next == null) {
         return;
       }
-      rate.take(1, now);
+      rate.consume(1, now);
       underWay++;
       next.send();
     }
     if (underWay < mostUnderWay && !pumpSet) {
       pumpSet = true;
       eventLoop.schedule(
-          rate.until(1, now).plusMillis(1),
+          rate.delayUntilAvailable(1, now).plusMillis(1),
           () -> {
             pumpSet = false;
             pump();
--- a/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
+++ b/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
@@ -5,7 +5,7 @@
 import io.pineladder.model.Subscription;
 import io.pineladder.net.EventLoop;
 import io.pineladder.net.OutboundClient;
-import io.pineladder.net.OutboundClient.Answer;
+import io.pineladder.net.OutboundClient.Result;
 import io.pineladder.retry.Backoff;
 import io.pineladder.wire.DeliveryWire;
 import java.net.URI;
@@ -229,14 +229,14 @@
         });
   }
 
-  private void answered(long sequence, Notification notification, Answer answer) {
+  private void answered(long sequence, Notification notification, Result answer) {
     int status = answer.status();
     long position = DeliveryWire.parsePosition(answer.body());
     boolean taken = status >= 200 && status < 300;
     if (answer.outcome() == OutboundClient.Outcome.NOT_ALLOWED) {
-      park(answer.fault());
+      park(answer.failureReason());
     } else if (answer.outcome() == OutboundClient.Outcome.FAILED) {
-      retry(answer.fault(), null);
+      retry(answer.failureReason(), null);
     } else if (taken && position < 0) {
       // A receiver that keeps no position: what it has taken is all that can be known.
       has(sequence, notification);
@@ -284,7 +284,7 @@
   private void retry(String why, Duration after) {
     lastError = why;
     owner.failed();
-    Duration pause = backoff.pause();
+    Duration pause = backoff.nextDelay();
     if (after != null && after.compareTo(pause) > 0) {
       pause = after.compareTo(MOST_AFTER) < 0 ? after : MOST_AFTER;
     }
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -196,7 +196,7 @@
   /** Answers at the first of both: the change is stored, or has taken too long. */
   private Runnable within(Consumer<HttpResponse> answer, Supplier<HttpResponse> good) {
     Consumer<HttpResponse> first =
-        HttpResponses.once(eventLoop, answer, STORE_TIMEOUT, later("not stored yet"));
+        HttpResponses.withTimeout(eventLoop, answer, STORE_TIMEOUT, later("not stored yet"));
     return () -> first.accept(good.get());
   }
 
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -134,7 +134,7 @@
             .requireGeneration(present.recordRevision())
             .require(present.prefix() + RecordKeys.LEADER, leaderKeyRevision);
     obsoleteKeys.forEach(remove::delete);
-    storeClient.writeBudget().take(obsoleteKeys.size(), eventLoop.now());
+    storeClient.writeBudget().consume(obsoleteKeys.size(), eventLoop.now());
     storeClient.sendImmediately(
         storeClient.post("/multi", remove.bytes()),
         reply -> {
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -289,7 +289,7 @@
             return;
           }
           if (!found.certain()) {
-            eventLoop.schedule(backoff.pause(), () -> readGeneration(sequence));
+            eventLoop.schedule(backoff.nextDelay(), () -> readGeneration(sequence));
             return;
           }
           backoff.reset();
@@ -307,7 +307,8 @@
           GENERATION_WATCH_TIMEOUT,
           reply ->
               eventLoop.schedule(
-                  reply.is(200) ? Duration.ZERO : backoff.pause(), () -> readGeneration(sequence)));
+                  reply.is(200) ? Duration.ZERO : backoff.nextDelay(),
+                  () -> readGeneration(sequence)));
     } else {
       eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> readGeneration(sequence));
     }
@@ -440,7 +441,8 @@
         after,
         page -> {
           if (page == null) {
-            eventLoop.schedule(backoff.pause(), () -> readSurvivingRecords(sequence, found, after));
+            eventLoop.schedule(
+                backoff.nextDelay(), () -> readSurvivingRecords(sequence, found, after));
             return;
           }
           found.addAll(page.entries());
@@ -466,7 +468,7 @@
             return;
           }
           if (!found.certain()) {
-            eventLoop.schedule(backoff.pause(), () -> tryClaim(sequence));
+            eventLoop.schedule(backoff.nextDelay(), () -> tryClaim(sequence));
             return;
           }
           generationRecordRevision = found.found() ? found.entry().version() : 0;
--- a/src/main/java/io/pineladder/generation/GenerationWriter.java
+++ b/src/main/java/io/pineladder/generation/GenerationWriter.java
@@ -75,7 +75,8 @@
             storeClient.writeBudget().available(eventLoop.now()));
     if (maxOperations < 1) {
       eventLoop.schedule(
-          storeClient.writeBudget().until(1, eventLoop.now()).plusMillis(1), this::writeNext);
+          storeClient.writeBudget().delayUntilAvailable(1, eventLoop.now()).plusMillis(1),
+          this::writeNext);
       return;
     }
     StoreWire.Transaction transaction =
@@ -93,7 +94,7 @@
       count++;
     }
     int stored = count;
-    storeClient.writeBudget().take(stored, eventLoop.now());
+    storeClient.writeBudget().consume(stored, eventLoop.now());
     send(
         transaction,
         () -> {
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -226,7 +226,7 @@
             if (read.certain()) {
               setKnownLeader(null);
               if (!mayBecomeCandidate.getAsBoolean() || eventLoop.now().isBefore(candidateFrom)) {
-                eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
+                eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
               } else {
                 acquireLease(expectedRound);
               }
@@ -235,7 +235,7 @@
           } catch (MalformedMessageException e) {
             log.warn("the store's answer on the leader is malformed");
           }
-          eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
+          eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
         });
   }
 
@@ -257,7 +257,7 @@
         reply -> {
           if (expectedRound == round) {
             eventLoop.schedule(
-                reply.isAnswered() ? Duration.ZERO : retry.pause(),
+                reply.isAnswered() ? Duration.ZERO : retry.nextDelay(),
                 () -> readLeader(expectedRound));
           }
         });
@@ -279,7 +279,7 @@
             return;
           }
           if (watched.changes() == null) {
-            eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
+            eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
             return;
           }
           readLeader(expectedRound);
@@ -305,7 +305,7 @@
             log.warn("the store's answer on a lease is malformed");
           }
           moveTo(State.FOLLOWING);
-          eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
+          eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
         });
   }
 
@@ -349,7 +349,7 @@
     }
     boolean outcomeUnknown = reply.outcome() == Outcome.UNKNOWN;
     if (outcomeUnknown && eventLoop.now().isBefore(leaseSentAt.plus(leaseDuration))) {
-      eventLoop.schedule(retry.pause(), () -> retryClaim(expectedRound, leaseSentAt));
+      eventLoop.schedule(retry.nextDelay(), () -> retryClaim(expectedRound, leaseSentAt));
       return;
     }
     abandonCandidacy(expectedRound);
@@ -390,7 +390,7 @@
     // A late copy of the claim finds no lease and does nothing.
     storeClient.sendImmediately(storeClient.delete("/holds/" + leaseId), reply -> {});
     moveTo(State.FOLLOWING);
-    eventLoop.schedule(retry.pause(), () -> readLeader(expectedRound));
+    eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
   }
 
   private void becomeLeader(long revision, Instant leaseSentAt) {
@@ -440,7 +440,7 @@
             }
           }
           eventLoop.schedule(
-              renewed ? leaseDuration.dividedBy(4) : retry.pause(),
+              renewed ? leaseDuration.dividedBy(4) : retry.nextDelay(),
               () -> renewLease(expectedRound));
         });
   }
@@ -487,7 +487,7 @@
       storeClient.sendImmediately(storeClient.delete("/holds/" + leaseId), reply -> {});
     }
     listener.onLeadershipLost(reason);
-    eventLoop.schedule(retry.pause(), () -> readLeader(newRound));
+    eventLoop.schedule(retry.nextDelay(), () -> readLeader(newRound));
   }
 
   /** Gives the term up in favour of any other node that stands within a while. */
--- a/src/main/java/io/pineladder/net/CancellableConnector.java
+++ b/src/main/java/io/pineladder/net/CancellableConnector.java
@@ -25,20 +25,20 @@
  * what the real one does and takes hold of what is made.
  */
 final class CancellableConnector extends XnioIoThread {
-  private final XnioIoThread real;
-  private IoFuture<StreamConnection> made;
+  private final XnioIoThread delegate;
+  private IoFuture<StreamConnection> pendingConnection;
 
-  CancellableConnector(XnioIoThread real) {
-    super(real.getWorker(), real.getNumber());
-    this.real = real;
+  CancellableConnector(XnioIoThread delegate) {
+    super(delegate.getWorker(), delegate.getNumber());
+    this.delegate = delegate;
   }
 
   /** Begins a connection; cancelling the future closes it, until it has been handed over. */
   IoFuture<StreamConnection> connect(
-      URI address, ByteBufferPool buffers, ClientCallback<ClientConnection> onMade) {
-    made = null;
-    UndertowClient.getInstance().connect(onMade, address, this, buffers, OptionMap.EMPTY);
-    return made;
+      URI address, ByteBufferPool buffers, ClientCallback<ClientConnection> onConnected) {
+    pendingConnection = null;
+    UndertowClient.getInstance().connect(onConnected, address, this, buffers, OptionMap.EMPTY);
+    return pendingConnection;
   }
 
   /**
@@ -52,15 +52,15 @@
       String host,
       XnioSsl ssl,
       ByteBufferPool buffers,
-      ClientCallback<ClientConnection> onMade) {
-    made = null;
+      ClientCallback<ClientConnection> onConnected) {
+    pendingConnection = null;
     OptionMap options =
         OptionMap.builder()
             .set(Options.SSL_PEER_HOST_NAME, host)
             .set(UndertowOptions.ENDPOINT_IDENTIFICATION_ALGORITHM, "HTTPS")
             .getMap();
-    UndertowClient.getInstance().connect(onMade, address, this, ssl, buffers, options);
-    return made;
+    UndertowClient.getInstance().connect(onConnected, address, this, ssl, buffers, options);
+    return pendingConnection;
   }
 
   @Override
@@ -68,8 +68,8 @@
       SocketAddress destination,
       ChannelListener<? super StreamConnection> openListener,
       OptionMap options) {
-    made = real.openStreamConnection(destination, openListener, options);
-    return made;
+    pendingConnection = delegate.openStreamConnection(destination, openListener, options);
+    return pendingConnection;
   }
 
   @Override
@@ -79,12 +79,14 @@
       ChannelListener<? super StreamConnection> openListener,
       ChannelListener<? super BoundChannel> bindListener,
       OptionMap options) {
-    made = real.openStreamConnection(bindAddress, destination, openListener, bindListener, options);
-    return made;
+    pendingConnection =
+        delegate.openStreamConnection(
+            bindAddress, destination, openListener, bindListener, options);
+    return pendingConnection;
   }
 
   /** The connection that a future holds which has succeeded. */
-  static StreamConnection made(IoFuture<StreamConnection> connecting) {
+  static StreamConnection completedConnection(IoFuture<StreamConnection> connecting) {
     try {
       return connecting.get();
     } catch (IOException e) {
@@ -94,16 +96,16 @@
 
   @Override
   public void execute(Runnable command) {
-    real.execute(command);
+    delegate.execute(command);
   }
 
   @Override
   public Key executeAfter(Runnable command, long delay, TimeUnit unit) {
-    return real.executeAfter(command, delay, unit);
+    return delegate.executeAfter(command, delay, unit);
   }
 
   @Override
   public Key executeAtInterval(Runnable command, long interval, TimeUnit unit) {
-    return real.executeAtInterval(command, interval, unit);
+    return delegate.executeAtInterval(command, interval, unit);
   }
 }
--- a/src/main/java/io/pineladder/net/ConnectionLimiter.java
+++ b/src/main/java/io/pineladder/net/ConnectionLimiter.java
@@ -25,7 +25,7 @@
   private static final Logger log = LoggerFactory.getLogger(ConnectionLimiter.class);
 
   /** Sockets of the runtime's own: listeners, selectors, standard streams. */
-  private static final int RESERVED = 16;
+  private static final int RUNTIME_SOCKETS = 16;
 
   /** What a socket is for. */
   public enum TrafficClass {
@@ -43,42 +43,42 @@
     /** To subscribers, who come after everybody else: nothing is kept for them. */
     NOTICES(0, 0.03, Duration.ofSeconds(20));
 
-    private final double kept;
-    private final double most;
+    private final double reservedRatio;
+    private final double maxRatio;
 
     /** An idle socket is stale after that; null: after two reports. */
-    private final Duration stale;
+    private final Duration staleAfter;
 
-    TrafficClass(double kept, double most, Duration stale) {
-      this.kept = kept;
-      this.most = most;
-      this.stale = stale;
+    TrafficClass(double reservedRatio, double maxRatio, Duration staleAfter) {
+      this.reservedRatio = reservedRatio;
+      this.maxRatio = maxRatio;
+      this.staleAfter = staleAfter;
     }
   }
 
   /** How a part stands. */
-  public record Usage(int open, int idle, int peak, int most, long refused) {}
+  public record Usage(int open, int idle, int peak, int maxOpen, long refused) {}
 
-  private static final class Share {
-    final int kept;
-    final int most;
-    final Duration stale;
-    final Map<Socket, Instant> idle = new LinkedHashMap<>();
+  private static final class SocketQuota {
+    final int reserved;
+    final int maxOpen;
+    final Duration staleAfter;
+    final Map<Socket, Instant> idleSince = new LinkedHashMap<>();
     int open;
-    int peak;
+    int peakOpen;
     long refused;
-    boolean full;
+    boolean atLimit;
 
-    Share(int kept, int most, Duration stale) {
-      this.kept = kept;
-      this.most = most;
-      this.stale = stale;
+    SocketQuota(int reserved, int maxOpen, Duration staleAfter) {
+      this.reserved = reserved;
+      this.maxOpen = maxOpen;
+      this.staleAfter = staleAfter;
     }
   }
 
   private final EventLoop eventLoop;
-  private final int limit;
-  private final Map<TrafficClass, Share> shares = new EnumMap<>(TrafficClass.class);
+  private final int maxSockets;
+  private final Map<TrafficClass, SocketQuota> quotas = new EnumMap<>(TrafficClass.class);
 
   /**
    * The sockets of one process.
@@ -86,67 +86,76 @@
    * @param limit how many it may have, at least 64
    * @param report how often a worker reports; one silent for two reports has gone
    */
-  public ConnectionLimiter(int limit, Duration report, EventLoop eventLoop) {
+  public ConnectionLimiter(int maxSockets, Duration heartbeatInterval, EventLoop eventLoop) {
     this.eventLoop = eventLoop;
-    this.limit = limit - RESERVED;
-    Duration silent = report.multipliedBy(2).plusSeconds(2);
-    for (TrafficClass part : TrafficClass.values()) {
-      int kept = part.kept == 0 ? 0 : Math.max(4, (int) (this.limit * part.kept));
-      int most = Math.max(Math.max(1, kept), (int) (this.limit * part.most));
-      shares.put(part, new Share(kept, most, part.stale == null ? silent : part.stale));
+    this.maxSockets = maxSockets - RUNTIME_SOCKETS;
+    Duration heartbeatTimeout = heartbeatInterval.multipliedBy(2).plusSeconds(2);
+    for (TrafficClass trafficClass : TrafficClass.values()) {
+      int reserved =
+          trafficClass.reservedRatio == 0
+              ? 0
+              : Math.max(4, (int) (this.maxSockets * trafficClass.reservedRatio));
+      int maxOpen =
+          Math.max(Math.max(1, reserved), (int) (this.maxSockets * trafficClass.maxRatio));
+      quotas.put(
+          trafficClass,
+          new SocketQuota(
+              reserved,
+              maxOpen,
+              trafficClass.staleAfter == null ? heartbeatTimeout : trafficClass.staleAfter));
     }
   }
 
   /** One socket, from before it is opened until after it is closed. */
   public final class Socket {
     private final Runnable close;
-    private TrafficClass part;
+    private TrafficClass trafficClass;
     private boolean open = true;
 
-    private Socket(TrafficClass part, Runnable close) {
-      this.part = part;
+    private Socket(TrafficClass trafficClass, Runnable close) {
+      this.trafficClass = trafficClass;
       this.close = close;
     }
 
-    public TrafficClass part() {
-      return part;
+    public TrafficClass trafficClass() {
+      return trafficClass;
     }
 
     /** It shows what the socket is for; false when that part has no room, and it stays as it is. */
-    public boolean moveTo(TrafficClass next) {
-      if (next == part || !open) {
+    public boolean reclassify(TrafficClass next) {
+      if (next == trafficClass || !open) {
         return true;
       }
-      if (!hasRoom(next)) {
+      if (!ensureCapacity(next)) {
         return false;
       }
-      shares.get(part).idle.remove(this);
-      count(part, -1);
-      part = next;
-      count(next, 1);
+      quotas.get(trafficClass).idleSince.remove(this);
+      adjustOpenCount(trafficClass, -1);
+      trafficClass = next;
+      adjustOpenCount(next, 1);
       return true;
     }
 
     /** Something is under way on it. */
-    public void busy() {
-      shares.get(part).idle.remove(this);
+    public void markBusy() {
+      quotas.get(trafficClass).idleSince.remove(this);
     }
 
     /** Nothing is under way on it. */
-    public void idle() {
+    public void markIdle() {
       if (open) {
-        Share share = shares.get(part);
-        share.idle.remove(this);
-        share.idle.put(this, eventLoop.now());
+        SocketQuota quota = quotas.get(trafficClass);
+        quota.idleSince.remove(this);
+        quota.idleSince.put(this, eventLoop.now());
       }
     }
 
     /** It is closed; told once or more. */
-    public void closed() {
+    public void markClosed() {
       if (open) {
         open = false;
-        shares.get(part).idle.remove(this);
-        count(part, -1);
+        quotas.get(trafficClass).idleSince.remove(this);
+        adjustOpenCount(trafficClass, -1);
       }
     }
   }
@@ -154,95 +163,100 @@
   /**
    * A socket about to be opened, or null when its part has no room for it.
    *
-   * @param close closes it; {@link Socket#closed} is to be told as a consequence, or here
+   * @param close closes it; {@link Socket#markClosed} is to be told as a consequence, or here
    */
-  public Socket open(TrafficClass part, Runnable close) {
-    if (!hasRoom(part)) {
+  public Socket tryOpen(TrafficClass trafficClass, Runnable close) {
+    if (!ensureCapacity(trafficClass)) {
       return null;
     }
-    count(part, 1);
-    return new Socket(part, close);
+    adjustOpenCount(trafficClass, 1);
+    return new Socket(trafficClass, close);
   }
 
   /** Whether the part may have one more, if need be in place of a stale one. */
-  private boolean hasRoom(TrafficClass part) {
-    Share share = shares.get(part);
-    if (isFree(share) || (closeStale(part) && isFree(share))) {
+  private boolean ensureCapacity(TrafficClass trafficClass) {
+    SocketQuota quota = quotas.get(trafficClass);
+    if (hasCapacity(quota) || (closeLongestIdleIfStale(trafficClass) && hasCapacity(quota))) {
       return true;
     }
-    share.refused++;
-    if (!share.full) {
-      share.full = true;
-      log.warn("sockets of {} are at their bound: {}", part, describe());
+    quota.refused++;
+    if (!quota.atLimit) {
+      quota.atLimit = true;
+      log.warn("sockets of {} are at their bound: {}", trafficClass, describe());
     }
     return false;
   }
 
-  private boolean isFree(Share share) {
-    if (share.open >= share.most) {
+  private boolean hasCapacity(SocketQuota quota) {
+    if (quota.open >= quota.maxOpen) {
       return false;
     }
-    if (share.open < share.kept) {
+    if (quota.open < quota.reserved) {
       return true;
     }
-    int claimed = 0;
-    for (Share each : shares.values()) {
-      claimed += Math.max(each.open, each.kept);
+    int committed = 0;
+    for (SocketQuota each : quotas.values()) {
+      committed += Math.max(each.open, each.reserved);
     }
-    return claimed < limit;
+    return committed < maxSockets;
   }
 
   /** Closes the part's longest idle socket if it is stale; tells whether it was. */
-  private boolean closeStale(TrafficClass part) {
-    Share share = shares.get(part);
-    Iterator<Map.Entry<Socket, Instant>> idle = share.idle.entrySet().iterator();
+  private boolean closeLongestIdleIfStale(TrafficClass trafficClass) {
+    SocketQuota quota = quotas.get(trafficClass);
+    Iterator<Map.Entry<Socket, Instant>> idle = quota.idleSince.entrySet().iterator();
     if (!idle.hasNext()) {
       return false;
     }
     Map.Entry<Socket, Instant> longest = idle.next();
-    if (longest.getValue().plus(share.stale).isAfter(eventLoop.now())) {
+    if (longest.getValue().plus(quota.staleAfter).isAfter(eventLoop.now())) {
       return false;
     }
     Socket socket = longest.getKey();
     socket.close.run();
-    socket.closed();
+    socket.markClosed();
     return true;
   }
 
   /** Closes what its peer has most likely left without a word, so that it adds up to nothing. */
-  public void sweep() {
-    for (TrafficClass part : TrafficClass.values()) {
-      while (closeStale(part)) {
+  public void closeStaleSockets() {
+    for (TrafficClass trafficClass : TrafficClass.values()) {
+      while (closeLongestIdleIfStale(trafficClass)) {
         // The next longest idle one may be stale as well.
       }
     }
   }
 
-  private void count(TrafficClass part, int more) {
-    Share share = shares.get(part);
-    share.open += more;
-    share.peak = Math.max(share.peak, share.open);
+  private void adjustOpenCount(TrafficClass trafficClass, int delta) {
+    SocketQuota quota = quotas.get(trafficClass);
+    quota.open += delta;
+    quota.peakOpen = Math.max(quota.peakOpen, quota.open);
     // Not at once again at each that comes and goes.
-    if (share.full && share.open * 10 < share.most * 9 && isFree(share)) {
-      share.full = false;
-      log.info("sockets of {} are below their bound again: {}", part, describe());
+    if (quota.atLimit && quota.open * 10 < quota.maxOpen * 9 && hasCapacity(quota)) {
+      quota.atLimit = false;
+      log.info("sockets of {} are below their bound again: {}", trafficClass, describe());
     }
   }
 
   /** How each part stands. */
   public Map<TrafficClass, Usage> usage() {
     Map<TrafficClass, Usage> usage = new EnumMap<>(TrafficClass.class);
-    shares.forEach(
-        (part, share) ->
+    quotas.forEach(
+        (trafficClass, quota) ->
             usage.put(
-                part,
-                new Usage(share.open, share.idle.size(), share.peak, share.most, share.refused)));
+                trafficClass,
+                new Usage(
+                    quota.open,
+                    quota.idleSince.size(),
+                    quota.peakOpen,
+                    quota.maxOpen,
+                    quota.refused)));
     return usage;
   }
 
   private String describe() {
-    List<String> parts = new ArrayList<>();
-    shares.forEach((part, share) -> parts.add(part + " " + share.open));
-    return String.join(", ", parts) + " of " + limit;
+    List<String> openCounts = new ArrayList<>();
+    quotas.forEach((trafficClass, quota) -> openCounts.add(trafficClass + " " + quota.open));
+    return String.join(", ", openCounts) + " of " + maxSockets;
   }
 }
--- a/src/main/java/io/pineladder/net/HttpExchange.java
+++ b/src/main/java/io/pineladder/net/HttpExchange.java
@@ -16,19 +16,19 @@
 final class HttpExchange {
   /** Told of the end, once. */
   interface Listener {
-    void answered(ClientResponse response, byte[] body);
+    void onResponse(ClientResponse response, byte[] body);
 
     /** Whether the request was executed is not known. */
-    void failed(String why);
+    void onFailure(String reason);
   }
 
   private final Listener listener;
-  private final int mostAnswer;
-  private boolean over;
+  private final int maxResponseBytes;
+  private boolean finished;
 
-  private HttpExchange(Listener listener, int mostAnswer) {
+  private HttpExchange(Listener listener, int maxResponseBytes) {
     this.listener = listener;
-    this.mostAnswer = mostAnswer;
+    this.maxResponseBytes = maxResponseBytes;
   }
 
   /**
@@ -37,15 +37,15 @@
    * @param body may be null
    * @param mostAnswer an answer of more bytes is a failure
    */
-  static void begin(
+  static void send(
       ClientConnection connection,
       ClientRequest request,
       byte[] body,
-      int mostAnswer,
+      int maxResponseBytes,
       Listener listener) {
-    HttpExchange exchange = new HttpExchange(listener, mostAnswer);
+    HttpExchange exchange = new HttpExchange(listener, maxResponseBytes);
     try {
-      connection.sendRequest(request, exchange.onSent(body));
+      connection.sendRequest(request, exchange.requestCallback(body));
     } catch (RuntimeException e) {
       // The client throws when its peer has closed the connection just now. Whether any of the
       // request left is not known; ending the process for it would cost far more than a retry.
@@ -53,18 +53,18 @@
     }
   }
 
-  private void fail(String why) {
-    if (!over) {
-      over = true;
-      listener.failed(why);
+  private void fail(String reason) {
+    if (!finished) {
+      finished = true;
+      listener.onFailure(reason);
     }
   }
 
   private void fail(IOException e) {
-    XnioEventLoop.guarded(() -> fail(String.valueOf(e.getMessage())));
+    XnioEventLoop.runOrHalt(() -> fail(String.valueOf(e.getMessage())));
   }
 
-  private ClientCallback<ClientExchange> onSent(byte[] body) {
+  private ClientCallback<ClientExchange> requestCallback(byte[] body) {
     return new ClientCallback<>() {
       @Override
       public void completed(ClientExchange exchange) {
@@ -72,7 +72,7 @@
             new ClientCallback<>() {
               @Override
               public void completed(ClientExchange answered) {
-                XnioEventLoop.guarded(() -> receive(answered));
+                XnioEventLoop.runOrHalt(() -> readResponse(answered));
               }
 
               @Override
@@ -81,7 +81,7 @@
               }
             });
         try {
-          write(exchange.getRequestChannel(), body);
+          writeBody(exchange.getRequestChannel(), body);
         } catch (IOException e) {
           fail(e);
         }
@@ -94,9 +94,9 @@
     };
   }
 
-  private void write(StreamSinkChannel sink, byte[] body) throws IOException {
-    ByteBuffer left = ByteBuffer.wrap(body == null ? new byte[0] : body);
-    if (pump(sink, left)) {
+  private void writeBody(StreamSinkChannel sink, byte[] body) throws IOException {
+    ByteBuffer remaining = ByteBuffer.wrap(body == null ? new byte[0] : body);
+    if (writeAvailable(sink, remaining)) {
       return;
     }
     sink.getWriteSetter()
@@ -104,7 +104,7 @@
             (ChannelListener<StreamSinkChannel>)
                 channel -> {
                   try {
-                    if (pump(channel, left)) {
+                    if (writeAvailable(channel, remaining)) {
                       channel.suspendWrites();
                     }
                   } catch (IOException e) {
@@ -115,9 +115,10 @@
     sink.resumeWrites();
   }
 
-  private static boolean pump(StreamSinkChannel sink, ByteBuffer left) throws IOException {
-    while (left.hasRemaining()) {
-      if (sink.write(left) == 0) {
+  private static boolean writeAvailable(StreamSinkChannel sink, ByteBuffer remaining)
+      throws IOException {
+    while (remaining.hasRemaining()) {
+      if (sink.write(remaining) == 0) {
         return false;
       }
     }
@@ -125,11 +126,11 @@
     return sink.flush();
   }
 
-  private void receive(ClientExchange exchange) {
+  private void readResponse(ClientExchange exchange) {
     StreamSourceChannel source = exchange.getResponseChannel();
     ByteArrayOutputStream collected = new ByteArrayOutputStream(512);
     ClientResponse response = exchange.getResponse();
-    if (drain(source, collected, response)) {
+    if (readAvailable(source, collected, response)) {
       return;
     }
     source
@@ -137,9 +138,9 @@
         .set(
             (ChannelListener<StreamSourceChannel>)
                 channel ->
-                    XnioEventLoop.guarded(
+                    XnioEventLoop.runOrHalt(
                         () -> {
-                          if (drain(channel, collected, response)) {
+                          if (readAvailable(channel, collected, response)) {
                             channel.suspendReads();
                           }
                         }));
@@ -147,22 +148,22 @@
   }
 
   /** Reads what is there; true once the exchange is over. */
-  private boolean drain(
+  private boolean readAvailable(
       StreamSourceChannel source, ByteArrayOutputStream into, ClientResponse response) {
     ByteBuffer buffer = ByteBuffer.allocate(8 * 1024);
     try {
-      while (!over) {
+      while (!finished) {
         int read = source.read(buffer);
         if (read == 0) {
           return false;
         }
         if (read < 0) {
-          over = true;
-          listener.answered(response, into.toByteArray());
+          finished = true;
+          listener.onResponse(response, into.toByteArray());
           return true;
         }
-        if (into.size() + read > mostAnswer) {
-          fail("the answer is longer than " + mostAnswer + " bytes");
+        if (into.size() + read > maxResponseBytes) {
+          fail("the answer is longer than " + maxResponseBytes + " bytes");
           return true;
         }
         into.write(buffer.array(), 0, read);
--- a/src/main/java/io/pineladder/net/HttpResponses.java
+++ b/src/main/java/io/pineladder/net/HttpResponses.java
@@ -17,28 +17,31 @@
   }
 
   /** What cannot be taken or decided now. */
-  public static HttpResponse later(String reason) {
+  public static HttpResponse unavailable(String reason) {
     return new HttpResponse(503, JobWire.error(reason), 1);
   }
 
   /** An answer is given in time, as "later" if need be; what comes after that is dropped. */
-  public static Consumer<HttpResponse> once(
-      EventLoop eventLoop, Consumer<HttpResponse> answer, Duration within) {
-    return once(eventLoop, answer, within, later("not certain yet"));
+  public static Consumer<HttpResponse> withTimeout(
+      EventLoop eventLoop, Consumer<HttpResponse> answer, Duration timeout) {
+    return withTimeout(eventLoop, answer, timeout, unavailable("not certain yet"));
   }
 
   /** An answer is given in time, {@code late} if need be; what comes after that is dropped. */
-  public static Consumer<HttpResponse> once(
-      EventLoop eventLoop, Consumer<HttpResponse> answer, Duration within, HttpResponse late) {
-    boolean[] given = new boolean[1];
-    Consumer<HttpResponse> first =
+  public static Consumer<HttpResponse> withTimeout(
+      EventLoop eventLoop,
+      Consumer<HttpResponse> answer,
+      Duration timeout,
+      HttpResponse onTimeout) {
+    boolean[] answered = new boolean[1];
+    Consumer<HttpResponse> firstAnswer =
         http -> {
-          if (!given[0]) {
-            given[0] = true;
+          if (!answered[0]) {
+            answered[0] = true;
             answer.accept(http);
           }
         };
-    eventLoop.schedule(within, () -> first.accept(late));
-    return first;
+    eventLoop.schedule(timeout, () -> firstAnswer.accept(onTimeout));
+    return firstAnswer;
   }
 }
--- a/src/main/java/io/pineladder/net/OutboundClient.java
+++ b/src/main/java/io/pineladder/net/OutboundClient.java
@@ -7,7 +7,7 @@
 
 /** Posts to receivers outside the cluster; the answer arrives on the event thread, exactly once. */
 public interface OutboundClient {
-  void post(Message message, Consumer<Answer> onAnswer);
+  void post(Message message, Consumer<Result> onResult);
 
   /** One request. */
   record Message(URI url, Map<String, String> headers, byte[] body, Duration timeout) {}
@@ -27,17 +27,18 @@
    * @param retryAfter what the receiver asks for, or null
    * @param fault why there is no answer, or null
    */
-  record Answer(Outcome outcome, int status, Duration retryAfter, byte[] body, String fault) {
-    public static Answer answered(int status, Duration retryAfter, byte[] body) {
-      return new Answer(Outcome.ANSWERED, status, retryAfter, body, null);
+  record Result(
+      Outcome outcome, int status, Duration retryAfter, byte[] body, String failureReason) {
+    public static Result answered(int status, Duration retryAfter, byte[] body) {
+      return new Result(Outcome.ANSWERED, status, retryAfter, body, null);
     }
 
-    public static Answer failed(String fault) {
-      return new Answer(Outcome.FAILED, 0, null, new byte[0], fault);
+    public static Result failed(String reason) {
+      return new Result(Outcome.FAILED, 0, null, new byte[0], reason);
     }
 
-    public static Answer notAllowed(String fault) {
-      return new Answer(Outcome.NOT_ALLOWED, 0, null, new byte[0], fault);
+    public static Result notAllowed(String reason) {
+      return new Result(Outcome.NOT_ALLOWED, 0, null, new byte[0], reason);
     }
   }
 }
--- a/src/main/java/io/pineladder/net/OutboundHttpClient.java
+++ b/src/main/java/io/pineladder/net/OutboundHttpClient.java
@@ -41,18 +41,18 @@
  */
 public final class OutboundHttpClient implements OutboundClient {
   /** A receiver's answer is a few words; the rest is not wanted in memory. */
-  private static final int MOST_ANSWER = 4 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 4 * 1024;
 
-  private static final Duration IDLE_FOR = Duration.ofSeconds(15);
+  private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(15);
 
-  private final XnioEventLoop runtime;
-  private final Predicate<InetAddress> allowed;
-  private final SSLContext context;
+  private final XnioEventLoop eventLoop;
+  private final Predicate<InetAddress> addressAllowed;
+  private final SSLContext sslContext;
   private final CancellableConnector connector;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024);
 
   /** Looking up a name blocks; a name server that is slow for one must not delay the others. */
-  private final ExecutorService lookups =
+  private final ExecutorService lookupExecutor =
       Executors.newCachedThreadPool(
           task -> {
             Thread thread = new Thread(task, "lookup");
@@ -61,45 +61,48 @@
           });
 
   /** A connection for each origin, the longest idle first. */
-  private final Map<String, Idle> idle = new LinkedHashMap<>();
+  private final Map<String, IdleConnection> idleByOrigin = new LinkedHashMap<>();
 
   private XnioSsl ssl;
 
-  private record Made(
+  private record OpenConnection(
       ClientConnection connection,
       ConnectionLimiter.Socket socket,
-      StreamConnection raw,
+      StreamConnection channel,
       InetAddress address) {}
 
-  private record Idle(Made made, Instant since) {}
+  private record IdleConnection(OpenConnection open, Instant since) {}
 
   /**
    * A caller on the runtime's thread.
    *
    * @param allowed whether an address may be connected to
    */
-  public OutboundHttpClient(XnioEventLoop runtime, Predicate<InetAddress> allowed) {
-    this(runtime, allowed, null);
+  public OutboundHttpClient(XnioEventLoop eventLoop, Predicate<InetAddress> addressAllowed) {
+    this(eventLoop, addressAllowed, null);
   }
 
   /** A caller that trusts what {@code context} does; null for what the Java runtime does. */
-  OutboundHttpClient(XnioEventLoop runtime, Predicate<InetAddress> allowed, SSLContext context) {
-    this.runtime = runtime;
-    this.context = context;
-    this.allowed = allowed;
-    this.connector = new CancellableConnector(runtime.thread());
+  OutboundHttpClient(
+      XnioEventLoop eventLoop, Predicate<InetAddress> addressAllowed, SSLContext sslContext) {
+    this.eventLoop = eventLoop;
+    this.sslContext = sslContext;
+    this.addressAllowed = addressAllowed;
+    this.connector = new CancellableConnector(eventLoop.thread());
   }
 
   @Override
-  public void post(Message message, Consumer<Answer> onAnswer) {
-    new Call(message, onAnswer).begin();
+  public void post(Message message, Consumer<Result> onResult) {
+    new Call(message, onResult).start();
   }
 
   private XnioSsl ssl() throws GeneralSecurityException {
     if (ssl == null) {
       ssl =
           new UndertowXnioSsl(
-              runtime.xnio(), OptionMap.EMPTY, context == null ? SSLContext.getDefault() : context);
+              eventLoop.xnio(),
+              OptionMap.EMPTY,
+              sslContext == null ? SSLContext.getDefault() : sslContext);
     }
     return ssl;
   }
@@ -109,79 +112,79 @@
     return url.getScheme() + "://" + url.getRawAuthority();
   }
 
-  private Made takeIdle(String origin) {
-    Idle kept = idle.remove(origin);
-    if (kept == null) {
+  private OpenConnection takeIdleConnection(String origin) {
+    IdleConnection idleConnection = idleByOrigin.remove(origin);
+    if (idleConnection == null) {
       return null;
     }
     // What was allowed when it was made need not be now.
-    if (kept.made.connection.isOpen()
-        && kept.since.plus(IDLE_FOR).isAfter(runtime.now())
-        && allowed.test(kept.made.address)) {
-      kept.made.socket.busy();
-      return kept.made;
+    if (idleConnection.open.connection.isOpen()
+        && idleConnection.since.plus(IDLE_TIMEOUT).isAfter(eventLoop.now())
+        && addressAllowed.test(idleConnection.open.address)) {
+      idleConnection.open.socket.markBusy();
+      return idleConnection.open;
     }
-    IoUtils.safeClose(kept.made.raw);
+    IoUtils.safeClose(idleConnection.open.channel);
     return null;
   }
 
-  private void giveBack(String origin, Made made) {
-    if (!made.connection.isOpen()) {
+  private void release(String origin, OpenConnection released) {
+    if (!released.connection.isOpen()) {
       return;
     }
-    made.socket.idle();
-    Idle before = idle.remove(origin);
-    idle.put(origin, new Idle(made, runtime.now()));
-    if (before != null) {
-      IoUtils.safeClose(before.made.raw);
+    released.socket.markIdle();
+    IdleConnection replaced = idleByOrigin.remove(origin);
+    idleByOrigin.put(origin, new IdleConnection(released, eventLoop.now()));
+    if (replaced != null) {
+      IoUtils.safeClose(replaced.open.channel);
     }
   }
 
   /** Makes room for a connection that is needed; false when none is idle. */
   private boolean closeLongestIdle() {
-    Iterator<Idle> all = idle.values().iterator();
-    if (!all.hasNext()) {
+    Iterator<IdleConnection> oldestFirst = idleByOrigin.values().iterator();
+    if (!oldestFirst.hasNext()) {
       return false;
     }
-    Made longest = all.next().made;
-    all.remove();
-    IoUtils.safeClose(longest.raw);
-    longest.socket.closed();
+    OpenConnection longest = oldestFirst.next().open;
+    oldestFirst.remove();
+    IoUtils.safeClose(longest.channel);
+    longest.socket.markClosed();
     return true;
   }
 
   /** One request under way. */
   private final class Call {
     private final Message message;
-    private final Consumer<Answer> onAnswer;
+    private final Consumer<Result> onResult;
     private final String origin;
-    private boolean over;
-    private Made made;
+    private boolean finished;
+    private OpenConnection openConnection;
     private ConnectionLimiter.Socket socket;
     private IoFuture<StreamConnection> connecting;
     private XnioExecutor.Key timer;
 
-    Call(Message message, Consumer<Answer> onAnswer) {
+    Call(Message message, Consumer<Result> onResult) {
       this.message = message;
-      this.onAnswer = onAnswer;
+      this.onResult = onResult;
       this.origin = origin(message.url());
     }
 
-    void begin() {
+    void start() {
       timer =
-          runtime
+          eventLoop
               .thread()
               .executeAfter(
-                  () -> XnioEventLoop.guarded(() -> finish(Answer.failed("no answer in time"))),
+                  () -> XnioEventLoop.runOrHalt(() -> finish(Result.failed("no answer in time"))),
                   Math.max(1, message.timeout().toMillis()),
                   TimeUnit.MILLISECONDS);
-      Made kept = takeIdle(origin);
-      if (kept != null) {
-        runtime.execute(() -> send(kept));
+      OpenConnection idleConnection = takeIdleConnection(origin);
+      if (idleConnection != null) {
+        eventLoop.execute(() -> send(idleConnection));
         return;
       }
       String host = message.url().getHost();
-      lookups.execute(
+      lookupExecutor.execute(
           () -> {
             InetAddress[] found;
             try {
@@ -190,42 +193,49 @@
               found = new InetAddress[0];
             }
             InetAddress[] addresses = found;
-            runtime.execute(() -> connect(host, addresses));
+            eventLoop.execute(() -> connect(host, addresses));
           });
     }
 
     private void connect(String host, InetAddress[] addresses) {
-      if (over) {
+      if (finished) {
         return;
       }
       if (addresses.length == 0) {
-        finish(Answer.failed("the name " + host + " is not known"));
+        finish(Result.failed("the name " + host + " is not known"));
         return;
       }
-      InetAddress to = null;
+      InetAddress allowedAddress = null;
       for (InetAddress address : addresses) {
-        to = to == null && allowed.test(address) ? address : to;
+        allowedAddress =
+            allowedAddress == null && addressAllowed.test(address) ? address : allowedAddress;
       }
-      if (to == null) {
+      if (allowedAddress == null) {
         finish(
-            Answer.notAllowed(
+            Result.notAllowed(
                 "no address of "
                     + host
                     + " is in an allowed network: "
                     + addresses[0].getHostAddress()));
         return;
       }
-      socket = runtime.sockets().open(ConnectionLimiter.TrafficClass.NOTICES, this::close);
+      socket =
+          eventLoop
+              .connectionLimiter()
+              .tryOpen(ConnectionLimiter.TrafficClass.NOTICES, this::close);
       if (socket == null && closeLongestIdle()) {
-        socket = runtime.sockets().open(ConnectionLimiter.TrafficClass.NOTICES, this::close);
+        socket =
+            eventLoop
+                .connectionLimiter()
+                .tryOpen(ConnectionLimiter.TrafficClass.NOTICES, this::close);
       }
       if (socket == null) {
-        finish(Answer.failed("no socket is free for notices"));
+        finish(Result.failed("no socket is free for notices"));
         return;
       }
       URI url = message.url();
-      String literal = to.getHostAddress();
-      if (to instanceof Inet6Address) {
+      String literal = allowedAddress.getHostAddress();
+      if (allowedAddress instanceof Inet6Address) {
         // A scope has no place in a URL; addresses that need one are link-local.
         int scope = literal.indexOf('%');
         literal = "[" + (scope < 0 ? literal : literal.substring(0, scope)) + "]";
@@ -236,98 +246,104 @@
       try {
         connecting =
             secure
-                ? connector.connect(address, host, ssl(), buffers, onMade(to))
-                : connector.connect(address, buffers, onMade(to));
+                ? connector.connect(
+                    address, host, ssl(), buffers, connectionCallback(allowedAddress))
+                : connector.connect(address, buffers, connectionCallback(allowedAddress));
       } catch (GeneralSecurityException e) {
-        socket.closed();
-        finish(Answer.failed("no TLS: " + e.getMessage()));
+        socket.markClosed();
+        finish(Result.failed("no TLS: " + e.getMessage()));
       }
     }
 
-    private ClientCallback<ClientConnection> onMade(InetAddress to) {
+    private ClientCallback<ClientConnection> connectionCallback(InetAddress remoteAddress) {
       return new ClientCallback<>() {
         @Override
         public void completed(ClientConnection connection) {
-          Made now = new Made(connection, socket, CancellableConnector.made(connecting), to);
-          connection.addCloseListener(closed -> now.socket.closed());
-          XnioEventLoop.guarded(() -> send(now));
+          OpenConnection now =
+              new OpenConnection(
+                  connection,
+                  socket,
+                  CancellableConnector.completedConnection(connecting),
+                  remoteAddress);
+          connection.addCloseListener(closed -> now.socket.markClosed());
+          XnioEventLoop.runOrHalt(() -> send(now));
         }
 
         @Override
         public void failed(IOException e) {
-          socket.closed();
-          XnioEventLoop.guarded(() -> finish(Answer.failed(String.valueOf(e.getMessage()))));
+          socket.markClosed();
+          XnioEventLoop.runOrHalt(() -> finish(Result.failed(String.valueOf(e.getMessage()))));
         }
       };
     }
 
     /** Called by the socket's owner when it must go. */
     private void close() {
-      IoUtils.safeClose(made == null ? null : made.raw);
+      IoUtils.safeClose(openConnection == null ? null : openConnection.channel);
     }
 
-    private void finish(Answer answer) {
-      if (over) {
+    private void finish(Result result) {
+      if (finished) {
         return;
       }
-      over = true;
+      finished = true;
       timer.remove();
-      if (answer.outcome() != Outcome.ANSWERED) {
-        if (made != null) {
-          IoUtils.safeClose(made.raw);
+      if (result.outcome() != Outcome.ANSWERED) {
+        if (openConnection != null) {
+          IoUtils.safeClose(openConnection.channel);
         } else if (connecting != null) {
           connecting.cancel();
-          socket.closed();
+          socket.markClosed();
         }
       }
-      XnioEventLoop.guarded(() -> onAnswer.accept(answer));
+      XnioEventLoop.runOrHalt(() -> onResult.accept(result));
     }
 
-    private void send(Made on) {
-      if (over) {
-        IoUtils.safeClose(on.raw);
+    private void send(OpenConnection target) {
+      if (finished) {
+        IoUtils.safeClose(target.channel);
         return;
       }
-      made = on;
+      openConnection = target;
       URI url = message.url();
       String path = url.getRawPath().isEmpty() ? "/" : url.getRawPath();
-      ClientRequest out =
+      ClientRequest request =
           new ClientRequest()
               .setMethod(Methods.POST)
               .setPath(url.getRawQuery() == null ? path : path + "?" + url.getRawQuery());
-      out.getRequestHeaders().put(Headers.HOST, url.getRawAuthority());
-      out.getRequestHeaders().put(Headers.CONTENT_LENGTH, message.body().length);
+      request.getRequestHeaders().put(Headers.HOST, url.getRawAuthority());
+      request.getRequestHeaders().put(Headers.CONTENT_LENGTH, message.body().length);
       message
           .headers()
-          .forEach((name, value) -> out.getRequestHeaders().put(new HttpString(name), value));
-      HttpExchange.begin(
-          made.connection,
-          out,
+          .forEach((name, value) -> request.getRequestHeaders().put(new HttpString(name), value));
+      HttpExchange.send(
+          openConnection.connection,
+          request,
           message.body(),
-          MOST_ANSWER,
+          MAX_RESPONSE_BYTES,
           new HttpExchange.Listener() {
             @Override
-            public void answered(ClientResponse response, byte[] body) {
-              if (!over) {
-                runtime.execute(() -> giveBack(origin, made));
+            public void onResponse(ClientResponse response, byte[] body) {
+              if (!finished) {
+                eventLoop.execute(() -> release(origin, openConnection));
               }
               finish(
-                  Answer.answered(
+                  Result.answered(
                       response.getResponseCode(),
-                      seconds(response.getResponseHeaders().getFirst(Headers.RETRY_AFTER)),
+                      parseRetryAfter(response.getResponseHeaders().getFirst(Headers.RETRY_AFTER)),
                       body));
             }
 
             @Override
-            public void failed(String why) {
-              finish(Answer.failed(why));
+            public void onFailure(String why) {
+              finish(Result.failed(why));
             }
           });
     }
   }
 
   /** A {@code Retry-After} in seconds; a date, or anything else, is passed over. */
-  private static Duration seconds(String header) {
+  private static Duration parseRetryAfter(String header) {
     return header != null && header.matches("[0-9]{1,9}")
         ? Duration.ofSeconds(Long.parseLong(header))
         : null;
--- a/src/main/java/io/pineladder/net/UndertowHttpClient.java
+++ b/src/main/java/io/pineladder/net/UndertowHttpClient.java
@@ -32,33 +32,33 @@
  * call that finds no socket of its part free waits for one, as long as its time lasts.
  */
 public final class UndertowHttpClient implements AsyncHttpClient {
-  private static final int IDLE_PER_ADDRESS = 3;
+  private static final int MAX_IDLE_PER_ADDRESS = 3;
 
   /** With a large fleet a connection kept for each machine would use up the process's sockets. */
-  private static final int IDLE_IN_ALL = 200;
+  private static final int MAX_IDLE_CONNECTIONS = 200;
 
-  private static final Duration IDLE_FOR = Duration.ofSeconds(20);
+  private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(20);
 
-  private final XnioEventLoop runtime;
-  private final Function<String, ConnectionLimiter.TrafficClass> parts;
+  private final XnioEventLoop eventLoop;
+  private final Function<String, ConnectionLimiter.TrafficClass> trafficClassOf;
   private final CancellableConnector connector;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024);
-  private final Map<String, Deque<Idle>> idle = new HashMap<>();
+  private final Map<String, Deque<IdleConnection>> idleByAddress = new HashMap<>();
 
   /** All idle connections, the longest idle first. */
-  private final Set<Idle> byAge = new LinkedHashSet<>();
+  private final Set<IdleConnection> idleByAge = new LinkedHashSet<>();
 
   /** Calls without a socket, by part. */
-  private final Map<ConnectionLimiter.TrafficClass, Deque<Call>> waiting =
+  private final Map<ConnectionLimiter.TrafficClass, Deque<Call>> waitingCalls =
       new EnumMap<>(ConnectionLimiter.TrafficClass.class);
 
   /**
    * A connection; {@code raw} is what closes it at once, where the client would wait for its peer.
    */
-  private record Made(
-      ClientConnection connection, ConnectionLimiter.Socket socket, StreamConnection raw) {}
+  private record OpenConnection(
+      ClientConnection connection, ConnectionLimiter.Socket socket, StreamConnection channel) {}
 
-  private record Idle(String address, Made made, Instant since) {}
+  private record IdleConnection(String address, OpenConnection open, Instant since) {}
 
   /**
    * A client on the runtime's thread.
@@ -66,74 +66,78 @@
    * @param parts tells which part of the sockets a connection to an address belongs to
    */
   public UndertowHttpClient(
-      XnioEventLoop runtime, Function<String, ConnectionLimiter.TrafficClass> parts) {
-    this.runtime = runtime;
-    this.parts = parts;
-    this.connector = new CancellableConnector(runtime.thread());
-    for (ConnectionLimiter.TrafficClass part : ConnectionLimiter.TrafficClass.values()) {
-      waiting.put(part, new ArrayDeque<>());
+      XnioEventLoop eventLoop, Function<String, ConnectionLimiter.TrafficClass> trafficClassOf) {
+    this.eventLoop = eventLoop;
+    this.trafficClassOf = trafficClassOf;
+    this.connector = new CancellableConnector(eventLoop.thread());
+    for (ConnectionLimiter.TrafficClass trafficClass : ConnectionLimiter.TrafficClass.values()) {
+      waitingCalls.put(trafficClass, new ArrayDeque<>());
     }
   }
 
   @Override
   public void call(Request request, Consumer<Reply> onReply) {
-    new Call(request, onReply).begin();
+    new Call(request, onReply).start();
   }
 
-  private Made takeIdle(String address) {
-    Deque<Idle> free = idle.get(address);
-    while (free != null && !free.isEmpty()) {
-      Idle kept = free.pollLast();
-      byAge.remove(kept);
-      if (kept.made.connection.isOpen() && kept.since.plus(IDLE_FOR).isAfter(runtime.now())) {
-        kept.made.socket.busy();
-        return kept.made;
+  private OpenConnection takeIdleConnection(String address) {
+    Deque<IdleConnection> available = idleByAddress.get(address);
+    while (available != null && !available.isEmpty()) {
+      IdleConnection idleConnection = available.pollLast();
+      idleByAge.remove(idleConnection);
+      if (idleConnection.open.connection.isOpen()
+          && idleConnection.since.plus(IDLE_TIMEOUT).isAfter(eventLoop.now())) {
+        idleConnection.open.socket.markBusy();
+        return idleConnection.open;
       }
-      IoUtils.safeClose(kept.made.connection);
+      IoUtils.safeClose(idleConnection.open.connection);
     }
-    if (free != null) {
-      idle.remove(address);
+    if (available != null) {
+      idleByAddress.remove(address);
     }
     return null;
   }
 
-  private void giveBack(String address, Made made) {
-    Deque<Idle> free = idle.computeIfAbsent(address, a -> new ArrayDeque<>(2));
-    boolean wanted = waiting.get(made.socket.part()).isEmpty();
-    if (!made.connection.isOpen() || free.size() >= IDLE_PER_ADDRESS || !wanted) {
-      IoUtils.safeClose(made.connection);
+  private void release(String address, OpenConnection released) {
+    Deque<IdleConnection> available =
+        idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>(2));
+    boolean noCallWaiting = waitingCalls.get(released.socket.trafficClass()).isEmpty();
+    if (!released.connection.isOpen()
+        || available.size() >= MAX_IDLE_PER_ADDRESS
+        || !noCallWaiting) {
+      IoUtils.safeClose(released.connection);
       return;
     }
-    made.socket.idle();
-    Idle kept = new Idle(address, made, runtime.now());
-    free.addLast(kept);
-    byAge.add(kept);
-    if (byAge.size() > IDLE_IN_ALL) {
-      drop(byAge.iterator().next());
+    released.socket.markIdle();
+    IdleConnection idleConnection = new IdleConnection(address, released, eventLoop.now());
+    available.addLast(idleConnection);
+    idleByAge.add(idleConnection);
+    if (idleByAge.size() > MAX_IDLE_CONNECTIONS) {
+      evict(idleByAge.iterator().next());
     }
   }
 
-  private void drop(Idle kept) {
-    byAge.remove(kept);
-    Deque<Idle> free = idle.get(kept.address);
-    if (free.remove(kept) && free.isEmpty()) {
-      idle.remove(kept.address);
+  private void evict(IdleConnection idleConnection) {
+    idleByAge.remove(idleConnection);
+    Deque<IdleConnection> available = idleByAddress.get(idleConnection.address);
+    if (available.remove(idleConnection) && available.isEmpty()) {
+      idleByAddress.remove(idleConnection.address);
     }
-    IoUtils.safeClose(kept.made.connection);
+    IoUtils.safeClose(idleConnection.open.connection);
   }
 
   /** A socket is closed: the call that has waited longest for one of its part gets the room. */
-  private void released(ConnectionLimiter.Socket socket) {
-    socket.closed();
-    Deque<Call> queue = waiting.get(socket.part());
+  private void onSocketClosed(ConnectionLimiter.Socket socket) {
+    socket.markClosed();
+    Deque<Call> queue = waitingCalls.get(socket.trafficClass());
     if (!queue.isEmpty()) {
-      runtime.execute(() -> next(queue));
+      eventLoop.execute(() -> connectWaiting(queue));
     }
   }
 
-  private void next(Deque<Call> queue) {
+  private void connectWaiting(Deque<Call> queue) {
     Call call = queue.peekFirst();
-    while (call != null && (call.state == Call.State.DONE || call.connect())) {
+    while (call != null && (call.state == Call.State.DONE || call.tryConnect())) {
       queue.pollFirst();
       call = queue.peekFirst();
     }
@@ -153,7 +157,7 @@
     private final Request request;
     private final Consumer<Reply> onReply;
     private State state = State.WAITING;
-    private Made made;
+    private OpenConnection openConnection;
     private ConnectionLimiter.Socket socket;
     private IoFuture<StreamConnection> connecting;
     private XnioExecutor.Key timer;
@@ -163,29 +167,32 @@
       this.onReply = onReply;
     }
 
-    void begin() {
+    void start() {
       timer =
-          runtime
+          eventLoop
               .thread()
               .executeAfter(
-                  () -> XnioEventLoop.guarded(this::timeOut),
+                  () -> XnioEventLoop.runOrHalt(this::onTimeout),
                   Math.max(1, request.timeout().toMillis()),
                   TimeUnit.MILLISECONDS);
-      Made kept = takeIdle(request.address());
-      if (kept != null) {
+      OpenConnection idleConnection = takeIdleConnection(request.address());
+      if (idleConnection != null) {
         state = State.CONNECTING;
-        runtime.execute(() -> send(kept));
+        eventLoop.execute(() -> send(idleConnection));
         return;
       }
-      Deque<Call> queue = waiting.get(parts.apply(request.address()));
-      if (!queue.isEmpty() || !connect()) {
+      Deque<Call> queue = waitingCalls.get(trafficClassOf.apply(request.address()));
+      if (!queue.isEmpty() || !tryConnect()) {
         queue.addLast(this);
       }
     }
 
     /** Begins to connect; false when there is no socket for it. */
-    boolean connect() {
-      socket = runtime.sockets().open(parts.apply(request.address()), this::close);
+    boolean tryConnect() {
+      socket =
+          eventLoop
+              .connectionLimiter()
+              .tryOpen(trafficClassOf.apply(request.address()), this::close);
       if (socket == null) {
         return false;
       }
@@ -197,15 +204,17 @@
               new ClientCallback<>() {
                 @Override
                 public void completed(ClientConnection connection) {
-                  Made now = new Made(connection, socket, CancellableConnector.made(connecting));
-                  connection.addCloseListener(closed -> released(now.socket));
-                  XnioEventLoop.guarded(() -> send(now));
+                  OpenConnection now =
+                      new OpenConnection(
+                          connection, socket, CancellableConnector.completedConnection(connecting));
+                  connection.addCloseListener(closed -> onSocketClosed(now.socket));
+                  XnioEventLoop.runOrHalt(() -> send(now));
                 }
 
                 @Override
                 public void failed(IOException e) {
-                  released(socket);
-                  XnioEventLoop.guarded(() -> finish(Reply.NOT_SENT));
+                  onSocketClosed(socket);
+                  XnioEventLoop.runOrHalt(() -> finish(Reply.NOT_SENT));
                 }
               });
       return true;
@@ -213,10 +222,10 @@
 
     /** Called by the socket's owner when it must go. */
     private void close() {
-      IoUtils.safeClose(made == null ? null : made.connection);
+      IoUtils.safeClose(openConnection == null ? null : openConnection.connection);
     }
 
-    private void timeOut() {
+    private void onTimeout() {
       timer = null;
       finish(state == State.SENT ? Reply.UNKNOWN : Reply.NOT_SENT);
     }
@@ -229,50 +238,52 @@
       if (timer != null) {
         timer.remove();
       }
-      if (made != null && reply.outcome() != Outcome.ANSWERED) {
+      if (openConnection != null && reply.outcome() != Outcome.ANSWERED) {
         // The client's own close goes on reading for 10 s, and a peer that hangs says nothing.
-        IoUtils.safeClose(made.raw);
-      } else if (made == null && connecting != null && reply.outcome() != Outcome.ANSWERED) {
+        IoUtils.safeClose(openConnection.channel);
+      } else if (openConnection == null
+          && connecting != null
+          && reply.outcome() != Outcome.ANSWERED) {
         connecting.cancel();
-        released(socket);
+        onSocketClosed(socket);
       }
-      XnioEventLoop.guarded(() -> onReply.accept(reply));
+      XnioEventLoop.runOrHalt(() -> onReply.accept(reply));
     }
 
-    private void send(Made on) {
+    private void send(OpenConnection target) {
       if (state == State.DONE) {
         // Nothing was written on it: the call was given up while the connection was being made.
-        IoUtils.safeClose(on.connection);
+        IoUtils.safeClose(target.connection);
         return;
       }
-      made = on;
+      openConnection = target;
       state = State.SENT;
-      ClientRequest out =
+      ClientRequest clientRequest =
           new ClientRequest().setMethod(new HttpString(request.method())).setPath(request.path());
-      out.getRequestHeaders().put(Headers.HOST, request.address());
+      clientRequest.getRequestHeaders().put(Headers.HOST, request.address());
       byte[] body = request.body();
       if (body != null) {
-        out.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        out.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
+        clientRequest.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        clientRequest.getRequestHeaders().put(Headers.CONTENT_LENGTH, body.length);
       }
-      HttpExchange.begin(
-          made.connection,
-          out,
+      HttpExchange.send(
+          openConnection.connection,
+          clientRequest,
           body,
           Integer.MAX_VALUE,
           new HttpExchange.Listener() {
             @Override
-            public void answered(ClientResponse response, byte[] answer) {
+            public void onResponse(ClientResponse response, byte[] answer) {
               if (state != State.DONE) {
                 // Let the client finish its own end of the exchange before the connection is
                 // reused.
-                runtime.execute(() -> giveBack(request.address(), made));
+                eventLoop.execute(() -> release(request.address(), openConnection));
               }
               finish(Reply.answered(response.getResponseCode(), answer));
             }
 
             @Override
-            public void failed(String why) {
+            public void onFailure(String why) {
               finish(Reply.UNKNOWN);
             }
           });
--- a/src/main/java/io/pineladder/net/XnioEventLoop.java
+++ b/src/main/java/io/pineladder/net/XnioEventLoop.java
@@ -41,18 +41,19 @@
   private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
 
   /** Larger bodies than a user may send; reports of full machines stay below it. */
-  private static final int MAX_BODY = 1 << 20;
+  private static final int MAX_BODY_BYTES = 1 << 20;
 
-  private static final Duration SWEEP = Duration.ofSeconds(1);
+  private static final Duration SOCKET_SWEEP_INTERVAL = Duration.ofSeconds(1);
 
   private final XnioWorker worker;
   private final XnioIoThread thread;
   private final Instant origin = Instant.EPOCH;
   private final long originNanos = System.nanoTime();
   private final RandomGenerator random = new SplittableRandom();
-  private final Clock wall = Clock.systemUTC();
-  private final ConnectionLimiter sockets;
-  private final Map<StreamConnection, ConnectionLimiter.Socket> accepted = new IdentityHashMap<>();
+  private final Clock systemClock = Clock.systemUTC();
+  private final ConnectionLimiter connectionLimiter;
+  private final Map<StreamConnection, ConnectionLimiter.Socket> acceptedSockets =
+      new IdentityHashMap<>();
   private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
 
   /**
@@ -61,8 +62,8 @@
    * @param maxSockets how many sockets the process may have
    * @param report how often a worker reports
    */
-  public XnioEventLoop(int maxSockets, Duration report) throws IOException {
-    sockets = new ConnectionLimiter(maxSockets, report, this);
+  public XnioEventLoop(int maxSockets, Duration heartbeatInterval) throws IOException {
+    connectionLimiter = new ConnectionLimiter(maxSockets, heartbeatInterval, this);
     worker =
         Xnio.getInstance(XnioEventLoop.class.getClassLoader())
             .createWorker(
@@ -73,17 +74,17 @@
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
     thread = worker.getIoThread();
-    schedule(SWEEP, this::sweep);
+    schedule(SOCKET_SWEEP_INTERVAL, this::sweepSockets);
   }
 
-  private void sweep() {
-    sockets.sweep();
-    schedule(SWEEP, this::sweep);
+  private void sweepSockets() {
+    connectionLimiter.closeStaleSockets();
+    schedule(SOCKET_SWEEP_INTERVAL, this::sweepSockets);
   }
 
   /** The process's sockets. */
-  public ConnectionLimiter sockets() {
-    return sockets;
+  public ConnectionLimiter connectionLimiter() {
+    return connectionLimiter;
   }
 
   XnioIoThread thread() {
@@ -97,7 +98,7 @@
 
   @Override
   public Instant wallClock() {
-    return wall.instant();
+    return systemClock.instant();
   }
 
   @Override
@@ -108,22 +109,22 @@
   @Override
   public void schedule(Duration delay, Runnable action) {
     thread.executeAfter(
-        () -> guarded(action), Math.max(0, delay.toMillis()), TimeUnit.MILLISECONDS);
+        () -> runOrHalt(action), Math.max(0, delay.toMillis()), TimeUnit.MILLISECONDS);
   }
 
   /** Runs {@code action} on the event thread. */
   public void execute(Runnable action) {
-    thread.execute(() -> guarded(action));
+    thread.execute(() -> runOrHalt(action));
   }
 
   @Override
-  public <T> void run(Supplier<T> work, Consumer<T> then) {
+  public <T> void run(Supplier<T> work, Consumer<T> onResult) {
     worker.execute(
         () ->
-            guarded(
+            runOrHalt(
                 () -> {
                   T result = work.get();
-                  execute(() -> then.accept(result));
+                  execute(() -> onResult.accept(result));
                 }));
   }
 
@@ -135,7 +136,7 @@
    * A fault in one message must not end the event thread, yet the state it left is not to be
    * trusted: the process ends and its successor starts from the stored state.
    */
-  static void guarded(Runnable action) {
+  static void runOrHalt(Runnable action) {
     try {
       action.run();
     } catch (Throwable fault) {
@@ -153,8 +154,8 @@
   public record Listener(
       String address,
       AsyncHttpHandler handler,
-      ConnectionLimiter.TrafficClass accepted,
-      Function<String, ConnectionLimiter.TrafficClass> parts) {}
+      ConnectionLimiter.TrafficClass acceptedClass,
+      Function<String, ConnectionLimiter.TrafficClass> trafficClassOf) {}
 
   /** Starts an HTTP listener. */
   public void serve(Listener listener) throws IOException {
@@ -163,19 +164,19 @@
         new HttpOpenListener(
             new DefaultByteBufferPool(false, 8 * 1024),
             OptionMap.builder()
-                .set(UndertowOptions.MAX_ENTITY_SIZE, (long) MAX_BODY)
+                .set(UndertowOptions.MAX_ENTITY_SIZE, (long) MAX_BODY_BYTES)
                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                 .set(UndertowOptions.NO_REQUEST_TIMEOUT, 120_000)
                 .set(UndertowOptions.ENABLE_STATISTICS, false)
                 .getMap());
-    http.setRootHandler(adapt(listener));
+    http.setRootHandler(toUndertowHandler(listener));
     AcceptingChannel<StreamConnection> server =
         worker.createStreamConnectionServer(
             new InetSocketAddress(
                 listener.address.substring(0, colon),
                 Integer.parseInt(listener.address.substring(colon + 1))),
             ChannelListeners.openListenerAdapter(
-                connection -> accept(connection, listener.accepted, http)),
+                connection -> accept(connection, listener.acceptedClass, http)),
             OptionMap.builder()
                 .set(Options.TCP_NODELAY, true)
                 .set(Options.REUSE_ADDRESSES, true)
@@ -186,31 +187,34 @@
   }
 
   private void accept(
-      StreamConnection connection, ConnectionLimiter.TrafficClass part, HttpOpenListener http) {
-    ConnectionLimiter.Socket socket = sockets.open(part, () -> IoUtils.safeClose(connection));
+      StreamConnection connection,
+      ConnectionLimiter.TrafficClass trafficClass,
+      HttpOpenListener http) {
+    ConnectionLimiter.Socket socket =
+        connectionLimiter.tryOpen(trafficClass, () -> IoUtils.safeClose(connection));
     if (socket == null) {
       IoUtils.safeClose(connection);
       return;
     }
-    socket.idle();
-    accepted.put(connection, socket);
+    socket.markIdle();
+    acceptedSockets.put(connection, socket);
     // It may answer the first request at once, so whose socket it is must be known by now.
     http.handleEvent(connection);
-    ChannelListener<? super StreamConnection> theirs = connection.getCloseListener();
+    ChannelListener<? super StreamConnection> undertowListener = connection.getCloseListener();
     connection.setCloseListener(
         closed -> {
-          forget(connection);
-          ChannelListeners.invokeChannelListener(closed, theirs);
+          onConnectionClosed(connection);
+          ChannelListeners.invokeChannelListener(closed, undertowListener);
         });
     if (!connection.isOpen()) {
-      forget(connection);
+      onConnectionClosed(connection);
     }
   }
 
-  private void forget(StreamConnection connection) {
-    ConnectionLimiter.Socket socket = accepted.remove(connection);
+  private void onConnectionClosed(StreamConnection connection) {
+    ConnectionLimiter.Socket socket = acceptedSockets.remove(connection);
     if (socket != null) {
-      socket.closed();
+      socket.markClosed();
     }
   }
 
@@ -219,13 +223,13 @@
     worker.shutdownNow();
   }
 
-  private HttpHandler adapt(Listener listener) {
+  private HttpHandler toUndertowHandler(Listener listener) {
     return exchange -> {
-      occupy(listener, exchange);
+      classify(listener, exchange);
       exchange
           .getRequestReceiver()
           .receiveFullBytes(
-              (ex, body) -> guarded(() -> dispatch(listener.handler, ex, body)),
+              (ex, body) -> runOrHalt(() -> dispatch(listener.handler, ex, body)),
               (ex, failure) -> {
                 // A body over the limit cannot be read to its end, so the connection closes.
                 ex.setPersistent(false);
@@ -237,19 +241,19 @@
   /**
    * Counts the connection to its part; one that finds no room there gets its answer and is closed.
    */
-  private void occupy(Listener listener, HttpServerExchange exchange) {
+  private void classify(Listener listener, HttpServerExchange exchange) {
     StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
-    ConnectionLimiter.Socket socket = accepted.get(connection);
+    ConnectionLimiter.Socket socket = acceptedSockets.get(connection);
     if (socket == null) {
       return;
     }
-    socket.busy();
-    if (!socket.moveTo(listener.parts.apply(exchange.getRequestURI()))) {
+    socket.markBusy();
+    if (!socket.reclassify(listener.trafficClassOf.apply(exchange.getRequestURI()))) {
       exchange.setPersistent(false);
     }
     exchange.addExchangeCompleteListener(
         (ex, next) -> {
-          socket.idle();
+          socket.markIdle();
           next.proceed();
         });
   }
@@ -265,17 +269,17 @@
                 exchange.getRequestMethod().toString(),
                 path,
                 body,
-                answer -> send(exchange, answer)));
+                response -> send(exchange, response)));
   }
 
-  private static void send(HttpServerExchange exchange, HttpResponse answer) {
-    exchange.setStatusCode(answer.status());
+  private static void send(HttpServerExchange exchange, HttpResponse response) {
+    exchange.setStatusCode(response.status());
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-    if (answer.retryAfterSeconds() > 0) {
+    if (response.retryAfterSeconds() > 0) {
       exchange
           .getResponseHeaders()
-          .put(Headers.RETRY_AFTER, Integer.toString(answer.retryAfterSeconds()));
+          .put(Headers.RETRY_AFTER, Integer.toString(response.retryAfterSeconds()));
     }
-    exchange.getResponseSender().send(ByteBuffer.wrap(answer.body()));
+    exchange.getResponseSender().send(ByteBuffer.wrap(response.body()));
   }
 }
--- a/src/main/java/io/pineladder/retry/Backoff.java
+++ b/src/main/java/io/pineladder/retry/Backoff.java
@@ -9,9 +9,9 @@
  */
 public final class Backoff {
   private final EventLoop eventLoop;
-  private final Duration first;
-  private final Duration most;
-  private Duration next;
+  private final Duration initialDelay;
+  private final Duration maxDelay;
+  private Duration nextDelay;
 
   /**
    * A series of pauses.
@@ -19,22 +19,24 @@
    * @param first the longest that the first pause can be
    * @param most the longest that any can be
    */
-  public Backoff(EventLoop eventLoop, Duration first, Duration most) {
+  public Backoff(EventLoop eventLoop, Duration initialDelay, Duration maxDelay) {
     this.eventLoop = eventLoop;
-    this.first = first;
-    this.most = most;
-    this.next = first;
+    this.initialDelay = initialDelay;
+    this.maxDelay = maxDelay;
+    this.nextDelay = initialDelay;
   }
 
   /** The pause before the next try. */
-  public Duration pause() {
-    long full = next.toNanos();
-    next = next.multipliedBy(2).compareTo(most) < 0 ? next.multipliedBy(2) : most;
-    return Duration.ofNanos(full / 2 + (long) (eventLoop.random().nextDouble() * (full / 2)));
+  public Duration nextDelay() {
+    long upperBoundNanos = nextDelay.toNanos();
+    nextDelay =
+        nextDelay.multipliedBy(2).compareTo(maxDelay) < 0 ? nextDelay.multipliedBy(2) : maxDelay;
+    return Duration.ofNanos(
+        upperBoundNanos / 2 + (long) (eventLoop.random().nextDouble() * (upperBoundNanos / 2)));
   }
 
   /** It has succeeded: the next pause is a first one. */
   public void reset() {
-    next = first;
+    nextDelay = initialDelay;
   }
 }
--- a/src/main/java/io/pineladder/retry/CircuitBreaker.java
+++ b/src/main/java/io/pineladder/retry/CircuitBreaker.java
@@ -20,15 +20,15 @@
     /** None goes out until the pause is over. */
     OPEN,
     /** One has gone out to see. */
-    PROBING
+    HALF_OPEN
   }
 
-  private final String party;
+  private final String target;
   private final EventLoop eventLoop;
-  private final int failuresAllowed;
+  private final int failureThreshold;
   private final Backoff backoff;
   private State state = State.CLOSED;
-  private int failures;
+  private int consecutiveFailures;
   private Instant openUntil = Instant.MIN;
 
   /**
@@ -38,11 +38,15 @@
    * @param failuresAllowed how many in a row open it
    */
   public CircuitBreaker(
-      String party, EventLoop eventLoop, int failuresAllowed, Duration first, Duration most) {
-    this.party = party;
+      String target,
+      EventLoop eventLoop,
+      int failureThreshold,
+      Duration initialDelay,
+      Duration maxDelay) {
+    this.target = target;
     this.eventLoop = eventLoop;
-    this.failuresAllowed = failuresAllowed;
-    this.backoff = new Backoff(eventLoop, first, most);
+    this.failureThreshold = failureThreshold;
+    this.backoff = new Backoff(eventLoop, initialDelay, maxDelay);
   }
 
   public State state() {
@@ -50,35 +54,35 @@
   }
 
   /** The one place where the state changes. */
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     if (state != next) {
-      log.debug("{}: {} (was {})", party, next, state);
+      log.debug("{}: {} (was {})", target, next, state);
       state = next;
     }
   }
 
   /** Whether a call may go out now; if so its end is to be told. */
-  public boolean mayCall() {
+  public boolean tryAcquire() {
     if (state == State.OPEN && !openUntil.isAfter(eventLoop.now())) {
-      moveTo(State.PROBING);
+      transitionTo(State.HALF_OPEN);
       return true;
     }
     return state == State.CLOSED;
   }
 
   /** A call was answered as it should be. */
-  public void succeeded() {
-    failures = 0;
+  public void onSuccess() {
+    consecutiveFailures = 0;
     backoff.reset();
-    moveTo(State.CLOSED);
+    transitionTo(State.CLOSED);
   }
 
   /** A call was refused, or not answered. */
-  public void failed() {
-    failures++;
-    if (state == State.PROBING || failures >= failuresAllowed) {
-      openUntil = eventLoop.now().plus(backoff.pause());
-      moveTo(State.OPEN);
+  public void onFailure() {
+    consecutiveFailures++;
+    if (state == State.HALF_OPEN || consecutiveFailures >= failureThreshold) {
+      openUntil = eventLoop.now().plus(backoff.nextDelay());
+      transitionTo(State.OPEN);
     }
   }
 }
--- a/src/main/java/io/pineladder/retry/RetryBudget.java
+++ b/src/main/java/io/pineladder/retry/RetryBudget.java
@@ -10,8 +10,8 @@
  */
 public final class RetryBudget {
   private final EventLoop eventLoop;
-  private final double share;
-  private final TokenBucket budget;
+  private final double retriesPerSuccess;
+  private final TokenBucket tokens;
 
   /**
    * A budget, full at first.
@@ -20,21 +20,22 @@
    * @param perSecond tries that are allowed each second in any case
    * @param most tries that can be saved up
    */
-  public RetryBudget(EventLoop eventLoop, double share, double perSecond, double most) {
+  public RetryBudget(
+      EventLoop eventLoop, double retriesPerSuccess, double retriesPerSecond, double maxBurst) {
     this.eventLoop = eventLoop;
-    this.share = share;
-    this.budget = new TokenBucket(perSecond, most, eventLoop.now());
+    this.retriesPerSuccess = retriesPerSuccess;
+    this.tokens = new TokenBucket(retriesPerSecond, maxBurst, eventLoop.now());
   }
 
   /** A call has succeeded. */
-  public void succeeded() {
-    budget.give(share, eventLoop.now());
+  public void onSuccess() {
+    tokens.add(retriesPerSuccess, eventLoop.now());
   }
 
   /** How long a try has to wait for its turn, which it takes; zero when it may go out now. */
-  public Duration take() {
+  public Duration acquireDelay() {
     Instant now = eventLoop.now();
-    budget.take(1, now);
-    return budget.until(0, now);
+    tokens.consume(1, now);
+    return tokens.delayUntilAvailable(0, now);
   }
 }
--- a/src/main/java/io/pineladder/retry/TokenBucket.java
+++ b/src/main/java/io/pineladder/retry/TokenBucket.java
@@ -7,48 +7,50 @@
  * A token bucket with a burst of one second's worth, kept a little below what the service allows.
  */
 public final class TokenBucket {
-  private final double perSecond;
+  private final double tokensPerSecond;
   private final double burst;
-  private double level;
-  private Instant at;
+  private double tokens;
+  private Instant refilledAt;
 
-  public TokenBucket(double perSecond, double burst, Instant now) {
-    this.perSecond = perSecond;
+  public TokenBucket(double tokensPerSecond, double burst, Instant now) {
+    this.tokensPerSecond = tokensPerSecond;
     this.burst = burst;
-    this.level = burst;
-    this.at = now;
+    this.tokens = burst;
+    this.refilledAt = now;
   }
 
   private void refill(Instant now) {
-    double seconds = Duration.between(at, now).toNanos() / 1e9;
+    double seconds = Duration.between(refilledAt, now).toNanos() / 1e9;
     if (seconds > 0) {
-      level = Math.min(burst, level + seconds * perSecond);
-      at = now;
+      tokens = Math.min(burst, tokens + seconds * tokensPerSecond);
+      refilledAt = now;
     }
   }
 
   /** Whole units that may be taken now. */
   public int available(Instant now) {
     refill(now);
-    return (int) Math.floor(Math.max(0, level));
+    return (int) Math.floor(Math.max(0, tokens));
   }
 
   /** Takes {@code count}; the level may go below zero, which later takers pay. */
-  public void take(int count, Instant now) {
+  public void consume(int count, Instant now) {
     refill(now);
-    level -= count;
+    tokens -= count;
   }
 
   /** Gives a part of a unit back, up to the burst. */
-  void give(double part, Instant now) {
+  void add(double fraction, Instant now) {
     refill(now);
-    level = Math.min(burst, level + part);
+    tokens = Math.min(burst, tokens + fraction);
   }
 
   /** How long until {@code count} units are there. */
-  public Duration until(int count, Instant now) {
+  public Duration delayUntilAvailable(int count, Instant now) {
     refill(now);
-    double missing = Math.min(count, burst) - level;
-    return missing <= 0 ? Duration.ZERO : Duration.ofNanos((long) (missing / perSecond * 1e9) + 1);
+    double missing = Math.min(count, burst) - tokens;
+    return missing <= 0
+        ? Duration.ZERO
+        : Duration.ofNanos((long) (missing / tokensPerSecond * 1e9) + 1);
   }
 }
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -864,7 +864,7 @@
     }
     Placer.Decision decision = place(job, taskCount, now);
     if (isRateLimited) {
-      largeArrayStarts.take(decision.machines().size(), now);
+      largeArrayStarts.consume(decision.machines().size(), now);
     }
     for (Machine machine : decision.machines()) {
       if (waitsForCachedImage(entry, machine, now)) {
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -180,7 +180,8 @@
         } else {
           transitionTo(State.WAITING);
           eventLoop.schedule(
-              storeClient.writeBudget().until(cost, now).plusMillis(1), this::sendNext);
+              storeClient.writeBudget().delayUntilAvailable(cost, now).plusMillis(1),
+              this::sendNext);
         }
         return;
       }
@@ -307,7 +308,7 @@
   private void sendBatch() {
     transitionTo(State.IN_FLIGHT);
     pending.highestRevisionWhenSent = storeClient.highestRevision();
-    storeClient.writeBudget().take(pending.values.size(), eventLoop.now());
+    storeClient.writeBudget().consume(pending.values.size(), eventLoop.now());
     storeClient.send(storeClient.post("/multi", pending.body), this::onReply);
   }
 
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -199,7 +199,7 @@
       if (executed) {
         lastResponseAt = eventLoop.now();
         healthy = true;
-        retryBudget.succeeded();
+        retryBudget.onSuccess();
       } else if (!reply.is(429)) {
         healthy = false;
       }
@@ -214,15 +214,15 @@
 
   /** Tries something again after a pause, or later when too much is tried again already. */
   public void scheduleRetry(Backoff backoff, Runnable action) {
-    Duration backoffDelay = backoff.pause();
-    Duration budgetDelay = retryBudget.take();
+    Duration backoffDelay = backoff.nextDelay();
+    Duration budgetDelay = retryBudget.acquireDelay();
     eventLoop.schedule(
         budgetDelay.compareTo(backoffDelay) > 0 ? budgetDelay : backoffDelay, action);
   }
 
   /** Sends at once, whatever the budget says: for lease renewals, which everything depends on. */
   public void sendImmediately(Request request, Consumer<Reply> onReply) {
-    requestBudget.take(1, eventLoop.now());
+    requestBudget.consume(1, eventLoop.now());
     httpClient.call(request, observing(onReply));
   }
 
@@ -280,7 +280,7 @@
       onReply.accept(Reply.NOT_SENT);
       return;
     }
-    budget.take(cost, now);
+    budget.consume(cost, now);
     httpClient.call(request, observing(onReply));
   }
 
@@ -294,13 +294,13 @@
     Instant now = eventLoop.now();
     while (!queue.isEmpty() && requestBudget.available(now) >= 1) {
       QueuedRequest next = queue.pollFirst();
-      requestBudget.take(1, now);
+      requestBudget.consume(1, now);
       httpClient.call(next.request, observing(next.onReply));
     }
     if (!queue.isEmpty() && !drainScheduled) {
       drainScheduled = true;
       eventLoop.schedule(
-          requestBudget.until(1, now).plusMillis(1),
+          requestBudget.delayUntilAvailable(1, now).plusMillis(1),
           () -> {
             drainScheduled = false;
             drainQueue();
@@ -492,7 +492,7 @@
   }
 
   private void longPoll(String path, long after, Duration wait, Consumer<Reply> onReply) {
-    requestBudget.take(1, eventLoop.now());
+    requestBudget.consume(1, eventLoop.now());
     httpClient.call(
         Request.get(address, StoreWire.watchPath(path, after, wait), wait.plusSeconds(5)), onReply);
   }
--- a/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -56,7 +56,7 @@
         new UndertowHttpClient(runtime, address -> ConnectionLimiter.TrafficClass.SERVICES);
     ControllerNode node = new ControllerNode(settings, runtime, http, "nonce", null, null, null);
     Metrics metrics = new Metrics();
-    metrics.watch(runtime.sockets());
+    metrics.watch(runtime.connectionLimiter());
     RequestRouter made = new RequestRouter(node, metrics);
     runtime.serve(
         new XnioEventLoop.Listener(
--- a/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
+++ b/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
@@ -180,7 +180,7 @@
           boolean room = hasRoom(part, expectClosed);
           Modelled made = new Modelled();
           made.part = part;
-          made.real = sockets.open(part, () -> made.closed = true);
+          made.real = sockets.tryOpen(part, () -> made.closed = true);
           assertEquals(room, made.real != null, "step " + step);
           if (room) {
             model.add(made);
@@ -193,20 +193,20 @@
             boolean room = hasRoom(part, expectClosed);
             // The one that moves may itself have been the stale one.
             if (!expectClosed.contains(some)) {
-              assertEquals(room, some.real.moveTo(part));
+              assertEquals(room, some.real.reclassify(part));
               some.part = room ? part : some.part;
               some.idleSince = room ? null : some.idleSince;
               if (room) {
-                some.real.busy();
+                some.real.markBusy();
               }
             } else {
-              some.real.moveTo(part);
+              some.real.reclassify(part);
             }
           }
         }
         case 5, 6 -> {
           if (some != null) {
-            some.real.idle();
+            some.real.markIdle();
             some.idleSince = clock.now;
             some.idleOrder = step;
           }
@@ -214,10 +214,10 @@
         case 7 -> {
           if (some != null) {
             if (random.nextBoolean()) {
-              some.real.busy();
+              some.real.markBusy();
               some.idleSince = null;
             } else {
-              some.real.closed();
+              some.real.markClosed();
               model.remove(some);
             }
           }
@@ -243,7 +243,7 @@
     for (TrafficClass greedy :
         List.of(TrafficClass.REPORTS, TrafficClass.USERS, TrafficClass.ARRIVING)) {
       int count = 0;
-      while (sockets.open(greedy, () -> {}) != null) {
+      while (sockets.tryOpen(greedy, () -> {}) != null) {
         count++;
       }
       assertTrue(count >= KEPT.get(greedy));
@@ -251,7 +251,7 @@
     for (TrafficClass each :
         List.of(TrafficClass.PEERS, TrafficClass.SERVICES, TrafficClass.ORDERS)) {
       for (int i = 0; i < KEPT.get(each); i++) {
-        assertNotNull(sockets.open(each, () -> {}), each + " got " + i);
+        assertNotNull(sockets.tryOpen(each, () -> {}), each + " got " + i);
       }
     }
   }
@@ -299,11 +299,12 @@
       all.get(10, TimeUnit.SECONDS);
       assertTrue(replies.stream().noneMatch(AsyncHttpClient.Reply::isAnswered));
       ConnectionLimiter.Usage usage =
-          onThread(runtime, () -> runtime.sockets().usage().get(TrafficClass.ORDERS));
-      assertTrue(usage.peak() <= usage.most() && usage.refused() > 0, usage.toString());
+          onThread(runtime, () -> runtime.connectionLimiter().usage().get(TrafficClass.ORDERS));
+      assertTrue(usage.peak() <= usage.maxOpen() && usage.refused() > 0, usage.toString());
       for (int i = 0; i < 100 && usage.open() > 0; i++) {
         Thread.sleep(20);
-        usage = onThread(runtime, () -> runtime.sockets().usage().get(TrafficClass.ORDERS));
+        usage =
+            onThread(runtime, () -> runtime.connectionLimiter().usage().get(TrafficClass.ORDERS));
       }
       assertEquals(0, usage.open());
     } finally {
@@ -331,7 +332,9 @@
       int open = 1;
       for (int i = 0; i < 50 && open > 0; i++) {
         Thread.sleep(20);
-        open = onThread(runtime, () -> runtime.sockets().usage().get(TrafficClass.ORDERS).open());
+        open =
+            onThread(
+                runtime, () -> runtime.connectionLimiter().usage().get(TrafficClass.ORDERS).open());
       }
       assertEquals(0, open);
     } finally {
@@ -376,9 +379,10 @@
                   got::complete));
       assertEquals(200, got.get(10, TimeUnit.SECONDS).status());
       Map<TrafficClass, ConnectionLimiter.Usage> usage =
-          onThread(runtime, () -> runtime.sockets().usage());
+          onThread(runtime, () -> runtime.connectionLimiter().usage());
       ConnectionLimiter.Usage arriving = usage.get(TrafficClass.ARRIVING);
-      assertTrue(arriving.open() <= arriving.most() && arriving.refused() > 0, arriving.toString());
+      assertTrue(
+          arriving.open() <= arriving.maxOpen() && arriving.refused() > 0, arriving.toString());
     } finally {
       for (Socket each : silent) {
         each.close();
--- a/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
+++ b/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.net.OutboundClient.Answer;
 import io.pineladder.net.OutboundClient.Outcome;
+import io.pineladder.net.OutboundClient.Result;
 import io.undertow.Undertow;
 import io.undertow.util.HttpString;
 import java.io.File;
@@ -51,8 +51,8 @@
     runtime.stop();
   }
 
-  private Answer post(OutboundHttpClient caller, String url, Duration timeout) throws Exception {
-    CompletableFuture<Answer> got = new CompletableFuture<>();
+  private Result post(OutboundHttpClient caller, String url, Duration timeout) throws Exception {
+    CompletableFuture<Result> got = new CompletableFuture<>();
     OutboundClient.Message message =
         new OutboundClient.Message(
             URI.create(url), Map.of("webhook-id", "x"), new byte[] {'{', '}'}, timeout);
@@ -60,7 +60,7 @@
     return got.get(20, TimeUnit.SECONDS);
   }
 
-  private Answer post(Predicate<InetAddress> allowed, String url) throws Exception {
+  private Result post(Predicate<InetAddress> allowed, String url) throws Exception {
     return post(new OutboundHttpClient(runtime, allowed), url, Duration.ofSeconds(10));
   }
 
@@ -88,14 +88,16 @@
     try {
       OutboundHttpClient caller = new OutboundHttpClient(runtime, ALL);
       for (int i = 1; i <= 3; i++) {
-        Answer answer =
+        Result answer =
             post(caller, "http://localhost:" + port(server) + "/a?b=c", Duration.ofSeconds(10));
         assertEquals(307, answer.status());
         assertEquals(Duration.ofSeconds(7), answer.retryAfter());
         assertEquals("moved", new String(answer.body(), StandardCharsets.UTF_8));
         assertEquals(i, requests.get());
       }
-      assertEquals(1, runtime.sockets().usage().get(ConnectionLimiter.TrafficClass.NOTICES).peak());
+      assertEquals(
+          1,
+          runtime.connectionLimiter().usage().get(ConnectionLimiter.TrafficClass.NOTICES).peak());
     } finally {
       server.stop();
     }
@@ -105,7 +107,7 @@
   @Test
   void whatIsNotAllowedIsNotConnectedTo() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-      Answer answer = post(address -> false, "http://localhost:" + server.getLocalPort() + "/");
+      Result answer = post(address -> false, "http://localhost:" + server.getLocalPort() + "/");
       assertEquals(Outcome.NOT_ALLOWED, answer.outcome());
       server.setSoTimeout(300);
       boolean connected;
@@ -117,7 +119,7 @@
       }
       assertTrue(!connected);
     }
-    Answer unknown = post(ALL, "http://no-such-name.invalid/");
+    Result unknown = post(ALL, "http://no-such-name.invalid/");
     assertEquals(Outcome.FAILED, unknown.outcome());
   }
 
@@ -157,16 +159,16 @@
             Duration.ofMillis(kind == 2 ? 0 : 50),
             kind == 2 ? 50_000 : kind * 1_000);
         Instant begun = Instant.now();
-        Answer answer =
+        Result answer =
             post(
                 caller,
                 "http://127.0.0.1:" + server.getLocalPort() + "/",
                 Duration.ofMillis(kind == 2 ? 15_000 : 800));
         assertEquals(Outcome.FAILED, answer.outcome());
-        assertTrue(Duration.between(begun, Instant.now()).toSeconds() < 8, answer.fault());
+        assertTrue(Duration.between(begun, Instant.now()).toSeconds() < 8, answer.failureReason());
         assertEquals(
             kind == 2 ? "the answer is longer than 4096 bytes" : "no answer in time",
-            answer.fault());
+            answer.failureReason());
       }
     }
     // The sockets are given up with the calls.
@@ -181,7 +183,11 @@
     runtime.execute(
         () ->
             got.complete(
-                runtime.sockets().usage().get(ConnectionLimiter.TrafficClass.NOTICES).open()));
+                runtime
+                    .connectionLimiter()
+                    .usage()
+                    .get(ConnectionLimiter.TrafficClass.NOTICES)
+                    .open()));
     return got.get(5, TimeUnit.SECONDS);
   }
 
@@ -240,9 +246,9 @@
       OutboundHttpClient trusting = new OutboundHttpClient(runtime, ALL, context);
       Duration timeout = Duration.ofSeconds(10);
       assertEquals(204, post(trusting, "https://localhost:" + port + "/", timeout).status());
-      Answer wrongName = post(trusting, "https://127.0.0.1:" + port + "/", timeout);
+      Result wrongName = post(trusting, "https://127.0.0.1:" + port + "/", timeout);
       assertEquals(Outcome.FAILED, wrongName.outcome(), "the certificate is for localhost");
-      Answer untrusted = post(ALL, "https://localhost:" + port + "/");
+      Result untrusted = post(ALL, "https://localhost:" + port + "/");
       assertEquals(Outcome.FAILED, untrusted.outcome(), "nobody vouches for the certificate");
     } finally {
       server.stop();
--- a/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
+++ b/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
@@ -367,8 +367,8 @@
     if (requestLimit.available(now) < 1 || changeLimit.available(now) < changing) {
       return true;
     }
-    requestLimit.take(1, now);
-    changeLimit.take(changing, now);
+    requestLimit.consume(1, now);
+    changeLimit.consume(changing, now);
     return false;
   }
 
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -156,9 +156,9 @@
           reply ->
               onAnswer.accept(
                   reply.isAnswered()
-                      ? OutboundClient.Answer.answered(
+                      ? OutboundClient.Result.answered(
                           reply.status(), Duration.ofSeconds(1), reply.body())
-                      : OutboundClient.Answer.failed("no answer")));
+                      : OutboundClient.Result.failed("no answer")));
     };
   }
 }
--- a/src/test/java/io/pineladder/sim/RetryTest.java
+++ b/src/test/java/io/pineladder/sim/RetryTest.java
@@ -25,13 +25,13 @@
       Backoff backoff = new Backoff(eventLoop, Duration.ofMillis(100), Duration.ofSeconds(1));
       long full = 100;
       for (int i = 0; i < 8; i++) {
-        long pause = backoff.pause().toMillis();
+        long pause = backoff.nextDelay().toMillis();
         assertTrue(pause >= full / 2 && pause <= full, "pause " + i + ": " + pause);
         full = Math.min(1_000, full * 2);
       }
-      seen.add(backoff.pause());
+      seen.add(backoff.nextDelay());
       backoff.reset();
-      assertTrue(backoff.pause().toMillis() <= 100);
+      assertTrue(backoff.nextDelay().toMillis() <= 100);
     }
     assertTrue(seen.size() > 15, seen.size() + " different pauses of 20");
   }
@@ -40,27 +40,27 @@
   void aPartyThatRefusesIsLeftAloneForLongerAndLonger() {
     CircuitBreaker breaker =
         new CircuitBreaker("the cloud", eventLoop, 2, Duration.ofSeconds(1), Duration.ofSeconds(8));
-    assertTrue(breaker.mayCall());
-    breaker.failed();
-    assertTrue(breaker.mayCall(), "one failure says nothing");
-    breaker.failed();
+    assertTrue(breaker.tryAcquire());
+    breaker.onFailure();
+    assertTrue(breaker.tryAcquire(), "one failure says nothing");
+    breaker.onFailure();
     int calls = 0;
     for (int i = 0; i < 600; i++) {
       world.runFor(Duration.ofMillis(100));
-      if (breaker.mayCall()) {
-        assertFalse(breaker.mayCall(), "one at a time shows whether it is better");
+      if (breaker.tryAcquire()) {
+        assertFalse(breaker.tryAcquire(), "one at a time shows whether it is better");
         calls++;
-        breaker.failed();
+        breaker.onFailure();
       }
     }
     // Pauses of up to 1, 2, 4 and then 8 s, each at least half of that.
     assertTrue(calls >= 8 && calls <= 17, calls + " calls in a minute");
-    while (!breaker.mayCall()) {
+    while (!breaker.tryAcquire()) {
       world.runFor(Duration.ofMillis(100));
     }
-    breaker.succeeded();
+    breaker.onSuccess();
     assertEquals(CircuitBreaker.State.CLOSED, breaker.state());
-    assertTrue(breaker.mayCall() && breaker.mayCall());
+    assertTrue(breaker.tryAcquire() && breaker.tryAcquire());
   }
 
   @Test
@@ -68,18 +68,18 @@
     RetryBudget budget = new RetryBudget(eventLoop, 0.1, 2, 5);
     int atOnce = 0;
     for (int i = 0; i < 100; i++) {
-      atOnce += budget.take().isZero() ? 1 : 0;
+      atOnce += budget.acquireDelay().isZero() ? 1 : 0;
     }
     assertEquals(5, atOnce, "what was saved up");
-    Duration wait = budget.take();
+    Duration wait = budget.acquireDelay();
     assertEquals(48.0, wait.toMillis() / 1000.0, 0.1, "the rest wait for their turn, two a second");
     RetryBudget other = new RetryBudget(eventLoop, 0.1, 2, 5);
     for (int i = 0; i < 100; i++) {
-      other.take();
+      other.acquireDelay();
       for (int success = 0; success < 20; success++) {
-        other.succeeded();
+        other.onSuccess();
       }
     }
-    assertTrue(other.take().isZero(), "most succeed, so a try again costs little");
+    assertTrue(other.acquireDelay().isZero(), "most succeed, so a try again costs little");
   }
 }
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -180,7 +180,7 @@
             SettingsReader.untoldSockets(20_000), Duration.ofSeconds(3), eventLoop);
     for (int worker = 0; worker < 4_200; worker++) {
       assertNotNull(
-          sockets.open(ConnectionLimiter.TrafficClass.REPORTS, () -> {}), "worker " + worker);
+          sockets.tryOpen(ConnectionLimiter.TrafficClass.REPORTS, () -> {}), "worker " + worker);
     }
     assertEquals(1_000, SettingsReader.untoldSockets(0));
     assertEquals(1_000, SettingsReader.untoldSockets(1_024));
