--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -15,6 +15,7 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
+/** Checks which settings are accepted, and the messages for those that are not. */
 public class SettingsReaderTest {
   /** A deployment of two zones; {@code member} and the addresses are to be filled in. */
   public static final String GOOD =
--- a/src/test/java/io/pineladder/workers/WorkerManagerTest.java
+++ b/src/test/java/io/pineladder/workers/WorkerManagerTest.java
@@ -544,10 +544,6 @@
     }
   }
 
-  /**
-   * A leader that stands still keeps its lease when the state service was out meanwhile. Timers
-   * fire before the reports that wait are read: nobody may be given up for this node's own silence.
-   */
   /**
    * Found on the gap day of colombo: the lease held again after an outage of 68 s, in which the
    * workers had been answered without taking in what they said, and 800 machines of 1,054 were
@@ -584,6 +580,10 @@
         "one that stays silent is missed all the same");
   }
 
+  /**
+   * A leader that stands still keeps its lease when the state service was out meanwhile. Timers
+   * fire before the reports that wait are read: nobody may be given up for this node's own silence.
+   */
   @Test
   void afterAPauseOfItsOwnTheLeaderGivesNobodyUp() {
     leader.autoscaler.start();
@@ -908,7 +908,6 @@
     assertEquals(warm, LeaderHarness.onlyAttempt(job).machine);
   }
 
-  /** Found on laval: tasks sat out fetches of minutes while machines with the image came free. */
   /**
    * Found on colombo-ops: a look at the whole fleet for each of a job's tasks stopped the leader
    * for longer than its lease. And work that holds none of what is lacking was stopped as well.
@@ -1017,6 +1016,7 @@
     assertTrue(huge.pending.isEmpty());
   }
 
+  /** Found on laval: tasks sat out fetches of minutes while machines with the image came free. */
   @Test
   void aFetchingTaskMovesToRoomWhereItsImageIs() {
     leader.heartbeat("cold", 1);
