--- /dev/null
+++ b/src/main/java/io/pineladder/workers/CommandSender.java
@@ -0,0 +1,154 @@
+package io.pineladder.workers;
+
+import io.pineladder.model.Attempt;
+import io.pineladder.model.Machine;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.EventLoop;
+import io.pineladder.wire.WorkerWire;
+import io.pineladder.wire.WorkerWire.Orders;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+
+/**
+ * Sends commands to machines by requests of their own, at most one at a time to each. A probe is a
+ * request without commands.
+ */
+final class CommandSender {
+  private static final String COMMAND_PATH = "/do";
+  private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(2);
+
+  /**
+   * Probes at a time: when hundreds of machines were overdue, probing all of them at once used up
+   * the connections. Live ones reply within milliseconds, so the others do not wait for long.
+   */
+  private static final int MAX_CONCURRENT_PROBES = 100;
+
+  /** The least time between two probes of a machine. */
+  private static final Duration PROBE_INTERVAL = Duration.ofSeconds(4);
+
+  private final AsyncHttpClient httpClient;
+  private final EventLoop eventLoop;
+  private final long term;
+  private final BooleanSupplier mayAct;
+  private final CommandWriter writer;
+  private final CommandReplyHandler replies;
+
+  private final Set<Machine> commandsRequested = new LinkedHashSet<>();
+  private boolean commandsScheduled;
+  private final Set<Machine> probeQueue = new LinkedHashSet<>();
+  private int probesInFlight;
+
+  CommandSender(
+      AsyncHttpClient httpClient,
+      EventLoop eventLoop,
+      long term,
+      BooleanSupplier mayAct,
+      CommandWriter writer,
+      CommandReplyHandler replies) {
+    this.httpClient = httpClient;
+    this.eventLoop = eventLoop;
+    this.term = term;
+    this.mayAct = mayAct;
+    this.writer = writer;
+    this.replies = replies;
+  }
+
+  /** Has the machine's commands sent by a request once the present event has been processed. */
+  void requestCommand(Machine machine) {
+    commandsRequested.add(machine);
+    if (!commandsScheduled) {
+      commandsScheduled = true;
+      eventLoop.schedule(Duration.ZERO, this::sendRequestedCommands);
+    }
+  }
+
+  private void sendRequestedCommands() {
+    commandsScheduled = false;
+    List<Machine> machines = new ArrayList<>(commandsRequested);
+    commandsRequested.clear();
+    machines.forEach(this::sendCommand);
+  }
+
+  /**
+   * Sends the machine's commands. Without a reply it stays unknown for ever whether they took
+   * effect, so a machine that did not reply gets its commands with heartbeat responses only.
+   */
+  private void sendCommand(Machine machine) {
+    if (machine.state() != Machine.State.CONFIRMED
+        || machine.commandInFlight
+        || machine.reachability() != Machine.Reachability.REACHABLE) {
+      return;
+    }
+    if (!mayAct.getAsBoolean()) {
+      return;
+    }
+    Orders commands = new Orders();
+    List<Attempt> started = writer.write(machine, commands, CommandWriter.Channel.REQUEST);
+    if (commands.isEmpty()) {
+      return;
+    }
+    machine.commandInFlight = true;
+    httpClient.call(
+        request(machine, machine.agentEpoch, commands),
+        reply -> {
+          if (replies.onReply(machine, started, reply)) {
+            requestCommand(machine);
+          }
+        });
+  }
+
+  private Request request(Machine machine, long agentEpoch, Orders commands) {
+    return Request.post(
+        machine.address,
+        COMMAND_PATH,
+        WorkerWire.command(term, agentEpoch, commands),
+        COMMAND_TIMEOUT);
+  }
+
+  /**
+   * Probes a machine whose heartbeat is overdue. The reply carries this term's fencing token, so it
+   * proves as much as a heartbeat; the worker's lease may be kept alive by a controller that cannot
+   * reach this one, or the worker may be trying one controller after the other.
+   */
+  void probe(Machine machine) {
+    probeQueue.add(machine);
+    sendNextProbes();
+  }
+
+  private void sendNextProbes() {
+    Iterator<Machine> next = probeQueue.iterator();
+    while (probesInFlight < MAX_CONCURRENT_PROBES && next.hasNext() && mayAct.getAsBoolean()) {
+      Machine machine = next.next();
+      next.remove();
+      Instant now = eventLoop.now();
+      boolean probedRecently =
+          machine.lastProbedAt != null && machine.lastProbedAt.plus(PROBE_INTERVAL).isAfter(now);
+      boolean canBeProbed = machine.state() != Machine.State.GONE && machine.address != null;
+      if (!probedRecently && canBeProbed && !machine.commandInFlight) {
+        sendProbe(machine, now);
+      }
+    }
+  }
+
+  private void sendProbe(Machine machine, Instant now) {
+    probesInFlight++;
+    machine.lastProbedAt = now;
+    machine.commandInFlight = true;
+    httpClient.call(
+        request(machine, Math.max(1, machine.agentEpoch), new Orders()),
+        reply -> {
+          probesInFlight--;
+          if (replies.onReply(machine, List.of(), reply)) {
+            requestCommand(machine);
+          }
+          sendNextProbes();
+        });
+  }
+}
