--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -20,29 +20,29 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiFunction;
-import java.util.function.Function;
-import java.util.function.ToDoubleFunction;
 
 /**
- * What machines the jobs that found no room want, as seen at one moment. Each takes what it lacks
- * from the machines that boot, then from the cheapest kind for it that can be had. Jobs that can
- * wait do so for room that comes free: an ordinary machine, several times as dear, is worth its
- * price only if they would be late without it. Found on galleharbour, where most of the money went
- * to ordinary machines for work that had minutes left.
+ * Which machines the pending jobs without capacity need, at one moment. Each job takes what it
+ * lacks from the machines that boot, then from the cheapest kind for it that is available.
+ * Deferrable jobs wait for capacity that comes free: an on-demand machine, several times as dear,
+ * is worth its price only if they would be late without it. Found on galleharbour, where most of
+ * the money went to on-demand machines for work that had minutes left.
+ *
+ * <p>A value is the list price an hour of a share of machines, so that all types compare.
  */
 final class CapacityDemand {
-  /** The last task of an array takes so much longer than the estimate, as a part of it. */
+  /** The last task of an array takes this much longer than the estimate, as a share of it. */
   private static final double LAST_TASK_MARGIN = 0.25;
 
-  /** A kind of machine that can be rented, by the name of its type, since prices move. */
+  /** A kind of machine that can be rented, by the name of its type, since prices change. */
   record MachineKind(String type, boolean spot) {}
 
-  /** Machines wanted of a kind, and for which zone if their jobs have one. */
+  /** Machines missing of a kind, and in which zone if their jobs are restricted to one. */
   static final class MissingMachines {
     double machines;
     final Map<String, Double> byZone = new HashMap<>();
 
+    /** The zone with the most missing machines, or null if no job is restricted to one. */
     String zoneInGreatestNeed() {
       return byZone.entrySet().stream()
           .max(Map.Entry.comparingByValue())
@@ -51,133 +51,137 @@
     }
   }
 
-  /** What waits of one job: tasks that found no room, within what its team may use. */
+  /**
+   * The pending tasks of one job that lack capacity.
+   *
+   * @param tasks their number, within what the team may use
+   * @param dueAt when they should have started
+   */
   private record PendingJob(Job job, int tasks, Instant dueAt) {}
 
   private final ClusterState cluster;
+  private final CapacityEstimates estimates;
+  private final MachineTypeSelector types;
   private final Instant now;
   private final Instant wallClock;
+
+  /**
+   * Whether arrays that can wait are made to. Not where work arrives that may use on-demand
+   * machines only: what arrays hold of those is the capacity that it gets at once, by preempting
+   * them.
+   */
   private final boolean mayDeferArrays;
-  private final BiFunction<Boolean, JobSpec, MachineType> cheapestAvailable;
-  private final Function<JobSpec, MachineType> cheapestListed;
-  private final ToDoubleFunction<PriorityClass> arrivalRate;
+
   private final Map<MachineKind, Double> bootingMachines = new HashMap<>();
   private final Map<MachineKind, MissingMachines> missing = new LinkedHashMap<>();
-
-  /** Ordinary machines that work, and only for jobs that could wait. */
   private final List<Machine> deferrableOnly = new ArrayList<>();
+  private final BatchBacklog backlog;
 
+  /** The value of the machines that are up or boot, less what tasks that cannot wait take. */
   private double capacity;
-  private final BatchBacklog backlog;
 
-  /** The first job that an ordinary machine would help, or null. */
+  /** The first job that an on-demand machine would help, or null. */
   private JobSpec criticalJob;
 
-  /**
-   * At list prices an hour: what is wanted, boots, and is free; of ordinary machines, then of spot
-   * ones.
-   */
+  /** Values of on-demand machines, then of spot machines. */
   private final double[] wantedValue = new double[2];
 
   private final double[] bootingValue = new double[2];
   private final double[] freeValue = new double[2];
 
   /**
-   * A look at the cluster.
+   * Takes stock of the machines and the pending jobs.
    *
-   * @param freePart the part of a machine that is free
-   * @param arraysWait whether arrays that can wait do; not where work comes that may use ordinary
-   *     machines only: what arrays hold of those is the room that it finds at once, by stopping
-   *     them
-   * @param arriving the work above a rank, or all if it is null, that comes each second and can
-   *     wait
-   * @param best the type that would serve a job best if all could be had; what waits counts whether
-   *     or not machines are refused at the moment, or those it needs would be given up with each
-   *     refusal
-   * @param cheapest the type that serves a job best of those that can be had, spot machines or not;
-   *     null for none
+   * @param now the event loop's time
+   * @param wallClock the time of day, to compare with times of acceptance
    */
   CapacityDemand(
       ClusterState cluster,
       Scheduler scheduler,
-      BootTimeEstimator bootTimes,
-      ToDoubleFunction<Machine> freeShare,
+      CapacityEstimates estimates,
+      MachineTypeSelector types,
       Instant now,
-      Instant wallClock,
-      boolean mayDeferArrays,
-      ToDoubleFunction<PriorityClass> arrivalRate,
-      Function<JobSpec, MachineType> cheapestListed,
-      BiFunction<Boolean, JobSpec, MachineType> cheapestAvailable) {
+      Instant wallClock) {
     this.cluster = cluster;
+    this.estimates = estimates;
+    this.types = types;
     this.now = now;
     this.wallClock = wallClock;
-    this.mayDeferArrays = mayDeferArrays;
-    this.cheapestListed = cheapestListed;
-    this.cheapestAvailable = cheapestAvailable;
-    this.arrivalRate = arrivalRate;
+    this.mayDeferArrays = estimates.arrivals().mayDeferArrays();
     for (Machine machine : cluster.machines()) {
-      countMachine(machine, bootTimes, freeShare);
+      countMachine(machine);
     }
     backlog = new BatchBacklog(capacity);
     pendingJobs(scheduler).forEach(this::addDemand);
   }
 
-  /** What a task takes of such a machine, at its list price an hour. */
+  /** The value of what one task takes of a machine of the type. */
   static double taskValue(JobSpec spec, MachineType type) {
     return type.onDemandPrice()
         / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
   }
 
-  /** Machines wanted of each kind by jobs that cannot wait, or of spot machines. */
+  /** Machines missing of each kind: on-demand ones for jobs that cannot wait, or spot machines. */
   Map<MachineKind, MissingMachines> missing() {
     return missing;
   }
 
-  /** What is wanted, at list prices an hour, whatever boots. */
+  /** Adds missing machines of a kind that are for no present job. */
+  void addMissing(MachineType type, boolean spot, double machines) {
+    missing.computeIfAbsent(new MachineKind(type.name(), spot), k -> new MissingMachines())
+            .machines +=
+        machines;
+  }
+
+  /** The value of all that the pending jobs need, whatever boots. */
   double wantedValue(boolean spot) {
     return wantedValue[market(spot)];
   }
 
-  /** What boots, at list prices an hour. */
+  /** The value of the machines that boot. */
   double bootingValue(boolean spot) {
     return bootingValue[market(spot)];
   }
 
-  /** What is free on machines that take work, at list prices an hour. */
+  /** The value of what is free on schedulable machines. */
   double freeValue(boolean spot) {
     return freeValue[market(spot)];
   }
 
   /**
-   * What is to be added in ordinary machines for arrays that would be late, at list prices an hour.
-   * Spot machines that are asked for now may well be had: what is refused of them lacks the next
-   * time.
+   * The value of the on-demand machines to add for arrays that would be late. Spot machines that
+   * are requested now may well be granted: what is refused of them is missing the next time.
    */
   double missingForDeferrable() {
     double requestedSpotValue = 0;
-    for (Map.Entry<MachineKind, MissingMachines> want : missing.entrySet()) {
-      double price = cluster.type(want.getKey().type()).onDemandPrice();
-      requestedSpotValue += want.getKey().spot() ? want.getValue().machines * price : 0;
+    for (Map.Entry<MachineKind, MissingMachines> missingOfKind : missing.entrySet()) {
+      double price = cluster.type(missingOfKind.getKey().type()).onDemandPrice();
+      requestedSpotValue +=
+          missingOfKind.getKey().spot() ? missingOfKind.getValue().machines * price : 0;
     }
     return Math.max(0, backlog.missingCapacity() - requestedSpotValue);
   }
 
+  /** The first array that would be late without another on-demand machine, or null. */
   JobSpec criticalJob() {
     return criticalJob;
   }
 
-  /**
-   * Ordinary machines that serve only arrays that can wait, and how much of them is needed in time.
-   */
+  /** Busy on-demand machines with deferrable tasks only; the list may be sorted. */
   List<Machine> deferrableOnly() {
     return deferrableOnly;
   }
 
+  /**
+   * How much of {@link #deferrableOnly} is needed for all arrays to start in time.
+   *
+   * @param deferrableValue the value of those machines
+   */
   double neededForDeferrable(double deferrableValue) {
-    return backlog.neededCapacity(deferrableValue, arrivalRate.applyAsDouble(null));
+    return backlog.neededCapacity(deferrableValue, estimates.arrivals().deferrableWorkRate(null));
   }
 
-  // ---- what there is
+  // ---- machines
 
   private static double seconds(Duration duration) {
     return duration.toMillis() / 1000.0;
@@ -187,12 +191,11 @@
     return spot ? 1 : 0;
   }
 
-  private void countMachine(
-      Machine machine, BootTimeEstimator bootTimes, ToDoubleFunction<Machine> freeShare) {
+  private void countMachine(Machine machine) {
     double price = machine.type.onDemandPrice();
     switch (machine.state()) {
       case EXPECTED, HEARD -> {
-        double weight = bootTimes.weight(machine, now);
+        double weight = estimates.bootTimes().weight(machine, now);
         bootingMachines.merge(
             new MachineKind(machine.type.name(), machine.spot), weight, Double::sum);
         bootingValue[market(machine.spot)] += weight * price;
@@ -200,7 +203,7 @@
       }
       case CONFIRMED -> {
         if (machine.isSchedulable()) {
-          double free = freeShare.applyAsDouble(machine);
+          double free = estimates.utilization().freeShare(machine);
           freeValue[market(machine.spot)] += free * price;
           capacity += price;
           countUndeferrableWork(machine, free < 1);
@@ -211,10 +214,10 @@
   }
 
   /**
-   * Takes what cannot wait from the capacity.
+   * Subtracts the tasks that cannot wait from the capacity.
    *
-   * @param works whether anything is there that it is worth to; an idle one is kept for its images
-   *     as long as that is worth it
+   * @param isBusy whether tasks run there that the machine is worth keeping for; an idle one is
+   *     kept for its images as long as that is worth it
    */
   private void countUndeferrableWork(Machine machine, boolean isBusy) {
     boolean onlyDeferrable = isBusy && !machine.spot;
@@ -236,36 +239,20 @@
     return mayDeferArrays && cluster.canWaitForCapacity(job);
   }
 
-  // ---- what waits
+  // ---- pending jobs
 
-  /** What found no room, the first by priority first. */
+  /** The jobs that lack capacity, by priority class and then by the time they are due. */
   private List<PendingJob> pendingJobs(Scheduler scheduler) {
     Map<String, Resources> planned = new HashMap<>();
     List<PendingJob> pendingJobs = new ArrayList<>();
     for (QueueEntry entry : scheduler.pendingEntries()) {
-      Job job = entry.job;
-      JobSpec spec = job.spec;
-      boolean lacksCapacity =
-          entry.rejectedBy() != null
-              && switch (entry.rejectedBy()) {
-                case FIT, PLACE, SPREAD, TOGETHER -> true;
-                case TEAM_LIMIT, PREDECESSOR, FAILING, PACE, DEPENDENCY -> false;
-              };
-      if (!lacksCapacity || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
-        continue;
-      }
-      if (job.failing && entry.rejectedBy() != SchedulingCheck.PLACE) {
-        // It is tried where there happens to be room.
+      if (!lacksCapacity(entry)) {
         continue;
       }
-      Team team = cluster.team(spec.team());
-      Resources used = cluster.usage(spec.team());
+      Job job = entry.job;
+      JobSpec spec = job.spec;
       Resources plannedBefore = planned.getOrDefault(spec.team(), Resources.ZERO);
-      int count = job.pending.cardinality();
-      while (count > 0
-          && !team.allows(used.plus(plannedBefore).plus(spec.resourcesPerTask().times(count)))) {
-        count = count > 64 ? count / 2 : count - 1;
-      }
+      int count = tasksWithinLimit(job, plannedBefore);
       planned.merge(spec.team(), spec.resourcesPerTask().times(count), Resources::plus);
       if (count > 0) {
         Instant dueAt = job.acceptedAt.plus(cluster.startAllowance(job, wallClock));
@@ -278,43 +265,76 @@
     return pendingJobs;
   }
 
+  private static boolean lacksCapacity(QueueEntry entry) {
+    boolean rejectedForCapacity =
+        entry.rejectedBy() != null
+            && switch (entry.rejectedBy()) {
+              case FIT, PLACE, SPREAD, TOGETHER -> true;
+              case TEAM_LIMIT, PREDECESSOR, FAILING, PACE, DEPENDENCY -> false;
+            };
+    if (!rejectedForCapacity || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
+      return false;
+    }
+    // A failing job is tried only where capacity happens to be free.
+    return !entry.job.failing || entry.rejectedBy() == SchedulingCheck.PLACE;
+  }
+
+  /** How many of the job's pending tasks the team may use capacity for, beside what is planned. */
+  private int tasksWithinLimit(Job job, Resources plannedBefore) {
+    JobSpec spec = job.spec;
+    Team team = cluster.team(spec.team());
+    Resources used = cluster.usage(spec.team());
+    int count = job.pending.cardinality();
+    while (count > 0
+        && !team.allows(used.plus(plannedBefore).plus(spec.resourcesPerTask().times(count)))) {
+      count = count > 64 ? count / 2 : count - 1;
+    }
+    return count;
+  }
+
   private void addDemand(PendingJob pendingJob) {
     Job job = pendingJob.job;
     JobSpec spec = job.spec;
-    MachineType likely = cheapestListed.apply(spec);
-    if (likely == null) {
+    // What is pending counts whether or not machines are refused at the moment, or the machines it
+    // needs would be given up with each refusal.
+    MachineType listed = types.cheapestListed(spec);
+    if (listed == null) {
       return;
     }
-    MachineType type = cheapestAvailable.apply(false, spec);
+    MachineType onDemand = types.cheapestAvailable(false, spec);
     boolean deferrable = isDeferrable(job);
-    // Those that can wait would all come to avoid them while they do so, and have dear machines at
-    // once.
-    boolean avoidsSpot = type != null && !deferrable && cluster.avoidsSpot(job, wallClock);
+    // Deferrable jobs would all come to avoid spot machines while they wait, and then have dear
+    // machines at once.
+    boolean avoidsSpot = onDemand != null && !deferrable && cluster.avoidsSpot(job, wallClock);
     boolean maySpot = spec.spotAllowed() && !avoidsSpot;
     boolean idleCapacityOnly = cluster.runsOnIdleCapacityOnly(job, wallClock);
     if (deferrable && !idleCapacityOnly) {
-      addToBacklog(pendingJob, likely);
+      addToBacklog(pendingJob, listed);
     }
     double tasks = pendingJob.tasks;
-    for (MachineType each : cluster.types()) {
-      if (ScaleOut.isUsable(spec, each)) {
-        wantedValue[market(maySpot)] += each == likely ? tasks * taskValue(spec, each) : 0;
-        tasks -= maySpot ? takeBooting(new MachineKind(each.name(), true), spec, each, tasks) : 0;
-        tasks -= takeBooting(new MachineKind(each.name(), false), spec, each, tasks);
+    for (MachineType type : cluster.types()) {
+      if (MachineTypeSelector.isUsable(spec, type)) {
+        wantedValue[market(maySpot)] += type == listed ? tasks * taskValue(spec, type) : 0;
+        tasks -= maySpot ? takeBooting(new MachineKind(type.name(), true), spec, type, tasks) : 0;
+        tasks -= takeBooting(new MachineKind(type.name(), false), spec, type, tasks);
       }
     }
     if (tasks <= 0) {
       return;
     }
-    MachineType spot = maySpot ? cheapestAvailable.apply(true, spec) : null;
+    MachineType spot = maySpot ? types.cheapestAvailable(true, spec) : null;
     if (spot != null) {
       addMissing(new MachineKind(spot.name(), true), spec, spot, tasks);
-    } else if (type != null && (!maySpot || (!idleCapacityOnly && !deferrable))) {
-      addMissing(new MachineKind(type.name(), false), spec, type, tasks);
+    } else if (onDemand != null && (!maySpot || (!idleCapacityOnly && !deferrable))) {
+      addMissing(new MachineKind(onDemand.name(), false), spec, onDemand, tasks);
     }
   }
 
-  /** Gives the job what boots of that kind; how many of its tasks that is for. */
+  /**
+   * Assigns booting machines of the kind to the job.
+   *
+   * @return the number of its tasks that they suffice for
+   */
   private double takeBooting(MachineKind kind, JobSpec spec, MachineType type, double tasks) {
     double booting = bootingMachines.getOrDefault(kind, 0.0);
     double machinesPerTask =
@@ -326,10 +346,10 @@
 
   private void addMissing(MachineKind kind, JobSpec spec, MachineType type, double tasks) {
     double machines = tasks / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
-    MissingMachines want = missing.computeIfAbsent(kind, k -> new MissingMachines());
-    want.machines += machines;
+    MissingMachines missingOfKind = missing.computeIfAbsent(kind, k -> new MissingMachines());
+    missingOfKind.machines += machines;
     if (spec.zone() != null) {
-      want.byZone.merge(spec.zone(), machines, Double::sum);
+      missingOfKind.byZone.merge(spec.zone(), machines, Double::sum);
     }
   }
 
@@ -341,7 +361,7 @@
         cluster.startAllowance(pendingJob.job, wallClock.plus(startDelay.multipliedBy(2)));
     Duration slack = Duration.between(wallClock, pendingJob.job.acceptedAt.plus(allowance));
     double runSeconds = seconds(spec.estimatedRunTime());
-    // What is late for all of them must not wait for ever.
+    // What is late by all objectives must not wait for ever.
     double secondsLeft =
         Math.max(seconds(slack) - LAST_TASK_MARGIN * runSeconds, 2 * seconds(startDelay));
     double missingBefore = backlog.missingCapacity();
@@ -350,7 +370,7 @@
         runSeconds,
         secondsLeft,
         seconds(startDelay),
-        arrivalRate.applyAsDouble(pendingJob.job.priorityClass()));
+        estimates.arrivals().deferrableWorkRate(pendingJob.job.priorityClass()));
     if (criticalJob == null && backlog.missingCapacity() > missingBefore) {
       criticalJob = spec;
     }
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -15,106 +15,151 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Which machines have fallen silent, and how long each is waited for. */
+/**
+ * Detects machines without heartbeats and decides how long each is waited for. A failed machine is
+ * released, and the release is the proof that its tasks are gone.
+ */
 final class FailureDetector {
   private static final Logger log = LoggerFactory.getLogger(FailureDetector.class);
 
-  /** How long after a takeover workers are still on their way from node to node. */
+  /** How long after a failover workers still look for the new leader. */
   private static final Duration FAILOVER_SETTLE_TIME = Duration.ofSeconds(15);
 
-  /** So long a zone with a controller of its own is taken to live on, cut off. */
+  /** How long after the start of a term or of a machine its first heartbeat may take. */
+  private static final Duration FIRST_HEARTBEAT_TIMEOUT = Duration.ofSeconds(15);
+
+  /** How long a cut-off zone with a controller of its own is taken to live on. */
   private static final Duration PEER_KEPT_ZONE_PATIENCE = Duration.ofMinutes(3);
 
-  /** Machines that may come back are waited for a third of the time that another takes. */
+  /**
+   * What a heartbeat may be late by on top of its interval: a lost response, another controller.
+   */
+  private static final Duration HEARTBEAT_GRACE = Duration.ofSeconds(6);
+
+  /** How long before its heartbeat timeout a machine counts as overdue. */
+  private static final Duration OVERDUE_LEAD = Duration.ofSeconds(4);
+
+  /** Machines that may come back are waited for a third of the time that a replacement takes. */
   private static final int WORTHWHILE_WAIT_DIVISOR = 3;
 
   private final ClusterState cluster;
-  private final ScaleOut scaleOut;
+  private final CapacityEstimates estimates;
   private final Zones zones;
   private final ZoneLossPlan zoneLossPlan;
   private final Autoscaler.Effects effects;
   private final Instant startedAt;
 
-  /** Until when a zone that was cut is taken to be so. */
+  /** Until when a zone that was unreachable is taken to be so. */
   private final Map<String, Instant> unreachableUntil = new HashMap<>();
 
   /**
-   * Since when this leader has taken in what came for it. After it stood still, what its workers
-   * sent is yet to be read; in a long doubt of its lease they were answered without it, or went to
-   * other nodes. Their silence is its own.
+   * Since when this leader has accepted heartbeats. After a process pause, what its workers sent is
+   * still unread; while its lease was uncertain for long they were answered without it, or went to
+   * other controllers. That it has no heartbeats of theirs is then its own fault.
    */
   private Instant acceptingHeartbeatsSince;
 
   FailureDetector(
       ClusterState cluster,
-      ScaleOut scaleOut,
+      CapacityEstimates estimates,
       Zones zones,
       Autoscaler.Effects effects,
       Instant now) {
     this.cluster = cluster;
-    this.scaleOut = scaleOut;
+    this.estimates = estimates;
     this.zones = zones;
-    this.zoneLossPlan = new ZoneLossPlan(cluster, scaleOut, zones);
+    this.zoneLossPlan = new ZoneLossPlan(cluster, estimates, zones);
     this.effects = effects;
     this.startedAt = now;
     this.acceptingHeartbeatsSince = now;
   }
 
-  /** Until now no reports were taken in. */
+  /** No heartbeats were accepted until now. */
   void onHeartbeatsNotAccepted(Instant now) {
     acceptingHeartbeatsSince = now;
   }
 
-  /** How long a machine may be silent: a report's time, a lost response and another node's try. */
   private Duration heartbeatTimeout() {
-    Duration heartbeatInterval = cluster.settings.workerTimes().heartbeatInterval();
-    return heartbeatInterval.plus(heartbeatInterval.dividedBy(4)).plusSeconds(6);
+    Duration interval = cluster.settings.workerTimes().heartbeatInterval();
+    return interval.plus(interval.dividedBy(4)).plus(HEARTBEAT_GRACE);
   }
 
-  /** How the machines of one zone are heard. */
+  /** The heartbeats of the machines of one zone. */
   private static final class ZoneHeartbeats {
     int expected;
     int overdue;
     int recentlyHeard;
 
-    /** Many at once are cut off or hang rather than have stopped one by one. */
+    /** Whether many machines were cut off or hang at once, rather than failed one by one. */
     boolean isCorrelated() {
       return overdue >= 3 && overdue * 20 > expected;
     }
   }
 
+  /** The heartbeats of all machines at one moment. */
+  private static final class Survey {
+    final Map<String, ZoneHeartbeats> byZone = new HashMap<>();
+
+    /** Machines beyond the heartbeat timeout. */
+    final List<Machine> silent = new ArrayList<>();
+
+    /** Machines that have to send heartbeats, now or soon. */
+    int expected;
+
+    /** Whether no heartbeat arrives any more of machines of which some did. */
+    boolean areAllLost() {
+      return expected >= 2
+          && silent.size() == expected
+          && silent.stream().anyMatch(m -> m.lastHeartbeatAt != null);
+    }
+
+    boolean isAnyRecentlyHeard() {
+      return byZone.values().stream().anyMatch(zone -> zone.recentlyHeard > 0);
+    }
+  }
+
   /**
-   * Machines that have stopped reporting are cut off by returning them, which is the proof that
-   * their tasks are gone. When nearly all of a zone is silent the fault is likely between us and
-   * them, and a node in the zone may keep their workers' leases; then they get that time. Hundreds
-   * of machines that are silent while others of their zone are heard are no such cut: their leases
-   * end, and the longer they are waited for the later their tasks start elsewhere.
-   *
-   * @return the machines to return
+   * Finds the machines without heartbeats that are to be released, which is the proof that their
+   * tasks are gone. When nearly all of a zone is silent the fault is likely between this controller
+   * and them, and a controller in the zone may keep their workers' leases alive; then they are
+   * waited for that long. Hundreds of silent machines in a zone of which others are heard are no
+   * such cut: their leases expire, and the longer they are waited for the later their tasks start
+   * elsewhere.
    */
   List<Machine> findMachinesToRelease(Instant now) {
     Duration timeout = heartbeatTimeout();
-    // A whole zone falls silent one report after the other: what counts for a cut is who is late,
-    // or the first ones would be given up before the last ones are missed.
-    Duration overdueAfter = timeout.minusSeconds(4);
-    // In a zone that is cut all fall silent at once: when the first is missed none was heard since.
+    Survey survey = survey(timeout, now);
+    if (survey.areAllLost()) {
+      // No worker reaches this controller any more, while they may reach another. A successor that
+      // has never heard any keeps its term, or machines that all died would never be given up.
+      effects.resign("no worker is heard");
+      return List.of();
+    }
+    reviewZones(survey, timeout, now);
+    return selectForRelease(survey, timeout, now);
+  }
+
+  private Survey survey(Duration timeout, Instant now) {
+    // The machines of a zone become silent one heartbeat after the other: what counts for a cut is
+    // which are overdue, or the first ones would be given up before the last ones are missed.
+    Duration overdueAfter = timeout.minus(OVERDUE_LEAD);
+    // In a zone that is cut off all become silent at once: when the first is missed none was heard
+    // since.
     Duration recentPeriod = overdueAfter.minus(cluster.settings.workerTimes().heartbeatInterval());
-    Map<String, ZoneHeartbeats> byZone = new HashMap<>();
-    List<Machine> silent = new ArrayList<>();
-    int expected = 0;
+    Survey survey = new Survey();
     for (Machine machine : cluster.machines()) {
       Instant since = silentSince(machine);
       if (since == null) {
         continue;
       }
-      expected++;
+      survey.expected++;
       if (since.isAfter(now)) {
-        // It need not report yet, so it says nothing of its zone. Found on laval-fleet: right after
-        // a
-        // takeover idle machines hid that none of those with tasks was heard, which were given up.
+        // Its first heartbeat is not due yet, so it says nothing of its zone. Found on laval-fleet:
+        // right after a failover idle machines hid that none of those with tasks was heard, which
+        // were given up.
         continue;
       }
-      ZoneHeartbeats zone = byZone.computeIfAbsent(machine.zone, z -> new ZoneHeartbeats());
+      ZoneHeartbeats zone = survey.byZone.computeIfAbsent(machine.zone, z -> new ZoneHeartbeats());
       zone.expected++;
       boolean recentlyHeard =
           machine.lastHeartbeatAt != null
@@ -127,66 +172,77 @@
         }
       }
       if (since.plus(timeout).isBefore(now)) {
-        silent.add(machine);
-        if (machine.state() == Machine.State.CONFIRMED) {
-          machine.transitionTo(Machine.State.SILENT);
-          cluster.updateIndexes(machine);
-          log.debug("machine {} is silent", machine);
-        }
+        survey.silent.add(machine);
+        markSilent(machine);
       }
     }
-    boolean heardBefore = silent.stream().anyMatch(m -> m.lastHeartbeatAt != null);
-    if (expected >= 2 && silent.size() == expected && heardBefore) {
-      // No worker reaches this node any more, while others may reach another. A successor that
-      // hears none either keeps its term, or machines that all died would never be given up.
-      effects.resign("no worker is heard");
-      return List.of();
+    return survey;
+  }
+
+  private void markSilent(Machine machine) {
+    if (machine.state() == Machine.State.CONFIRMED) {
+      machine.transitionTo(Machine.State.SILENT);
+      cluster.updateIndexes(machine);
+      log.debug("Heartbeat timeout: machine={}", machine);
     }
-    Duration lease = cluster.settings.workerTimes().leaseDuration();
-    List<Machine> toRelease = new ArrayList<>();
-    // Once a cut is over the first that are heard say nothing of the rest, which are on their way.
-    byZone.forEach(
-        (zone, recentlyHeard) -> {
-          boolean cut =
+  }
+
+  private void reviewZones(Survey survey, Duration timeout, Instant now) {
+    survey.byZone.forEach(
+        (zone, heartbeats) -> {
+          boolean unreachable =
               zones.review(
                   zone,
-                  recentlyHeard.expected,
-                  recentlyHeard.overdue,
-                  recentlyHeard.recentlyHeard,
+                  heartbeats.expected,
+                  heartbeats.overdue,
+                  heartbeats.recentlyHeard,
                   effects.workersHeardByPeers(zone),
                   now);
-          if (cut) {
+          if (unreachable) {
+            // Once a cut is over the first that are heard say nothing of the rest, whose heartbeats
+            // are on their way.
             unreachableUntil.put(zone, now.plus(timeout));
           }
         });
-    boolean anyHeard = byZone.values().stream().anyMatch(zone -> zone.recentlyHeard > 0);
-    List<Machine> lost = new ArrayList<>();
-    for (Machine machine : silent) {
-      ZoneHeartbeats zone = byZone.get(machine.zone);
+  }
+
+  private List<Machine> selectForRelease(Survey survey, Duration timeout, Instant now) {
+    boolean anyHeard = survey.isAnyRecentlyHeard();
+    List<Machine> toRelease = new ArrayList<>();
+    List<Machine> lostWithZone = new ArrayList<>();
+    for (Machine machine : survey.silent) {
       if (zones.isKeptAliveByPeers(machine.zone)) {
-        // Another controller hears it, keeps its lease, and ends there what users have cancelled.
+        // Another controller hears it, keeps its lease alive, and ends there what users cancel.
         continue;
       }
       Duration patience =
-          unreachableUntil.getOrDefault(machine.zone, Instant.MIN).isAfter(now)
-              ? longestTaskLifetime(machine.zone, anyHeard)
-              : zone.isCorrelated() && isWorthWaiting(machine, lease.minus(timeout))
-                  ? lease
-                  : Duration.ZERO;
+          patience(machine, survey.byZone.get(machine.zone), anyHeard, timeout, now);
       if (isCancellationBoundNear(machine, now)) {
         toRelease.add(machine);
       } else if (silentSince(machine).plus(patience).isBefore(now)) {
-        (zones.isUnreachable(machine.zone) ? lost : toRelease).add(machine);
+        (zones.isUnreachable(machine.zone) ? lostWithZone : toRelease).add(machine);
       }
     }
-    toRelease.addAll(zoneLossPlan.machinesToRelease(lost, now));
+    toRelease.addAll(zoneLossPlan.machinesToRelease(lostWithZone, now));
     return toRelease;
   }
 
+  /** How long a silent machine is waited for, from its last heartbeat on. */
+  private Duration patience(
+      Machine machine, ZoneHeartbeats zone, boolean anyHeard, Duration timeout, Instant now) {
+    Duration lease = cluster.settings.workerTimes().leaseDuration();
+    if (unreachableUntil.getOrDefault(machine.zone, Instant.MIN).isAfter(now)) {
+      return longestTaskLifetime(machine.zone, anyHeard);
+    }
+    boolean waitsForLease = zone.isCorrelated() && isWorthWaiting(machine, lease.minus(timeout));
+    return waitsForLease ? lease : Duration.ZERO;
+  }
+
   /**
-   * Most workers heard of late came through peers: they do not reach this node, but others. Orders
-   * then go out only with reports handed on, so a peer serves better as the leader. Found on
-   * colombo-ops, where a leader cut from its workers alone went on for a minute.
+   * Resigns when most workers heard recently were heard through peers: they reach other controllers
+   * but not this one. Commands then go out only with forwarded heartbeats' responses, so a peer
+   * serves better as the leader. Found on colombo-ops, where a leader cut off from its workers
+   * alone went on for a minute.
    */
   void resignIfWorkersReachPeersOnly(Instant now) {
     if (startedAt.plus(FAILOVER_SETTLE_TIME).isAfter(now)) {
@@ -207,24 +263,25 @@
   }
 
   /**
-   * Whether a machine that may come back with its tasks is worth waiting for so much longer: having
-   * another ready, with an image like most, takes several times as long.
+   * Whether a machine that may come back with its tasks is worth waiting for this much longer: to
+   * have another ready, with a typical image, takes several times as long.
    */
   private boolean isWorthWaiting(Machine machine, Duration extraWait) {
-    Duration replacementTime = machine.type.bootTime().plus(scaleOut.fetchTime(machine.type));
+    Duration replacementTime =
+        machine.type.bootTime().plus(estimates.imageFetch().fetchTime(machine.type));
     return extraWait.multipliedBy(WORTHWHILE_WAIT_DIVISOR).compareTo(replacementTime) < 0;
   }
 
   /**
-   * How long tasks may live in a zone that is cut off, where nodes keep their workers' leases, and
-   * how long a report then takes to come here.
+   * How long tasks may live in a zone that is cut off, where controllers keep their workers' leases
+   * alive, with the time that a heartbeat then takes to arrive here.
    */
   private Duration longestTaskLifetime(String zone, boolean anyHeard) {
-    // Where no zone is heard nothing tells a cut from machines that have all died.
+    // Where no zone is heard nothing distinguishes a cut from machines that have all died.
     boolean hasPeer =
         anyHeard && cluster.settings.peers().stream().anyMatch(peer -> peer.zone().equals(zone));
     if (hasPeer) {
-      // It keeps the leases there for as long as it lives.
+      // It keeps the leases there alive for as long as it lives.
       return PEER_KEPT_ZONE_PATIENCE;
     }
     Settings.WorkerTimes workers = cluster.settings.workerTimes();
@@ -236,7 +293,7 @@
     return renewedLifetime.compareTo(minimum) > 0 ? renewedLifetime : minimum;
   }
 
-  /** A cancelled job's task is still there and its time is running out. */
+  /** Whether a cancelled job's task may still run there after half of the cancellation bound. */
   private boolean isCancellationBoundNear(Machine machine, Instant now) {
     Duration halfBound = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
     for (Attempt attempt : machine.attempts.values()) {
@@ -250,7 +307,10 @@
     return false;
   }
 
-  /** Since when nothing was heard of a machine that should report, or null if it need not yet. */
+  /**
+   * Since when a machine should have sent a heartbeat and none was accepted, which may be a time to
+   * come; null if none is expected of it.
+   */
   private Instant silentSince(Machine machine) {
     Instant since = lastHeardSince(machine);
     return since == null || since.isAfter(acceptingHeartbeatsSince)
@@ -264,7 +324,7 @@
       case EXPECTED -> {
         if (machine.listedRunning || !machine.attempts.isEmpty()) {
           Instant from = machine.createdAt.isAfter(startedAt) ? machine.createdAt : startedAt;
-          yield machine.knownFromPlacements ? startedAt : from.plusSeconds(15);
+          yield machine.knownFromPlacements ? startedAt : from.plus(FIRST_HEARTBEAT_TIMEOUT);
         }
         yield null;
       }
--- /dev/null
+++ b/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
@@ -0,0 +1,126 @@
+package io.pineladder.autoscaling;
+
+import io.pineladder.model.Attempt;
+import io.pineladder.model.Machine;
+import io.pineladder.scheduling.ClusterState;
+import io.pineladder.scheduling.Scheduler;
+import io.pineladder.store.Records;
+import io.pineladder.wire.CloudWire;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Returns machines to the cloud. Its answer is the proof that a machine's tasks are gone: only then
+ * do they start elsewhere.
+ */
+final class MachineReleaser {
+  private static final Logger log = LoggerFactory.getLogger(MachineReleaser.class);
+
+  /**
+   * Released machines that are remembered, so that what still names them is known to be stale: half
+   * as many again as the 4,000 machines of the largest fleets, which may all go within moments.
+   */
+  static final int MAX_TRACKED_RELEASES = 6_000;
+
+  private final ClusterState cluster;
+  private final Scheduler scheduler;
+  private final Records records;
+  private final CloudClient cloud;
+  private final BootTimeEstimator bootTimes;
+  private final BooleanSupplier mayAct;
+
+  /** The names of released machines, the oldest first. */
+  private final Set<String> released = new LinkedHashSet<>();
+
+  private final Set<String> pendingReleases = new LinkedHashSet<>();
+  private boolean releaseInFlight;
+
+  MachineReleaser(
+      ClusterState cluster,
+      Scheduler scheduler,
+      Records records,
+      CloudClient cloud,
+      BootTimeEstimator bootTimes,
+      BooleanSupplier mayAct) {
+    this.cluster = cluster;
+    this.scheduler = scheduler;
+    this.records = records;
+    this.cloud = cloud;
+    this.bootTimes = bootTimes;
+    this.mayAct = mayAct;
+  }
+
+  /** Whether the cloud has confirmed the machine's return: what still comes from it is stale. */
+  boolean wasReleased(String machine) {
+    return released.contains(machine);
+  }
+
+  /** Asks the cloud to take the machine back, unless that was done before. */
+  void release(Machine machine) {
+    if (machine.state() == Machine.State.RELEASING || machine.state() == Machine.State.GONE) {
+      return;
+    }
+    log.debug(
+        "Releasing machine: machine={} state={} attempts={}",
+        machine,
+        machine.state(),
+        machine.attempts.size());
+    machine.transitionTo(Machine.State.RELEASING);
+    cluster.updateIndexes(machine);
+    pendingReleases.add(machine.name);
+    sendReleases();
+  }
+
+  /** Releases a machine that is not needed once its tasks are preempted and have ended. */
+  void drain(Machine machine) {
+    if (machine.attempts.isEmpty()) {
+      release(machine);
+      return;
+    }
+    machine.draining = true;
+    cluster.updateIndexes(machine);
+    List.copyOf(machine.attempts.values()).forEach(scheduler::preempt);
+  }
+
+  /** Sends the releases that the cloud has not confirmed, one request at a time. */
+  void sendReleases() {
+    if (releaseInFlight || pendingReleases.isEmpty() || !mayAct.getAsBoolean()) {
+      return;
+    }
+    List<String> names = pendingReleases.stream().limit(CloudWire.MOST_RELEASED).toList();
+    releaseInFlight =
+        cloud.post(
+            "/rentals/release",
+            CloudWire.release(names),
+            reply -> {
+              releaseInFlight = false;
+              if (reply.is(200)) {
+                names.forEach(this::onReleased);
+              }
+            });
+  }
+
+  private void onReleased(String name) {
+    pendingReleases.remove(name);
+    released.add(name);
+    if (released.size() > MAX_TRACKED_RELEASES) {
+      released.remove(released.iterator().next());
+    }
+    Machine machine = cluster.removeMachine(name);
+    if (machine == null) {
+      return;
+    }
+    machine.transitionTo(Machine.State.GONE);
+    scheduler.faultAttribution().forget(machine);
+    bootTimes.forget(machine);
+    List<Attempt> lost = List.copyOf(machine.attempts.values());
+    records.removePlacements(lost);
+    for (Attempt attempt : lost) {
+      scheduler.onAttemptGone(attempt, "the machine was released");
+    }
+  }
+}
--- a/src/main/java/io/pineladder/autoscaling/ZoneLossPlan.java
+++ b/src/main/java/io/pineladder/autoscaling/ZoneLossPlan.java
@@ -15,54 +15,58 @@
 import java.util.Map;
 
 /**
- * What to do about the machines of a zone that is gone. A task starts elsewhere only once its
- * machine is proven gone, and the proof is the machine's return, which throws away warm images and
- * paid boots. So a machine goes only if what is on it can go elsewhere and would serve there sooner
- * than the zone is likely to be back, production first, and no more at a time than the zones that
- * live can take.
+ * Decides which machines of an unreachable zone to release. A task starts elsewhere only once its
+ * machine is proven gone, and the proof is the machine's release, which discards cached images and
+ * boots that were paid for. So a machine is released only if its tasks may run elsewhere and would
+ * run there sooner than the zone is likely to be back, production first, and no more at a time than
+ * the other zones can take.
  */
 final class ZoneLossPlan {
-  /** A zone that is gone for longer is given up with all that is in it. */
+  /** Of a zone that is likely to stay unreachable for longer all machines are released. */
   private static final Duration MAX_EXPECTED_OUTAGE = Duration.ofMinutes(10);
 
-  /** Of the machines that live so many parts may be awaited anew at a time. */
+  /** Replacements may boot at a time for the machines of the other zones divided by this. */
   private static final int REPLACEMENT_DIVISOR = 20;
 
   private final ClusterState cluster;
-  private final ScaleOut scaleOut;
+  private final CapacityEstimates estimates;
   private final Zones zones;
 
-  ZoneLossPlan(ClusterState cluster, ScaleOut scaleOut, Zones zones) {
+  ZoneLossPlan(ClusterState cluster, CapacityEstimates estimates, Zones zones) {
     this.cluster = cluster;
-    this.scaleOut = scaleOut;
+    this.estimates = estimates;
     this.zones = zones;
   }
 
+  /** The machines of the zones that are not unreachable. */
+  private static final class Elsewhere {
+    int confirmed;
+    int booting;
+
+    /** What is free on schedulable machines, as a number of machines. */
+    double freeMachines;
+
+    /** How many machines may be released now. */
+    int maxReleases() {
+      // Machines that boot already are for what was released before.
+      return (int) Math.max(1, freeMachines)
+          + Math.max(1, confirmed / REPLACEMENT_DIVISOR)
+          - booting;
+    }
+  }
+
   /**
-   * Of the machines that nobody has heard for longer than their tasks can live, those to return
-   * now.
+   * Selects the machines to release now.
+   *
+   * @param lost silent machines of unreachable zones whose tasks should have ended by now
    */
   List<Machine> machinesToRelease(List<Machine> lost, Instant now) {
     if (lost.isEmpty()) {
       return List.of();
     }
-    int alive = 0;
-    int booting = 0;
-    double freeMachines = 0;
-    for (Machine machine : cluster.machines()) {
-      if (!zones.isUnreachable(machine.zone)) {
-        switch (machine.state()) {
-          case CONFIRMED -> {
-            alive++;
-            freeMachines += machine.isSchedulable() ? scaleOut.freeShare(machine) : 0;
-          }
-          case EXPECTED, HEARD -> booting++;
-          default -> {}
-        }
-      }
-    }
-    if (alive == 0) {
-      // No zone lives to go by, and machines that have all died would never be given up.
+    Elsewhere elsewhere = countElsewhere();
+    if (elsewhere.confirmed == 0) {
+      // No zone is up to compare with, and machines that have all died would never be given up.
       return lost;
     }
     List<Machine> ordered = new ArrayList<>();
@@ -74,29 +78,48 @@
         continue;
       }
       int priority = highestMovablePriority(machine);
-      if (priority >= 0 && isFasterElsewhere(machine, freeMachines, now)) {
+      if (priority >= 0 && isFasterElsewhere(machine, elsewhere.freeMachines, now)) {
         ordered.add(machine);
         priorities.put(machine, priority);
       }
     }
     ordered.sort(Comparator.comparing(priorities::get));
-    // What boots already is for what was given up before.
-    int maxReleases =
-        (int) Math.max(1, freeMachines) + Math.max(1, alive / REPLACEMENT_DIVISOR) - booting;
+    int maxReleases = elsewhere.maxReleases();
     return maxReleases <= 0 ? List.of() : ordered.subList(0, Math.min(maxReleases, ordered.size()));
   }
 
-  /** Whether a task of the machine would serve elsewhere before the zone is likely to be back. */
+  private Elsewhere countElsewhere() {
+    Elsewhere elsewhere = new Elsewhere();
+    for (Machine machine : cluster.machines()) {
+      if (!zones.isUnreachable(machine.zone)) {
+        switch (machine.state()) {
+          case CONFIRMED -> {
+            elsewhere.confirmed++;
+            elsewhere.freeMachines +=
+                machine.isSchedulable() ? estimates.utilization().freeShare(machine) : 0;
+          }
+          case EXPECTED, HEARD -> elsewhere.booting++;
+          default -> {}
+        }
+      }
+    }
+    return elsewhere;
+  }
+
+  /** Whether a task of the machine would run elsewhere before the zone is likely to be back. */
   private boolean isFasterElsewhere(Machine machine, double freeMachines, Instant now) {
     MachineType type = machine.type;
-    Duration ready = scaleOut.fetchTime(type);
+    Duration ready = estimates.imageFetch().fetchTime(type);
     if (freeMachines < 1) {
       ready = ready.plus(type.bootTime());
     }
     return ready.compareTo(zones.expectedRemainingOutage(machine.zone, now)) < 0;
   }
 
-  /** The rank of the most urgent task on it that may run in another zone; -1 when there is none. */
+  /**
+   * The ordinal of the highest priority class of a task on it that may run in another zone; -1 if
+   * there is none.
+   */
   private int highestMovablePriority(Machine machine) {
     int highest = -1;
     for (Attempt attempt : machine.attempts.values()) {
@@ -112,12 +135,13 @@
     return highest;
   }
 
+  /** Whether a task of the job may run in another zone, one that is not unreachable. */
   private boolean canMoveFrom(Job job, Machine from) {
     int maxPerZone = (job.spec.tasks() + 1) / 2;
     Map<String, Integer> attemptsByZone = new HashMap<>();
     if (job.spec.spreadAcrossZones()) {
       job.attempts.values().stream()
-          .flatMap(of -> of.stream())
+          .flatMap(attempts -> attempts.stream())
           .forEach(a -> attemptsByZone.merge(a.machine.zone, 1, Integer::sum));
     }
     for (String zone : from.type.zones()) {
