--- a/src/main/java/io/pineladder/ClusterConfiguration.java
+++ b/src/main/java/io/pineladder/ClusterConfiguration.java
@@ -139,9 +139,10 @@
     }
     try {
       if (entry.key().equals(RecordKeys.MACHINE_TYPES)) {
-        setMachineTypes(RecordWire.parseTypes(entry.value()));
+        setMachineTypes(RecordWire.parseMachineTypes(entry.value()));
       } else if (entry.key().equals(RecordKeys.OPERATOR_SETTINGS)) {
-        operatorSettings = RecordWire.parseOperator(entry.value(), OperatorSettings.DEFAULTS);
+        operatorSettings =
+            RecordWire.parseOperatorSettings(entry.value(), OperatorSettings.DEFAULTS);
         listener.onOperatorSettings(operatorSettings);
       }
     } catch (MalformedMessageException e) {
--- a/src/main/java/io/pineladder/ConfigurationWriter.java
+++ b/src/main/java/io/pineladder/ConfigurationWriter.java
@@ -35,7 +35,8 @@
         Mutation.of(
             Mutation.Priority.CLEANUP,
             List.of(
-                new Mutation.Write(RecordKeys.MACHINE_TYPES, () -> RecordWire.types(machineTypes))),
+                new Mutation.Write(
+                    RecordKeys.MACHINE_TYPES, () -> RecordWire.machineTypes(machineTypes))),
             () -> {}));
   }
 
@@ -53,7 +54,7 @@
             Mutation.Priority.ACCEPTANCE,
             List.of(
                 new Mutation.Write(
-                    RecordKeys.OPERATOR_SETTINGS, () -> RecordWire.operator(settings))),
+                    RecordKeys.OPERATOR_SETTINGS, () -> RecordWire.operatorSettings(settings))),
             onStored));
   }
 }
--- a/src/main/java/io/pineladder/HeartbeatResponder.java
+++ b/src/main/java/io/pineladder/HeartbeatResponder.java
@@ -46,26 +46,26 @@
    *
    * @param relayed whether a peer forwarded it
    */
-  byte[] onHeartbeat(WorkerWire.Report report, boolean relayed) {
+  byte[] onHeartbeat(WorkerWire.Heartbeat heartbeat, boolean relayed) {
     if (!lifecycle.isLeading()) {
       return mayExtendLeaseWhileLoading()
-          ? WorkerWire.reportResponse(lifecycle.term(), new WorkerWire.Orders())
+          ? WorkerWire.heartbeatResponse(lifecycle.term(), new WorkerWire.Orders())
           : null;
     }
-    if (!leadership.isLeaseValid() && workers.holdsTasksOfEndedJobs(report.machine())) {
+    if (!leadership.isLeaseValid() && workers.holdsTasksOfEndedJobs(heartbeat.machine())) {
       // Without orders nothing ends a cancelled job's tasks but the end of the worker's lease.
       return null;
     }
-    WorkerWire.Orders orders = workers.onHeartbeat(report, relayed);
+    WorkerWire.Orders orders = workers.onHeartbeat(heartbeat, relayed);
     if (orders == null) {
       return null;
     }
     failover.recordPhase(FailoverTimings.Phase.FIRST_REPORT);
-    Machine machine = cluster.machine(report.machine());
+    Machine machine = cluster.machine(heartbeat.machine());
     if (failover.expectsMoreReports() && machine != null && machine.knownFromPlacements) {
       countHeard(machine);
     }
-    return WorkerWire.reportResponse(lifecycle.term(), orders);
+    return WorkerWire.heartbeatResponse(lifecycle.term(), orders);
   }
 
   /** While the store is read a lease is extended and the token shown to the worker, no more. */
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -349,8 +349,8 @@
    *
    * @param relayed whether a peer forwarded it
    */
-  public byte[] onHeartbeat(WorkerWire.Report report, boolean relayed) {
-    return heartbeats.onHeartbeat(report, relayed);
+  public byte[] onHeartbeat(WorkerWire.Heartbeat heartbeat, boolean relayed) {
+    return heartbeats.onHeartbeat(heartbeat, relayed);
   }
 
   // ---- what the administration API shows
@@ -597,7 +597,7 @@
 
     @Override
     public void onRecordRead(StoreWire.Entry entry) {
-      replica.put(entry.key(), entry.value(), entry.version(), false);
+      replica.put(entry.key(), entry.value(), entry.revision(), false);
     }
 
     @Override
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -99,7 +99,7 @@
                 case PREFIX + "status" -> status();
                 case PREFIX + "metrics" -> metrics();
                 case PREFIX + "takeovers" -> takeovers();
-                default -> RecordWire.operator(node.operatorSettings());
+                default -> RecordWire.operatorSettings(node.operatorSettings());
               }));
     }
   }
@@ -308,7 +308,7 @@
   private void change(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
     OperatorSettings wanted;
     try {
-      wanted = RecordWire.parseOperator(Json.parseObject(body), node.operatorSettings());
+      wanted = RecordWire.parseOperatorSettings(Json.parseObject(body), node.operatorSettings());
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
@@ -317,6 +317,6 @@
         HttpResponses.withTimeout(
             node.eventLoop(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
     leader.storeOperatorSettings(
-        wanted, () -> first.accept(json(200, RecordWire.operator(wanted))));
+        wanted, () -> first.accept(json(200, RecordWire.operatorSettings(wanted))));
   }
 }
--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -23,7 +23,7 @@
  */
 final class DependencyChainReader {
   /** Reads for one question at the most; what needs more is asked again, or of a leader. */
-  private static final int MOST_READS = 8;
+  private static final int MAX_STORE_READS = 8;
 
   /** What is known of the jobs before a job. */
   enum Outcome {
@@ -44,70 +44,70 @@
   }
 
   /** Looks at these jobs and at all before them. */
-  void review(List<String> prerequisites, Consumer<Outcome> onDone) {
+  void evaluate(List<String> prerequisites, Consumer<Outcome> onOutcome) {
     if (prerequisites.isEmpty()) {
-      onDone.accept(Outcome.NONE_CANCELLED);
+      onOutcome.accept(Outcome.NONE_CANCELLED);
       return;
     }
     node.acceptedJobs()
         .refresh(
-            fresh -> {
-              if (fresh) {
-                new Review(prerequisites, onDone).next();
+            refreshed -> {
+              if (refreshed) {
+                new Evaluation(prerequisites, onOutcome).evaluateNext();
               } else {
-                onDone.accept(Outcome.UNCERTAIN);
+                onOutcome.accept(Outcome.UNCERTAIN);
               }
             });
   }
 
   /** One look at a chain. */
-  private final class Review {
-    private final Deque<String> left;
-    private final Set<String> seen = new HashSet<>();
-    private final Consumer<Outcome> onDone;
-    private int reads;
+  private final class Evaluation {
+    private final Deque<String> pendingJobs;
+    private final Set<String> visitedJobs = new HashSet<>();
+    private final Consumer<Outcome> onOutcome;
+    private int storeReads;
 
-    Review(List<String> prerequisites, Consumer<Outcome> onDone) {
-      this.left = new ArrayDeque<>(prerequisites);
-      this.onDone = onDone;
+    Evaluation(List<String> prerequisites, Consumer<Outcome> onOutcome) {
+      this.pendingJobs = new ArrayDeque<>(prerequisites);
+      this.onOutcome = onOutcome;
     }
 
-    void next() {
-      while (!left.isEmpty()) {
-        String id = left.poll();
-        if (!seen.add(id)) {
+    void evaluateNext() {
+      while (!pendingJobs.isEmpty()) {
+        String id = pendingJobs.poll();
+        if (!visitedJobs.add(id)) {
           continue;
         }
-        Job.State ended = knownEnd(id);
-        AcceptedJobIndex.IndexedJob found = node.acceptedJobs().find(id);
-        if (ended == Job.State.CANCELLED) {
-          onDone.accept(Outcome.CANCELLED);
+        Job.State finalState = knownFinalState(id);
+        AcceptedJobIndex.IndexedJob indexedJob = node.acceptedJobs().find(id);
+        if (finalState == Job.State.CANCELLED) {
+          onOutcome.accept(Outcome.CANCELLED);
           return;
         }
-        if (ended == null && found == null) {
-          readOwn(id);
+        if (finalState == null && indexedJob == null) {
+          readJobRecord(id);
           return;
         }
-        if (ended == null) {
-          take(found.state(), found.prerequisites());
-          if (found.state() == Job.State.CANCELLED) {
+        if (finalState == null) {
+          expand(indexedJob.state(), indexedJob.prerequisites());
+          if (indexedJob.state() == Job.State.CANCELLED) {
             return;
           }
         }
       }
-      onDone.accept(Outcome.NONE_CANCELLED);
+      onOutcome.accept(Outcome.NONE_CANCELLED);
     }
 
     /** Takes in a job that is not known to be over; a cancelled one ends the review. */
-    private void take(Job.State state, List<String> prerequisites) {
+    private void expand(Job.State state, List<String> prerequisites) {
       if (state == Job.State.CANCELLED) {
-        onDone.accept(Outcome.CANCELLED);
+        onOutcome.accept(Outcome.CANCELLED);
       } else if (state == Job.State.ACTIVE) {
-        left.addAll(prerequisites);
+        pendingJobs.addAll(prerequisites);
       }
     }
 
-    private Job.State knownEnd(String id) {
+    private Job.State knownFinalState(String id) {
       Job.State known = node.finalStates().stateOf(id);
       return known != null ? known : node.replicaManager().replica().finalState(id);
     }
@@ -116,9 +116,9 @@
      * A job moves from its own record to its final state in one transaction, so this order misses
      * none.
      */
-    private void readOwn(String id) {
-      if (++reads > MOST_READS) {
-        onDone.accept(Outcome.UNCERTAIN);
+    private void readJobRecord(String id) {
+      if (++storeReads > MAX_STORE_READS) {
+        onOutcome.accept(Outcome.UNCERTAIN);
         return;
       }
       node.storeClient()
@@ -126,48 +126,48 @@
               RecordKeys.UNPAGED_JOB + id,
               read -> {
                 if (!read.certain()) {
-                  onDone.accept(Outcome.UNCERTAIN);
+                  onOutcome.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
-                  readEnd(id);
+                  readFinalState(id);
                 } else {
                   try {
                     RecordWire.StoredJob job = RecordWire.parseJob(read.entry().value());
-                    take(job.state(), job.spec().prerequisites());
+                    expand(job.state(), job.spec().prerequisites());
                     if (job.state() != Job.State.CANCELLED) {
-                      next();
+                      evaluateNext();
                     }
                   } catch (MalformedMessageException e) {
-                    onDone.accept(Outcome.UNCERTAIN);
+                    onOutcome.accept(Outcome.UNCERTAIN);
                   }
                 }
               });
     }
 
-    private void readEnd(String id) {
+    private void readFinalState(String id) {
       node.storeClient()
           .readForUser(
               RecordKeys.FINAL_STATE + id,
               read -> {
                 if (!read.certain() || !read.found() && node.replicaManager().jobMayBeMissing(id)) {
-                  onDone.accept(Outcome.UNCERTAIN);
+                  onOutcome.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
-                  onDone.accept(Outcome.UNKNOWN_JOB);
+                  onOutcome.accept(Outcome.UNKNOWN_JOB);
                 } else {
-                  takeEnd(id, read.entry().value());
+                  applyFinalState(id, read.entry().value());
                 }
               });
     }
 
-    private void takeEnd(String id, JsonNode record) {
+    private void applyFinalState(String id, JsonNode record) {
       try {
-        Job.State ended = RecordWire.parseEnd(record);
-        node.finalStates().put(id, JobView.toStatus(ended));
-        take(ended, List.of());
-        if (ended != Job.State.CANCELLED) {
-          next();
+        Job.State finalState = RecordWire.parseFinalState(record);
+        node.finalStates().put(id, JobView.toStatus(finalState));
+        expand(finalState, List.of());
+        if (finalState != Job.State.CANCELLED) {
+          evaluateNext();
         }
       } catch (MalformedMessageException e) {
-        onDone.accept(Outcome.UNCERTAIN);
+        onOutcome.accept(Outcome.UNCERTAIN);
       }
     }
   }
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -25,7 +25,7 @@
  */
 final class HeartbeatHandler {
   /** A worker back so soon after it was sent to the leader has not reached it. */
-  private static final Duration BOUNCE = Duration.ofSeconds(12);
+  private static final Duration REDIRECT_RETURN_WINDOW = Duration.ofSeconds(12);
 
   /**
    * Workers whose way through the nodes is remembered: half as many again as the 4,000 machines of
@@ -35,32 +35,35 @@
   static final int MAX_TRACKED_WORKERS = 6_000;
 
   /** A zone that is cut off for longer loses what runs in it. */
-  private static final Duration MOST_KEPT = Duration.ofMinutes(30);
+  private static final Duration MAX_ISOLATED_LEASE_EXTENSION = Duration.ofMinutes(30);
 
   /** Between two tries of a worker that is kept to find a leader elsewhere. */
-  private static final Duration ROUND = Duration.ofSeconds(40);
+  private static final Duration LEADER_SEARCH_INTERVAL = Duration.ofSeconds(40);
 
   /** What a node that does not answer costs a worker. */
-  private static final Duration ELSEWHERE = Duration.ofSeconds(5);
+  private static final Duration UNRESPONSIVE_CONTROLLER_DELAY = Duration.ofSeconds(5);
 
   private final ControllerNode node;
   private final Forwarding forwarding;
   private final Instant startedAt;
 
   /** When each worker was last sent to the leader, or its report handed on. */
-  private final Map<String, Instant> redirects = new LinkedHashMap<>();
+  private final Map<String, Instant> lastRedirects = new LinkedHashMap<>();
 
   /** When each worker that is kept was last sent to the others. */
-  private final Map<String, Instant> rounds = new LinkedHashMap<>();
+  private final Map<String, Instant> lastLeaderSearches = new LinkedHashMap<>();
 
   /** The leader that those workers were sent to. */
-  private RecordWire.LeaderRecord redirectedTo;
+  private RecordWire.LeaderRecord redirectTarget;
 
   /** Hands requests on to other controllers. */
   interface Forwarding {
     /** Tries the addresses in turn; {@code alone} when none has decided. */
     void forward(
-        List<String> ways, PeerWire.Forward request, Consumer<HttpResponse> answer, Runnable alone);
+        List<String> addresses,
+        PeerWire.ForwardedRequest request,
+        Consumer<HttpResponse> answer,
+        Runnable onUndecided);
   }
 
   HeartbeatHandler(ControllerNode node, Forwarding forwarding) {
@@ -74,82 +77,84 @@
    *
    * @param relayed whether a peer handed it on
    */
-  void answer(byte[] body, boolean relayed, Consumer<HttpResponse> answer) {
-    WorkerWire.Report report;
+  void handle(byte[] body, boolean forwarded, Consumer<HttpResponse> answer) {
+    WorkerWire.Heartbeat heartbeat;
     try {
-      report = WorkerWire.parseReport(body);
+      heartbeat = WorkerWire.parseHeartbeat(body);
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    node.replicaManager().generations().observeToken(report.token());
-    long keeping =
+    node.replicaManager().generations().observeToken(heartbeat.token());
+    long rebuildToken =
         node.replicaManager()
             .generations()
             .keepAliveToken(
-                report.token(), Election.maxWorkerLeaseExtension(node.settings().workerTimes()));
-    if (keeping >= report.token() && keeping > 0) {
+                heartbeat.token(), Election.maxWorkerLeaseExtension(node.settings().workerTimes()));
+    if (rebuildToken >= heartbeat.token() && rebuildToken > 0) {
       // Nobody leads while the records are rebuilt; what runs must live through it.
-      answer.accept(ok(WorkerWire.reportResponse(keeping, new WorkerWire.Orders())));
+      answer.accept(ok(WorkerWire.heartbeatResponse(rebuildToken, new WorkerWire.Orders())));
       return;
     }
-    LeaderTerm holder = node.heldTerm();
-    if (holder != null && report.token() <= holder.term()) {
-      byte[] response = holder.onHeartbeat(report, relayed);
+    LeaderTerm heldTerm = node.heldTerm();
+    if (heldTerm != null && heartbeat.token() <= heldTerm.term()) {
+      byte[] response = heldTerm.onHeartbeat(heartbeat, forwarded);
       if (response != null) {
         answer.accept(ok(response));
         return;
       }
-    } else if (holder != null) {
-      holder.onHeartbeat(report, relayed);
+    } else if (heldTerm != null) {
+      heldTerm.onHeartbeat(heartbeat, forwarded);
     }
-    RecordWire.LeaderRecord known = node.election().knownLeader();
-    boolean other = known != null && !known.member().equals(node.settings().controllerName());
-    long token = keptWith(report, known, other);
+    RecordWire.LeaderRecord knownLeader = node.election().knownLeader();
+    boolean leaderIsPeer =
+        knownLeader != null && !knownLeader.member().equals(node.settings().controllerName());
+    long token = leaseExtensionToken(heartbeat, knownLeader, leaderIsPeer);
     if (token > 0) {
       // At once: in a cut the way round the other nodes takes most of a lease.
-      node.leaseKeepAlives().onLeaseRenewed(report.machine(), report.zone());
-      answer.accept(ok(WorkerWire.reportResponse(token, endsOf(report))));
+      node.leaseKeepAlives().onLeaseRenewed(heartbeat.machine(), heartbeat.zone());
+      answer.accept(ok(WorkerWire.heartbeatResponse(token, killOrdersForEndedJobs(heartbeat))));
       return;
     }
     Instant now = node.eventLoop().now();
-    if (other && !known.equals(redirectedTo)) {
+    if (leaderIsPeer && !knownLeader.equals(redirectTarget)) {
       // That a worker did not reach an earlier leader says nothing of this one. Otherwise reports
       // once handed on would be handed on for ever, and each new leader make way in its turn.
-      redirects.clear();
-      redirectedTo = known;
+      lastRedirects.clear();
+      redirectTarget = knownLeader;
     }
-    Instant redirected = redirects.get(report.machine());
-    if (other
-        && redirected != null
-        && redirected.plus(BOUNCE).isAfter(now)
-        && !node.membership().isUnreachable(known.member())) {
-      relay(known, report, body, answer);
+    Instant lastRedirect = lastRedirects.get(heartbeat.machine());
+    if (leaderIsPeer
+        && lastRedirect != null
+        && lastRedirect.plus(REDIRECT_RETURN_WINDOW).isAfter(now)
+        && !node.membership().isUnreachable(knownLeader.member())) {
+      forwardToLeader(knownLeader, heartbeat, body, answer);
       return;
     }
-    if (other) {
-      redirects.put(report.machine(), now);
-      if (redirects.size() > MAX_TRACKED_WORKERS) {
-        redirects.remove(redirects.keySet().iterator().next());
+    if (leaderIsPeer) {
+      lastRedirects.put(heartbeat.machine(), now);
+      if (lastRedirects.size() > MAX_TRACKED_WORKERS) {
+        lastRedirects.remove(lastRedirects.keySet().iterator().next());
       }
     }
-    answer.accept(new HttpResponse(421, WorkerWire.redirect(other ? known.member() : null)));
+    answer.accept(
+        new HttpResponse(421, WorkerWire.redirect(leaderIsPeer ? knownLeader.member() : null)));
   }
 
   /**
    * A worker that was sent to the leader and is back soon after has not reached it. This node can,
    * so it hands the report on and the response back; a response is as good from any node.
    */
-  private void relay(
+  private void forwardToLeader(
       RecordWire.LeaderRecord leader,
-      WorkerWire.Report report,
+      WorkerWire.Heartbeat heartbeat,
       byte[] body,
       Consumer<HttpResponse> answer) {
     forwarding.forward(
         List.of(leader.address()),
-        new PeerWire.Forward("POST", "/v1/report", body, 0),
+        new PeerWire.ForwardedRequest("POST", "/v1/report", body, 0),
         http -> {
-          redirects.put(report.machine(), node.eventLoop().now());
+          lastRedirects.put(heartbeat.machine(), node.eventLoop().now());
           answer.accept(http);
         },
         () -> answer.accept(new HttpResponse(421, WorkerWire.redirect(null))));
@@ -160,28 +165,33 @@
    * Any node may answer with a token that the worker has seen, and orders go with it only for what
    * is over.
    */
-  private long keptWith(WorkerWire.Report report, RecordWire.LeaderRecord known, boolean other) {
+  private long leaseExtensionToken(
+      WorkerWire.Heartbeat heartbeat, RecordWire.LeaderRecord knownLeader, boolean leaderIsPeer) {
     Election election = node.election();
-    long theirs = Math.max(report.token(), election.knownLeaderTerm());
-    boolean stored = node.storeClient().isHealthy();
-    if (other) {
-      if (!node.membership().isUnreachable(known.member())) {
+    long newestToken = Math.max(heartbeat.token(), election.knownLeaderTerm());
+    boolean storeHealthy = node.storeClient().isHealthy();
+    if (leaderIsPeer) {
+      if (!node.membership().isUnreachable(knownLeader.member())) {
         return 0;
       }
-      boolean follows =
-          report.token() <= election.knownLeaderTerm()
+      boolean replicaInStep =
+          heartbeat.token() <= election.knownLeaderTerm()
               && node.replicaManager().follower().isFresh();
-      return follows || keepsAlive(known, report) ? theirs : 0;
+      return replicaInStep || mayExtendForUnreachableLeader(knownLeader, heartbeat)
+          ? newestToken
+          : 0;
     }
     if (election.holdsTerm()) {
       // The leader itself is cut off with the zone: it decides nothing, and what runs goes on. A
       // later
       // leader's command that was held up may have shown the worker a higher token.
-      return !stored && keepsZone(report, election.leaseExpiresAt()) ? theirs : 0;
+      return !storeHealthy && mayExtendWhileIsolated(heartbeat, election.leaseExpiresAt())
+          ? newestToken
+          : 0;
     }
     // A process that has begun in a zone that is cut off, or in an outage of the state service.
-    boolean nobody = known == null && !stored && report.token() > 0;
-    return nobody && keepsZone(report, startedAt) ? report.token() : 0;
+    boolean noLeaderKnown = knownLeader == null && !storeHealthy && heartbeat.token() > 0;
+    return noLeaderKnown && mayExtendWhileIsolated(heartbeat, startedAt) ? heartbeat.token() : 0;
   }
 
   /**
@@ -190,9 +200,9 @@
    * on. With them a worker can be kept for as long as this node's copy of the records is in step
    * with the store, since what a user cancels ends in time without the end of the worker's lease.
    */
-  private WorkerWire.Orders endsOf(WorkerWire.Report report) {
+  private WorkerWire.Orders killOrdersForEndedJobs(WorkerWire.Heartbeat heartbeat) {
     WorkerWire.Orders orders = new WorkerWire.Orders();
-    for (WorkerWire.TaskReport task : report.tasks()) {
+    for (WorkerWire.TaskStatus task : heartbeat.tasks()) {
       String job = task.task().job();
       if (task.state() != WorkerWire.TaskState.EXITED
           && node.replicaManager().replica().finalState(job) != null) {
@@ -211,15 +221,16 @@
    * likely cut off along with the worker, and the next one is out of reach for both. Found on
    * laval-fleet, where it was luck whether the leader was in the zone that was cut off.
    */
-  private boolean keepsAlive(RecordWire.LeaderRecord known, WorkerWire.Report report) {
-    Duration longest = Election.maxWorkerLeaseExtension(node.settings().workerTimes());
-    Instant leaderAt = node.membership().answeredHeartbeatSentAt(known.member());
+  private boolean mayExtendForUnreachableLeader(
+      RecordWire.LeaderRecord knownLeader, WorkerWire.Heartbeat heartbeat) {
+    Duration maxExtension = Election.maxWorkerLeaseExtension(node.settings().workerTimes());
+    Instant leaderHeartbeatAt = node.membership().answeredHeartbeatSentAt(knownLeader.member());
     if (node.storeClient().isHealthy()) {
-      return report.token() <= node.election().knownLeaderTerm()
-          && leaderAt != null
-          && node.eventLoop().now().isBefore(leaderAt.plus(longest));
+      return heartbeat.token() <= node.election().knownLeaderTerm()
+          && leaderHeartbeatAt != null
+          && node.eventLoop().now().isBefore(leaderHeartbeatAt.plus(maxExtension));
     }
-    return keepsZone(report, leaderAt);
+    return mayExtendWhileIsolated(heartbeat, leaderHeartbeatAt);
   }
 
   /**
@@ -234,45 +245,46 @@
    * zone were sent to and fro between a leader that did not keep them and nodes that sent them back
    * to it, until their leases ended.
    */
-  private boolean keepsZone(WorkerWire.Report report, Instant since) {
+  private boolean mayExtendWhileIsolated(WorkerWire.Heartbeat heartbeat, Instant since) {
     Instant now = node.eventLoop().now();
     if (since == null
         // A peer that reaches the store has a leader or will: this node alone is cut off.
         || node.membership().isStoreReachableByPeer()
-        || now.isAfter(since.plus(MOST_KEPT))) {
+        || now.isAfter(since.plus(MAX_ISOLATED_LEASE_EXTENSION))) {
       return false;
     }
     if (node.membership().isStoreUnreachableForMost()) {
       return true;
     }
-    if (!report.zone().equals(node.settings().zone())) {
+    if (!heartbeat.zone().equals(node.settings().zone())) {
       return false;
     }
-    Settings.WorkerTimes workers = node.settings().workerTimes();
-    if (now.isBefore(since.plus(Election.maxWorkerLeaseExtension(workers)))) {
+    Settings.WorkerTimes workerTimes = node.settings().workerTimes();
+    if (now.isBefore(since.plus(Election.maxWorkerLeaseExtension(workerTimes)))) {
       return true;
     }
-    Duration round =
-        ELSEWHERE
+    Duration searchDuration =
+        UNRESPONSIVE_CONTROLLER_DELAY
             .multipliedBy(node.settings().peers().size())
-            .plus(workers.heartbeatInterval().multipliedBy(5).dividedBy(4))
+            .plus(workerTimes.heartbeatInterval().multipliedBy(5).dividedBy(4))
             .plusSeconds(3);
-    if (round.compareTo(workers.leaseDuration()) > 0) {
+    if (searchDuration.compareTo(workerTimes.leaseDuration()) > 0) {
       return false;
     }
-    Instant sent = rounds.get(report.machine());
-    if (sent == null) {
+    Instant lastSearch = lastLeaderSearches.get(heartbeat.machine());
+    if (lastSearch == null) {
       // Not all at the same time.
-      long spread = (long) (node.eventLoop().random().nextDouble() * ROUND.toMillis());
-      sent = now.minusMillis(spread);
-      rounds.put(report.machine(), sent);
+      long offsetMillis =
+          (long) (node.eventLoop().random().nextDouble() * LEADER_SEARCH_INTERVAL.toMillis());
+      lastSearch = now.minusMillis(offsetMillis);
+      lastLeaderSearches.put(heartbeat.machine(), lastSearch);
     }
-    if (sent.plus(ROUND).isAfter(now)) {
+    if (lastSearch.plus(LEADER_SEARCH_INTERVAL).isAfter(now)) {
       return true;
     }
-    rounds.put(report.machine(), now);
-    if (rounds.size() > MAX_TRACKED_WORKERS) {
-      rounds.remove(rounds.keySet().iterator().next());
+    lastLeaderSearches.put(heartbeat.machine(), now);
+    if (lastLeaderSearches.size() > MAX_TRACKED_WORKERS) {
+      lastLeaderSearches.remove(lastLeaderSearches.keySet().iterator().next());
     }
     return false;
   }
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -37,15 +37,15 @@
   private static final Logger log = LoggerFactory.getLogger(LeaderlessApi.class);
 
   private final ControllerNode node;
-  private final DependencyChainReader chains;
+  private final DependencyChainReader dependencyChains;
 
   LeaderlessApi(ControllerNode node) {
     this.node = node;
-    this.chains = new DependencyChainReader(node);
+    this.dependencyChains = new DependencyChainReader(node);
   }
 
   /** Why a job can never run, or null. */
-  String neverRuns(JobSpec spec) {
+  String rejectionReason(JobSpec spec) {
     // Sent to the store it would be refused as malformed, and the leader with it.
     if (!Records.fits(spec, node.settings().storeLimits().valueBytes())) {
       return "the description is too long to be stored";
@@ -96,38 +96,38 @@
       answer.accept(unavailable("the records are rebuilt"));
       return;
     }
-    String never = neverRuns(spec);
+    String rejection = rejectionReason(spec);
     String id = spec.id();
     if (node.replicaManager().replica().finalState(id) != null) {
       read(id, false, answer);
       return;
     }
-    if (never != null) {
-      refuse(id, never, answer);
+    if (rejection != null) {
+      reject(id, rejection, answer);
       return;
     }
     if (spec.prerequisites().isEmpty()) {
-      store(spec, JobWire.Status.PENDING, answer);
+      storeJob(spec, JobWire.Status.PENDING, answer);
       return;
     }
     if (!node.clusterVersion().allowsChainedJobs()) {
       answer.accept(unavailable(NOT_UPGRADED));
       return;
     }
-    chains.review(
+    dependencyChains.evaluate(
         spec.prerequisites(),
         outcome -> {
           switch (outcome) {
-            case UNKNOWN_JOB -> refuse(id, UNKNOWN_PREREQUISITE, answer);
+            case UNKNOWN_JOB -> reject(id, UNKNOWN_PREREQUISITE, answer);
             case UNCERTAIN -> answer.accept(unavailable("no leader"));
-            case NONE_CANCELLED -> store(spec, JobWire.Status.PENDING, answer);
-            case CANCELLED -> store(spec, JobWire.Status.CANCELLED, answer);
+            case NONE_CANCELLED -> storeJob(spec, JobWire.Status.PENDING, answer);
+            case CANCELLED -> storeJob(spec, JobWire.Status.CANCELLED, answer);
           }
         });
   }
 
   /** Refuses a job, unless it was accepted once: then it stays so, whatever is judged now. */
-  private void refuse(String id, String reason, Consumer<HttpResponse> answer) {
+  private void reject(String id, String reason, Consumer<HttpResponse> answer) {
     read(id, false, found -> answer.accept(found.status() == 404 ? error(422, reason) : found));
   }
 
@@ -137,17 +137,17 @@
    * @param status what its user is told of it: one that names a cancelled job is accepted and
    *     cancelled
    */
-  private void store(JobSpec spec, JobWire.Status status, Consumer<HttpResponse> answer) {
+  private void storeJob(JobSpec spec, JobWire.Status status, Consumer<HttpResponse> answer) {
     String id = spec.id();
     JsonNode record = RecordWire.job(spec, node.eventLoop().wallClock(), Job.State.ACTIVE);
-    JsonNode note = Json.object().put("by", node.settings().controllerName());
+    JsonNode inboxEntry = Json.object().put("by", node.settings().controllerName());
     byte[] body =
         node.storeClient()
             .transaction()
             .require(RecordKeys.UNPAGED_JOB + id, 0)
             .require(RecordKeys.FINAL_STATE + id, 0)
             .put(RecordKeys.UNPAGED_JOB + id, record)
-            .put(RecordKeys.INBOX + id, note)
+            .put(RecordKeys.INBOX + id, inboxEntry)
             .bytes();
     RecordReplica replica = node.replicaManager().replica();
     node.storeClient()
@@ -158,7 +158,7 @@
               if (reply.is(200)) {
                 log.debug("job {} accepted without a leader", id);
                 replica.put(RecordKeys.UNPAGED_JOB + id, record, 0, true);
-                replica.put(RecordKeys.INBOX + id, note, 0, true);
+                replica.put(RecordKeys.INBOX + id, inboxEntry, 0, true);
                 node.replicaManager().onAcceptedWithoutLeader(() -> submit(spec, again -> {}));
                 answer.accept(new HttpResponse(201, JobWire.view(id, status)));
               } else if (reply.is(409)) {
@@ -175,9 +175,9 @@
       answer.accept(unavailable("the records are rebuilt"));
       return;
     }
-    Job.State ended = node.replicaManager().replica().finalState(id);
-    if (ended != null) {
-      tellState(id, cancel, ended, answer);
+    Job.State finalState = node.replicaManager().replica().finalState(id);
+    if (finalState != null) {
+      answerWithState(id, cancel, finalState, answer);
       return;
     }
     // A job goes from its own key or its page to its final state in one transaction, so this order
@@ -189,31 +189,31 @@
               if (!read.certain()) {
                 answer.accept(unavailable("no leader"));
               } else if (read.found()) {
-                tellStored(id, cancel, read.entry(), answer);
+                answerFromRecord(id, cancel, read.entry(), answer);
               } else {
-                readAccepted(id, cancel, answer);
+                readIndexedJob(id, cancel, answer);
               }
             });
   }
 
-  private void readAccepted(String id, boolean cancel, Consumer<HttpResponse> answer) {
+  private void readIndexedJob(String id, boolean cancel, Consumer<HttpResponse> answer) {
     node.acceptedJobs()
         .refresh(
-            fresh -> {
-              if (!fresh) {
+            refreshed -> {
+              if (!refreshed) {
                 answer.accept(unavailable("no leader"));
                 return;
               }
-              AcceptedJobIndex.IndexedJob found = node.acceptedJobs().find(id);
-              if (found != null) {
-                tellAccepted(id, cancel, found, answer);
+              AcceptedJobIndex.IndexedJob indexedJob = node.acceptedJobs().find(id);
+              if (indexedJob != null) {
+                answerFromIndexedJob(id, cancel, indexedJob, answer);
               } else {
-                readEnd(id, answer);
+                readFinalState(id, answer);
               }
             });
   }
 
-  private void readEnd(String id, Consumer<HttpResponse> answer) {
+  private void readFinalState(String id, Consumer<HttpResponse> answer) {
     node.storeClient()
         .readForUser(
             RecordKeys.FINAL_STATE + id,
@@ -225,16 +225,16 @@
               } else if (!end.found()) {
                 answer.accept(error(404, "no such job"));
               } else {
-                tellEnd(id, end.entry(), answer);
+                answerFromFinalState(id, end.entry(), answer);
               }
             });
   }
 
-  private void tellStored(
+  private void answerFromRecord(
       String id, boolean cancel, StoreWire.Entry entry, Consumer<HttpResponse> answer) {
     try {
       RecordWire.StoredJob job = RecordWire.parseJob(entry.value());
-      tellAccepted(
+      answerFromIndexedJob(
           id,
           cancel,
           new AcceptedJobIndex.IndexedJob(job.state(), job.spec().prerequisites()),
@@ -245,24 +245,24 @@
   }
 
   /** A job whose record names no final state may be cancelled with one before it. */
-  private void tellAccepted(
+  private void answerFromIndexedJob(
       String id, boolean cancel, AcceptedJobIndex.IndexedJob job, Consumer<HttpResponse> answer) {
     if (job.state() != Job.State.ACTIVE || job.prerequisites().isEmpty()) {
-      tellState(id, cancel, job.state(), answer);
+      answerWithState(id, cancel, job.state(), answer);
       return;
     }
-    chains.review(
+    dependencyChains.evaluate(
         job.prerequisites(),
         outcome -> {
           switch (outcome) {
-            case CANCELLED -> tellState(id, cancel, Job.State.CANCELLED, answer);
-            case NONE_CANCELLED -> tellState(id, cancel, Job.State.ACTIVE, answer);
+            case CANCELLED -> answerWithState(id, cancel, Job.State.CANCELLED, answer);
+            case NONE_CANCELLED -> answerWithState(id, cancel, Job.State.ACTIVE, answer);
             case UNKNOWN_JOB, UNCERTAIN -> answer.accept(unavailable("no leader"));
           }
         });
   }
 
-  private void tellState(
+  private void answerWithState(
       String id, boolean cancel, Job.State state, Consumer<HttpResponse> answer) {
     JobWire.Status status = JobView.toStatus(state);
     if (status.isFinal()) {
@@ -275,9 +275,10 @@
     }
   }
 
-  private void tellEnd(String id, StoreWire.Entry entry, Consumer<HttpResponse> answer) {
+  private void answerFromFinalState(
+      String id, StoreWire.Entry entry, Consumer<HttpResponse> answer) {
     try {
-      JobWire.Status status = JobView.toStatus(RecordWire.parseEnd(entry.value()));
+      JobWire.Status status = JobView.toStatus(RecordWire.parseFinalState(entry.value()));
       node.finalStates().put(id, status);
       answer.accept(ok(JobWire.view(id, status)));
     } catch (MalformedMessageException e) {
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -85,7 +85,7 @@
       }
       case "/v1/report" -> {
         if (allow("POST", method, answer)) {
-          reports.answer(body, false, answer);
+          reports.handle(body, false, answer);
         }
         return;
       }
@@ -112,7 +112,7 @@
     if (!allow(cancel ? "POST" : "GET", method, answer)) {
       return;
     }
-    if (!JobWire.isId(id)) {
+    if (!JobWire.isJobId(id)) {
       // Nothing with such an id is ever accepted.
       answer.accept(error(404, "no such job"));
       return;
@@ -166,7 +166,7 @@
         }
       }
     }
-    forwardTo(ways, 0, new PeerWire.Forward(method, path, body, 1), answer, alone);
+    forwardTo(ways, 0, new PeerWire.ForwardedRequest(method, path, body, 1), answer, alone);
   }
 
   /** Whether there is a leader other than this node that has not failed to answer just now. */
@@ -180,7 +180,7 @@
   private void forwardTo(
       List<String> ways,
       int from,
-      PeerWire.Forward forward,
+      PeerWire.ForwardedRequest forward,
       Consumer<HttpResponse> answer,
       Runnable alone) {
     if (from >= ways.size()) {
@@ -198,9 +198,9 @@
             reply -> {
               try {
                 if (reply.is(200)) {
-                  PeerWire.Answer got = PeerWire.parseAnswer(reply.body());
+                  PeerWire.ForwardedResponse got = PeerWire.parseResponse(reply.body());
                   if (got.decided()) {
-                    answer.accept(got.answer());
+                    answer.accept(got.response());
                     return;
                   }
                 }
@@ -217,9 +217,9 @@
 
   /** A request that a peer hands on. */
   public void handlePeer(byte[] body, Consumer<HttpResponse> answer) {
-    PeerWire.Forward forward;
+    PeerWire.ForwardedRequest forward;
     try {
-      forward = PeerWire.parseForward(body);
+      forward = PeerWire.parseRequest(body);
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
@@ -227,11 +227,13 @@
     RecordWire.LeaderRecord known = node.election().knownLeader();
     String name = known == null ? null : known.member();
     Consumer<HttpResponse> decided =
-        http -> answer.accept(ok(PeerWire.write(new PeerWire.Answer(true, http, name))));
+        http -> answer.accept(ok(PeerWire.write(new PeerWire.ForwardedResponse(true, http, name))));
     Runnable undecided =
         () ->
             answer.accept(
-                ok(PeerWire.write(new PeerWire.Answer(false, unavailable("no leader"), name))));
+                ok(
+                    PeerWire.write(
+                        new PeerWire.ForwardedResponse(false, unavailable("no leader"), name))));
     // A submission that this node cannot take is better tried by the next one than given up.
     Consumer<HttpResponse> taken =
         isSubmission(forward.path())
@@ -248,7 +250,7 @@
       lead(leader, forward.method(), forward.path(), forward.body(), taken);
       return;
     }
-    if (forward.hops() <= 0 || !reachesLeader(known)) {
+    if (forward.remainingHops() <= 0 || !reachesLeader(known)) {
       if (isSubmission(forward.path())) {
         storeFor(forward.body(), taken);
       } else {
@@ -259,7 +261,8 @@
     forwardTo(
         List.of(known.address()),
         0,
-        new PeerWire.Forward(forward.method(), forward.path(), forward.body(), forward.hops() - 1),
+        new PeerWire.ForwardedRequest(
+            forward.method(), forward.path(), forward.body(), forward.remainingHops() - 1),
         decided,
         isSubmission(forward.path()) ? () -> storeFor(forward.body(), taken) : undecided);
   }
@@ -281,7 +284,7 @@
       return;
     }
     if (path.equals("/v1/report")) {
-      reports.answer(body, true, answer);
+      reports.handle(body, true, answer);
       return;
     }
     Consumer<HttpResponse> counted =
@@ -370,7 +373,7 @@
         answer.accept(unavailable("the machine types are not known yet"));
         return;
       }
-      String never = leaderless.neverRuns(spec);
+      String never = leaderless.rejectionReason(spec);
       if (never != null) {
         refuse(leader, spec, never, answer);
         return;
--- a/src/main/java/io/pineladder/autoscaling/MachineInventory.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineInventory.java
@@ -64,7 +64,7 @@
   void listMachines(Instant now) {
     // A list of many pages takes its part of the request rate; a short one is requested as often as
     // the cloud renews it.
-    long pages = 1 + cluster.machines().size() / CloudWire.PAGE;
+    long pages = 1 + cluster.machines().size() / CloudWire.PAGE_SIZE;
     Duration interval =
         cluster.settings.cloudLimits().listLag().dividedBy(2).plusSeconds(pages / 2);
     if (listInFlight) {
@@ -79,7 +79,8 @@
   }
 
   private boolean requestPage(String after, Instant listBegunAt) {
-    String path = "/rentals?page=" + CloudWire.PAGE + (after.isEmpty() ? "" : "&since=" + after);
+    String path =
+        "/rentals?page=" + CloudWire.PAGE_SIZE + (after.isEmpty() ? "" : "&since=" + after);
     Instant sentAt = eventLoop.now();
     interrupted = null;
     boolean sent = cloud.get(path, reply -> onPage(reply, after, listBegunAt, sentAt));
@@ -143,7 +144,7 @@
     }
   }
 
-  private void onListed(CloudWire.Listed listed) {
+  private void onListed(CloudWire.ListedMachine listed) {
     if (releaser.wasReleased(listed.name())) {
       return;
     }
@@ -164,8 +165,8 @@
     if (machine.firstListedAt == null) {
       machine.firstListedAt = eventLoop.now();
     }
-    machine.listedRunning |= listed.life() == CloudWire.Life.RUNNING;
-    if (listed.life() == CloudWire.Life.FAILED && !machine.stoppedByItself) {
+    machine.listedRunning |= listed.status() == CloudWire.MachineStatus.RUNNING;
+    if (listed.status() == CloudWire.MachineStatus.FAILED && !machine.stoppedByItself) {
       machine.stoppedByItself = true;
       log.info("Machine failed: machine={}", machine);
       releaser.release(machine);
--- a/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
@@ -91,11 +91,12 @@
     if (releaseInFlight || pendingReleases.isEmpty() || !mayAct.getAsBoolean()) {
       return;
     }
-    List<String> names = pendingReleases.stream().limit(CloudWire.MOST_RELEASED).toList();
+    List<String> names =
+        pendingReleases.stream().limit(CloudWire.MAX_MACHINES_PER_RELEASE).toList();
     releaseInFlight =
         cloud.post(
             "/rentals/release",
-            CloudWire.release(names),
+            CloudWire.releaseRequest(names),
             reply -> {
               releaseInFlight = false;
               if (reply.is(200)) {
--- a/src/main/java/io/pineladder/autoscaling/RentalClient.java
+++ b/src/main/java/io/pineladder/autoscaling/RentalClient.java
@@ -99,7 +99,7 @@
     for (int i = 0; i < openPools.size(); i++) {
       int remainingOfPool = (int) Math.ceil((double) remaining / (openPools.size() - i));
       while (remainingOfPool > 0) {
-        int batchSize = Math.min(remainingOfPool, CloudWire.MOST_RENTED);
+        int batchSize = Math.min(remainingOfPool, CloudWire.MAX_MACHINES_PER_RENTAL);
         String requestId = "c-" + term + "-" + ++requestCount;
         Rental rental = new Rental(requestId, openPools.get(i), batchSize, forDeadlines);
         if (!send(rental)) {
@@ -150,7 +150,8 @@
     rental.inFlight =
         cloud.post(
             "/rentals",
-            CloudWire.rent(rental.requestId, pool.type(), pool.zone(), pool.spot(), rental.count),
+            CloudWire.rentalRequest(
+                rental.requestId, pool.type(), pool.zone(), pool.spot(), rental.count),
             reply -> onRentalReply(rental, reply));
     return rental.inFlight;
   }
@@ -169,7 +170,7 @@
       return;
     }
     try {
-      onRented(rental, CloudWire.parseRented(reply.body()));
+      onRented(rental, CloudWire.parseRentedNames(reply.body()));
     } catch (MalformedMessageException e) {
       log.warn("Rental reply malformed: request={} error={}", rental.requestId, e.getMessage());
     }
--- a/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
+++ b/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
@@ -194,9 +194,9 @@
     long sequence = next == null ? at.lastSequence() : at.lastSequence() + 1;
     byte[] body =
         next == null
-            ? DeliveryWire.lost(subscription, at.firstLostSequence(), sequence)
+            ? DeliveryWire.lostEvent(subscription, at.firstLostSequence(), sequence)
             : DeliveryWire.event(subscription, sequence, next);
-    String id = DeliveryWire.id(subscription, sequence);
+    String id = DeliveryWire.eventId(subscription, sequence);
     Instant now = eventLoop.wallClock();
     Map<String, String> headers;
     try {
--- a/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
@@ -103,7 +103,7 @@
 
   private void take(Event event, String place) throws IOException {
     long before = positions.getOrDefault(event.source(), 0L);
-    if (event.first() > before + 1 || event.sequence() <= before) {
+    if (event.firstSequence() > before + 1 || event.sequence() <= before) {
       throw new IOException(
           place + "sequence " + event.sequence() + " of " + event.source() + " follows " + before);
     }
--- a/src/main/java/io/pineladder/delivery/receiver/Receiver.java
+++ b/src/main/java/io/pineladder/delivery/receiver/Receiver.java
@@ -77,8 +77,8 @@
       return Reply.error(400, WebhookSignature.ID + " is not the event's id");
     }
     long position = store.position(event.source());
-    if (event.first() > position + 1) {
-      return new Reply(409, DeliveryWire.position(position));
+    if (event.firstSequence() > position + 1) {
+      return new Reply(409, DeliveryWire.positionResponse(position));
     }
     if (event.sequence() > position) {
       try {
@@ -88,6 +88,6 @@
       }
       position = event.sequence();
     }
-    return new Reply(200, DeliveryWire.position(position));
+    return new Reply(200, DeliveryWire.positionResponse(position));
   }
 }
--- a/src/main/java/io/pineladder/failover/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -100,7 +100,7 @@
         RecordKeys.CONFIGURATION,
         wanted,
         conf -> {
-          conf.entries().forEach(e -> committer.restoreRevision(e.key(), e.version()));
+          conf.entries().forEach(e -> committer.restoreRevision(e.key(), e.revision()));
           listener.onConfiguration(conf.entries());
           loadSubscriptions(conf.entries());
           loadRecords(wanted);
@@ -182,12 +182,12 @@
                   try {
                     Map<String, List<Notification>> notices = new LinkedHashMap<>();
                     for (StoreWire.Entry page : backlog.entries()) {
-                      committer.restoreRevision(page.key(), page.version());
-                      notices.put(page.key(), RecordWire.notices(page.value()));
+                      committer.restoreRevision(page.key(), page.revision());
+                      notices.put(page.key(), RecordWire.parseNotifications(page.value()));
                     }
                     Map<String, Map<String, DeliveryProgress>> progress = new LinkedHashMap<>();
                     for (StoreWire.Entry page : delivered.entries()) {
-                      committer.restoreRevision(page.key(), page.version());
+                      committer.restoreRevision(page.key(), page.revision());
                       progress.put(page.key(), DeliveryWire.parseProgress(page.value()));
                     }
                     outbox.complete(notices, progress);
@@ -220,7 +220,7 @@
       throws MalformedMessageException {
     List<PageEntry<T>> found = new ArrayList<>();
     for (StoreWire.Entry page : listing.entries()) {
-      committer.restoreRevision(page.key(), page.version());
+      committer.restoreRevision(page.key(), page.revision());
       for (JsonNode entry : RecordWire.entries(page.value())) {
         found.add(new PageEntry<>(page.key(), reader.read(entry)));
       }
@@ -244,7 +244,7 @@
       }
       for (StoreWire.Entry page : stored.accepted.entries()) {
         records.restoreJobPage(page.key());
-        for (Notification notification : RecordWire.notices(page.value())) {
+        for (Notification notification : RecordWire.parseNotifications(page.value())) {
           records.restoreNotification(page.key(), notification);
         }
       }
@@ -252,7 +252,7 @@
       Set<String> accepted = new HashSet<>();
       stored.accepted.entries().forEach(page -> accepted.add(page.key()));
       for (PageEntry<JsonNode> record : readPages(stored.accepted, entry -> entry)) {
-        String source = RecordWire.source(record.entry);
+        String source = RecordWire.copySource(record.entry);
         if (source != null && accepted.contains(source)) {
           records.restoreCopy(record.page, source);
           continue;
@@ -261,12 +261,12 @@
           records.reservePageNumber(source);
         }
         Job job = known(toJob(record.entry));
-        records.restoreJob(record.page, job, RecordWire.withoutSource(record.entry));
+        records.restoreJob(record.page, job, RecordWire.withoutCopySource(record.entry));
         found.put(job.spec.id(), job);
         ordered.add(job);
       }
       for (StoreWire.Entry entry : stored.jobs.entries()) {
-        committer.restoreRevision(entry.key(), entry.version());
+        committer.restoreRevision(entry.key(), entry.revision());
         Job job = known(toJob(entry.value()));
         Job paged = found.putIfAbsent(job.spec.id(), job);
         if (paged == null) {
@@ -301,13 +301,14 @@
   private void restoreDone(StoreClient.Listing listing, Map<String, Job> jobs)
       throws MalformedMessageException {
     listing.entries().forEach(page -> records.restoreCompletionPage(page.key()));
-    List<PageEntry<RecordWire.StoredDone>> all = readPages(listing, RecordWire::parseDone);
+    List<PageEntry<RecordWire.StoredCompletions>> all =
+        readPages(listing, RecordWire::parseCompletions);
     all.removeIf(done -> !jobs.containsKey(done.entry.job()));
-    for (PageEntry<RecordWire.StoredDone> done : all) {
+    for (PageEntry<RecordWire.StoredCompletions> done : all) {
       Job job = jobs.get(done.entry.job());
       job.done.or(done.entry.done());
     }
-    for (PageEntry<RecordWire.StoredDone> done : all) {
+    for (PageEntry<RecordWire.StoredCompletions> done : all) {
       records.restoreCompletions(done.page, jobs.get(done.entry.job()), done.entry);
     }
   }
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -7,7 +7,7 @@
 import io.pineladder.replica.RecordReplica;
 import io.pineladder.retry.Backoff;
 import io.pineladder.store.StoreClient;
-import io.pineladder.wire.GossipWire.Stored;
+import io.pineladder.wire.GossipWire.RecordStatus;
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
@@ -245,15 +245,15 @@
   // ---- what peers know
 
   /** A peer has told what it knows of the records. */
-  public void onPeerStatus(Stored status) {
-    observeToken(status.token());
-    storeClient.observeRevision(status.base(), status.seen());
+  public void onPeerStatus(RecordStatus status) {
+    observeToken(status.highestToken());
+    storeClient.observeRevision(status.generationBase(), status.highestRevision());
     if (!isTrusted()) {
       return;
     }
-    if (status.base() > storeClient.generation().base()) {
+    if (status.generationBase() > storeClient.generation().base()) {
       readGeneration();
-    } else if (status.lost() && status.base() == storeClient.generation().base()) {
+    } else if (status.recordsLost() && status.generationBase() == storeClient.generation().base()) {
       declareLoss(Evidence.PEER, "another controller has noticed");
     }
   }
@@ -267,7 +267,7 @@
   private long highestKnownBase() {
     long highest = Math.max(storeClient.generation().base(), host.replica().base());
     for (Membership.PeerStatus peer : host.peers()) {
-      highest = Math.max(highest, peer.stored().base());
+      highest = Math.max(highest, peer.stored().generationBase());
     }
     return highest;
   }
@@ -319,7 +319,7 @@
     try {
       found =
           read.found()
-              ? RecordWire.parseGeneration(read.entry().value(), read.entry().version())
+              ? RecordWire.parseGeneration(read.entry().value(), read.entry().revision())
               : Generation.FIRST;
     } catch (MalformedMessageException e) {
       declareLoss(Evidence.GENERATION_BACK, "the generation that counts cannot be read");
@@ -446,8 +446,8 @@
             return;
           }
           found.addAll(page.entries());
-          if (page.next() != null) {
-            readSurvivingRecords(sequence, found, page.next());
+          if (page.nextPageAfter() != null) {
+            readSurvivingRecords(sequence, found, page.nextPageAfter());
             return;
           }
           if (sequence == currentSequence && state == State.LOST) {
@@ -471,7 +471,7 @@
             eventLoop.schedule(backoff.nextDelay(), () -> tryClaim(sequence));
             return;
           }
-          generationRecordRevision = found.found() ? found.entry().version() : 0;
+          generationRecordRevision = found.found() ? found.entry().revision() : 0;
           evaluate(found);
           if (state == State.LOST) {
             then.run();
@@ -495,7 +495,7 @@
             .anyMatch(
                 p ->
                     p.state() != Membership.State.UP
-                        || !mine.isComplete() && p.stored().complete());
+                        || !mine.isComplete() && p.stored().replicaComplete());
     // Where all began anew, whoever has the best copy may be the last to be up.
     boolean early = startedAt.plus(STARTUP_PERIOD).isAfter(eventLoop.now());
     if ((early || !mine.isComplete())
@@ -507,14 +507,14 @@
       return false;
     }
     for (Membership.PeerStatus peer : host.peers()) {
-      Stored told = peer.stored();
+      RecordStatus told = peer.stored();
       boolean newer =
-          told.copyBase() > mine.base()
-              || (told.copyBase() == mine.base() && told.copied() > mine.revision());
+          told.replicaBase() > mine.base()
+              || (told.replicaBase() == mine.base() && told.replicaRevision() > mine.revision());
       // A copy that is not whole is still more than one that has less. Found with real processes:
       // in a
       // cluster's first seconds none is, and one that had read nothing yet wrote that.
-      boolean better = told.complete() == mine.isComplete() ? newer : told.complete();
+      boolean better = told.replicaComplete() == mine.isComplete() ? newer : told.replicaComplete();
       if (peer.state() == Membership.State.UP && better) {
         return true;
       }
@@ -523,7 +523,7 @@
   }
 
   private void claimGeneration(int sequence) {
-    host.peers().forEach(peer -> observeToken(peer.stored().token()));
+    host.peers().forEach(peer -> observeToken(peer.stored().highestToken()));
     long base =
         Generation.nextBase(
             Math.max(highestObservedToken(), highestKnownBase()), eventLoop.wallClock());
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -215,12 +215,12 @@
             if (read.found()) {
               StoreWire.Entry entry = read.entry();
               setKnownLeader(entry);
-              long leaderLeaseId = StoreWire.parseAttached(reply.body());
+              long leaderLeaseId = StoreWire.parseAttachedLease(reply.body());
               if (isPreviousProcess(knownLeader) && leaderLeaseId != 0) {
                 releasePreviousLease(expectedRound, leaderLeaseId);
                 return;
               }
-              watchLeader(expectedRound, entry.version());
+              watchLeader(expectedRound, entry.revision());
               return;
             }
             if (read.certain()) {
@@ -265,7 +265,7 @@
 
   private void setKnownLeader(StoreWire.Entry entry) throws MalformedMessageException {
     knownLeader = entry == null ? null : RecordWire.parseLeader(entry.value());
-    knownLeaderTerm = entry == null ? 0 : storeClient.generation().token(entry.version());
+    knownLeaderTerm = entry == null ? 0 : storeClient.generation().token(entry.revision());
     listener.onLeaderRead(knownLeader);
   }
 
@@ -290,14 +290,14 @@
     moveTo(State.CANDIDATE);
     Instant sentAt = eventLoop.now();
     storeClient.sendImmediately(
-        storeClient.post("/holds", StoreWire.lease(leaseDuration)),
+        storeClient.post("/holds", StoreWire.leaseRequest(leaseDuration)),
         reply -> {
           if (expectedRound != round) {
             return;
           }
           try {
             if (reply.is(200)) {
-              leaseId = StoreWire.parseLease(reply.body());
+              leaseId = StoreWire.parseLeaseId(reply.body());
               claimLeaderKey(expectedRound, sentAt, false);
               return;
             }
@@ -375,8 +375,8 @@
       if (read.found()) {
         StoreWire.Entry entry = read.entry();
         if (RecordWire.parseLeader(entry.value()).equals(ownRecord)
-            && StoreWire.parseAttached(reply.body()) == leaseId) {
-          becomeLeader(entry.version(), leaseSentAt);
+            && StoreWire.parseAttachedLease(reply.body()) == leaseId) {
+          becomeLeader(entry.revision(), leaseSentAt);
           return;
         }
       }
@@ -420,7 +420,7 @@
     isLeaseValid();
     Instant sentAt = eventLoop.now();
     storeClient.sendImmediately(
-        storeClient.post("/holds/" + leaseId + "/touch", StoreWire.lease(leaseDuration)),
+        storeClient.post("/holds/" + leaseId + "/touch", StoreWire.leaseRequest(leaseDuration)),
         reply -> {
           if (expectedRound != round || !holdsTerm()) {
             return;
@@ -456,7 +456,7 @@
           if (expectedRound != round || state != State.IN_DOUBT || !read.certain()) {
             return;
           }
-          if (!read.found() || read.entry().version() != leaderKeyRevision) {
+          if (!read.found() || read.entry().revision() != leaderKeyRevision) {
             endTerm("the leader's key is another's or gone", false);
             return;
           }
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -96,7 +96,7 @@
 
   /** What this node tells about itself. */
   public record LocalStatus(
-      boolean storeReachable, long term, GossipWire.Stored stored, int version) {}
+      boolean storeReachable, long term, GossipWire.RecordStatus stored, int version) {}
 
   /** One peer, as it stands now. */
   public record PeerStatus(
@@ -107,7 +107,7 @@
       long term,
       int stateChanges,
       String nonce,
-      GossipWire.Stored stored,
+      GossipWire.RecordStatus stored,
       int version) {}
 
   private static final class Peer {
@@ -170,7 +170,7 @@
   private final Instant[] sendTimes = new Instant[SEND_TIME_HISTORY_SIZE];
 
   private long sequence;
-  private Consumer<GossipWire.Stored> storeStatusListener = stored -> {};
+  private Consumer<GossipWire.RecordStatus> storeStatusListener = stored -> {};
 
   public Membership(
       Settings settings,
@@ -194,7 +194,7 @@
   }
 
   /** Tells what each beat says of the records. */
-  public void onStoreStatus(Consumer<GossipWire.Stored> listener) {
+  public void onStoreStatus(Consumer<GossipWire.RecordStatus> listener) {
     storeStatusListener = listener;
   }
 
@@ -308,14 +308,14 @@
     boolean newer = !heartbeat.nonce().equals(peer.nonce) || heartbeat.sequence() > peer.sequence;
     if (newer) {
       peer.arrivedAt = eventLoop.now();
-      storeStatusListener.accept(heartbeat.stored());
+      storeStatusListener.accept(heartbeat.recordStatus());
     }
     Instant contactAt =
-        requestSentAt != null ? requestSentAt : sentAt(heartbeat.heard().get(controllerName));
+        requestSentAt != null ? requestSentAt : sentAt(heartbeat.contacts().get(controllerName));
     if (newer && (contactAt != null || peer.nonce == null)) {
       peer.nonce = heartbeat.nonce();
       peer.sequence = heartbeat.sequence();
-      peer.version = heartbeat.version();
+      peer.version = heartbeat.supportedVersion();
     }
     if (contactAt != null && (peer.contactAt == null || contactAt.isAfter(peer.contactAt))) {
       everHeardPeer = true;
@@ -416,8 +416,8 @@
     if (!isFresh(other.contactAt, now)) {
       return null;
     }
-    PeerContact then = other.lastHeartbeat.heard().get(peer.settings.controllerName());
-    return then == null ? null : then.ago().plus(Duration.between(other.contactAt, now));
+    PeerContact then = other.lastHeartbeat.contacts().get(peer.settings.controllerName());
+    return then == null ? null : then.age().plus(Duration.between(other.contactAt, now));
   }
 
   private void reviewSelf() {
@@ -477,7 +477,8 @@
   /** Whether some peer that is up has told that the state service answers it. */
   public boolean isStoreReachableByPeer() {
     return peers.values().stream()
-        .anyMatch(p -> p.state == State.UP && p.lastHeartbeat != null && p.lastHeartbeat.storeOk());
+        .anyMatch(
+            p -> p.state == State.UP && p.lastHeartbeat != null && p.lastHeartbeat.storeHealthy());
   }
 
   /**
@@ -489,7 +490,10 @@
     long without =
         peers.values().stream()
             .filter(
-                p -> p.state == State.UP && p.lastHeartbeat != null && !p.lastHeartbeat.storeOk())
+                p ->
+                    p.state == State.UP
+                        && p.lastHeartbeat != null
+                        && !p.lastHeartbeat.storeHealthy())
             .count();
     return without > 0 && 2 * without >= peers.size() && !isStoreReachableByPeer();
   }
@@ -525,7 +529,7 @@
     List<String> reachable = new ArrayList<>();
     List<String> unreachable = new ArrayList<>();
     for (Peer peer : peers.values()) {
-      boolean reachesStore = peer.lastHeartbeat != null && peer.lastHeartbeat.storeOk();
+      boolean reachesStore = peer.lastHeartbeat != null && peer.lastHeartbeat.storeHealthy();
       List<String> of =
           isUnreachable(peer.settings.controllerName())
               ? unreachable
@@ -546,11 +550,13 @@
               peer.settings.controllerName(),
               peer.state,
               peer.contactAt == null ? null : Duration.between(peer.contactAt, now),
-              peer.lastHeartbeat != null && peer.lastHeartbeat.storeOk(),
+              peer.lastHeartbeat != null && peer.lastHeartbeat.storeHealthy(),
               peer.lastHeartbeat == null ? 0 : peer.lastHeartbeat.term(),
               peer.stateChanges,
               peer.nonce,
-              peer.lastHeartbeat == null ? GossipWire.Stored.NOTHING : peer.lastHeartbeat.stored(),
+              peer.lastHeartbeat == null
+                  ? GossipWire.RecordStatus.NOTHING
+                  : peer.lastHeartbeat.recordStatus(),
               peer.version));
     }
     return views;
--- a/src/main/java/io/pineladder/reconciliation/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -124,7 +124,7 @@
       return;
     }
     String id = entry.key().substring(RecordKeys.INBOX.length());
-    committer.restoreRevision(entry.key(), entry.version());
+    committer.restoreRevision(entry.key(), entry.revision());
     listener.onRecordRead(entry);
     lookUp(
         id,
@@ -154,7 +154,7 @@
         key,
         read -> {
           if (listener.isLeading() && read.found()) {
-            committer.restoreRevision(key, read.entry().version());
+            committer.restoreRevision(key, read.entry().revision());
             deleteRecord(key);
           }
         });
@@ -201,7 +201,7 @@
           }
           try {
             Job job = TermLoader.toJob(read.entry().value());
-            committer.restoreRevision(read.entry().key(), read.entry().version());
+            committer.restoreRevision(read.entry().key(), read.entry().revision());
             listener.onRecordRead(read.entry());
             listener.onJobFound(job);
             log.debug("job {} was accepted elsewhere", id);
@@ -227,7 +227,7 @@
             return;
           }
           if (read.found()) {
-            committer.restoreRevision(key, read.entry().version());
+            committer.restoreRevision(key, read.entry().revision());
           }
           records.setHasUnpagedRecord(job, read.found());
           again.run();
@@ -274,7 +274,7 @@
             return;
           }
           try {
-            Job.State ended = RecordWire.parseEnd(read.entry().value());
+            Job.State ended = RecordWire.parseFinalState(read.entry().value());
             listener.onFinalState(id, ended);
             onDone.accept(new Lookup(null, ended));
           } catch (MalformedMessageException e) {
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -14,7 +14,7 @@
 import io.pineladder.snapshot.SnapshotStore;
 import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
-import io.pineladder.wire.GossipWire.Stored;
+import io.pineladder.wire.GossipWire.RecordStatus;
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
@@ -178,8 +178,8 @@
   }
 
   /** What peers are told of all this. */
-  public Stored recordStatus() {
-    return new Stored(
+  public RecordStatus recordStatus() {
+    return new RecordStatus(
         storeClient.generation().base(),
         storeClient.highestRevision(),
         replica.base(),
@@ -208,7 +208,7 @@
     electedWithBestReplica =
         compares
             || host.peers().stream()
-                .noneMatch(p -> p.stored().complete() && p.stored().copyBase() == base);
+                .noneMatch(p -> p.stored().replicaComplete() && p.stored().replicaBase() == base);
     RecordReplica fed = replica.base() == base ? replica : new RecordReplica(base);
     follower.lead(fed);
     return fed;
@@ -254,7 +254,7 @@
         RecordKeys.LEADER,
         (read, reply) -> {
           boolean stands =
-              read.found() && storeClient.generation().token(read.entry().version()) == term;
+              read.found() && storeClient.generation().token(read.entry().revision()) == term;
           if (leads.getAsBoolean() && stands) {
             generations.onHigherToken(token);
             return;
@@ -384,8 +384,8 @@
             .anyMatch(
                 peer ->
                     peer.state() == Membership.State.UP
-                        && peer.stored().complete()
-                        && peer.stored().copyBase() == storeClient.generation().base());
+                        && peer.stored().replicaComplete()
+                        && peer.stored().replicaBase() == storeClient.generation().base());
   }
 
   /** What becomes of a copy that follows the store. */
@@ -433,7 +433,11 @@
     }
     String key = RecordKeys.FINAL_STATE + next.getKey();
     byte[] body =
-        storeClient.transaction().require(key, 0).put(key, RecordWire.end(next.getValue())).bytes();
+        storeClient
+            .transaction()
+            .require(key, 0)
+            .put(key, RecordWire.finalState(next.getValue()))
+            .bytes();
     storeClient.writeForUser(
         storeClient.post("/multi", body),
         1,
--- a/src/main/java/io/pineladder/replica/RecordReplica.java
+++ b/src/main/java/io/pineladder/replica/RecordReplica.java
@@ -226,7 +226,7 @@
       return;
     }
     try {
-      finalStates.put(id, RecordWire.parseEnd(value));
+      finalStates.put(id, RecordWire.parseFinalState(value));
     } catch (MalformedMessageException e) {
       log.warn("the final state of {} cannot be read", id);
     }
@@ -237,8 +237,8 @@
       return;
     }
     try {
-      Job.State state = RecordWire.parseEnd(value);
-      RecordWire.parseEnds(value).forEach(id -> inheritedFinalStates.putIfAbsent(id, state));
+      Job.State state = RecordWire.parseFinalState(value);
+      RecordWire.parseFinalStates(value).forEach(id -> inheritedFinalStates.putIfAbsent(id, state));
     } catch (MalformedMessageException e) {
       log.warn("{} cannot be read: {}", key, e.getMessage());
     }
@@ -257,7 +257,7 @@
       return null;
     }
     Map<String, Long> there = new HashMap<>();
-    listed.forEach(entry -> there.put(entry.key(), entry.version()));
+    listed.forEach(entry -> there.put(entry.key(), entry.revision()));
     for (Map.Entry<String, Value> each : recordsWithPrefix(prefix).entrySet()) {
       if (there.getOrDefault(each.getKey(), 0L) < each.getValue().version) {
         return each.getKey();
@@ -412,17 +412,17 @@
       recordsWithPrefix(prefix).clear();
     }
     // Else an older value of a page that cannot be read is better than none.
-    good.forEach(entry -> put(entry.key(), entry.value(), entry.version(), false));
+    good.forEach(entry -> put(entry.key(), entry.value(), entry.revision(), false));
     return new ListingResult(good, damaged);
   }
 
   private StoreWire.Entry repair(StoreWire.Entry damaged) {
     Value known = records.get(damaged.key());
-    if (known == null || known.version != damaged.version()) {
+    if (known == null || known.version != damaged.revision()) {
       return null;
     }
     try {
-      StoreWire.Entry entry = new StoreWire.Entry(damaged.key(), known.parse(), damaged.version());
+      StoreWire.Entry entry = new StoreWire.Entry(damaged.key(), known.parse(), damaged.revision());
       return isReadable(entry) ? entry : null;
     } catch (MalformedMessageException e) {
       return null;
@@ -436,9 +436,9 @@
   public void mergeSurviving(List<StoreWire.Entry> left) {
     for (StoreWire.Entry entry : left) {
       Value mine = records.get(entry.key());
-      boolean newer = mine == null || entry.version() > mine.version;
+      boolean newer = mine == null || entry.revision() > mine.version;
       if (newer && isReadable(entry)) {
-        put(entry.key(), entry.value(), entry.version(), true);
+        put(entry.key(), entry.value(), entry.revision(), true);
       }
     }
   }
@@ -451,13 +451,13 @@
       if (key.startsWith(RecordKeys.UNPAGED_JOB)) {
         RecordWire.parseJob(value);
       } else if (key.startsWith(RecordKeys.JOB_PAGES)) {
-        RecordWire.notices(value);
+        RecordWire.parseNotifications(value);
         for (JsonNode each : RecordWire.entries(value)) {
           RecordWire.parseJob(each);
         }
       } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
         for (JsonNode each : RecordWire.entries(value)) {
-          RecordWire.parseDone(each);
+          RecordWire.parseCompletions(each);
         }
       } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
         for (JsonNode each : RecordWire.entries(value)) {
@@ -551,7 +551,9 @@
         if (bytes + MAX_ID_BYTES >= mostBytes) {
           image.add(
               new StoreWire.Entry(
-                  RecordKeys.ARCHIVED_FINAL_STATES + pages++, RecordWire.ends(state, ids), 0));
+                  RecordKeys.ARCHIVED_FINAL_STATES + pages++,
+                  RecordWire.finalStates(state, ids),
+                  0));
           ids = new ArrayList<>();
           bytes = 0;
         }
@@ -559,7 +561,7 @@
       if (!ids.isEmpty()) {
         image.add(
             new StoreWire.Entry(
-                RecordKeys.ARCHIVED_FINAL_STATES + pages++, RecordWire.ends(state, ids), 0));
+                RecordKeys.ARCHIVED_FINAL_STATES + pages++, RecordWire.finalStates(state, ids), 0));
       }
     }
   }
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -148,7 +148,7 @@
           }
           changes.entries().stream()
               .filter(e -> e.key().startsWith(RecordKeys.FINAL_STATE))
-              .forEach(e -> replica.put(e.key(), e.value(), e.version(), false));
+              .forEach(e -> replica.put(e.key(), e.value(), e.revision(), false));
           startAudit();
         });
   }
@@ -182,9 +182,10 @@
           }
           boolean own = state == State.LISTING;
           revision = revision < 0 ? page.revision() : revision;
-          page.entries().forEach(e -> replica.put(e.key(), e.value(), e.version(), own));
-          if (page.next() != null) {
-            schedule(REQUEST_INTERVAL, sequence, () -> readPage(sequence, prefix, page.next()));
+          page.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), own));
+          if (page.nextPageAfter() != null) {
+            schedule(
+                REQUEST_INTERVAL, sequence, () -> readPage(sequence, prefix, page.nextPageAfter()));
             return;
           }
           replica.finalStatesLoaded();
@@ -232,7 +233,7 @@
             Set<String> there = new HashSet<>();
             page.entries()
                 .forEach(e -> there.add(e.key().substring(RecordKeys.FINAL_STATE.length())));
-            String next = page.next();
+            String next = page.nextPageAfter();
             last = next == null ? null : next.substring(RecordKeys.FINAL_STATE.length());
             for (String job : replica.finalStatesBetween(after, last)) {
               if (!there.contains(job)) {
@@ -300,7 +301,7 @@
     storeClient.read(
         key,
         read -> {
-          long found = read.found() ? read.entry().version() : 0;
+          long found = read.found() ? read.entry().revision() : 0;
           if (sequence == currentSequence && read.certain() && found < known) {
             listener.onRecordMissing(key);
           }
@@ -319,7 +320,7 @@
           if (changes != null) {
             revision = changes.revision();
             upToDateAt = sent;
-            changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.version(), true));
+            changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), true));
             replica.advanceTo(revision);
           } else if (followed.reply().is(410)
               || upToDateAt.plus(MAX_LAG).isBefore(eventLoop.now()) && storeClient.isHealthy()) {
--- a/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
+++ b/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
@@ -59,7 +59,7 @@
       nextPageNumber = Math.max(nextPageNumber, number(page.key(), prefix) + 1);
       for (JsonNode item : page.value().path("entries")) {
         // A page with the name of one that was divided would make the copies of its records void.
-        String source = RecordWire.source(item);
+        String source = RecordWire.copySource(item);
         nextPageNumber = Math.max(nextPageNumber, source == null ? 0 : number(source, prefix) + 1);
       }
     }
@@ -71,7 +71,7 @@
       // The first part keeps the name, for copies that do not count as long as it is there.
       String key = page.key();
       for (ObjectNode part : splitPage(page.value())) {
-        splitEntries.add(new StoreWire.Entry(key, part, page.version()));
+        splitEntries.add(new StoreWire.Entry(key, part, page.revision()));
         key = prefix + nextPageNumber++;
       }
     }
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -328,7 +328,7 @@
       }
       if (reply.is(409)) {
         List<String> failed =
-            StoreWire.parseFailed(reply.body(), storeClient.generation().prefix());
+            StoreWire.parseFailedConditions(reply.body(), storeClient.generation().prefix());
         if (failed.contains(RecordKeys.GENERATION)) {
           fenced("another generation of the records counts");
         } else if (failed.contains(RecordKeys.LEADER)) {
@@ -461,7 +461,7 @@
       storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
       return;
     }
-    long found = read.found() ? read.entry().version() : 0;
+    long found = read.found() ? read.entry().revision() : 0;
     long known = revisions.getOrDefault(key, 0L);
     if (found < known && pending.values.get(key) != null) {
       dataLost(key + " is missing or older than it was stored");
@@ -489,7 +489,7 @@
           }
           if (!read.certain()) {
             storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
-          } else if (read.found() && read.entry().version() == fencingToken) {
+          } else if (read.found() && read.entry().revision() == fencingToken) {
             committed(revision);
           } else {
             fenced("another leader holds the store");
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -163,7 +163,7 @@
         notification = notificationLog.allocate(job);
       } else if (kind == EditKind.COPY) {
         JsonNode record = copiedFrom.records.get(id);
-        rendered = record == null ? null : RecordWire.copied(record, copiedFrom.key);
+        rendered = record == null ? null : RecordWire.copiedRecord(record, copiedFrom.key);
       } else if (kind != EditKind.REMOVE && kind != EditKind.REWRITE) {
         rendered = value.get();
       }
@@ -274,7 +274,7 @@
   }
 
   private static int notificationBytes(Notification notification) {
-    return Json.bytes(RecordWire.notice(notification)).length + 1;
+    return Json.bytes(RecordWire.notification(notification)).length + 1;
   }
 
   private void assign(Page page, Job job, JsonNode record) {
@@ -487,7 +487,7 @@
           Page target = planned.page;
           JsonNode copy = target.records.get(id);
           if (pageByJob.get(job) == page && copy != null) {
-            target.records.put(id, RecordWire.withoutSource(copy));
+            target.records.put(id, RecordWire.withoutCopySource(copy));
             target.jobs.put(id, job);
             pageByJob.put(job, target);
           } else {
--- a/src/main/java/io/pineladder/store/RecordKeys.java
+++ b/src/main/java/io/pineladder/store/RecordKeys.java
@@ -5,7 +5,7 @@
 /** Where the durable records are kept: names within a generation, but for {@link #GENERATION}. */
 public final class RecordKeys {
   /** Which generation of the records counts; its name is the same in all of them. */
-  public static final String GENERATION = StoreWire.GENERATION;
+  public static final String GENERATION = StoreWire.GENERATION_KEY;
 
   public static final String GENERATION_PREFIX = "generation/";
 
--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -274,8 +274,8 @@
     Chunking chunking = chunkingOf(chunk.job);
     String id = chunk.job.spec.id();
     return chunking.explicit
-        ? RecordWire.sizedDone(id, done, chunk.number, chunking.tasks)
-        : RecordWire.done(id, done, chunk.number, chunking.tasks);
+        ? RecordWire.completionsWithChunkSize(id, done, chunk.number, chunking.tasks)
+        : RecordWire.completions(id, done, chunk.number, chunking.tasks);
   }
 
   private void completionsStored(Chunk chunk) {
@@ -293,7 +293,7 @@
    * chunk's copies the newest holds everything, and only that one must not be lost. Entries that
    * are divided otherwise than the job's first one are stored anew as that one is.
    */
-  public void restoreCompletions(String page, Job job, RecordWire.StoredDone entry) {
+  public void restoreCompletions(String page, Job job, RecordWire.StoredCompletions entry) {
     Chunking stored =
         entry.chunkTasks() == 0
             ? new Chunking(unversionedChunkTasks, false)
@@ -591,7 +591,8 @@
   }
 
   private static Write putFinalState(Job job) {
-    return new Write(RecordKeys.FINAL_STATE + job.spec.id(), () -> RecordWire.end(job.state()));
+    return new Write(
+        RecordKeys.FINAL_STATE + job.spec.id(), () -> RecordWire.finalState(job.state()));
   }
 
   private static Write deleteUnpagedRecord(Job job) {
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -366,7 +366,7 @@
     try {
       if (reply.is(200)) {
         StoreWire.Entry entry = StoreWire.parseEntry(reply.body(), sent.keyspace());
-        return new Read(true, entry, entry.version());
+        return new Read(true, entry, entry.revision());
       }
       if (reply.is(404)) {
         long revision = StoreWire.parseRevision(reply.body());
@@ -446,7 +446,7 @@
         entries.addAll(page.entries());
         // Changes made while later pages are read are seen again by following from the first.
         revision = revision < 0 ? page.revision() : revision;
-        lastKey = page.next();
+        lastKey = page.nextPageAfter();
         complete = lastKey == null;
         return true;
       } catch (MalformedMessageException e) {
@@ -564,7 +564,7 @@
               return;
             }
             if (reply.is(409)) {
-              onDone.accept(StoreWire.parseFailed(reply.body(), sent.keyspace()));
+              onDone.accept(StoreWire.parseFailedConditions(reply.body(), sent.keyspace()));
               return;
             }
           } catch (MalformedMessageException e) {
--- a/src/main/java/io/pineladder/wire/CloudWire.java
+++ b/src/main/java/io/pineladder/wire/CloudWire.java
@@ -10,38 +10,38 @@
 
 /** The cloud's messages. */
 public final class CloudWire {
-  public static final int MOST_RENTED = 50;
-  public static final int MOST_RELEASED = 100;
-  public static final int PAGE = 500;
-  private static final double MAX = 1e9;
+  public static final int MAX_MACHINES_PER_RENTAL = 50;
+  public static final int MAX_MACHINES_PER_RELEASE = 100;
+  public static final int PAGE_SIZE = 500;
+  private static final double MAX_AMOUNT = 1e9;
 
   private CloudWire() {}
 
   /** What the cloud says of a machine's life. */
-  public enum Life {
+  public enum MachineStatus {
     BOOTING,
     RUNNING,
     FAILED
   }
 
   /** A machine in the cloud's list. */
-  public record Listed(
+  public record ListedMachine(
       String name,
       String address,
       String type,
       String zone,
       boolean spot,
-      Life life,
+      MachineStatus status,
       Duration age) {}
 
   /** A page of the machine list. */
-  public record Page(List<Listed> machines, boolean more) {}
+  public record Page(List<ListedMachine> machines, boolean more) {}
 
   public static List<MachineType> parseTypes(byte[] body) throws MalformedMessageException {
-    return types(new Fields(Json.parseObject(body)));
+    return readTypes(new Fields(Json.parseObject(body)));
   }
 
-  static List<MachineType> types(Fields in) throws MalformedMessageException {
+  static List<MachineType> readTypes(Fields in) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (Fields type : in.objects("hulls")) {
       List<String> zones = type.textsOrNull("yards");
@@ -49,13 +49,13 @@
           new MachineType(
               type.text("sku"),
               Resources.of(
-                  type.number("vcpus", 0, MAX),
-                  type.number("cards", 0, MAX),
-                  type.number("memory_gb", 0, MAX)),
-              type.number("local_gb", 0, MAX),
-              type.number("pull_gb_per_s", 0, MAX),
-              type.number("hourly", 0, MAX),
-              type.number("spot_price", 0, MAX),
+                  type.number("vcpus", 0, MAX_AMOUNT),
+                  type.number("cards", 0, MAX_AMOUNT),
+                  type.number("memory_gb", 0, MAX_AMOUNT)),
+              type.number("local_gb", 0, MAX_AMOUNT),
+              type.number("pull_gb_per_s", 0, MAX_AMOUNT),
+              type.number("hourly", 0, MAX_AMOUNT),
+              type.number("spot_price", 0, MAX_AMOUNT),
               type.seconds("boot_s"),
               zones == null ? List.of() : List.copyOf(zones)));
     }
@@ -83,7 +83,8 @@
     return out;
   }
 
-  public static byte[] rent(String request, String type, String zone, boolean spot, int count) {
+  public static byte[] rentalRequest(
+      String request, String type, String zone, boolean spot, int count) {
     return Json.bytes(
         Json.object()
             .put("charter", request)
@@ -93,12 +94,12 @@
             .put("count", count));
   }
 
-  public static List<String> parseRented(byte[] body) throws MalformedMessageException {
+  public static List<String> parseRentedNames(byte[] body) throws MalformedMessageException {
     List<String> names = new Fields(Json.parseObject(body)).textsOrNull("hosts");
     return names == null ? List.of() : names;
   }
 
-  public static byte[] release(List<String> machines) {
+  public static byte[] releaseRequest(List<String> machines) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("hosts");
     machines.forEach(list::add);
@@ -107,22 +108,22 @@
 
   public static Page parsePage(byte[] body) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
-    List<Listed> machines = new ArrayList<>();
+    List<ListedMachine> machines = new ArrayList<>();
     for (Fields item : in.objects("hosts")) {
       machines.add(
-          new Listed(
+          new ListedMachine(
               item.text("ref"),
               item.textOr("addr", null),
               item.text("hull"),
               item.text("yard"),
-              item.flagOr("loaners", false),
+              item.boolOr("loaners", false),
               switch (item.text("status")) {
-                case "booting" -> Life.BOOTING;
-                case "failed" -> Life.FAILED;
-                default -> Life.RUNNING;
+                case "booting" -> MachineStatus.BOOTING;
+                case "failed" -> MachineStatus.FAILED;
+                default -> MachineStatus.RUNNING;
               },
               item.seconds("age_s")));
     }
-    return new Page(machines, in.flagOr("truncated", false));
+    return new Page(machines, in.boolOr("truncated", false));
   }
 }
--- a/src/main/java/io/pineladder/wire/DeliveryWire.java
+++ b/src/main/java/io/pineladder/wire/DeliveryWire.java
@@ -20,13 +20,13 @@
   /** CloudEvents 1.0, structured mode in JSON. */
   public static final String CONTENT_TYPE = "application/cloudevents+json; charset=utf-8";
 
-  public static final String DONE = "io.pineladder.job.done";
-  public static final String CANCELLED = "io.pineladder.job.cancelled";
+  public static final String JOB_DONE = "io.pineladder.job.done";
+  public static final String JOB_CANCELLED = "io.pineladder.job.cancelled";
 
   /** Notices that were kept for a subscriber for so long that they had to go. */
-  public static final String LOST = "io.pineladder.notices.lost";
+  public static final String NOTIFICATIONS_LOST = "io.pineladder.notices.lost";
 
-  private static final long ANY = Long.MAX_VALUE;
+  private static final long MAX_NUMBER = Long.MAX_VALUE;
 
   private DeliveryWire() {}
 
@@ -73,7 +73,7 @@
     for (JsonNode filter : in.node("filters")) {
       filters.add(
           new Subscription.Filter(
-              Fields.of(filter).whole("after", 0, ANY),
+              Fields.of(filter).integer("after", 0, MAX_NUMBER),
               texts(filter.path("owners")),
               texts(filter.path("classes"))));
     }
@@ -90,7 +90,7 @@
         in.text("name"),
         in.text("incarnation"),
         in.text("url"),
-        in.whole("since", 0, ANY),
+        in.integer("since", 0, MAX_NUMBER),
         List.copyOf(filters),
         textList(in.node("secrets")),
         status,
@@ -148,14 +148,14 @@
   // ---- events
 
   /** An event's id: the same on every repeat, and no other event's. */
-  public static String id(Subscription to, long sequence) {
+  public static String eventId(Subscription to, long sequence) {
     return to.name() + "." + to.incarnation() + "." + sequence;
   }
 
   private static ObjectNode event(Subscription to, long sequence, String type) {
     return Json.object()
         .put("specversion", "1.0")
-        .put("id", id(to, sequence))
+        .put("id", eventId(to, sequence))
         .put("source", to.source())
         .put("type", type);
   }
@@ -163,7 +163,7 @@
   /** The event that tells of a notice; byte for byte the same on every repeat. */
   public static byte[] event(Subscription to, long sequence, Notification notification) {
     ObjectNode event =
-        event(to, sequence, notification.finalState() == Job.State.DONE ? DONE : CANCELLED)
+        event(to, sequence, notification.finalState() == Job.State.DONE ? JOB_DONE : JOB_CANCELLED)
             .put("subject", notification.job())
             .put("time", notification.endedAt().toString())
             .put("datacontenttype", "application/json")
@@ -174,15 +174,15 @@
         .put("job", notification.job())
         .put("owner", notification.team())
         .put("class", notification.jobClass())
-        .put("answer", RecordWire.word(notification.finalState()))
+        .put("answer", RecordWire.wireName(notification.finalState()))
         .put("tasks", notification.tasks());
     return Json.bytes(event);
   }
 
   /** The event that tells which notices will never come. */
-  public static byte[] lost(Subscription to, long first, long last) {
+  public static byte[] lostEvent(Subscription to, long first, long last) {
     ObjectNode event =
-        event(to, last, LOST)
+        event(to, last, NOTIFICATIONS_LOST)
             .put("datacontenttype", "application/json")
             .put("sequence", String.format(Locale.ROOT, "%019d", last));
     event.putObject("data").put("first", first).put("last", last);
@@ -192,7 +192,8 @@
   /**
    * An event as its receiver sees it; {@code first} is its own sequence unless it tells of a loss.
    */
-  public record Event(String source, String type, long first, long sequence, ObjectNode json) {}
+  public record Event(
+      String source, String type, long firstSequence, long sequence, ObjectNode json) {}
 
   /** Reads an event; the reason names what of it is wrong. */
   public static Event parseEvent(byte[] body) throws MalformedMessageException {
@@ -211,7 +212,9 @@
       throw new MalformedMessageException("sequence is not a number");
     }
     long first =
-        type.equals(LOST) ? Fields.of(in.node("data")).whole("first", 1, sequence) : sequence;
+        type.equals(NOTIFICATIONS_LOST)
+            ? Fields.of(in.node("data")).integer("first", 1, sequence)
+            : sequence;
     if (sequence < 1) {
       throw new MalformedMessageException("sequence is below 1");
     }
@@ -219,7 +222,7 @@
   }
 
   /** What a receiver answers: the last sequence that it has. */
-  public static byte[] position(long position) {
+  public static byte[] positionResponse(long position) {
     return Json.bytes(Json.object().put("position", position));
   }
 
--- a/src/main/java/io/pineladder/wire/Fields.java
+++ b/src/main/java/io/pineladder/wire/Fields.java
@@ -48,7 +48,7 @@
     return present(name) == null ? fallback : text(name);
   }
 
-  boolean flag(String name) throws MalformedMessageException {
+  boolean bool(String name) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isBoolean()) {
       throw new MalformedMessageException(name + " is not true or false");
@@ -56,29 +56,29 @@
     return node.booleanValue();
   }
 
-  boolean flagOr(String name, boolean fallback) throws MalformedMessageException {
-    return present(name) == null ? fallback : flag(name);
+  boolean boolOr(String name, boolean fallback) throws MalformedMessageException {
+    return present(name) == null ? fallback : bool(name);
   }
 
-  long whole(String name, long least, long most) throws MalformedMessageException {
+  long integer(String name, long min, long max) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isIntegralNumber() || !node.canConvertToLong()) {
       throw new MalformedMessageException(name + " is not a whole number");
     }
     long value = node.longValue();
-    if (value < least || value > most) {
+    if (value < min || value > max) {
       throw new MalformedMessageException(name + " is out of range");
     }
     return value;
   }
 
-  double number(String name, double least, double most) throws MalformedMessageException {
+  double number(String name, double min, double max) throws MalformedMessageException {
     JsonNode node = required(name);
     if (!node.isNumber()) {
       throw new MalformedMessageException(name + " is not a number");
     }
     double value = node.doubleValue();
-    if (!(value >= least && value <= most)) {
+    if (!(value >= min && value <= max)) {
       throw new MalformedMessageException(name + " is out of range");
     }
     return value;
--- a/src/main/java/io/pineladder/wire/GossipWire.java
+++ b/src/main/java/io/pineladder/wire/GossipWire.java
@@ -15,7 +15,7 @@
   public static final String PATH = "/peer/v1/beat";
 
   private static final int VERSION = 1;
-  private static final int MOST_PEERS = 64;
+  private static final int MAX_PEERS = 64;
 
   private GossipWire() {}
 
@@ -26,7 +26,7 @@
    * @param nonce the peer's process
    * @param sequence the number of that beat, which shows the peer how old this is at most
    */
-  public record PeerContact(Duration ago, String nonce, long sequence) {}
+  public record PeerContact(Duration age, String nonce, long sequence) {}
 
   /**
    * What a controller knows of the records in the state service.
@@ -39,15 +39,15 @@
    * @param token the highest token that it knows anybody to have used
    * @param lost whether it knows that records of that generation were lost
    */
-  public record Stored(
-      long base,
-      long seen,
-      long copyBase,
-      long copied,
-      boolean complete,
-      long token,
-      boolean lost) {
-    public static final Stored NOTHING = new Stored(0, 0, 0, 0, false, 0, false);
+  public record RecordStatus(
+      long generationBase,
+      long highestRevision,
+      long replicaBase,
+      long replicaRevision,
+      boolean replicaComplete,
+      long highestToken,
+      boolean recordsLost) {
+    public static final RecordStatus NOTHING = new RecordStatus(0, 0, 0, 0, false, 0, false);
   }
 
   /**
@@ -65,37 +65,37 @@
       String member,
       String nonce,
       long sequence,
-      boolean storeOk,
+      boolean storeHealthy,
       long term,
-      Map<String, PeerContact> heard,
-      Stored stored,
-      int version) {}
+      Map<String, PeerContact> contacts,
+      RecordStatus recordStatus,
+      int supportedVersion) {}
 
-  public static byte[] write(Heartbeat beat) {
+  public static byte[] write(Heartbeat heartbeat) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
-      out.packString(beat.member());
-      out.packString(beat.nonce());
-      out.packLong(beat.sequence());
-      out.packBoolean(beat.storeOk());
-      out.packLong(beat.term());
-      out.packMapHeader(beat.heard().size());
-      for (Map.Entry<String, PeerContact> each : beat.heard().entrySet()) {
+      out.packString(heartbeat.member());
+      out.packString(heartbeat.nonce());
+      out.packLong(heartbeat.sequence());
+      out.packBoolean(heartbeat.storeHealthy());
+      out.packLong(heartbeat.term());
+      out.packMapHeader(heartbeat.contacts().size());
+      for (Map.Entry<String, PeerContact> each : heartbeat.contacts().entrySet()) {
         out.packString(each.getKey());
-        out.packLong(each.getValue().ago().toMillis());
+        out.packLong(each.getValue().age().toMillis());
         out.packString(each.getValue().nonce());
         out.packLong(each.getValue().sequence());
       }
-      Stored stored = beat.stored();
-      out.packLong(stored.base());
-      out.packLong(stored.seen());
-      out.packLong(stored.copyBase());
-      out.packLong(stored.copied());
-      out.packBoolean(stored.complete());
-      out.packLong(stored.token());
-      out.packBoolean(stored.lost());
+      RecordStatus recordStatus = heartbeat.recordStatus();
+      out.packLong(recordStatus.generationBase());
+      out.packLong(recordStatus.highestRevision());
+      out.packLong(recordStatus.replicaBase());
+      out.packLong(recordStatus.replicaRevision());
+      out.packBoolean(recordStatus.replicaComplete());
+      out.packLong(recordStatus.highestToken());
+      out.packBoolean(recordStatus.recordsLost());
       // Readers of before stop here and ignore what follows.
-      out.packInt(beat.version());
+      out.packInt(heartbeat.supportedVersion());
       return out.toByteArray();
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -110,26 +110,26 @@
       String member = in.unpackString();
       String nonce = in.unpackString();
       long sequence = in.unpackLong();
-      boolean storeOk = in.unpackBoolean();
+      boolean storeHealthy = in.unpackBoolean();
       long term = in.unpackLong();
       int count = in.unpackMapHeader();
-      if (count > MOST_PEERS) {
+      if (count > MAX_PEERS) {
         throw new MalformedMessageException("too many peers");
       }
-      Map<String, PeerContact> heard = new LinkedHashMap<>();
+      Map<String, PeerContact> contacts = new LinkedHashMap<>();
       for (int i = 0; i < count; i++) {
         String peer = in.unpackString();
         long millis = in.unpackLong();
         if (millis < 0) {
           throw new MalformedMessageException("heard in the future");
         }
-        heard.put(
+        contacts.put(
             peer, new PeerContact(Duration.ofMillis(millis), in.unpackString(), in.unpackLong()));
       }
       // Controllers of before tell nothing of the records.
-      Stored stored =
+      RecordStatus recordStatus =
           in.hasNext()
-              ? new Stored(
+              ? new RecordStatus(
                   in.unpackLong(),
                   in.unpackLong(),
                   in.unpackLong(),
@@ -137,9 +137,10 @@
                   in.unpackBoolean(),
                   in.unpackLong(),
                   in.unpackBoolean())
-              : Stored.NOTHING;
-      int version = in.hasNext() ? in.unpackInt() : ClusterVersion.UNVERSIONED;
-      return new Heartbeat(member, nonce, sequence, storeOk, term, heard, stored, version);
+              : RecordStatus.NOTHING;
+      int supportedVersion = in.hasNext() ? in.unpackInt() : ClusterVersion.UNVERSIONED;
+      return new Heartbeat(
+          member, nonce, sequence, storeHealthy, term, contacts, recordStatus, supportedVersion);
     } catch (IOException | RuntimeException e) {
       throw new MalformedMessageException("not a beat");
     }
--- a/src/main/java/io/pineladder/wire/JobWire.java
+++ b/src/main/java/io/pineladder/wire/JobWire.java
@@ -14,16 +14,16 @@
 /** The user API's job in JSON; also the form in which jobs are stored. */
 public final class JobWire {
   /** A request body may not be longer. */
-  public static final int MAX_BODY = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final int MAX_TASKS = 100_000;
-  private static final int MAX_NAME = 200;
-  private static final String PREREQUISITES = "waits_on";
+  private static final int MAX_NAME_LENGTH = 200;
+  private static final String PREREQUISITES_FIELD = "waits_on";
   private static final double MAX_AMOUNT = 1e6;
-  private static final Pattern ID = Pattern.compile("req-[0-9]{1,120}");
-  private static final Map<String, JobKind> SHAPES =
+  private static final Pattern JOB_ID = Pattern.compile("req-[0-9]{1,120}");
+  private static final Map<String, JobKind> JOB_KINDS =
       Map.of("array", JobKind.ARRAY, "group", JobKind.GANG, "service", JobKind.SERVICE);
-  private static final Map<String, PriorityClass> RANKS =
+  private static final Map<String, PriorityClass> PRIORITY_CLASSES =
       Map.of(
           "prod",
           PriorityClass.PRODUCTION,
@@ -36,12 +36,12 @@
 
   private JobWire() {}
 
-  public static boolean isId(String text) {
-    return ID.matcher(text).matches();
+  public static boolean isJobId(String text) {
+    return JOB_ID.matcher(text).matches();
   }
 
   public static JobSpec parse(byte[] body) throws MalformedMessageException {
-    if (body.length > MAX_BODY) {
+    if (body.length > MAX_BODY_BYTES) {
       throw new MalformedMessageException("longer than 64 KiB");
     }
     return parse(new Fields(Json.parseObject(body)));
@@ -49,7 +49,7 @@
 
   static JobSpec parse(Fields in) throws MalformedMessageException {
     String id = in.text("ref");
-    if (!isId(id)) {
+    if (!isJobId(id)) {
       throw new MalformedMessageException("ref is not a job id");
     }
     List<String> types = in.textsOrNull("hulls");
@@ -58,11 +58,11 @@
     }
     return new JobSpec(
         id,
-        name(in, "jobclass"),
-        name(in, "owner"),
-        choice(in, "shape", SHAPES),
-        choice(in, "rank", RANKS),
-        (int) in.whole("pieces", 1, MAX_TASKS),
+        boundedText(in, "jobclass"),
+        boundedText(in, "owner"),
+        choice(in, "shape", JOB_KINDS),
+        choice(in, "rank", PRIORITY_CLASSES),
+        (int) in.integer("pieces", 1, MAX_TASKS),
         Resources.of(
             in.number("vcpus", 0, MAX_AMOUNT),
             in.number("cards", 0, MAX_AMOUNT),
@@ -71,10 +71,10 @@
         in.textOr("yard", null),
         // Only fields that may be null may be absent: taken for false they had jobs accepted that
         // lack one.
-        in.flag("together"),
-        in.flag("spread"),
-        in.flag("loaners"),
-        name(in, "bundle"),
+        in.bool("together"),
+        in.bool("spread"),
+        in.bool("loaners"),
+        boundedText(in, "bundle"),
         in.number("image_gb", 0, MAX_AMOUNT),
         in.seconds("guess_s"),
         in.seconds("mark_every_s"),
@@ -85,22 +85,22 @@
 
   /** The jobs that this one waits for, each once; none where the field is null or absent. */
   private static List<String> prerequisites(Fields in) throws MalformedMessageException {
-    List<String> ids = in.textsOrNull(PREREQUISITES);
+    List<String> ids = in.textsOrNull(PREREQUISITES_FIELD);
     if (ids == null) {
       return List.of();
     }
     for (String id : ids) {
-      if (!isId(id)) {
+      if (!isJobId(id)) {
         throw new MalformedMessageException(
-            PREREQUISITES + " holds something that is not a job id");
+            PREREQUISITES_FIELD + " holds something that is not a job id");
       }
     }
     return ids.stream().distinct().toList();
   }
 
-  private static String name(Fields in, String field) throws MalformedMessageException {
+  private static String boundedText(Fields in, String field) throws MalformedMessageException {
     String text = in.text(field);
-    if (text.length() > MAX_NAME) {
+    if (text.length() > MAX_NAME_LENGTH) {
       throw new MalformedMessageException(field + " is too long");
     }
     return text;
@@ -120,8 +120,8 @@
     out.put("ref", spec.id());
     out.put("jobclass", spec.jobClass());
     out.put("owner", spec.team());
-    out.put("shape", keyOf(SHAPES, spec.kind()));
-    out.put("rank", keyOf(RANKS, spec.priorityClass()));
+    out.put("shape", wireName(JOB_KINDS, spec.kind()));
+    out.put("rank", wireName(PRIORITY_CLASSES, spec.priorityClass()));
     out.put("pieces", spec.tasks());
     out.put("vcpus", spec.resourcesPerTask().cpus());
     out.put("cards", spec.resourcesPerTask().gpus());
@@ -145,13 +145,13 @@
       out.put("due_s", seconds(spec.deadline()));
     }
     if (!spec.prerequisites().isEmpty()) {
-      ArrayNode prerequisites = out.putArray(PREREQUISITES);
+      ArrayNode prerequisites = out.putArray(PREREQUISITES_FIELD);
       spec.prerequisites().forEach(prerequisites::add);
     }
     return out;
   }
 
-  private static <T> String keyOf(Map<String, T> map, T value) {
+  private static <T> String wireName(Map<String, T> map, T value) {
     return map.entrySet().stream()
         .filter(e -> e.getValue().equals(value))
         .findFirst()
@@ -170,10 +170,10 @@
     DONE("done"),
     CANCELLED("aborted");
 
-    private final String word;
+    private final String wireName;
 
-    Status(String word) {
-      this.word = word;
+    Status(String wireName) {
+      this.wireName = wireName;
     }
 
     public boolean isFinal() {
@@ -182,14 +182,14 @@
   }
 
   public static byte[] view(String id, Status status) {
-    return Json.bytes(Json.object().put("ref", id).put("status", status.word));
+    return Json.bytes(Json.object().put("ref", id).put("status", status.wireName));
   }
 
   public static byte[] view(String id, Status status, int done, int running) {
     return Json.bytes(
         Json.object()
             .put("ref", id)
-            .put("status", status.word)
+            .put("status", status.wireName)
             .put("done", done)
             .put("running", running));
   }
--- a/src/main/java/io/pineladder/wire/PeerWire.java
+++ b/src/main/java/io/pineladder/wire/PeerWire.java
@@ -16,26 +16,26 @@
   private PeerWire() {}
 
   /** A request handed on; {@code hops} says how often it may be handed on again. */
-  public record Forward(String method, String path, byte[] body, int hops) {}
+  public record ForwardedRequest(String method, String path, byte[] body, int remainingHops) {}
 
   /** The answer, with the name of the leader that the answering node knows, or null. */
-  public record Answer(boolean decided, HttpResponse answer, String leader) {}
+  public record ForwardedResponse(boolean decided, HttpResponse response, String leader) {}
 
-  public static byte[] write(Forward forward) {
+  public static byte[] write(ForwardedRequest forward) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
       out.packString(forward.method());
       out.packString(forward.path());
       out.packBinaryHeader(forward.body().length);
       out.writePayload(forward.body());
-      out.packInt(forward.hops());
+      out.packInt(forward.remainingHops());
       return out.toByteArray();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  public static Forward parseForward(byte[] body) throws MalformedMessageException {
+  public static ForwardedRequest parseRequest(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
         throw new MalformedMessageException("another version");
@@ -43,17 +43,17 @@
       String method = in.unpackString();
       String path = in.unpackString();
       byte[] payload = in.readPayload(in.unpackBinaryHeader());
-      return new Forward(method, path, payload, in.unpackInt());
+      return new ForwardedRequest(method, path, payload, in.unpackInt());
     } catch (IOException | RuntimeException e) {
       throw new MalformedMessageException("not a forwarded request");
     }
   }
 
-  public static byte[] write(Answer answer) {
+  public static byte[] write(ForwardedResponse answer) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
       out.packBoolean(answer.decided());
-      HttpResponse http = answer.answer();
+      HttpResponse http = answer.response();
       out.packInt(http.status());
       out.packInt(http.retryAfterSeconds());
       out.packBinaryHeader(http.body().length);
@@ -69,7 +69,7 @@
     }
   }
 
-  public static Answer parseAnswer(byte[] body) throws MalformedMessageException {
+  public static ForwardedResponse parseResponse(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
         throw new MalformedMessageException("another version");
@@ -79,7 +79,7 @@
       int retryAfter = in.unpackInt();
       byte[] payload = in.readPayload(in.unpackBinaryHeader());
       String leader = in.tryUnpackNil() ? null : in.unpackString();
-      return new Answer(decided, new HttpResponse(status, payload, retryAfter), leader);
+      return new ForwardedResponse(decided, new HttpResponse(status, payload, retryAfter), leader);
     } catch (IOException | RuntimeException e) {
       throw new MalformedMessageException("not a peer's answer");
     }
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -23,7 +23,7 @@
 
 /** The durable records, as values of the state service. */
 public final class RecordWire {
-  private static final long ANY = Long.MAX_VALUE;
+  private static final long MAX_NUMBER = Long.MAX_VALUE;
 
   /** Names the page that counts instead of this copy of a record, as long as it is there. */
   private static final String COPIED_FROM = "copied_from";
@@ -49,7 +49,8 @@
    *
    * @param chunkTasks how many tasks a chunk of the job has; 0 where the entry does not tell
    */
-  public record StoredDone(String job, int chunk, BitSet done, int chunkTasks, JsonNode json) {}
+  public record StoredCompletions(
+      String job, int chunk, BitSet done, int chunkTasks, JsonNode json) {}
 
   /** Images that a machine had cached, with their sizes. */
   public record StoredImages(String machine, Map<String, Double> images) {}
@@ -58,7 +59,7 @@
   public record LeaderRecord(String member, String address, String nonce) {}
 
   /** The word for a job's state, in records and to subscribers. */
-  public static String word(Job.State state) {
+  public static String wireName(Job.State state) {
     return switch (state) {
       case ACTIVE -> "active";
       case CANCELLED -> "cancelled";
@@ -66,7 +67,7 @@
     };
   }
 
-  private static Job.State state(String word) throws MalformedMessageException {
+  private static Job.State parseState(String word) throws MalformedMessageException {
     return switch (word) {
       case "active" -> Job.State.ACTIVE;
       case "cancelled" -> Job.State.CANCELLED;
@@ -79,7 +80,7 @@
     ObjectNode out = Json.object();
     out.set("spec", JobWire.write(spec));
     out.put("accepted_ms", acceptedAt.toEpochMilli());
-    out.put("state", word(state));
+    out.put("state", wireName(state));
     return out;
   }
 
@@ -87,23 +88,23 @@
     Fields in = Fields.of(value);
     return new StoredJob(
         JobWire.parse(Fields.of(in.node("spec"))),
-        Instant.ofEpochMilli(in.whole("accepted_ms", 0, ANY)),
-        state(in.text("state")),
+        Instant.ofEpochMilli(in.integer("accepted_ms", 0, MAX_NUMBER)),
+        parseState(in.text("state")),
         value.path("at_fault").asBoolean(false));
   }
 
   /** A job's record as it is copied while the page that it stands in is divided. */
-  public static JsonNode copied(JsonNode record, String page) {
+  public static JsonNode copiedRecord(JsonNode record, String page) {
     return ((ObjectNode) record).deepCopy().put(COPIED_FROM, page);
   }
 
   /** A job's record without the name of the page that it was copied from. */
-  public static JsonNode withoutSource(JsonNode record) {
+  public static JsonNode withoutCopySource(JsonNode record) {
     return record.has(COPIED_FROM) ? ((ObjectNode) record).deepCopy().without(COPIED_FROM) : record;
   }
 
   /** The page that a job's record was copied from; null for a record that was not copied. */
-  public static String source(JsonNode record) {
+  public static String copySource(JsonNode record) {
     return record.path(COPIED_FROM).textValue();
   }
 
@@ -141,45 +142,48 @@
   }
 
   /** A page of jobs with the notices of those that are over. */
-  public static ObjectNode page(Stream<JsonNode> entries, Collection<Notification> notices) {
+  public static ObjectNode page(Stream<JsonNode> entries, Collection<Notification> notifications) {
     ObjectNode page = page(entries);
-    if (!notices.isEmpty()) {
+    if (!notifications.isEmpty()) {
       ArrayNode list = page.putArray("notices");
-      notices.forEach(notification -> list.add(notice(notification)));
+      notifications.forEach(notification -> list.add(notification(notification)));
     }
     return page;
   }
 
-  public static JsonNode notice(Notification notification) {
+  public static JsonNode notification(Notification notification) {
     return Json.array()
         .add(notification.number())
         .add(notification.job())
         .add(notification.team())
         .add(notification.jobClass())
-        .add(word(notification.finalState()))
+        .add(wireName(notification.finalState()))
         .add(notification.tasks())
         .add(notification.endedAt().toEpochMilli());
   }
 
   /** The notices in a page of jobs. */
-  public static List<Notification> notices(JsonNode page) throws MalformedMessageException {
-    List<Notification> notices = new ArrayList<>();
+  public static List<Notification> parseNotifications(JsonNode page)
+      throws MalformedMessageException {
+    List<Notification> notifications = new ArrayList<>();
     for (JsonNode entry : page.path("notices")) {
-      sized(entry, 7);
-      notices.add(
+      requireSize(entry, 7);
+      notifications.add(
           new Notification(
               entry.get(0).asLong(),
               entry.get(1).asText(),
               entry.get(2).asText().intern(),
               entry.get(3).asText().intern(),
-              state(entry.get(4).asText()),
+              parseState(entry.get(4).asText()),
               entry.get(5).asInt(),
               Instant.ofEpochMilli(entry.get(6).asLong())));
     }
-    return notices;
+    return notifications;
   }
 
-  /** A page's entries, as {@link #placement}, {@link #done} or {@link #images} wrote them. */
+  /**
+   * A page's entries, as {@link #placement}, {@link #completions} or {@link #images} wrote them.
+   */
   public static List<JsonNode> entries(JsonNode page) throws MalformedMessageException {
     JsonNode list = Fields.of(page).node("entries");
     if (!list.isArray()) {
@@ -190,7 +194,7 @@
     return entries;
   }
 
-  private static JsonNode sized(JsonNode entry, int size) throws MalformedMessageException {
+  private static JsonNode requireSize(JsonNode entry, int size) throws MalformedMessageException {
     if (!entry.isArray() || entry.size() != size) {
       throw new MalformedMessageException("an entry does not have its " + size + " parts");
     }
@@ -211,7 +215,7 @@
   }
 
   public static Placement parsePlacement(JsonNode entry) throws MalformedMessageException {
-    sized(entry, 8);
+    requireSize(entry, 8);
     return new Placement(
         entry.get(0).asText(),
         entry.get(1).isNull() ? null : entry.get(1).asText(),
@@ -224,25 +228,28 @@
   }
 
   /** The completed tasks of one chunk of so many tasks. */
-  public static JsonNode done(String job, BitSet done, int chunk, int chunkTasks) {
+  public static JsonNode completions(String job, BitSet done, int chunk, int chunkTasks) {
     return Json.array().add(job).add(chunk).add(ranges(done, chunk * chunkTasks, chunkTasks));
   }
 
   /** The same, telling how many tasks a chunk has; since cluster version 2. */
-  public static JsonNode sizedDone(String job, BitSet done, int chunk, int chunkTasks) {
-    return ((ArrayNode) done(job, done, chunk, chunkTasks)).add(chunkTasks);
+  public static JsonNode completionsWithChunkSize(
+      String job, BitSet done, int chunk, int chunkTasks) {
+    return ((ArrayNode) completions(job, done, chunk, chunkTasks)).add(chunkTasks);
   }
 
-  public static StoredDone parseDone(JsonNode entry) throws MalformedMessageException {
-    boolean tellsSize = entry.isArray() && entry.size() == 4;
-    sized(entry, tellsSize ? 4 : 3);
+  public static StoredCompletions parseCompletions(JsonNode entry)
+      throws MalformedMessageException {
+    boolean hasChunkSize = entry.isArray() && entry.size() == 4;
+    requireSize(entry, hasChunkSize ? 4 : 3);
     BitSet done = new BitSet();
     addRanges(entry.get(2), done);
-    int chunkTasks = tellsSize ? entry.get(3).asInt() : 0;
-    if (tellsSize && chunkTasks < 1) {
+    int chunkTasks = hasChunkSize ? entry.get(3).asInt() : 0;
+    if (hasChunkSize && chunkTasks < 1) {
       throw new MalformedMessageException("a chunk has no tasks");
     }
-    return new StoredDone(entry.get(0).asText(), entry.get(1).asInt(), done, chunkTasks, entry);
+    return new StoredCompletions(
+        entry.get(0).asText(), entry.get(1).asInt(), done, chunkTasks, entry);
   }
 
   public static JsonNode images(String machine, Map<String, Double> images) {
@@ -252,7 +259,7 @@
   }
 
   public static StoredImages parseImages(JsonNode entry) throws MalformedMessageException {
-    sized(entry, 2);
+    requireSize(entry, 2);
     Map<String, Double> images = new LinkedHashMap<>();
     for (var image : entry.get(1).properties()) {
       images.put(image.getKey(), image.getValue().asDouble());
@@ -267,15 +274,15 @@
 
   /** The cluster version that such a record names. */
   public static int parseVersion(JsonNode value) throws MalformedMessageException {
-    return (int) Fields.of(value).whole("version", 1, Integer.MAX_VALUE);
+    return (int) Fields.of(value).integer("version", 1, Integer.MAX_VALUE);
   }
 
-  public static ObjectNode end(Job.State state) {
-    return Json.object().put("state", word(state));
+  public static ObjectNode finalState(Job.State state) {
+    return Json.object().put("state", wireName(state));
   }
 
-  public static Job.State parseEnd(JsonNode value) throws MalformedMessageException {
-    return state(Fields.of(value).text("state"));
+  public static Job.State parseFinalState(JsonNode value) throws MalformedMessageException {
+    return parseState(Fields.of(value).text("state"));
   }
 
   /** The record that names the generation which counts. */
@@ -293,7 +300,7 @@
       throws MalformedMessageException {
     Fields in = Fields.of(value);
     return new Generation(
-        in.whole("base", 1, ANY),
+        in.integer("base", 1, MAX_NUMBER),
         version,
         value.path("whole").asBoolean(false)
             ? Generation.Phase.COMPLETE
@@ -303,15 +310,15 @@
   }
 
   /** Final states of one kind, many in one value. */
-  public static ObjectNode ends(Job.State state, List<String> ids) {
-    ObjectNode out = end(state);
+  public static ObjectNode finalStates(Job.State state, List<String> ids) {
+    ObjectNode out = finalState(state);
     ArrayNode list = out.putArray("jobs");
     ids.forEach(list::add);
     return out;
   }
 
   /** The jobs in such a value. */
-  public static List<String> parseEnds(JsonNode value) throws MalformedMessageException {
+  public static List<String> parseFinalStates(JsonNode value) throws MalformedMessageException {
     List<String> ids = Fields.of(value).textsOrNull("jobs");
     if (ids == null) {
       throw new MalformedMessageException("no list of jobs");
@@ -331,15 +338,16 @@
     return new LeaderRecord(in.text("member"), in.text("address"), in.text("nonce"));
   }
 
-  public static ObjectNode types(List<MachineType> types) {
+  public static ObjectNode machineTypes(List<MachineType> types) {
     return CloudWire.writeTypes(types);
   }
 
-  public static List<MachineType> parseTypes(JsonNode value) throws MalformedMessageException {
-    return CloudWire.types(Fields.of(value));
+  public static List<MachineType> parseMachineTypes(JsonNode value)
+      throws MalformedMessageException {
+    return CloudWire.readTypes(Fields.of(value));
   }
 
-  public static ObjectNode operator(OperatorSettings settings) {
+  public static ObjectNode operatorSettings(OperatorSettings settings) {
     return Json.object()
         .put("initial_backoff_s", JobWire.seconds(settings.initialBackoff()))
         .put("max_backoff_s", JobWire.seconds(settings.maxBackoff()))
@@ -348,9 +356,9 @@
   }
 
   /** Reads operator settings; a field that is left out keeps its present value. */
-  public static OperatorSettings parseOperator(JsonNode value, OperatorSettings present)
+  public static OperatorSettings parseOperatorSettings(JsonNode value, OperatorSettings present)
       throws MalformedMessageException {
-    ObjectNode merged = operator(present);
+    ObjectNode merged = operatorSettings(present);
     if (!(value instanceof ObjectNode object)) {
       throw new MalformedMessageException("not an object");
     }
@@ -363,18 +371,18 @@
     Fields in = new Fields(merged);
     OperatorSettings settings =
         new OperatorSettings(
-            bounded(in, "initial_backoff_s", 0.01, 60),
-            bounded(in, "max_backoff_s", 0.01, 3600),
-            bounded(in, "backoff_window_s", 0, 60),
-            bounded(in, "idle_release_s", 0, 86_400));
+            boundedSeconds(in, "initial_backoff_s", 0.01, 60),
+            boundedSeconds(in, "max_backoff_s", 0.01, 3600),
+            boundedSeconds(in, "backoff_window_s", 0, 60),
+            boundedSeconds(in, "idle_release_s", 0, 86_400));
     if (settings.maxBackoff().compareTo(settings.initialBackoff()) < 0) {
       throw new MalformedMessageException("max_backoff_s is below initial_backoff_s");
     }
     return settings;
   }
 
-  private static Duration bounded(Fields in, String name, double least, double most)
+  private static Duration boundedSeconds(Fields in, String name, double min, double max)
       throws MalformedMessageException {
-    return Duration.ofNanos(Math.round(in.number(name, least, most) * 1e9));
+    return Duration.ofNanos(Math.round(in.number(name, min, max) * 1e9));
   }
 }
--- a/src/main/java/io/pineladder/wire/StoreWire.java
+++ b/src/main/java/io/pineladder/wire/StoreWire.java
@@ -9,22 +9,22 @@
 
 /** The state service's messages. */
 public final class StoreWire {
-  public static final int PAGE = 1000;
+  public static final int PAGE_SIZE = 1000;
 
   /** Which generation of the records counts; the one key whose name is the same in all of them. */
-  public static final String GENERATION = "generation/current";
+  public static final String GENERATION_KEY = "generation/current";
 
-  private static final long ANY = Long.MAX_VALUE;
+  private static final long MAX_REVISION = Long.MAX_VALUE;
 
   private StoreWire() {}
 
   /** A key with its value and the revision of its last change; a null value means no such key. */
-  public record Entry(String key, JsonNode value, long version) {}
+  public record Entry(String key, JsonNode value, long revision) {}
 
   /** A page of keys, as of {@code revision}. */
   public record Page(List<Entry> entries, boolean more, long revision) {
     /** The key after which the next page begins; null when this is the last one. */
-    public String next() {
+    public String nextPageAfter() {
       return more && !entries.isEmpty() ? entries.get(entries.size() - 1).key() : null;
     }
   }
@@ -34,7 +34,7 @@
 
   /** A transaction being put together; its keys all stand in one space. */
   public static final class Transaction {
-    private final String space;
+    private final String keyPrefix;
     private final ObjectNode out = Json.object();
     private final ArrayNode conditions = out.putArray("if");
     private final ArrayNode changes = out.putArray("apply");
@@ -44,40 +44,40 @@
      *
      * @param space what stands before each of its keys in the store
      */
-    public Transaction(String space) {
-      this.space = space;
+    public Transaction(String keyPrefix) {
+      this.keyPrefix = keyPrefix;
     }
 
-    public Transaction require(String key, long version) {
-      conditions.addObject().put("path", space + key).put("stamp", version);
+    public Transaction require(String key, long revision) {
+      conditions.addObject().put("path", keyPrefix + key).put("stamp", revision);
       return this;
     }
 
     /** Asks that the record which names the generation that counts has this revision. */
-    public Transaction requireGeneration(long version) {
-      conditions.addObject().put("path", GENERATION).put("stamp", version);
+    public Transaction requireGeneration(long revision) {
+      conditions.addObject().put("path", GENERATION_KEY).put("stamp", revision);
       return this;
     }
 
     /** Names the generation that counts from now on. */
     public Transaction putGeneration(JsonNode value) {
-      changes.addObject().put("write", GENERATION).set("v", value);
+      changes.addObject().put("write", GENERATION_KEY).set("v", value);
       return this;
     }
 
     public Transaction put(String key, JsonNode value) {
-      changes.addObject().put("write", space + key).set("v", value);
+      changes.addObject().put("write", keyPrefix + key).set("v", value);
       return this;
     }
 
-    public Transaction put(String key, JsonNode value, long lease) {
-      ObjectNode change = changes.addObject().put("write", space + key).put("hold", lease);
+    public Transaction put(String key, JsonNode value, long leaseId) {
+      ObjectNode change = changes.addObject().put("write", keyPrefix + key).put("hold", leaseId);
       change.set("v", value);
       return this;
     }
 
     public Transaction delete(String key) {
-      changes.addObject().put("remove", space + key);
+      changes.addObject().put("remove", keyPrefix + key);
       return this;
     }
 
@@ -91,7 +91,7 @@
   }
 
   public static String listPath(String prefix, String after) {
-    String path = "/keys?prefix=" + prefix + "&page=" + PAGE;
+    String path = "/keys?prefix=" + prefix + "&page=" + PAGE_SIZE;
     return after == null ? path : path + "&since=" + after;
   }
 
@@ -100,62 +100,74 @@
   }
 
   /** One key; {@code space} is left out of its name. */
-  public static Entry parseEntry(byte[] body, String space) throws MalformedMessageException {
-    return entry(new Fields(Json.parseObject(body)), space);
+  public static Entry parseEntry(byte[] body, String keyPrefix) throws MalformedMessageException {
+    return entry(new Fields(Json.parseObject(body)), keyPrefix);
   }
 
-  private static Entry entry(Fields in, String space) throws MalformedMessageException {
-    return new Entry(inside(in.text("path"), space), in.node("v"), in.whole("stamp", 0, ANY));
+  private static Entry entry(Fields in, String keyPrefix) throws MalformedMessageException {
+    return new Entry(
+        withoutPrefix(in.text("path"), keyPrefix),
+        in.node("v"),
+        in.integer("stamp", 0, MAX_REVISION));
   }
 
-  private static String inside(String key, String space) {
-    return key.startsWith(space) ? key.substring(space.length()) : key;
+  private static String withoutPrefix(String key, String keyPrefix) {
+    return key.startsWith(keyPrefix) ? key.substring(keyPrefix.length()) : key;
   }
 
   /** The lease that a key is attached to; 0 when there is none. */
-  public static long parseAttached(byte[] body) throws MalformedMessageException {
+  public static long parseAttachedLease(byte[] body) throws MalformedMessageException {
     return Json.parseObject(body).path("hold").asLong(0);
   }
 
   /** The revision in a response. */
   public static long parseRevision(byte[] body) throws MalformedMessageException {
-    return new Fields(Json.parseObject(body)).whole("epoch", 0, ANY);
+    return new Fields(Json.parseObject(body)).integer("epoch", 0, MAX_REVISION);
   }
 
-  public static Page parsePage(byte[] body, String space) throws MalformedMessageException {
+  public static Page parsePage(byte[] body, String keyPrefix) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<Entry> entries = new ArrayList<>();
     for (Fields item : in.objects("entries")) {
-      entries.add(entry(item, space));
+      entries.add(entry(item, keyPrefix));
     }
-    return new Page(entries, in.flagOr("truncated", false), in.whole("epoch", 0, ANY));
+    return new Page(entries, in.boolOr("truncated", false), in.integer("epoch", 0, MAX_REVISION));
   }
 
-  public static Changes parseChanges(byte[] body, String space) throws MalformedMessageException {
+  public static Changes parseChanges(byte[] body, String keyPrefix)
+      throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<Entry> entries = new ArrayList<>();
     for (Fields item : in.objects("log")) {
       String written = item.textOr("write", null);
       entries.add(
           written != null
-              ? new Entry(inside(written, space), item.node("v"), item.whole("stamp", 0, ANY))
-              : new Entry(inside(item.text("remove"), space), null, item.whole("stamp", 0, ANY)));
+              ? new Entry(
+                  withoutPrefix(written, keyPrefix),
+                  item.node("v"),
+                  item.integer("stamp", 0, MAX_REVISION))
+              : new Entry(
+                  withoutPrefix(item.text("remove"), keyPrefix),
+                  null,
+                  item.integer("stamp", 0, MAX_REVISION)));
     }
-    return new Changes(in.whole("epoch", 0, ANY), entries);
+    return new Changes(in.integer("epoch", 0, MAX_REVISION), entries);
   }
 
   /** The keys whose conditions did not hold. */
-  public static List<String> parseFailed(byte[] body, String space)
+  public static List<String> parseFailedConditions(byte[] body, String keyPrefix)
       throws MalformedMessageException {
     List<String> failed = new Fields(Json.parseObject(body)).textsOrNull("failed");
-    return failed == null ? List.of() : failed.stream().map(key -> inside(key, space)).toList();
+    return failed == null
+        ? List.of()
+        : failed.stream().map(key -> withoutPrefix(key, keyPrefix)).toList();
   }
 
-  public static byte[] lease(Duration life) {
-    return Json.bytes(Json.object().put("life_ms", life.toMillis()));
+  public static byte[] leaseRequest(Duration duration) {
+    return Json.bytes(Json.object().put("life_ms", duration.toMillis()));
   }
 
-  public static long parseLease(byte[] body) throws MalformedMessageException {
-    return new Fields(Json.parseObject(body)).whole("hold", 0, ANY);
+  public static long parseLeaseId(byte[] body) throws MalformedMessageException {
+    return new Fields(Json.parseObject(body)).integer("hold", 0, MAX_REVISION);
   }
 }
--- a/src/main/java/io/pineladder/wire/WorkerWire.java
+++ b/src/main/java/io/pineladder/wire/WorkerWire.java
@@ -11,14 +11,14 @@
 
 /** Reports of workers and orders to them. */
 public final class WorkerWire {
-  private static final Map<String, TaskState> STATES =
+  private static final Map<String, TaskState> TASK_STATES =
       Map.of(
           "fetching", TaskState.FETCHING_IMAGE,
           "gathering", TaskState.WAITING_FOR_GANG,
           "running", TaskState.RUNNING,
           "flushing", TaskState.SAVING_CHECKPOINT,
           "ended", TaskState.EXITED);
-  private static final Map<String, EndReason> CAUSES =
+  private static final Map<String, EndReason> END_REASONS =
       Map.of(
           "done", EndReason.DONE,
           "stopped", EndReason.STOPPED,
@@ -65,58 +65,58 @@
   }
 
   /** One task in a report; {@code cause} is null unless exited. */
-  public record TaskReport(
-      TaskId task, long attempt, TaskState state, EndReason cause, boolean saved) {
+  public record TaskStatus(
+      TaskId task, long attempt, TaskState state, EndReason endReason, boolean checkpointSaved) {
 
     /** What the attempt is listed by on its machine. */
-    public String key() {
+    public String attemptKey() {
       return Machine.attemptKey(task.job, task.index, attempt);
     }
   }
 
   /** A report; {@code notice} is null unless the cloud takes the machine back. */
-  public record Report(
+  public record Heartbeat(
       String machine,
       String address,
       String type,
       String zone,
       boolean spot,
-      long session,
+      long agentEpoch,
       long sequence,
       long token,
-      Duration notice,
-      List<TaskReport> tasks) {}
+      Duration reclaimNotice,
+      List<TaskStatus> tasks) {}
 
-  public static Report parseReport(byte[] body) throws MalformedMessageException {
+  public static Heartbeat parseHeartbeat(byte[] body) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
-    List<TaskReport> tasks = new ArrayList<>();
+    List<TaskStatus> tasks = new ArrayList<>();
     for (Fields task : in.objects("pieces")) {
-      TaskState state = STATES.get(task.text("status"));
+      TaskState state = TASK_STATES.get(task.text("status"));
       if (state == null) {
         throw new MalformedMessageException("status is not known");
       }
       // A cause this version does not know is treated as a failure of the task.
-      EndReason cause =
+      EndReason endReason =
           state == TaskState.EXITED
-              ? CAUSES.getOrDefault(task.textOr("cause", "error"), EndReason.ERROR)
+              ? END_REASONS.getOrDefault(task.textOr("cause", "error"), EndReason.ERROR)
               : null;
       tasks.add(
-          new TaskReport(
+          new TaskStatus(
               TaskId.parse(task.text("piece")),
-              task.whole("try", 0, Long.MAX_VALUE),
+              task.integer("try", 0, Long.MAX_VALUE),
               state,
-              cause,
-              task.flagOr("stored", false)));
+              endReason,
+              task.boolOr("stored", false)));
     }
-    return new Report(
+    return new Heartbeat(
         in.text("host"),
         in.text("addr"),
         in.text("hull"),
         in.text("yard"),
-        in.flagOr("loaners", false),
-        in.whole("shift", 0, Long.MAX_VALUE),
-        in.whole("tally", 0, Long.MAX_VALUE),
-        in.whole("baton", 0, Long.MAX_VALUE),
+        in.boolOr("loaners", false),
+        in.integer("shift", 0, Long.MAX_VALUE),
+        in.integer("tally", 0, Long.MAX_VALUE),
+        in.integer("baton", 0, Long.MAX_VALUE),
         in.secondsOrNull("recall_s"),
         tasks);
   }
@@ -146,14 +146,14 @@
     }
   }
 
-  public static byte[] reportResponse(long token, Orders orders) {
+  public static byte[] heartbeatResponse(long token, Orders orders) {
     ObjectNode out = Json.object().put("baton", token);
     out.set("orders", orders.list);
     return Json.bytes(out);
   }
 
-  public static byte[] command(long token, long session, Orders orders) {
-    ObjectNode out = Json.object().put("baton", token).put("shift", session);
+  public static byte[] command(long token, long agentEpoch, Orders orders) {
+    ObjectNode out = Json.object().put("baton", token).put("shift", agentEpoch);
     out.set("orders", orders.list);
     return Json.bytes(out);
   }
--- a/src/main/java/io/pineladder/workers/AttemptReconciler.java
+++ b/src/main/java/io/pineladder/workers/AttemptReconciler.java
@@ -6,9 +6,9 @@
 import io.pineladder.net.EventLoop;
 import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
-import io.pineladder.wire.WorkerWire.Report;
-import io.pineladder.wire.WorkerWire.TaskReport;
+import io.pineladder.wire.WorkerWire.Heartbeat;
 import io.pineladder.wire.WorkerWire.TaskState;
+import io.pineladder.wire.WorkerWire.TaskStatus;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -52,12 +52,12 @@
    *
    * @param source whether the worker sent the list as a heartbeat or as its reply to a command
    */
-  void reconcile(Machine machine, Report status, HeartbeatProcessor.Source source) {
+  void reconcile(Machine machine, Heartbeat status, HeartbeatProcessor.Source source) {
     // A mark on each attempt, not a set of names: a heartbeat may list hundreds of tasks.
     long mark = ++reconciledStatuses;
     machine.hasUnknownTasks = false;
-    for (TaskReport task : status.tasks()) {
-      Attempt attempt = machine.attempts.get(task.key());
+    for (TaskStatus task : status.tasks()) {
+      Attempt attempt = machine.attempts.get(task.attemptKey());
       if (attempt == null) {
         attempt = addUnrecordedAttempt(machine, task);
       }
@@ -74,7 +74,7 @@
         reachability.update(machine, Machine.Reachability.REACHABLE);
       }
       if (task.state() == TaskState.EXITED) {
-        scheduler.onAttemptExited(attempt, task.cause());
+        scheduler.onAttemptExited(attempt, task.endReason());
       } else {
         scheduler.onAttemptObserved(attempt, attemptState(task.state()));
       }
@@ -104,7 +104,7 @@
    *
    * @return null if no such task is known
    */
-  private Attempt addUnrecordedAttempt(Machine machine, TaskReport task) {
+  private Attempt addUnrecordedAttempt(Machine machine, TaskStatus task) {
     Job job = cluster.jobs.get(task.task().job());
     if (job == null || task.task().index() >= job.spec.tasks()) {
       return null;
--- a/src/main/java/io/pineladder/workers/CommandReplyHandler.java
+++ b/src/main/java/io/pineladder/workers/CommandReplyHandler.java
@@ -7,7 +7,7 @@
 import io.pineladder.scheduling.Scheduler;
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.WorkerWire;
-import io.pineladder.wire.WorkerWire.Report;
+import io.pineladder.wire.WorkerWire.Heartbeat;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -65,7 +65,7 @@
     reachability.update(machine, Machine.Reachability.REACHABLE);
     if (executed || reply.status() == 409) {
       try {
-        Report status = WorkerWire.parseReport(reply.body());
+        Heartbeat status = WorkerWire.parseHeartbeat(reply.body());
         if (status.token() > term) {
           listener.onNewerFencingToken(status.token());
           return false;
--- a/src/main/java/io/pineladder/workers/CommandWriter.java
+++ b/src/main/java/io/pineladder/workers/CommandWriter.java
@@ -4,10 +4,10 @@
 import io.pineladder.model.Machine;
 import io.pineladder.net.EventLoop;
 import io.pineladder.scheduling.ClusterState;
+import io.pineladder.wire.WorkerWire.Heartbeat;
 import io.pineladder.wire.WorkerWire.Orders;
-import io.pineladder.wire.WorkerWire.Report;
-import io.pineladder.wire.WorkerWire.TaskReport;
 import io.pineladder.wire.WorkerWire.TaskState;
+import io.pineladder.wire.WorkerWire.TaskStatus;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -119,11 +119,11 @@
    * forgotten, the others killed. While records may be missing this needs the proof that their job
    * is over.
    */
-  void writeForUnknownTasks(Report heartbeat, Machine machine, Orders commands) {
+  void writeForUnknownTasks(Heartbeat heartbeat, Machine machine, Orders commands) {
     boolean recordsIncomplete = listener.areRecordsIncomplete();
-    for (TaskReport task : heartbeat.tasks()) {
+    for (TaskStatus task : heartbeat.tasks()) {
       String job = task.task().job();
-      if (machine.attempts.containsKey(task.key())) {
+      if (machine.attempts.containsKey(task.attemptKey())) {
         continue;
       }
       if (task.state() != TaskState.EXITED && !cluster.jobs.containsKey(job)) {
--- a/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
+++ b/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
@@ -7,7 +7,7 @@
 import io.pineladder.net.EventLoop;
 import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
-import io.pineladder.wire.WorkerWire.Report;
+import io.pineladder.wire.WorkerWire.Heartbeat;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -55,9 +55,9 @@
   }
 
   /** Whether the status is newer than the one applied last to the machine. */
-  static boolean isNewer(Report status, Machine machine) {
-    return status.session() > machine.agentEpoch
-        || (status.session() == machine.agentEpoch
+  static boolean isNewer(Heartbeat status, Machine machine) {
+    return status.agentEpoch() > machine.agentEpoch
+        || (status.agentEpoch() == machine.agentEpoch
             && status.sequence() > machine.lastHeartbeatSequence);
   }
 
@@ -68,7 +68,7 @@
    * @return its machine, or null where nothing is to be answered: the worker has a newer fencing
    *     token, or the machine was released or is of an unknown type
    */
-  Machine apply(Report status, boolean viaPeer, Source source) {
+  Machine apply(Heartbeat status, boolean viaPeer, Source source) {
     if (status.token() > term) {
       return null;
     }
@@ -85,11 +85,11 @@
     machine.lastHeartbeatAt = eventLoop.now();
     machine.reachedThroughPeer = viaPeer;
     machine.address = status.address();
-    if (status.session() > machine.agentEpoch) {
-      onNewAgentEpoch(machine, status.session());
+    if (status.agentEpoch() > machine.agentEpoch) {
+      onNewAgentEpoch(machine, status.agentEpoch());
     }
     machine.lastHeartbeatSequence = status.sequence();
-    updateReclaim(machine, status.notice());
+    updateReclaim(machine, status.reclaimNotice());
     if (status.token() < term) {
       // Commands of an older leader may still reach it: its task list proves nothing yet.
       if (machine.state() == Machine.State.EXPECTED) {
@@ -111,7 +111,7 @@
     return machine;
   }
 
-  private Machine addUnexpectedMachine(Report status) {
+  private Machine addUnexpectedMachine(Heartbeat status) {
     if (listener.wasReleased(status.machine())) {
       // A heartbeat delayed in the network would revive its tasks and block them.
       return null;
--- a/src/main/java/io/pineladder/workers/WorkerManager.java
+++ b/src/main/java/io/pineladder/workers/WorkerManager.java
@@ -5,8 +5,8 @@
 import io.pineladder.net.EventLoop;
 import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
+import io.pineladder.wire.WorkerWire.Heartbeat;
 import io.pineladder.wire.WorkerWire.Orders;
-import io.pineladder.wire.WorkerWire.Report;
 import java.util.function.BooleanSupplier;
 
 /**
@@ -84,7 +84,7 @@
   }
 
   /** Applies a heartbeat that this controller received itself; see the other overload. */
-  public Orders onHeartbeat(Report heartbeat) {
+  public Orders onHeartbeat(Heartbeat heartbeat) {
     return onHeartbeat(heartbeat, false);
   }
 
@@ -95,7 +95,7 @@
    * @return the commands for the response, or null when the worker follows a later leader and its
    *     lease must not be renewed here
    */
-  public Orders onHeartbeat(Report heartbeat, boolean viaPeer) {
+  public Orders onHeartbeat(Heartbeat heartbeat, boolean viaPeer) {
     Machine known = cluster.machine(heartbeat.machine());
     // A duplicate may come long after the heartbeat. Nobody waits for its response, so no command
     // goes with it.
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
@@ -60,11 +60,11 @@
     Instant now = eventLoop.now();
     for (StoreWire.Entry entry : page.entries()) {
       KeepAlive previous = keepAlives.get(entry.key());
-      if (previous == null || previous.revision != entry.version()) {
+      if (previous == null || previous.revision != entry.revision()) {
         // What is there when it is read for the first time may be from an earlier parting.
         Instant changedAt = previous == null ? now.minus(KEEP_ALIVE_TTL) : now;
         keepAlives.put(
-            entry.key(), new KeepAlive(entry.version(), changedAt, entry.value().path("zones")));
+            entry.key(), new KeepAlive(entry.revision(), changedAt, entry.value().path("zones")));
       }
     }
   }
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -81,7 +81,7 @@
         RecordKeys.WORKER_KEEP_ALIVES + controllerName,
         read -> {
           if (read.certain()) {
-            storedRevision = read.found() ? read.entry().version() : 0L;
+            storedRevision = read.found() ? read.entry().revision() : 0L;
             write(workersByZone);
           }
         });
--- a/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
+++ b/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
@@ -110,7 +110,7 @@
     for (int second = 0; second < 90; second += 3) {
       for (int worker = 0; worker < WORKERS; worker++) {
         int of = worker;
-        reports.answer(
+        reports.handle(
             report(worker, 1), false, http -> sentOn[of] += http.status() == 421 ? 1 : 0);
       }
       now = now.plusSeconds(3);
@@ -133,7 +133,7 @@
     int[] sentToLeader = new int[1];
     for (int time = 0; time < 2; time++) {
       for (int worker = 0; worker < WORKERS; worker++) {
-        reports.answer(
+        reports.handle(
             report(worker, 0), false, http -> sentToLeader[0] += http.status() == 421 ? 1 : 0);
       }
       now = now.plusSeconds(3);
--- a/src/test/java/io/pineladder/delivery/NotificationJournalTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationJournalTest.java
@@ -59,7 +59,7 @@
   }
 
   private static Receiver.Reply send(Receiver receiver, long sequence) {
-    return send(receiver, DeliveryWire.id(DESK, sequence), event(sequence), NOW, SECRET);
+    return send(receiver, DeliveryWire.eventId(DESK, sequence), event(sequence), NOW, SECRET);
   }
 
   private static Receiver receiver(NotificationJournal journal) {
@@ -79,8 +79,8 @@
       assertEquals(200, repeat.status());
       assertEquals(2, DeliveryWire.parsePosition(repeat.body()));
       assertThrows(IOException.class, () -> new NotificationJournal(file), "it is in use");
-      byte[] lost = DeliveryWire.lost(DESK, 2, 5);
-      assertEquals(200, send(receiver, DeliveryWire.id(DESK, 5), lost, NOW, SECRET).status());
+      byte[] lost = DeliveryWire.lostEvent(DESK, 2, 5);
+      assertEquals(200, send(receiver, DeliveryWire.eventId(DESK, 5), lost, NOW, SECRET).status());
     }
     try (NotificationJournal journal = new NotificationJournal(file)) {
       assertEquals(5, journal.position(DESK.source()));
@@ -131,7 +131,7 @@
   void whatIsNotFromTheSenderOrNotOfNowIsRefused() throws IOException {
     try (NotificationJournal journal = new NotificationJournal(folder.resolve("journal"))) {
       Receiver receiver = receiver(journal);
-      String id = DeliveryWire.id(DESK, 1);
+      String id = DeliveryWire.eventId(DESK, 1);
       assertEquals(401, send(receiver, id, event(1), NOW, new byte[] {1}).status());
       Duration bound = Receiver.TOLERANCE;
       assertEquals(
--- a/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
@@ -93,7 +93,7 @@
       Notification notification = notices.remove(random.nextInt(notices.size()));
       outbox.onStored(
           notification,
-          Json.bytes(RecordWire.notice(notification)).length + 1,
+          Json.bytes(RecordWire.notification(notification)).length + 1,
           () -> dropped.add(notification.number()));
     }
     outbox.loaded();
@@ -102,7 +102,7 @@
     Map<String, Map<String, DeliveryProgress>> progress = new TreeMap<>();
     try {
       for (var page : storedBacklog.entrySet()) {
-        backlog.put(page.getKey(), RecordWire.notices(page.getValue()));
+        backlog.put(page.getKey(), RecordWire.parseNotifications(page.getValue()));
       }
       for (var page : storedProgress.entrySet()) {
         progress.put(page.getKey(), DeliveryWire.parseProgress(page.getValue()));
@@ -187,7 +187,7 @@
       storedNotices.put(notification.number(), notification);
       outbox.onStored(
           notification,
-          Json.bytes(RecordWire.notice(notification)).length + 1,
+          Json.bytes(RecordWire.notification(notification)).length + 1,
           () -> dropped.add(notification.number()));
       outbox.onTransactionCommitted();
     }
@@ -358,7 +358,7 @@
     subscribe(subscription("desk", outbox.last(), null));
     Notification first = end("a", "red");
     JsonNode page = RecordWire.page(java.util.stream.Stream.of(), List.of(first));
-    Notification later = RecordWire.notices(page).get(0);
+    Notification later = RecordWire.parseNotifications(page).get(0);
     Subscription desk = outbox.subscriptions().get("desk");
     assertArrayEquals(DeliveryWire.event(desk, 1, first), DeliveryWire.event(desk, 1, later));
   }
--- a/src/test/java/io/pineladder/replica/RecordReplicaTest.java
+++ b/src/test/java/io/pineladder/replica/RecordReplicaTest.java
@@ -39,7 +39,7 @@
         ends.putIfAbsent(
             entry.key().substring(RecordKeys.FINAL_STATE.length()), state(entry.value()));
       } else {
-        records.merge(entry.key(), entry, (a, b) -> b.version() > a.version() ? b : a);
+        records.merge(entry.key(), entry, (a, b) -> b.revision() > a.revision() ? b : a);
       }
     }
   }
@@ -55,7 +55,10 @@
       if (random.nextInt(3) == 0) {
         Job.State state = random.nextBoolean() ? Job.State.DONE : Job.State.CANCELLED;
         all.add(
-            new Entry(RecordKeys.FINAL_STATE + "req-" + revision, RecordWire.end(state), revision));
+            new Entry(
+                RecordKeys.FINAL_STATE + "req-" + revision,
+                RecordWire.finalState(state),
+                revision));
       } else {
         JsonNode value = Json.object().put("n", "r" + revision).set("entries", Json.array());
         all.add(new Entry(PAGES.get(random.nextInt(PAGES.size())), value, revision));
@@ -78,7 +81,7 @@
     Map<String, Job.State> found = new TreeMap<>();
     for (Entry entry : replica.generationEntries()) {
       if (entry.key().startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
-        for (String job : RecordWire.parseEnds(entry.value())) {
+        for (String job : RecordWire.parseFinalStates(entry.value())) {
           assertEquals(null, found.put(job, state(entry.value())), job + " is there twice");
         }
       }
@@ -94,8 +97,8 @@
       List<Entry> rest = new ArrayList<>();
       int seen = random.nextInt(60);
       for (Entry entry : history()) {
-        if (entry.version() <= seen) {
-          replica.put(entry.key(), entry.value(), entry.version(), random.nextBoolean());
+        if (entry.revision() <= seen) {
+          replica.put(entry.key(), entry.value(), entry.revision(), random.nextBoolean());
           model.take(entry);
         }
         // What the store still holds: anything, older or newer.
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -186,7 +186,7 @@
       long sequence = 0;
       for (ObjectNode event : events(i)) {
         assertEquals(++sequence, event.get("sequence").asLong());
-        assertEquals(DeliveryWire.CANCELLED, event.get("type").asText());
+        assertEquals(DeliveryWire.JOB_CANCELLED, event.get("type").asText());
         assertTrue(found.add(event.get("subject").asText()), event + " is there twice");
       }
       assertEquals(expected, found);
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -132,7 +132,8 @@
             String job = event.json().get("subject").asText();
             String answer = event.json().at("/data/answer").asText();
             assertEquals(
-                event.type(), answer.equals("done") ? DeliveryWire.DONE : DeliveryWire.CANCELLED);
+                event.type(),
+                answer.equals("done") ? DeliveryWire.JOB_DONE : DeliveryWire.JOB_CANCELLED);
             assertEquals(null, effects.put(job, answer), job + " told twice to " + name);
             assertTrue(ends.containsKey(job), job + " is not over and was told to " + name);
             assertTrue(ends.get(job).contains(answer), job + " ended otherwise");
@@ -303,8 +304,8 @@
     FakeReceiver refusing = subscribeAnswering("refusing", 403, new byte[0]);
     FakeReceiver moved = subscribeAnswering("moved", 302, new byte[0]);
     FakeReceiver busy = subscribeAnswering("busy", 503, new byte[0]);
-    FakeReceiver behind = subscribeAnswering("behind", 200, DeliveryWire.position(0));
-    FakeReceiver ahead = subscribeAnswering("ahead", 202, DeliveryWire.position(1_000_000));
+    FakeReceiver behind = subscribeAnswering("behind", 200, DeliveryWire.positionResponse(0));
+    FakeReceiver ahead = subscribeAnswering("ahead", 202, DeliveryWire.positionResponse(1_000_000));
     FakeReceiver plain = subscribeAnswering("plain", 204, new byte[0]);
     for (int i = 0; i < 6; i++) {
       submit(job("array", 1, "red"));
--- a/src/test/java/io/pineladder/store/JobPagesTest.java
+++ b/src/test/java/io/pineladder/store/JobPagesTest.java
@@ -114,7 +114,7 @@
         assertTrue(edit.page().maxValueBytes() <= VALUE_BYTES);
         JsonNode copies = edit.page().render(List.of(edit));
         for (JsonNode copy : RecordWire.entries(copies)) {
-          assertEquals("accepted/7", RecordWire.source(copy));
+          assertEquals("accepted/7", RecordWire.copySource(copy));
         }
       }
       commit(step);
@@ -124,7 +124,7 @@
     assertNotSame(large, waits.page());
     assertNull(pages.nextOversizedPage());
     for (JsonNode entry : RecordWire.entries(waits.page().render(List.of()))) {
-      assertNull(RecordWire.source(entry));
+      assertNull(RecordWire.copySource(entry));
     }
   }
 
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -267,7 +267,7 @@
     Set<String> chunks = new HashSet<>();
     for (JsonNode page : store.values.values()) {
       for (JsonNode entry : RecordWire.entries(page)) {
-        RecordWire.StoredDone stored = RecordWire.parseDone(entry);
+        RecordWire.StoredCompletions stored = RecordWire.parseCompletions(entry);
         read.or(stored.done());
         chunks.add(stored.job() + "/" + stored.chunk());
       }
--- a/src/test/java/io/pineladder/upgrade/FormatsTest.java
+++ b/src/test/java/io/pineladder/upgrade/FormatsTest.java
@@ -150,13 +150,13 @@
         "done/0",
         RecordWire.page(
             Stream.of(
-                RecordWire.done("req-000412", done(), 0, 374),
-                RecordWire.done("req-000412", done(), 1, 374))));
+                RecordWire.completions("req-000412", done(), 0, 374),
+                RecordWire.completions("req-000412", done(), 1, 374))));
     written.put("placed/0", RecordWire.page(Stream.of(RecordWire.placement(attempt()))));
     written.put(
         "images/0",
         RecordWire.page(Stream.of(RecordWire.images("m-000231", Map.of("img-07", 6.2)))));
-    written.put("end/req-000399", RecordWire.end(Job.State.DONE));
+    written.put("end/req-000399", RecordWire.finalState(Job.State.DONE));
     written.put(
         "lead/holder",
         RecordWire.leader(new RecordWire.LeaderRecord("rung-1", "10.0.0.2:8081", "nonce-1")));
@@ -169,10 +169,10 @@
                 Generation.Phase.COMPLETE,
                 true,
                 new Generation.Writer("rung-0", "nonce-0"))));
-    written.put("conf/types", RecordWire.types(List.of(TYPE)));
-    written.put("conf/operator", RecordWire.operator(OperatorSettings.DEFAULTS));
+    written.put("conf/types", RecordWire.machineTypes(List.of(TYPE)));
+    written.put("conf/operator", RecordWire.operatorSettings(OperatorSettings.DEFAULTS));
     written.put(
-        "ends/0", RecordWire.ends(Job.State.CANCELLED, List.of("req-000001", "req-000002")));
+        "ends/0", RecordWire.finalStates(Job.State.CANCELLED, List.of("req-000001", "req-000002")));
     written.forEach((key, value) -> assertEquals(record(key).toString(), value.toString(), key));
     assertEquals(recorded.get("records").size(), written.size());
   }
@@ -183,11 +183,12 @@
     RecordWire.StoredJob gang = RecordWire.parseJob(jobs.get(0));
     assertEquals(GANG, gang.spec());
     assertTrue(gang.spec().prerequisites().isEmpty());
-    assertNull(RecordWire.source(jobs.get(0)));
+    assertNull(RecordWire.copySource(jobs.get(0)));
     assertEquals(SERVICE, RecordWire.parseJob(jobs.get(1)).spec());
     assertTrue(RecordWire.parseJob(jobs.get(1)).atFault());
-    assertEquals(17, RecordWire.notices(record("accepted/0")).get(0).number());
-    RecordWire.StoredDone chunk = RecordWire.parseDone(RecordWire.entries(record("done/0")).get(1));
+    assertEquals(17, RecordWire.parseNotifications(record("accepted/0")).get(0).number());
+    RecordWire.StoredCompletions chunk =
+        RecordWire.parseCompletions(RecordWire.entries(record("done/0")).get(1));
     assertEquals(1, chunk.chunk());
     assertEquals(0, chunk.chunkTasks());
     assertEquals(10, chunk.done().cardinality());
@@ -195,11 +196,11 @@
         RecordWire.parsePlacement(RecordWire.entries(record("placed/0")).get(0));
     assertEquals("m-000231", placement.machine());
     assertEquals((412L << 20) + 3, placement.attempt());
-    assertEquals(Job.State.DONE, RecordWire.parseEnd(record("end/req-000399")));
+    assertEquals(Job.State.DONE, RecordWire.parseFinalState(record("end/req-000399")));
     assertEquals("rung-1", RecordWire.parseLeader(record("lead/holder")).member());
     assertEquals(900, RecordWire.parseGeneration(record("generation/current"), 3).base());
-    assertEquals(List.of(TYPE), RecordWire.parseTypes(record("conf/types")));
-    assertEquals(2, RecordWire.parseEnds(record("ends/0")).size());
+    assertEquals(List.of(TYPE), RecordWire.parseMachineTypes(record("conf/types")));
+    assertEquals(2, RecordWire.parseFinalStates(record("ends/0")).size());
   }
 
   /** Readers of version 1 stop where its messages end, so what is added stands behind. */
@@ -208,38 +209,41 @@
     Map<String, GossipWire.PeerContact> heard = new LinkedHashMap<>();
     heard.put("rung-1", new GossipWire.PeerContact(Duration.ofMillis(812), "nonce-1", 44));
     heard.put("rung-2", new GossipWire.PeerContact(Duration.ofMillis(90), "nonce-2", 7));
-    GossipWire.Stored stored = new GossipWire.Stored(0, 950, 0, 949, true, 412, false);
+    GossipWire.RecordStatus stored = new GossipWire.RecordStatus(0, 950, 0, 949, true, 412, false);
     byte[] before = message("beat");
     byte[] beat =
         GossipWire.write(
             new GossipWire.Heartbeat("rung-0", "nonce-0", 91, true, 412, heard, stored, 2));
     assertArrayEquals(before, Arrays.copyOf(beat, before.length));
-    assertEquals(ClusterVersion.UNVERSIONED, GossipWire.parse(before).version());
-    assertEquals(2, GossipWire.parse(beat).version());
-    assertEquals(stored, GossipWire.parse(before).stored());
-    PeerWire.Forward forward =
-        new PeerWire.Forward("POST", "/v1/jobs", "{\"ref\":\"req-7\"}".getBytes(), 1);
+    assertEquals(ClusterVersion.UNVERSIONED, GossipWire.parse(before).supportedVersion());
+    assertEquals(2, GossipWire.parse(beat).supportedVersion());
+    assertEquals(stored, GossipWire.parse(before).recordStatus());
+    PeerWire.ForwardedRequest forward =
+        new PeerWire.ForwardedRequest("POST", "/v1/jobs", "{\"ref\":\"req-7\"}".getBytes(), 1);
     assertArrayEquals(message("forward"), PeerWire.write(forward));
-    PeerWire.Answer answer =
-        new PeerWire.Answer(true, new HttpResponse(201, "{}".getBytes(), 0), "rung-1");
+    PeerWire.ForwardedResponse answer =
+        new PeerWire.ForwardedResponse(true, new HttpResponse(201, "{}".getBytes(), 0), "rung-1");
     assertArrayEquals(message("answer"), PeerWire.write(answer));
-    assertEquals("/v1/jobs", PeerWire.parseForward(message("forward")).path());
-    assertEquals("rung-1", PeerWire.parseAnswer(message("answer")).leader());
+    assertEquals("/v1/jobs", PeerWire.parseRequest(message("forward")).path());
+    assertEquals("rung-1", PeerWire.parseResponse(message("answer")).leader());
   }
 
   @Test
   void whatVersionTwoAddsIsReadBack() throws MalformedMessageException {
-    RecordWire.StoredDone chunk =
-        RecordWire.parseDone(RecordWire.sizedDone("req-000412", done(), 7, 54));
+    RecordWire.StoredCompletions chunk =
+        RecordWire.parseCompletions(
+            RecordWire.completionsWithChunkSize("req-000412", done(), 7, 54));
     assertEquals(54, chunk.chunkTasks());
     assertEquals(7, chunk.chunk());
     assertThrows(
         MalformedMessageException.class,
-        () -> RecordWire.parseDone(RecordWire.sizedDone("req-000412", done(), 0, 0)));
+        () ->
+            RecordWire.parseCompletions(
+                RecordWire.completionsWithChunkSize("req-000412", done(), 0, 0)));
     JsonNode job = RecordWire.job(GANG, AT, Job.State.ACTIVE);
-    JsonNode copy = RecordWire.copied(job, "accepted/3");
-    assertEquals("accepted/3", RecordWire.source(copy));
-    assertEquals(job, RecordWire.withoutSource(copy));
+    JsonNode copy = RecordWire.copiedRecord(job, "accepted/3");
+    assertEquals("accepted/3", RecordWire.copySource(copy));
+    assertEquals(job, RecordWire.withoutCopySource(copy));
     assertEquals(2, RecordWire.parseVersion(RecordWire.version(2)));
   }
 }
--- a/src/test/java/io/pineladder/wire/JobWireTest.java
+++ b/src/test/java/io/pineladder/wire/JobWireTest.java
@@ -35,7 +35,7 @@
     var stored =
         RecordWire.parseJob(RecordWire.job(spec, Instant.ofEpochMilli(77), Job.State.CANCELLED));
     assertEquals(spec, stored.spec());
-    var completions = RecordWire.parseDone(RecordWire.done("req-1", done, 0, 100));
+    var completions = RecordWire.parseCompletions(RecordWire.completions("req-1", done, 0, 100));
     assertEquals(done, completions.done());
     assertEquals(Job.State.CANCELLED, stored.state());
     assertEquals(Instant.ofEpochMilli(77), stored.acceptedAt());
@@ -75,7 +75,7 @@
 
   @Test
   void refusesABodyOver64KiB() {
-    String padded = GOOD.replace("[1]", "\"" + "x".repeat(JobWire.MAX_BODY) + "\"");
+    String padded = GOOD.replace("[1]", "\"" + "x".repeat(JobWire.MAX_BODY_BYTES) + "\"");
     assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(padded)));
   }
 }
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -14,8 +14,8 @@
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.WorkerWire.TaskId;
-import io.pineladder.wire.WorkerWire.TaskReport;
 import io.pineladder.wire.WorkerWire.TaskState;
+import io.pineladder.wire.WorkerWire.TaskStatus;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -37,7 +37,7 @@
     sequence++;
     for (int i = 0; i < MACHINES; i++) {
       Machine machine = leader.cluster.machine("m-" + i);
-      List<TaskReport> tasks = new ArrayList<>();
+      List<TaskStatus> tasks = new ArrayList<>();
       for (Attempt attempt :
           machine == null ? List.<Attempt>of() : List.copyOf(machine.attempts.values())) {
         if (attempt.state() == Attempt.State.PLACEMENT_PENDING) {
@@ -48,14 +48,14 @@
           failed.add(attempt);
         }
         tasks.add(
-            new TaskReport(
+            new TaskStatus(
                 new TaskId(attempt.job.spec.id(), attempt.task),
                 attempt.number,
                 fails ? TaskState.EXITED : TaskState.RUNNING,
                 fails ? EndReason.ERROR : null,
                 false));
       }
-      leader.heartbeat("m-" + i, sequence, tasks.toArray(TaskReport[]::new));
+      leader.heartbeat("m-" + i, sequence, tasks.toArray(TaskStatus[]::new));
     }
     leader.sent.clear();
     leader.scheduler.faultAttribution().reviewRunningJobs(leader.now());
--- a/src/test/java/io/pineladder/workers/LargeFleetTest.java
+++ b/src/test/java/io/pineladder/workers/LargeFleetTest.java
@@ -62,7 +62,7 @@
     ObjectNode out = Json.object();
     ArrayNode hosts = out.putArray("hosts");
     List<String> rest = List.copyOf(listed.tailSet(after, false));
-    for (String name : rest.subList(0, Math.min(CloudWire.PAGE, rest.size()))) {
+    for (String name : rest.subList(0, Math.min(CloudWire.PAGE_SIZE, rest.size()))) {
       hosts
           .addObject()
           .put("ref", name)
@@ -72,7 +72,7 @@
           .put("status", "booting")
           .put("age_s", 1.0);
     }
-    boolean more = rest.size() > CloudWire.PAGE;
+    boolean more = rest.size() > CloudWire.PAGE_SIZE;
     return Json.bytes(out.put("truncated", more));
   }
 
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -21,10 +21,10 @@
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import io.pineladder.wire.WorkerWire;
-import io.pineladder.wire.WorkerWire.Report;
+import io.pineladder.wire.WorkerWire.Heartbeat;
 import io.pineladder.wire.WorkerWire.TaskId;
-import io.pineladder.wire.WorkerWire.TaskReport;
 import io.pineladder.wire.WorkerWire.TaskState;
+import io.pineladder.wire.WorkerWire.TaskStatus;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
@@ -294,20 +294,20 @@
     return job;
   }
 
-  static TaskReport task(Attempt attempt, TaskState state) {
-    return new TaskReport(
+  static TaskStatus task(Attempt attempt, TaskState state) {
+    return new TaskStatus(
         new TaskId(attempt.job.spec.id(), attempt.task), attempt.number, state, null, false);
   }
 
   /** A report of one machine in zone a, in its first session, with our token. */
-  byte[] heartbeat(String machine, long sequence, TaskReport... tasks) {
+  byte[] heartbeat(String machine, long sequence, TaskStatus... tasks) {
     return heartbeat("a", machine, sequence, tasks);
   }
 
-  byte[] heartbeat(String zone, String machine, long sequence, TaskReport... tasks) {
+  byte[] heartbeat(String zone, String machine, long sequence, TaskStatus... tasks) {
     WorkerWire.Orders orders =
         workerManager.onHeartbeat(
-            new Report(
+            new Heartbeat(
                 machine,
                 "10.1.0.1:9000",
                 "g4",
@@ -319,7 +319,7 @@
                 null,
                 List.of(tasks)));
     runFor(Duration.ofMillis(60));
-    return WorkerWire.reportResponse(TERM, orders);
+    return WorkerWire.heartbeatResponse(TERM, orders);
   }
 
   /** The next direct command that went out; list, rental and other requests are passed over. */
--- a/src/test/java/io/pineladder/workers/WorkerManagerTest.java
+++ b/src/test/java/io/pineladder/workers/WorkerManagerTest.java
@@ -16,10 +16,10 @@
 import io.pineladder.model.Resources;
 import io.pineladder.net.AsyncHttpClient;
 import io.pineladder.wire.WorkerWire;
-import io.pineladder.wire.WorkerWire.Report;
+import io.pineladder.wire.WorkerWire.Heartbeat;
 import io.pineladder.wire.WorkerWire.TaskId;
-import io.pineladder.wire.WorkerWire.TaskReport;
 import io.pineladder.wire.WorkerWire.TaskState;
+import io.pineladder.wire.WorkerWire.TaskStatus;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
@@ -38,8 +38,8 @@
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  private static TaskReport exited(Attempt attempt, EndReason cause) {
-    return new TaskReport(
+  private static TaskStatus exited(Attempt attempt, EndReason cause) {
+    return new TaskStatus(
         new TaskId(attempt.job.spec.id(), attempt.task),
         attempt.number,
         TaskState.EXITED,
@@ -63,7 +63,7 @@
     assertFalse(
         after.contains("\"forget\",\"piece\":\"req-1/0\",\"try\":" + attempt.number), after);
     leader.workerManager.onHeartbeat(
-        new Report(
+        new Heartbeat(
             "m-1", "10.1.0.1:9000", "g4", "a", false, 2, 1, LeaderHarness.TERM, null, List.of()));
     assertEquals(Attempt.State.GONE, attempt.state(), "the session's end settles it");
   }
@@ -71,7 +71,7 @@
   private String reported(long session, long sequence, long token) {
     WorkerWire.Orders orders =
         leader.workerManager.onHeartbeat(
-            new Report(
+            new Heartbeat(
                 "m-1",
                 "10.1.0.1:9000",
                 "g4",
@@ -82,7 +82,7 @@
                 token,
                 null,
                 List.of()));
-    return text(WorkerWire.reportResponse(LeaderHarness.TERM, orders));
+    return text(WorkerWire.heartbeatResponse(LeaderHarness.TERM, orders));
   }
 
   /** A copy of a report changes nothing, whenever it comes, and nobody waits for its answer. */
@@ -215,7 +215,7 @@
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     Machine machine = leader.cluster.machine("m-1");
     leader.workerManager.onHeartbeat(
-        new Report(
+        new Heartbeat(
             "m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, LeaderHarness.TERM, null, List.of()),
         true);
     assertTrue(machine.isSchedulable());
@@ -302,10 +302,10 @@
         2,
         LeaderHarness.task(anew, TaskState.RUNNING),
         LeaderHarness.task(other, TaskState.RUNNING));
-    TaskReport before =
-        new TaskReport(new TaskId("req-1", 0), 3, TaskState.EXITED, EndReason.DONE, false);
+    TaskStatus before =
+        new TaskStatus(new TaskId("req-1", 0), 3, TaskState.EXITED, EndReason.DONE, false);
     leader.heartbeat("m-2", 1, before);
-    Attempt complete = leader.cluster.machine("m-2").attempts.get(before.key());
+    Attempt complete = leader.cluster.machine("m-2").attempts.get(before.attemptKey());
     assertTrue(job.done.get(0));
     leader.runFor(Duration.ofSeconds(2));
     assertFalse(complete.mayBeForgotten, "not stored while the new attempt may run");
@@ -322,7 +322,7 @@
   void aReportWithAnOlderTokenProvesNothingAndBringsNoWork() {
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.workerManager.onHeartbeat(
-        new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 3, null, List.of()));
+        new Heartbeat("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 3, null, List.of()));
     leader.runFor(Duration.ofMillis(10));
     assertEquals(Machine.State.HEARD, leader.cluster.machine("m-1").state());
     assertTrue(job.attempts.isEmpty());
@@ -330,7 +330,7 @@
     Attempt older =
         leader.cluster.addAttempt(job, 0, 5, machine, leader.now(), Attempt.State.RECOVERED);
     leader.workerManager.onHeartbeat(
-        new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, 3, null, List.of()));
+        new Heartbeat("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 2, 3, null, List.of()));
     assertEquals(Attempt.State.RECOVERED, older.state());
     leader.heartbeat("m-1", 3);
     assertEquals(Attempt.State.GONE, older.state());
@@ -401,7 +401,7 @@
   void aHigherTokenMeansThatThisTermIsOver() {
     assertNull(
         leader.workerManager.onHeartbeat(
-            new Report("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 99, null, List.of())));
+            new Heartbeat("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 99, null, List.of())));
     assertEquals(List.of("token 99"), leader.resignations);
   }
 
@@ -613,7 +613,7 @@
     for (int second = 0; second < 40; second++) {
       for (int i = 0; i < 6; i++) {
         Machine machine = leader.cluster.machine("m-" + i);
-        TaskReport[] tasks = machine == null ? new TaskReport[0] : running(machine);
+        TaskStatus[] tasks = machine == null ? new TaskStatus[0] : running(machine);
         leader.heartbeat("m-" + i, 1 + second, tasks);
       }
       leader.runFor(Duration.ofMillis(640));
@@ -726,11 +726,11 @@
         "what filled the one makes way");
   }
 
-  private static TaskReport[] running(Machine machine) {
+  private static TaskStatus[] running(Machine machine) {
     return machine.attempts.values().stream()
         .filter(a -> a.state() != Attempt.State.PLACEMENT_PENDING)
         .map(a -> LeaderHarness.task(a, TaskState.RUNNING))
-        .toArray(TaskReport[]::new);
+        .toArray(TaskStatus[]::new);
   }
 
   private Set<Boolean> kindsAskedFor(Duration within) {
@@ -859,10 +859,10 @@
     warm.touchImage("img-s", 5);
     Job array =
         leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 4, "img-a"));
-    TaskReport[] running =
+    TaskStatus[] running =
         array.attempts.values().stream()
             .map(set -> LeaderHarness.task(set.iterator().next(), TaskState.RUNNING))
-            .toArray(TaskReport[]::new);
+            .toArray(TaskStatus[]::new);
     leader.heartbeat("warm", 2, running);
     leader.heartbeat("cold", 1);
     var service =
@@ -895,7 +895,7 @@
             .filter(a -> !a.isWanted())
             .findFirst()
             .orElseThrow();
-    TaskReport[] after =
+    TaskStatus[] after =
         array.attempts.values().stream()
             .map(set -> set.iterator().next())
             .map(
@@ -903,7 +903,7 @@
                     a == displaced
                         ? exited(a, EndReason.STOPPED)
                         : LeaderHarness.task(a, TaskState.RUNNING))
-            .toArray(TaskReport[]::new);
+            .toArray(TaskStatus[]::new);
     leader.heartbeat("warm", 3, after);
     assertEquals(warm, LeaderHarness.onlyAttempt(job).machine);
   }
@@ -956,14 +956,14 @@
             of(LeaderHarness.spec("req-000003", JobKind.GANG, PriorityClass.HIGH, 2, "i"), whole));
     assertEquals(8, low.attempts.values().stream().filter(WorkerManagerTest::isStopped).count());
     for (int i = 0; i < 3; i++) {
-      TaskReport[] tasks =
+      TaskStatus[] tasks =
           leader.cluster.machine("m-" + i).attempts.values().stream()
               .map(
                   a ->
                       a.isWanted()
                           ? LeaderHarness.task(a, TaskState.RUNNING)
                           : exited(a, EndReason.STOPPED))
-              .toArray(TaskReport[]::new);
+              .toArray(TaskStatus[]::new);
       leader.heartbeat("m-" + i, 2, tasks);
     }
     assertEquals(2, gang.attempts.size(), "the freed rooms are the gang's");
