--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -459,11 +459,6 @@
 
   /** What the scheduler causes. */
   private final class SchedulerEffects implements Scheduler.Callbacks {
-    @Override
-    public boolean mayAct() {
-      return lifecycle.mayAct();
-    }
-
     @Override
     public boolean mayStartTasks() {
       return !taskStartHold.isHeld() && lifecycle.mayAct();
--- a/src/main/java/io/pineladder/scheduling/StarvationBound.java
+++ b/src/main/java/io/pineladder/scheduling/StarvationBound.java
@@ -10,32 +10,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Policy may delay a job, not starve it. Machines that are spared or under suspicion, room reserved
- * for others, machines that a job failed on, dear machines kept from long tasks, room where an
- * image is: each leaves room unused for a good reason, and none of them is a rule. What a job could
- * have had but for them for {@link #MAX_POLICY_DELAY} it gets: from then on it meets only the
- * checks that the rules need. A wait for room that is not there, or for the team's limit, does not
- * count.
+ * Limits for how long policy alone may deny a job capacity. Retiring and quarantined machines,
+ * reservations for other jobs, avoided machines, machines rented for deadlines, waits for a cached
+ * image: each leaves capacity idle for a good reason, and none of them is a constraint that a user
+ * set. A job that could have been placed but for them for {@link #MAX_POLICY_DELAY} is placed by
+ * its own constraints only. A wait for capacity that does not exist, or for the team's limit, does
+ * not count.
  *
- * <p>Found by the simulation as a gang of three that waited for as long as others' room was
- * reserved anew on the machines that it needed, and as a job that kept off the only two machines,
- * on which it had failed by chance.
+ * <p>Found by the simulation as a gang of three that waited for as long as reservations for others
+ * were renewed on the machines that it needed, and as a job that avoided the only two machines, on
+ * which it had failed by chance.
  */
 final class StarvationBound {
   /**
-   * Users are promised that no job waits for 90 s while a machine that fits has room. What is left
-   * of those is for finding out that it does ({@link Scheduler#UNSCHEDULABLE_RETRY_DELAY}) and for
-   * the order to get there.
+   * Users are promised that no job waits for 90 s while a machine that fits has capacity. The rest
+   * of those is for detecting it ({@link PendingJobs#UNSCHEDULABLE_RETRY_DELAY}) and for the start
+   * to reach the machine.
    */
   static final Duration MAX_POLICY_DELAY = Duration.ofSeconds(55);
 
   /**
-   * Room that policy keeps from a job may seem gone for so long and be the same: reports lag, and
-   * what one machine has taken another has left.
+   * A wait goes on if capacity denied by policy is gone for no longer than this: heartbeats lag,
+   * and what is taken on one machine is freed on another.
    */
   private static final Duration CAPACITY_GAP_TOLERANCE = Duration.ofSeconds(12);
 
-  /** Between two looks at what policy keeps from one job. */
+  /** Between two reviews of what policy denies one job. */
   private static final Duration REVIEW_INTERVAL = Duration.ofSeconds(3);
 
   private static final Logger log = LoggerFactory.getLogger(StarvationBound.class);
@@ -44,7 +44,10 @@
   private final Placer placer;
 
   /**
-   * Since when policy keeps a job from room that it could have, and when there was such room last.
+   * A job that policy alone denies capacity.
+   *
+   * @param since when that began
+   * @param lastCapacityAt when there was such capacity last
    */
   private record WithheldPeriod(Instant since, Instant lastCapacityAt) {}
 
@@ -55,33 +58,33 @@
     this.placer = placer;
   }
 
-  /** Jobs that policy keeps from room now. */
+  /** Jobs that policy alone denies capacity now. */
   List<Job> withheldJobs() {
     return List.copyOf(withheldByJob.keySet());
   }
 
-  /** Room is there, and the job does not get it. */
+  /** There is capacity for the job, and policy denies it. */
   void recordWithheld(Job job, Instant now) {
     withheldByJob.merge(
         job, new WithheldPeriod(now, now), (first, again) -> new WithheldPeriod(first.since, now));
   }
 
-  /** Whether policy has kept the job from room for as long as it may. */
+  /** Whether policy has denied the job capacity for longer than it may. */
   boolean isExceeded(Job job, Instant now) {
     WithheldPeriod period = withheldByJob.get(job);
     return period != null && period.since.plus(MAX_POLICY_DELAY).isBefore(now);
   }
 
-  /** Some of the job was placed, or is not wanted any more. */
+  /** A task of the job was placed, or the job is over. */
   void clear(Job job) {
     withheldByJob.remove(job);
   }
 
   /**
-   * What becomes of a job that was turned away: the same, or a place that only policy kept from it
-   * for long.
+   * Reviews a rejection.
    *
-   * @param rejected what the checks with all policy said
+   * @param rejected the decision of all checks, policy included
+   * @return the same decision, or a placement that policy alone has denied for too long
    */
   Placer.Decision reviewRejection(Job job, int taskCount, Placer.Decision rejected, Instant now) {
     boolean lacksCapacity =
@@ -109,7 +112,10 @@
     if (!isExceeded(job, now)) {
       return rejected;
     }
-    log.info("{} has waited for {} where only policy kept it from room", job, MAX_POLICY_DELAY);
+    log.info(
+        "Starvation bound exceeded, placing without policy: job={} bound={}",
+        job,
+        MAX_POLICY_DELAY);
     return withoutPolicy;
   }
 }
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -85,11 +85,6 @@
             new Scheduler.Callbacks() {
               @Override
               public boolean mayStartTasks() {
-                return mayAct();
-              }
-
-              @Override
-              public boolean mayAct() {
                 return true;
               }
 
