--- a/src/main/java/io/pineladder/scheduling/ClusterState.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -15,7 +15,6 @@
 import java.time.Instant;
 import java.util.Collection;
 import java.util.Collections;
-import java.util.Comparator;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -23,81 +22,77 @@
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
-import java.util.NavigableSet;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 
 /**
- * What the leader knows: teams, types, jobs, machines, and what each of them uses. Beside them it
- * keeps the indexes that let one event be dealt with without a look at the whole fleet.
+ * The leader's view of the cluster: teams, machine types, jobs, machines, and what each of them
+ * uses, with the indexes that let one event be handled without a scan of the whole fleet. Used on
+ * the event loop's thread only.
+ *
+ * <p>Times of day ({@code wallClock}) are compared with submissions and deadlines; all other
+ * instants are the event loop's monotonic time.
  */
 public final class ClusterState {
-  /** A loss that is likelier than this is worth the price of ordinary machines. */
+  /** With a higher probability of a reclaim the price of on-demand machines is worth it. */
   private static final double SPOT_LOSS_THRESHOLD = 0.1;
 
-  /** Work for idle time that has waited so long gets ordinary machines after all. */
+  /** A job for idle capacity that has waited for so long gets on-demand machines after all. */
   private static final Duration IDLE_ONLY_PERIOD = Duration.ofMinutes(10);
 
+  /** The platform's settings. */
   public final Settings settings;
+
+  /** The jobs in memory by id, in the order in which they were added; changed here only. */
   public final Map<String, Job> jobs = new LinkedHashMap<>();
+
   private final NavigableMap<String, Machine> machines = new TreeMap<>();
-  private final Map<String, Team> teams = new HashMap<>();
-  private final Map<String, Resources> usage = new HashMap<>();
-  private final Map<String, TeamJobs> jobsByTeam = new HashMap<>();
+  private final TeamQuotas quotas;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** Machines that take work and have room for tasks that need an accelerator. */
+  /** Schedulable machines with free processors, memory and accelerators. */
   private final Set<Machine> withGpuCapacity = new LinkedHashSet<>();
 
-  /** Machines that take work and have any processor and memory left. */
+  /** Schedulable machines with free processors and memory. */
   private final Set<Machine> withCapacity = new LinkedHashSet<>();
 
-  /** Machines with any processor and memory left that policy alone keeps from work. */
+  /** Machines with free processors and memory that policy alone makes unschedulable. */
   private final Set<Machine> withheldByPolicy = new LinkedHashSet<>();
 
   /** How many machines there are of each kind. */
   private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
 
-  /** Attempts that wait for their image, by image; the one that gets it last comes first. */
-  private final Map<String, NavigableSet<Attempt>> fetchingByImage = new HashMap<>();
-
-  private static final Comparator<Attempt> LATEST_IMAGE_FIRST =
-      Comparator.<Attempt, Instant>comparing(attempt -> attempt.imageReadyAt)
-          .reversed()
-          .thenComparing(attempt -> attempt.key);
+  private final ImageFetchIndex imageFetches = new ImageFetchIndex();
 
   /**
-   * How many attempts hold room, by the rank that their users chose; what a chain adds is left out.
+   * How many attempts hold capacity, by the priority class that their users chose; a higher one
+   * inherited from dependent jobs is not considered.
    */
   private final EnumMap<PriorityClass, Integer> capacityHolders =
       new EnumMap<>(PriorityClass.class);
 
-  /** Machines that keep room for a job, by job. */
+  /** The machines with capacity reserved for a job, by job. */
   private final Map<Job, Set<Machine>> reservations = new HashMap<>();
 
   private final ServiceObjectives objectives;
+
+  /** How often spot machines are reclaimed. */
   public final SpotReclaimRisk spotRisk = new SpotReclaimRisk();
+
+  /** Images, with their size in GB, that machines not added yet are thought to have cached. */
   private final Map<String, Map<String, Double>> expectedImages = new HashMap<>();
 
-  /** What distinguishes machines for a job's wishes. */
+  /** What jobs may require of a machine. */
   record MachineKind(String type, String zone, boolean spot) {}
 
-  /** A team's jobs in the order of their acceptance, and which of them the guarantee covers. */
-  private static final class TeamJobs {
-    final Map<String, Job> jobs = new LinkedHashMap<>();
-    final Set<Job> guaranteed = new LinkedHashSet<>();
-    boolean stale = true;
-  }
-
+  /** A cluster without machines and jobs. */
   public ClusterState(Settings settings) {
     this.settings = settings;
     this.objectives = new ServiceObjectives(settings);
-    for (Team team : settings.teams()) {
-      teams.put(team.name(), team);
-    }
+    this.quotas = new TeamQuotas(settings.teams());
   }
 
+  /** The service-level objectives of the settings. */
   ServiceObjectives objectives() {
     return objectives;
   }
@@ -107,7 +102,7 @@
     return objectives.startAllowance(job, wallClock);
   }
 
-  /** When a job should be over by its own deadline; null without one. */
+  /** When the job should be over by its own deadline; null without one. */
   ChainDeadlines ownDeadlines(Job job) {
     return objectives.ownDeadlines(job);
   }
@@ -120,8 +115,8 @@
   }
 
   /**
-   * Whether a job that may use spot machines is better kept off them: the loss of one would make it
-   * miss an objective, and is likely enough for a job of its size and length.
+   * Whether a job that may use spot machines had better not: the reclaim of one would make it miss
+   * an objective, and is probable enough for a job of its size and run time.
    */
   public boolean avoidsSpot(Job job, Instant wallClock) {
     JobSpec spec = job.spec;
@@ -141,20 +136,19 @@
     return spotRisk.reclaimProbability(machineCount, spec.estimatedRunTime()) > SPOT_LOSS_THRESHOLD;
   }
 
-  /**
-   * Whether the job keeps an objective if its tasks run through, and not if one has to start anew.
-   */
+  /** Whether the job meets an objective if its tasks run through, and not if one is restarted. */
   public boolean wouldMissObjectiveAfterRestart(Job job, Instant wallClock) {
     return objectives.wouldMissObjectiveAfterRestart(job, wallClock);
   }
 
-  /** Whether the operators expect nothing of the job's class. */
+  /** Whether no service-level objective holds for the job. */
   public boolean hasNoObjective(Job job) {
     return objectives.hasNoObjective(job);
   }
 
   /**
-   * How soon a machine rented now that the job may use would have its image; zero if there is none.
+   * How soon a machine rented now that the job may use would have its image; zero if the job can
+   * use no machine type.
    */
   public Duration soonestStartElsewhere(JobSpec spec) {
     Duration soonest = null;
@@ -169,9 +163,9 @@
   }
 
   /**
-   * Whether a job can wait for room that comes free: an array that may use spot machines, with
-   * twice the time at its submission that another machine takes to be ready. Others get machines at
-   * once.
+   * Whether the job can wait for capacity that is freed: an array that may use spot machines, whose
+   * start allowance was at least twice the time that another machine takes to be ready. For others
+   * machines are rented at once.
    */
   public boolean canWaitForCapacity(Job job) {
     JobSpec spec = job.spec;
@@ -184,8 +178,9 @@
   }
 
   /**
-   * Work of the lowest rank of which nothing is expected: it fills what is idle and spot machines.
-   * Found on colombo-ops: a guest's work for idle time had every ordinary machine rented.
+   * Whether the job, of the lowest priority class and without an objective, runs on idle capacity
+   * and spot machines only. Found on colombo-ops: a guest's work for idle time had every on-demand
+   * machine rented.
    */
   public boolean runsOnIdleCapacityOnly(Job job, Instant wallClock) {
     return job.priorityClass() == PriorityClass.LOW
@@ -194,86 +189,58 @@
         && job.readyAt.plus(IDLE_ONLY_PERIOD).isAfter(wallClock);
   }
 
+  /** The team of that name; null when the settings name none. */
   public Team team(String name) {
-    return teams.get(name);
+    return quotas.team(name);
   }
 
+  /** Adds the machine types that the cloud offers, or replaces them by name. */
   public void setTypes(List<MachineType> machineTypes) {
     for (MachineType type : machineTypes) {
       types.put(type.name(), type);
     }
   }
 
+  /** All machine types that the cloud has offered. */
   public Collection<MachineType> types() {
     return types.values();
   }
 
+  /** The machine type of that name; null when there is none. */
   public MachineType type(String name) {
     return types.get(name);
   }
 
+  /** What the team's attempts hold, wherever they may be. */
   public Resources usage(String team) {
-    return usage.getOrDefault(team, Resources.ZERO);
+    return quotas.usage(team);
   }
 
+  /** Adds a job; the order of these calls is the order of acceptance. */
   public void addJob(Job job) {
     jobs.put(job.spec.id(), job);
-    jobsByTeam.computeIfAbsent(job.spec.team(), t -> new TeamJobs()).jobs.put(job.spec.id(), job);
-    onDemandChanged(job);
+    quotas.addJob(job);
   }
 
+  /** Removes a job that is over. */
   public void removeJob(Job job) {
     jobs.remove(job.spec.id());
-    TeamJobs teamJobs = jobsByTeam.get(job.spec.team());
-    if (teamJobs != null) {
-      teamJobs.jobs.remove(job.spec.id());
-      teamJobs.stale = true;
-    }
+    quotas.removeJob(job);
   }
 
-  /** A job needs less, or no longer anything, of what its team may use. */
+  /** What the job demands of its team's quota, now or in total, has changed. */
   public void onDemandChanged(Job job) {
-    TeamJobs teamJobs = jobsByTeam.get(job.spec.team());
-    if (teamJobs != null) {
-      teamJobs.stale = true;
-    }
+    quotas.onDemandChanged(job);
   }
 
   /** Whether the job fits into its team's guarantee together with the team's earlier jobs. */
   public boolean isGuaranteed(Job job) {
-    Team team = teams.get(job.spec.team());
-    if (team == null || !team.hasGuarantee()) {
-      return false;
-    }
-    TeamJobs teamJobs = jobsByTeam.get(job.spec.team());
-    if (teamJobs == null) {
-      return false;
-    }
-    if (teamJobs.stale) {
-      teamJobs.stale = false;
-      teamJobs.guaranteed.clear();
-      Resources demand = Resources.ZERO;
-      for (Job teamJob : teamJobs.jobs.values()) {
-        if (!teamJob.isActive() || teamJob.blockedByDependencies) {
-          continue;
-        }
-        demand =
-            demand.plus(
-                teamJob
-                    .spec
-                    .resourcesPerTask()
-                    .times(teamJob.spec.tasks() - teamJob.done.cardinality()));
-        if (!team.guarantees(demand)) {
-          break;
-        }
-        teamJobs.guaranteed.add(teamJob);
-      }
-    }
-    return teamJobs.guaranteed.contains(job);
+    return quotas.isGuaranteed(job);
   }
 
   // ---- machines
 
+  /** All machines, by name. */
   public Collection<Machine> machines() {
     return Collections.unmodifiableCollection(machines.values());
   }
@@ -284,15 +251,17 @@
     return (last == null ? following : following.headMap(last, true)).values();
   }
 
+  /** The machine of that name; null when there is none. */
   public Machine machine(String name) {
     return machines.get(name);
   }
 
-  /** Remembers images that a machine not known yet is thought to have. */
+  /** Records images, with their size in GB, that a machine not added yet should have cached. */
   public void expectImages(String machine, Map<String, Double> images) {
     expectedImages.put(machine, images);
   }
 
+  /** Adds a machine that is rented or listed. */
   public void addMachine(Machine machine) {
     machines.put(machine.name, machine);
     Map<String, Double> expected = expectedImages.remove(machine.name);
@@ -303,7 +272,7 @@
     updateIndexes(machine);
   }
 
-  /** Forgets a machine that is gone; null when there was none. */
+  /** Removes a machine that is gone; null when there was none. */
   public Machine removeMachine(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
@@ -321,11 +290,12 @@
     return new MachineKind(machine.type.name(), machine.zone, machine.spot);
   }
 
+  /** The kinds of which there is a machine. */
   Set<MachineKind> machineKinds() {
     return machineCounts.keySet();
   }
 
-  /** Brings the indexes in step with a machine whose state, notice or use has changed. */
+  /** Updates the indexes after a change of the machine's state, reclaim notice or usage. */
   public void updateIndexes(Machine machine) {
     Resources free = machine.free();
     boolean hasFreeCapacity = free.microCpus() > 0 && free.microGb() > 0;
@@ -344,19 +314,17 @@
     }
   }
 
-  /** The machines on which a job's tasks may find room; all others have none for it. */
+  /** The machines that may have capacity for the job's tasks; all others have none. */
   Collection<Machine> machinesWithCapacityFor(Job job) {
     return job.spec.resourcesPerTask().microGpus() > 0 ? withGpuCapacity : withCapacity;
   }
 
-  /** The machines with room that policy alone keeps from work. */
+  /** Machines with free capacity that policy alone makes unschedulable. */
   Collection<Machine> machinesWithheldByPolicy() {
     return withheldByPolicy;
   }
 
-  /**
-   * Whether policy may keep any room from the job; not which, which takes a look at the machines.
-   */
+  /** Whether policy may deny the job any capacity; which, only a scan of the machines can tell. */
   boolean isWithheldByPolicy(Job job) {
     return !withheldByPolicy.isEmpty()
         || !reservations.isEmpty()
@@ -364,9 +332,11 @@
         || canWaitForCapacity(job);
   }
 
-  // ---- room kept
+  // ---- reservations
 
-  /** Keeps room on the machine for one task of the job. */
+  /**
+   * Reserves capacity on the machine for one task of the job, in place of any other reservation.
+   */
   void reserve(Machine machine, Job job, Instant until) {
     unreserve(machine);
     machine.reservedFor = job;
@@ -376,6 +346,7 @@
     reservations.computeIfAbsent(job, j -> new LinkedHashSet<>(2)).add(machine);
   }
 
+  /** Cancels the machine's reservation, if there is one. */
   void unreserve(Machine machine) {
     Job job = machine.reservedFor;
     if (job == null) {
@@ -389,22 +360,19 @@
     }
   }
 
-  /** The machines that keep room for the job. */
+  /** The machines with capacity reserved for the job, expired reservations included. */
   Set<Machine> reservedFor(Job job) {
     return reservations.getOrDefault(job, Set.of());
   }
 
-  /**
-   * Attempts that wait for this image, on whatever machine; the one that gets it last comes first.
-   */
+  // ---- attempts
+
+  /** The attempts that fetch this image, on whatever machine; the one that has it last first. */
   Collection<Attempt> fetching(String image) {
-    NavigableSet<Attempt> attempts = fetchingByImage.get(image);
-    return attempts == null ? List.of() : attempts;
+    return imageFetches.fetching(image);
   }
 
-  // ---- attempts
-
-  /** Counts a new attempt everywhere it counts. */
+  /** Creates an attempt and adds it to its job, its machine and all usage. */
   public Attempt addAttempt(
       Job job, int task, long number, Machine machine, Instant now, Attempt.State initialState) {
     Attempt attempt = new Attempt(job, task, number, machine, now, initialState);
@@ -412,24 +380,24 @@
     machine.attempts.put(attempt.key, attempt);
     machine.used = machine.used.plus(job.spec.resourcesPerTask());
     machine.idleSince = null;
-    usage.merge(job.spec.team(), job.spec.resourcesPerTask(), Resources::plus);
+    quotas.addUsage(job.spec.team(), job.spec.resourcesPerTask());
     capacityHolders.merge(job.spec.priorityClass(), 1, Integer::sum);
     updateIndexes(machine);
     return attempt;
   }
 
-  /** Changes an attempt's state and, when it ends, gives back what it held. */
+  /** Changes an attempt's state and, when it ends, releases the capacity that it held. */
   public void transition(Attempt attempt, Attempt.State next) {
     boolean heldCapacity = attempt.holdsCapacity();
     Attempt.State before = attempt.state();
     attempt.transitionTo(next);
     if (before != next) {
-      indexFetch(attempt, before, next);
+      imageFetches.onTransition(attempt, before, next);
     }
     if (heldCapacity && !attempt.holdsCapacity()) {
       Resources freed = attempt.job.spec.resourcesPerTask();
       attempt.machine.used = attempt.machine.used.minus(freed);
-      usage.merge(attempt.job.spec.team(), freed, Resources::minus);
+      quotas.removeUsage(attempt.job.spec.team(), freed);
       capacityHolders.merge(attempt.job.spec.priorityClass(), -1, Integer::sum);
       attempt.job.remove(attempt);
       updateIndexes(attempt.machine);
@@ -439,9 +407,7 @@
     }
   }
 
-  /**
-   * Whether there is any work that could make way for the job; where, a look at the fleet tells.
-   */
+  /** Whether any attempt may be preempted for the job; which, only a scan of the fleet can tell. */
   boolean mayPreemptAny(Job job) {
     if (isGuaranteed(job)) {
       return true;
@@ -449,16 +415,4 @@
     return capacityHolders.entrySet().stream()
         .anyMatch(e -> e.getValue() > 0 && job.priorityClass().isAbove(e.getKey()));
   }
-
-  private void indexFetch(Attempt attempt, Attempt.State before, Attempt.State next) {
-    String image = attempt.job.spec.image();
-    if (next == Attempt.State.FETCHING_IMAGE) {
-      fetchingByImage.computeIfAbsent(image, i -> new TreeSet<>(LATEST_IMAGE_FIRST)).add(attempt);
-    } else if (before == Attempt.State.FETCHING_IMAGE) {
-      Set<Attempt> attempts = fetchingByImage.get(image);
-      if (attempts != null && attempts.remove(attempt) && attempts.isEmpty()) {
-        fetchingByImage.remove(image);
-      }
-    }
-  }
 }
