--- a/src/main/java/io/pineladder/scheduling/ClassLatencies.java
+++ b/src/main/java/io/pineladder/scheduling/ClassLatencies.java
@@ -8,19 +8,19 @@
 
 /**
  * How long jobs of a class take from when they may start until they are done, beyond their
- * estimate: waiting, fetching, the slowest task, storing. Learned from the jobs that end, as an
- * exponentially weighted mean.
+ * estimated run time: waiting, fetching, the slowest task, storing. An exponentially weighted mean
+ * over the jobs that end.
  */
 final class ClassLatencies {
-  /** Taken for a class of which none has ended yet. */
+  /** The overhead assumed for a class of which no job has ended yet. */
   static final Duration DEFAULT_OVERHEAD = Duration.ofSeconds(10);
 
-  /** The weight of the latest job. */
+  /** The weight of the latest job in the mean. */
   private static final double LATEST_JOB_WEIGHT = 0.2;
 
   private final Map<String, Double> overheadSeconds = new HashMap<>();
 
-  /** A job was done at this time of day. */
+  /** Adds a job that was done at this time of day. */
   void recordCompletion(Job job, Instant completedAt) {
     Duration overhead =
         Duration.between(job.readyAt, completedAt).minus(job.spec.estimatedRunTime());
@@ -29,7 +29,7 @@
         job.spec.jobClass(), seconds, (mean, latest) -> mean + LATEST_JOB_WEIGHT * (latest - mean));
   }
 
-  /** How long the job is expected to take once it may start. */
+  /** How long the job is expected to take from when it may start until it is done. */
   Duration expectedDuration(Job job) {
     Double seconds = overheadSeconds.get(job.spec.jobClass());
     Duration overhead =
--- a/src/main/java/io/pineladder/scheduling/FaultAttribution.java
+++ b/src/main/java/io/pineladder/scheduling/FaultAttribution.java
@@ -18,40 +18,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells jobs that were submitted with a mistake from machines that are faulty, by where things fail
- * and where they go well.
+ * Attributes task failures to jobs or to machines, by where tasks fail and where they succeed.
  *
- * <p>A job that has failed on several machines, none of them known as faulty, and has gone well on
- * none is at fault: it is tried on now and then, and its failures speak against no machine. A
- * machine on which several jobs not at fault have failed is under suspicion and gets no more work;
- * once one of those jobs has gone well elsewhere it is faulty and goes. A job that goes well once
- * is never at fault, and what failed on a machine found faulty no longer counts against its jobs.
+ * <p>A job that has failed on several machines, none of them known as faulty, and has succeeded on
+ * none is failing: it is only probed now and then, and its failures count against no machine. A
+ * machine on which several jobs that are not failing have failed is quarantined and gets no more
+ * work; once one of those jobs has succeeded elsewhere the machine is faulty and is drained. A job
+ * that has succeeded once is never failing, and failures on a machine found faulty no longer count
+ * against its jobs.
  */
 public final class FaultAttribution {
   private static final Logger log = LoggerFactory.getLogger(FaultAttribution.class);
 
-  /** Machines a job must have failed on to be at fault, and jobs for a machine to be suspect. */
+  /**
+   * Machines that a failing job has failed on, and jobs that have failed on a quarantined machine.
+   */
   static final int FAULT_THRESHOLD = 2;
 
-  /** Machines remembered of one job; more say nothing new. */
+  /** Failed machines that are recorded of one job; more are no further evidence. */
   private static final int MAX_FAILED_MACHINES_PER_JOB = 16;
 
-  /** A task that runs so much longer than the one that failed goes well. */
+  /** A task that has run for twice the longest failed run and this margin counts as a success. */
   private static final Duration SUCCESS_RUN_TIME_MARGIN = Duration.ofSeconds(10);
 
-  /** What follows from a verdict. */
+  /** What follows from an attribution. */
   interface Listener {
-    /** The job is at fault now, or is not any more. */
+    /** The job is failing now, or no longer. */
     void onJobFailingChanged(Job job, boolean failing);
 
-    /** The machine is to get no work while it is suspect. */
+    /** The machine gets no work while it is quarantined. */
     void onQuarantineChanged(Machine machine, boolean quarantined);
 
-    /** The machine is at fault: it goes. */
+    /** The machine is faulty: it is to be drained and returned. */
     void onMachineFaulty(Machine machine);
   }
 
-  /** What is known of a job that failed somewhere. */
+  /** The evidence on a job that has failed somewhere. */
   private static final class FailureHistory {
     final Set<Machine> failedMachines = new LinkedHashSet<>();
     Duration longestFailedRun = Duration.ZERO;
@@ -59,19 +61,19 @@
     boolean succeeded;
     boolean failing;
 
-    /** An earlier leader found it at fault, on evidence that this one does not have. */
+    /** An earlier leader found the job failing, on evidence that this one does not have. */
     boolean inherited;
   }
 
   private final Listener listener;
   private final Map<Job, FailureHistory> historyByJob = new LinkedHashMap<>();
 
-  /** Jobs that failed on a machine, for machines not found faulty. */
+  /** Jobs that failed on a machine, of machines not found faulty. */
   private final Map<Machine, Set<Job>> failedJobsByMachine = new HashMap<>();
 
   private final Set<Machine> quarantinedMachines = new LinkedHashSet<>();
 
-  /** Machines found faulty that are still there; what fails on them says nothing new. */
+  /** Machines found faulty that are not gone yet; failures on them are no evidence. */
   private final Set<Machine> faultyMachines = new HashSet<>();
 
   private final Deque<Job> jobsToEvaluate = new ArrayDeque<>();
@@ -80,15 +82,17 @@
     this.listener = listener;
   }
 
+  /** How many jobs are failing. */
   public int countFailingJobs() {
     return (int) historyByJob.values().stream().filter(c -> c.failing).count();
   }
 
+  /** How many machines are quarantined. */
   public int countQuarantinedMachines() {
     return quarantinedMachines.size();
   }
 
-  /** An earlier leader found the job at fault. */
+  /** An earlier leader found the job failing. */
   void inheritFailing(Job job) {
     FailureHistory history = historyByJob.computeIfAbsent(job, j -> new FailureHistory());
     history.inherited = true;
@@ -96,13 +100,17 @@
     history.failureRounds = FAULT_THRESHOLD;
   }
 
-  /** How often the job has failed, counting what failed together once. */
+  /** Counts one more round of failures, those that came together, and returns their number. */
   int countFailureRound(Job job) {
     FailureHistory history = historyByJob.get(job);
     return history == null ? 1 : ++history.failureRounds;
   }
 
-  /** A task of the job failed on the machine after it had run for so long. */
+  /**
+   * A task of the job failed on the machine.
+   *
+   * @param ran for how long it had run; zero if it had not begun
+   */
   void recordFailure(Job job, Machine machine, Duration ran, Instant now) {
     FailureHistory history = historyByJob.computeIfAbsent(job, j -> new FailureHistory());
     if (ran.compareTo(history.longestFailedRun) > 0) {
@@ -118,7 +126,7 @@
     evaluatePendingJobs();
   }
 
-  /** A task of the job is complete: it is not at fault. */
+  /** A task of the job is complete, so the job is not failing. */
   void recordSuccess(Job job) {
     FailureHistory history = historyByJob.get(job);
     if (history != null && !history.succeeded) {
@@ -128,7 +136,7 @@
     }
   }
 
-  /** Looks whether jobs that failed on suspect machines, or are at fault, run elsewhere by now. */
+  /** Reviews whether jobs that failed on quarantined machines, or are failing, run well by now. */
   public void reviewRunningJobs(Instant now) {
     for (Map.Entry<Job, FailureHistory> entry : List.copyOf(historyByJob.entrySet())) {
       FailureHistory history = entry.getValue();
@@ -141,7 +149,7 @@
     }
   }
 
-  /** The job is over. */
+  /** Removes the evidence of a job that is over. */
   void forget(Job job) {
     FailureHistory history = historyByJob.remove(job);
     if (history != null) {
@@ -151,7 +159,7 @@
     }
   }
 
-  /** The machine is gone; what failed there stays known of its jobs. */
+  /** Removes a machine that is gone; failures there remain evidence on its jobs. */
   public void forget(Machine machine) {
     failedJobsByMachine.remove(machine);
     quarantinedMachines.remove(machine);
@@ -183,7 +191,7 @@
     return false;
   }
 
-  /** Judges the jobs whose evidence has changed, their machines, and what follows from those. */
+  /** Evaluates the jobs whose evidence has changed, their machines, and what follows from those. */
   private void evaluatePendingJobs() {
     for (Job job = jobsToEvaluate.poll(); job != null; job = jobsToEvaluate.poll()) {
       FailureHistory history = historyByJob.get(job);
@@ -196,18 +204,24 @@
               && (history.inherited || history.failedMachines.size() >= FAULT_THRESHOLD);
       if (failing != history.failing) {
         history.failing = failing;
-        log.info(
-            failing ? "job {} is at fault: it fails on {}" : "job {} is not at fault: {}",
-            job,
-            failing
-                ? history.failedMachines
-                : history.succeeded ? "it goes well" : "its machines were");
+        logJob(job, history);
         listener.onJobFailingChanged(job, failing);
       }
       List.copyOf(history.failedMachines).forEach(this::evaluateMachine);
     }
   }
 
+  private static void logJob(Job job, FailureHistory history) {
+    if (history.failing) {
+      log.info("Job found failing: job={} failedMachines={}", job, history.failedMachines);
+    } else {
+      log.info(
+          "Job no longer found failing: job={} reason={}",
+          job,
+          history.succeeded ? "task succeeded" : "machines were faulty");
+    }
+  }
+
   private void evaluateMachine(Machine machine) {
     int jobsNotFailing = 0;
     boolean anySucceededElsewhere = false;
@@ -218,7 +232,7 @@
     }
     boolean quarantine = jobsNotFailing >= FAULT_THRESHOLD;
     if (quarantine && anySucceededElsewhere) {
-      log.info("machine {} is faulty: jobs fail there that go well elsewhere", machine);
+      log.info("Machine found faulty, jobs fail only there: machine={}", machine);
       quarantinedMachines.remove(machine);
       faultyMachines.add(machine);
       for (Job job : failedJobsByMachine.remove(machine)) {
@@ -229,7 +243,7 @@
     } else if (quarantine
         ? quarantinedMachines.add(machine)
         : quarantinedMachines.remove(machine)) {
-      log.info("machine {} is {} suspicion", machine, quarantine ? "under" : "no longer under");
+      log.info("Machine quarantine changed: machine={} quarantined={}", machine, quarantine);
       listener.onQuarantineChanged(machine, quarantine);
     }
   }
--- a/src/main/java/io/pineladder/scheduling/GangReservation.java
+++ b/src/main/java/io/pineladder/scheduling/GangReservation.java
@@ -18,26 +18,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Room held for a gang that has waited for long while freed pieces went to others of its rank. It
- * is held on the machines that are thought to have it first, for one gang at a time: the highest
- * rank, then whichever came first. What ends before the gang can start may run there meanwhile;
- * nothing is stopped for it, so only what would have been placed there later is lost, and higher
- * ranks are not held up.
+ * Reserves capacity for a gang that has waited for long while freed capacity went to smaller jobs
+ * of its priority class. It is reserved on the machines that should have it soonest, for one gang
+ * at a time: of the highest priority class, then the first accepted. Tasks that end before the gang
+ * can start may run there meanwhile (backfilling); nothing is preempted for it, and jobs of a
+ * higher class are not delayed.
  */
 final class GangReservation {
   private static final Logger log = LoggerFactory.getLogger(GangReservation.class);
 
   /**
-   * A gang that has waited so long has room held for it. It must begin within four minutes; what is
-   * left of those is for the tasks that run on its machines, and for its images.
+   * How long a gang waits before capacity is reserved for it. It must begin within four minutes;
+   * the rest of those is for the tasks that run on its machines, and for its images.
    */
   static final Duration MIN_WAIT = Duration.ofSeconds(60);
 
-  /** What runs for longer than it was said to is thought to run for this part of that yet. */
+  /**
+   * A task that has exceeded its estimate is assumed to run on for the estimate divided by this.
+   */
   private static final int OVERRUN_DIVISOR = 4;
 
   private final ClusterState cluster;
   private final EventLoop eventLoop;
+
+  /** The gang that capacity is reserved for, or was last; null before the first. */
   private Job holder;
 
   GangReservation(ClusterState cluster, EventLoop eventLoop) {
@@ -45,10 +49,12 @@
     this.eventLoop = eventLoop;
   }
 
-  /** A machine, and the seconds until it is thought to have room. */
+  /** A machine, and the expected seconds until it has capacity for one task of the gang. */
   private record ExpectedCapacity(Machine machine, double secondsUntilFree) {}
 
-  /** The gang was turned away once more: room is held for it, or longer, if it is its turn. */
+  /**
+   * The job was rejected for lack of capacity: a gang next in line gets or renews a reservation.
+   */
   void onGangRejected(Job job, Instant now) {
     JobSpec spec = job.spec;
     if (!spec.isMultiTaskGang() || spec.spreadAcrossZones() || !mayReserve(job)) {
@@ -59,7 +65,7 @@
       return;
     }
     if (holder != job) {
-      log.info("room is held for {} on {} machines", job, soonest.size());
+      log.info("Capacity reserved for gang: job={} machines={}", job, soonest.size());
       releaseReservations();
     }
     holder = job;
@@ -75,7 +81,7 @@
         Instant earlierExpectedStart =
             machine.reservedFor == job ? machine.reservationStartsAt : null;
         cluster.reserve(machine, job, now.plus(PreemptionPolicy.RESERVATION_DURATION));
-        // A wrong estimate must not put the start off again and again.
+        // A wrong estimate must not defer the expected start again and again.
         machine.reservationStartsAt =
             earlierExpectedStart != null && earlierExpectedStart.isBefore(expectedStart)
                 ? earlierExpectedStart
@@ -103,7 +109,7 @@
   }
 
   /**
-   * As many machines as the gang has tasks, of one zone if they must be together; empty if too few.
+   * As many machines as the gang has tasks, of one zone if required; empty when there are too few.
    */
   private List<ExpectedCapacity> soonestMachines(Job job, Instant now) {
     JobSpec spec = job.spec;
@@ -136,6 +142,7 @@
     return machines.get(machines.size() - 1).secondsUntilFree;
   }
 
+  /** The expected seconds until one task fits, when no more is placed; MAX_VALUE for never. */
   private static double secondsUntilFree(JobSpec spec, Machine machine, Instant now) {
     Resources freeCapacity = machine.free();
     if (spec.resourcesPerTask().fitsIn(freeCapacity)) {
--- a/src/main/java/io/pineladder/scheduling/JobDependencies.java
+++ b/src/main/java/io/pineladder/scheduling/JobDependencies.java
@@ -19,39 +19,40 @@
 import java.util.function.Supplier;
 
 /**
- * Which jobs wait for which others, and what follows when one of those is over.
+ * The dependency graph (DAG) of the jobs that wait, and what follows when a prerequisite is over.
  *
  * <p>A job waits until each of its prerequisites is <em>stored</em> as done, so no start can come
  * before a completion that may yet be lost. It is cancelled once one of them is stored as
  * cancelled, directly or through others: that follows from the stored state of the one job whose
- * user asked for it, so nothing else has to be stored before it is told, and any controller comes
- * to the same conclusion.
+ * user asked for it, so nothing else has to be stored before users are answered, and any controller
+ * comes to the same conclusion.
  *
- * <p>The index is kept from the needed job to those that need it, with what each still waits for.
- * So an end costs work for the jobs that need it only, however many others wait. A prerequisite was
- * accepted before the job that names it, hence there are no cycles.
+ * <p>The index leads from a prerequisite to its dependents, and from each of those to its unmet
+ * prerequisites, so an end costs work for the dependents only, however many other jobs wait. A
+ * prerequisite was accepted before the job that names it, hence there are no cycles.
  *
- * <p>Rank and finishing times go back along the chain: a job is treated as having the highest rank
- * of those that need it, and is to be over in time for all of them.
+ * <p>Urgency goes back along the chain: a job has the highest priority class of its own and its
+ * dependents', and is to be over in time for all of them.
  */
 public final class JobDependencies {
-  /** What follows for a job. */
+  /** Receives what follows for a job. */
   interface Listener {
-    /** Its last prerequisite is done: it may start. */
+    /** The job's last prerequisite is done: it may start. */
     void onReady(Job job);
 
-    /** A prerequisite was cancelled, and the job with it. */
+    /** A prerequisite was cancelled, and the job with it; its state has changed already. */
     void onCancelled(Job job);
 
-    /** The rank that it is treated as having, or when it should be over, has changed. */
+    /** The job's priority class or its deadlines have changed. */
     void onUrgencyChanged(Job job);
 
     /** The final state of a job that is not in memory, if it is known without a read; or null. */
     Job.State knownFinalState(String id);
 
     /**
-     * A prerequisite is not in memory and its state not known: {@link #onPrerequisiteFound} or
-     * {@link #onFinalStateKnown} is to be called for it.
+     * A prerequisite is not in memory and its final state not known. It is to be looked up, and
+     * {@link #onPrerequisiteFound}, {@link #onPrerequisiteNotFound} or {@link #onFinalStateKnown}
+     * is to be called for it.
      */
     void lookUpJob(String id);
   }
@@ -62,20 +63,21 @@
   private final Function<Job, ChainDeadlines> ownDeadlines;
   private final ClassLatencies classLatencies = new ClassLatencies();
 
-  /** The jobs that wait for a job, by its id. */
+  /** The jobs that wait for a prerequisite, by its id. */
   private final Map<String, Set<Job>> dependentsById = new HashMap<>();
 
-  /** What each waiting job still waits for. */
+  /** The ids of the prerequisites that each waiting job still waits for. */
   private final Map<Job, Set<String>> unmetPrerequisites = new LinkedHashMap<>();
 
   /** Prerequisites that are being looked up. */
   private final Set<String> pendingLookups = new HashSet<>();
 
   /**
-   * An empty index.
+   * An empty graph.
    *
-   * @param jobs the jobs in memory, by id
-   * @param ownFinishTimes what is expected of a job by itself; null for nothing
+   * @param jobsInMemory the job of an id; null when it is not in memory
+   * @param wallClock the time of day
+   * @param ownDeadlines a job's deadlines by its own specification; null for none
    */
   JobDependencies(
       Function<String, Job> jobsInMemory,
@@ -88,12 +90,12 @@
     this.listener = listener;
   }
 
-  /** How many jobs wait for others. */
+  /** How many jobs wait for prerequisites. */
   public int countWaitingJobs() {
     return unmetPrerequisites.size();
   }
 
-  /** The most jobs that come one after another in what waits. */
+  /** The number of jobs in the longest chain of those that wait. */
   public int longestChainLength() {
     Map<Job, Integer> depths = new HashMap<>();
     int longest = 0;
@@ -104,8 +106,8 @@
   }
 
   /**
-   * The jobs from this one back to the first of its chain; without recursion, since chains may be
-   * long.
+   * The number of jobs from this one back to the first of its chain; without recursion, since
+   * chains may be long.
    */
   private int chainDepth(Job from, Map<Job, Integer> depths) {
     Deque<Job> stack = new ArrayDeque<>(List.of(from));
@@ -131,8 +133,8 @@
   }
 
   /**
-   * Whether nothing certain can be said of a waiting job: a prerequisite is being looked up, of
-   * this job or of one before it, and may turn out to be cancelled.
+   * Whether the state of a waiting job is uncertain: a prerequisite of this job or of one before it
+   * may be being looked up, and may turn out to be cancelled.
    */
   public boolean isUncertain(Job job) {
     return !pendingLookups.isEmpty() && unmetPrerequisites.containsKey(job);
@@ -140,7 +142,7 @@
 
   // ---- jobs that come and go
 
-  /** A job has come into memory. */
+  /** A job is in memory now: it may wait for others, and others for it. */
   void add(Job job) {
     if (job.isActive() && !job.spec.prerequisites().isEmpty()) {
       addWaiting(job);
@@ -180,7 +182,8 @@
   }
 
   /**
-   * A prerequisite that was looked up is in memory; its end will be told, if it is not known yet.
+   * A prerequisite that was looked up is in memory; {@link #onFinalStateStored} follows if its
+   * final state is not stored yet.
    */
   public void onPrerequisiteFound(Job needed) {
     pendingLookups.remove(needed.spec.id());
@@ -193,12 +196,12 @@
     }
   }
 
-  /** Nothing is known of a prerequisite for certain; those that need it wait on. */
+  /** The lookup of a prerequisite gave nothing certain; its dependents wait on. */
   public void onPrerequisiteNotFound(String id) {
     pendingLookups.remove(id);
   }
 
-  /** The user cancelled a job that may wait for others: it waits no more. */
+  /** A job that may wait for others is cancelled: it is removed from the graph. */
   void stopWaiting(Job job) {
     Set<String> unmet = unmetPrerequisites.remove(job);
     if (unmet == null) {
@@ -219,7 +222,7 @@
 
   // ---- ends
 
-  /** The final state of a job is stored. */
+  /** The final state of a job in memory is stored. */
   void onFinalStateStored(Job job) {
     if (job.state() == Job.State.DONE) {
       classLatencies.recordCompletion(job, wallClock.get());
@@ -227,7 +230,7 @@
     onFinalStateKnown(job.spec.id(), job.state());
   }
 
-  /** The final state of a job is known to be stored. */
+  /** The final state of a job, in memory or not, is known to be stored. */
   public void onFinalStateKnown(String id, Job.State state) {
     pendingLookups.remove(id);
     Set<Job> dependents = dependentsById.remove(id);
@@ -250,7 +253,7 @@
     }
   }
 
-  /** Cancels jobs and all that need them; without recursion, since chains may be long. */
+  /** Cancels jobs and all their dependents; without recursion, since chains may be long. */
   private void cancelWithDependents(Set<Job> first) {
     Deque<Job> stack = new ArrayDeque<>(first);
     while (!stack.isEmpty()) {
@@ -270,8 +273,8 @@
   }
 
   /**
-   * The cancellation of a job is on its way to the store: other controllers may read it there
-   * before this one hears of the commit, and call the jobs cancelled that need it.
+   * The cancellation of a job is being stored: other controllers may read it before this one learns
+   * of the commit, and answer that its dependents are cancelled.
    */
   void onCancellationPending(Job cancelled) {
     markCancellationPending(cancelled, cancelled);
@@ -291,14 +294,14 @@
 
   // ---- urgency
 
-  /** When the jobs that this one needs should be over for it, or null. */
+  /** When the prerequisites of this job should be over for its sake; null for no bound. */
   private ChainDeadlines prerequisiteDeadlines(Job job) {
     ChainDeadlines deadlines = ChainDeadlines.earlier(job.chainDeadlines, ownDeadlines.apply(job));
     Duration expected = classLatencies.expectedDuration(job);
     return deadlines == null ? null : deadlines.minus(expected);
   }
 
-  /** A job is needed by one more: what is expected of it can only become more urgent. */
+  /** A prerequisite has one more dependent: it can only become more urgent. */
   private void raiseUrgency(Job needed, PriorityClass priorityClass, ChainDeadlines deadlines) {
     if (needed == null || !needed.isActive()) {
       return;
@@ -311,7 +314,7 @@
   }
 
   /**
-   * Computes a job's urgency anew from all that need it, and that of the jobs before it where it
+   * Computes a job's urgency anew from all its dependents, and that of its prerequisites where it
    * changed.
    */
   private void recomputeUrgency(Job job) {
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -24,49 +24,70 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** The checks that a placement must pass, and the choice among the machines that pass them. */
+/**
+ * The checks that a placement must pass, and the choice among the machines that pass them by cost:
+ * bin packing, with the image's fetch time as the largest part. Costs are in seconds.
+ */
 public final class Placer {
-  /** What speaks against a second task on a machine that is to fetch a slow image, in seconds. */
+  /** The cost of a second task on a machine that still has to fetch a slow image. */
   private static final double SECOND_FETCH_COST_SECONDS = 10;
 
-  /** What speaks against a spot machine for a job that its loss would make late, in seconds. */
+  /** The cost of a spot machine for a job that would miss an objective by its reclaim. */
   private static final double SPOT_RISK_COST_SECONDS = 12;
 
-  /** What speaks for a machine rented in a rush that the task fills, in seconds. */
+  /** The benefit of a machine that was rented to meet deadlines, for a task that fills it. */
   private static final double DEADLINE_MACHINE_BONUS_SECONDS = 5;
 
+  /** The cost of an on-demand machine for a job that may use spot machines. */
+  private static final double ON_DEMAND_COST_SECONDS = 3;
+
+  /** An image that is being fetched already takes this part of the whole fetch on average. */
+  private static final double REMAINING_FETCH_PART = 0.5;
+
+  /** The least fetch rate assumed, so that a machine type without one is not divided by zero. */
+  private static final double MIN_FETCH_GB_PER_SECOND = 1e-3;
+
   private final ClusterState cluster;
 
   private final EventLoop eventLoop;
 
+  /** A placer for the machines of the cluster. */
   public Placer(ClusterState cluster, EventLoop eventLoop) {
     this.cluster = cluster;
     this.eventLoop = eventLoop;
   }
 
   /**
-   * Machines for as many of the tasks asked for as could be placed, and the check that rejected the
-   * rest; null when none was rejected.
+   * The outcome of one placement.
+   *
+   * @param machines a machine for each task that could be placed; one machine may occur repeatedly
+   * @param rejectedBy the check that rejected the rest; null when all tasks were placed
    */
   public record Decision(List<Machine> machines, SchedulingCheck rejectedBy) {
+    /** No task is placed. */
     static Decision rejected(SchedulingCheck by) {
       return new Decision(List.of(), by);
     }
 
+    /** Whether all tasks that were asked for are placed. */
     public boolean isPlaced() {
       return rejectedBy == null;
     }
   }
 
   /**
-   * Decides for so many tasks in one look at the machines with room. A gang gets a place as a whole
-   * or not at all; of other jobs the first tasks may be placed and the rest rejected.
+   * Chooses machines for up to that many tasks in one scan of the machines with capacity. A gang is
+   * placed as a whole or not at all; of other jobs the first tasks may be placed and the rest
+   * rejected.
    */
   Decision place(Job job, int taskCount, Instant now) {
     return place(job, taskCount, false, now);
   }
 
-  /** Decides as {@link #place(Job, int, Instant)} does, by the checks alone that the rules need. */
+  /**
+   * Chooses machines as {@link #place(Job, int, Instant)} does, by the job's own constraints only:
+   * reservations, avoided, retiring and quarantined machines are ignored.
+   */
   Decision placeIgnoringPolicy(Job job, int taskCount, Instant now) {
     return place(job, taskCount, true, now);
   }
@@ -82,7 +103,7 @@
     }
     int maxTasks = (int) Math.min(taskCount, withinLimit);
     boolean avoidsSpot = cluster.avoidsSpot(job, eventLoop.wallClock());
-    // Of thousands of machines a job takes a few: a heap gives those without putting all in order.
+    // Of thousands of machines a job takes a few: a heap yields those without sorting all.
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(BY_COST);
     for (Machine machine : cluster.machinesWithCapacityFor(job)) {
       addCandidate(job, machine, taskCount, ignorePolicy, avoidsSpot, now, candidates);
@@ -110,7 +131,7 @@
     return sorted;
   }
 
-  /** Adds a machine that passes the checks and has room, once or in two parts of different cost. */
+  /** Adds a machine that passes the checks and has capacity; twice if a second task costs more. */
   private void addCandidate(
       Job job,
       Machine machine,
@@ -144,19 +165,20 @@
   }
 
   /**
-   * Whether the image is yet to be fetched there and takes longer than another machine would to
+   * Whether the image is not cached there and takes longer to fetch than another machine takes to
    * boot. Then copies are scarcer than machines: tasks that have to fetch go to different ones, and
-   * leave room next to them where the image will be.
+   * leave capacity beside them where the image will be.
    */
   private static boolean isSlowFetch(Job job, Machine machine) {
     if (machine.images.containsKey(job.spec.image())) {
       return false;
     }
-    double fetchSeconds = job.spec.imageGb() / Math.max(1e-3, machine.type.fetchGbPerSecond());
+    double fetchSeconds =
+        job.spec.imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, machine.type.fetchGbPerSecond());
     return fetchSeconds > machine.type.bootTime().toMillis() / 1000.0;
   }
 
-  /** A machine with room for so many tasks of the job. */
+  /** A machine with capacity for that many tasks of the job. */
   private record Candidate(Machine machine, double cost, int count) {}
 
   private static final Comparator<Candidate> BY_COST =
@@ -171,7 +193,7 @@
     return false;
   }
 
-  /** Type, zone and kind. */
+  /** Whether the job's constraints on type, zone and spot machines are met. */
   private static boolean satisfiesConstraints(
       JobSpec spec, String type, String zone, boolean spot) {
     return spec.allowsType(type) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
@@ -181,16 +203,16 @@
     return satisfiesConstraints(spec, machine.type.name(), machine.zone, machine.spot);
   }
 
-  /** Type, zone, kind, and no earlier failure of this job there. */
+  /** Whether the job's constraints are met, and the job does not avoid the machine. */
   static boolean isAllowed(Job job, Machine machine) {
     return satisfiesConstraints(job.spec, machine) && !job.avoidedMachines.contains(machine.name);
   }
 
   /**
-   * Whether a task would keep a dear machine for long: it takes a small part of it for twice the
-   * time that another machine takes, and has time to wait. The last of such tasks kept each for
-   * minutes after the rush that it was rented for; the others leave it soon, and spot machines to
-   * them.
+   * Whether a task would occupy an on-demand machine rented for deadlines for long: it takes a
+   * small part of the machine for more than twice the time until another machine is ready, and can
+   * wait for that. The last of such tasks occupied each machine for minutes after the peak that it
+   * was rented for; other tasks leave it soon, and leave spot machines to such ones.
    */
   static boolean wouldBlockDeadlineMachine(
       ClusterState cluster, Job job, Machine machine, Instant wallClock) {
@@ -203,12 +225,12 @@
     return cluster.startSlack(job, wallClock).compareTo(readyElsewhereAfter) > 0;
   }
 
-  /** Whether a task takes half of such a machine or more. */
+  /** Whether a task takes half of a machine of this type or more. */
   public static boolean fillsMachine(JobSpec spec, MachineType type) {
     return 2 * spec.resourcesPerTask().shareOf(type.capacity()) >= 1;
   }
 
-  /** Whether one more task there keeps to the job's wishes about zones. */
+  /** Whether one more task on the machine satisfies the job's constraints on zones. */
   static boolean allowsZoneOf(Job job, Machine machine) {
     Map<String, Integer> zones = attemptsByZone(job);
     if (job.spec.sameZone() && !zones.isEmpty() && !zones.containsKey(machine.zone)) {
@@ -217,12 +239,12 @@
     return zones.getOrDefault(machine.zone, 0) < maxTasksPerZone(job);
   }
 
-  /** So many of a job's tasks may be in one zone. */
+  /** How many of the job's tasks may be in one zone. */
   private static int maxTasksPerZone(Job job) {
     return job.spec.spreadAcrossZones() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
   }
 
-  /** What a job may take of a machine: free room less what is kept there for another job. */
+  /** What the job may take of a machine: free capacity less what is reserved for another job. */
   static Resources availableCapacity(Job job, Machine machine, Instant now) {
     Resources free = machine.free();
     boolean isReservedForOther =
@@ -234,7 +256,7 @@
     return isReservedForOther ? free.minus(machine.reserved) : free;
   }
 
-  /** Whether a task is thought to end there before the job that room is kept for can start. */
+  /** Whether a task should end there before the job that holds the reservation can start. */
   private static boolean endsBeforeReservation(Job job, Machine machine, Instant now) {
     if (machine.reservationStartsAt == null || job.spec.kind() != JobKind.ARRAY) {
       return false;
@@ -245,7 +267,7 @@
         .isBefore(machine.reservationStartsAt);
   }
 
-  /** Everything of a job that may be somewhere, by zone. */
+  /** How many attempts of the job there are, by zone. */
   private static Map<String, Integer> attemptsByZone(Job job) {
     Map<String, Integer> zones = new HashMap<>();
     for (Set<Attempt> attempts : job.attempts.values()) {
@@ -272,7 +294,7 @@
     for (String zone : zones) {
       Iterator<Candidate> inZone =
           candidates.stream().filter(c -> c.machine.zone.equals(zone)).iterator();
-      // One that is to be spread as well runs half at a time; a gang of several never does.
+      // One that is to be spread as well runs half of its tasks at a time; a gang never does.
       List<Machine> chosen =
           fillCheapest(
               taskCount,
@@ -313,9 +335,9 @@
   }
 
   /**
-   * Fills the cheapest machine, then the next, until enough tasks have a place.
+   * Fills the cheapest machine, then the next, until enough tasks are placed.
    *
-   * @param cheapest gives the next machine by cost; null when there is none left
+   * @param cheapest supplies the next machine by cost; null when there is none left
    */
   private static List<Machine> fillCheapest(
       int taskCount, Supplier<Candidate> cheapest, Map<String, Integer> zones, int maxInZone) {
@@ -339,9 +361,9 @@
   }
 
   /**
-   * What speaks against a machine, in seconds: mostly the time until the image is there. A job that
-   * may use spot machines leaves the others to those that may not, and fuller machines come first
-   * so that some become empty and can be returned.
+   * The cost of a task on the machine, in seconds: mostly the time until the image is there. A job
+   * that may use spot machines leaves the others to jobs that may not, and fuller machines come
+   * first so that some become empty and can be returned.
    */
   private static double cost(Job job, Machine machine, boolean avoidsSpot) {
     double cost = fetchSeconds(job, machine);
@@ -351,13 +373,13 @@
       cost +=
           machine.rentedForDeadlines && fillsMachine(job.spec, machine.type)
               ? -DEADLINE_MACHINE_BONUS_SECONDS
-              : 3;
+              : ON_DEMAND_COST_SECONDS;
     }
     cost += 1 - machine.used.shareOf(machine.type.capacity());
     return cost;
   }
 
-  /** How long the image takes to get there, given what else is being fetched. */
+  /** The seconds until the job's image is cached there, given what else is being fetched. */
   static double fetchSeconds(Job job, Machine machine) {
     String image = job.spec.image();
     if (machine.images.containsKey(image)) {
@@ -369,11 +391,11 @@
         continue;
       }
       if (attempt.job.spec.image().equals(image)) {
-        return 0.5 * job.spec.imageGb() / machine.type.fetchGbPerSecond();
+        return REMAINING_FETCH_PART * job.spec.imageGb() / machine.type.fetchGbPerSecond();
       }
       gb += attempt.job.spec.imageGb();
     }
-    return gb / Math.max(1e-3, machine.type.fetchGbPerSecond());
+    return gb / Math.max(MIN_FETCH_GB_PER_SECOND, machine.type.fetchGbPerSecond());
   }
 
   private static boolean isFetching(Attempt attempt) {
--- a/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -14,23 +14,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room where there is none, or where it would come too late: work of less weight makes way.
+ * Decides when work is preempted: for a job that finds no capacity, or none where its image is in
+ * time. Also moves tasks that still fetch their image to machines that have it.
  */
 final class PreemptionPolicy {
   private static final Logger log = LoggerFactory.getLogger(PreemptionPolicy.class);
 
-  /** A fetch that takes longer yet is worth a new start where the image is. */
+  /** A fetch with more time remaining is worth a new start where the image is cached. */
   private static final Duration MIN_REMAINING_FETCH_TO_MOVE = Duration.ofSeconds(6);
 
   /**
-   * Tasks that fetch one image of which the last ones are looked at for one machine at the most.
+   * Fetching tasks of one image, the latest first, that are considered for one machine at the most.
    */
   private static final int MAX_FETCHES_EXAMINED_PER_IMAGE = 64;
 
-  /** Room that others made way for is kept so long. */
+  /** For how long capacity that was preempted or freed for a job is reserved for it. */
   static final Duration RESERVATION_DURATION = Duration.ofSeconds(20);
 
-  /** The part of the time that looks at the whole fleet for work to displace may take. */
+  /** Scans of the whole fleet for victims may take one part in so many of the time. */
   private static final int SCAN_TIME_DIVISOR = 5;
 
   private final ClusterState cluster;
@@ -38,13 +39,13 @@
   private final VictimSelector victimSelector;
   private final Consumer<Attempt> preempt;
 
-  /** When the fleet may next be looked over for work to displace. */
+  /** When the fleet may next be scanned for victims. */
   private Instant nextScanAt = Instant.MIN;
 
   /**
-   * A maker of room.
+   * A policy without any preemption yet.
    *
-   * @param displace stops an attempt to free its room
+   * @param preempt stops an attempt to free its capacity
    */
   PreemptionPolicy(ClusterState cluster, EventLoop eventLoop, Consumer<Attempt> preempt) {
     this.cluster = cluster;
@@ -54,9 +55,12 @@
   }
 
   /**
-   * Stops work for as many of the job's tasks as still lack a place, in one look at the fleet,
-   * which no index answers. Looks take a bounded part of the time, and the first by priority get
-   * them.
+   * Preempts work for as many of the job's tasks as still lack capacity, in one scan of the fleet,
+   * which no index can replace. Scans take a bounded part of the time, and the first jobs by
+   * priority get them.
+   *
+   * @param maxFetchSeconds only machines on which the job's image is cached by then
+   * @return whether any capacity is being freed
    */
   boolean preemptFor(Job job, double maxFetchSeconds, Instant now) {
     int tasksWithoutCapacity =
@@ -83,7 +87,7 @@
             Duration.between(scanStartedAt, scanEndedAt).multipliedBy(SCAN_TIME_DIVISOR - 1));
     for (VictimSelector.PreemptionPlan plan : plans) {
       Machine machine = plan.machine();
-      log.debug("{} displaces {} on {}", job, plan.victims(), machine);
+      log.debug("Preempting: job={} victims={} machine={}", job, plan.victims(), machine);
       cluster.reserve(machine, job, now.plus(RESERVATION_DURATION));
       plan.victims().forEach(preempt);
     }
@@ -91,10 +95,10 @@
   }
 
   /**
-   * Whether the job cannot wait until other room is had. The tasks of an array can: room comes free
-   * all the time, and another machine boots. So those that have longer than that until they should
-   * start stop only work of which nothing is expected. Found on galleharbour, where two of five
-   * tasks of low rank were stopped, many of them several times, for jobs that had minutes left.
+   * Whether the job cannot wait for other capacity. The tasks of an array can: capacity is freed
+   * all the time, and another machine boots. So an array with more start slack than that preempts
+   * only jobs without an objective. Found on galleharbour, where two of five tasks of low priority
+   * were preempted, many of them several times, for jobs that had minutes left.
    */
   private boolean isUrgent(Job job) {
     if (job.spec.kind() != JobKind.ARRAY || cluster.isGuaranteed(job)) {
@@ -105,8 +109,9 @@
   }
 
   /**
-   * There is room, but fetching the image there would make the task late, while work of lower
-   * priority sits where the image is: then that work makes way, and the entry waits for it.
+   * Whether the job waits for a machine that has its image, although another has capacity: fetching
+   * the image there would make the task late, and work of lower priority is preempted where the
+   * image is.
    */
   boolean waitsForCachedImage(
       Job job, Machine machineWithoutImage, Duration allowance, Instant now) {
@@ -124,11 +129,11 @@
   }
 
   /**
-   * Nothing waits, and there is room where an image is that some task is still fetching elsewhere
-   * for a good while: that task moves there. It has done no work yet, so nothing is lost.
+   * Moves tasks whose fetch takes long yet to machines with freed capacity that have their image,
+   * when no job wants that capacity. Such a task has done no work yet, so none is lost.
    *
-   * @param roomy machines on which room came free
-   * @param stop ends an attempt at once
+   * @param freedMachines machines with freed capacity
+   * @param stop stops an attempt at once
    */
   void moveSlowFetches(Iterable<Machine> freedMachines, Instant now, Consumer<Attempt> stop) {
     for (Machine machine : freedMachines) {
@@ -141,7 +146,7 @@
         if (best == null) {
           break;
         }
-        log.debug("{} moves to {}, which has its image", best, machine);
+        log.debug("Moving a slow fetch: attempt={} machine={}", best, machine);
         freeCapacity = freeCapacity.minus(best.job.spec.resourcesPerTask());
         cluster.reserve(machine, best.job, now.plus(RESERVATION_DURATION));
         stop.accept(best);
@@ -149,7 +154,7 @@
     }
   }
 
-  /** The fetching attempt that would gain most by starting on this machine instead, or null. */
+  /** The fetching attempt that would gain most by a start on this machine instead, or null. */
   private Attempt slowestMovableFetch(Machine machine, Resources freeCapacity, Instant now) {
     Attempt best = null;
     Instant latestImage = now.plus(MIN_REMAINING_FETCH_TO_MOVE);
@@ -158,7 +163,7 @@
       for (Attempt attempt : cluster.fetching(image)) {
         if (!attempt.imageReadyAt.isAfter(latestImage)
             || ++examined > MAX_FETCHES_EXAMINED_PER_IMAGE) {
-          // Whatever follows is ready sooner yet.
+          // All that follow have their image sooner.
           break;
         }
         Job job = attempt.job;
--- a/src/main/java/io/pineladder/scheduling/QueueingHints.java
+++ b/src/main/java/io/pineladder/scheduling/QueueingHints.java
@@ -10,11 +10,11 @@
 import io.pineladder.queue.SchedulingCheck;
 import java.util.List;
 
-/** Which events may help which rejections. */
+/** Which cluster events may let an entry pass the check that rejected it. */
 final class QueueingHints {
   private QueueingHints() {}
 
-  /** The hints of all checks. */
+  /** The hints of all checks that an event can help. */
   static QueueingHintTable createTable(ClusterState cluster, EventLoop eventLoop) {
     QueueingHintTable.HintFunction onCapacity =
         (entry, event) -> {
--- a/src/main/java/io/pineladder/scheduling/ServiceObjectives.java
+++ b/src/main/java/io/pineladder/scheduling/ServiceObjectives.java
@@ -8,11 +8,16 @@
 import java.time.Instant;
 import java.util.List;
 
-/** What the settings expect of a job's class, and what that means for one job now. */
+/**
+ * The service-level objectives that the settings give for job classes, and what they mean for one
+ * job now. Times of day are those of the controller; allowances count from the job's acceptance.
+ */
 final class ServiceObjectives {
-  /** How long a job may wait that nothing is expected of, or whose objectives are all missed. */
+  /** The start allowance of a job without an objective, or whose objectives are all missed. */
   static final Duration DEFAULT_START_ALLOWANCE = Duration.ofMinutes(10);
 
+  private static final String WAIT_KIND = "wait";
+
   private final Settings settings;
 
   ServiceObjectives(Settings settings) {
@@ -20,8 +25,8 @@
   }
 
   /**
-   * How long after its submission a job should have started for the tightest objective that it can
-   * still keep. An objective already missed no longer presses, or the late would make others late.
+   * How long after its acceptance the job should have started for the tightest objective that it
+   * can still meet. A missed objective no longer counts, or late jobs would make others late.
    */
   Duration startAllowance(Job job, Instant wallClock) {
     Duration age = Duration.between(job.acceptedAt, wallClock);
@@ -32,7 +37,7 @@
         continue;
       }
       Duration latestStart =
-          objective.kind().equals("wait")
+          objective.kind().equals(WAIT_KIND)
               ? timeLimit
               : timeLimit.minus(job.spec.estimatedRunTime());
       if (latestStart.compareTo(allowance) < 0 && latestStart.compareTo(age) > 0) {
@@ -51,19 +56,20 @@
     return allowance;
   }
 
-  /** How long the job waited for others before it could start. */
+  /** How long the job waited for its prerequisites. */
   static Duration dependencyWait(Job job) {
     return Duration.between(job.acceptedAt, job.readyAt);
   }
 
+  /** Whether no objective holds for the job, neither its own nor a dependent's. */
   boolean hasNoObjective(Job job) {
     return job.chainDeadlines == null
         && settings.objectives().stream().noneMatch(o -> timeLimit(job, o) != null);
   }
 
   /**
-   * When a job should be over by its deadline, and when at the latest by what the operators expect
-   * of its class; null without a deadline.
+   * When the job should be over by its deadline, and when at the latest by the objectives of its
+   * class; null without a deadline.
    */
   ChainDeadlines ownDeadlines(Job job) {
     JobSpec spec = job.spec;
@@ -92,13 +98,13 @@
   }
 
   /**
-   * Whether the job can keep an objective on its end if its tasks run through from now on, and not
-   * if one of them is lost on the way and has to start anew.
+   * Whether the job can meet an objective on its end if its tasks run through from now on, and not
+   * if one of them is lost and has to be restarted.
    */
   boolean wouldMissObjectiveAfterRestart(Job job, Instant wallClock) {
     Duration age = Duration.between(job.acceptedAt, wallClock);
     Duration endWithoutRestart = age.plus(job.spec.estimatedRunTime());
-    // Until a loss is noticed and its task is placed again.
+    // Until a loss is detected and its task is placed again.
     Duration restartDelay =
         settings
             .cloudLimits()
@@ -108,7 +114,7 @@
     Duration endAfterRestart =
         endWithoutRestart.plus(restartDelay).plus(job.spec.estimatedRunTime());
     for (Settings.Objective objective : settings.objectives()) {
-      Duration timeLimit = objective.kind().equals("wait") ? null : timeLimit(job, objective);
+      Duration timeLimit = objective.kind().equals(WAIT_KIND) ? null : timeLimit(job, objective);
       if (timeLimit != null
           && endWithoutRestart.compareTo(timeLimit) < 0
           && endAfterRestart.compareTo(timeLimit) > 0) {
@@ -123,8 +129,8 @@
   }
 
   /**
-   * The time from the submission that the objective speaks of, or null if it is not for the job. A
-   * deadline counts from the submission, all else from when the job could start.
+   * The objective's bound for the job, counted from its acceptance; null if the objective does not
+   * apply. A deadline counts from the acceptance, all else from when the job could start.
    */
   private static Duration timeLimit(Job job, Settings.Objective objective) {
     JobSpec spec = job.spec;
--- a/src/main/java/io/pineladder/scheduling/SpotReclaimRisk.java
+++ b/src/main/java/io/pineladder/scheduling/SpotReclaimRisk.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** How often spot machines are taken back, as seen of late. */
+/** Estimates how often spot machines are reclaimed, from recent observations. */
 public final class SpotReclaimRisk {
-  /** What is seen counts for about so long. */
+  /** The time in which the weight of an observation decays to 1/e. */
   private static final Duration DECAY_TIME = Duration.ofMinutes(5);
 
-  /** Before anything was seen: one taken in so many hours of one machine. */
+  /** Before any observation: one reclaim in so many hours of one machine. */
   private static final double PRIOR_MACHINE_HOURS = 4;
 
   private double machineHours;
   private double reclaims;
   private Instant observedAt;
 
-  /** So many spot machines are up now. */
+  /** Adds the time since the last call, during which that many spot machines were up. */
   public void observe(int machines, Instant now) {
     if (observedAt != null) {
       double seconds = Duration.between(observedAt, now).toMillis() / 1000.0;
@@ -26,12 +26,12 @@
     observedAt = now;
   }
 
-  /** A spot machine was taken back. */
+  /** A spot machine was reclaimed. */
   public void recordReclaim() {
     reclaims++;
   }
 
-  /** The likelihood that one of so many machines is taken within that time. */
+  /** The probability that one of that many machines is reclaimed within that time. */
   double reclaimProbability(double machines, Duration runTime) {
     double perHour = (reclaims + 1) / (machineHours + PRIOR_MACHINE_HOURS);
     return 1 - Math.exp(-perHour * machines * runTime.toMillis() / 3.6e6);
--- a/src/main/java/io/pineladder/scheduling/VictimSelector.java
+++ b/src/main/java/io/pineladder/scheduling/VictimSelector.java
@@ -17,9 +17,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Finds the work whose stopping costs least and lets a job of higher priority in. */
+/**
+ * Selects the attempts whose preemption costs least and frees the capacity that a job of higher
+ * priority or within its guarantee needs. Costs are in seconds of lost work and delay.
+ */
 final class VictimSelector {
-  /** What speaks against stopping a task that its job cannot start again in time, in seconds. */
+  /** The cost of preempting a task whose job would miss an objective by the restart. */
   private static final double MISSED_OBJECTIVE_COST_SECONDS = 60;
 
   private final ClusterState cluster;
@@ -30,10 +33,10 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Attempts to stop on one machine, and what that costs, in seconds. */
+  /** Attempts to preempt on one machine, and what that costs, the image's fetch included. */
   record PreemptionPlan(Machine machine, List<Attempt> victims, double costSeconds) {}
 
-  /** On how many machines work stopped for this job is still leaving. */
+  /** On how many machines reserved for this job preempted work has not ended yet. */
   int countMachinesBeingFreed(Job job, Instant now) {
     int count = 0;
     for (Machine machine : cluster.reservedFor(job)) {
@@ -47,11 +50,12 @@
   }
 
   /**
-   * Room for up to so many tasks of the job, each on a machine of its own where its image takes at
-   * most so long to arrive; the cheapest first. One look at the fleet serves them all: a look for
-   * each stopped a leader for seconds when a large job was turned away.
+   * Selects victims for up to that many tasks of the job, each task on a machine of its own; the
+   * cheapest plans first. One scan of the fleet serves them all: a scan for each task blocked a
+   * leader for seconds when a large job was rejected.
    *
-   * @param presses whether work of which something is expected may be stopped for it
+   * @param maxFetchSeconds only machines on which the job's image is cached by then
+   * @param urgent whether work that has an objective may be preempted for it
    */
   List<PreemptionPlan> selectForTasks(
       Job job, int taskCount, double maxFetchSeconds, boolean urgent, Instant now) {
@@ -76,10 +80,10 @@
   }
 
   /**
-   * Room for all tasks of a gang, on machines that have it or where work makes way, in one zone if
-   * they must be together; empty when there is not enough. Room for a part of it would stop work
-   * for a gang that may not be able to start. Found on laval-ops: a guest's work of low rank filled
-   * every machine, and gangs of two waited until two happened to be empty at once.
+   * Selects machines for all tasks of a gang, with free capacity or with victims, in one zone if
+   * the gang must be; empty when there are not enough. Capacity for a part of it would preempt work
+   * for a gang that may not be able to start. Found on laval-ops: a guest's work of low priority
+   * filled every machine, and gangs of two waited until two machines happened to be empty at once.
    */
   List<PreemptionPlan> selectForGang(Job job, Instant now) {
     JobSpec spec = job.spec;
@@ -125,14 +129,14 @@
     return plans.stream().mapToDouble(PreemptionPlan::costSeconds).sum();
   }
 
-  /** One look at the fleet for one job, with what it has found out about other jobs. */
+  /** One scan of the fleet for one job, with the penalties of the jobs met so far. */
   private final class FleetScan {
     private final Job job;
     private final Instant now;
     private final boolean guaranteed;
     private final boolean urgent;
 
-    /** What speaks against stopping any task of a job, in seconds; infinite if that may not be. */
+    /** The cost, beside lost work, of preempting any task of a job; infinite if not allowed. */
     private final Map<Job, Double> penaltySecondsByJob = new IdentityHashMap<>();
 
     FleetScan(Job job, boolean urgent, Instant now) {
@@ -171,7 +175,7 @@
         }
         Resources held = attempt.job.spec.resourcesPerTask();
         if (!attempt.isWanted()) {
-          // It is leaving anyway.
+          // It is being stopped already.
           available = available.plus(held);
           reclaimable = reclaimable.plus(held);
           continue;
@@ -191,7 +195,7 @@
       double costSeconds = fetchSeconds;
       for (Victim candidate : candidates) {
         Resources held = candidate.attempt.job.spec.resourcesPerTask();
-        // Stopping what holds nothing of what is lacking would help nobody.
+        // Preempting what holds nothing of the lacking resources would not help.
         if (!perTask.fitsIn(available) && held.relievesShortage(perTask, available)) {
           victims.add(candidate.attempt);
           costSeconds += candidate.costSeconds;
@@ -202,10 +206,13 @@
     }
   }
 
-  /** Work that may be stopped, and what that would cost, in seconds. */
+  /** An attempt that may be preempted, and what that would cost. */
   private record Victim(Attempt attempt, double costSeconds) {}
 
-  /** A higher rank, or a guarantee against what another team has beyond its own. */
+  /**
+   * Whether the victim has a lower priority class, or exceeds its own team's guarantee while the
+   * job is within that of another team.
+   */
   private boolean mayPreempt(Job job, Job victim, boolean guaranteed) {
     boolean victimGuaranteed = cluster.isGuaranteed(victim);
     if (job.priorityClass().isAbove(victim.priorityClass())) {
@@ -214,7 +221,7 @@
     return guaranteed && !victimGuaranteed && !victim.spec.team().equals(job.spec.team());
   }
 
-  /** Seconds of work that stopping it throws away. */
+  /** Seconds of work that are lost by preempting the attempt. */
   private static double lostWorkSeconds(Attempt attempt, Instant now) {
     Instant workStartedAt = attempt.runningSince == null ? attempt.createdAt : attempt.runningSince;
     Duration ran = Duration.between(workStartedAt, now);
