--- a/src/main/java/io/pineladder/queue/QueueEntry.java
+++ b/src/main/java/io/pineladder/queue/QueueEntry.java
@@ -5,62 +5,77 @@
 import java.time.Instant;
 
 /**
- * A job's pending tasks in the queue: one entry whatever their number, a gang placed as a whole.
+ * A job's pending tasks in the scheduling queue: one entry whatever their number. Its place and
+ * sort keys are changed by {@link SchedulingQueue} only.
  */
 public final class QueueEntry {
-  /** Where an entry is. */
+  /** Where in the queue an entry is. Shown to operators by these names. */
   public enum Place {
+    /** Not in the queue. */
     OUTSIDE,
+    /** In the active heap, to be scheduled by priority. */
     ACTIVE,
-    /** Being tried. */
+    /** In its scheduling cycle. */
     IN_FLIGHT,
+    /** In back-off after a rejection by a check; an event may cut it short. */
     BACKOFF_REJECTED,
+    /** In back-off after tasks failed or were refused; no event cuts it short. */
     BACKOFF_ERROR,
+    /** Rejected by a check, until an event or a periodic retry activates it. */
     UNSCHEDULABLE
   }
 
+  /** The job whose pending tasks these are. */
   public final Job job;
+
   Place place = Place.OUTSIDE;
   SchedulingCheck rejectedBy;
+
+  /** Scheduling cycles, or failures, since the back-off was last reset. */
   int attempts;
+
   Instant lastCycleAt = Instant.MIN;
 
-  /** Which try of the whole queue was this entry's last. */
+  /** The number of this entry's last scheduling cycle among those of the whole queue. */
   long lastCycle;
 
+  /** When its back-off ends. */
   Instant backoffExpiry = Instant.MIN;
 
-  /** Sort keys, fixed while the entry is in the heap. */
+  /** Sort key, like those below: fixed while the entry is in the active heap. */
   boolean guaranteed;
 
   PriorityClass priorityClass;
   Instant dueAt = Instant.MAX;
   long arrivalNumber;
 
+  /** An entry outside the queue. */
   public QueueEntry(Job job) {
     this.job = job;
     this.priorityClass = job.priorityClass();
   }
 
+  /** Where in the queue the entry is. */
   public Place place() {
     return place;
   }
 
-  /** The check that parked it, or null. */
+  /** The check that rejected it last; null before the first rejection. */
   public SchedulingCheck rejectedBy() {
     return rejectedBy;
   }
 
-  /** When it was tried last. */
+  /** When its last scheduling cycle or failure was. */
   public Instant lastCycleAt() {
     return lastCycleAt;
   }
 
+  /** Scheduling cycles, or failures, since the back-off was last reset. */
   public int attempts() {
     return attempts;
   }
 
-  /** Part of it was placed: what is left starts its back-off anew. */
+  /** A task was placed: the back-off of the others starts anew. */
   public void resetBackoff() {
     attempts = 0;
   }
--- a/src/main/java/io/pineladder/queue/QueueingHint.java
+++ b/src/main/java/io/pineladder/queue/QueueingHint.java
@@ -1,11 +1,11 @@
 package io.pineladder.queue;
 
-/** What an event means for a parked entry. */
+/** What a cluster event means for an entry that a check has rejected. */
 public enum QueueingHint {
-  /** Nothing: it stays parked. */
+  /** It stays unschedulable. */
   SKIP,
-  /** It may be placed now: it is tried when its back-off is over. */
+  /** It may be placed now: it becomes active when its back-off has expired. */
   QUEUE,
-  /** It can be placed now: it is tried without waiting for its back-off. */
+  /** It can be placed now: it becomes active without waiting for its back-off. */
   QUEUE_IMMEDIATELY
 }
--- a/src/main/java/io/pineladder/queue/QueueingHintTable.java
+++ b/src/main/java/io/pineladder/queue/QueueingHintTable.java
@@ -3,29 +3,32 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** For each check and kind of event the function that answers with a hint; none means skip. */
+/** The hint function for each check and kind of event; none means {@link QueueingHint#SKIP}. */
 public final class QueueingHintTable {
-  /** Answers for one entry that the check rejected. */
+  /** Gives the hint for one entry that the check has rejected. */
   @FunctionalInterface
   public interface HintFunction {
+    /** What the event means for the entry. */
     QueueingHint hint(QueueEntry entry, ClusterEvent event);
   }
 
   private final Map<ClusterEvent.Kind, EnumMap<SchedulingCheck, HintFunction>> functions =
       new EnumMap<>(ClusterEvent.Kind.class);
 
+  /** Sets the function for a check and a kind of event, and returns this table. */
   public QueueingHintTable register(
       SchedulingCheck check, ClusterEvent.Kind kind, HintFunction function) {
     functions.computeIfAbsent(kind, k -> new EnumMap<>(SchedulingCheck.class)).put(check, function);
     return this;
   }
 
-  /** The checks that care about a kind of event. */
+  /** The functions for a kind of event, by check. */
   Map<SchedulingCheck, HintFunction> functionsFor(ClusterEvent.Kind kind) {
     Map<SchedulingCheck, HintFunction> byCheck = functions.get(kind);
     return byCheck == null ? Map.of() : byCheck;
   }
 
+  /** What the event means for an entry that the check has rejected. */
   QueueingHint hint(SchedulingCheck check, QueueEntry entry, ClusterEvent event) {
     HintFunction function = functionsFor(event.kind()).get(check);
     return function == null ? QueueingHint.SKIP : function.hint(entry, event);
--- a/src/main/java/io/pineladder/queue/SchedulingCheck.java
+++ b/src/main/java/io/pineladder/queue/SchedulingCheck.java
@@ -1,23 +1,23 @@
 package io.pineladder.queue;
 
-/** The checks that can reject a pending entry; a parked entry is kept under the one that did. */
+/** The checks that can reject a pending entry. Shown to operators by these names. */
 public enum SchedulingCheck {
-  /** The team's limit leaves no room. */
+  /** The team's limit allows no more tasks. */
   TEAM_LIMIT,
-  /** No machine known has an allowed type, zone and kind. */
+  /** No machine has a type and zone that the job allows, or all of those are spot machines. */
   PLACE,
-  /** No allowed machine has enough room. */
+  /** No machine that the job may use has enough free capacity. */
   FIT,
-  /** There is room only where it would put too many tasks into one zone. */
+  /** There is capacity only where too many tasks would be in one zone. */
   SPREAD,
-  /** There is room, but not in the one zone that all tasks must share. */
+  /** There is capacity, but not in the one zone that all tasks must share. */
   TOGETHER,
-  /** Tasks of an older attempt may still be on a machine. */
+  /** Tasks of the gang's earlier attempt may still be on a machine. */
   PREDECESSOR,
-  /** The job fails wherever it is tried, and as much of it as may be tried at a time is out. */
+  /** The job fails wherever it runs, and as many of its tasks as are probed at a time are out. */
   FAILING,
-  /** As many tasks of large jobs have been started of late as may be. */
+  /** The rate at which tasks of large arrays are started is used up. */
   PACE,
-  /** A job that it needs is not done; the end of the last one wakes it, and nothing else. */
+  /** A prerequisite is not done; the end of the last one activates the entry, and nothing else. */
   DEPENDENCY
 }
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -15,8 +15,9 @@
 import java.util.Set;
 
 /**
- * The pending entries in their three places: the active heap, two back-off heaps (rejections and
- * errors) ordered by expiry, and the unschedulable set, kept by rejecting check.
+ * The pending entries in their three places: the active heap by priority, two back-off heaps
+ * (rejections and errors) by expiry, and the unschedulable set by rejecting check. Used on one
+ * thread only.
  */
 public final class SchedulingQueue {
   private static final Comparator<QueueEntry> BY_PRIORITY =
@@ -28,10 +29,12 @@
       Comparator.<QueueEntry, Instant>comparing(e -> e.backoffExpiry)
           .thenComparing(e -> e.arrivalNumber);
 
-  /** The sort keys of an entry, asked for whenever it enters the active heap. */
+  /** The sort keys of an entry, computed whenever it enters the active heap. */
   public interface Ordering {
+    /** Whether the job is within its team's guarantee; such entries come first. */
     boolean isGuaranteed(QueueEntry entry);
 
+    /** When the job is due to start, by the time of day; orders entries of one priority class. */
     Instant dueAt(QueueEntry entry);
   }
 
@@ -41,7 +44,7 @@
   private final EnumMap<SchedulingCheck, Set<QueueEntry>> unschedulable =
       new EnumMap<>(SchedulingCheck.class);
 
-  /** Entries being tried, each with the events seen meanwhile. */
+  /** Entries in their scheduling cycle, each with the events that came meanwhile. */
   private final Map<QueueEntry, List<ClusterEvent>> inFlight = new LinkedHashMap<>();
 
   private final QueueingHintTable hints;
@@ -50,6 +53,7 @@
   private long arrivals;
   private long cycles;
 
+  /** An empty queue. */
   public SchedulingQueue(QueueingHintTable hints, Ordering ordering, OperatorSettings settings) {
     this.hints = hints;
     this.ordering = ordering;
@@ -59,11 +63,12 @@
     }
   }
 
+  /** Sets the back-off times; they apply to back-offs that begin from now on. */
   public void updateSettings(OperatorSettings next) {
     settings = next;
   }
 
-  /** The one place where an entry changes its place. */
+  /** The only place where an entry changes its place. */
   private void transitionTo(QueueEntry entry, QueueEntry.Place next) {
     switch (entry.place) {
       case ACTIVE -> active.remove(entry);
@@ -72,6 +77,7 @@
       case UNSCHEDULABLE -> unschedulable.get(entry.rejectedBy).remove(entry);
       case IN_FLIGHT -> inFlight.remove(entry);
       case OUTSIDE -> {}
+      default -> throw new IllegalStateException("Unknown place: " + entry);
     }
     entry.place = next;
     switch (next) {
@@ -86,10 +92,11 @@
       case UNSCHEDULABLE -> unschedulable.get(entry.rejectedBy).add(entry);
       case IN_FLIGHT -> inFlight.put(entry, new ArrayList<>());
       case OUTSIDE -> {}
+      default -> throw new IllegalStateException("Unknown place: " + entry);
     }
   }
 
-  /** Puts a new entry, or one whose job has got new pending tasks, into the active heap. */
+  /** Makes a new entry, or one whose job has new pending tasks, active. */
   public void add(QueueEntry entry) {
     if (entry.place == QueueEntry.Place.ACTIVE || entry.place == QueueEntry.Place.IN_FLIGHT) {
       return;
@@ -100,11 +107,14 @@
     transitionTo(entry, QueueEntry.Place.ACTIVE);
   }
 
+  /** Removes an entry from wherever it is. */
   public void remove(QueueEntry entry) {
     transitionTo(entry, QueueEntry.Place.OUTSIDE);
   }
 
-  /** Takes the entry with the highest priority to be tried; null when none is active. */
+  /**
+   * Begins the scheduling cycle of the active entry of highest priority; null if none is active.
+   */
   public QueueEntry pop(Instant now) {
     QueueEntry entry = active.peek();
     if (entry == null) {
@@ -117,17 +127,17 @@
     return entry;
   }
 
-  /** How many tries there have been; what an entry was tried after, it has seen. */
+  /** How many scheduling cycles there have been, which is the number of the last one. */
   public long cycles() {
     return cycles;
   }
 
-  /** Puts an entry back after a try that left more to do, without any delay. */
+  /** Makes an entry active again after a cycle that left tasks pending. */
   public void putBack(QueueEntry entry) {
     transitionTo(entry, QueueEntry.Place.ACTIVE);
   }
 
-  /** Has a tried entry wait for the initial back-off, which no event cuts short. */
+  /** Ends an entry's cycle with the initial back-off, which no event cuts short. */
   public void backOff(QueueEntry entry, SchedulingCheck check, Instant now) {
     entry.lastCycleAt = now;
     entry.attempts = 1;
@@ -136,7 +146,7 @@
     transitionTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
   }
 
-  /** Parks a tried entry under the check that rejected it, unless an event came in meanwhile. */
+  /** Ends an entry's cycle by a rejection; an event that came meanwhile may activate it at once. */
   public void markUnschedulable(QueueEntry entry, SchedulingCheck check, Instant now) {
     List<ClusterEvent> seen = inFlight.getOrDefault(entry, List.of());
     QueueingHint best = QueueingHint.SKIP;
@@ -153,9 +163,9 @@
   }
 
   /**
-   * Puts an entry that failed by an error, not by a check, into its back-off.
+   * Puts an entry whose tasks failed or were refused, not rejected by a check, into back-off.
    *
-   * @param times how often it has failed, whatever of it was placed in between
+   * @param failures how often that has happened, whatever was placed in between
    */
   public void backOffAfterError(QueueEntry entry, int failures, Instant now) {
     entry.lastCycleAt = now;
@@ -176,7 +186,7 @@
     }
   }
 
-  /** The end of the back-off: initial times two to the attempts less one, capped, in windows. */
+  /** The end of the back-off: initial * 2^(attempts - 1), capped, rounded up to a whole window. */
   private Instant backoffExpiry(QueueEntry entry) {
     Duration delay = settings.initialBackoff();
     for (int i = 1; i < entry.attempts && delay.compareTo(settings.maxBackoff()) < 0; i++) {
@@ -196,10 +206,11 @@
   }
 
   /**
-   * Wakes what the event may help, and of those that want the same room only so many as it holds,
-   * the first by priority: a place freed on a full fleet must not cost a try of every parked entry.
+   * Activates the entries that the event may help. Of those that compete for a machine's capacity
+   * only as many are activated as it holds, the first by priority: capacity freed on a full fleet
+   * must not cost a scheduling cycle of every unschedulable entry.
    *
-   * @return whether anything was woken
+   * @return whether the event helped any entry
    */
   public boolean onEvent(ClusterEvent event, Instant now) {
     Map<SchedulingCheck, QueueingHintTable.HintFunction> hintFunctions =
@@ -208,6 +219,17 @@
       return false;
     }
     inFlight.values().forEach(events -> events.add(event));
+    List<QueueEntry> helped = findHelped(event, hintFunctions);
+    if (event.freeCapacity() != null) {
+      return applyWithinCapacity(event, helped, now);
+    }
+    helped.forEach(entry -> applyEvent(entry, event, now));
+    return !helped.isEmpty();
+  }
+
+  /** The entries that the event may activate, and that have had no scheduling cycle since. */
+  private List<QueueEntry> findHelped(
+      ClusterEvent event, Map<SchedulingCheck, QueueingHintTable.HintFunction> hintFunctions) {
     List<QueueEntry> helped = new ArrayList<>();
     hintFunctions.forEach(
         (check, function) -> {
@@ -218,7 +240,7 @@
             }
           }
         });
-    // An entry in back-off for a rejection was parked too: a sure event need not wait either.
+    // An entry in back-off was rejected too, and is activated by an event that is sure to help.
     for (QueueEntry entry : rejectedInBackoff) {
       QueueingHintTable.HintFunction function = hintFunctions.get(entry.rejectedBy);
       if (function != null
@@ -227,30 +249,31 @@
         helped.add(entry);
       }
     }
-    if (event.freeCapacity() == null) {
-      helped.forEach(entry -> applyEvent(entry, event, now));
-      return !helped.isEmpty();
-    }
+    return helped;
+  }
+
+  /** Applies the event to as many of the entries, by priority, as the machine's capacity holds. */
+  private boolean applyWithinCapacity(ClusterEvent event, List<QueueEntry> helped, Instant now) {
     helped.sort(BY_PRIORITY);
     Resources remaining = event.freeCapacity();
-    boolean activated = false;
+    boolean applied = false;
     for (QueueEntry entry : helped) {
       Resources perTask = entry.job.spec.resourcesPerTask();
       long count = Math.min(entry.job.pending.cardinality(), perTask.timesFittingIn(remaining));
       if (count > 0) {
         remaining = remaining.minus(perTask.times(count));
         applyEvent(entry, event, now);
-        activated = true;
+        applied = true;
       }
     }
-    return activated;
+    return applied;
   }
 
   private void applyEvent(QueueEntry entry, ClusterEvent event, Instant now) {
     applyHint(entry, hints.hint(entry.rejectedBy, entry, event), now);
   }
 
-  /** Moves what has served its back-off to the active heap. */
+  /** Activates the entries whose back-off has expired. */
   public void activateExpired(Instant now) {
     for (PriorityQueue<QueueEntry> heap : List.of(rejectedInBackoff, failedInBackoff)) {
       while (!heap.isEmpty() && !heap.peek().backoffExpiry.isAfter(now)) {
@@ -260,19 +283,20 @@
   }
 
   /**
-   * Moves entries to the active heap that no event has woken since {@code before}, those parked
-   * first: events tell of room that comes, and not that what kept an entry from room has passed, as
-   * a reservation that ends.
+   * Activates entries that no event has activated for long, the longest unschedulable first: events
+   * announce freed capacity, but not that what denied an entry capacity has passed, such as a
+   * reservation that expired.
    *
-   * @param most so many of each check at the most, so that a full fleet's backlog costs a bounded
-   *     number of tries
+   * @param lastCycleBefore entries with a later scheduling cycle are left
+   * @param maxPerCheck the most entries of each check, so that a full fleet's backlog costs a
+   *     bounded number of cycles
    */
   public void retryUnschedulable(Instant lastCycleBefore, int maxPerCheck) {
     unschedulable.forEach(
-        (check, parked) -> {
-          // That the last prerequisite is done is told for certain.
+        (check, entries) -> {
+          // The end of the last prerequisite always activates these.
           if (check != SchedulingCheck.DEPENDENCY) {
-            parked.stream()
+            entries.stream()
                 .limit(maxPerCheck)
                 .filter(entry -> entry.lastCycleAt.isBefore(lastCycleBefore))
                 .toList()
@@ -281,7 +305,7 @@
         });
   }
 
-  /** An entry's place among the others has changed. */
+  /** The sort keys of an entry have changed. */
   public void reorder(QueueEntry entry) {
     if (entry.place == QueueEntry.Place.ACTIVE) {
       transitionTo(entry, QueueEntry.Place.ACTIVE);
@@ -290,14 +314,14 @@
     }
   }
 
-  /** Moves a parked entry to the active heap. */
+  /** Activates the entry if it is unschedulable. */
   public void activateUnschedulable(QueueEntry entry) {
     if (entry.place == QueueEntry.Place.UNSCHEDULABLE) {
       transitionTo(entry, QueueEntry.Place.ACTIVE);
     }
   }
 
-  /** When the next back-off ends, or null. */
+  /** When the next back-off expires; null when no entry is in back-off. */
   public Instant nextBackoffExpiry() {
     Instant first = rejectedInBackoff.isEmpty() ? null : rejectedInBackoff.peek().backoffExpiry;
     Instant second = failedInBackoff.isEmpty() ? null : failedInBackoff.peek().backoffExpiry;
@@ -307,6 +331,7 @@
     return first;
   }
 
+  /** Whether any entry is active. */
   public boolean hasActive() {
     return !active.isEmpty();
   }
@@ -323,7 +348,7 @@
     return sizes;
   }
 
-  /** How many entries each check has parked, for operators. */
+  /** How many entries are unschedulable by each check, for operators. */
   public Map<SchedulingCheck, Integer> unschedulableByCheck() {
     EnumMap<SchedulingCheck, Integer> counts = new EnumMap<>(SchedulingCheck.class);
     unschedulable.forEach((check, entries) -> counts.put(check, entries.size()));
