--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -5,19 +5,26 @@
 import java.util.EnumSet;
 import java.util.Map;
 
-/** One start of a task on a machine, from the decision until it is proven gone. */
+/**
+ * One start of a task on a machine, from the placement decision until the attempt is proven gone.
+ * Used on the event loop's thread only.
+ */
 public final class Attempt {
-  /** Where an attempt stands. */
+  /** The life cycle of an attempt. */
   public enum State {
-    /** Decided; the placement is not stored yet, so no start may go out. */
+    /** Decided; the placement is not stored yet, so no start may be sent. */
     PLACEMENT_PENDING,
-    /** Stored; the start has not been seen on the machine. It may be there. */
+    /** Stored; the machine has not reported the attempt, which may be there. */
     PLACEMENT_STORED,
-    /** Read from the store by a new leader; the machine has not been heard with our token. */
+    /** Read from the store by a new leader; the machine has not used this leader's token yet. */
     RECOVERED,
+    /** The machine fetches the task's image. */
     FETCHING_IMAGE,
+    /** Ready, and waiting for the other tasks of its gang. */
     WAITING_FOR_GANG,
+    /** The task runs. */
     RUNNING,
+    /** Being stopped, and saving its checkpoint within the grace period. */
     SAVING_CHECKPOINT,
     /** Ended on the machine, which still lists it. */
     EXITED,
@@ -50,57 +57,70 @@
     return set;
   }
 
+  /** The job whose task this is. */
   public final Job job;
+
+  /** The task's index, from 0. */
   public final int task;
+
+  /** The attempt number, unique among all terms; the tasks of a gang share one. */
   public final long number;
+
+  /** The machine that it was placed on. */
   public final Machine machine;
+
+  /** When it was placed, or read from the store. */
   public final Instant createdAt;
 
-  /** What it is listed by on its machine. */
+  /** The key of the attempt among those of its machine. */
   public final String key;
 
-  /** Which of all reports dealt with was the last to list it. */
+  /** The number, among all heartbeats handled, of the last one that listed it. */
   public long lastListingHeartbeat;
 
   private State state;
 
-  /** Null until the attempt exits. */
+  /** Why it ended; null until it has exited. */
   public EndReason endReason;
 
-  /** The grace of the kill that was decided, or null while the attempt is wanted. */
+  /** The grace period of its kill; null while the attempt is wanted. */
   public Duration killGracePeriod;
 
+  /** When its kill was decided; null while the attempt is wanted. */
   public Instant killedAt;
 
-  /** A kill with the present grace has reached the worker, as far as is known. */
+  /** A kill with the present grace period has reached the worker, as far as is known. */
   public boolean killSent;
 
+  /** When it was first reported as running; null before. */
   public Instant runningSince;
 
-  /** When its image should be there. */
+  /** When its image should be cached on the machine. */
   public Instant imageReadyAt;
 
-  /** The session the last start was addressed to; 0 before any. */
+  /** The agent epoch that the last start was addressed to; 0 before any. */
   public long startSession;
 
-  /** The sequence number of the report whose response carried the last start; -1 for none. */
+  /** The sequence number of the heartbeat whose response carried the last start; -1 for none. */
   public long startHeartbeatSequence = -1;
 
-  /** A direct start is under way and has not been answered. */
+  /** A start was sent directly, not in a heartbeat's response, and has not been answered. */
   public boolean directStartPending;
 
   /**
-   * A direct start got no answer: it may still arrive at any time within this session and token.
-   * Such an attempt is never taken as gone by its absence, and never forgotten.
+   * A direct start got no answer: it may still arrive at any time within this agent epoch and
+   * fencing token. The absence of such an attempt is no proof that it is gone, and it is never
+   * forgotten.
    */
   public boolean startUnconfirmed;
 
-  /** The end has been dealt with and, where that matters, stored: the worker may forget it. */
+  /** The end is handled and, where that matters, stored: the worker may forget the attempt. */
   public boolean mayBeForgotten;
 
-  /** The attempt that completed the task, which is not stored before this one is gone; or null. */
+  /** The attempt whose completion of the task is stored once this one is gone; or null. */
   public Attempt completedBy;
 
+  /** An attempt in its first state. */
   public Attempt(Job job, int task, long number, Machine machine, Instant since, State first) {
     this.job = job;
     this.task = task;
@@ -112,11 +132,16 @@
     this.state = first;
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
 
-  /** The one place where an attempt's state changes. */
+  /**
+   * Changes the state; this is the only place where it changes.
+   *
+   * @throws IllegalStateException if the life cycle has no such transition
+   */
   public void transitionTo(State next) {
     if (state == next) {
       return;
@@ -127,15 +152,17 @@
     state = next;
   }
 
-  /** Whether it may hold room on its machine. */
+  /** Whether it may hold capacity on its machine. */
   public boolean holdsCapacity() {
     return state != State.EXITED && state != State.GONE;
   }
 
+  /** Whether its machine has reported it in the present state. */
   public boolean wasObserved() {
     return OBSERVED_STATES.contains(state);
   }
 
+  /** Whether no kill was decided. */
   public boolean isWanted() {
     return killGracePeriod == null;
   }
--- a/src/main/java/io/pineladder/model/ChainDeadlines.java
+++ b/src/main/java/io/pineladder/model/ChainDeadlines.java
@@ -4,11 +4,10 @@
 import java.time.Instant;
 
 /**
- * When a job should be over for the sake of the jobs that need it, by the time of day.
+ * When a job should be over for the sake of its dependents, by the time of day.
  *
  * @param target by then the last job of the chain can keep its deadline
- * @param latest by then it can keep the latest time that is expected of it, which is not before the
- *     target
+ * @param latest by then it can meet the loosest objective on its end; not before the target
  */
 public record ChainDeadlines(Instant target, Instant latest) {
   /** The earlier of each; {@code null} stands for no bound. */
@@ -21,7 +20,7 @@
         one.latest.isBefore(other.latest) ? one.latest : other.latest);
   }
 
-  /** The same, so much earlier. */
+  /** The deadlines earlier by that time. */
   public ChainDeadlines minus(Duration time) {
     return new ChainDeadlines(target.minus(time), latest.minus(time));
   }
--- a/src/main/java/io/pineladder/model/DeliveryProgress.java
+++ b/src/main/java/io/pineladder/model/DeliveryProgress.java
@@ -3,9 +3,10 @@
 /**
  * What a subscriber has confirmed.
  *
- * @param number the last notice that it needs no more, by the number among all
- * @param sequence the same by its own count, which leaves out what is not for it
- * @param lostFrom the first of those up to {@code sequence} that could not be kept and that it has
- *     not been told of, by its own count; 0 for none
+ * @param lastNumber the last notification that it has confirmed, by the number among all
+ * @param lastSequence the same by the subscription's own sequence, which leaves out notifications
+ *     that its filters exclude
+ * @param firstLostSequence the first notification up to {@code lastSequence} that was not retained
+ *     and that the subscriber has not been told is lost; 0 for none
  */
 public record DeliveryProgress(long lastNumber, long lastSequence, long firstLostSequence) {}
--- a/src/main/java/io/pineladder/model/Job.java
+++ b/src/main/java/io/pineladder/model/Job.java
@@ -9,85 +9,84 @@
 import java.util.Map;
 import java.util.Set;
 
-/** An accepted job while the leader works on it. */
+/** An accepted job in the leader's memory. Used on the event loop's thread only. */
 public final class Job {
-  /** Where a job stands. Both ends are final. */
+  /** The state of a job, stored by ordinal. The last two are final. */
   public enum State {
+    /** Some task is not complete. */
     ACTIVE,
+    /** Cancelled by its user, or with a job that it depends on. */
     CANCELLED,
+    /** All tasks are complete. */
     DONE
   }
 
+  /** What the user submitted. */
   public final JobSpec spec;
 
-  /** When it was accepted, by the time of day of the node that did. */
+  /** When it was accepted, by the time of day of the controller that accepted it. */
   public final Instant acceptedAt;
 
   private State state;
 
-  /** The rank that it is treated as having: its own, or that of a job that needs it. */
+  /** Its own priority class, or the higher one of a dependent. */
   private PriorityClass priorityClass;
 
-  /** When it should be over for the jobs that need it; null when nothing is expected of those. */
+  /** When it should be over for its dependents; null when they have no deadlines. */
   public ChainDeadlines chainDeadlines;
 
   /**
-   * When it could first start, by the time of day: once accepted, or once all that it needs was
+   * When it could first start, by the time of day: once accepted, or once its last dependency was
    * done.
    */
   public Instant readyAt;
 
-  /** Some job that it needs is not known to be done: no task of it may start. */
+  /** A job that it depends on is not known to be done: no task of it may start. */
   public boolean blockedByDependencies;
 
   /**
-   * It is cancelled because a job that it needs is stored as cancelled; told without a record of
-   * its own.
+   * It is cancelled because a job that it depends on is stored as cancelled; it has no final record
+   * of its own.
    */
   public boolean cancelledByDependency;
 
-  /** A job before it whose cancellation is on its way to the store, or was; null for none. */
+  /** A direct or indirect dependency whose cancellation is being stored, or was; null for none. */
   public Job cancellingPrerequisite;
 
   /** Tasks that are complete. */
   public final BitSet done = new BitSet();
 
-  /**
-   * Complete tasks that were started anew and may still run; they are not stored as complete yet.
-   */
+  /** Complete tasks of which another attempt may still run; they are not stored as complete yet. */
   public final BitSet unprovenDone = new BitSet();
 
-  /** Tasks that wait to be placed; a bit each, whatever the job's size. */
+  /** Tasks that wait to be placed. */
   public final BitSet pending = new BitSet();
 
-  /**
-   * Attempts that may be on a machine, by task; one that was superseded stays until proven gone.
-   */
+  /** Attempts that may hold capacity, by task; a superseded one stays until it is proven gone. */
   public final Map<Integer, Set<Attempt>> attempts = new HashMap<>();
 
-  /** Machines on which it failed of late. */
+  /** The machines on which its tasks failed last, the earliest first. */
   public final Set<String> avoidedMachines = new LinkedHashSet<>();
 
-  /** When it was last looked at what policy alone keeps from it; null for never. */
+  /** When it was last reviewed which capacity policy alone denies it; null for never. */
   public Instant policyReviewedAt;
 
-  /**
-   * It fails wherever it is tried, so its user has made a mistake: it is tried now and then only.
-   */
+  /** It fails on whatever machine, so the fault is its own: it is only probed now and then. */
   public boolean failing;
 
-  /** The final state is on its way to the store; other records of the job no longer matter. */
+  /** The final state is being stored or is stored; other records of the job no longer matter. */
   public boolean finalStatePending;
 
-  /** Only its final state is to be kept; its own record is being deleted. */
+  /** Its record is being deleted; only its final state remains. */
   public boolean recordRemovalPending;
 
-  /** The final state is in the store, so users may be told. */
+  /** The final state is stored, so users may be answered with it. */
   public boolean finalStateStored;
 
   /** Called when the final state is stored. */
   public final List<Runnable> finalStateCallbacks = new ArrayList<>();
 
+  /** A job without attempts. */
   public Job(JobSpec spec, Instant acceptedAt, State state) {
     this.spec = spec;
     this.acceptedAt = acceptedAt;
@@ -96,21 +95,27 @@
     this.readyAt = acceptedAt;
   }
 
+  /** The priority class that it is scheduled with: its own, or the higher one of a dependent. */
   public PriorityClass priorityClass() {
     return priorityClass;
   }
 
-  /** The one place where its urgency changes. */
+  /** Changes the priority class and deadlines; this is the only place where they change. */
   public void setUrgency(PriorityClass highest, ChainDeadlines times) {
     priorityClass = highest;
     chainDeadlines = times;
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
 
-  /** The one place where a job's state changes. */
+  /**
+   * Changes the state; this is the only place where it changes.
+   *
+   * @throws IllegalStateException if the present state is final and another one
+   */
   public void transitionTo(State next) {
     if (state != State.ACTIVE && state != next) {
       throw new IllegalStateException(spec.id() + " is " + state + " and cannot become " + next);
@@ -118,14 +123,17 @@
     state = next;
   }
 
+  /** Whether it is neither cancelled nor done. */
   public boolean isActive() {
     return state == State.ACTIVE;
   }
 
+  /** Adds an attempt that may hold capacity. */
   public void add(Attempt attempt) {
     attempts.computeIfAbsent(attempt.task, t -> new LinkedHashSet<>(2)).add(attempt);
   }
 
+  /** Removes an attempt that no longer holds capacity. */
   public void remove(Attempt attempt) {
     Set<Attempt> of = attempts.get(attempt.task);
     if (of != null && of.remove(attempt) && of.isEmpty()) {
@@ -133,7 +141,7 @@
     }
   }
 
-  /** Whether a task may be started: nothing of it can be anywhere. */
+  /** Whether a task may be started: it is not complete, and no attempt of it holds capacity. */
   public boolean mayStartTask(int task) {
     return !attempts.containsKey(task) && !done.get(task);
   }
--- a/src/main/java/io/pineladder/model/JobSpec.java
+++ b/src/main/java/io/pineladder/model/JobSpec.java
@@ -4,9 +4,18 @@
 import java.util.List;
 
 /**
- * What a user submitted. {@code types} is null for any type, {@code zone} null for any zone, {@code
- * deadline} null for none; {@code checkpointEvery} zero means that the task never saves; {@code
- * prerequisites} are the ids of the jobs that have to be done before any task of this one starts.
+ * What a user submitted.
+ *
+ * @param types the machine types allowed; null for any
+ * @param zone the zone required; null for any
+ * @param sameZone all tasks must run in one zone
+ * @param spreadAcrossZones at most half of the tasks, rounded up, may run in one zone
+ * @param spotAllowed the tasks may run on spot machines
+ * @param imageGb the size of the image
+ * @param checkpointInterval between two checkpoints; zero when a task saves none
+ * @param checkpointDuration how long a checkpoint takes
+ * @param deadline from the submission to the end; null for none
+ * @param prerequisites the ids of the jobs that must be done before any task of this one starts
  */
 public record JobSpec(
     String id,
@@ -29,7 +38,7 @@
     Duration deadline,
     List<String> prerequisites) {
 
-  /** A job that waits for no other. */
+  /** A job without prerequisites. */
   public JobSpec(
       String id,
       String jobClass,
@@ -71,24 +80,27 @@
         List.of());
   }
 
+  /** Whether its tasks may run on machines of that type. */
   public boolean allowsType(String type) {
     return types == null || types.contains(type);
   }
 
+  /** Whether its tasks may run in that zone. */
   public boolean allowsZone(String name) {
     return zone == null || zone.equals(name);
   }
 
+  /** Whether its tasks save their progress. */
   public boolean isCheckpointed() {
     return !checkpointInterval.isZero();
   }
 
-  /** All of its tasks run at the same time or none does, and there is more than one. */
+  /** Whether it is a gang of more than one task. */
   public boolean isMultiTaskGang() {
     return kind == JobKind.GANG && tasks > 1;
   }
 
-  /** What must be free of the team's limit before any of it can run. */
+  /** What the team's limit must allow before any task can run. */
   public Resources minimumResources() {
     return kind == JobKind.ARRAY ? resourcesPerTask : resourcesPerTask.times(tasks);
   }
--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -5,128 +5,150 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A machine as the leader knows it. */
+/**
+ * A machine as the leader knows it. Used on the event loop's thread only; after a change of what
+ * decides whether work may be placed on it, the indexes of the cluster state have to be updated.
+ */
 public final class Machine {
-  /** Where a machine stands. */
+  /** The life cycle of a machine. Shown to operators by these names. */
   public enum State {
-    /** Rented or listed, never heard in this term. */
+    /** Rented or listed; no heartbeat in this term yet. */
     EXPECTED,
-    /** Heard, but not yet with our token: older orders may still reach it. */
+    /** Heartbeats without this leader's token: earlier leaders' commands may still reach it. */
     HEARD,
-    /** Heard with our token: what it reports is all there is. */
+    /** Heartbeats with this leader's token: it runs what it reports and nothing else. */
     CONFIRMED,
-    /** Was confirmed and has gone silent. */
+    /** Was confirmed, and its heartbeats have ceased. */
     SILENT,
-    /** Its return to the cloud has been asked for. */
+    /** Its return to the cloud was requested. */
     RELEASING,
+    /** No longer in the cluster. */
     GONE
   }
 
-  /**
-   * Whether what is sent to a machine arrives there. That its reports arrive here does not tell.
-   */
+  /** Whether commands arrive at the machine, of which its heartbeats are no proof. */
   public enum Reachability {
+    /** No sign that commands do not arrive. */
     REACHABLE,
-    /** A direct order got no answer, though it reports: none of its orders may arrive. */
+    /** A direct command got no answer although heartbeats come: commands may not arrive. */
     DOUBTFUL,
-    /** Its session ended although its reports were answered in time: nothing arrives there. */
+    /** Its agent epoch ended although its heartbeats were answered in time: nothing arrives. */
     UNREACHABLE
   }
 
+  /** The cloud's name for it, unique in the cluster. */
   public final String name;
+
+  /** Its type, with the prices of when it was rented or first listed. */
   public final MachineType type;
+
+  /** Its zone. */
   public final String zone;
+
+  /** Whether it is a spot machine, which the cloud may reclaim at any time. */
   public final boolean spot;
+
+  /** When this leader learned of it. */
   public final Instant createdAt;
+
   private State state = State.EXPECTED;
 
+  /** Where its agent takes commands; null before the first heartbeat. */
   public String address;
+
+  /** The agent epoch (session) of the last heartbeat; 0 before any. */
   public long agentEpoch;
+
+  /** The sequence number of the last heartbeat in its epoch; -1 before any. */
   public long lastHeartbeatSequence = -1;
+
+  /** When the last heartbeat came; null before any. */
   public Instant lastHeartbeatAt;
 
-  /** Its last report came through a peer: it does not reach this node itself. */
+  /** Its last heartbeat came through another controller: it cannot reach this one itself. */
   public boolean reachedThroughPeer;
 
-  /** When the cloud takes it away, or null. */
+  /** When the cloud reclaims it; null when no reclaim is announced. */
   public Instant reclaimAt;
 
-  /** No new work: it is to be returned. */
+  /** It gets no new work, and is to be returned. */
   public boolean draining;
 
-  /** Since when it is draining with work on it, as far as that was noticed; or null. */
+  /** Since when it has been seen draining with work on it; null for never. */
   public Instant drainingSince;
 
   /**
-   * Its price is worth more than it: no new work, and it is returned once empty unless it is
-   * needed.
+   * It costs more than it is worth: it gets no new work, and is returned once empty unless its
+   * capacity is needed again.
    */
   public boolean retiring;
 
-  /** An ordinary machine that was rented only because arrays would have been late without it. */
+  /** An on-demand machine that was rented only because arrays would have been late without it. */
   public boolean rentedForDeadlines;
 
-  /** When this leader first saw it in the cloud's list, or null. */
+  /** When it first was in the cloud's list in this term; null for never. */
   public Instant firstListedAt;
 
   /** The cloud has listed it as running. */
   public boolean listedRunning;
 
-  /** Its state as the cloud lists it said that it stopped by itself. */
+  /** The cloud has listed it as stopped by itself. */
   public boolean stoppedByItself;
 
-  /** Attempts that it may list, exited ones included. */
+  /** The attempts that it may list, by key, exited ones included. */
   public final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
-  /** What its attempts take, counting everything that may be there. */
+  /** What all attempts that may be on it hold. */
   public Resources used = Resources.ZERO;
 
-  /** Room kept for the job that had others stopped here, until that time. */
+  /** The job that capacity is reserved for; null for none. */
   public Job reservedFor;
 
+  /** What is reserved. */
   public Resources reserved = Resources.ZERO;
+
+  /** When the reservation expires; undefined without one. */
   public Instant reservationExpiresAt;
 
   /**
-   * When the job it is kept for is thought to start: what ends sooner may run there until then; or
-   * null.
+   * When the job that holds the reservation should start: tasks that end sooner may run there until
+   * then; null for none.
    */
   public Instant reservationStartsAt;
 
-  /** Images thought to be cached, the most recently used last, with their size. */
+  /** Images that should be cached, the most recently used last, with their size in GB. */
   public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
 
-  /** Jobs fail here, and it is not known yet whether it or they are at fault: no new work. */
+  /** Jobs fail on it, and whose fault that is is not known yet: it gets no new work. */
   public boolean quarantined;
 
-  /** Since when it has had no work, or null. */
+  /** Since when it has had no work; null while it has some. */
   public Instant idleSince;
 
-  /** This leader rented it, so the time of its request is known exactly. */
+  /** It was rented in this term, so the time of the request is known exactly. */
   public boolean rentedByThisLeader;
 
-  /** It is known from placements that an earlier leader stored. */
+  /** It is named by placements that an earlier leader stored. */
   public boolean knownFromPlacements;
 
-  /** A direct order is under way; one at a time. */
+  /** A direct command awaits its answer; there is one at a time. */
   public boolean commandInFlight;
 
   private Reachability reachability = Reachability.REACHABLE;
 
-  /**
-   * Since when it has reported without being known to hear; null while it is, or does not report.
-   */
+  /** Since when heartbeats have come without a sign that commands arrive; null otherwise. */
   private Instant unreachableSince;
 
-  /** When its newest report was answered with our token last; null for never. */
+  /** When its newest heartbeat was last answered with this leader's token; null for never. */
   public Instant lastAnsweredAt;
 
-  /** When it was last asked whether it is there, being overdue; null for never. */
+  /** When it was last probed since its heartbeat was overdue; null for never. */
   public Instant lastProbedAt;
 
-  /** Reported tasks that nothing is known of hold an unknown amount of it. */
+  /** It reports tasks that no record names, which hold an unknown part of its capacity. */
   public boolean hasUnknownTasks;
 
+  /** A machine that is expected. */
   public Machine(String name, MachineType type, String zone, boolean spot, Instant since) {
     this.name = name;
     this.type = type;
@@ -135,11 +157,17 @@
     this.createdAt = since;
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
 
-  /** The one place where a machine's state changes. */
+  /**
+   * Changes the state; this is the only place where it changes. A machine that is being returned
+   * ignores all transitions but the last.
+   *
+   * @throws IllegalStateException if the machine is gone
+   */
   public void transitionTo(State next) {
     if (state == State.GONE && next != State.GONE) {
       throw new IllegalStateException(name + " is gone and cannot become " + next);
@@ -148,18 +176,18 @@
       return;
     }
     if (next == State.SILENT) {
-      // That it hears nothing says no more than that it is cut off; a late report is no sign of
-      // life.
+      // Silence says no more than that it is cut off; a late heartbeat is no sign of life.
       unreachableSince = null;
     }
     state = next;
   }
 
+  /** Whether commands arrive at it, as far as is known. */
   public Reachability reachability() {
     return reachability;
   }
 
-  /** The one place where what is known of a machine's hearing changes. */
+  /** Changes the reachability; this is the only place where it changes. */
   public void setReachability(Reachability next) {
     if (next == Reachability.REACHABLE) {
       unreachableSince = null;
@@ -167,7 +195,7 @@
     reachability = next;
   }
 
-  /** It has reported; for how long it has done so without being known to hear. */
+  /** A heartbeat has come: for how long they have come without a sign that commands arrive. */
   public Duration trackUnreachable(Instant now) {
     if (reachability == Reachability.REACHABLE) {
       return Duration.ZERO;
@@ -177,8 +205,8 @@
   }
 
   /**
-   * Whether orders may reach it. One whose reports come through a peer gets its orders with the
-   * responses, so that direct ones fail says nothing more.
+   * Whether commands may reach it. A machine whose heartbeats come through another controller gets
+   * its commands with the responses, so a failure of direct ones is no further evidence.
    */
   private boolean isReachable() {
     return switch (reachability) {
@@ -188,7 +216,7 @@
     };
   }
 
-  /** Whether work may be given to it, as far as the rules go and what is on it lasts. */
+  /** Whether work may be placed on it without breaking a rule or losing it soon. */
   public boolean isSafeToSchedule() {
     return state == State.CONFIRMED
         && isReachable()
@@ -197,23 +225,25 @@
         && !hasUnknownTasks;
   }
 
-  /** Whether it is given work: policy keeps it from some machines that might take it. */
+  /** Whether work is placed on it: it is safe to, and policy does not exclude it. */
   public boolean isSchedulable() {
     return isSafeToSchedule() && !retiring && !quarantined;
   }
 
   /**
-   * Whether it is of this type. Only the name tells: spot prices move, so the type as the cloud
-   * last described it is seldom the one that the machine was rented as.
+   * Whether it is of this type. Only the names are compared: spot prices change, so the type as the
+   * cloud describes it now is seldom equal to the one that the machine was rented as.
    */
   public boolean hasType(MachineType other) {
     return type.name().equals(other.name());
   }
 
+  /** The capacity that no attempt holds, whether reserved or not. */
   public Resources free() {
     return type.capacity().minus(used);
   }
 
+  /** Marks an image as used last, and drops the least recently used that exceed the cache. */
   public void touchImage(String image, double gb) {
     images.remove(image);
     images.put(image, gb);
@@ -228,6 +258,7 @@
     }
   }
 
+  /** The key of an attempt among those of its machine. */
   public static String attemptKey(String job, int task, long number) {
     return job + "/" + task + "#" + number;
   }
--- a/src/main/java/io/pineladder/model/Notification.java
+++ b/src/main/java/io/pineladder/model/Notification.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * What subscribers are told of a job that is over.
+ * A notification to subscribers that a job is over.
  *
- * @param number its place among all notices, from 1 without a gap
- * @param at when it ended, by the time of day of the leader that stored it
+ * @param number its number among all notifications, from 1 without a gap
+ * @param endedAt when the job ended, by the time of day of the leader that stored it
  */
 public record Notification(
     long number,
--- a/src/main/java/io/pineladder/model/OperatorSettings.java
+++ b/src/main/java/io/pineladder/model/OperatorSettings.java
@@ -2,7 +2,14 @@
 
 import java.time.Duration;
 
-/** What operators may change while the service runs, through the administration API only. */
+/**
+ * The settings that operators change while the service runs, through the administration API only.
+ *
+ * @param initialBackoff the back-off after the first rejection or failure
+ * @param maxBackoff the longest back-off
+ * @param backoffWindow back-offs end at multiples of it; zero for no rounding
+ * @param idleReleaseAfter how long a machine is idle before it is returned
+ */
 public record OperatorSettings(
     Duration initialBackoff,
     Duration maxBackoff,
--- a/src/main/java/io/pineladder/model/PriorityClass.java
+++ b/src/main/java/io/pineladder/model/PriorityClass.java
@@ -1,12 +1,13 @@
 package io.pineladder.model;
 
-/** Job priorities, the highest first. */
+/** The priority classes of jobs, the highest first. */
 public enum PriorityClass {
   PRODUCTION,
   HIGH,
   NORMAL,
   LOW;
 
+  /** Whether this class has a higher priority than the other. */
   public boolean isAbove(PriorityClass other) {
     return ordinal() < other.ordinal();
   }
--- a/src/main/java/io/pineladder/model/Settings.java
+++ b/src/main/java/io/pineladder/model/Settings.java
@@ -4,11 +4,16 @@
 import java.util.List;
 
 /**
- * The platform's settings file, checked.
+ * The platform's settings file, validated.
  *
- * @param store the limits that every request to the state service keeps to: those in force and,
- *     where a change of them is announced, those to come as well
- * @param storeInForce the limits of the state service that are in force until the announced change
+ * @param controllerName this controller's name
+ * @param apiAddress where users and workers connect
+ * @param clusterAddress where other controllers connect
+ * @param storeLimits the limits that every request to the key-value store respects: those in force
+ *     and, where a change of them is announced, those to come as well
+ * @param currentStoreLimits the limits of the store that are in force until the announced change
+ * @param maxSockets how many sockets this process may have open
+ * @param coreShare the processor time that this process may use, in cores
  */
 public record Settings(
     String controllerName,
@@ -32,13 +37,18 @@
   public record Peer(String controllerName, String zone, String address) {}
 
   /**
-   * What is expected of a class of jobs; {@code within} and {@code jobClass} may be null. Without
-   * {@code within} it is about {@code times} the job's own deadline.
+   * A service-level objective of a job class.
+   *
+   * @param kind which time is meant: the wait for the start, or the end
+   * @param jobClass the class; may be null
+   * @param latestAfter the bound; null when it is the job's own deadline times {@code
+   *     deadlineFactor}
+   * @param share the part of the jobs that must meet it
    */
   public record Objective(
       String kind, String jobClass, Duration latestAfter, double share, double deadlineFactor) {}
 
-  /** The times that workers keep to. */
+  /** The times of the worker protocol. */
   public record WorkerTimes(
       Duration heartbeatInterval,
       Duration leaseDuration,
@@ -46,10 +56,10 @@
       Duration gangPeerTimeout,
       Duration cancellationBound) {}
 
-  /** What the state service lets through. */
+  /** The rate and size limits of the key-value store. */
   public record StoreLimits(
       double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionOps) {
-    /** The limits that keep to both these and the others. */
+    /** The stricter of each limit. */
     public StoreLimits strictest(StoreLimits others) {
       return new StoreLimits(
           Math.min(requestsPerSecond, others.requestsPerSecond),
@@ -59,6 +69,6 @@
     }
   }
 
-  /** What the cloud lets through, and how late its list is. */
+  /** The rate limit of the cloud's API, and how late its machine list is. */
   public record CloudLimits(double requestsPerSecond, Duration listLag) {}
 }
--- a/src/main/java/io/pineladder/model/Subscription.java
+++ b/src/main/java/io/pineladder/model/Subscription.java
@@ -4,13 +4,14 @@
 import java.util.Set;
 
 /**
- * Somebody who is to be told of jobs that are over.
+ * A webhook subscription to notifications of jobs that are over.
  *
  * @param name chosen by the administrator
- * @param incarnation tells this one from an earlier one of the same name, which counted from 1 too
- * @param url where notices are posted
- * @param since the number of the last notice that was stored before it was created
- * @param filters which jobs are meant, the earliest first; there is at least one
+ * @param incarnation distinguishes it from an earlier one of the same name, whose sequence began
+ *     with 1 too
+ * @param url where notifications are posted
+ * @param createdAfterNumber the number of the last notification stored before it was created
+ * @param filters which jobs it is for, the earliest first; there is at least one
  * @param secrets the signing secrets, encrypted; two while one replaces the other
  * @param reason why it is parked or has ended, or null
  */
@@ -24,23 +25,25 @@
     Status status,
     String reason) {
 
-  /** What is done for a subscription. */
+  /** The status of a subscription. Shown to operators by these names. */
   public enum Status {
+    /** Notifications are delivered. */
     ACTIVE,
-    /** An operator has stopped it; its notices are kept. */
+
+    /** An operator has paused it; its notifications are retained. */
     PAUSED,
-    /** Its receiver refuses notices for good, until an operator resumes it; they are kept. */
+    /** Its receiver refuses notifications until an operator resumes it; they are retained. */
     PARKED,
-    /** Its receiver wants no more; nothing is kept for it. */
+    /** Its receiver wants no more; nothing is retained for it. */
     ENDED
   }
 
   /**
-   * Which jobs are meant.
+   * Which jobs a subscription is for.
    *
-   * @param after it holds for notices with higher numbers, up to the next filter's
-   * @param owners the teams; empty for all
-   * @param classes the classes of jobs; empty for all
+   * @param afterNumber it applies to notifications with higher numbers, up to the next filter's
+   * @param teams the teams; empty for all
+   * @param classes the job classes; empty for all
    */
   public record Filter(long afterNumber, Set<String> teams, Set<String> classes) {
     boolean matches(String team, String jobClass) {
@@ -49,7 +52,7 @@
     }
   }
 
-  /** Whether the notice is for it. */
+  /** Whether the notification is for it. */
   public boolean wants(Notification notification) {
     if (notification.number() <= createdAfterNumber) {
       return false;
@@ -68,20 +71,22 @@
         && filters.stream().anyMatch(filter -> filter.matches(team, jobClass));
   }
 
-  /** Whether notices are kept for it. */
+  /** Whether notifications are retained for it. */
   public boolean retainsNotifications() {
     return status != Status.ENDED;
   }
 
+  /** The filter in force. */
   public Filter filter() {
     return filters.get(filters.size() - 1);
   }
 
-  /** What tells its events from all others'. */
+  /** The source of its events, unique among all subscriptions. */
   public String source() {
     return "urn:pineladder:subscription:" + name + ":" + incarnation;
   }
 
+  /** The subscription with another status, and the reason for it or null. */
   public Subscription with(Status next, String why) {
     return new Subscription(
         name, incarnation, url, createdAfterNumber, filters, secrets, next, why);
--- a/src/main/java/io/pineladder/model/Team.java
+++ b/src/main/java/io/pineladder/model/Team.java
@@ -1,8 +1,15 @@
 package io.pineladder.model;
 
-/** A team's guarantee and limit; a limit of zero means none. */
+/**
+ * A team's quota.
+ *
+ * @param guarantee what the team's jobs get before those of teams beyond their own guarantee
+ * @param maxCpus the limit on processors in use; zero for none
+ * @param maxGpus the limit on accelerators in use; zero for none
+ */
 public record Team(String name, Resources guarantee, double maxCpus, double maxGpus) {
 
+  /** The limit; a dimension of zero has none. */
   public Resources limit() {
     return Resources.of(maxCpus, maxGpus, 0);
   }
@@ -21,6 +28,7 @@
     return Math.min(cpus, unitsWithin(limit.microGpus(), usage.microGpus(), each.microGpus()));
   }
 
+  /** How many more of {@code each} a limit allows beside what is used. */
   private static long unitsWithin(long limit, long used, long each) {
     if (limit == 0) {
       return Long.MAX_VALUE;
@@ -31,11 +39,12 @@
     return each == 0 ? Long.MAX_VALUE : (limit - used) / each;
   }
 
+  /** Whether anything is guaranteed. */
   public boolean hasGuarantee() {
     return guarantee.microCpus() > 0 || guarantee.microGpus() > 0;
   }
 
-  /** A guarantee counts in the dimensions it names; the others are not part of it. */
+  /** Whether the guarantee covers that usage, in the dimensions for which it is set. */
   public boolean guarantees(Resources usage) {
     return hasGuarantee()
         && (guarantee.microCpus() == 0 || usage.microCpus() <= guarantee.microCpus())
