--- a/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
+++ b/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
@@ -3,21 +3,28 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Machines' worth of work arriving per second, as an exponential average. */
+/** The value arriving each second, as an exponentially decaying average. */
 final class ArrivalForecast {
   private final Duration timeConstant;
   private double rate;
   private Instant updatedAt;
 
+  /**
+   * Creates a forecast of 0.
+   *
+   * @param timeConstant after which an arrival counts 1/e
+   */
   ArrivalForecast(Duration timeConstant) {
     this.timeConstant = timeConstant;
   }
 
-  void add(double machines, Instant now) {
+  /** Counts an arrival of this value. */
+  void add(double value, Instant now) {
     decay(now);
-    rate += machines / timeConstant.toSeconds();
+    rate += value / timeConstant.toSeconds();
   }
 
+  /** The value that arrives each second. */
   double rate(Instant now) {
     decay(now);
     return rate;
--- a/src/main/java/io/pineladder/autoscaling/BatchBacklog.java
+++ b/src/main/java/io/pineladder/autoscaling/BatchBacklog.java
@@ -4,23 +4,24 @@
 import java.util.List;
 
 /**
- * Whether arrays that wait start in time on the machines there are. Work is worth times seconds:
- * tasks times their run time times what each takes of a machine at its list price, so machines of
- * all types compare. It is taken to flow through all of the capacity in the order of priority; the
- * last of it starts once capacity times seconds is its sum, since what runs by then has as much
- * left to do as what runs now.
+ * Estimates whether the pending deferrable arrays start in time on the present capacity. Work is
+ * value times seconds: tasks times their run time times what each takes of a machine at its list
+ * price, so machines of all types compare. It is taken to flow through all of the capacity in the
+ * order of priority; the last of it starts once capacity times seconds equals its sum, since what
+ * runs by then has as much left to do as what runs now.
  */
 final class BatchBacklog {
   /**
-   * What is due at one time.
+   * Tasks that are due at one time.
    *
-   * @param sum the work of this and of everything before it
-   * @param within the seconds left to start it
-   * @param rate the work that comes before it each second
+   * @param cumulativeWork the work of these tasks and of all before them
+   * @param secondsLeft the seconds left to start them
+   * @param arrivalRate the work of higher priority that arrives each second
    */
   private record Deadline(double cumulativeWork, double secondsLeft, double arrivalRate) {
     /**
-     * The capacity beyond that given which would start all in time, had it been there from now on.
+     * The capacity, beyond the given one, that would start all in time if it were there from now
+     * on.
      */
     double missingCapacity(double capacity) {
       return cumulativeWork / secondsLeft + arrivalRate - capacity;
@@ -33,18 +34,24 @@
   private double concurrentValue;
   private double missingCapacity;
 
+  /**
+   * Creates an empty backlog.
+   *
+   * @param capacity what deferrable work may use, at list prices an hour
+   */
   BatchBacklog(double capacity) {
     this.capacity = capacity;
   }
 
   /**
-   * Adds tasks that come after what was added before; what cannot be helped any more presses no
-   * more.
+   * Adds tasks that follow those added before. Tasks that no machine rented now would start in time
+   * count as work but not as a deadline.
    *
-   * @param run the seconds that each of them runs
-   * @param within the seconds left to start them
-   * @param ready the seconds until a machine rented now would work on them
-   * @param rate the work that still comes each second and goes before them
+   * @param tasksValue what the tasks take, at list prices an hour
+   * @param runSeconds the seconds that each of them runs
+   * @param secondsLeft the seconds left to start them
+   * @param secondsToReady the seconds until a machine rented now would work on them
+   * @param arrivalRate the work that still arrives each second and goes before them
    */
   void add(
       double tasksValue,
@@ -68,16 +75,16 @@
     }
   }
 
-  /** The capacity that must be rented for all to start in time; 0 when what there is will do. */
+  /** The capacity to rent for all to start in time; 0 if the present one suffices. */
   double missingCapacity() {
     return missingCapacity;
   }
 
   /**
-   * How much of the part {@code of} of the capacity is needed for all to start in time, and for
-   * what comes.
+   * How much of the reducible part of the capacity is needed for all to start in time, with what
+   * arrives.
    *
-   * @param rate all work that comes each second
+   * @param arrivalRate all deferrable work that arrives each second
    */
   double neededCapacity(double reducibleCapacity, double arrivalRate) {
     double needed = arrivalRate - (capacity - reducibleCapacity);
--- a/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -14,38 +14,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long machines have taken of late to come up, and how many of them came at all. A rented
- * machine counts in full until it is late by that, then half, then no more, so that room which does
- * not come is replaced, neither all at once when all boots are slow nor never.
+ * Estimates how long machines take to boot, and which share of them does, from the latest boots of
+ * each type. A rented machine counts in full until it is late by that, then by half, then no more:
+ * so capacity that does not arrive is replaced, neither all at once when all boots are slow nor
+ * never.
  */
 final class BootTimeEstimator {
   private static final Logger log = LoggerFactory.getLogger(BootTimeEstimator.class);
 
-  /** Boots remembered of a type. */
+  /** How many boots of a type are remembered. */
   private static final int HISTORY_SIZE = 32;
 
-  /** A machine is not late before so many times its type's boot time. */
+  /** A machine is not late before this multiple of its type's boot time. */
   private static final double MIN_LATE_FACTOR = 1.6;
 
-  /** Longer than the slowest tenth of late by this is late. */
+  /** A machine is late beyond the slowest tenth of the latest boots, times this. */
   private static final double LATE_MARGIN = 1.25;
 
-  /** A machine that is late by this is not counted on any more. */
+  /** A machine that is late by this factor is not counted on any more. */
   private static final double VERY_LATE_MARGIN = 1.5;
 
-  /** Before so many times the nominal time nothing is given up. */
+  /** No machine is given up before this multiple of its type's boot time. */
   private static final double MIN_GIVE_UP_FACTOR = 5;
 
-  /** Boots that take so many times the nominal time on average are slow. */
+  /** Boots that take this multiple of their type's boot time on average are slow. */
   private static final double SLOW_FACTOR = 1.75;
 
-  /** Boots to have seen before they are called usual. */
+  /** How many boots of a type must be known before they count as typical. */
   private static final int MIN_OBSERVED_BOOTS = 4;
 
-  /** With fewer of the machines coming up, room is not easily had again. */
+  /** With a smaller share of the machines booting, capacity is not easily replaced. */
   private static final double MIN_ARRIVAL_SHARE = 0.8;
 
-  /** What is known of a type: each boot as a part of the nominal time, and whether it came. */
+  /** The latest boots of a type: their multiples of its boot time, and which were in time. */
   private static final class TypeHistory {
     final Deque<Double> bootFactors = new ArrayDeque<>();
     final Deque<Boolean> arrivedInTime = new ArrayDeque<>();
@@ -67,11 +68,12 @@
     return histories.computeIfAbsent(type.name(), t -> new TypeHistory());
   }
 
-  /** Looks at a machine, once in a while. */
+  /** Observes a machine; called for each at every review. */
   void observe(Machine machine, Instant now) {
     switch (machine.state()) {
       case EXPECTED -> {
-        // What an earlier leader rented may have been up before anybody looked: the list lags.
+        // A machine that an earlier leader rented may have been up before it was listed here: the
+        // cloud's list lags.
         if (machine.rentedByThisLeader) {
           booting.add(machine);
           if (weight(machine, now) == 0 && overdue.add(machine)) {
@@ -94,6 +96,7 @@
     }
   }
 
+  /** Forgets a machine that was released. */
   void forget(Machine machine) {
     booting.remove(machine);
     overdue.remove(machine);
@@ -105,24 +108,24 @@
   }
 
   private void logSpeedChange(MachineType type, TypeHistory history) {
-    boolean slow = typicalBootTime(history) >= SLOW_FACTOR;
+    boolean slow = averageBootFactor(history) >= SLOW_FACTOR;
     if (slow != history.slow) {
       history.slow = slow;
       log.info(
-          "machines of {} boot {}: {}",
+          "Boot speed changed: type={} slow={} typicalBootTime={}",
           type.name(),
-          slow ? "slowly" : "as usual",
+          slow,
           typicalBootTime(type));
     }
   }
 
-  private static double typicalBootTime(TypeHistory history) {
+  private static double averageBootFactor(TypeHistory history) {
     return history.bootFactors.stream().mapToDouble(Double::doubleValue).average().orElse(1);
   }
 
-  /** How long machines of the type have usually taken of late. */
+  /** How long machines of the type have lately taken to boot, on average. */
   Duration typicalBootTime(MachineType type) {
-    return scaledBootTime(type, typicalBootTime(historyOf(type)));
+    return scaledBootTime(type, averageBootFactor(historyOf(type)));
   }
 
   private double lateFactor(MachineType type) {
@@ -132,31 +135,31 @@
     return Math.max(MIN_LATE_FACTOR, slowFactor * LATE_MARGIN);
   }
 
-  /** How much of a machine that is not up yet is to be counted on. */
+  /** The share of a machine that has not booted yet to count on: 1, 0.5 or 0. */
   double weight(Machine machine, Instant now) {
     double factor = bootFactor(machine, now);
     double lateFactor = lateFactor(machine.type);
     return factor < lateFactor ? 1 : factor < VERY_LATE_MARGIN * lateFactor ? 0.5 : 0;
   }
 
-  /** Whether a machine has been waited for in vain for long enough. */
+  /** Whether a machine has been booting for so long that it is to be released. */
   boolean isGivenUp(Machine machine, Instant now) {
     // It is charged as long as it is waited for.
     return bootFactor(machine, now) > Math.max(MIN_GIVE_UP_FACTOR, lateFactor(machine.type));
   }
 
   /**
-   * Whether a machine rented now is likely to be up about when its type says, as far as has been
-   * seen: a new leader that has seen no boots yet must not count on good ones.
+   * Whether a machine rented now is likely to boot in about its type's boot time, by the boots that
+   * are known: a new leader, which knows of none yet, must not count on good ones.
    */
   boolean isTypical(MachineType type) {
     TypeHistory history = historyOf(type);
     return history.bootFactors.size() >= MIN_OBSERVED_BOOTS
-        && typicalBootTime(history) < SLOW_FACTOR
+        && averageBootFactor(history) < SLOW_FACTOR
         && arrivalShare(type) > MIN_ARRIVAL_SHARE;
   }
 
-  /** The part of the machines rented that came up in time; cautious before much was seen. */
+  /** The share of rented machines that boot in time; close to 1 while few boots are known. */
   double arrivalShare(MachineType type) {
     TypeHistory history = historyOf(type);
     long came = history.arrivedInTime.stream().filter(c -> c).count();
--- a/src/main/java/io/pineladder/autoscaling/CloudClient.java
+++ b/src/main/java/io/pineladder/autoscaling/CloudClient.java
@@ -12,8 +12,14 @@
 import java.time.Instant;
 import java.util.function.Consumer;
 
-/** Calls to the cloud within its rate; it is left alone for a while when it has trouble. */
+/**
+ * Sends requests to the cloud within its rate limit; a circuit breaker pauses them for some seconds
+ * after a failure.
+ */
 final class CloudClient {
+  /** The share of the cloud's rate limit that is used. */
+  private static final double RATE_SHARE = 0.85;
+
   private static final Duration TIMEOUT = Duration.ofSeconds(4);
   private static final Duration INITIAL_PAUSE = Duration.ofSeconds(2);
   private static final Duration MAX_PAUSE = Duration.ofSeconds(4);
@@ -30,24 +36,29 @@
     this.eventLoop = eventLoop;
     this.address = settings.cloudAddress();
     this.circuitBreaker = new CircuitBreaker("the cloud", eventLoop, 1, INITIAL_PAUSE, MAX_PAUSE);
-    double rps = settings.cloudLimits().requestsPerSecond() * 0.85;
+    double rps = settings.cloudLimits().requestsPerSecond() * RATE_SHARE;
     this.callBudget = new TokenBucket(rps, Math.max(1, rps * 2), eventLoop.now());
   }
 
-  /** No reply counts any more. */
+  /** Ignores all replies from now on. */
   void close() {
     closed = true;
   }
 
+  /**
+   * Sends a GET request, unless the rate limit or the circuit breaker forbids it now.
+   *
+   * @return whether it was sent, and so {@code onReply} will be called
+   */
   boolean get(String path, Consumer<Reply> onReply) {
     return call(Request.get(address, path, TIMEOUT), onReply);
   }
 
+  /** Sends a POST request, under the same conditions as {@link #get}. */
   boolean post(String path, byte[] body, Consumer<Reply> onReply) {
     return call(Request.post(address, path, body, TIMEOUT), onReply);
   }
 
-  /** Sends at once, or not at all: false. */
   private boolean call(Request request, Consumer<Reply> onReply) {
     Instant now = eventLoop.now();
     if (callBudget.available(now) < 1 || !circuitBreaker.tryAcquire()) {
@@ -69,7 +80,7 @@
     return true;
   }
 
-  /** Whether there is no capacity, which is no trouble. */
+  /** Whether the cloud refuses for want of capacity, which is no failure of it. */
   static boolean isCapacityRefusal(Reply reply) {
     return reply.is(503)
         && new String(reply.body(), StandardCharsets.UTF_8).contains("no capacity");
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -5,6 +5,7 @@
 import io.pineladder.model.Machine;
 import io.pineladder.model.Settings;
 import io.pineladder.scheduling.ClusterState;
+import io.pineladder.zones.HeartbeatCounts;
 import io.pineladder.zones.Zones;
 import java.time.Duration;
 import java.time.Instant;
@@ -190,15 +191,14 @@
   private void reviewZones(Survey survey, Duration timeout, Instant now) {
     survey.byZone.forEach(
         (zone, heartbeats) -> {
-          boolean unreachable =
-              zones.review(
-                  zone,
+          HeartbeatCounts counts =
+              new HeartbeatCounts(
                   heartbeats.expected,
                   heartbeats.overdue,
                   heartbeats.recentlyHeard,
-                  effects.workersHeardByPeers(zone),
-                  now);
-          if (unreachable) {
+                  effects.workersHeardByPeers(zone));
+          zones.review(zone, counts, now);
+          if (counts.isUnreachable()) {
             // Once a cut is over the first that are heard say nothing of the rest, whose heartbeats
             // are on their way.
             unreachableUntil.put(zone, now.plus(timeout));
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
@@ -12,17 +12,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What other controllers tell the leader of workers that it does not hear ({@link
- * LeaseKeepAliveWriter}).
+ * Reads, for the leader, the notes of other controllers about workers that it does not hear and
+ * whose leases they keep alive ({@link LeaseKeepAliveWriter}).
  */
 public final class LeaseKeepAliveReader {
   private static final Duration READ_INTERVAL = Duration.ofSeconds(3);
 
-  /** A note that was not renewed for so long is over: two in a row were lost. */
+  /** A note that was not renewed for this long is void: two renewals in a row were lost. */
   private static final Duration KEEP_ALIVE_TTL =
       LeaseKeepAliveWriter.WRITE_INTERVAL.multipliedBy(3);
 
-  /** One controller's note; when it was first seen like this. */
+  /** One controller's note, with the time at which it was first seen in this revision. */
   private record KeepAlive(long revision, Instant changedAt, JsonNode workersByZone) {}
 
   private final StoreClient storeClient;
@@ -31,9 +31,9 @@
   private final Map<String, KeepAlive> keepAlives = new HashMap<>();
 
   /**
-   * The notes that a leader reads.
+   * Creates a reader that does nothing before {@link #start}.
    *
-   * @param wanted whether a zone is not heard, so that it is worth a request
+   * @param needed whether some zone is unreachable, so that the notes are worth a request
    */
   public LeaseKeepAliveReader(
       StoreClient storeClient, EventLoop eventLoop, BooleanSupplier needed) {
@@ -42,7 +42,7 @@
     this.needed = needed;
   }
 
-  /** Reads them while they are wanted, until {@code over} says so. */
+  /** Reads the notes at an interval while they are needed, until {@code isOver} holds. */
   public void start(BooleanSupplier isOver) {
     if (isOver.getAsBoolean()) {
       return;
@@ -61,7 +61,7 @@
     for (StoreWire.Entry entry : page.entries()) {
       KeepAlive previous = keepAlives.get(entry.key());
       if (previous == null || previous.revision != entry.revision()) {
-        // What is there when it is read for the first time may be from an earlier parting.
+        // A note that is read for the first time may be left from an earlier outage.
         Instant changedAt = previous == null ? now.minus(KEEP_ALIVE_TTL) : now;
         keepAlives.put(
             entry.key(), new KeepAlive(entry.revision(), changedAt, entry.value().path("zones")));
@@ -69,7 +69,7 @@
     }
   }
 
-  /** How many workers of a zone other controllers hear. */
+  /** How many workers of the zone have leases that other controllers keep alive. */
   public int workersHeardByPeers(String zone) {
     Instant from = eventLoop.now().minus(KEEP_ALIVE_TTL);
     int heard = 0;
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 
 /**
- * What a controller tells the leader of the workers whose leases it keeps in the leader's place: a
- * note in the state service, which both reach although they do not reach one another.
+ * Tells the leader how many workers' leases this controller keeps alive in its place: by a note in
+ * the state service, which both reach although they do not reach one another.
  */
 public final class LeaseKeepAliveWriter {
-  /** Between two notes while there is anything to tell. */
+  /** The interval of the note's renewal while any lease is kept alive. */
   static final Duration WRITE_INTERVAL = Duration.ofSeconds(4);
 
-  /** A worker that was not heard for so long is not counted; it reports more often than that. */
+  /** A worker that was not heard for this long is not counted; heartbeats come more often. */
   private final Duration renewalTtl;
 
   private record RenewedLease(String zone, Instant renewedAt) {}
@@ -32,15 +32,15 @@
   private boolean writeScheduled;
 
   /**
-   * The revision of this controller's note as it is stored, 0 for none; null while that is not
-   * known.
+   * The revision of this controller's stored note, 0 for none; null while it is not known because a
+   * write is in flight or its outcome is uncertain.
    */
   private Long storedRevision;
 
   /**
-   * The notes of one controller.
+   * Creates the writer of one controller.
    *
-   * @param report how often workers report
+   * @param heartbeatInterval how often workers send heartbeats
    */
   public LeaseKeepAliveWriter(
       StoreClient storeClient,
@@ -53,12 +53,12 @@
     this.renewalTtl = heartbeatInterval.multipliedBy(2);
   }
 
-  /** This controller has answered a report in the leader's place. */
+  /** This controller has answered a heartbeat in the leader's place, which renews the lease. */
   public void onLeaseRenewed(String machine, String zone) {
     renewedLeases.put(machine, new RenewedLease(zone, eventLoop.now()));
     if (!writeScheduled) {
       writeScheduled = true;
-      // The first ones say nothing yet: a zone's workers come one after the other.
+      // The first counts would be too low: a zone's workers come one after the other.
       eventLoop.schedule(WRITE_INTERVAL, this::writeKeepAlive);
     }
   }
@@ -88,9 +88,9 @@
   }
 
   /**
-   * The note follows the one that is known to be stored: without that condition a transaction that
-   * got no answer and was carried out late took the place of a newer note, and a second copy of it
-   * had effect again.
+   * Writes the note on condition of the revision that is known to be stored. Without it a
+   * transaction that got no answer and was executed late replaced a newer note, and a duplicate of
+   * it took effect again.
    */
   private void write(Map<String, Integer> workersByZone) {
     var value = Json.object();
@@ -106,6 +106,7 @@
           try {
             storedRevision = reply.is(200) ? StoreWire.parseRevision(reply.body()) : null;
           } catch (MalformedMessageException e) {
+            // The outcome is as uncertain as without an answer: the next renewal reads the note.
             storedRevision = null;
           }
         });
--- a/src/main/java/io/pineladder/zones/Zone.java
+++ b/src/main/java/io/pineladder/zones/Zone.java
@@ -5,71 +5,48 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One zone as the leader sees it: a state with its evidence, changed by one function. */
+/** The state of one zone as the leader sees it, by the heartbeats of its machines. */
 final class Zone {
   private static final Logger log = LoggerFactory.getLogger(Zone.class);
 
-  /** A zone that has just come back gets so long to have its workers heard. */
+  /** How long a zone that has just come back may take to have nearly all workers heard. */
   private static final Duration MAX_RETURNING_TIME = Duration.ofSeconds(30);
 
   private static final Duration INITIAL_PROBATION = Duration.ofSeconds(30);
   private static final Duration MAX_PROBATION = Duration.ofMinutes(10);
 
-  /** Where a zone stands. */
+  /** The states of a zone; the administration API shows their names. */
   enum State {
+    /** Its machines are heard. */
     UP,
-    /** More than a few of its machines are overdue; no more is rented there for now. */
+    /** More than a few machines are overdue; zones that are up are preferred for renting. */
     DOUBTED,
-    /** None of its machines is heard; they may live. */
+    /** Hardly any machine is heard; they may be alive. */
     CUT,
-    /** This node hears none of its machines, but another controller does and keeps their leases. */
+    /**
+     * Hardly any machine is heard here, but another controller hears them and keeps their leases
+     * alive.
+     */
     APART,
-    /** Heard again; its workers are on their way. */
+    /** Heard again; some of its workers have yet to find this controller. */
     RETURNING,
-    /** Back, but it has gone before: what can go elsewhere does. */
+    /** Back, but it was unreachable lately: zones that are up are preferred for renting. */
     PROBATION
   }
 
-  /**
-   * How its machines are heard.
-   *
-   * @param up machines that should report
-   * @param overdue those of them that are late
-   * @param lately those heard since the first of them was missed
-   * @param inside those that another controller was last heard to hear
-   */
-  record HeartbeatCounts(int expected, int overdue, int recentlyHeard, int heardByPeers) {
-    boolean isUnreachable() {
-      return overdue >= 3 && overdue * 3 > expected && recentlyHeard * 5 < expected;
-    }
-
-    boolean isDoubtful() {
-      return overdue >= 3 && overdue * 10 > expected || expected >= 3 && recentlyHeard == 0;
-    }
-
-    boolean isHeardByPeers() {
-      return heardByPeers * 2 >= expected;
-    }
-
-    /**
-     * Some are heard again: that fewer are overdue may only mean that more have to report by now.
-     */
-    boolean isHeardAgain() {
-      return expected > 0 && recentlyHeard * 5 >= expected;
-    }
-
-    boolean isRecovered() {
-      return recentlyHeard * 10 >= expected * 9;
-    }
-  }
-
   private final String name;
   private State state = State.UP;
   private Instant stateSince;
+
+  /** Since when it is unreachable, or null. */
   private Instant unreachableSince;
+
+  /** How often it has become unreachable. */
   private int losses;
 
-  /** How long its earlier cuts lasted, all together. */
+  private boolean anyHeard = true;
+
+  /** How long it was unreachable earlier, all times together. */
   private Duration totalEarlierOutage = Duration.ZERO;
 
   Zone(String name, Instant now) {
@@ -77,17 +54,28 @@
     this.stateSince = now;
   }
 
+  /** Its present state. */
   State state() {
     return state;
   }
 
+  /** How often it has become unreachable in this term. */
   int losses() {
     return losses;
   }
 
   /** The one place where the state changes. */
   private void transitionTo(State next, HeartbeatCounts evidence, Instant now) {
-    log.info("zone {} is {} (was {}): {}", name, next, state, evidence);
+    log.info(
+        "Zone state changed: zone={} state={} previous={} expected={} overdue={} recentlyHeard={}"
+            + " heardByPeers={}",
+        name,
+        next,
+        state,
+        evidence.expected(),
+        evidence.overdue(),
+        evidence.recentlyHeard(),
+        evidence.heardByPeers());
     boolean becomesUnreachable = next == State.CUT || next == State.APART;
     if (becomesUnreachable && unreachableSince == null) {
       unreachableSince = now;
@@ -100,8 +88,9 @@
     stateSince = now;
   }
 
-  /** Looks at how its machines are heard now. */
+  /** Applies the present heartbeat counts. */
   void review(HeartbeatCounts counts, Instant now) {
+    anyHeard = counts.isAnyHeard();
     State next =
         switch (state) {
           case UP, DOUBTED, PROBATION -> {
@@ -133,24 +122,31 @@
     }
   }
 
-  /** How long it has to stand before it is as good as any: longer with each loss. */
+  /** How long it has to stay up before it counts as up: doubled with each loss. */
   private Duration probationDuration() {
     Duration doubled = INITIAL_PROBATION.multipliedBy(1L << Math.min(10, Math.max(0, losses - 1)));
     return doubled.compareTo(MAX_PROBATION) < 0 ? doubled : MAX_PROBATION;
   }
 
+  /** Whether any of its machines was heard at the last review, or none was expected to be. */
+  boolean isAnyHeard() {
+    return anyHeard;
+  }
+
+  /** Whether hardly any of its machines is heard here. */
   boolean isUnreachable() {
     return state == State.CUT || state == State.APART;
   }
 
-  /** For how long it has not been heard; zero when it is. */
+  /** For how long it has been unreachable; zero if it is not. */
   Duration outageDuration(Instant now) {
     return unreachableSince == null ? Duration.ZERO : Duration.between(unreachableSince, now);
   }
 
   /**
-   * How much longer it is likely to stay away: as long as it has been, which holds for faults of
-   * all lengths alike, but where it was away before no longer than it was then on average.
+   * How much longer it is likely to be unreachable: as long as it has been, which holds for faults
+   * of all lengths alike. If it was unreachable before, the average of those outages counts: what
+   * is left of it, but at least half of what has passed.
    */
   Duration expectedRemainingOutage(Instant now) {
     Duration outage = outageDuration(now);
--- a/src/main/java/io/pineladder/zones/Zones.java
+++ b/src/main/java/io/pineladder/zones/Zones.java
@@ -8,59 +8,44 @@
 import java.util.TreeMap;
 
 /**
- * The zones as one leader sees them: where machines may be rented, and what of them is waited for.
+ * The zones as one leader sees them: where machines may be rented, and which silent machines may
+ * still be alive. All methods run on the event loop.
  */
 public final class Zones {
   private final Map<String, Zone> zones = new TreeMap<>();
 
-  /** Zones that were heard in this review, with the share of their machines that was. */
-  private final Map<String, Boolean> recentlyHeard = new TreeMap<>();
-
-  /** One zone, for those who look from outside. */
-  public record View(String name, String state, int losses, Duration outageDuration) {}
-
   /**
-   * Looks at a zone once a second.
+   * A zone as the administration API shows it.
    *
-   * @param up machines that should report
-   * @param overdue those of them that are late
-   * @param lately those heard since the first of them was missed
-   * @param inside those that another controller hears, as it has told lately
-   * @return whether hardly any of them is heard
+   * @param state the name of its state
+   * @param losses how often it has become unreachable in this term
+   * @param outageDuration for how long it has been unreachable; zero if it is not
    */
-  public boolean review(
-      String name,
-      int expected,
-      int overdue,
-      int recentlyHeardCount,
-      int heardByPeers,
-      Instant now) {
-    Zone zone = zones.computeIfAbsent(name, n -> new Zone(n, now));
-    Zone.HeartbeatCounts counts =
-        new Zone.HeartbeatCounts(expected, overdue, recentlyHeardCount, heardByPeers);
-    zone.review(counts, now);
-    recentlyHeard.put(name, recentlyHeardCount > 0 || expected == 0);
-    return counts.isUnreachable();
+  public record View(String name, String state, int losses, Duration outageDuration) {}
+
+  /** Applies a zone's heartbeat counts, once a second. */
+  public void review(String name, HeartbeatCounts counts, Instant now) {
+    zones.computeIfAbsent(name, n -> new Zone(n, now)).review(counts, now);
   }
 
-  /** Whether this node hears nothing of some zone. */
+  /** Whether hardly any machine of some zone is heard here. */
   public boolean isAnyUnreachable() {
     return zones.values().stream().anyMatch(Zone::isUnreachable);
   }
 
-  /** Whether this node hears nothing of the zone. */
+  /** Whether hardly any machine of the zone is heard here. */
   public boolean isUnreachable(String name) {
     Zone zone = zones.get(name);
     return zone != null && zone.isUnreachable();
   }
 
-  /** Whether another controller hears the zone and keeps its workers' leases. */
+  /** Whether another controller hears the zone and keeps its workers' leases alive. */
   public boolean isKeptAliveByPeers(String name) {
     Zone zone = zones.get(name);
     return zone != null && zone.state() == Zone.State.APART;
   }
 
-  /** How much longer a zone that is gone is likely to stay away; zero for others. */
+  /** How much longer the zone is likely to be unreachable; zero if it is not. */
   public Duration expectedRemainingOutage(String name, Instant now) {
     Zone zone = zones.get(name);
     return zone == null || !zone.isUnreachable()
@@ -69,8 +54,8 @@
   }
 
   /**
-   * Where machines may be rented, those first that are up: not where none is heard. Where that
-   * holds for all of them nothing tells them apart.
+   * The candidates where machines may be rented, zones that are up first. Zones where no machine is
+   * heard are left out, unless all of them are.
    */
   public List<String> rentableZones(List<String> candidates) {
     List<String> up = new ArrayList<>();
@@ -82,7 +67,7 @@
         case UP -> up.add(name);
         case PROBATION, RETURNING -> doubtful.add(name);
         case DOUBTED -> {
-          if (recentlyHeard.getOrDefault(name, true)) {
+          if (zone.isAnyHeard()) {
             doubtful.add(name);
           }
         }
@@ -93,7 +78,7 @@
     return up.isEmpty() ? candidates : up;
   }
 
-  /** All zones as they stand. */
+  /** All zones, by name. */
   public List<View> view(Instant now) {
     List<View> views = new ArrayList<>();
     zones.forEach(
