--- /dev/null
+++ b/src/main/java/io/pineladder/store/StoreRequestSender.java
@@ -0,0 +1,186 @@
+package io.pineladder.store;
+
+import io.pineladder.model.Settings;
+import io.pineladder.net.AsyncHttpClient;
+import io.pineladder.net.AsyncHttpClient.Reply;
+import io.pineladder.net.AsyncHttpClient.Request;
+import io.pineladder.net.EventLoop;
+import io.pineladder.retry.Backoff;
+import io.pineladder.retry.RetryBudget;
+import io.pineladder.retry.TokenBucket;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.function.Consumer;
+
+/**
+ * Sends requests to the store within this node's share of its rate limits, and observes how the
+ * store responds: its health and the budget for retries.
+ */
+final class StoreRequestSender {
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(250);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(500);
+
+  /** Retries beyond a twentieth of the successes are limited to a rate. */
+  private static final double RETRY_TO_SUCCESS_RATIO = 0.05;
+
+  private static final double RETRIES_PER_SECOND = 10;
+  private static final double MAX_RETRY_BURST = 20;
+
+  /**
+   * The limits are the whole cluster's. This share of them is for what all nodes together ask on
+   * behalf of users while no leader answers; with more, the leader's commits, its renewals and a
+   * new leader's first reads would be refused along with them.
+   */
+  private static final double USER_TRAFFIC_SHARE = 0.3;
+
+  /** Of the users' share of requests, what reads get; the rest is for submissions. */
+  private static final double USER_READ_SHARE = 0.7;
+
+  private record QueuedRequest(Request request, Consumer<Reply> onReply) {}
+
+  private final AsyncHttpClient httpClient;
+  private final EventLoop eventLoop;
+  private final TokenBucket requestBudget;
+  private final TokenBucket writeBudget;
+  private final TokenBucket userReadBudget;
+  private final TokenBucket userWriteBudget;
+  private final RetryBudget retryBudget;
+  private final Deque<QueuedRequest> queue = new ArrayDeque<>();
+  private boolean drainScheduled;
+  private long requestCount;
+  private long rateLimitedCount;
+  private Instant lastResponseAt;
+  private boolean healthy;
+
+  StoreRequestSender(
+      AsyncHttpClient httpClient, EventLoop eventLoop, Settings.StoreLimits limits, int nodes) {
+    this.httpClient = httpClient;
+    this.eventLoop = eventLoop;
+    Instant now = eventLoop.now();
+    double requestsPerSecond = limits.requestsPerSecond() * (1 - USER_TRAFFIC_SHARE);
+    double writesPerSecond = limits.writesPerSecond() * (1 - USER_TRAFFIC_SHARE);
+    requestBudget = new TokenBucket(requestsPerSecond, Math.max(1, requestsPerSecond), now);
+    // A whole transaction must fit into the burst, or it would never be sent.
+    writeBudget =
+        new TokenBucket(writesPerSecond, Math.max(limits.transactionOps(), writesPerSecond), now);
+    retryBudget =
+        new RetryBudget(eventLoop, RETRY_TO_SUCCESS_RATIO, RETRIES_PER_SECOND, MAX_RETRY_BURST);
+    double nodeShare = USER_TRAFFIC_SHARE / nodes;
+    userReadBudget = userBudget(limits.requestsPerSecond() * nodeShare * USER_READ_SHARE, now);
+    userWriteBudget = userBudget(limits.writesPerSecond() * nodeShare, now);
+  }
+
+  private static TokenBucket userBudget(double perSecond, Instant now) {
+    return new TokenBucket(perSecond, Math.max(2, 2 * perSecond), now);
+  }
+
+  TokenBucket writeBudget() {
+    return writeBudget;
+  }
+
+  boolean isHealthy() {
+    return healthy;
+  }
+
+  /** When the last response came that was not a refusal; null for never. */
+  Instant lastResponseAt() {
+    return lastResponseAt;
+  }
+
+  long requestCount() {
+    return requestCount;
+  }
+
+  long rateLimitedCount() {
+    return rateLimitedCount;
+  }
+
+  /** Sends when the request budget allows, in the order of the calls. */
+  void send(Request request, Consumer<Reply> onReply) {
+    queue.addLast(new QueuedRequest(request, onReply));
+    drainQueue();
+  }
+
+  private void drainQueue() {
+    Instant now = eventLoop.now();
+    while (!queue.isEmpty() && requestBudget.available(now) >= 1) {
+      QueuedRequest next = queue.pollFirst();
+      requestBudget.consume(1, now);
+      httpClient.call(next.request, observing(next.onReply));
+    }
+    if (!queue.isEmpty() && !drainScheduled) {
+      drainScheduled = true;
+      eventLoop.schedule(
+          requestBudget.delayUntilAvailable(1, now).plusMillis(1),
+          () -> {
+            drainScheduled = false;
+            drainQueue();
+          });
+    }
+  }
+
+  /** Sends at once, and charges the budget even if that overdraws it. */
+  void sendImmediately(Request request, Consumer<Reply> onReply) {
+    requestBudget.consume(1, eventLoop.now());
+    httpClient.call(request, observing(onReply));
+  }
+
+  /**
+   * Sends a request that the service answers only when something has changed. Charged like {@link
+   * #sendImmediately}, but its reply says nothing of the store's health.
+   */
+  void sendLongPoll(Request request, Consumer<Reply> onReply) {
+    requestBudget.consume(1, eventLoop.now());
+    httpClient.call(request, onReply);
+  }
+
+  /** Sends a read for a user, or answers {@link Reply#NOT_SENT} when the users' budget is used. */
+  void readForUser(Request request, Consumer<Reply> onReply) {
+    sendForUser(userReadBudget, 1, request, onReply);
+  }
+
+  /** Sends a write for a user, or answers {@link Reply#NOT_SENT} when the users' budget is used. */
+  void writeForUser(Request request, int changes, Consumer<Reply> onReply) {
+    sendForUser(userWriteBudget, changes, request, onReply);
+  }
+
+  private void sendForUser(TokenBucket budget, int cost, Request request, Consumer<Reply> onReply) {
+    Instant now = eventLoop.now();
+    if (budget.available(now) < cost) {
+      onReply.accept(Reply.NOT_SENT);
+      return;
+    }
+    budget.consume(cost, now);
+    httpClient.call(request, observing(onReply));
+  }
+
+  private Consumer<Reply> observing(Consumer<Reply> onReply) {
+    requestCount++;
+    return reply -> {
+      rateLimitedCount += reply.is(429) ? 1 : 0;
+      boolean executed = reply.isAnswered() && reply.status() < 429;
+      if (executed) {
+        lastResponseAt = eventLoop.now();
+        healthy = true;
+        retryBudget.onSuccess();
+      } else if (!reply.is(429)) {
+        healthy = false;
+      }
+      onReply.accept(reply);
+    };
+  }
+
+  Backoff newBackoff() {
+    return new Backoff(eventLoop, INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
+  }
+
+  /** Schedules a retry after the back-off delay, or later when the retry budget is used. */
+  void scheduleRetry(Backoff backoff, Runnable action) {
+    Duration backoffDelay = backoff.nextDelay();
+    Duration budgetDelay = retryBudget.acquireDelay();
+    eventLoop.schedule(
+        budgetDelay.compareTo(backoffDelay) > 0 ? budgetDelay : backoffDelay, action);
+  }
+}
--- a/src/test/java/io/pineladder/store/StoreClientTest.java
+++ b/src/test/java/io/pineladder/store/StoreClientTest.java
@@ -18,7 +18,7 @@
 class StoreClientTest {
   /** Found on the grown colombo: a new leader's reads waited half a minute behind users' polls. */
   @Test
-  void whatUsersAskForNeverStandsBeforeTheNodesOwnRequests() {
+  void userRequestsAreNeverQueuedAheadOfTheNodesOwn() {
     List<String> sent = new ArrayList<>();
     AsyncHttpClient httpClient = (request, onReply) -> sent.add(request.path());
     EventLoop eventLoop =
