--- a/src/main/java/io/pineladder/store/AcceptedJobIndex.java
+++ b/src/main/java/io/pineladder/store/AcceptedJobIndex.java
@@ -17,23 +17,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where the jobs stand that leaders accepted into pages, for a node that answers users without a
- * leader. The pages are read as a whole when the first user asks; from then on one request for the
- * changes since makes all answers fresh that are asked for while the one before is under way.
+ * An index of the jobs in leaders' pages, for a node that answers users without a leader. The pages
+ * are read as a whole when the first user asks; from then on one request for the changes since
+ * serves all callers that come while the one before is in flight.
  */
 public final class AcceptedJobIndex {
   private static final Logger log = LoggerFactory.getLogger(AcceptedJobIndex.class);
 
-  /** Not asked for so long, it is given up, for its memory. */
+  /** An index that is not used for this long is dropped, for its memory. */
   private static final Duration IDLE_EXPIRY = Duration.ofSeconds(60);
 
-  /** Where the index stands. */
+  /** The state of the index. */
   private enum State {
-    /** Nothing is known. */
+    /** Nothing is indexed. */
     EMPTY,
     /** The pages, or the changes since, are being read. */
     READING,
-    /** Everything up to a revision is known. */
+    /** Everything up to a revision is indexed. */
     LOADED
   }
 
@@ -44,24 +44,25 @@
   private long revision;
   private Instant lastUsedAt;
 
-  /** Changes with the generation that counts, so that a late answer is told apart. */
+  /** Raised with each change of the generation, so that a late reply is recognized. */
   private int epoch;
 
-  /** One timer looks whether the index is still in use, however often it is read. */
+  /** One timer checks whether the index is still in use, however often it is read. */
   private boolean expiryScheduled;
 
-  /** Those whose answer the read under way began too early for. */
+  /** Callers that came after the read in flight began, so that it is too early for them. */
   private List<Consumer<Boolean>> waitingCallers = new ArrayList<>();
 
+  /** An empty index. */
   public AcceptedJobIndex(StoreClient storeClient, EventLoop eventLoop) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
   }
 
   /**
-   * Makes the index fresh.
+   * Brings the index up to date.
    *
-   * @param onDone told whether {@link #find} now answers as of a moment after this call
+   * @param onDone receives whether {@link #find} now answers as of a moment after this call
    */
   public void refresh(Consumer<Boolean> onDone) {
     lastUsedAt = eventLoop.now();
@@ -71,10 +72,10 @@
     }
   }
 
-  /** A job in a page, with the jobs that it needs. */
+  /** A job in a page, with the jobs that it depends on. */
   public record IndexedJob(Job.State state, List<String> prerequisites) {}
 
-  /** The job as last read, or null when no page holds it. */
+  /** The job as of the last refresh, or null when no page holds it. */
   public IndexedJob find(String id) {
     for (Map<String, IndexedJob> page : pages.values()) {
       IndexedJob found = page.get(id);
@@ -85,7 +86,7 @@
     return null;
   }
 
-  /** Another generation counts: nothing is known of it, and what is being read is of no use. */
+  /** Another generation is active: nothing is indexed of it, and a read in flight is of no use. */
   public void invalidate() {
     epoch++;
     List<Consumer<Boolean>> callers = waitingCallers;
@@ -104,49 +105,58 @@
   private void read() {
     List<Consumer<Boolean>> callers = waitingCallers;
     waitingCallers = new ArrayList<>();
-    boolean whole = state == State.EMPTY;
-    int readEpoch = epoch;
+    boolean empty = state == State.EMPTY;
     transitionTo(State.READING);
-    if (whole) {
-      storeClient.listForUser(
-          RecordKeys.JOB_PAGES,
-          listing -> {
-            if (readEpoch != epoch) {
-              callers.forEach(each -> each.accept(false));
-              return;
-            }
-            if (listing == null) {
-              finish(State.EMPTY, callers);
-              return;
-            }
-            revision = listing.revision();
-            if (!indexPages(listing.entries())) {
-              finish(State.EMPTY, callers);
-              return;
-            }
-            // A job may have moved between pages while they were read one after another.
-            transitionTo(State.LOADED);
-            waitingCallers.addAll(0, callers);
-            read();
-          });
-      return;
+    if (empty) {
+      readAll(callers);
+    } else {
+      readChanges(callers);
     }
+  }
+
+  private void readAll(List<Consumer<Boolean>> callers) {
+    int readEpoch = epoch;
+    storeClient.listForUser(
+        RecordKeys.JOB_PAGES,
+        listing -> {
+          if (readEpoch != epoch) {
+            callers.forEach(each -> each.accept(false));
+            return;
+          }
+          if (listing == null) {
+            finish(State.EMPTY, callers);
+            return;
+          }
+          revision = listing.revision();
+          if (!indexPages(listing.entries())) {
+            finish(State.EMPTY, callers);
+            return;
+          }
+          // A job may have moved between pages while they were read one after another.
+          transitionTo(State.LOADED);
+          waitingCallers.addAll(0, callers);
+          read();
+        });
+  }
+
+  private void readChanges(List<Consumer<Boolean>> callers) {
+    int readEpoch = epoch;
     storeClient.readChangesForUser(
         RecordKeys.JOB_PAGES,
         revision,
-        followed -> {
+        response -> {
           if (readEpoch != epoch) {
             callers.forEach(each -> each.accept(false));
             return;
           }
-          StoreWire.Changes changes = followed.changes();
+          StoreWire.Changes changes = response.changes();
           if (changes != null) {
             revision = changes.revision();
             finish(indexPages(changes.entries()) ? State.LOADED : State.EMPTY, callers);
             return;
           }
-          // 410: what is known is too old to be brought up to date.
-          finish(followed.reply().is(410) ? State.EMPTY : State.LOADED, callers, false);
+          // 410: the index is too old to be brought up to date.
+          finish(response.reply().is(410) ? State.EMPTY : State.LOADED, callers, false);
         });
   }
 
@@ -177,6 +187,7 @@
     }
   }
 
+  /** Replaces the index of these pages; false when one cannot be decoded. */
   private boolean indexPages(List<StoreWire.Entry> entries) {
     try {
       for (StoreWire.Entry entry : entries) {
@@ -191,7 +202,7 @@
       }
       return true;
     } catch (MalformedMessageException e) {
-      log.warn("a page of accepted jobs cannot be read: {}", e.getMessage());
+      log.warn("Page of jobs cannot be decoded, index dropped: error={}", e.getMessage());
       return false;
     }
   }
--- a/src/main/java/io/pineladder/store/Mutation.java
+++ b/src/main/java/io/pineladder/store/Mutation.java
@@ -22,7 +22,7 @@
 public record Mutation(
     Priority priority,
     List<Write> writes,
-    List<JobPages.Edit> pageEdits,
+    List<JobPageEdit> pageEdits,
     List<String> mustNotExist,
     BooleanSupplier stillWanted,
     Runnable onCommitted,
@@ -57,7 +57,7 @@
   static Mutation withPageEdits(
       Priority priority,
       List<Write> writes,
-      List<JobPages.Edit> pageEdits,
+      List<JobPageEdit> pageEdits,
       List<String> mustNotExist,
       Runnable onCommitted,
       Runnable onAlreadyExists) {
@@ -67,6 +67,6 @@
 
   /** Whether it changes a page of jobs that is being divided, or has to be first. */
   boolean mustWait() {
-    return pageEdits.stream().anyMatch(JobPages.Edit::mustWait);
+    return pageEdits.stream().anyMatch(JobPageEdit::mustWait);
   }
 }
--- a/src/main/java/io/pineladder/store/MutationQueue.java
+++ b/src/main/java/io/pineladder/store/MutationQueue.java
@@ -37,7 +37,7 @@
 
   /** Sets a mutation aside that changes a page which is being divided. */
   void defer(Mutation mutation) {
-    mutation.pageEdits().forEach(JobPages.Edit::defer);
+    mutation.pageEdits().forEach(JobPageEdit::defer);
     deferred.addLast(mutation);
   }
 
--- a/src/main/java/io/pineladder/store/NotificationLog.java
+++ b/src/main/java/io/pineladder/store/NotificationLog.java
@@ -3,9 +3,9 @@
 import io.pineladder.model.Job;
 import io.pineladder.model.Notification;
 
-/** Numbers the notices of final states, and is told which are stored. */
+/** Numbers the notifications of final states and receives which of them are stored. */
 public interface NotificationLog {
-  /** Nobody is to be told anything. */
+  /** There is no subscriber. */
   NotificationLog DISABLED =
       new NotificationLog() {
         @Override
@@ -28,23 +28,23 @@
         public void onTransactionCommitted() {}
       };
 
-  /** Whether anybody may want to be told of any job. */
+  /** Whether there is a subscriber that may want a notification of any job. */
   boolean hasSubscribers();
 
-  /** A transaction is put together: numbers given since the last commit are free again. */
+  /** A transaction is assembled: numbers allocated since the last commit are free again. */
   void beginTransaction();
 
-  /** The next notice, for a job whose end goes into the transaction; null when nobody wants it. */
+  /** Numbers the notification of a job whose final state is stored; null when none is wanted. */
   Notification allocate(Job job);
 
   /**
-   * The transaction with the notice has committed.
+   * The transaction with the notification has committed.
    *
-   * @param bytes what it takes in its page
-   * @param drop takes the notice out of its page, with the page's next write
+   * @param storedBytes what it takes in its page
+   * @param removeFromPage leaves the notification out of its page from the next write on
    */
   void onStored(Notification notification, int storedBytes, Runnable removeFromPage);
 
-  /** All notices of the transaction have been told; they may have come in any order. */
+  /** All notifications of the transaction were passed on; they may have come in any order. */
   void onTransactionCommitted();
 }
--- a/src/main/java/io/pineladder/store/PendingTransaction.java
+++ b/src/main/java/io/pineladder/store/PendingTransaction.java
@@ -17,7 +17,7 @@
   private final Map<String, JsonNode> values = new HashMap<>();
 
   /** Changed pages of jobs, each with what the mutations change there. */
-  private final Map<JobPages.Page, List<JobPages.Edit>> pageEdits = new LinkedHashMap<>();
+  private final Map<JobPage, List<JobPageEdit>> pageEdits = new LinkedHashMap<>();
 
   private byte[] body;
   private boolean ambiguous;
@@ -34,7 +34,7 @@
   }
 
   /** The changed pages of jobs with their edits. */
-  Map<JobPages.Page, List<JobPages.Edit>> pageEdits() {
+  Map<JobPage, List<JobPageEdit>> pageEdits() {
     return pageEdits;
   }
 
--- a/src/main/java/io/pineladder/store/RecordPages.java
+++ b/src/main/java/io/pineladder/store/RecordPages.java
@@ -25,7 +25,9 @@
  * old copy: what is packed here is either immutable or only ever grows.
  *
  * <p>A page that an earlier leader left larger than a value may be now is not stored again as long
- * as what is live in it is still too large: its entries are stored in other pages first.
+ * as its live content is too large: its entries are stored in other pages first.
+ *
+ * @param <T> what an entry is of; compared by identity or as its {@code equals} does
  */
 final class RecordPages<T> {
   /** Small pages cost little to write again for a few entries; many go into one transaction. */
@@ -34,16 +36,38 @@
   /** What a page takes beside its entries. */
   static final int PAGE_OVERHEAD_BYTES = 64;
 
+  /**
+   * One kind of entries.
+   *
+   * @param prefix the prefix of its pages' keys
+   * @param priority the priority of writes that store new content
+   * @param flushInterval how long entries are collected before a page is written
+   * @param isLive whether an entry is still to be stored
+   * @param encoder renders an entry as it is now
+   * @param onStored called for each entry that a committed page has added
+   */
+  record EntryKind<T>(
+      String prefix,
+      Priority priority,
+      Duration flushInterval,
+      Predicate<T> isLive,
+      Function<T, JsonNode> encoder,
+      Consumer<T> onStored) {}
+
   /** An entry as it was encoded for its page. */
   private record EncodedEntry(JsonNode json, int bytes) {}
 
+  /** One value of the store. */
   private static final class Page<T> {
     final String key;
+
+    /** The content of its value as last rendered. */
     final Map<T, EncodedEntry> entries = new LinkedHashMap<>();
 
-    /** Entries that the write under way adds. */
+    /** Entries that the queued write adds. */
     Set<T> beingStored = new LinkedHashSet<>();
 
+    /** A mutation that writes it is not committed yet. */
     boolean writeQueued;
 
     /** It is too large: its entries are being stored elsewhere. */
@@ -54,15 +78,10 @@
     }
   }
 
-  private final String prefix;
-  private final Priority priority;
-  private final Duration flushInterval;
+  private final EntryKind<T> kind;
   private final int capacity;
   private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
-  private final Predicate<T> isLive;
-  private final Function<T, JsonNode> encoder;
-  private final Consumer<T> onStored;
 
   /** Pages in the order in which they are filled, the one written last at the end. */
   private final ArrayDeque<Page<T>> pages = new ArrayDeque<>();
@@ -73,53 +92,41 @@
   /** The page that is about to be stored with an entry's newest content. */
   private final Map<T, Page<T>> beingStoredPage = new HashMap<>();
 
+  /** Entries that are in no page with their newest content. */
   private final Set<T> pendingEntries = new LinkedHashSet<>();
+
   private long nextPageNumber;
   private boolean flushScheduled;
 
-  /** A page whose turn to be filled has not come, or null. */
+  /** The page that is queued to take pending entries and is not rendered yet, or null. */
   private Page<T> pageToFill;
 
   /**
-   * Pages under a prefix.
+   * Pages of one kind of entries.
    *
-   * @param pace how long entries gather before a page is written
-   * @param isLive whether an entry is still to be kept
+   * @param valueBytes the most bytes of a value
+   * @param commit takes mutations, which are carried out in their order
    */
-  RecordPages(
-      String prefix,
-      Priority priority,
-      Duration flushInterval,
-      int valueBytes,
-      EventLoop eventLoop,
-      Consumer<Mutation> commit,
-      Predicate<T> isLive,
-      Function<T, JsonNode> encoder,
-      Consumer<T> onStored) {
-    this.prefix = prefix;
-    this.priority = priority;
-    this.flushInterval = flushInterval;
+  RecordPages(EntryKind<T> kind, int valueBytes, EventLoop eventLoop, Consumer<Mutation> commit) {
+    this.kind = kind;
     this.capacity = capacity(valueBytes);
     this.eventLoop = eventLoop;
     this.commit = commit;
-    this.isLive = isLive;
-    this.encoder = encoder;
-    this.onStored = onStored;
   }
 
-  /** What the entries of one page may take together. */
+  /** What the entries of one page may take together, in bytes. */
   static int capacity(int valueBytes) {
     return Math.min(valueBytes, MAX_PAGE_BYTES) - PAGE_OVERHEAD_BYTES;
   }
 
-  /** Takes in an entry read at the start of a term. */
+  /** Takes over an entry read at the start of a term. */
   void restore(String key, T entry, JsonNode json) {
     Page<T> page = restorePage(key);
     page.entries.put(entry, encode(json));
     storedPage.put(entry, page);
   }
 
-  /** Takes in a page read at the start of a term, so that its key is used and not taken for new. */
+  /** Takes over a page read at the start of a term, so that its key is not used for a new one. */
   Page<T> restorePage(String key) {
     for (Page<T> page : pages) {
       if (page.key.equals(key)) {
@@ -128,7 +135,7 @@
     }
     Page<T> page = new Page<>(key);
     pages.addLast(page);
-    nextPageNumber = Math.max(nextPageNumber, RecordKeys.pageNumber(key, prefix) + 1);
+    nextPageNumber = Math.max(nextPageNumber, RecordKeys.pageNumber(key, kind.prefix) + 1);
     return page;
   }
 
@@ -141,11 +148,11 @@
     pendingEntries.add(entry);
     if (!flushScheduled) {
       flushScheduled = true;
-      eventLoop.schedule(flushInterval, this::flush);
+      eventLoop.schedule(kind.flushInterval, this::flush);
     }
   }
 
-  /** Writes the pages of these entries again soon, since they are live no more. */
+  /** Writes the pages of these entries again soon, since they are not live any more. */
   void rewritePagesOf(Iterable<T> entries) {
     Set<Page<T>> touched = new LinkedHashSet<>();
     for (T entry : entries) {
@@ -157,7 +164,7 @@
     touched.forEach(this::rewriteOrEvacuate);
   }
 
-  /** Writes the page again as it should be. */
+  /** Writes the page again from memory. */
   void rewritePage(String key) {
     Page<T> page = restorePage(key);
     if (!page.writeQueued) {
@@ -173,7 +180,7 @@
     }
   }
 
-  /** Has one page that is too large stored as pages that are not; false when there is none. */
+  /** Begins to store the content of one oversized page elsewhere; false when there is none. */
   boolean evacuateOversizedPage() {
     for (Page<T> page : pages) {
       if (!page.writeQueued && !page.evacuating && prune(page) > capacity) {
@@ -184,7 +191,7 @@
     return false;
   }
 
-  /** Has what is live in the page stored elsewhere, after which it can be stored again. */
+  /** Stores what is live in the page elsewhere, after which it can be stored again. */
   private void evacuate(Page<T> page) {
     if (!page.evacuating) {
       page.evacuating = true;
@@ -197,15 +204,15 @@
     queueNextPage();
   }
 
-  /** How much there is shows when it is encoded; what finds no room waits for the page after. */
+  /** Queues a write; what the page has no capacity for when it is rendered waits for the next. */
   private void queueNextPage() {
     if (!pendingEntries.isEmpty() && pageToFill == null) {
       pageToFill = choosePage();
-      queueWrite(pageToFill, priority);
+      queueWrite(pageToFill, kind.priority);
     }
   }
 
-  /** The next page in turn that is at most half full of what is still live. */
+  /** The next page in order that is at most half full of live entries; a new one if none is. */
   private Page<T> choosePage() {
     for (int i = pages.size(); i > 0; i--) {
       Page<T> page = pages.pollFirst();
@@ -214,12 +221,12 @@
         return page;
       }
     }
-    Page<T> page = new Page<>(prefix + nextPageNumber++);
+    Page<T> page = new Page<>(kind.prefix + nextPageNumber++);
     pages.addLast(page);
     return page;
   }
 
-  /** Drops what is over or is stored in another page; tells the bytes that are left. */
+  /** Drops entries that are not live or are stored in another page; returns the bytes left. */
   private int prune(Page<T> page) {
     int bytes = 0;
     var entries = page.entries.entrySet().iterator();
@@ -227,7 +234,7 @@
       Map.Entry<T, EncodedEntry> each = entries.next();
       T entry = each.getKey();
       boolean here = storedPage.get(entry) == page || page.beingStored.contains(entry);
-      if (here && isLive.test(entry)) {
+      if (here && kind.isLive.test(entry)) {
         bytes += each.getValue().bytes;
         continue;
       }
@@ -241,14 +248,16 @@
     return bytes;
   }
 
-  private void queueWrite(Page<T> page, Priority as) {
+  private void queueWrite(Page<T> page, Priority writePriority) {
     page.writeQueued = true;
     commit.accept(
         Mutation.of(
-            as, List.of(new Write(page.key, () -> nextValue(page))), () -> onPageStored(page)));
+            writePriority,
+            List.of(new Write(page.key, () -> nextValue(page))),
+            () -> onPageStored(page)));
   }
 
-  /** The page's next value; asked for again when the transaction was not executed. */
+  /** The page's next value; rendered again when the transaction was not executed. */
   private JsonNode nextValue(Page<T> page) {
     if (page == pageToFill) {
       pageToFill = null;
@@ -258,11 +267,11 @@
     var remaining = pendingEntries.iterator();
     while (remaining.hasNext()) {
       T entry = remaining.next();
-      if (!isLive.test(entry)) {
+      if (!kind.isLive.test(entry)) {
         remaining.remove();
         continue;
       }
-      EncodedEntry encoded = encode(encoder.apply(entry));
+      EncodedEntry encoded = encode(kind.encoder.apply(entry));
       EncodedEntry previous = page.entries.get(entry);
       int additionalBytes = encoded.bytes - (previous == null ? 0 : previous.bytes);
       if (bytes + additionalBytes > capacity) {
@@ -274,33 +283,37 @@
       }
       remaining.remove();
       bytes += additionalBytes;
-      page.entries.put(entry, encoded);
-      page.beingStored.add(entry);
-      Page<T> other = beingStoredPage.put(entry, page);
-      if (other != null && other != page) {
-        // Stored after this one, its older content would count as the newest.
-        other.beingStored.remove(entry);
-        if (storedPage.get(entry) != other) {
-          other.entries.remove(entry);
-        }
-      }
+      add(page, entry, encoded);
     }
-    // Another page in the same transaction, if it takes one more.
+    // Another page may go into the same transaction.
     queueNextPage();
     return RecordWire.page(page.entries.values().stream().map(EncodedEntry::json));
   }
 
+  private void add(Page<T> page, T entry, EncodedEntry encoded) {
+    page.entries.put(entry, encoded);
+    page.beingStored.add(entry);
+    Page<T> other = beingStoredPage.put(entry, page);
+    if (other != null && other != page) {
+      // Stored after this one, its older content would count as the newest.
+      other.beingStored.remove(entry);
+      if (storedPage.get(entry) != other) {
+        other.entries.remove(entry);
+      }
+    }
+  }
+
   private void onPageStored(Page<T> page) {
     page.writeQueued = false;
     Set<T> added = page.beingStored;
     page.beingStored = new LinkedHashSet<>();
     for (T entry : added) {
-      Page<T> before = storedPage.put(entry, page);
+      Page<T> previous = storedPage.put(entry, page);
       beingStoredPage.remove(entry, page);
-      onStored.accept(entry);
-      if (before != null && before.evacuating && prune(before) <= capacity) {
-        before.evacuating = false;
-        queueWrite(before, Priority.CLEANUP);
+      kind.onStored.accept(entry);
+      if (previous != null && previous.evacuating && prune(previous) <= capacity) {
+        previous.evacuating = false;
+        queueWrite(previous, Priority.CLEANUP);
       }
     }
   }
--- a/src/main/java/io/pineladder/store/TransactionAssembler.java
+++ b/src/main/java/io/pineladder/store/TransactionAssembler.java
@@ -59,10 +59,10 @@
   }
 
   /** Keys that the mutation changes and that the transaction does not change already. */
-  private static int operations(Mutation mutation, Map<JobPages.Page, ?> includedPages) {
+  private static int operations(Mutation mutation, Map<JobPage, ?> includedPages) {
     long additionalPages =
         mutation.pageEdits().stream()
-            .map(JobPages.Edit::page)
+            .map(JobPageEdit::page)
             .filter(page -> !includedPages.containsKey(page))
             .distinct()
             .count();
@@ -107,7 +107,7 @@
     }
     Map<String, JsonNode> values = new HashMap<>();
     int addedBytes = renderWrites(mutation, values);
-    for (JobPages.Edit edit : mutation.pageEdits()) {
+    for (JobPageEdit edit : mutation.pageEdits()) {
       addedBytes +=
           assembled.pageEdits().containsKey(edit.page()) ? 0 : edit.page().maxValueBytes();
     }
@@ -119,7 +119,7 @@
     remainingConditions -= conditions;
     assembled.mutations().add(mutation);
     assembled.values().putAll(values);
-    for (JobPages.Edit edit : mutation.pageEdits()) {
+    for (JobPageEdit edit : mutation.pageEdits()) {
       edit.prepare();
       assembled.pageEdits().computeIfAbsent(edit.page(), p -> new ArrayList<>()).add(edit);
     }
--- a/src/test/java/io/pineladder/store/JobPagesTest.java
+++ b/src/test/java/io/pineladder/store/JobPageDividerTest.java
@@ -24,11 +24,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Pages of jobs that an earlier leader left larger than a value may be now. */
-class JobPagesTest {
+class JobPageDividerTest {
   private static final int VALUE_BYTES = 2048;
 
-  /** Somebody is told of each job that is over. */
-  private static final NotificationLog WANTED =
+  /** A subscriber wants a notification of each job that ends. */
+  private static final NotificationLog SUBSCRIBED =
       new NotificationLog() {
         @Override
         public boolean hasSubscribers() {
@@ -51,15 +51,16 @@
         public void onTransactionCommitted() {}
       };
 
-  private final JobPages pages = new JobPages(VALUE_BYTES, WANTED);
+  private final JobPages pages = new JobPages(VALUE_BYTES, SUBSCRIBED);
+  private final JobPageDivider divider = new JobPageDivider(pages);
   private final List<Job> jobs = new ArrayList<>();
-  private final JobPages.Page large = pages.restore("accepted/7");
+  private final JobPage large = pages.restore("accepted/7");
 
   private static JsonNode record(Job job) {
     return RecordWire.job(job.spec, Instant.EPOCH, job.state());
   }
 
-  private void begin() {
+  private void restoreJobs() {
     for (int i = 0; i < 12; i++) {
       JobSpec spec =
           new JobSpec(
@@ -89,27 +90,27 @@
 
   /** Carries out a mutation as a committed transaction would. */
   private static void commit(Mutation mutation) {
-    mutation.pageEdits().forEach(JobPages.Edit::prepare);
+    mutation.pageEdits().forEach(JobPageEdit::prepare);
     mutation.pageEdits().forEach(edit -> edit.page().onCommitted(List.of(edit)));
     mutation.onCommitted().run();
   }
 
   @Test
-  void aPageThatIsTooLargeIsDividedInStepsAndItsCopiesCountAtTheEnd()
+  void oversizedPageIsDividedInStepsAndItsCopiesCountOnceItIsDeleted()
       throws MalformedMessageException {
-    begin();
-    JobPages.Edit waits = pages.removeRecord(jobs.get(3));
-    assertFalse(waits.mustWait(), "the limits before still hold");
-    pages.markOversizedPages();
-    assertTrue(waits.mustWait());
-    assertSame(large, pages.nextOversizedPage());
+    restoreJobs();
+    JobPageEdit removal = pages.removeRecord(jobs.get(3));
+    assertFalse(removal.mustWait(), "the earlier limits still hold");
+    divider.markOversizedPages();
+    assertTrue(removal.mustWait());
+    assertSame(large, divider.nextOversizedPage());
     List<Mutation> steps = new ArrayList<>();
     boolean[] divided = new boolean[1];
-    pages.divide(large, 64, steps::add, () -> divided[0] = true);
+    divider.divide(large, 64, steps::add, () -> divided[0] = true);
     for (Mutation step : steps) {
       assertFalse(divided[0]);
-      assertTrue(waits.mustWait());
-      for (JobPages.Edit edit : step.pageEdits()) {
+      assertTrue(removal.mustWait());
+      for (JobPageEdit edit : step.pageEdits()) {
         edit.prepare();
         assertTrue(edit.page().maxValueBytes() <= VALUE_BYTES);
         JsonNode copies = edit.page().render(List.of(edit));
@@ -120,37 +121,43 @@
       commit(step);
     }
     assertTrue(divided[0]);
-    assertFalse(waits.mustWait());
-    assertNotSame(large, waits.page());
-    assertNull(pages.nextOversizedPage());
-    for (JsonNode entry : RecordWire.entries(waits.page().render(List.of()))) {
+    assertFalse(removal.mustWait());
+    assertNotSame(large, removal.page());
+    assertNull(divider.nextOversizedPage());
+    for (JsonNode entry : RecordWire.entries(removal.page().render(List.of()))) {
       assertNull(RecordWire.copySource(entry));
     }
   }
 
-  /** Found by reading: the end of a job whose notice had its place in the page waited for ever. */
+  /**
+   * Found by reading: the end of a job whose notification had its place in the page waited for
+   * ever.
+   */
   @Test
-  void aNoticeThatWaitsForThePageGoesElsewhere() {
-    begin();
-    JobPages.Edit note = pages.addNotification(jobs.get(0), true);
-    assertSame(large, note.page());
-    pages.markOversizedPages();
-    note.defer();
-    assertNotNull(pages.nextOversizedPage());
-    pages.divide(large, 64, mutation -> {}, () -> {});
-    assertNotSame(large, note.page());
-    assertFalse(note.mustWait());
+  void deferredNotificationIsRelocatedWhenItsPageIsDivided() {
+    restoreJobs();
+    JobPageEdit notification = pages.addNotification(jobs.get(0), true);
+    assertSame(large, notification.page());
+    divider.markOversizedPages();
+    notification.defer();
+    assertNotNull(divider.nextOversizedPage());
+    divider.divide(large, 64, mutation -> {}, () -> {});
+    assertNotSame(large, notification.page());
+    assertFalse(notification.mustWait());
   }
 
-  /** Found by reading: a notice stored in the page as its division began went with the page. */
+  /**
+   * Found by reading: a notification stored in the page as its division began was deleted with the
+   * page.
+   */
   @Test
-  void aPageIsNotDividedWhileANoticeIsOnItsWayThere() {
-    begin();
-    JobPages.Edit note = pages.addNotification(jobs.get(0), true);
-    note.prepare();
-    pages.markOversizedPages();
-    assertNull(pages.nextOversizedPage());
-    large.onCommitted(List.of(note));
-    assertNull(pages.nextOversizedPage(), "the notice is in the page now");
+  void pageIsNotDividedWhileANotificationForItIsInFlight() {
+    restoreJobs();
+    JobPageEdit notification = pages.addNotification(jobs.get(0), true);
+    notification.prepare();
+    divider.markOversizedPages();
+    assertNull(divider.nextOversizedPage());
+    large.onCommitted(List.of(notification));
+    assertNull(divider.nextOversizedPage(), "the notification is in the page now");
   }
 }
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -109,18 +109,19 @@
   private static RecordPages<Entry> pages(Store store, Map<Integer, Integer> told) {
     Map<Integer, Integer> encoded = new HashMap<>();
     return new RecordPages<>(
-        "page/",
-        Priority.PLACEMENT,
-        Duration.ZERO,
+        new RecordPages.EntryKind<>(
+            "page/",
+            Priority.PLACEMENT,
+            Duration.ZERO,
+            entry -> entry.live,
+            entry -> {
+              encoded.put(entry.id, entry.number);
+              return Json.array().add(entry.id).add(entry.number).add("x".repeat(entry.id % 60));
+            },
+            entry -> told.put(entry.id, encoded.get(entry.id))),
         VALUE_BYTES,
         store,
-        store.pending::add,
-        entry -> entry.live,
-        entry -> {
-          encoded.put(entry.id, entry.number);
-          return Json.array().add(entry.id).add(entry.number).add("x".repeat(entry.id % 60));
-        },
-        entry -> told.put(entry.id, encoded.get(entry.id)));
+        store.pending::add);
   }
 
   private static Map<Integer, Integer> read(Store store) throws MalformedMessageException {
@@ -135,7 +136,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void whatWasToldStoredCanAlwaysBeRead(long seed) throws MalformedMessageException {
+  void entriesReportedStoredCanAlwaysBeRead(long seed) throws MalformedMessageException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     Store store = new Store();
     Map<Integer, Integer> told = new HashMap<>();
