--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -19,95 +19,86 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which generation of the records counts, and what one controller does when the state service has
- * lost data: it is noticed, held, and written anew from a controller's copy (docs/state-loss.md).
+ * The state machine of the record generations in one controller (docs/state-loss.md): it follows
+ * which generation is in force, detects a data loss of the consensus-backed key-value store, and
+ * has a new generation written from a controller's replica.
  *
- * <p>Whoever rebuilds names a new generation in one transaction, writes its records under names
- * that no transaction of an earlier generation has, and then says that it is whole. Until then
- * nobody leads.
+ * <p>A controller that rebuilds claims a new generation by compare-and-swap, writes its records
+ * under a key prefix that no transaction of an earlier generation uses, and then marks it as
+ * complete. No controller leads before that. Event thread only.
  */
 public final class GenerationManager {
   private static final Logger log = LoggerFactory.getLogger(GenerationManager.class);
   private static final Duration GENERATION_WATCH_TIMEOUT = Duration.ofSeconds(20);
 
   /**
-   * Before this a controller that did not lead names no generation: the leader of before may not
-   * have noticed the loss, and what it tells must be over when another begins. No lease lasts
-   * longer.
+   * No leader lease lasts longer. A controller that did not lead waits this long before it claims a
+   * generation: the previous leader may not have detected the loss, and its lease must have expired
+   * before another term begins.
    */
   static final Duration MAX_PREVIOUS_LEASE = Duration.ofSeconds(4);
 
-  /** So much longer whoever has no whole copy leaves it to the others. */
-  private static final Duration INCOMPLETE_REPLICA_DELAY = Duration.ofSeconds(8);
-
-  /** A process so young may have peers that are not up yet. */
-  private static final Duration STARTUP_PERIOD = Duration.ofSeconds(20);
-
-  /** A controller with a better copy that does nothing is waited for so long. */
-  private static final Duration MAX_DEFERRAL = Duration.ofSeconds(12);
-
-  /** A controller that rebuilds and cannot be reached is waited for so long. */
-  private static final Duration WRITER_UNREACHABLE_TIMEOUT = Duration.ofSeconds(5);
-
-  /** A pause after which something that is not answered is worth another look. */
+  /** The interval at which the generation is read while none is trusted. */
   private static final Duration GENERATION_POLL_INTERVAL = Duration.ofMillis(500);
 
-  /** Where the records stand, as far as this controller knows. */
+  private static final Duration WRITER_CHECK_INTERVAL = Duration.ofSeconds(1);
+
+  /** What this controller knows of the records in the store. The admin API shows the names. */
   public enum State {
-    /** Which generation counts has not been read. */
+    /** The generation in force has not been read yet. */
     UNREAD,
-    /** The store holds what was stored. */
+    /** The first generation is in force, without a known loss. */
     TRUSTED,
-    /** Something does not fit; it is being looked into. */
+    /** A possible data loss is being verified. */
     DOUBTED,
-    /** Data was lost: nothing that the store says counts until a new generation is named. */
+    /** Data was lost: no record is trusted until a new generation is claimed. */
     LOST,
-    /** A controller writes a new generation. */
+    /** A controller is writing a new generation. */
     REBUILDING,
-    /** The store holds what was rebuilt; trusted like the first generation. */
+    /** A rebuilt generation is complete and in force; trusted like the first one. */
     REBUILT
   }
 
-  /** What shows that data was lost. */
+  /** How a data loss was detected. The admin API shows the names. */
   public enum Evidence {
-    /** The service told a revision below one that it had. */
+    /** The store answered with a revision below one that it had reached. */
     REVISION_BACK,
-    /** The generation that counts is older than one that counted before, or none is named. */
+    /** The generation record is missing, unreadable or older than one already in force. */
     GENERATION_BACK,
-    /** A record that its only writer stored is missing or older. */
+    /** A record that is never removed is missing, or older than it was seen. */
     RECORD_MISSING,
-    /** A record cannot be read, and the controller that needs it has no copy. */
+    /** A record cannot be parsed, and the controller that needs it has no replica of it. */
     UNREADABLE,
-    /** Another controller has found out. */
+    /** Another controller has reported the loss. */
     PEER,
-    /** An operator has handed in a snapshot of records that nothing else has any more. */
+    /** An operator has imported a snapshot of records that were lost everywhere else. */
     HANDED_IN,
-    /** Workers have seen a token that no leader of this store can have had. */
+    /** A worker has seen a fencing token that no leader of this store can have held. */
     TOKEN_ABOVE,
-    /** A worker runs a task of a job that the store has no record of, not even of its end. */
+    /** A worker runs a task of a job without any record, not even of its final state. */
     JOB_UNKNOWN;
 
-    /** Whether whoever notices by it knows no more than the store that has lost the data. */
+    /** Whether the replica of the controller that detects it may lack the lost records too. */
     boolean impliesStaleReplica() {
       return this == TOKEN_ABOVE || this == JOB_UNKNOWN;
     }
   }
 
-  /** What the node does. */
+  /** The controller of which these are the generations. */
   public interface Host {
-    /** The copy of the records that would be written. */
+    /** The replica from which a generation would be written. */
     RecordReplica replica();
 
-    /** Whether this node led when the loss was noticed, with a lease that held then. */
+    /** Whether this controller leads with a valid lease and a replica that no other can exceed. */
     boolean isLeader();
 
-    /** Nothing in the store counts: no leading, no reading, no copying. */
+    /** The store is not to be trusted: end the term, stop reading and replicating. */
     void onDataLoss();
 
-    /** Another generation is named; it may be whole or not. */
+    /** Another generation is in force; its phase tells whether it is complete. */
     void onGenerationChange(Generation generation);
 
-    /** The peers, with what they told of the records. */
+    /** The peers with their latest gossiped status of the records. */
     List<Membership.PeerStatus> peers();
   }
 
@@ -117,26 +108,37 @@
   private final Host host;
   private final Backoff backoff;
   private State state = State.UNREAD;
+  private final RebuildWriterMonitor writerMonitor = new RebuildWriterMonitor();
   private long highestObservedToken;
+
+  /** Whether the next claimed generation holds everything that any controller acted upon. */
   private boolean claimIsExact;
 
-  /** This controller led, so no other can have acted since and none has a better copy. */
+  /**
+   * Whether this controller led or rebuilt when the loss was detected: no other can have acted
+   * since, and none has a newer replica.
+   */
   private boolean replicaIsAuthoritative;
 
+  /** The revision of the record that names the generation, as last read; 0 without one. */
+  private long generationRecordRevision;
+
   private final Instant startedAt;
   private Instant lossDetectedAt;
-  private Instant unreachableSince;
   private GenerationWriter writer;
+
+  /** Incremented to invalidate the reads and timers of earlier sequences. */
   private int currentSequence;
+
   private int lossCount;
   private Evidence lastEvidence;
   private Instant rebuiltGenerationAdoptedAt;
   private boolean stopped;
 
   /**
-   * The generations as one controller sees them.
+   * Creates the state machine; {@link #start} begins to read.
    *
-   * @param self this controller, with its process
+   * @param self this controller's name and process nonce
    */
   public GenerationManager(
       StoreClient storeClient, EventLoop eventLoop, Generation.Writer self, Host host) {
@@ -150,82 +152,81 @@
         revision ->
             declareLoss(
                 Evidence.REVISION_BACK,
-                "the store tells revision "
-                    + revision
-                    + " and had "
-                    + storeClient.highestRevision()));
+                "revision " + revision + " is below " + storeClient.highestRevision()));
   }
 
+  /** Begins to read the generation and to monitor whoever rebuilds. */
   public void start() {
     readGeneration(++currentSequence);
     checkRebuildWriter();
   }
 
+  /** Ends all activity; for the end of the process. */
   public void stop() {
     stopped = true;
   }
 
-  /** The one place where the state changes. */
   private void transitionTo(State next, String reason) {
     if (state != next) {
-      log.info("records: {} -> {} ({})", state, next, reason);
+      log.info("Generation state changed: from={} to={} reason=\"{}\"", state, next, reason);
       state = next;
     }
   }
 
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** How often data was found to be lost since this process began. */
+  /** The number of data losses detected since this process started. */
   public int lossCount() {
     return lossCount;
   }
 
-  /** What showed the latest loss; null when there was none. */
+  /** How the latest data loss was detected; null without one. */
   public Evidence lastEvidence() {
     return lastEvidence;
   }
 
-  /** Whether what the store says counts. */
+  /** Whether the records in the store may be acted upon. */
   public boolean isTrusted() {
     return state == State.TRUSTED || state == State.REBUILT;
   }
 
-  /** Which part of the records is rebuilt by this controller now; 1 when it rebuilds nothing. */
+  /** The fraction of records written by this controller's rebuild, 0 to 1; 1 without a rebuild. */
   public double rebuildProgress() {
     return writer == null || writer.totalCount() == 0
         ? 1
         : (double) writer.writtenCount() / writer.totalCount();
   }
 
-  /** For how long a generation that was rebuilt has counted here; null for the first generation. */
+  /** How long a rebuilt generation has been in force here; null for the first generation. */
   public Duration timeSinceRebuild() {
     return rebuiltGenerationAdoptedAt == null
         ? null
         : Duration.between(rebuiltGenerationAdoptedAt, eventLoop.now());
   }
 
-  /** Somebody has used this token. */
+  /** Records that this fencing token was used by some controller. */
   public void observeToken(long token) {
     highestObservedToken = Math.max(highestObservedToken, token);
   }
 
-  /** The highest token that anybody is known to have used. */
+  /** The highest fencing token known to have been used. */
   public long highestObservedToken() {
     long seen = storeClient.generation().token(storeClient.highestRevision());
     return Math.max(highestObservedToken, seen);
   }
 
   /**
-   * The token with which this controller keeps a worker's lease while nobody leads, without orders;
-   * 0 when it does not. While data is lost that is the worker's own, which any node may answer
-   * with; while this controller rebuilds it is one above all that were used and below that of the
-   * leader to come. What was cancelled right before has to end by the end of the lease, so the time
-   * is bounded.
+   * The fencing token with which this controller extends a worker's lease while no controller
+   * leads, without orders; 0 when it does not extend it. In state LOST it is the worker's own
+   * token, with which any controller may answer. While this controller rebuilds it is the base of
+   * the new generation, above all tokens used and below that of the next leader. The time is
+   * bounded, because tasks of jobs cancelled right before the loss end only with the lease.
    *
-   * @param seen the highest token that the worker has seen
-   * @param longest for how long leases may be kept
+   * @param workerToken the highest token that the worker has seen
+   * @param maxKeepAlive how long after the loss leases are extended at most
    */
   public long keepAliveToken(long workerToken, Duration maxKeepAlive) {
     if (lossDetectedAt == null || !lossDetectedAt.plus(maxKeepAlive).isAfter(eventLoop.now())) {
@@ -242,9 +243,9 @@
     return generation.writer().equals(self);
   }
 
-  // ---- what peers know
+  // ---- status of the peers
 
-  /** A peer has told what it knows of the records. */
+  /** Handles a peer's gossiped status of the records. */
   public void onPeerStatus(RecordStatus status) {
     observeToken(status.highestToken());
     storeClient.observeRevision(status.generationBase(), status.highestRevision());
@@ -254,11 +255,15 @@
     if (status.generationBase() > storeClient.generation().base()) {
       readGeneration();
     } else if (status.recordsLost() && status.generationBase() == storeClient.generation().base()) {
-      declareLoss(Evidence.PEER, "another controller has noticed");
+      declareLoss(Evidence.PEER, "detected by a peer");
     }
   }
 
-  /** Takes in what peers told last; whether the store can be read as they have seen it. */
+  /**
+   * Handles the latest status of all peers.
+   *
+   * @return whether the store is trusted and no peer knows of a later generation
+   */
   public boolean syncWithPeers() {
     host.peers().forEach(peer -> onPeerStatus(peer.stored()));
     return isTrusted() && highestKnownBase() == storeClient.generation().base();
@@ -272,9 +277,9 @@
     return highest;
   }
 
-  // ---- which generation counts
+  // ---- the generation in force
 
-  /** Reads at once which generation counts. */
+  /** Reads the generation in force immediately. */
   public void readGeneration() {
     readGeneration(++currentSequence);
   }
@@ -322,74 +327,76 @@
               ? RecordWire.parseGeneration(read.entry().value(), read.entry().revision())
               : Generation.FIRST;
     } catch (MalformedMessageException e) {
-      declareLoss(Evidence.GENERATION_BACK, "the generation that counts cannot be read");
+      declareLoss(Evidence.GENERATION_BACK, "the generation record cannot be parsed");
       return;
     }
     Generation present = storeClient.generation();
     if (found.base() > present.base()) {
       adopt(found);
     } else if (found.base() < highestKnownBase()) {
-      declareLoss(Evidence.GENERATION_BACK, "generation " + found.base() + " is named");
+      declareLoss(Evidence.GENERATION_BACK, "the store names generation " + found.base());
     } else if (state == State.UNREAD) {
       adopt(found);
     } else if (found.recordRevision() > present.recordRevision()) {
       adopt(found);
     } else if (found.recordRevision() < present.recordRevision()) {
-      declareLoss(Evidence.GENERATION_BACK, "generation " + found.base() + " is named anew");
+      declareLoss(Evidence.GENERATION_BACK, "an older record names generation " + found.base());
     }
   }
 
-  /** Something does not fit that may have another reason; it is being looked into. */
+  /** A possible data loss is to be verified; {@link #clearSuspicion} or a loss follows. */
   public void suspectLoss(String reason) {
     if (isTrusted()) {
       transitionTo(State.DOUBTED, reason);
     }
   }
 
-  /** What was looked into has another reason, or cannot be told now. */
+  /** The suspected loss was not confirmed. */
   public void clearSuspicion() {
     if (state == State.DOUBTED) {
       transitionTo(
-          storeClient.generation().base() == 0 ? State.TRUSTED : State.REBUILT, "no loss is shown");
+          storeClient.generation().base() == 0 ? State.TRUSTED : State.REBUILT,
+          "suspected loss not confirmed");
     }
   }
 
   private void adopt(Generation found) {
     if (state == State.LOST && found.base() == storeClient.generation().base()) {
-      // The same generation once more, from a backup or a late transaction: it stays lost.
+      // A restored backup or a late transaction: the generation stays lost.
       return;
     }
-    boolean whole = found.phase() == Phase.COMPLETE;
-    if (found.base() != 0 && (whole || found.base() != storeClient.generation().base())) {
+    boolean complete = found.phase() == Phase.COMPLETE;
+    if (found.base() != 0 && (complete || found.base() != storeClient.generation().base())) {
       rebuiltGenerationAdoptedAt = eventLoop.now();
     }
-    if (writer != null) {
-      writer.stop();
-      writer = null;
-    }
-    unreachableSince = null;
+    stopWriting();
+    writerMonitor.reset();
     observeToken(found.base());
     transitionTo(
-        !whole ? State.REBUILDING : found.base() == 0 ? State.TRUSTED : State.REBUILT,
-        "generation " + found.base() + " of " + found.writer().controllerName());
+        !complete ? State.REBUILDING : found.base() == 0 ? State.TRUSTED : State.REBUILT,
+        "generation " + found.base() + " written by " + found.writer().controllerName());
     host.onGenerationChange(found);
-    if (!whole && isOwn(found)) {
+    if (!complete && isOwn(found)) {
       startWriting(found);
     }
   }
 
-  // ---- a loss
+  // ---- data loss and claim
 
   /**
-   * A worker has seen a token above ours, while our key as the leader still stands. No later leader
-   * can have been elected in this store, so the token is of one whose key was lost.
+   * A worker has seen a fencing token above that of this leader while its leader key still exists.
+   * No later leader can have been elected in this store, so the key of the one with that token was
+   * lost.
    */
   public void onHigherToken(long token) {
     observeToken(token);
-    declareLoss(Evidence.TOKEN_ABOVE, "a worker has seen token " + token);
+    declareLoss(Evidence.TOKEN_ABOVE, "a worker has seen fencing token " + token);
   }
 
-  /** Something shows that data was lost. */
+  /**
+   * Declares that the store has lost data and schedules the claim of a new generation. Without
+   * effect when the loss is known already.
+   */
   public void declareLoss(Evidence newEvidence, String detail) {
     if (state == State.LOST || state == State.UNREAD && newEvidence == Evidence.REVISION_BACK) {
       return;
@@ -402,19 +409,16 @@
     replicaIsAuthoritative = rebuilding || leads && !newEvidence.impliesStaleReplica();
     claimIsExact = replicaIsAuthoritative && newEvidence != Evidence.HANDED_IN;
     lossDetectedAt = eventLoop.now();
-    log.error("the state service has lost data ({}): {}", newEvidence, detail);
+    log.error("Data loss of the state service: evidence={} detail=\"{}\"", newEvidence, detail);
     transitionTo(State.LOST, newEvidence.name());
-    if (writer != null) {
-      writer.stop();
-      writer = null;
-    }
+    stopWriting();
     host.onDataLoss();
     int sequence = ++currentSequence;
     eventLoop.schedule(
         replicaIsAuthoritative ? Duration.ZERO : MAX_PREVIOUS_LEASE, () -> tryClaim(sequence));
   }
 
-  /** Names a new generation, unless another controller is better placed to. */
+  /** Claims a new generation unless another controller with a newer replica is expected to. */
   private void tryClaim(int sequence) {
     if (sequence != currentSequence || stopped || state != State.LOST) {
       return;
@@ -430,8 +434,8 @@
   }
 
   /**
-   * Reads what the store still holds. A leader's copy holds all that anybody acted upon; any other
-   * lacks the last moments, and where only a part was lost the rest of the store has them.
+   * Reads the records that survived. The replica of a leader holds everything that was acted upon;
+   * any other lacks the latest changes, which the store may still hold after a partial loss.
    */
   private void readSurvivingRecords(int sequence, List<StoreWire.Entry> found, String after) {
     if (sequence != currentSequence || stopped || state != State.LOST) {
@@ -460,8 +464,8 @@
         });
   }
 
-  /** Reads whether another controller has named one; what follows if not. */
-  private void readGenerationThen(int sequence, Runnable then) {
+  /** Runs the action unless another controller has claimed a generation in the meantime. */
+  private void readGenerationThen(int sequence, Runnable action) {
     storeClient.readGeneration(
         found -> {
           if (sequence != currentSequence || stopped || state != State.LOST) {
@@ -474,52 +478,23 @@
           generationRecordRevision = found.found() ? found.entry().revision() : 0;
           evaluate(found);
           if (state == State.LOST) {
-            then.run();
+            action.run();
           } else if (sequence == currentSequence) {
             scheduleNextRead(sequence, found.revision());
           }
         });
   }
 
-  /** The revision of the record that names a generation, as last read; 0 when there is none. */
-  private long generationRecordRevision;
-
   private boolean mustDefer() {
-    Duration waited = Duration.between(lossDetectedAt, eventLoop.now());
     if (replicaIsAuthoritative) {
       return false;
     }
-    RecordReplica mine = host.replica();
-    boolean othersMayHave =
-        host.peers().stream()
-            .anyMatch(
-                p ->
-                    p.state() != Membership.State.UP
-                        || !mine.isComplete() && p.stored().replicaComplete());
-    // Where all began anew, whoever has the best copy may be the last to be up.
-    boolean early = startedAt.plus(STARTUP_PERIOD).isAfter(eventLoop.now());
-    if ((early || !mine.isComplete())
-        && othersMayHave
-        && waited.compareTo(MAX_PREVIOUS_LEASE.plus(INCOMPLETE_REPLICA_DELAY)) < 0) {
-      return true;
-    }
-    if (waited.compareTo(MAX_DEFERRAL) > 0) {
-      return false;
-    }
-    for (Membership.PeerStatus peer : host.peers()) {
-      RecordStatus told = peer.stored();
-      boolean newer =
-          told.replicaBase() > mine.base()
-              || (told.replicaBase() == mine.base() && told.replicaRevision() > mine.revision());
-      // A copy that is not whole is still more than one that has less. Found with real processes:
-      // in a
-      // cluster's first seconds none is, and one that had read nothing yet wrote that.
-      boolean better = told.replicaComplete() == mine.isComplete() ? newer : told.replicaComplete();
-      if (peer.state() == Membership.State.UP && better) {
-        return true;
-      }
-    }
-    return false;
+    Instant now = eventLoop.now();
+    return RebuildDeferral.mustDefer(
+        host.replica(),
+        host.peers(),
+        Duration.between(startedAt, now),
+        Duration.between(lossDetectedAt, now));
   }
 
   private void claimGeneration(int sequence) {
@@ -539,68 +514,66 @@
           if (sequence != currentSequence || stopped) {
             return;
           }
-          // Whatever came of it stands in the store now.
+          // Also without a reply the store now shows which claim succeeded.
           readGenerationThen(
               sequence,
               () -> eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> tryClaim(sequence)));
         });
   }
 
+  // ---- rebuild
+
   private void startWriting(Generation target) {
-    List<StoreWire.Entry> image =
+    List<StoreWire.Entry> entries =
         host.replica().generationEntries(storeClient.limits().valueBytes());
     log.info(
-        "generation {} is written with {} records from a copy of revision {}{}",
+        "Rebuild started: generation={} records={} replicaRevision={} exact={}",
         target.base(),
-        image.size(),
+        entries.size(),
         host.replica().revision(),
-        target.exact() ? "" : "; what was stored after that may be missing");
-    Instant begun = eventLoop.now();
+        target.exact());
+    Instant writeStartedAt = eventLoop.now();
     writer =
         new GenerationWriter(
             storeClient,
             eventLoop,
             target,
-            image,
-            good -> {
+            entries,
+            outcome -> {
               log.info(
-                  "generation {} {} after {}",
+                  "Rebuild ended: generation={} outcome={} duration={}",
                   target.base(),
-                  good ? "is whole" : "could not be finished",
-                  Duration.between(begun, eventLoop.now()));
+                  outcome,
+                  Duration.between(writeStartedAt, eventLoop.now()));
               writer = null;
               readGeneration();
             });
     writer.writeNext();
   }
 
+  private void stopWriting() {
+    if (writer != null) {
+      writer.stop();
+      writer = null;
+    }
+  }
+
   /**
-   * A controller that rebuilds may end or be cut off; then another names a generation of its own.
+   * Declares a rebuild as lost whose writer has ended or is unreachable, so that another controller
+   * claims a generation of its own.
    */
   private void checkRebuildWriter() {
     if (stopped) {
       return;
     }
-    Generation.Writer by = storeClient.generation().writer();
-    if (state == State.REBUILDING && !by.equals(self) && !isWriterUp(by)) {
-      Instant now = eventLoop.now();
-      unreachableSince = unreachableSince == null ? now : unreachableSince;
-      if (unreachableSince.plus(WRITER_UNREACHABLE_TIMEOUT).isBefore(now)) {
-        unreachableSince = null;
-        declareLoss(Evidence.GENERATION_BACK, by.controllerName() + " has given the rebuild up");
-      }
-    } else {
-      unreachableSince = null;
-    }
-    eventLoop.schedule(Duration.ofSeconds(1), this::checkRebuildWriter);
-  }
-
-  private boolean isWriterUp(Generation.Writer by) {
-    for (Membership.PeerStatus peer : host.peers()) {
-      if (peer.controllerName().equals(by.controllerName())) {
-        return peer.state() == Membership.State.UP && by.nonce().equals(peer.nonce());
-      }
+    Generation generation = storeClient.generation();
+    if (state != State.REBUILDING || isOwn(generation)) {
+      writerMonitor.reset();
+    } else if (writerMonitor.isAbandoned(generation.writer(), host.peers(), eventLoop.now())) {
+      declareLoss(
+          Evidence.GENERATION_BACK,
+          generation.writer().controllerName() + " has abandoned the rebuild");
     }
-    return false;
+    eventLoop.schedule(WRITER_CHECK_INTERVAL, this::checkRebuildWriter);
   }
 }
--- a/src/main/java/io/pineladder/generation/GenerationWriter.java
+++ b/src/main/java/io/pineladder/generation/GenerationWriter.java
@@ -11,35 +11,43 @@
 import java.util.function.Consumer;
 
 /**
- * Writes the records of a new generation, and says that it is whole once all are stored. Every
- * transaction asks that the generation is still the one being rebuilt, so nothing of a writer that
- * was given up is stored later; one without a reply is sent again, which stores the same.
+ * Writes the records of one new generation and marks it as complete once all are stored. Every
+ * transaction requires that the generation is still the one being rebuilt, so no transaction of a
+ * writer that was replaced commits later; one without a reply is sent again, which stores the same.
  */
 final class GenerationWriter {
-  /** The service takes 64 KiB; the rest is for names and conditions. */
+  /** The store takes transactions of 64 KiB; the rest is for keys and conditions. */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
+  /** How a rebuild ended. */
+  enum Outcome {
+    /** The generation is marked as complete. */
+    COMPLETE,
+    /** Another generation is in force, or the reply to the last transaction was lost. */
+    REJECTED
+  }
+
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
   private final Generation target;
   private final List<StoreWire.Entry> entries;
-  private final Consumer<Boolean> onEnd;
+  private final Consumer<Outcome> onEnd;
   private final Backoff backoff;
   private int writtenCount;
   private boolean finished;
 
   /**
-   * A writer.
+   * Creates a writer; {@link #writeNext} starts it.
    *
-   * @param onEnd told true when the last transaction was answered with 200, false when another
-   *     generation counts or it cannot be known
+   * @param entries the records, without the generation's key prefix
+   * @param onEnd called once with the outcome, unless the writer is stopped before
    */
   GenerationWriter(
       StoreClient storeClient,
       EventLoop eventLoop,
       Generation target,
       List<StoreWire.Entry> entries,
-      Consumer<Boolean> onEnd) {
+      Consumer<Outcome> onEnd) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
     this.target = target;
@@ -48,19 +56,22 @@
     this.backoff = storeClient.newBackoff();
   }
 
-  /** How many records are stored. */
+  /** The number of records stored so far. */
   int writtenCount() {
     return writtenCount;
   }
 
+  /** The number of records to be stored. */
   int totalCount() {
     return entries.size();
   }
 
+  /** Sends nothing more and ignores what is under way. */
   void stop() {
     finished = true;
   }
 
+  /** Sends the next transaction within the write budget; each reply sends the one after. */
   void writeNext() {
     if (finished) {
       return;
@@ -104,14 +115,14 @@
   }
 
   private void writeCompletion() {
-    Generation whole =
+    Generation complete =
         new Generation(
             target.base(), 0, Generation.Phase.COMPLETE, target.exact(), target.writer());
     send(
         new StoreWire.Transaction("")
             .requireGeneration(target.recordRevision())
-            .putGeneration(RecordWire.generation(whole)),
-        () -> finish(true));
+            .putGeneration(RecordWire.generation(complete)),
+        () -> finish(Outcome.COMPLETE));
   }
 
   private void send(StoreWire.Transaction transaction, Runnable onStored) {
@@ -125,16 +136,17 @@
             backoff.reset();
             onStored.run();
           } else if (reply.is(409) || reply.is(400)) {
-            // Another generation counts, or this is the second copy of the last transaction.
-            finish(false);
+            // Another generation is in force, or the last transaction had committed without a
+            // reply.
+            finish(Outcome.REJECTED);
           } else {
             storeClient.scheduleRetry(backoff, () -> send(transaction, onStored));
           }
         });
   }
 
-  private void finish(boolean good) {
+  private void finish(Outcome outcome) {
     finished = true;
-    onEnd.accept(good);
+    onEnd.accept(outcome);
   }
 }
--- a/src/main/java/io/pineladder/replica/RecordReplica.java
+++ b/src/main/java/io/pineladder/replica/RecordReplica.java
@@ -99,7 +99,7 @@
         .records()
         .forEach(
             (key, entry) ->
-                replica.records.put(key, new Value(entry.version(), null, entry.json())));
+                replica.records.put(key, new Value(entry.revision(), null, entry.json())));
     replica.inheritedFinalStates.putAll(snapshot.finalStates());
     replica.revision = snapshot.revision();
     for (ChangeRecord change : found.changes()) {
