--- /dev/null
+++ b/src/main/java/io/pineladder/replica/GenerationEntries.java
@@ -0,0 +1,88 @@
+package io.pineladder.replica;
+
+import io.pineladder.model.Job;
+import io.pineladder.store.RecordKeys;
+import io.pineladder.wire.MalformedMessageException;
+import io.pineladder.wire.RecordWire;
+import io.pineladder.wire.StoreWire;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The entries that are written when a replica's records become a new generation. */
+final class GenerationEntries {
+  private static final Logger log = LoggerFactory.getLogger(GenerationEntries.class);
+
+  /** Bytes of final states in one value. */
+  private static final int MAX_FINAL_STATE_PAGE_BYTES = 6 * 1024;
+
+  /** The bytes of such a value beside the job ids. */
+  private static final int FINAL_STATE_PAGE_OVERHEAD_BYTES = 64;
+
+  /** The longest job id in JSON with its comma. */
+  private static final int MAX_ID_BYTES = 128;
+
+  /** The quotes and the comma of a job id in JSON. */
+  private static final int ID_OVERHEAD_BYTES = 3;
+
+  private GenerationEntries() {}
+
+  /**
+   * The entries in the order in which they are written.
+   *
+   * @param maxValueBytes the bound on each value
+   */
+  static List<StoreWire.Entry> of(
+      Map<String, StoredValue> records, Map<String, Job.State> finalStates, int maxValueBytes) {
+    List<StoreWire.Entry> entries = ReplicaPageSplitter.split(parse(records), maxValueBytes);
+    addFinalStates(
+        entries,
+        finalStates,
+        Math.min(MAX_FINAL_STATE_PAGE_BYTES, maxValueBytes - FINAL_STATE_PAGE_OVERHEAD_BYTES));
+    return entries;
+  }
+
+  private static List<StoreWire.Entry> parse(Map<String, StoredValue> records) {
+    List<StoreWire.Entry> entries = new ArrayList<>();
+    records.forEach(
+        (key, value) -> {
+          try {
+            entries.add(new StoreWire.Entry(key, value.parse(), value.version()));
+          } catch (MalformedMessageException e) {
+            log.error("Unreadable record left out of the rebuild: key={}", key);
+          }
+        });
+    return entries;
+  }
+
+  private static void addFinalStates(
+      List<StoreWire.Entry> entries, Map<String, Job.State> finalStates, int maxPageBytes) {
+    int pages = 0;
+    for (Job.State state : List.of(Job.State.DONE, Job.State.CANCELLED)) {
+      List<String> ids = new ArrayList<>();
+      int bytes = 0;
+      for (Map.Entry<String, Job.State> each : finalStates.entrySet()) {
+        if (each.getValue() != state) {
+          continue;
+        }
+        ids.add(each.getKey());
+        bytes += each.getKey().length() + ID_OVERHEAD_BYTES;
+        if (bytes + MAX_ID_BYTES >= maxPageBytes) {
+          entries.add(page(pages++, state, ids));
+          ids = new ArrayList<>();
+          bytes = 0;
+        }
+      }
+      if (!ids.isEmpty()) {
+        entries.add(page(pages++, state, ids));
+      }
+    }
+  }
+
+  private static StoreWire.Entry page(int number, Job.State state, List<String> ids) {
+    return new StoreWire.Entry(
+        RecordKeys.ARCHIVED_FINAL_STATES + number, RecordWire.finalStates(state, ids), 0);
+  }
+}
--- /dev/null
+++ b/src/main/java/io/pineladder/replica/RecordValidator.java
@@ -0,0 +1,43 @@
+package io.pineladder.replica;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.pineladder.store.RecordKeys;
+import io.pineladder.wire.MalformedMessageException;
+import io.pineladder.wire.RecordWire;
+import io.pineladder.wire.StoreWire;
+
+/** Whether records can be parsed as the kind that their keys name. */
+final class RecordValidator {
+  private RecordValidator() {}
+
+  /** True also for kinds of records that a replica only passes on. */
+  static boolean isReadable(StoreWire.Entry entry) {
+    try {
+      String key = entry.key();
+      JsonNode value = entry.value();
+      if (key.startsWith(RecordKeys.UNPAGED_JOB)) {
+        RecordWire.parseJob(value);
+      } else if (key.startsWith(RecordKeys.JOB_PAGES)) {
+        RecordWire.parseNotifications(value);
+        for (JsonNode each : RecordWire.entries(value)) {
+          RecordWire.parseJob(each);
+        }
+      } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
+        for (JsonNode each : RecordWire.entries(value)) {
+          RecordWire.parseCompletions(each);
+        }
+      } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
+        for (JsonNode each : RecordWire.entries(value)) {
+          RecordWire.parsePlacement(each);
+        }
+      } else if (key.startsWith(RecordKeys.CACHED_IMAGES)) {
+        for (JsonNode each : RecordWire.entries(value)) {
+          RecordWire.parseImages(each);
+        }
+      }
+      return true;
+    } catch (MalformedMessageException e) {
+      return false;
+    }
+  }
+}
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -190,7 +190,7 @@
           }
           replica.finalStatesLoaded();
           if (own) {
-            replica.recordsRead();
+            replica.recordsLoaded();
             listener.onReplicaComplete(replica);
             upToDateAt = eventLoop.now();
             transitionTo(State.FOLLOWING);
@@ -283,8 +283,8 @@
           }
           for (String key : failed == null ? List.<String>of() : failed) {
             Long before = mismatchedPages.put(key, asked.getOrDefault(key, 0L));
-            if (before != null && before == replica.revisionOf(key) && asked.containsKey(key)) {
-              confirmMissing(sequence, key, replica.revisionOf(key));
+            if (before != null && before == replica.versionOf(key) && asked.containsKey(key)) {
+              confirmMissing(sequence, key, replica.versionOf(key));
             }
           }
           if (failed != null) {
--- /dev/null
+++ b/src/main/java/io/pineladder/replica/SnapshotMerger.java
@@ -0,0 +1,82 @@
+package io.pineladder.replica;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.pineladder.store.RecordKeys;
+import io.pineladder.wire.MalformedMessageException;
+import io.pineladder.wire.RecordWire;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Merges the records of an operator's snapshot into a replica whose generation began without them:
+ * jobs that the replica does not know, with their completions and placements, and configuration
+ * that it lacks.
+ */
+final class SnapshotMerger {
+  private static final Logger log = LoggerFactory.getLogger(SnapshotMerger.class);
+
+  /**
+   * Added to the numbers of merged pages, since pages of both sides have the same keys; no leader
+   * reaches such a number by counting.
+   */
+  private static final long MERGED_PAGE_OFFSET = 1_000_000_000L;
+
+  private final RecordReplica target;
+  private int jobCount;
+
+  SnapshotMerger(RecordReplica target) {
+    this.target = target;
+  }
+
+  /**
+   * Merges all records; one that cannot be read is left out.
+   *
+   * @return the number of jobs that the target did not know
+   */
+  int merge(Map<String, StoredValue> records) {
+    for (Map.Entry<String, StoredValue> each : records.entrySet()) {
+      try {
+        merge(each.getKey(), each.getValue().parse());
+      } catch (MalformedMessageException e) {
+        log.warn("Unreadable record of the snapshot left out: key={}", each.getKey());
+      }
+    }
+    return jobCount;
+  }
+
+  private void merge(String key, JsonNode value) throws MalformedMessageException {
+    if (key.startsWith(RecordKeys.JOB_PAGES)) {
+      List<JsonNode> unknown = new ArrayList<>();
+      for (JsonNode record : RecordWire.entries(value)) {
+        if (isUnknown(RecordWire.parseJob(record).spec().id())) {
+          unknown.add(record);
+        }
+      }
+      jobCount += unknown.size();
+      putPage(key, RecordKeys.JOB_PAGES, RecordWire.page(unknown.stream()));
+    } else if (key.startsWith(RecordKeys.UNPAGED_JOB)) {
+      if (isUnknown(key.substring(RecordKeys.UNPAGED_JOB.length()))) {
+        jobCount++;
+        target.put(key, value, 0, true);
+      }
+    } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
+      putPage(key, RecordKeys.COMPLETIONS, value);
+    } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
+      putPage(key, RecordKeys.PLACEMENTS, value);
+    } else if (key.startsWith(RecordKeys.CONFIGURATION) && !target.holdsRecord(key)) {
+      target.put(key, value, 0, true);
+    }
+  }
+
+  private boolean isUnknown(String jobId) {
+    return target.finalState(jobId) == null && !target.holdsJob(jobId);
+  }
+
+  private void putPage(String key, String prefix, JsonNode page) {
+    long number = Long.parseLong(key.substring(prefix.length())) + MERGED_PAGE_OFFSET;
+    target.put(prefix + number, page, 0, true);
+  }
+}
