--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -3,7 +3,6 @@
 import io.pineladder.generation.GenerationManager;
 import io.pineladder.membership.Membership;
 import io.pineladder.model.Generation;
-import io.pineladder.model.Job;
 import io.pineladder.model.Settings;
 import io.pineladder.net.BackgroundExecutor;
 import io.pineladder.net.EventLoop;
@@ -16,57 +15,55 @@
 import io.pineladder.store.StoreClient;
 import io.pineladder.wire.GossipWire.RecordStatus;
 import io.pineladder.wire.MalformedMessageException;
-import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.time.Instant;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.List;
-import java.util.Map;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What one controller keeps of the records beside the state service, whether it leads or not: a
- * live copy, snapshots, and what it has itself stored for others of late; and its part in a
- * rebuild.
+ * One controller's part in the recovery of the records, whether it leads or not: it joins the
+ * replica of the records, the snapshots, and the state machine of the generations, and tells
+ * whether the records may be relied upon. Event thread only.
  */
 public final class ReplicaManager {
   private static final Logger log = LoggerFactory.getLogger(ReplicaManager.class);
 
-  /** What was accepted here without a leader in this time is stored again after a loss. */
-  private static final Duration ACCEPTED_JOB_RETENTION = Duration.ofMinutes(10);
-
-  private static final int MAX_RETAINED_ACCEPTED_JOBS = 2_000;
-
-  /** For so long after an incomplete rebuild nobody is told that a job does not exist. */
+  /**
+   * How long after a rebuild from a replica that may lack records no job is reported as unknown.
+   */
   private static final Duration INEXACT_REBUILD_UNCERTAINTY = Duration.ofMinutes(2);
 
-  /** Between two final states that are stored again; no more is missing than the last moments'. */
-  private static final Duration FINAL_STATE_WRITE_INTERVAL = Duration.ofMillis(100);
+  /**
+   * How long after an exact rebuild no job is reported as unknown; by then all controllers have
+   * stored again what they accepted right before the loss.
+   */
+  private static final Duration EXACT_REBUILD_UNCERTAINTY = Duration.ofSeconds(15);
 
-  /** By then all that began with snapshots have compared them with the store. */
+  /** By then every controller that started from a snapshot has compared it with the store. */
   private static final Duration SNAPSHOT_VERIFICATION_PERIOD = Duration.ofSeconds(20);
 
-  /** So long a node without a copy of the records lets one that has it lead. */
+  /** How long a controller without a complete replica leaves the election to one that has it. */
   private static final Duration INCOMPLETE_REPLICA_ELECTION_DELAY = Duration.ofSeconds(2);
 
-  /** By then all nodes have stored again what they accepted right before a loss. */
-  private static final Duration EXACT_REBUILD_UNCERTAINTY = Duration.ofSeconds(15);
-
-  /** What the node does. */
+  /** The controller whose records these are. */
   public interface Host {
-    /** The lease of this node's present or last term holds by its own clock. */
+    /** Whether the lease of this controller's present or last term is valid by its own clock. */
     boolean holdsLease();
 
-    /** Nothing in the store counts: no leading, no reading. */
+    /** The store is not to be trusted: end the term and stop reading. */
     void onDataLoss();
 
-    /** Another generation counts; nobody leads before it is whole. */
-    void onGenerationChange(boolean whole);
+    /**
+     * Another generation is in force.
+     *
+     * @param complete whether it is completely written; no controller leads before
+     */
+    void onGenerationChange(boolean complete);
 
+    /** The peers with their latest gossiped status. */
     List<Membership.PeerStatus> peers();
   }
 
@@ -78,31 +75,33 @@
   private final SnapshotManager snapshots;
   private final GenerationManager generations;
   private final ReplicaFollower follower;
-  private final Deque<AcceptedJob> acceptedJobs = new ArrayDeque<>();
+  private final LocalAcceptances localAcceptances;
+  private final FinalStateRestorer finalStateRestorer;
   private RecordReplica replica = new RecordReplica(0);
 
-  /** The copy that this node fed when it last led, or null. */
+  /** The replica that this controller fed in its latest term; null before the first. */
   private RecordReplica leaderReplica;
 
   /**
-   * When this node last was elected it could compare the store with a copy of its own, or no other
-   * could either: it knows all that anybody does.
+   * Whether at its latest election this controller compared the store with a complete replica of
+   * its own, or no peer had one either: then no other knows more.
    */
   private boolean electedWithBestReplica;
 
-  /** Since when this node has found no leader; null while there is one. */
+  /** Since when no leader is known; null while there is one. */
   private Instant leaderlessSince;
 
-  /** When this process began with a copy from a snapshot; null without one. */
+  /** When this process loaded its replica from a snapshot; null without one. */
   private Instant snapshotRestoredAt;
 
   private boolean stopped;
 
   /**
-   * The keeping of one controller.
+   * Creates the manager; {@link #start} begins to read.
    *
-   * @param shelf where snapshots are kept; null for nowhere
-   * @param background where they are made; null without a shelf
+   * @param nonce identifies this controller's process
+   * @param snapshotStore where snapshots are stored; null to take none
+   * @param backgroundExecutor encodes snapshots; unused without a snapshot store
    */
   public ReplicaManager(
       Settings settings,
@@ -128,21 +127,24 @@
     this.self = new Generation.Writer(settings.controllerName(), nonce);
     this.generations = new GenerationManager(storeClient, eventLoop, self, new GenerationHost());
     this.follower = new ReplicaFollower(storeClient, eventLoop, new FollowerListener());
+    this.localAcceptances = new LocalAcceptances(eventLoop);
+    this.finalStateRestorer =
+        new FinalStateRestorer(storeClient, eventLoop, () -> !stopped && generations.isTrusted());
   }
 
-  /** Reads what a snapshot has, and which generation counts. */
+  /** Loads the latest snapshot, then reads the generation in force. */
   public void start() {
     if (snapshots == null) {
       generations.start();
       return;
     }
     snapshots.load(
-        found -> {
-          if (found != null) {
-            useReplica(RecordReplica.fromSnapshot(found));
+        loaded -> {
+          if (loaded != null) {
+            useReplica(RecordReplica.fromSnapshot(loaded));
             snapshotRestoredAt = eventLoop.now();
             log.info(
-                "the snapshot has {} records of revision {}",
+                "Replica loaded from snapshot: records={} revision={}",
                 replica.recordCount(),
                 replica.revision());
           }
@@ -151,6 +153,7 @@
         });
   }
 
+  /** Ends all activity; for the end of the process. */
   public void stop() {
     stopped = true;
     generations.stop();
@@ -159,25 +162,27 @@
     }
   }
 
-  /** The snapshots kept here, or null. */
+  /** The snapshots; null when none are taken. */
   public SnapshotManager snapshots() {
     return snapshots;
   }
 
+  /** The state machine of the generations. */
   public GenerationManager generations() {
     return generations;
   }
 
-  /** The records as this node has seen them stored. */
+  /** The replica from which a generation would be written. */
   public RecordReplica replica() {
     return replica;
   }
 
+  /** The follower that keeps the replica up to date. */
   public ReplicaFollower follower() {
     return follower;
   }
 
-  /** What peers are told of all this. */
+  /** This controller's status of the records, for gossip. */
   public RecordStatus recordStatus() {
     return new RecordStatus(
         storeClient.generation().base(),
@@ -189,24 +194,28 @@
         generations.state() == GenerationManager.State.LOST);
   }
 
-  // ---- the leadership
+  // ---- leadership
 
-  /** Whether this node may lead in the store as it is, and no other had better. */
+  /** Whether the store is trusted and no peer with a better replica should be elected first. */
   public boolean mayStandForElection() {
     return generations.syncWithPeers() && !leavesElectionToOthers();
   }
 
-  /** Whether there is a leader, as was just read. */
-  public void onLeaderRead(boolean is) {
-    leaderlessSince = is ? null : leaderlessSince;
+  /** The leader key was read. */
+  public void onLeaderRead(boolean exists) {
+    leaderlessSince = exists ? null : leaderlessSince;
   }
 
-  /** This node was elected; the copy that it is to feed. */
+  /**
+   * This controller was elected.
+   *
+   * @return the replica that the term is to feed
+   */
   public RecordReplica onElected() {
     long base = storeClient.generation().base();
-    boolean compares = replica.base() == base && replica.isComplete();
+    boolean canCompare = replica.base() == base && replica.isComplete();
     electedWithBestReplica =
-        compares
+        canCompare
             || host.peers().stream()
                 .noneMatch(p -> p.stored().replicaComplete() && p.stored().replicaBase() == base);
     RecordReplica fed = replica.base() == base ? replica : new RecordReplica(base);
@@ -214,68 +223,74 @@
     return fed;
   }
 
-  /** The new leader has read all records. */
+  /** The term has read all records into its replica. */
   public void onTermStarted(RecordReplica fed) {
     fed.recordsLoaded();
     useReplica(fed);
     leaderReplica = fed;
   }
 
-  /** This node leads no more. */
+  /** This controller's term has ended. */
   public void onTermEnded() {
     if (generations.isTrusted()) {
       follower.follow();
     }
   }
 
-  /** The service ends no lease early; a leader's key that is gone too soon was lost. */
+  /**
+   * This leader's key no longer exists. The store ends no lease early, so while the lease is valid
+   * the key was lost.
+   */
   public void onLeaderKeyMissing() {
     if (host.holdsLease()) {
       generations.declareLoss(
           GenerationManager.Evidence.RECORD_MISSING,
-          "the leader's key is gone while its lease holds");
+          "the leader key is missing while its lease is valid");
     }
   }
 
   /**
-   * A worker has seen a token above that of this node's term. Whether a later leader has one or the
-   * store has lost the key of an earlier one shows by whether ours still stands.
+   * A worker has seen a fencing token above that of this leader. Either a later leader was elected,
+   * or the store has lost the key of an earlier one; which of them shows by whether this leader's
+   * key still exists.
    *
-   * @param leads whether this node still holds that term
-   * @param lose ends it
+   * @param isLeading whether this controller still leads in that term
+   * @param endTerm ends it
    */
-  public void onHigherToken(long token, long term, BooleanSupplier leads, Runnable lose) {
+  public void onHigherToken(long token, long term, BooleanSupplier isLeading, Runnable endTerm) {
     generations.observeToken(token);
     if (generations.state() == GenerationManager.State.DOUBTED) {
       return;
     }
-    generations.suspectLoss("a worker has seen token " + token + ", ours is " + term);
+    generations.suspectLoss("a worker has seen fencing token " + token + ", own term is " + term);
     storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
-          boolean stands =
+          boolean keyExists =
               read.found() && storeClient.generation().token(read.entry().revision()) == term;
-          if (leads.getAsBoolean() && stands) {
+          if (isLeading.getAsBoolean() && keyExists) {
             generations.onHigherToken(token);
             return;
           }
           generations.clearSuspicion();
-          if (leads.getAsBoolean()) {
-            // Also where the store does not tell: whoever has the higher token leads, and not this
-            // node.
-            lose.run();
+          if (isLeading.getAsBoolean()) {
+            // Also without an answer of the store: the controller with the higher token leads.
+            endTerm.run();
           }
         });
   }
 
-  /** For how long something may be missing from the records; null when nothing can be. */
+  /**
+   * How long the present generation, from which records may be missing, has been in force; null
+   * when none can be missing.
+   */
   public Duration timeSinceInexactRebuild() {
     return storeClient.generation().exact() ? null : generations.timeSinceRebuild();
   }
 
-  // ---- a rebuild
+  // ---- generations
 
-  /** What this node does as the records are found to be lost, rebuilt, and whole again. */
+  /** Reacts to a data loss, a rebuild and its completion. */
   private final class GenerationHost implements GenerationManager.Host {
     @Override
     public RecordReplica replica() {
@@ -298,19 +313,19 @@
 
     @Override
     public void onGenerationChange(Generation generation) {
-      boolean whole = generation.phase() == Generation.Phase.COMPLETE;
-      boolean mine = generation.writer().equals(self);
+      boolean complete = generation.phase() == Generation.Phase.COMPLETE;
+      boolean own = generation.writer().equals(self);
       follower.stop();
       storeClient.useGeneration(generation);
       storeClient.observeRevision(replica.base(), replica.revision());
-      if (whole && generation.base() != 0 && mine) {
+      if (complete && generation.base() != 0 && own) {
         replica.rebaseTo(generation);
         if (snapshots != null) {
           snapshots.onReplicaReplaced();
         }
       }
-      host.onGenerationChange(whole);
-      if (whole) {
+      host.onGenerationChange(complete);
+      if (complete) {
         follower.follow();
       }
     }
@@ -321,19 +336,21 @@
     }
   }
 
-  /** The records as this node has them, as a snapshot; null while it has not read them all. */
+  // ---- snapshots
+
+  /** An encoded snapshot of the replica; null while it is incomplete. */
   public byte[] exportSnapshot() {
     Snapshot now = snapshot();
     return now == null ? null : now.encode();
   }
 
   /**
-   * Takes in a snapshot of records that the cluster has lost: its jobs come back in a new
-   * generation, beside those that were accepted since. Only the leader can.
+   * Merges a snapshot of records that the cluster has lost: its jobs return in a new generation,
+   * beside those accepted since. Only the leader can.
    *
-   * @return how many jobs come back
-   * @throws MalformedMessageException when it is no snapshot of this cluster, or this node cannot
-   *     take it now
+   * @return the number of jobs that are restored
+   * @throws MalformedMessageException when it is not a snapshot of this cluster, or when this
+   *     controller cannot import it now
    */
   public int importSnapshot(byte[] bytes) throws MalformedMessageException {
     Snapshot snapshot = Snapshot.decode(bytes);
@@ -346,11 +363,11 @@
             RecordReplica.fromSnapshot(new SnapshotManager.LoadedSnapshot(snapshot, List.of())));
     generations.declareLoss(
         GenerationManager.Evidence.HANDED_IN,
-        "a snapshot of revision " + snapshot.revision() + " is handed in, with " + jobs + " jobs");
+        "imported a snapshot of revision " + snapshot.revision() + " with " + jobs + " jobs");
     return jobs;
   }
 
-  /** What tells one cluster's snapshots from another's. */
+  /** Identifies the cluster in its snapshots; stored, so the form must not change. */
   private static String clusterIdentity(Settings settings) {
     List<String> members = new ArrayList<>(List.of(settings.controllerName()));
     settings.peers().forEach(peer -> members.add(peer.controllerName()));
@@ -364,7 +381,7 @@
         : null;
   }
 
-  /** This copy of the records is the one that would be written if they were lost. */
+  /** Replaces the replica from which snapshots and generations are written. */
   private void useReplica(RecordReplica next) {
     replica.setListener(null);
     replica = next;
@@ -374,7 +391,7 @@
     }
   }
 
-  /** A node with a whole copy of the records leads better than one that has just begun. */
+  /** A leader with a complete replica can detect a data loss, one without cannot. */
   private boolean leavesElectionToOthers() {
     Instant now = eventLoop.now();
     leaderlessSince = leaderlessSince == null ? now : leaderlessSince;
@@ -388,20 +405,22 @@
                         && peer.stored().replicaBase() == storeClient.generation().base());
   }
 
-  /** What becomes of a copy that follows the store. */
+  // ---- after a rebuild
+
+  /** Replaces the replica by a newer one unless that shows a data loss. */
   private final class FollowerListener implements ReplicaFollower.Listener {
     @Override
-    public void onReplicaComplete(RecordReplica whole) {
-      String lacks = replica.firstKeyMissingFrom(whole);
-      if (lacks == null) {
-        RecordReplica before = replica;
-        useReplica(whole);
-        if (before.base() != whole.base()) {
-          storeAcceptedJobsAgain();
-          storeFinalStates(new ArrayDeque<>(before.finalStatesMissingFrom(whole).entrySet()));
-        }
-      } else {
-        onRecordMissing(lacks);
+    public void onReplicaComplete(RecordReplica complete) {
+      String missing = replica.firstKeyMissingFrom(complete);
+      if (missing != null) {
+        onRecordMissing(missing);
+        return;
+      }
+      RecordReplica previous = replica;
+      useReplica(complete);
+      if (previous.base() != complete.base()) {
+        localAcceptances.storeAgain();
+        finalStateRestorer.store(previous.finalStatesMissingFrom(complete));
       }
     }
 
@@ -413,56 +432,17 @@
   }
 
   /**
-   * Stores again what this node accepted without a leader of late: whoever rebuilt the records may
-   * not have had it yet. A job that is there twice is still one job.
-   */
-  private void storeAcceptedJobsAgain() {
-    Instant from = eventLoop.now().minus(ACCEPTED_JOB_RETENTION);
-    acceptedJobs.removeIf(each -> each.at.isBefore(from));
-    acceptedJobs.forEach(each -> each.again.run());
-  }
-
-  /**
-   * Stores final states that this node has seen and that whoever rebuilt the records had not: they
-   * are united, and never undone.
+   * This controller has accepted a job without a leader.
+   *
+   * @param storeAgain submits it again; runs after a rebuild
    */
-  private void storeFinalStates(Deque<Map.Entry<String, Job.State>> left) {
-    Map.Entry<String, Job.State> next = left.peekFirst();
-    if (next == null || stopped || !generations.isTrusted()) {
-      return;
-    }
-    String key = RecordKeys.FINAL_STATE + next.getKey();
-    byte[] body =
-        storeClient
-            .transaction()
-            .require(key, 0)
-            .put(key, RecordWire.finalState(next.getValue()))
-            .bytes();
-    storeClient.writeForUser(
-        storeClient.post("/multi", body),
-        1,
-        reply -> {
-          if (reply.is(200) || reply.is(409)) {
-            left.pollFirst();
-          }
-          eventLoop.schedule(FINAL_STATE_WRITE_INTERVAL, () -> storeFinalStates(left));
-        });
+  public void onAcceptedWithoutLeader(Runnable storeAgain) {
+    localAcceptances.add(storeAgain);
   }
 
-  /** This node has accepted a job without a leader. */
-  public void onAcceptedWithoutLeader(Runnable again) {
-    acceptedJobs.addLast(new AcceptedJob(eventLoop.now(), again));
-    if (acceptedJobs.size() > MAX_RETAINED_ACCEPTED_JOBS) {
-      acceptedJobs.removeFirst();
-    }
-  }
-
-  /** A job that this node accepted without a leader, and how to store it again. */
-  private record AcceptedJob(Instant at, Runnable again) {}
-
   /**
-   * Whether nothing certain can be said of a job that the store does not hold: it may have been
-   * lost. What this node itself has seen stored was not removed, or the copy would know of it.
+   * Whether a job that the store does not hold may have been lost, so that it must not be reported
+   * as unknown. What this controller has seen stored was not removed, or the replica would show it.
    */
   public boolean jobMayBeMissing(String job) {
     if (!generations.isTrusted() || !replica.isComplete()) {
@@ -475,18 +455,18 @@
   }
 
   /**
-   * Whether a record that is not there may yet come: something may be missing from a rebuild, what
-   * other controllers accepted without a leader right before it they are storing again, and
-   * controllers that begin with their snapshots have yet to compare them with the store.
+   * Whether a record that is missing may still be restored: an inexact rebuild may lack it, other
+   * controllers store again what they accepted right before a rebuild, and controllers that started
+   * from snapshots have yet to compare them with the store.
    */
   public boolean recordsMayBeIncomplete() {
     if (snapshotRestoredAt != null
         && snapshotRestoredAt.plus(SNAPSHOT_VERIFICATION_PERIOD).isAfter(eventLoop.now())) {
       return true;
     }
-    Duration rebuilt = generations.timeSinceRebuild();
-    Duration until =
+    Duration sinceRebuild = generations.timeSinceRebuild();
+    Duration uncertainty =
         storeClient.generation().exact() ? EXACT_REBUILD_UNCERTAINTY : INEXACT_REBUILD_UNCERTAINTY;
-    return rebuilt != null && rebuilt.compareTo(until) < 0;
+    return sinceRebuild != null && sinceRebuild.compareTo(uncertainty) < 0;
   }
 }
