--- a/src/main/java/io/pineladder/failover/FailoverTimings.java
+++ b/src/main/java/io/pineladder/failover/FailoverTimings.java
@@ -15,50 +15,56 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** How long this node's takeovers took, phase by phase. */
+/** The duration of each phase of this controller's failovers. Event thread only. */
 public final class FailoverTimings {
   private static final Logger log = LoggerFactory.getLogger(FailoverTimings.class);
   private static final long MAX_PHASE_MILLIS = TimeUnit.HOURS.toMillis(1);
   private static final int HISTORY_SIZE = 10;
 
-  /** A takeover that is not complete by then is logged as it is. */
+  /** When a failover is logged, complete or not. */
   private static final Duration LOG_DELAY = Duration.ofSeconds(60);
 
-  /** What a takeover goes through. All but the first are counted from the election. */
+  /**
+   * The phases of a failover; all but the first are measured from the election. The admin API shows
+   * the names.
+   */
   public enum Phase {
-    /** From the last sign of the leader before to the election. */
+    /** From the last sign of life of the previous leader to the election. */
     ELECTED,
     /** What earlier leaders stored has been read. */
     STORE_READ,
-    /** The first report got an answer of a leader that decides. */
+    /** The first heartbeat was answered with orders. */
     FIRST_REPORT,
-    /** The first request of a user was answered as the leader. */
+    /** The first user request was answered as the leader. */
     FIRST_ANSWER,
     /** The first placement was stored. */
     FIRST_PLACEMENT,
-    /** Nine tenths of the machines with recorded placements were heard. */
+    /** Nine tenths of the machines with stored placements have sent a heartbeat. */
     FLEET_HEARD;
 
+    /** The name in the admin API, in the meters and in the log. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  /** One takeover: its term and what it has gone through so far. */
+  /** The phases of one failover so far, by its term. */
   public record CompletedFailover(long term, Map<Phase, Duration> phases) {}
 
   private final EventLoop eventLoop;
   private final Map<Phase, Histogram> histograms = new EnumMap<>(Phase.class);
   private final Deque<CompletedFailover> latest = new ArrayDeque<>();
 
+  /** Timings without a failover yet. */
   public FailoverTimings(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
   /**
-   * This node was elected.
+   * This controller was elected.
    *
-   * @param before when the leader before was last known to live; null if none was known
+   * @param previousLeaderSeenAt when the previous leader was last known to be alive; null if none
+   *     was known
    */
   public OngoingFailover begin(long term, Instant previousLeaderSeenAt) {
     OngoingFailover failover = new OngoingFailover(term);
@@ -70,17 +76,17 @@
     return failover;
   }
 
-  /** How long a phase took in the takeovers so far, in milliseconds; null before the first. */
+  /** The durations of a phase in all failovers, in milliseconds; null before the first. */
   public Histogram histogram(Phase phase) {
     return histograms.get(phase);
   }
 
-  /** The latest takeovers, the newest first. */
+  /** The latest failovers, the newest first. */
   public List<CompletedFailover> latest() {
     return new ArrayList<>(latest);
   }
 
-  /** One takeover under way. */
+  /** One failover in progress. */
   public final class OngoingFailover {
     private final long term;
     private final Instant electedAt = eventLoop.now();
@@ -97,7 +103,7 @@
       }
     }
 
-    /** A phase is over now; only the first time counts. */
+    /** A phase has ended now; only the first call for each phase counts. */
     public void recordPhase(Phase phase) {
       if (!phases.containsKey(phase)) {
         recordPhase(phase, Duration.between(electedAt, eventLoop.now()));
@@ -111,18 +117,18 @@
           .recordValue(Math.min(MAX_PHASE_MILLIS, Math.max(0, took.toMillis())));
     }
 
-    /** Reports of so many machines are waited for. */
+    /** Heartbeats of this many machines are expected. */
     public void expectReports(int machines) {
       expectedMachines = machines;
       checkFleetHeard();
     }
 
-    /** Whether reports still count for {@link Phase#FLEET_HEARD}. */
+    /** Whether heartbeats still count for {@link Phase#FLEET_HEARD}. */
     public boolean expectsMoreReports() {
       return expectedMachines >= 0 && !phases.containsKey(Phase.FLEET_HEARD);
     }
 
-    /** One more of the awaited machines has been heard. */
+    /** One more of the expected machines has sent a heartbeat. */
     public void onMachineReported() {
       reportedMachines++;
       checkFleetHeard();
@@ -134,15 +140,15 @@
       }
     }
 
-    /** The term is over, or the takeover is: it is logged once. */
+    /** The term or the failover has ended; logs it once. */
     public void close() {
       if (closed) {
         return;
       }
       closed = true;
-      List<String> passed = new ArrayList<>();
-      phases.forEach((phase, took) -> passed.add(phase.label() + " " + took.toMillis() + " ms"));
-      log.info("takeover of term {}: {}", term, String.join(", ", passed));
+      List<String> durations = new ArrayList<>();
+      phases.forEach((phase, took) -> durations.add(phase.label() + "Ms=" + took.toMillis()));
+      log.info("Failover timings: term={} {}", term, String.join(" ", durations));
     }
   }
 }
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -15,25 +15,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Clears away what earlier generations of the records have left, for one leader. Each step removes
- * a few keys in a transaction that asks for the leader's key and the generation, so a leader that
- * was replaced removes nothing, and its successor goes on from whatever is left.
+ * Removes the keys of earlier generations, for one leader. Each step deletes a few keys in a
+ * transaction that requires the leader's key and the generation, so a leader that was replaced
+ * deletes nothing, and its successor continues. Event thread only.
  */
 public final class GenerationGarbageCollector {
   private static final Logger log = LoggerFactory.getLogger(GenerationGarbageCollector.class);
 
-  /** So long what was there before a rebuild may be looked at. */
+  /** How long the records of before a rebuild remain for inspection. */
   static final Duration RETENTION = Duration.ofMinutes(10);
 
   private static final Duration STEP_INTERVAL = Duration.ofSeconds(1);
 
-  /** What late transactions of before have brought back is looked for now and then. */
+  /** Late transactions of earlier generations may have stored keys again. */
   private static final Duration RESCAN_INTERVAL = Duration.ofHours(1);
 
-  /** A part of the changes a second, which service needs more. */
+  /** The divisor of the store's write rate; the rest is for the service. */
   private static final int WRITE_RATE_DIVISOR = 8;
 
-  /** Keys of the first generation; what else there may be is not ours to remove. */
+  /** Keys of the first generation; any other key belongs to somebody else. */
   private static final Pattern FIRST_GENERATION_KEY =
       Pattern.compile(
           "(accepted|job|done|end|placed|images|inbox|conf|backlog|delivered|damaged|apart|lead)/.*");
@@ -47,9 +47,10 @@
   private long removedCount;
 
   /**
-   * The clearing of one term.
+   * Creates the collector of one term.
    *
-   * @param version the revision of the leader's key
+   * @param leaderKeyRevision the revision of the leader's key
+   * @param isLeading whether the term goes on; the collector ends otherwise
    */
   public GenerationGarbageCollector(
       StoreClient storeClient,
@@ -62,7 +63,7 @@
     this.isLeading = isLeading;
   }
 
-  /** Begins after a while, if there is anything to clear. */
+  /** Starts after the retention, if there is an earlier generation. */
   public void start() {
     if (storeClient.generation().base() != 0) {
       eventLoop.schedule(RETENTION, () -> scanPage(null));
@@ -97,7 +98,7 @@
             lastKey = entry.key();
           }
           if (lastKey != null && lastKey.startsWith(present.prefix())) {
-            // Nothing of the present generation need be read: '0' follows '/'.
+            // Skips the keys of the present generation: '0' follows '/'.
             lastKey = "g" + present.base() + "0";
           }
           boolean more = page.more() || !obsoleteKeys.isEmpty();
@@ -121,7 +122,7 @@
   private void deleteAndContinue(List<String> obsoleteKeys, String lastKey, boolean more) {
     if (obsoleteKeys.isEmpty()) {
       if (!more && removedCount > 0) {
-        log.info("{} keys of earlier generations are cleared away", removedCount);
+        log.info("Keys of earlier generations removed: count={}", removedCount);
         removedCount = 0;
       }
       eventLoop.schedule(
@@ -139,7 +140,7 @@
         storeClient.post("/multi", remove.bytes()),
         reply -> {
           removedCount += reply.is(200) ? obsoleteKeys.size() : 0;
-          // What was not removed is found again from the beginning.
+          // After a failure the scan begins again and finds what was not removed.
           eventLoop.schedule(STEP_INTERVAL, () -> scanPage(reply.is(200) ? lastKey : null));
         });
   }
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -15,40 +15,46 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a controller's copy of the records in step with the store, by a request a second. A
- * leader's copy is fed by its own reads and commits; here only the final states of before are read
- * for it.
+ * Keeps a controller's replica up to date with the store, by one request a second, and compares it
+ * with the store to detect lost records. A leader's replica is fed by its own reads and commits;
+ * for it only the final states of earlier terms are read here. Event thread only.
  */
 public final class ReplicaFollower {
-  /** A start and a new term have better things to do first. */
+  /** Leaves the request budget to the start of a controller or of a term first. */
   private static final Duration INITIAL_DELAY = Duration.ofSeconds(5);
 
-  /** Between requests, which also spreads the reading of a large store over the time. */
+  /** Between requests; also spreads the reading of a large store over time. */
   private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
-  /** A copy that was in step so long ago still tells which jobs are over in time. */
+  /** The age up to which a replica shows in time which jobs have ended. */
   private static final Duration MAX_STALENESS = Duration.ofSeconds(6);
 
-  /** Between two pages of final states that a leader compares with what it knows. */
+  /** Between two pages of final states that a leader compares with the store. */
   private static final Duration AUDIT_INTERVAL = Duration.ofSeconds(5);
 
-  /** Pages compared at a time. */
+  /** The number of pages in one comparison. */
   private static final int MAX_COMPARED_PAGES = 100;
 
-  /** Behind by more the changes may take more memory than the records. */
+  /** After a longer lag the changes may take more memory than the records. */
   private static final Duration MAX_LAG = Duration.ofSeconds(10);
 
-  /** Where the copy stands. */
+  /** What a follower's {@link #step} does, in turn; all other steps read changes. */
+  private static final int STEPS_PER_CYCLE = 6;
+
+  private static final int COMPARE_STEP = 0;
+  private static final int AUDIT_STEP = 3;
+
+  /** How the replica is kept up to date. The admin API shows the names. */
   public enum State {
-    /** Nothing is read: the records are not to be trusted now. */
+    /** Nothing is read, since the records are not trusted. */
     OFF,
-    /** The records are read as a whole. */
+    /** All records are being read. */
     LISTING,
-    /** The changes are read. */
+    /** Changes are read, and pages and final states compared with the store. */
     FOLLOWING,
-    /** This node leads: only final states are read. */
+    /** This controller leads; the final states of earlier terms are being read. */
     LEADING,
-    /** This node leads, and its copy is whole; final states are compared with the store. */
+    /** This controller leads with a complete replica; final states are compared with the store. */
     FED
   }
 
@@ -60,29 +66,30 @@
   private long revision;
   private Instant upToDateAt;
 
-  /** Pages that differed when they were last compared, with the revision that this copy had. */
+  /** Pages that differed in their latest comparison, with the version in the replica then. */
   private final Map<String, Long> mismatchedPages = new HashMap<>();
 
-  /** The last page compared, or null at the beginning. */
+  /** The page after which the next comparison begins; null for the first. */
   private String lastComparedPage;
 
-  /** The last final state compared, or null at the beginning. */
+  /** The job after which the next audit of final states begins; null for the first. */
   private String lastAuditedJob;
 
   private int stepCount;
 
-  /** Changes with the state, so that late answers are told apart. */
+  /** Incremented with each change of the state, which invalidates replies and timers. */
   private int currentSequence;
 
-  /** What the node learns. */
+  /** Receives the replica and what it shows. */
   public interface Listener {
-    /** The copy is whole; it may be a new one in the place of the one before. */
-    void onReplicaComplete(RecordReplica whole);
+    /** The replica is complete; it may replace an earlier one. */
+    void onReplicaComplete(RecordReplica complete);
 
-    /** A record that was stored and that nobody removes is not there any more, or older. */
+    /** A record that is never removed is missing in the store, or older than it was seen. */
     void onRecordMissing(String key);
   }
 
+  /** Creates a follower, which is off. */
   public ReplicaFollower(StoreClient storeClient, EventLoop eventLoop, Listener listener) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
@@ -97,18 +104,19 @@
     currentSequence++;
   }
 
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** Whether the copy shows what was stored up to a few seconds ago. */
+  /** Whether the replica shows everything stored up to a few seconds ago. */
   public boolean isFresh() {
     return state == State.FOLLOWING
         && replica.base() == storeClient.generation().base()
         && upToDateAt.plus(MAX_STALENESS).isAfter(eventLoop.now());
   }
 
-  /** The records can be trusted, and this node does not lead: they are read and followed. */
+  /** Reads all records into a new replica and then follows the changes; for a non-leader. */
   public void follow() {
     transitionTo(State.LISTING);
     int sequence = currentSequence;
@@ -118,7 +126,9 @@
   }
 
   /**
-   * This node leads from now on, and feeds the copy; final states stored before are read for it.
+   * This controller leads from now on.
+   *
+   * @param fed the replica that the term feeds; final states of earlier terms are read into it
    */
   public void lead(RecordReplica fed) {
     boolean followed = state == State.FOLLOWING && fed == replica;
@@ -132,7 +142,7 @@
     }
   }
 
-  /** Final states of the last moments before this node led; all else it has read by itself. */
+  /** Reads the latest changes before the term; only the final states are not read by the term. */
   private void catchUpFinalStates(int sequence) {
     storeClient.readChanges(
         revision,
@@ -153,7 +163,7 @@
         });
   }
 
-  /** Nothing is read until it is said again. */
+  /** Stops reading until {@link #follow} or {@link #lead}. */
   public void stop() {
     transitionTo(State.OFF);
   }
@@ -202,7 +212,7 @@
         });
   }
 
-  /** All is read; from here on final states are compared with the store, a page at a time. */
+  /** The leader's replica is complete; compares final states with the store from now on. */
   private void startAudit() {
     transitionTo(State.FED);
     listener.onReplicaComplete(replica);
@@ -216,9 +226,10 @@
   }
 
   /**
-   * Compares a page of final states.
+   * Compares one page of final states with the store.
    *
-   * @param then told after which the next page begins; null for the first
+   * @param after the job after which the page begins; null for the first
+   * @param then receives the job after which the next page begins; null for the first
    */
   private void auditPage(int sequence, String after, Consumer<String> then) {
     storeClient.readPage(
@@ -230,14 +241,14 @@
           }
           String last = after;
           if (page != null) {
-            Set<String> there = new HashSet<>();
+            Set<String> storedJobs = new HashSet<>();
             page.entries()
-                .forEach(e -> there.add(e.key().substring(RecordKeys.FINAL_STATE.length())));
+                .forEach(e -> storedJobs.add(e.key().substring(RecordKeys.FINAL_STATE.length())));
             String next = page.nextPageAfter();
             last = next == null ? null : next.substring(RecordKeys.FINAL_STATE.length());
             for (String job : replica.finalStatesBetween(after, last)) {
-              if (!there.contains(job)) {
-                // It may have been stored after the page was read.
+              if (!storedJobs.contains(job)) {
+                // It may have been stored after the page was read, so it is read again.
                 confirmMissing(sequence, RecordKeys.FINAL_STATE + job, 1);
                 break;
               }
@@ -247,12 +258,12 @@
         });
   }
 
-  /** Every third request compares pages or final states in place of following. */
+  /** One request; every third compares pages or final states instead of reading changes. */
   private void step(int sequence) {
-    stepCount = (stepCount + 1) % 6;
-    if (stepCount == 0) {
+    stepCount = (stepCount + 1) % STEPS_PER_CYCLE;
+    if (stepCount == COMPARE_STEP) {
       comparePages(sequence);
-    } else if (stepCount == 3) {
+    } else if (stepCount == AUDIT_STEP) {
       auditPage(
           sequence,
           lastAuditedJob,
@@ -266,8 +277,9 @@
   }
 
   /**
-   * Compares pages with the store in a transaction that changes nothing. One that differs was
-   * written meanwhile, or is lost: what differs twice while this copy has no newer one is read.
+   * Compares the versions of pages with the store in a transaction that changes nothing. A page
+   * that differs was written meanwhile or is lost; one that differs twice, without a newer version
+   * in the replica, is read.
    */
   private void comparePages(int sequence) {
     int most = Math.min(MAX_COMPARED_PAGES, 4 * storeClient.limits().transactionOps() - 1);
@@ -295,7 +307,9 @@
   }
 
   /**
-   * Reads a record that seems to be older than this revision, or missing; what it tells is certain.
+   * Reads a record afresh and reports it when it is missing or older.
+   *
+   * @param known the version that the replica has seen
    */
   private void confirmMissing(int sequence, String key, long known) {
     storeClient.read(
--- a/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
+++ b/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
@@ -10,15 +10,15 @@
 import java.util.List;
 
 /**
- * Divides the pages of a copy of the records that were stored under a larger limit, so that each
- * fits into a value when a generation is written. A generation counts only once it is whole, so the
- * parts of a page come to count together.
+ * Splits pages that were stored under a larger limit, so that each value fits when a generation is
+ * written. A generation is in force only once it is complete, so the parts of a page become visible
+ * together.
  */
 final class ReplicaPageSplitter {
-  /** What a page takes beside its items. */
+  /** The bytes of a page beside its items. */
   private static final int PAGE_OVERHEAD_BYTES = 64;
 
-  /** Kinds of pages whose items may stand in any page of the kind. */
+  /** Kinds of records whose items may be in any page of the kind. */
   private static final List<String> PAGED_PREFIXES =
       List.of(
           RecordKeys.JOB_PAGES,
@@ -26,6 +26,7 @@
           RecordKeys.COMPLETIONS,
           RecordKeys.CACHED_IMAGES);
 
+  /** The lists of items in a stored page. */
   private static final List<String> LIST_FIELDS = List.of("entries", "notices");
 
   private final int maxValueBytes;
@@ -36,8 +37,8 @@
   }
 
   /**
-   * The same records in values of at most so many bytes each; an item that takes more stays as it
-   * is.
+   * The same records in values of at most {@code maxValueBytes}; a single item that is larger stays
+   * as it is.
    */
   static List<StoreWire.Entry> split(List<StoreWire.Entry> entries, int maxValueBytes) {
     ReplicaPageSplitter splitter = new ReplicaPageSplitter(maxValueBytes);
@@ -58,7 +59,7 @@
     for (StoreWire.Entry page : pages) {
       nextPageNumber = Math.max(nextPageNumber, number(page.key(), prefix) + 1);
       for (JsonNode item : page.value().path("entries")) {
-        // A page with the name of one that was divided would make the copies of its records void.
+        // A new page with the key of a split one would invalidate the copies of its records.
         String source = RecordWire.copySource(item);
         nextPageNumber = Math.max(nextPageNumber, source == null ? 0 : number(source, prefix) + 1);
       }
@@ -68,7 +69,7 @@
         splitEntries.add(page);
         continue;
       }
-      // The first part keeps the name, for copies that do not count as long as it is there.
+      // The first part keeps the key: copies of its records are ignored while it exists.
       String key = page.key();
       for (ObjectNode part : splitPage(page.value())) {
         splitEntries.add(new StoreWire.Entry(key, part, page.revision()));
