--- a/src/main/java/io/pineladder/JobCanceller.java
+++ b/src/main/java/io/pineladder/JobCanceller.java
@@ -1,6 +1,7 @@
 package io.pineladder;
 
 import io.pineladder.model.Job;
+import io.pineladder.reconciliation.JobLookup;
 import io.pineladder.reconciliation.JobReconciler;
 import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
@@ -41,12 +42,12 @@
     reconciler.lookUp(
         id,
         lookup -> {
-          if (lookup == null) {
+          if (lookup instanceof JobLookup.Uncertain) {
             onDone.accept(JobView.UNCERTAIN);
-          } else if (lookup.job() != null) {
-            cancelKnown(lookup.job(), onDone);
-          } else if (lookup.finalState() != null) {
-            onDone.accept(JobView.ended(lookup.finalState()));
+          } else if (lookup instanceof JobLookup.Found found) {
+            cancelKnown(found.job(), onDone);
+          } else if (lookup instanceof JobLookup.Ended ended) {
+            onDone.accept(JobView.ended(ended.finalState()));
           } else {
             onDone.accept(JobView.NOT_FOUND);
           }
--- a/src/main/java/io/pineladder/SubmissionHandler.java
+++ b/src/main/java/io/pineladder/SubmissionHandler.java
@@ -3,6 +3,7 @@
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.net.EventLoop;
+import io.pineladder.reconciliation.JobLookup;
 import io.pineladder.reconciliation.JobReconciler;
 import io.pineladder.replica.RecordReplica;
 import io.pineladder.scheduling.ClusterState;
@@ -117,15 +118,12 @@
         id,
         lookup -> {
           JobView view;
-          if (lookup == null) {
-            view = JobView.UNCERTAIN;
-          } else if (lookup.job() != null) {
-            view = JobView.of(JobStatusReader.viewOf(lookup.job()).status());
+          if (lookup instanceof JobLookup.Found found) {
+            view = JobView.of(JobStatusReader.viewOf(found.job()).status());
+          } else if (lookup instanceof JobLookup.Ended ended) {
+            view = JobView.ended(ended.finalState());
           } else {
-            view =
-                lookup.finalState() == null
-                    ? JobView.UNCERTAIN
-                    : JobView.ended(lookup.finalState());
+            view = JobView.UNCERTAIN;
           }
           waiters.forEach(waiter -> waiter.accept(view));
         });
--- a/src/main/java/io/pineladder/reconciliation/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -19,34 +19,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes up jobs that are in the store and not in the leader's memory: other nodes accepted them.
+ * Reconciles the jobs in the store with those in the leader's memory: jobs that other controllers
+ * accepted without a leader are added, and their inbox entries and duplicate records removed. Event
+ * thread only.
  */
 public final class JobReconciler {
   private static final Logger log = LoggerFactory.getLogger(JobReconciler.class);
   private static final Duration INBOX_WATCH_TIMEOUT = Duration.ofSeconds(20);
 
-  /** What the term does with it. */
+  /** The term whose jobs are reconciled. */
   public interface Listener {
+    /** Whether the term goes on; all work ends otherwise. */
     boolean isLeading();
 
-    /** The job's acceptance by this leader is on its way to the store. */
+    /** Whether this leader is storing the acceptance of the job. */
     boolean isAccepting(String id);
 
-    /** A job is taken up. */
+    /** A job was found in the store and is to be added to the memory. */
     void onJobFound(Job job);
 
-    /** A job was found to be over. */
+    /** A job that is not in memory was found to have a final state. */
     void onFinalState(String id, Job.State state);
 
-    /** The final state of a job, as the copy of the records has it; null when it has none. */
+    /** A job's final state in this controller's replica; null when it has none. */
     Job.State finalState(String id);
 
-    /** A record of another node was read. */
+    /** A record that another controller stored was read. */
     void onRecordRead(StoreWire.Entry entry);
 
-    /**
-     * Whether a job that nothing is known of may have been lost: then nothing certain can be said.
-     */
+    /** Whether a job without any record may have been lost, so that it is not certain. */
     boolean recordsMayBeIncomplete();
   }
 
@@ -57,9 +58,10 @@
   private final Listener listener;
   private final Backoff backoff;
 
-  /** How many jobs have left the memory for good; a read that saw one before is too old then. */
+  /** Counts removals from memory; a read that began before the latest one may be outdated. */
   private long removalCount;
 
+  /** Creates a reconciler; {@link #start} begins to watch the inbox. */
   public JobReconciler(
       StoreClient storeClient,
       ClusterState cluster,
@@ -74,18 +76,18 @@
     this.backoff = storeClient.newBackoff();
   }
 
-  /** A job has left the memory for good. */
+  /** A job was removed from memory. */
   public void onJobRemoved() {
     removalCount++;
   }
 
-  /** Begins with the inbox as it was read, and follows it. */
+  /** Reconciles the inbox as it was read, and watches it from then on. */
   public void start(StoreClient.Listing inbox) {
     inbox.entries().forEach(this::reconcileInboxEntry);
     watchInbox(inbox.revision());
   }
 
-  /** Jobs that other nodes accepted while they could reach no leader. */
+  /** Watches for jobs that other controllers accept while they reach no leader. */
   private void watchInbox(long after) {
     if (!listener.isLeading()) {
       return;
@@ -129,13 +131,13 @@
     lookUp(
         id,
         lookup -> {
-          if (lookup == null) {
-            // Without a certain answer the job may still be unknown here.
+          if (lookup instanceof JobLookup.Uncertain) {
+            // The entry stays until the job is certainly known here.
             storeClient.scheduleRetry(backoff, () -> reconcileInboxEntry(entry));
             return;
           }
-          if (lookup.finalState() != null) {
-            // Stored again after a loss by a node that did not know that it was over.
+          if (lookup instanceof JobLookup.Ended) {
+            // Stored again after a data loss by a controller that did not know its final state.
             deleteJobRecord(id);
           }
           deleteRecord(entry.key());
@@ -160,61 +162,69 @@
         });
   }
 
-  /** Reads a job that is in the store but not in memory; null is no certain answer. */
-  public void lookUp(String id, Consumer<Lookup> onDone) {
+  /** Looks a job up in memory, in the replica's final states and then, afresh, in the store. */
+  public void lookUp(String id, Consumer<JobLookup> onDone) {
     if (cluster.jobs.containsKey(id)) {
-      onDone.accept(new Lookup(cluster.jobs.get(id), null));
+      onDone.accept(new JobLookup.Found(cluster.jobs.get(id)));
       return;
     }
     if (listener.isAccepting(id)) {
-      // Whether it is stored in a page will show; a record of its own may be a second copy.
-      onDone.accept(null);
+      // The commit will show whether it is stored in a page; a record of its own may be a
+      // duplicate.
+      onDone.accept(JobLookup.UNCERTAIN);
       return;
     }
-    Job.State ended = listener.finalState(id);
-    if (ended != null) {
-      listener.onFinalState(id, ended);
-      onDone.accept(new Lookup(null, ended));
+    Job.State finalState = listener.finalState(id);
+    if (finalState != null) {
+      listener.onFinalState(id, finalState);
+      onDone.accept(new JobLookup.Ended(finalState));
       return;
     }
-    long before = removalCount;
+    long removalsBefore = removalCount;
     storeClient.read(
-        RecordKeys.UNPAGED_JOB + id,
-        read -> {
-          if (!listener.isLeading() || !read.certain() || listener.isAccepting(id)) {
-            onDone.accept(null);
-            return;
-          }
-          Job known = cluster.jobs.get(id);
-          if (known != null) {
-            onDone.accept(new Lookup(known, null));
-            return;
-          }
-          if (read.found() && removalCount != before) {
-            // It may be a job that has left meanwhile: taken up again it would end twice.
-            lookUp(id, onDone);
-            return;
-          }
-          if (!read.found()) {
-            lookUpFinalState(id, onDone);
-            return;
-          }
-          try {
-            Job job = TermLoader.toJob(read.entry().value());
-            committer.restoreRevision(read.entry().key(), read.entry().revision());
-            listener.onRecordRead(read.entry());
-            listener.onJobFound(job);
-            log.debug("job {} was accepted elsewhere", id);
-            onDone.accept(new Lookup(job, null));
-          } catch (MalformedMessageException e) {
-            log.error("job {} cannot be read: {}", id, e.getMessage());
-            onDone.accept(null);
-          }
-        });
+        RecordKeys.UNPAGED_JOB + id, read -> onRecordRead(id, read, removalsBefore, onDone));
   }
 
-  /** Looks for the copy of a job's record that another node has stored, so that it goes too. */
-  public void findDuplicateRecord(Job job, Runnable again) {
+  private void onRecordRead(
+      String id, StoreClient.Read read, long removalsBefore, Consumer<JobLookup> onDone) {
+    if (!listener.isLeading() || !read.certain() || listener.isAccepting(id)) {
+      onDone.accept(JobLookup.UNCERTAIN);
+      return;
+    }
+    Job known = cluster.jobs.get(id);
+    if (known != null) {
+      onDone.accept(new JobLookup.Found(known));
+      return;
+    }
+    if (read.found() && removalCount != removalsBefore) {
+      // The record may be of a job removed meanwhile, which must not end a second time.
+      lookUp(id, onDone);
+      return;
+    }
+    if (!read.found()) {
+      lookUpFinalState(id, onDone);
+      return;
+    }
+    try {
+      Job job = TermLoader.toJob(read.entry().value());
+      committer.restoreRevision(read.entry().key(), read.entry().revision());
+      listener.onRecordRead(read.entry());
+      listener.onJobFound(job);
+      log.debug("Job accepted by another controller: job={}", id);
+      onDone.accept(new JobLookup.Found(job));
+    } catch (MalformedMessageException e) {
+      log.error("Unreadable job record: job={} detail=\"{}\"", id, e.getMessage());
+      onDone.accept(JobLookup.UNCERTAIN);
+    }
+  }
+
+  /**
+   * Reads whether another controller has stored a record of the job too, which is then removed with
+   * the job.
+   *
+   * @param onDone called once that is known, while this controller leads
+   */
+  public void findDuplicateRecord(Job job, Runnable onDone) {
     String key = RecordKeys.UNPAGED_JOB + job.spec.id();
     storeClient.read(
         key,
@@ -223,18 +233,18 @@
             return;
           }
           if (!read.certain()) {
-            storeClient.scheduleRetry(backoff, () -> findDuplicateRecord(job, again));
+            storeClient.scheduleRetry(backoff, () -> findDuplicateRecord(job, onDone));
             return;
           }
           if (read.found()) {
             committer.restoreRevision(key, read.entry().revision());
           }
           records.setHasUnpagedRecord(job, read.found());
-          again.run();
+          onDone.run();
         });
   }
 
-  /** Tells when the store has no record of a job that is not in memory, nor of its end. */
+  /** Calls back when the store certainly has neither a record nor a final state of the job. */
   public void ifUnknown(String id, Runnable onUnknown) {
     if (cluster.jobs.containsKey(id)
         || listener.isAccepting(id)
@@ -258,27 +268,26 @@
         });
   }
 
-  /** What a look into the store gave: a live job, a final state, or neither. */
-  public record Lookup(Job job, Job.State finalState) {}
-
-  private void lookUpFinalState(String id, Consumer<Lookup> onDone) {
+  private void lookUpFinalState(String id, Consumer<JobLookup> onDone) {
     storeClient.read(
         RecordKeys.FINAL_STATE + id,
         read -> {
           if (!read.certain()) {
-            onDone.accept(null);
+            onDone.accept(JobLookup.UNCERTAIN);
             return;
           }
           if (!read.found()) {
-            onDone.accept(listener.recordsMayBeIncomplete() ? null : new Lookup(null, null));
+            onDone.accept(
+                listener.recordsMayBeIncomplete() ? JobLookup.UNCERTAIN : JobLookup.NOT_FOUND);
             return;
           }
           try {
-            Job.State ended = RecordWire.parseFinalState(read.entry().value());
-            listener.onFinalState(id, ended);
-            onDone.accept(new Lookup(null, ended));
+            Job.State finalState = RecordWire.parseFinalState(read.entry().value());
+            listener.onFinalState(id, finalState);
+            onDone.accept(new JobLookup.Ended(finalState));
           } catch (MalformedMessageException e) {
-            onDone.accept(null);
+            log.error("Unreadable final state: job={} detail=\"{}\"", id, e.getMessage());
+            onDone.accept(JobLookup.UNCERTAIN);
           }
         });
   }
--- a/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
+++ b/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
@@ -15,31 +15,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds the jobs that others need, in the leader's memory or by reads that begin after the
- * question.
+ * Looks up the jobs that others depend on, in the leader's memory or by reads that begin after the
+ * question. Event thread only.
  */
 public final class PrerequisiteReader {
   private static final Logger log = LoggerFactory.getLogger(PrerequisiteReader.class);
 
-  /** Between two reads of which the first gave no certain answer. */
+  /** Before a lookup that was uncertain is repeated. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** Between two looks for a job that was accepted and that no record tells of. */
+  /** Before an accepted job without any record is looked up again. */
   private static final Duration MISSING_JOB_RETRY_DELAY = Duration.ofSeconds(5);
 
-  /** What is known of the jobs that a submission names. */
+  /** Whether the prerequisites that a submission names were accepted. */
   public enum Verification {
-    /** Each was accepted. */
+    /** All were accepted. */
     ALL_ACCEPTED,
-    /** One was never accepted. */
+    /** At least one was never accepted. */
     NOT_ALL_ACCEPTED,
-    /** Nothing certain can be said now. */
+    /** Not known now; the submission is to be repeated. */
     UNCERTAIN
   }
 
   private final Function<String, Job> jobs;
 
-  /** A final state that is known without a read, or null. */
+  /** Final states known without a read; null for an unknown one. */
   private final Function<String, Job.State> finalStates;
 
   private final JobReconciler reconciler;
@@ -48,10 +48,12 @@
   private final Supplier<JobDependencies> dependencies;
 
   /**
-   * Lookups of one term.
+   * Creates the reader of one term.
    *
    * @param jobs the jobs in memory, by id
-   * @param ended final states that are known without a read; null for unknown
+   * @param finalStates final states that are known without a read; null for an unknown one
+   * @param isLeading whether the term goes on; all work ends otherwise
+   * @param dependencies the dependencies of the term's jobs
    */
   public PrerequisiteReader(
       Function<String, Job> jobs,
@@ -68,7 +70,7 @@
     this.dependencies = dependencies;
   }
 
-  /** Tells whether all these jobs were accepted. */
+  /** Verifies that all these jobs were accepted, one after the other. */
   public void verify(List<String> ids, Consumer<Verification> onDone) {
     verifyNext(new ArrayDeque<>(ids), onDone);
   }
@@ -84,9 +86,9 @@
     reconciler.lookUp(
         remainingIds.poll(),
         lookup -> {
-          if (lookup == null) {
+          if (lookup instanceof JobLookup.Uncertain) {
             onDone.accept(Verification.UNCERTAIN);
-          } else if (lookup.job() == null && lookup.finalState() == null) {
+          } else if (lookup instanceof JobLookup.NotFound) {
             onDone.accept(Verification.NOT_ALL_ACCEPTED);
           } else {
             verifyNext(remainingIds, onDone);
@@ -98,9 +100,7 @@
     return jobs.apply(id) != null || finalStates.apply(id) != null;
   }
 
-  /**
-   * Tells the dependencies of a job that others need, once the present event has been dealt with.
-   */
+  /** Looks a prerequisite up for the dependencies, after the present event. */
   public void lookUp(String id) {
     eventLoop.schedule(Duration.ZERO, () -> resolve(id));
   }
@@ -120,14 +120,14 @@
           if (!isLeading.getAsBoolean()) {
             return;
           }
-          if (lookup == null) {
+          if (lookup instanceof JobLookup.Uncertain) {
             eventLoop.schedule(RETRY_DELAY, () -> resolve(id));
-          } else if (lookup.job() != null) {
-            dependencies.get().onPrerequisiteFound(lookup.job());
-          } else if (lookup.finalState() != null) {
-            dependencies.get().onFinalStateKnown(id, lookup.finalState());
+          } else if (lookup instanceof JobLookup.Found found) {
+            dependencies.get().onPrerequisiteFound(found.job());
+          } else if (lookup instanceof JobLookup.Ended ended) {
+            dependencies.get().onFinalStateKnown(id, ended.finalState());
           } else {
-            log.error("job {}, which others need, is not in the records", id);
+            log.error("Prerequisite without a record: job={}", id);
             dependencies.get().onPrerequisiteNotFound(id);
             eventLoop.schedule(MISSING_JOB_RETRY_DELAY, () -> resolve(id));
           }
