--- a/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
+++ b/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
@@ -164,7 +164,8 @@
 
   private void restoreCompletions(StoreClient.Listing listing) throws MalformedMessageException {
     listing.entries().forEach(page -> records.restoreCompletionPage(page.key()));
-    List<PageEntry<RecordWire.StoredCompletions>> all = readPages(listing, RecordWire::parseCompletions);
+    List<PageEntry<RecordWire.StoredCompletions>> all =
+        readPages(listing, RecordWire::parseCompletions);
     all.removeIf(done -> !jobs.containsKey(done.entry.job()));
     for (PageEntry<RecordWire.StoredCompletions> done : all) {
       Job job = jobs.get(done.entry.job());
--- a/src/main/java/io/pineladder/generation/RebuildDeferral.java
+++ b/src/main/java/io/pineladder/generation/RebuildDeferral.java
@@ -45,7 +45,8 @@
   private static boolean peerMayHaveCompleteReplica(
       RecordReplica own, List<Membership.PeerStatus> peers) {
     for (Membership.PeerStatus peer : peers) {
-      if (peer.state() != Membership.State.UP || !own.isComplete() && peer.stored().replicaComplete()) {
+      if (peer.state() != Membership.State.UP
+          || !own.isComplete() && peer.stored().replicaComplete()) {
         return true;
       }
     }
--- a/src/main/java/io/pineladder/recovery/FinalStateRestorer.java
+++ b/src/main/java/io/pineladder/recovery/FinalStateRestorer.java
@@ -46,7 +46,11 @@
     }
     String key = RecordKeys.FINAL_STATE + next.getKey();
     byte[] body =
-        storeClient.transaction().require(key, 0).put(key, RecordWire.finalState(next.getValue())).bytes();
+        storeClient
+            .transaction()
+            .require(key, 0)
+            .put(key, RecordWire.finalState(next.getValue()))
+            .bytes();
     storeClient.writeForUser(
         storeClient.post("/multi", body),
         1,
