--- a/src/main/java/io/pineladder/scheduling/JobDependencies.java
+++ b/src/main/java/io/pineladder/scheduling/JobDependencies.java
@@ -116,11 +116,11 @@
       int depth = 1;
       boolean allKnown = true;
       for (String id : unmetPrerequisites.getOrDefault(job, Set.of())) {
-        Job needed = jobsInMemory.apply(id);
-        Integer neededDepth = needed == null ? Integer.valueOf(1) : depths.get(needed);
+        Job prerequisite = jobsInMemory.apply(id);
+        Integer neededDepth = prerequisite == null ? Integer.valueOf(1) : depths.get(prerequisite);
         if (neededDepth == null) {
           allKnown = false;
-          stack.push(needed);
+          stack.push(prerequisite);
         } else {
           depth = Math.max(depth, neededDepth + 1);
         }
@@ -159,14 +159,14 @@
       dependentsById.computeIfAbsent(id, i -> new LinkedHashSet<>(2)).add(job);
     }
     for (String id : job.spec.prerequisites()) {
-      Job needed = jobsInMemory.apply(id);
-      Job.State finalState = needed == null ? listener.knownFinalState(id) : null;
+      Job prerequisite = jobsInMemory.apply(id);
+      Job.State finalState = prerequisite == null ? listener.knownFinalState(id) : null;
       if (finalState != null) {
         onFinalStateKnown(id, finalState);
-      } else if (needed == null) {
+      } else if (prerequisite == null) {
         startLookup(id);
       } else {
-        onPrerequisiteFound(needed);
+        onPrerequisiteFound(prerequisite);
       }
     }
     ChainDeadlines deadlines = prerequisiteDeadlines(job);
@@ -185,14 +185,14 @@
    * A prerequisite that was looked up is in memory; {@link #onFinalStateStored} follows if its
    * final state is not stored yet.
    */
-  public void onPrerequisiteFound(Job needed) {
-    pendingLookups.remove(needed.spec.id());
-    if (needed.finalStateStored || needed.cancelledByDependency) {
-      onFinalStateKnown(needed.spec.id(), needed.state());
-    } else if (needed.state() == Job.State.CANCELLED && needed.finalStatePending) {
-      onCancellationPending(needed);
-    } else if (needed.cancellingPrerequisite != null) {
-      markCancellationPending(needed.cancellingPrerequisite, needed);
+  public void onPrerequisiteFound(Job prerequisite) {
+    pendingLookups.remove(prerequisite.spec.id());
+    if (prerequisite.finalStateStored || prerequisite.cancelledByDependency) {
+      onFinalStateKnown(prerequisite.spec.id(), prerequisite.state());
+    } else if (prerequisite.state() == Job.State.CANCELLED && prerequisite.finalStatePending) {
+      onCancellationPending(prerequisite);
+    } else if (prerequisite.cancellingPrerequisite != null) {
+      markCancellationPending(prerequisite.cancellingPrerequisite, prerequisite);
     }
   }
 
@@ -213,9 +213,9 @@
       if (dependents != null && dependents.remove(job) && dependents.isEmpty()) {
         dependentsById.remove(id);
       }
-      Job needed = jobsInMemory.apply(id);
-      if (needed != null) {
-        recomputeUrgency(needed);
+      Job prerequisite = jobsInMemory.apply(id);
+      if (prerequisite != null) {
+        recomputeUrgency(prerequisite);
       }
     }
   }
@@ -302,14 +302,18 @@
   }
 
   /** A prerequisite has one more dependent: it can only become more urgent. */
-  private void raiseUrgency(Job needed, PriorityClass priorityClass, ChainDeadlines deadlines) {
-    if (needed == null || !needed.isActive()) {
+  private void raiseUrgency(
+      Job prerequisite, PriorityClass priorityClass, ChainDeadlines deadlines) {
+    if (prerequisite == null || !prerequisite.isActive()) {
       return;
     }
     PriorityClass highest =
-        priorityClass.isAbove(needed.priorityClass()) ? priorityClass : needed.priorityClass();
-    if (setUrgency(needed, highest, ChainDeadlines.earlier(needed.chainDeadlines, deadlines))) {
-      recomputePrerequisites(needed);
+        priorityClass.isAbove(prerequisite.priorityClass())
+            ? priorityClass
+            : prerequisite.priorityClass();
+    if (setUrgency(
+        prerequisite, highest, ChainDeadlines.earlier(prerequisite.chainDeadlines, deadlines))) {
+      recomputePrerequisites(prerequisite);
     }
   }
 
@@ -328,9 +332,9 @@
     while (!changed.isEmpty()) {
       Job job = changed.poll();
       for (String id : new ArrayList<>(unmetPrerequisites.getOrDefault(job, Set.of()))) {
-        Job needed = jobsInMemory.apply(id);
-        if (needed != null && needed.isActive() && recomputeOne(needed)) {
-          changed.add(needed);
+        Job prerequisite = jobsInMemory.apply(id);
+        if (prerequisite != null && prerequisite.isActive() && recomputeOne(prerequisite)) {
+          changed.add(prerequisite);
         }
       }
     }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -173,9 +173,9 @@
     if (machine.images.containsKey(job.spec.image())) {
       return false;
     }
-    double fetchSeconds =
+    double undisturbedFetchSeconds =
         job.spec.imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, machine.type.fetchGbPerSecond());
-    return fetchSeconds > machine.type.bootTime().toMillis() / 1000.0;
+    return undisturbedFetchSeconds > machine.type.bootTime().toMillis() / 1000.0;
   }
 
   /** A machine with capacity for that many tasks of the job. */
--- a/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
+++ b/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
@@ -84,7 +84,7 @@
   }
 
   /** What the model knows of an entry. */
-  private static final class Plain {
+  private static final class ReferenceEntry {
     final QueueEntry entry;
     QueueEntry.Place place = QueueEntry.Place.ACTIVE;
     SchedulingCheck by;
@@ -92,7 +92,7 @@
     Instant triedAt;
     Instant until;
 
-    Plain(QueueEntry entry) {
+    ReferenceEntry(QueueEntry entry) {
       this.entry = entry;
     }
 
@@ -106,10 +106,10 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void behavesAsThePlainModel(long seed) {
+  void matchesTheReferenceModel(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     SchedulingQueue queue = queue();
-    List<Plain> model = new ArrayList<>();
+    List<ReferenceEntry> model = new ArrayList<>();
     Instant now = ORIGIN;
     for (int step = 0; step < 3000; step++) {
       now = now.plusMillis(random.nextInt(400));
@@ -118,15 +118,15 @@
           PriorityClass rank = PriorityClass.values()[random.nextInt(4)];
           QueueEntry entry = new QueueEntry(job("req-" + step, "t" + random.nextInt(3), rank, now));
           queue.add(entry);
-          model.add(new Plain(entry));
+          model.add(new ReferenceEntry(entry));
         }
         case 1, 2 -> {
           QueueEntry popped = queue.pop(now);
-          Plain first =
+          ReferenceEntry first =
               model.stream()
                   .filter(p -> p.place == QueueEntry.Place.ACTIVE)
                   .min(
-                      Comparator.<Plain, PriorityClass>comparing(
+                      Comparator.<ReferenceEntry, PriorityClass>comparing(
                               p -> p.entry.job.spec.priorityClass())
                           .thenComparing(p -> p.entry.job.acceptedAt)
                           .thenComparing(p -> p.entry.arrivalNumber))
@@ -156,7 +156,7 @@
         case 3 -> {
           String team = "t" + random.nextInt(3);
           queue.onEvent(ClusterEvent.teamUsageReduced(team), now);
-          for (Plain p : model) {
+          for (ReferenceEntry p : model) {
             boolean waits =
                 p.place == QueueEntry.Place.UNSCHEDULABLE
                     || p.place == QueueEntry.Place.BACKOFF_REJECTED;
@@ -169,7 +169,7 @@
         }
         case 4 -> {
           queue.onEvent(ClusterEvent.capacityFreed(null, null, Long.MAX_VALUE), now);
-          for (Plain p : model) {
+          for (ReferenceEntry p : model) {
             if (p.place == QueueEntry.Place.UNSCHEDULABLE && p.by == SchedulingCheck.FIT) {
               p.place =
                   p.until.isAfter(now)
@@ -180,7 +180,7 @@
         }
         default -> {
           queue.activateExpired(now);
-          for (Plain p : model) {
+          for (ReferenceEntry p : model) {
             boolean backingOff =
                 p.place == QueueEntry.Place.BACKOFF_REJECTED
                     || p.place == QueueEntry.Place.BACKOFF_ERROR;
@@ -190,14 +190,14 @@
           }
         }
       }
-      for (Plain p : model) {
+      for (ReferenceEntry p : model) {
         assertEquals(p.place, p.entry.place(), "step " + step + " of " + p.entry);
       }
     }
   }
 
   @Test
-  void anEventDuringATryIsSeenWhenTheEntryParks() {
+  void anEventDuringACycleAppliesWhenTheEntryIsRejected() {
     SchedulingQueue queue = queue();
     QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void anEventThatNoCheckCaresAboutWakesNothing() {
+  void anEventWithoutHintFunctionActivatesNothing() {
     SchedulingQueue queue = queue();
     QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
--- a/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
+++ b/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
@@ -30,31 +30,31 @@
       new MachineType(
           "g4", Resources.of(16, 4, 64), 50, 0.1, 4, 1, Duration.ofSeconds(10), List.of("a"));
 
-  private final Set<Job> atFault = new HashSet<>();
-  private final Set<Machine> suspect = new HashSet<>();
+  private final Set<Job> failingJobs = new HashSet<>();
+  private final Set<Machine> quarantined = new HashSet<>();
   private final Set<Machine> faulty = new HashSet<>();
-  private final FaultAttribution failures =
+  private final FaultAttribution faultAttribution =
       new FaultAttribution(
           new FaultAttribution.Listener() {
             @Override
             public void onJobFailingChanged(Job job, boolean is) {
-              set(atFault, job, is);
+              setMembership(failingJobs, job, is);
             }
 
             @Override
             public void onQuarantineChanged(Machine machine, boolean is) {
-              set(suspect, machine, is);
+              setMembership(quarantined, machine, is);
             }
 
             @Override
             public void onMachineFaulty(Machine machine) {
-              suspect.remove(machine);
+              quarantined.remove(machine);
               faulty.add(machine);
             }
           });
 
-  private static <T> void set(Set<T> all, T one, boolean in) {
-    if (in) {
+  private static <T> void setMembership(Set<T> all, T one, boolean isMember) {
+    if (isMember) {
       all.add(one);
     } else {
       all.remove(one);
@@ -91,44 +91,46 @@
   }
 
   private void fail(Job job, Machine machine) {
-    failures.recordFailure(job, machine, Duration.ZERO, Instant.EPOCH);
+    faultAttribution.recordFailure(job, machine, Duration.ZERO, Instant.EPOCH);
   }
 
   private void complete(Job job) {
     job.done.set(0);
-    failures.recordSuccess(job);
+    faultAttribution.recordSuccess(job);
   }
 
   /** What failed where, and who went well: everything else follows from it. */
-  private static final class Model {
-    final Map<Job, Set<Machine>> failed = new LinkedHashMap<>();
-    final Set<Job> good = new HashSet<>();
+  private static final class ReferenceModel {
+    final Map<Job, Set<Machine>> failedMachines = new LinkedHashMap<>();
+    final Set<Job> succeeded = new HashSet<>();
     final Set<Machine> faulty = new HashSet<>();
 
-    boolean atFault(Job job) {
-      Set<Machine> on = new HashSet<>(failed.getOrDefault(job, Set.of()));
+    boolean isFailing(Job job) {
+      Set<Machine> on = new HashSet<>(failedMachines.getOrDefault(job, Set.of()));
       on.removeAll(faulty);
-      return !good.contains(job) && on.size() >= FaultAttribution.FAULT_THRESHOLD;
+      return !succeeded.contains(job) && on.size() >= FaultAttribution.FAULT_THRESHOLD;
     }
 
-    List<Job> blaming(Machine machine) {
-      return failed.keySet().stream()
-          .filter(j -> failed.get(j).contains(machine) && !atFault(j))
+    List<Job> jobsNotFailingOn(Machine machine) {
+      return failedMachines.keySet().stream()
+          .filter(j -> failedMachines.get(j).contains(machine) && !isFailing(j))
           .toList();
     }
 
-    boolean isSuspect(Machine machine) {
+    boolean isQuarantined(Machine machine) {
       return !faulty.contains(machine)
-          && blaming(machine).size() >= FaultAttribution.FAULT_THRESHOLD;
+          && jobsNotFailingOn(machine).size() >= FaultAttribution.FAULT_THRESHOLD;
     }
 
     /** Another machine may be faulty once one is, since that clears jobs. */
-    void settle(List<Machine> machines) {
+    void findFaulty(List<Machine> machines) {
       boolean changed = true;
       while (changed) {
         changed = false;
         for (Machine machine : machines) {
-          boolean proven = isSuspect(machine) && blaming(machine).stream().anyMatch(good::contains);
+          boolean proven =
+              isQuarantined(machine)
+                  && jobsNotFailingOn(machine).stream().anyMatch(succeeded::contains);
           changed |= proven && faulty.add(machine);
         }
       }
@@ -137,9 +139,9 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void theVerdictsAreThoseOfThePlainModel(long seed) {
+  void attributionsMatchTheReferenceModel(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    Model model = new Model();
+    ReferenceModel model = new ReferenceModel();
     List<Machine> machines = new ArrayList<>();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -151,69 +153,69 @@
       Job job = jobs.get(at);
       switch (random.nextInt(12)) {
         case 0 -> {
-          if (model.failed.containsKey(job)) {
-            model.good.add(job);
+          if (model.failedMachines.containsKey(job)) {
+            model.succeeded.add(job);
           }
           complete(job);
         }
         case 1, 2 -> {
-          failures.forget(job);
-          model.failed.remove(job);
-          atFault.remove(job);
+          faultAttribution.forget(job);
+          model.failedMachines.remove(job);
+          failingJobs.remove(job);
           jobs.set(at, job(100 + step));
         }
         default -> {
           Machine machine = machines.get(random.nextInt(machines.size()));
           fail(job, machine);
           if (!job.done.isEmpty()) {
-            model.good.add(job);
+            model.succeeded.add(job);
           }
-          Set<Machine> on = model.failed.computeIfAbsent(job, j -> new LinkedHashSet<>());
+          Set<Machine> on = model.failedMachines.computeIfAbsent(job, j -> new LinkedHashSet<>());
           if (!model.faulty.contains(machine)) {
             on.add(machine);
           }
         }
       }
-      model.settle(machines);
+      model.findFaulty(machines);
       assertEquals(model.faulty, faulty, "step " + step);
       for (Job each : jobs) {
-        assertEquals(model.atFault(each), atFault.contains(each), "step " + step);
+        assertEquals(model.isFailing(each), failingJobs.contains(each), "step " + step);
       }
       for (Machine each : machines) {
-        assertEquals(model.isSuspect(each), suspect.contains(each), "step " + step);
+        assertEquals(model.isQuarantined(each), quarantined.contains(each), "step " + step);
       }
     }
   }
 
   /** The operators' bad night: several jobs with a mistake, each trying machine after machine. */
   @Test
-  void jobsThatFailEverywhereBlameNoMachine() {
+  void failingJobsQuarantineNoMachine() {
     List<Machine> machines = List.of(machine(0), machine(1), machine(2), machine(3));
     List<Job> jobs = List.of(job(0), job(1), job(2));
     for (Machine machine : machines) {
       jobs.forEach(job -> fail(job, machine));
     }
-    assertEquals(new HashSet<>(jobs), atFault);
-    assertEquals(Set.of(), suspect);
+    assertEquals(new HashSet<>(jobs), failingJobs);
+    assertEquals(Set.of(), quarantined);
     assertEquals(Set.of(), faulty);
   }
 
   @Test
-  void aJobWhoseFirstMachinesWereFaultyIsCleared() {
+  void aJobWhoseFirstMachinesWereFaultyIsNotFailing() {
     Machine bad = machine(0);
     Machine worse = machine(1);
     Job unlucky = job(0);
     fail(unlucky, bad);
     fail(unlucky, worse);
-    assertEquals(Set.of(unlucky), atFault);
+    assertEquals(Set.of(unlucky), failingJobs);
     Job other = job(1);
     Job third = job(2);
     fail(other, bad);
     fail(third, bad);
-    assertEquals(Set.of(bad), suspect, "nobody knows yet who is at fault");
+    assertEquals(Set.of(bad), quarantined, "nobody knows yet who is at fault");
     complete(other);
     assertEquals(Set.of(bad), faulty);
-    assertEquals(Set.of(), suspect);
-    assertEquals(Set.of(), atFault, "what failed on a faulty machine counts no longer");
+    assertEquals(Set.of(), quarantined);
+    assertEquals(Set.of(), failingJobs, "what failed on a faulty machine counts no longer");
   }
 }
--- a/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
+++ b/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
@@ -162,7 +162,7 @@
   }
 
   @Test
-  void theIndexSaysWhatTheHistorySays() {
+  void theGraphMatchesTheHistory() {
     for (int seed = 0; seed < 60; seed++) {
       RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
       List.of(memory, stored, all).forEach(Map::clear);
@@ -215,7 +215,7 @@
    * What is being looked up may turn out to be cancelled, so nothing is told of what waits for it.
    */
   @Test
-  void aPrerequisiteThatIsLookedUpLeavesTheAnswerOpen() {
+  void aPrerequisiteBeingLookedUpMakesItsDependentsUncertain() {
     Job job = add(2, PriorityClass.LOW, null, "req-1");
     assertTrue(dependencies.isUncertain(job));
     dependencies.onFinalStateKnown("req-1", Job.State.DONE);
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -158,7 +158,7 @@
    */
   @ParameterizedTest
   @CsvSource({"1,false", "2,false", "3,false", "4,false", "5,false", "6,true", "7,true", "8,true"})
-  void placesJustWhenThePlainModelCan(long seed, boolean policy)
+  void placesExactlyWhenTheReferenceModelCan(long seed, boolean policy)
       throws SettingsReader.BadSettingsException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
@@ -255,7 +255,8 @@
 
   /** Found on the grown colombo: long jobs on spot machines lost a task each and were done late. */
   @Test
-  void aJobThatALossWouldMakeLateKeepsOffSpotMachines() throws SettingsReader.BadSettingsException {
+  void aJobThatWouldMissItsObjectiveByAReclaimAvoidsSpotMachines()
+      throws SettingsReader.BadSettingsException {
     ClusterState cluster = expecting();
     MachineType type = type("large", 24, 4);
     cluster.setTypes(List.of(type));
@@ -304,7 +305,7 @@
    * for arrays with minutes left. Work of which nothing is expected makes way at once all the same.
    */
   @Test
-  void anArrayWithTimeLeftStopsOnlyWorkOfWhichNothingIsExpected()
+  void anArrayWithStartSlackPreemptsOnlyWorkWithoutObjective()
       throws SettingsReader.BadSettingsException {
     for (boolean expected : List.of(true, false)) {
       for (int age : List.of(0, 60, 100)) {
--- a/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
+++ b/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
@@ -36,7 +36,7 @@
 
   private ClusterState cluster;
 
-  private PreemptionPolicy rooms;
+  private PreemptionPolicy preemptionPolicy;
   private int numbers;
 
   private static final EventLoop TIME =
@@ -66,7 +66,7 @@
   void begin() throws SettingsReader.BadSettingsException {
     cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
     cluster.setTypes(List.of(TYPE));
-    rooms = new PreemptionPolicy(cluster, TIME, attempt -> {});
+    preemptionPolicy = new PreemptionPolicy(cluster, TIME, attempt -> {});
   }
 
   private Machine machine(String name) {
@@ -108,7 +108,7 @@
 
   private List<Attempt> moved(Machine to) {
     List<Attempt> moved = new ArrayList<>();
-    rooms.moveSlowFetches(
+    preemptionPolicy.moveSlowFetches(
         List.of(to),
         NOW,
         attempt -> {
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void theTaskThatWouldWaitLongestMoves() throws SettingsReader.BadSettingsException {
+  void theSlowestFetchIsMoved() throws SettingsReader.BadSettingsException {
     int moves = 0;
     for (int seed = 0; seed < 40; seed++) {
       begin();
@@ -161,7 +161,7 @@
 
   /** Thousands of short fetches cost a machine that comes free no look at each of them. */
   @Test
-  void fetchesThatEndSoonAreNotLookedAt() {
+  void fetchesThatEndSoonAreNotExamined() {
     Machine to = machine("m-0");
     for (int i = 0; i < 20; i++) {
       to.touchImage("img-" + i, 1);
