--- a/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
+++ b/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The queue against a slow plain model: one list that is searched from end to end. */
+/** The queue against a slow reference model: one list that is searched from end to end. */
 class SchedulingQueueTest {
   private static final Instant ORIGIN = Instant.EPOCH.plusSeconds(1000);
   private static final OperatorSettings SETTINGS = OperatorSettings.DEFAULTS;
 
-  /** Team events answer "at once" for the team named, and room events "queue". */
+  /** Team events give QUEUE_IMMEDIATELY for the team named, and capacity events QUEUE. */
   private static QueueingHintTable hints() {
     return new QueueingHintTable()
         .register(
@@ -83,7 +83,7 @@
     return new SchedulingQueue(hints(), BY_ACCEPTANCE, SETTINGS);
   }
 
-  /** What the model knows of an entry. */
+  /** An entry in the reference model. */
   private static final class ReferenceEntry {
     final QueueEntry entry;
     QueueEntry.Place place = QueueEntry.Place.ACTIVE;
@@ -96,7 +96,7 @@
       this.entry = entry;
     }
 
-    /** The back-off worked out term by term. */
+    /** The back-off, doubled step by step. */
     void backOff() {
       double seconds = Math.min(10, Math.pow(2, tries - 1));
       double end = Duration.between(Instant.EPOCH, triedAt).toMillis() / 1000.0 + seconds;
--- a/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
+++ b/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The verdicts against a plain model that works them out anew from the whole history. */
+/** Attributions compared with a reference model that derives them from the whole history. */
 class FaultAttributionTest {
   private static final MachineType TYPE =
       new MachineType(
@@ -99,7 +99,7 @@
     faultAttribution.recordSuccess(job);
   }
 
-  /** What failed where, and who went well: everything else follows from it. */
+  /** Which jobs failed on which machines, and which succeeded: all else follows from it. */
   private static final class ReferenceModel {
     final Map<Job, Set<Machine>> failedMachines = new LinkedHashMap<>();
     final Set<Job> succeeded = new HashSet<>();
@@ -122,7 +122,7 @@
           && jobsNotFailingOn(machine).size() >= FaultAttribution.FAULT_THRESHOLD;
     }
 
-    /** Another machine may be faulty once one is, since that clears jobs. */
+    /** Another machine may be faulty once one is, since jobs are no longer failing then. */
     void findFaulty(List<Machine> machines) {
       boolean changed = true;
       while (changed) {
@@ -187,7 +187,7 @@
     }
   }
 
-  /** The operators' bad night: several jobs with a mistake, each trying machine after machine. */
+  /** Several jobs with a mistake of their own, each failing on machine after machine. */
   @Test
   void failingJobsQuarantineNoMachine() {
     List<Machine> machines = List.of(machine(0), machine(1), machine(2), machine(3));
@@ -212,10 +212,10 @@
     Job third = job(2);
     fail(other, bad);
     fail(third, bad);
-    assertEquals(Set.of(bad), quarantined, "nobody knows yet who is at fault");
+    assertEquals(Set.of(bad), quarantined, "whose fault it is is not known yet");
     complete(other);
     assertEquals(Set.of(bad), faulty);
     assertEquals(Set.of(), quarantined);
-    assertEquals(Set.of(), failingJobs, "what failed on a faulty machine counts no longer");
+    assertEquals(Set.of(), failingJobs, "failures on a faulty machine no longer count");
   }
 }
--- a/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
+++ b/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The index of chains beside a model that works everything out from the history, in arbitrary
- * orders.
+ * The dependency graph compared with a reference model that derives everything from the history, in
+ * arbitrary orders.
  */
 class JobDependenciesTest {
   private final Map<String, Job> memory = new LinkedHashMap<>();
@@ -42,12 +42,12 @@
           new JobDependencies.Listener() {
             @Override
             public void onReady(Job job) {
-              assertTrue(ready.add(job), "told once");
+              assertTrue(ready.add(job), "called once");
             }
 
             @Override
             public void onCancelled(Job job) {
-              assertTrue(cancelled.add(job), "told once");
+              assertTrue(cancelled.add(job), "called once");
             }
 
             @Override
@@ -114,7 +114,7 @@
     memory.remove(job.spec.id());
   }
 
-  // ---- the model
+  // ---- the reference model
 
   private boolean isCancelled(String id) {
     return stored.get(id) == Job.State.CANCELLED
@@ -184,7 +184,7 @@
           if (job.isActive() && random.nextInt(12) == 0) {
             end(job, Job.State.CANCELLED);
           } else if (job.isActive() && !job.blockedByDependencies && random.nextInt(3) == 0) {
-            // A completion's time would be learned, which the model does not follow.
+            // A completion's time would change the latencies, which the model does not follow.
             job.readyAt =
                 now.minus(job.spec.estimatedRunTime()).minus(ClassLatencies.DEFAULT_OVERHEAD);
             end(job, Job.State.DONE);
@@ -212,7 +212,8 @@
   }
 
   /**
-   * What is being looked up may turn out to be cancelled, so nothing is told of what waits for it.
+   * A prerequisite that is being looked up may turn out to be cancelled, so its dependents' states
+   * are uncertain.
    */
   @Test
   void aPrerequisiteBeingLookedUpMakesItsDependentsUncertain() {
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The placement checks against a plain model that counts how many tasks each zone could take. */
+/** The placement checks against a reference model that counts the tasks that fit in each zone. */
 class PlacerTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
   private static final double BLUE_GPUS = 8;
@@ -153,7 +153,7 @@
   }
 
   /**
-   * With policy in the way as well: by the rules alone what the model places is placed, and else no
+   * With policy as well: without policy exactly what the model places is placed, with it never
    * more.
    */
   @ParameterizedTest
@@ -220,7 +220,7 @@
       }
     }
     assertTrue(placed > 50 && refused > 50, placed + " placed, " + refused + " refused");
-    assertTrue(policy == (kept > 20), kept + " kept from room by policy");
+    assertTrue(policy == (kept > 20), kept + " denied capacity by policy");
     there.forEach(attempt -> cluster.transition(attempt, Attempt.State.GONE));
     assertEquals(Resources.ZERO, cluster.usage("blue"));
   }
@@ -253,7 +253,7 @@
     assertEquals(SchedulingCheck.TEAM_LIMIT, decision.rejectedBy());
   }
 
-  /** Found on the grown colombo: long jobs on spot machines lost a task each and were done late. */
+  /** Found on colombo scaled up: long jobs on spot machines lost a task each and were done late. */
   @Test
   void aJobThatWouldMissItsObjectiveByAReclaimAvoidsSpotMachines()
       throws SettingsReader.BadSettingsException {
@@ -301,8 +301,9 @@
   }
 
   /**
-   * Found on galleharbour: two of five tasks of low rank were stopped, many of them several times,
-   * for arrays with minutes left. Work of which nothing is expected makes way at once all the same.
+   * Found on galleharbour: two of five tasks of low priority were preempted, many of them several
+   * times, for arrays with minutes left. Work without an objective is preempted at once all the
+   * same.
    */
   @Test
   void anArrayWithStartSlackPreemptsOnlyWorkWithoutObjective()
--- a/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
+++ b/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which fetching task moves to a machine that has its image, beside a model that looks at all of
- * them.
+ * Which fetching task moves to a machine that has its image, compared with a reference model that
+ * examines all of them.
  */
 class PreemptionPolicyTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
@@ -113,7 +113,7 @@
         NOW,
         attempt -> {
           moved.add(attempt);
-          // Stopped, it is gone at once, as one that has not begun is.
+          // Stopped, it is gone at once, as an attempt that was never sent is.
           cluster.transition(attempt, Attempt.State.GONE);
         });
     return moved;
@@ -159,7 +159,7 @@
     assertTrue(moves > 10 && moves < 40, "moves: " + moves);
   }
 
-  /** Thousands of short fetches cost a machine that comes free no look at each of them. */
+  /** Of thousands of short fetches not each is examined for a machine with freed capacity. */
   @Test
   void fetchesThatEndSoonAreNotExamined() {
     Machine to = machine("m-0");
@@ -173,7 +173,7 @@
     }
     assertTrue(moved(to).isEmpty());
     for (int i = 0; i < 20; i++) {
-      // The first in order is the last to be ready, so one look an image tells.
+      // The first in order is the last to be ready, so one is examined for each image.
       Attempt first = cluster.fetching("img-" + i).iterator().next();
       assertTrue(
           looked.stream()
