--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -299,8 +299,8 @@
     for (Attempt attempt : machine.attempts.values()) {
       if (attempt.job.finalStateStored
           && attempt.holdsCapacity()
-          && attempt.killedAt != null
-          && attempt.killedAt.plus(halfBound).isBefore(now)) {
+          && attempt.killedAt() != null
+          && attempt.killedAt().plus(halfBound).isBefore(now)) {
         return true;
       }
     }
--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -83,14 +83,9 @@
   /** Why it ended; null until it has exited. */
   public EndReason endReason;
 
-  /** The grace period of its kill; null while the attempt is wanted. */
-  public Duration killGracePeriod;
-
-  /** When its kill was decided; null while the attempt is wanted. */
-  public Instant killedAt;
-
-  /** A kill with the present grace period has reached the worker, as far as is known. */
-  public boolean killSent;
+  private Duration killGracePeriod;
+  private Instant killedAt;
+  private boolean killSent;
 
   /** When it was first reported as running; null before. */
   public Instant runningSince;
@@ -167,6 +162,38 @@
     return killGracePeriod == null;
   }
 
+  /** A kill is decided; the attempt is not wanted from now on. */
+  public void kill(Instant now, Duration gracePeriod) {
+    killedAt = now;
+    killGracePeriod = gracePeriod;
+  }
+
+  /** The kill is to take effect sooner than was decided, so it has to be sent again. */
+  public void shortenGracePeriod(Duration gracePeriod) {
+    killGracePeriod = gracePeriod;
+    killSent = false;
+  }
+
+  /** The kill has reached the worker, or is lost and has to be sent again. */
+  public void setKillSent(boolean sent) {
+    killSent = sent;
+  }
+
+  /** The grace period of its kill; null while the attempt is wanted. */
+  public Duration killGracePeriod() {
+    return killGracePeriod;
+  }
+
+  /** When its kill was decided; null while the attempt is wanted. */
+  public Instant killedAt() {
+    return killedAt;
+  }
+
+  /** Whether a kill with the present grace period has reached the worker, as far as is known. */
+  public boolean isKillSent() {
+    return killSent;
+  }
+
   @Override
   public String toString() {
     return job.spec.id() + "/" + task + "#" + number + " on " + machine.name + " " + state;
--- a/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
+++ b/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
@@ -59,7 +59,7 @@
     job.attempts.values().forEach(all::addAll);
     for (Attempt attempt : all) {
       if (attempt.holdsCapacity() && isNeverSent(attempt)) {
-        markKilled(attempt, gracePeriod);
+        attempt.kill(context.now(), gracePeriod);
       }
     }
     all.forEach(attempt -> kill(attempt, gracePeriod));
@@ -77,11 +77,10 @@
       onGone(attempt, "never started");
       return;
     }
-    if (attempt.killGracePeriod == null) {
-      markKilled(attempt, gracePeriod);
-    } else if (gracePeriod.compareTo(attempt.killGracePeriod) < 0) {
-      attempt.killGracePeriod = gracePeriod;
-      attempt.killSent = false;
+    if (attempt.isWanted()) {
+      attempt.kill(context.now(), gracePeriod);
+    } else if (gracePeriod.compareTo(attempt.killGracePeriod()) < 0) {
+      attempt.shortenGracePeriod(gracePeriod);
     } else {
       return;
     }
@@ -105,11 +104,6 @@
         || (attempt.state() == Attempt.State.PLACEMENT_STORED && attempt.startSession == 0);
   }
 
-  private void markKilled(Attempt attempt, Duration gracePeriod) {
-    attempt.killedAt = context.now();
-    attempt.killGracePeriod = gracePeriod;
-  }
-
   // ---- observations
 
   /** The placement is stored, so its start may be sent. */
--- a/src/main/java/io/pineladder/workers/CommandReplyHandler.java
+++ b/src/main/java/io/pineladder/workers/CommandReplyHandler.java
@@ -53,7 +53,7 @@
     settleStarts(started, executed, refused);
     if (refused || !executed) {
       // Kills in it may not have arrived; the next heartbeat response repeats them.
-      machine.attempts.values().forEach(a -> a.killSent = false);
+      machine.attempts.values().forEach(a -> a.setKillSent(false));
     }
     if (!reply.isAnswered()) {
       if (machine.reachability() == Machine.Reachability.REACHABLE) {
--- a/src/main/java/io/pineladder/workers/CommandWriter.java
+++ b/src/main/java/io/pineladder/workers/CommandWriter.java
@@ -98,20 +98,20 @@
   }
 
   private static void writeKill(Attempt attempt, Orders commands, Channel channel) {
-    if (attempt.isWanted() || (channel == Channel.REQUEST && attempt.killSent)) {
+    if (attempt.isWanted() || (channel == Channel.REQUEST && attempt.isKillSent())) {
       return;
     }
     boolean saving = attempt.state() == Attempt.State.SAVING_CHECKPOINT;
-    if (!saving || attempt.killGracePeriod.isZero()) {
-      commands.kill(attempt.job.spec.id(), attempt.task, attempt.number, attempt.killGracePeriod);
+    if (!saving || attempt.killGracePeriod().isZero()) {
+      commands.kill(attempt.job.spec.id(), attempt.task, attempt.number, attempt.killGracePeriod());
     }
-    attempt.killSent = true;
+    attempt.setKillSent(true);
   }
 
   /** Whether half of the time in which a cancelled job's tasks must be gone is over. */
   private boolean isCancellationBoundNear(Attempt attempt) {
     Duration halfBound = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
-    return attempt.killedAt.plus(halfBound).isBefore(eventLoop.now());
+    return attempt.killedAt().plus(halfBound).isBefore(eventLoop.now());
   }
 
   /**
