--- a/src/main/java/io/pineladder/ClusterConfiguration.java
+++ b/src/main/java/io/pineladder/ClusterConfiguration.java
@@ -1,12 +1,12 @@
 package io.pineladder;
 
 import io.pineladder.delivery.DeliveryContext;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.MachineType;
 import io.pineladder.model.OperatorSettings;
 import io.pineladder.retry.Backoff;
 import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
-import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
@@ -132,10 +132,7 @@
       return;
     }
     if (entry.key().equals(RecordKeys.CLUSTER_VERSION)) {
-      clusterVersion.onRecord(entry.value());
-      if (clusterVersion.isUnsupported()) {
-        listener.onUnsupportedVersion();
-      }
+      raiseClusterVersion(entry);
     }
     try {
       if (entry.key().equals(RecordKeys.MACHINE_TYPES)) {
@@ -150,6 +147,17 @@
     }
   }
 
+  private void raiseClusterVersion(StoreWire.Entry entry) {
+    try {
+      clusterVersion.raiseTo(RecordWire.parseVersion(entry.value()));
+    } catch (MalformedMessageException e) {
+      log.error("Cluster version record malformed: key={} error={}", entry.key(), e.getMessage());
+    }
+    if (clusterVersion.isUnsupported()) {
+      listener.onUnsupportedVersion();
+    }
+  }
+
   /** The machine types were read from the store, or fetched from the cloud. */
   void setMachineTypes(List<MachineType> known) {
     machineTypes = List.copyOf(known);
--- a/src/main/java/io/pineladder/membership/Peer.java
+++ b/src/main/java/io/pineladder/membership/Peer.java
@@ -1,8 +1,8 @@
 package io.pineladder.membership;
 
 import io.pineladder.membership.Membership.State;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Settings;
-import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.GossipWire;
 import io.pineladder.wire.GossipWire.Heartbeat;
 import java.time.Duration;
--- a/src/main/java/io/pineladder/upgrade/ClusterVersion.java
+++ b/src/main/java/io/pineladder/model/ClusterVersion.java
@@ -1,24 +1,21 @@
-package io.pineladder.upgrade;
+package io.pineladder.model;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import io.pineladder.wire.MalformedMessageException;
-import io.pineladder.wire.RecordWire;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * The version of records and semantics that is in force in the whole cluster, as one controller
- * knows it.
+ * knows it. Used on the event loop's thread only.
  *
- * <p>A durable record names it. It is raised once every configured controller has shown software
- * that supports the next version, and never falls, so whoever knows a version to be in force knows
- * it for good. A controller that has not read the record yet takes the oldest version to be in
- * force.
+ * <p>A durable record names it. The leader raises it once every configured controller has shown
+ * software that supports the next version, and it never falls; so a version that is known to be in
+ * force stays known. A controller that has not read the record yet takes the oldest version to be
+ * in force.
  */
 public final class ClusterVersion {
   private static final Logger log = LoggerFactory.getLogger(ClusterVersion.class);
 
-  /** Before versions were recorded; also what a controller runs that names no version. */
+  /** The version before versions were recorded; also that of a controller that names none. */
   public static final int UNVERSIONED = 1;
 
   /**
@@ -33,12 +30,16 @@
   private final int supported;
   private int inForce = UNVERSIONED;
 
-  /** What this software knows of the version. */
+  /** The version for this software, with the oldest one in force. */
   public ClusterVersion() {
     this(SUPPORTED);
   }
 
-  /** The same for software that supports another version at most; for tests of rolling upgrades. */
+  /**
+   * The version for other software, with the oldest one in force; for tests of rolling upgrades.
+   *
+   * @param supported the newest version that the software supports
+   */
   public ClusterVersion(int supported) {
     this.supported = supported;
   }
@@ -65,24 +66,17 @@
     return inForce > supported;
   }
 
-  /** A version is recorded as in force. */
+  /** Takes a version that is recorded as in force; an older one than is known has no effect. */
   public void raiseTo(int version) {
     if (version > inForce) {
-      log.info("cluster version {} is in force (was {})", version, inForce);
+      log.info("Cluster version raised: version={} previous={}", version, inForce);
       inForce = version;
       if (isUnsupported()) {
         log.error(
-            "this controller supports cluster version {} at most and serves nothing", supported);
+            "Cluster version not supported, nothing is served: version={} supported={}",
+            version,
+            supported);
       }
     }
   }
-
-  /** Takes in the record that names the version in force. */
-  public void onRecord(JsonNode record) {
-    try {
-      raiseTo(RecordWire.parseVersion(record));
-    } catch (MalformedMessageException e) {
-      log.error("the record of the cluster version cannot be read: {}", e.getMessage());
-    }
-  }
 }
--- a/src/main/java/io/pineladder/store/CompletionRecords.java
+++ b/src/main/java/io/pineladder/store/CompletionRecords.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Attempt;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Job;
 import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation.Priority;
-import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Attempt;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
 import io.pineladder.model.Machine;
 import io.pineladder.model.Notification;
 import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation.Priority;
-import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.RecordWire;
 import java.time.Duration;
 import java.time.Instant;
--- a/src/main/java/io/pineladder/upgrade/VersionRaiser.java
+++ b/src/main/java/io/pineladder/upgrade/VersionRaiser.java
@@ -1,6 +1,7 @@
 package io.pineladder.upgrade;
 
 import io.pineladder.membership.Membership;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation;
 import io.pineladder.store.RecordKeys;
--- a/src/main/java/io/pineladder/wire/GossipWire.java
+++ b/src/main/java/io/pineladder/wire/GossipWire.java
@@ -1,6 +1,6 @@
 package io.pineladder.wire;
 
-import io.pineladder.upgrade.ClusterVersion;
+import io.pineladder.model.ClusterVersion;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.LinkedHashMap;
--- a/src/test/java/io/pineladder/ArchitectureTest.java
+++ b/src/test/java/io/pineladder/ArchitectureTest.java
@@ -14,11 +14,7 @@
 import com.tngtech.archunit.library.dependencies.SlicesRuleDefinition;
 import io.pineladder.admin.Metrics;
 import io.pineladder.delivery.SubscriptionManager;
-import io.pineladder.membership.Membership;
 import io.pineladder.net.HttpResponse;
-import io.pineladder.store.Records;
-import io.pineladder.upgrade.ClusterVersion;
-import io.pineladder.wire.GossipWire;
 import io.pineladder.wire.PeerWire;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -70,9 +66,6 @@
   private static final Set<KnownDependency> KNOWN_UPWARD =
       Set.of(
           new KnownDependency(PeerWire.class, HttpResponse.class),
-          new KnownDependency(GossipWire.class, ClusterVersion.class),
-          new KnownDependency(Records.class, ClusterVersion.class),
-          new KnownDependency(Membership.class, ClusterVersion.class),
           new KnownDependency(SubscriptionManager.class, Metrics.class));
 
   private static final JavaClasses CLASSES =
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -7,9 +7,9 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Settings;
 import io.pineladder.net.AsyncHttpClient;
-import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.Json;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
+++ b/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
@@ -26,9 +26,9 @@
   private final List<Request> claims = new ArrayList<>();
   private final List<Long> terms = new ArrayList<>();
 
-  private void pass(Request request, Reply instead, Consumer<Reply> onReply) {
-    if (instead != null) {
-      world.after(50, () -> onReply.accept(instead));
+  private void forward(Request request, Reply replacement, Consumer<Reply> onReply) {
+    if (replacement != null) {
+      world.after(50, () -> onReply.accept(replacement));
       return;
     }
     store.handle(
@@ -42,12 +42,12 @@
   /**
    * The first claim is lost, the next one and the end of its lease refused, the third lost again.
    */
-  private void network(Request request, Consumer<Reply> onReply) {
+  private void unreliableStore(Request request, Consumer<Reply> onReply) {
     Reply refused = Reply.answered(503, new byte[0]);
-    Reply instead = null;
+    Reply replacement = null;
     if (request.path().equals("/multi")) {
       claims.add(request);
-      instead =
+      replacement =
           switch (claims.size()) {
             case 1 -> Reply.UNKNOWN;
             case 2 -> refused;
@@ -64,18 +64,18 @@
             default -> null;
           };
     } else if (request.method().equals("DELETE") && claims.size() == 2) {
-      instead = refused;
+      replacement = refused;
     }
-    pass(request, instead, onReply);
+    forward(request, replacement, onReply);
   }
 
   @Test
-  void aLateClaimOfAnEarlierRoundIsNotTakenForThisOne() throws Exception {
+  void lateClaimOfEarlierRoundDoesNotElect() throws Exception {
     Settings settings = SettingsReader.parse(SettingsReaderTest.GOOD);
     EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
     StoreClient client =
         new StoreClient(
-            this::network, eventLoop, settings.storeAddress(), settings.storeLimits(), 3);
+            this::unreliableStore, eventLoop, settings.storeAddress(), settings.storeLimits(), 3);
     Election election =
         new Election(
             client,
@@ -85,7 +85,7 @@
             () -> true,
             new Election.Listener() {
               @Override
-              public void onElected(long term, long version) {
+              public void onElected(long term, long leaderKeyRevision) {
                 terms.add(term);
               }
 
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -5,6 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Attempt;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
@@ -14,7 +15,6 @@
 import io.pineladder.model.Resources;
 import io.pineladder.net.EventLoop;
 import io.pineladder.store.Mutation.Priority;
-import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
--- a/src/test/java/io/pineladder/upgrade/FormatsTest.java
+++ b/src/test/java/io/pineladder/upgrade/FormatCompatibilityTest.java
@@ -9,6 +9,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pineladder.model.Attempt;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Generation;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobKind;
@@ -43,7 +44,7 @@
  * recorded from production): this software reads each, and before the version is raised writes the
  * same, since controllers of version 1 read it.
  */
-class FormatsTest {
+class FormatCompatibilityTest {
   private static final Instant AT = Instant.ofEpochMilli(1_764_655_200_123L);
 
   private static final MachineType TYPE =
@@ -102,7 +103,8 @@
   private final ObjectNode recorded = load();
 
   private static ObjectNode load() {
-    try (InputStream in = FormatsTest.class.getResourceAsStream("/upgrade/version-1.json")) {
+    try (InputStream in =
+        FormatCompatibilityTest.class.getResourceAsStream("/upgrade/version-1.json")) {
       return Json.parseObject(in.readAllBytes());
     } catch (IOException | MalformedMessageException e) {
       throw new AssertionError(e);
@@ -134,7 +136,7 @@
   }
 
   @Test
-  void recordsAreWrittenAsBefore() {
+  void recordsAreWrittenInFormatOfVersionOne() {
     Map<String, JsonNode> written = new LinkedHashMap<>();
     written.put("job/req-000412", RecordWire.job(GANG, AT, Job.State.ACTIVE));
     Notification notification =
@@ -178,7 +180,7 @@
   }
 
   @Test
-  void recordsOfBeforeAreRead() throws MalformedMessageException {
+  void recordsOfVersionOneAreRead() throws MalformedMessageException {
     List<JsonNode> jobs = RecordWire.entries(record("accepted/0"));
     RecordWire.StoredJob gang = RecordWire.parseJob(jobs.get(0));
     assertEquals(GANG, gang.spec());
@@ -205,7 +207,7 @@
 
   /** Readers of version 1 stop where its messages end, so what is added stands behind. */
   @Test
-  void messagesBeginAsBefore() throws MalformedMessageException {
+  void messagesBeginLikeThoseOfVersionOne() throws MalformedMessageException {
     Map<String, GossipWire.PeerContact> heard = new LinkedHashMap<>();
     heard.put("rung-1", new GossipWire.PeerContact(Duration.ofMillis(812), "nonce-1", 44));
     heard.put("rung-2", new GossipWire.PeerContact(Duration.ofMillis(90), "nonce-2", 7));
@@ -229,7 +231,7 @@
   }
 
   @Test
-  void whatVersionTwoAddsIsReadBack() throws MalformedMessageException {
+  void fieldsOfVersionTwoAreReadBack() throws MalformedMessageException {
     RecordWire.StoredCompletions chunk =
         RecordWire.parseCompletions(
             RecordWire.completionsWithChunkSize("req-000412", done(), 7, 54));
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -2,6 +2,7 @@
 
 import io.pineladder.autoscaling.Autoscaler;
 import io.pineladder.model.Attempt;
+import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
@@ -17,7 +18,6 @@
 import io.pineladder.scheduling.Scheduler;
 import io.pineladder.store.NotificationLog;
 import io.pineladder.store.Records;
-import io.pineladder.upgrade.ClusterVersion;
 import io.pineladder.wire.SettingsReader;
 import io.pineladder.wire.SettingsReaderTest;
 import io.pineladder.wire.WorkerWire;
