--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -16,16 +16,16 @@
 import java.util.function.Consumer;
 
 /**
- * Finds out, without a leader, what follows for a job from the jobs before it. A job is cancelled
- * with any of those, though no record of its own may say so yet. All reads begin after the
- * question: the index of accepted jobs is made fresh first, and what it does not hold is read by
- * itself.
+ * Evaluates, without a leader, the dependencies of a job. A job is cancelled along with any job
+ * that it depends on, directly or not, even while its own record does not say so yet. All reads
+ * begin after the request: the index of accepted jobs is refreshed first, and jobs that are not in
+ * it are read one by one. Event thread only.
  */
 final class DependencyChainReader {
-  /** Reads for one question at the most; what needs more is asked again, or of a leader. */
+  /** Reads of single jobs for one request; a longer chain is uncertain until a leader answers. */
   private static final int MAX_STORE_READS = 8;
 
-  /** What is known of the jobs before a job. */
+  /** What is known of the jobs that a job depends on. */
   enum Outcome {
     /** All were accepted, and none is cancelled. */
     NONE_CANCELLED,
@@ -33,7 +33,7 @@
     CANCELLED,
     /** One was never accepted. */
     UNKNOWN_JOB,
-    /** Nothing certain can be said now. */
+    /** The outcome cannot be determined now. */
     UNCERTAIN
   }
 
@@ -43,7 +43,7 @@
     this.node = node;
   }
 
-  /** Looks at these jobs and at all before them. */
+  /** Evaluates these jobs and all that they depend on; calls {@code onOutcome} once. */
   void evaluate(List<String> prerequisites, Consumer<Outcome> onOutcome) {
     if (prerequisites.isEmpty()) {
       onOutcome.accept(Outcome.NONE_CANCELLED);
@@ -60,7 +60,7 @@
             });
   }
 
-  /** One look at a chain. */
+  /** The evaluation for one request. */
   private final class Evaluation {
     private final Deque<String> pendingJobs;
     private final Set<String> visitedJobs = new HashSet<>();
@@ -88,23 +88,23 @@
           readJobRecord(id);
           return;
         }
-        if (finalState == null) {
-          expand(indexedJob.state(), indexedJob.prerequisites());
-          if (indexedJob.state() == Job.State.CANCELLED) {
-            return;
-          }
+        if (finalState == null && !expand(indexedJob.state(), indexedJob.prerequisites())) {
+          return;
         }
       }
       onOutcome.accept(Outcome.NONE_CANCELLED);
     }
 
-    /** Takes in a job that is not known to be over; a cancelled one ends the review. */
-    private void expand(Job.State state, List<String> prerequisites) {
+    /** Adds the prerequisites of an active job; false if a cancelled job ends the evaluation. */
+    private boolean expand(Job.State state, List<String> prerequisites) {
       if (state == Job.State.CANCELLED) {
         onOutcome.accept(Outcome.CANCELLED);
-      } else if (state == Job.State.ACTIVE) {
+        return false;
+      }
+      if (state == Job.State.ACTIVE) {
         pendingJobs.addAll(prerequisites);
       }
+      return true;
     }
 
     private Job.State knownFinalState(String id) {
@@ -113,8 +113,8 @@
     }
 
     /**
-     * A job moves from its own record to its final state in one transaction, so this order misses
-     * none.
+     * Reads a job's own record, then its final state. A job moves from one to the other in one
+     * transaction, so reading in this order finds every job.
      */
     private void readJobRecord(String id) {
       if (++storeReads > MAX_STORE_READS) {
@@ -132,8 +132,7 @@
                 } else {
                   try {
                     RecordWire.StoredJob job = RecordWire.parseJob(read.entry().value());
-                    expand(job.state(), job.spec().prerequisites());
-                    if (job.state() != Job.State.CANCELLED) {
+                    if (expand(job.state(), job.spec().prerequisites())) {
                       evaluateNext();
                     }
                   } catch (MalformedMessageException e) {
@@ -162,8 +161,7 @@
       try {
         Job.State finalState = RecordWire.parseFinalState(record);
         node.finalStates().put(id, JobView.toStatus(finalState));
-        expand(finalState, List.of());
-        if (finalState != Job.State.CANCELLED) {
+        if (expand(finalState, List.of())) {
           evaluateNext();
         }
       } catch (MalformedMessageException e) {
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -6,7 +6,6 @@
 import io.pineladder.ControllerNode;
 import io.pineladder.LeaderTerm;
 import io.pineladder.leadership.Election;
-import io.pineladder.model.Settings;
 import io.pineladder.net.HttpResponse;
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.PeerWire;
@@ -20,45 +19,34 @@
 import java.util.function.Consumer;
 
 /**
- * Workers' reports on any node: answered by the leader, sent there, handed on for those that do not
- * reach it, or answered in its place to keep a lease.
+ * Heartbeats of workers at any controller: the leader answers them; another controller redirects
+ * the worker to the leader, forwards the heartbeat of a worker that does not reach the leader, or
+ * extends the worker's lease itself. Event thread only.
  */
 final class HeartbeatHandler {
-  /** A worker back so soon after it was sent to the leader has not reached it. */
+  /** A worker that returns this soon after a redirect has not reached the leader. */
   private static final Duration REDIRECT_RETURN_WINDOW = Duration.ofSeconds(12);
 
   /**
-   * Workers whose way through the nodes is remembered: half as many again as the 4,000 machines of
-   * the largest fleets. A worker that is forgotten is sent to the leader again, or drawn a round
-   * anew.
+   * Workers whose redirects and leader searches are recorded: one and a half times the 4,000
+   * machines of the largest fleets. A worker whose record is evicted is redirected to the leader
+   * again, or gets a new random search time.
    */
   static final int MAX_TRACKED_WORKERS = 6_000;
 
-  /** A zone that is cut off for longer loses what runs in it. */
-  private static final Duration MAX_ISOLATED_LEASE_EXTENSION = Duration.ofMinutes(30);
-
-  /** Between two tries of a worker that is kept to find a leader elsewhere. */
-  private static final Duration LEADER_SEARCH_INTERVAL = Duration.ofSeconds(40);
-
-  /** What a node that does not answer costs a worker. */
-  private static final Duration UNRESPONSIVE_CONTROLLER_DELAY = Duration.ofSeconds(5);
-
   private final ControllerNode node;
   private final Forwarding forwarding;
-  private final Instant startedAt;
+  private final LeaseExtensionPolicy leaseExtension;
 
-  /** When each worker was last sent to the leader, or its report handed on. */
+  /** When each worker was last redirected to the leader, or its heartbeat forwarded. */
   private final Map<String, Instant> lastRedirects = new LinkedHashMap<>();
 
-  /** When each worker that is kept was last sent to the others. */
-  private final Map<String, Instant> lastLeaderSearches = new LinkedHashMap<>();
-
-  /** The leader that those workers were sent to. */
+  /** The leader of the redirects in {@link #lastRedirects}; null before the first. */
   private RecordWire.LeaderRecord redirectTarget;
 
-  /** Hands requests on to other controllers. */
+  /** Forwards requests to other controllers. */
   interface Forwarding {
-    /** Tries the addresses in turn; {@code alone} when none has decided. */
+    /** Tries the addresses in order; runs {@code onUndecided} when none has decided. */
     void forward(
         List<String> addresses,
         PeerWire.ForwardedRequest request,
@@ -69,13 +57,13 @@
   HeartbeatHandler(ControllerNode node, Forwarding forwarding) {
     this.node = node;
     this.forwarding = forwarding;
-    this.startedAt = node.eventLoop().now();
+    this.leaseExtension = new LeaseExtensionPolicy(node);
   }
 
   /**
-   * Answers a report.
+   * Answers a heartbeat.
    *
-   * @param relayed whether a peer handed it on
+   * @param forwarded whether a peer forwarded it
    */
   void handle(byte[] body, boolean forwarded, Consumer<HttpResponse> answer) {
     WorkerWire.Heartbeat heartbeat;
@@ -92,58 +80,66 @@
             .keepAliveToken(
                 heartbeat.token(), Election.maxWorkerLeaseExtension(node.settings().workerTimes()));
     if (rebuildToken >= heartbeat.token() && rebuildToken > 0) {
-      // Nobody leads while the records are rebuilt; what runs must live through it.
+      // No controller leads while the records are rebuilt; running tasks must survive that.
       answer.accept(ok(WorkerWire.heartbeatResponse(rebuildToken, new WorkerWire.Orders())));
       return;
     }
     LeaderTerm heldTerm = node.heldTerm();
-    if (heldTerm != null && heartbeat.token() <= heldTerm.term()) {
+    if (heldTerm != null) {
       byte[] response = heldTerm.onHeartbeat(heartbeat, forwarded);
-      if (response != null) {
+      // To a worker that has seen a newer token, orders of this term would be fenced off.
+      if (response != null && heartbeat.token() <= heldTerm.term()) {
         answer.accept(ok(response));
         return;
       }
-    } else if (heldTerm != null) {
-      heldTerm.onHeartbeat(heartbeat, forwarded);
     }
     RecordWire.LeaderRecord knownLeader = node.election().knownLeader();
     boolean leaderIsPeer =
         knownLeader != null && !knownLeader.member().equals(node.settings().controllerName());
-    long token = leaseExtensionToken(heartbeat, knownLeader, leaderIsPeer);
+    long token = leaseExtension.leaseExtensionToken(heartbeat, knownLeader, leaderIsPeer);
     if (token > 0) {
-      // At once: in a cut the way round the other nodes takes most of a lease.
+      // At once: during a network cut a search through the other controllers takes most of a lease.
       node.leaseKeepAlives().onLeaseRenewed(heartbeat.machine(), heartbeat.zone());
       answer.accept(ok(WorkerWire.heartbeatResponse(token, killOrdersForEndedJobs(heartbeat))));
       return;
     }
+    if (leaderIsPeer) {
+      redirectOrForward(knownLeader, heartbeat, body, answer);
+    } else {
+      answer.accept(new HttpResponse(421, WorkerWire.redirect(null)));
+    }
+  }
+
+  /** Redirects a worker to the leader, or forwards its heartbeat if the last redirect failed. */
+  private void redirectOrForward(
+      RecordWire.LeaderRecord leader,
+      WorkerWire.Heartbeat heartbeat,
+      byte[] body,
+      Consumer<HttpResponse> answer) {
     Instant now = node.eventLoop().now();
-    if (leaderIsPeer && !knownLeader.equals(redirectTarget)) {
-      // That a worker did not reach an earlier leader says nothing of this one. Otherwise reports
-      // once handed on would be handed on for ever, and each new leader make way in its turn.
+    if (!leader.equals(redirectTarget)) {
+      // A failed redirect to an earlier leader does not count for this one. Otherwise a heartbeat
+      // once forwarded would be forwarded for ever.
       lastRedirects.clear();
-      redirectTarget = knownLeader;
+      redirectTarget = leader;
     }
     Instant lastRedirect = lastRedirects.get(heartbeat.machine());
-    if (leaderIsPeer
-        && lastRedirect != null
+    if (lastRedirect != null
         && lastRedirect.plus(REDIRECT_RETURN_WINDOW).isAfter(now)
-        && !node.membership().isUnreachable(knownLeader.member())) {
-      forwardToLeader(knownLeader, heartbeat, body, answer);
+        && !node.membership().isUnreachable(leader.member())) {
+      forwardToLeader(leader, heartbeat, body, answer);
       return;
     }
-    if (leaderIsPeer) {
-      lastRedirects.put(heartbeat.machine(), now);
-      if (lastRedirects.size() > MAX_TRACKED_WORKERS) {
-        lastRedirects.remove(lastRedirects.keySet().iterator().next());
-      }
+    lastRedirects.put(heartbeat.machine(), now);
+    if (lastRedirects.size() > MAX_TRACKED_WORKERS) {
+      lastRedirects.remove(lastRedirects.keySet().iterator().next());
     }
-    answer.accept(
-        new HttpResponse(421, WorkerWire.redirect(leaderIsPeer ? knownLeader.member() : null)));
+    answer.accept(new HttpResponse(421, WorkerWire.redirect(leader.member())));
   }
 
   /**
-   * A worker that was sent to the leader and is back soon after has not reached it. This node can,
-   * so it hands the report on and the response back; a response is as good from any node.
+   * Forwards the heartbeat of a worker that does not reach the leader, and the leader's response
+   * back; a worker accepts a response from any controller.
    */
   private void forwardToLeader(
       RecordWire.LeaderRecord leader,
@@ -152,53 +148,19 @@
       Consumer<HttpResponse> answer) {
     forwarding.forward(
         List.of(leader.address()),
-        new PeerWire.ForwardedRequest("POST", "/v1/report", body, 0),
-        http -> {
+        new PeerWire.ForwardedRequest("POST", ApiPaths.HEARTBEAT, body, 0),
+        response -> {
           lastRedirects.put(heartbeat.machine(), node.eventLoop().now());
-          answer.accept(http);
+          answer.accept(response);
         },
         () -> answer.accept(new HttpResponse(421, WorkerWire.redirect(null))));
   }
 
   /**
-   * The token with which this node keeps a worker's lease in a leader's place; 0 when it does not.
-   * Any node may answer with a token that the worker has seen, and orders go with it only for what
-   * is over.
-   */
-  private long leaseExtensionToken(
-      WorkerWire.Heartbeat heartbeat, RecordWire.LeaderRecord knownLeader, boolean leaderIsPeer) {
-    Election election = node.election();
-    long newestToken = Math.max(heartbeat.token(), election.knownLeaderTerm());
-    boolean storeHealthy = node.storeClient().isHealthy();
-    if (leaderIsPeer) {
-      if (!node.membership().isUnreachable(knownLeader.member())) {
-        return 0;
-      }
-      boolean replicaInStep =
-          heartbeat.token() <= election.knownLeaderTerm()
-              && node.replicaManager().follower().isFresh();
-      return replicaInStep || mayExtendForUnreachableLeader(knownLeader, heartbeat)
-          ? newestToken
-          : 0;
-    }
-    if (election.holdsTerm()) {
-      // The leader itself is cut off with the zone: it decides nothing, and what runs goes on. A
-      // later
-      // leader's command that was held up may have shown the worker a higher token.
-      return !storeHealthy && mayExtendWhileIsolated(heartbeat, election.leaseExpiresAt())
-          ? newestToken
-          : 0;
-    }
-    // A process that has begun in a zone that is cut off, or in an outage of the state service.
-    boolean noLeaderKnown = knownLeader == null && !storeHealthy && heartbeat.token() > 0;
-    return noLeaderKnown && mayExtendWhileIsolated(heartbeat, startedAt) ? heartbeat.token() : 0;
-  }
-
-  /**
-   * Ends what is left there of jobs that are over. These are the only orders that a node gives in a
-   * leader's place: a final state is stored and never undone, so no leader wants such a task to run
-   * on. With them a worker can be kept for as long as this node's copy of the records is in step
-   * with the store, since what a user cancels ends in time without the end of the worker's lease.
+   * Orders that end the tasks of ended jobs. These are the only orders that a controller gives in
+   * place of the leader: a final state is stored and never undone, so no leader wants such a task
+   * to run on. With them a worker's lease can be extended for as long as this controller's replica
+   * is in step with the store, since a cancelled job's tasks end without the worker's lease expiry.
    */
   private WorkerWire.Orders killOrdersForEndedJobs(WorkerWire.Heartbeat heartbeat) {
     WorkerWire.Orders orders = new WorkerWire.Orders();
@@ -211,81 +173,4 @@
     }
     return orders;
   }
-
-  /**
-   * Whether this node answers a report in place of a leader that it cannot reach: without that a
-   * zone cut off from its leader would lose all its tasks. It gives no orders. No leader ever takes
-   * the end of a worker's lease as proof, so prolonging it is safe.
-   *
-   * <p>The store need not confirm the term to a node of the worker's own zone: such a node is most
-   * likely cut off along with the worker, and the next one is out of reach for both. Found on
-   * laval-fleet, where it was luck whether the leader was in the zone that was cut off.
-   */
-  private boolean mayExtendForUnreachableLeader(
-      RecordWire.LeaderRecord knownLeader, WorkerWire.Heartbeat heartbeat) {
-    Duration maxExtension = Election.maxWorkerLeaseExtension(node.settings().workerTimes());
-    Instant leaderHeartbeatAt = node.membership().answeredHeartbeatSentAt(knownLeader.member());
-    if (node.storeClient().isHealthy()) {
-      return heartbeat.token() <= node.election().knownLeaderTerm()
-          && leaderHeartbeatAt != null
-          && node.eventLoop().now().isBefore(leaderHeartbeatAt.plus(maxExtension));
-    }
-    return mayExtendWhileIsolated(heartbeat, leaderHeartbeatAt);
-  }
-
-  /**
-   * Whether this node, which reaches neither leader nor store, keeps a worker: of its own zone,
-   * since both are most likely cut off together, or of any zone where most controllers say that the
-   * store is out. For as long as that lasts, since no user is told that a job is cancelled before
-   * nothing of it is anywhere.
-   *
-   * <p>But it may be this node alone that is cut off, peers and all, and the worker could reach a
-   * leader: so after a while each is sent to the others now and then, and comes back if nobody
-   * answers, well before its lease ends. Not in an outage for all: workers outside the leader's
-   * zone were sent to and fro between a leader that did not keep them and nodes that sent them back
-   * to it, until their leases ended.
-   */
-  private boolean mayExtendWhileIsolated(WorkerWire.Heartbeat heartbeat, Instant since) {
-    Instant now = node.eventLoop().now();
-    if (since == null
-        // A peer that reaches the store has a leader or will: this node alone is cut off.
-        || node.membership().isStoreReachableByPeer()
-        || now.isAfter(since.plus(MAX_ISOLATED_LEASE_EXTENSION))) {
-      return false;
-    }
-    if (node.membership().isStoreUnreachableForMost()) {
-      return true;
-    }
-    if (!heartbeat.zone().equals(node.settings().zone())) {
-      return false;
-    }
-    Settings.WorkerTimes workerTimes = node.settings().workerTimes();
-    if (now.isBefore(since.plus(Election.maxWorkerLeaseExtension(workerTimes)))) {
-      return true;
-    }
-    Duration searchDuration =
-        UNRESPONSIVE_CONTROLLER_DELAY
-            .multipliedBy(node.settings().peers().size())
-            .plus(workerTimes.heartbeatInterval().multipliedBy(5).dividedBy(4))
-            .plusSeconds(3);
-    if (searchDuration.compareTo(workerTimes.leaseDuration()) > 0) {
-      return false;
-    }
-    Instant lastSearch = lastLeaderSearches.get(heartbeat.machine());
-    if (lastSearch == null) {
-      // Not all at the same time.
-      long offsetMillis =
-          (long) (node.eventLoop().random().nextDouble() * LEADER_SEARCH_INTERVAL.toMillis());
-      lastSearch = now.minusMillis(offsetMillis);
-      lastLeaderSearches.put(heartbeat.machine(), lastSearch);
-    }
-    if (lastSearch.plus(LEADER_SEARCH_INTERVAL).isAfter(now)) {
-      return true;
-    }
-    lastLeaderSearches.put(heartbeat.machine(), now);
-    if (lastLeaderSearches.size() > MAX_TRACKED_WORKERS) {
-      lastLeaderSearches.remove(lastLeaderSearches.keySet().iterator().next());
-    }
-    return false;
-  }
 }
--- /dev/null
+++ b/src/main/java/io/pineladder/api/LeaderApi.java
@@ -0,0 +1,155 @@
+package io.pineladder.api;
+
+import static io.pineladder.net.HttpResponses.error;
+import static io.pineladder.net.HttpResponses.ok;
+import static io.pineladder.net.HttpResponses.unavailable;
+import static io.pineladder.net.HttpResponses.withTimeout;
+
+import io.pineladder.ControllerNode;
+import io.pineladder.JobView;
+import io.pineladder.LeaderTerm;
+import io.pineladder.admin.AdminApi;
+import io.pineladder.model.JobSpec;
+import io.pineladder.net.HttpResponse;
+import io.pineladder.wire.JobWire;
+import io.pineladder.wire.MalformedMessageException;
+import java.time.Duration;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/** What the leader does for users, operators and forwarded heartbeats. Event thread only. */
+final class LeaderApi {
+  /** A request that waits for a commit is answered within this time. */
+  static final Duration COMMIT_TIMEOUT = Duration.ofMillis(2500);
+
+  /** A request that reads a job's status is answered within this time. */
+  static final Duration READ_TIMEOUT = Duration.ofMillis(1300);
+
+  private final ControllerNode node;
+  private final AdminApi adminApi;
+  private final HeartbeatHandler heartbeats;
+  private final AdmissionPolicy admission;
+
+  LeaderApi(
+      ControllerNode node,
+      AdminApi adminApi,
+      HeartbeatHandler heartbeats,
+      AdmissionPolicy admission) {
+    this.node = node;
+    this.adminApi = adminApi;
+    this.heartbeats = heartbeats;
+    this.admission = admission;
+  }
+
+  /** Serves a request in this controller's term. */
+  void handle(
+      LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
+    if (path.startsWith(AdminApi.PREFIX)) {
+      adminApi.lead(leader, method, path, body, answer);
+      return;
+    }
+    if (path.equals(ApiPaths.HEARTBEAT)) {
+      heartbeats.handle(body, true, answer);
+      return;
+    }
+    Consumer<HttpResponse> counted =
+        response -> {
+          if (response.status() < 500) {
+            leader.onRequestAnswered();
+          }
+          answer.accept(response);
+        };
+    if (ApiPaths.isSubmission(path)) {
+      try {
+        submit(leader, JobWire.parse(body), withTimeout(node.eventLoop(), counted, COMMIT_TIMEOUT));
+      } catch (MalformedMessageException e) {
+        answer.accept(error(400, e.getMessage()));
+      }
+      return;
+    }
+    String rest = path.substring(ApiPaths.JOB_PREFIX.length());
+    if (method.equals("POST")) {
+      String id = rest.substring(0, rest.length() - ApiPaths.CANCEL_SUFFIX.length());
+      if (!node.storeClient().isHealthy()) {
+        answer.accept(unavailable("the state service is not available"));
+        return;
+      }
+      Consumer<HttpResponse> bounded = withTimeout(node.eventLoop(), counted, COMMIT_TIMEOUT);
+      leader.cancel(id, view -> bounded.accept(toResponse(id, view)));
+    } else {
+      Consumer<HttpResponse> bounded = withTimeout(node.eventLoop(), counted, READ_TIMEOUT);
+      leader.readStatus(rest, view -> bounded.accept(toResponse(rest, view)));
+    }
+  }
+
+  private static HttpResponse toResponse(String id, JobView view) {
+    if (!view.exists()) {
+      return error(404, "no such job");
+    }
+    if (view.isUncertain()) {
+      return unavailable("not certain yet");
+    }
+    return ok(
+        view.status().isFinal()
+            ? JobWire.view(id, view.status())
+            : JobWire.view(id, view.status(), view.completedTasks(), view.runningTasks()));
+  }
+
+  private void submit(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
+    if (!leader.knowsJob(spec.id())) {
+      if (node.machineTypes().isEmpty()) {
+        answer.accept(unavailable("the machine types are not known yet"));
+        return;
+      }
+      Optional<String> rejection = admission.rejectionReason(spec);
+      if (rejection.isPresent()) {
+        reject(leader, spec, rejection.get(), answer);
+        return;
+      }
+    }
+    if (!node.storeClient().isHealthy()) {
+      answer.accept(unavailable("the state service is not available"));
+      return;
+    }
+    if (spec.prerequisites().isEmpty() || leader.knowsJob(spec.id())) {
+      accept(leader, spec, answer);
+      return;
+    }
+    if (!node.clusterVersion().allowsChainedJobs()) {
+      answer.accept(unavailable(AdmissionPolicy.NOT_UPGRADED));
+      return;
+    }
+    leader.verifyPrerequisites(
+        spec,
+        result -> {
+          switch (result) {
+            case ALL_ACCEPTED -> accept(leader, spec, answer);
+            case UNCERTAIN -> answer.accept(unavailable("not certain yet"));
+            case NOT_ALL_ACCEPTED ->
+                reject(leader, spec, AdmissionPolicy.UNKNOWN_PREREQUISITE, answer);
+            default -> throw new IllegalStateException("unknown result " + result);
+          }
+        });
+  }
+
+  /** Rejects a job, unless it was accepted before: an accepted job is not judged again. */
+  private static void reject(
+      LeaderTerm leader, JobSpec spec, String reason, Consumer<HttpResponse> answer) {
+    leader.readStatus(
+        spec.id(),
+        view -> answer.accept(view.exists() ? toResponse(spec.id(), view) : error(422, reason)));
+  }
+
+  private static void accept(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
+    leader.submit(
+        spec,
+        view ->
+            answer.accept(
+                view.isUncertain()
+                    ? unavailable("not certain yet")
+                    : new HttpResponse(
+                        view.status() == JobWire.Status.PENDING ? 201 : 200,
+                        JobWire.view(spec.id(), view.status()))),
+        view -> answer.accept(toResponse(spec.id(), view)));
+  }
+}
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -9,78 +9,40 @@
 import io.pineladder.JobView;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobSpec;
-import io.pineladder.model.MachineType;
-import io.pineladder.model.Team;
 import io.pineladder.net.HttpResponse;
 import io.pineladder.replica.RecordReplica;
 import io.pineladder.store.AcceptedJobIndex;
 import io.pineladder.store.RecordKeys;
-import io.pineladder.store.Records;
 import io.pineladder.wire.JobWire;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.MalformedMessageException;
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
-import java.util.HashSet;
-import java.util.Set;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a node that reaches no leader can do for users: store submissions, and read. */
+/**
+ * What a controller that reaches no leader can do for users: store submissions, and read job
+ * states. Event thread only.
+ */
 final class LeaderlessApi {
-  /** Why a job that names others is not accepted before all controllers can deal with it. */
-  static final String NOT_UPGRADED = "not all controllers are upgraded";
-
-  static final String UNKNOWN_PREREQUISITE = "it waits for a job that was never accepted";
-
   private static final Logger log = LoggerFactory.getLogger(LeaderlessApi.class);
 
   private final ControllerNode node;
+  private final AdmissionPolicy admission;
   private final DependencyChainReader dependencyChains;
 
-  LeaderlessApi(ControllerNode node) {
+  LeaderlessApi(ControllerNode node, AdmissionPolicy admission) {
     this.node = node;
+    this.admission = admission;
     this.dependencyChains = new DependencyChainReader(node);
   }
 
-  /** Why a job can never run, or null. */
-  String rejectionReason(JobSpec spec) {
-    // Sent to the store it would be refused as malformed, and the leader with it.
-    if (!Records.fits(spec, node.settings().storeLimits().valueBytes())) {
-      return "the description is too long to be stored";
-    }
-    Team team = null;
-    for (Team each : node.settings().teams()) {
-      if (each.name().equals(spec.team())) {
-        team = each;
-      }
-    }
-    if (team == null) {
-      return "unknown team";
-    }
-    Set<String> zones = new HashSet<>();
-    for (MachineType type : node.machineTypes()) {
-      if (spec.allowsType(type.name()) && spec.resourcesPerTask().fitsIn(type.capacity())) {
-        type.zones().stream().filter(spec::allowsZone).forEach(zones::add);
-      }
-    }
-    if (zones.isEmpty()) {
-      return "a task fits no allowed machine type";
-    }
-    if (spec.isMultiTaskGang()
-        && spec.spreadAcrossZones()
-        && (spec.sameZone() || zones.size() == 1)) {
-      // Accepted it would wait for ever: all of it runs at once, and no more than half may in one
-      // zone.
-      return "all of its tasks can't be in one zone and spread over several";
-    }
-    return team.allows(spec.minimumResources()) ? null : "beyond the team's limit";
-  }
-
   /**
-   * Accepts a job without a leader: the record is the same that a leader would write, on the same
-   * conditions, and an entry in the inbox tells the next leader.
+   * Accepts a job without a leader: the record is the same that a leader would write, with the same
+   * compare-and-swap conditions, and an entry in the inbox notifies the next leader.
    */
   void submit(JobSpec spec, Consumer<HttpResponse> answer) {
     if (node.machineTypes().isEmpty() || !node.storeClient().isHealthy()) {
@@ -92,18 +54,18 @@
             && (!node.replicaManager().replica().hasAllFinalStates()
                 || node.replicaManager().replica().base()
                     != node.storeClient().generation().base())) {
-      // A job that was over before the loss could not be told from a new one.
+      // A job that ended before the loss could not be distinguished from a new one.
       answer.accept(unavailable("the records are rebuilt"));
       return;
     }
-    String rejection = rejectionReason(spec);
+    Optional<String> rejection = admission.rejectionReason(spec);
     String id = spec.id();
     if (node.replicaManager().replica().finalState(id) != null) {
       read(id, false, answer);
       return;
     }
-    if (rejection != null) {
-      reject(id, rejection, answer);
+    if (rejection.isPresent()) {
+      reject(id, rejection.get(), answer);
       return;
     }
     if (spec.prerequisites().isEmpty()) {
@@ -111,22 +73,23 @@
       return;
     }
     if (!node.clusterVersion().allowsChainedJobs()) {
-      answer.accept(unavailable(NOT_UPGRADED));
+      answer.accept(unavailable(AdmissionPolicy.NOT_UPGRADED));
       return;
     }
     dependencyChains.evaluate(
         spec.prerequisites(),
         outcome -> {
           switch (outcome) {
-            case UNKNOWN_JOB -> reject(id, UNKNOWN_PREREQUISITE, answer);
+            case UNKNOWN_JOB -> reject(id, AdmissionPolicy.UNKNOWN_PREREQUISITE, answer);
             case UNCERTAIN -> answer.accept(unavailable("no leader"));
             case NONE_CANCELLED -> storeJob(spec, JobWire.Status.PENDING, answer);
             case CANCELLED -> storeJob(spec, JobWire.Status.CANCELLED, answer);
+            default -> throw new IllegalStateException("unknown outcome " + outcome);
           }
         });
   }
 
-  /** Refuses a job, unless it was accepted once: then it stays so, whatever is judged now. */
+  /** Rejects a job, unless it was accepted before: an accepted job is not judged again. */
   private void reject(String id, String reason, Consumer<HttpResponse> answer) {
     read(id, false, found -> answer.accept(found.status() == 404 ? error(422, reason) : found));
   }
@@ -134,7 +97,7 @@
   /**
    * Stores a job.
    *
-   * @param status what its user is told of it: one that names a cancelled job is accepted and
+   * @param status the status in the response: a job with a cancelled prerequisite is accepted and
    *     cancelled
    */
   private void storeJob(JobSpec spec, JobWire.Status status, Consumer<HttpResponse> answer) {
@@ -156,10 +119,10 @@
             2,
             reply -> {
               if (reply.is(200)) {
-                log.debug("job {} accepted without a leader", id);
+                log.debug("Job accepted without a leader: job={}", id);
                 replica.put(RecordKeys.UNPAGED_JOB + id, record, 0, true);
                 replica.put(RecordKeys.INBOX + id, inboxEntry, 0, true);
-                node.replicaManager().onAcceptedWithoutLeader(() -> submit(spec, again -> {}));
+                node.replicaManager().onAcceptedWithoutLeader(() -> submit(spec, ignored -> {}));
                 answer.accept(new HttpResponse(201, JobWire.view(id, status)));
               } else if (reply.is(409)) {
                 read(id, false, answer);
@@ -169,7 +132,11 @@
             });
   }
 
-  /** Answers from a fresh read of the store; a cancel gets an answer only when the job is over. */
+  /**
+   * Answers with a job's status from a fresh read of the store.
+   *
+   * @param cancel whether the request cancels the job; it succeeds only if the job has ended
+   */
   void read(String id, boolean cancel, Consumer<HttpResponse> answer) {
     if (!node.replicaManager().generations().isTrusted()) {
       answer.accept(unavailable("the records are rebuilt"));
@@ -180,8 +147,8 @@
       answerWithState(id, cancel, finalState, answer);
       return;
     }
-    // A job goes from its own key or its page to its final state in one transaction, so this order
-    // misses none.
+    // A job moves from its own key or its page to its final state in one transaction, so reading in
+    // this order finds every job.
     node.storeClient()
         .readForUser(
             RecordKeys.UNPAGED_JOB + id,
@@ -217,15 +184,15 @@
     node.storeClient()
         .readForUser(
             RecordKeys.FINAL_STATE + id,
-            end -> {
-              if (!end.certain()) {
+            read -> {
+              if (!read.certain()) {
                 answer.accept(unavailable("no leader"));
-              } else if (!end.found() && node.replicaManager().jobMayBeMissing(id)) {
+              } else if (!read.found() && node.replicaManager().jobMayBeMissing(id)) {
                 answer.accept(unavailable("not certain yet"));
-              } else if (!end.found()) {
+              } else if (!read.found()) {
                 answer.accept(error(404, "no such job"));
               } else {
-                answerFromFinalState(id, end.entry(), answer);
+                answerFromFinalState(id, read.entry(), answer);
               }
             });
   }
@@ -244,7 +211,7 @@
     }
   }
 
-  /** A job whose record names no final state may be cancelled with one before it. */
+  /** A job whose record has no final state may be cancelled through one of its dependencies. */
   private void answerFromIndexedJob(
       String id, boolean cancel, AcceptedJobIndex.IndexedJob job, Consumer<HttpResponse> answer) {
     if (job.state() != Job.State.ACTIVE || job.prerequisites().isEmpty()) {
@@ -258,6 +225,7 @@
             case CANCELLED -> answerWithState(id, cancel, Job.State.CANCELLED, answer);
             case NONE_CANCELLED -> answerWithState(id, cancel, Job.State.ACTIVE, answer);
             case UNKNOWN_JOB, UNCERTAIN -> answer.accept(unavailable("no leader"));
+            default -> throw new IllegalStateException("unknown outcome " + outcome);
           }
         });
   }
