--- a/src/main/java/io/pineladder/net/XnioEventLoop.java
+++ b/src/main/java/io/pineladder/net/XnioEventLoop.java
@@ -18,6 +18,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -133,18 +134,34 @@
   }
 
   /**
-   * A fault in one message must not end the event thread, yet the state it left is not to be
-   * trusted: the process ends and its successor starts from the stored state.
+   * Runs {@code action}. A fault in one message must not end the event thread, yet the state it
+   * left is not to be trusted: the process ends and its successor starts from the stored state.
+   *
+   * <p>An event loop that is stopped by another thread may still be running an action, whose next
+   * timer it then refuses. That is no fault.
    */
   static void runOrHalt(Runnable action) {
     try {
       action.run();
+    } catch (RejectedExecutionException rejected) {
+      if (!isStoppedEventThread()) {
+        halt(rejected);
+      }
     } catch (Throwable fault) {
-      log.error("unexpected fault, stopping", fault);
-      Runtime.getRuntime().halt(70);
+      halt(fault);
     }
   }
 
+  private static boolean isStoppedEventThread() {
+    return Thread.currentThread() instanceof XnioIoThread eventThread
+        && eventThread.getWorker().isShutdown();
+  }
+
+  private static void halt(Throwable fault) {
+    log.error("unexpected fault, stopping", fault);
+    Runtime.getRuntime().halt(70);
+  }
+
   /**
    * A listener.
    *
@@ -218,6 +235,7 @@
     }
   }
 
+  /** Closes the listeners and ends the event thread; timers that are set are dropped. */
   public void stop() {
     servers.forEach(IoUtils::safeClose);
     worker.shutdownNow();
