--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -94,7 +94,7 @@
   public Instant imageReadyAt;
 
   /** The agent epoch that the last start was addressed to; 0 before any. */
-  public long startSession;
+  public long startAgentEpoch;
 
   /** The sequence number of the heartbeat whose response carried the last start; -1 for none. */
   public long startHeartbeatSequence = -1;
--- a/src/main/java/io/pineladder/model/Job.java
+++ b/src/main/java/io/pineladder/model/Job.java
@@ -135,8 +135,8 @@
 
   /** Removes an attempt that no longer holds capacity. */
   public void remove(Attempt attempt) {
-    Set<Attempt> of = attempts.get(attempt.task);
-    if (of != null && of.remove(attempt) && of.isEmpty()) {
+    Set<Attempt> taskAttempts = attempts.get(attempt.task);
+    if (taskAttempts != null && taskAttempts.remove(attempt) && taskAttempts.isEmpty()) {
       attempts.remove(attempt.task);
     }
   }
--- a/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
+++ b/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
@@ -58,7 +58,7 @@
     List<Attempt> all = new ArrayList<>();
     job.attempts.values().forEach(all::addAll);
     for (Attempt attempt : all) {
-      if (attempt.holdsCapacity() && isNeverSent(attempt)) {
+      if (attempt.holdsCapacity() && wasNeverSent(attempt)) {
         attempt.kill(context.now(), gracePeriod);
       }
     }
@@ -73,7 +73,7 @@
     if (!attempt.holdsCapacity()) {
       return;
     }
-    if (isNeverSent(attempt)) {
+    if (wasNeverSent(attempt)) {
       onGone(attempt, "never started");
       return;
     }
@@ -99,9 +99,9 @@
     }
   }
 
-  private static boolean isNeverSent(Attempt attempt) {
+  private static boolean wasNeverSent(Attempt attempt) {
     return attempt.state() == Attempt.State.PLACEMENT_PENDING
-        || (attempt.state() == Attempt.State.PLACEMENT_STORED && attempt.startSession == 0);
+        || (attempt.state() == Attempt.State.PLACEMENT_STORED && attempt.startAgentEpoch == 0);
   }
 
   // ---- observations
--- a/src/main/java/io/pineladder/workers/AttemptReconciler.java
+++ b/src/main/java/io/pineladder/workers/AttemptReconciler.java
@@ -117,7 +117,7 @@
             machine,
             eventLoop.now(),
             Attempt.State.RECOVERED);
-    attempt.startSession = machine.agentEpoch;
+    attempt.startAgentEpoch = machine.agentEpoch;
     if (task.state() != TaskState.EXITED
         && !(listener.areRecordsIncomplete() && scheduler.adoptUnrecorded(attempt))) {
       log.info("Killing task without a stored placement: attempt={}", attempt);
@@ -132,7 +132,9 @@
     switch (attempt.state()) {
       case PLACEMENT_PENDING, GONE -> {}
       case PLACEMENT_STORED -> {
-        if (attempt.startSession == 0 || attempt.directStartPending || attempt.startUnconfirmed) {
+        if (attempt.startAgentEpoch == 0
+            || attempt.directStartPending
+            || attempt.startUnconfirmed) {
           // The start was not sent yet, or one sent as a command may still arrive.
           return;
         }
@@ -146,7 +148,7 @@
         }
         // The response that carried the start was dropped, and is never executed late.
         if (attempt.isWanted()) {
-          attempt.startSession = 0;
+          attempt.startAgentEpoch = 0;
           attempt.startHeartbeatSequence = -1;
         } else {
           scheduler.onAttemptGone(attempt, "the response with its start was dropped");
--- a/src/main/java/io/pineladder/workers/CommandReplyHandler.java
+++ b/src/main/java/io/pineladder/workers/CommandReplyHandler.java
@@ -90,7 +90,7 @@
     for (Attempt attempt : started) {
       attempt.directStartPending = false;
       if (refused) {
-        attempt.startSession = 0;
+        attempt.startAgentEpoch = 0;
         if (!attempt.isWanted()) {
           // Killed while the start was on its way; nothing else would ever settle it.
           scheduler.onAttemptGone(attempt, "its start was refused");
--- a/src/main/java/io/pineladder/workers/CommandWriter.java
+++ b/src/main/java/io/pineladder/workers/CommandWriter.java
@@ -70,7 +70,7 @@
   /** An unconfirmed start is repeated, wanted or not: only then does the worker list its task. */
   private static boolean needsStart(Attempt attempt, Channel channel) {
     boolean repeats = attempt.startUnconfirmed && channel == Channel.HEARTBEAT_RESPONSE;
-    return repeats || (attempt.isWanted() && attempt.startSession == 0);
+    return repeats || (attempt.isWanted() && attempt.startAgentEpoch == 0);
   }
 
   private void writeStart(
@@ -85,7 +85,7 @@
     boolean byRequest = channel == Channel.REQUEST;
     String job = attempt.job.spec.id();
     commands.start(job, attempt.task, attempt.number);
-    attempt.startSession = machine.agentEpoch;
+    attempt.startAgentEpoch = machine.agentEpoch;
     attempt.startHeartbeatSequence = byRequest ? -1 : machine.lastHeartbeatSequence;
     attempt.directStartPending = byRequest;
     if (byRequest) {
--- a/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
+++ b/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
@@ -150,7 +150,8 @@
     }
     for (Attempt attempt : List.copyOf(machine.attempts.values())) {
       boolean ofPreviousEpoch =
-          attempt.wasObserved() || (attempt.startSession != 0 && attempt.startSession < agentEpoch);
+          attempt.wasObserved()
+              || (attempt.startAgentEpoch != 0 && attempt.startAgentEpoch < agentEpoch);
       if (ofPreviousEpoch) {
         scheduler.onAttemptGone(attempt, "the agent epoch ended");
       }
--- a/src/test/java/io/pineladder/workers/WorkerManagerTest.java
+++ b/src/test/java/io/pineladder/workers/WorkerManagerTest.java
@@ -380,7 +380,7 @@
     leader.heartbeat("m-2", 1);
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 3, "i"));
     for (Attempt attempt : leader.attempts()) {
-      attempt.startSession = 0;
+      attempt.startAgentEpoch = 0;
     }
     leader.scheduler.preempt(gang.attempts.get(2).iterator().next());
     assertTrue(gang.attempts.isEmpty(), "none was started anew: " + gang.attempts);
