--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -3,6 +3,7 @@
 import io.pineladder.autoscaling.Autoscaler;
 import io.pineladder.model.Attempt;
 import io.pineladder.model.ClusterVersion;
+import io.pineladder.model.EndReason;
 import io.pineladder.model.Job;
 import io.pineladder.model.JobKind;
 import io.pineladder.model.JobSpec;
@@ -25,12 +26,14 @@
 import io.pineladder.wire.WorkerWire.TaskId;
 import io.pineladder.wire.WorkerWire.TaskState;
 import io.pineladder.wire.WorkerWire.TaskStatus;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
+import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
@@ -338,4 +341,70 @@
   static Attempt onlyAttempt(Job job) {
     return job.attempts.values().iterator().next().iterator().next();
   }
+
+  /** A body as text. */
+  static String text(byte[] body) {
+    return new String(body, StandardCharsets.UTF_8);
+  }
+
+  /** An exited task as its worker lists it. */
+  static TaskStatus exited(Attempt attempt, EndReason cause) {
+    return new TaskStatus(
+        new TaskId(attempt.job.spec.id(), attempt.task),
+        attempt.number,
+        TaskState.EXITED,
+        cause,
+        false);
+  }
+
+  /** The cloud's list of running spot machines. */
+  static byte[] machineList(String... machines) {
+    StringBuilder hosts = new StringBuilder();
+    for (String machine : machines) {
+      hosts.append(hosts.isEmpty() ? "" : ",");
+      hosts.append(
+          """
+          {"ref":"%s","addr":"10.1.0.1:9000","hull":"g4","yard":"a","loaners":true,
+           "status":"running","age_s":60}\
+          """
+              .formatted(machine));
+    }
+    return ("{\"hosts\":[" + hosts + "],\"truncated\":false}").getBytes(StandardCharsets.UTF_8);
+  }
+
+  /** The same job with other tasks; a gang must have them in one zone. */
+  static JobSpec withResources(JobSpec like, Resources each) {
+    return new JobSpec(
+        like.id(),
+        like.jobClass(),
+        like.team(),
+        like.kind(),
+        like.priorityClass(),
+        like.tasks(),
+        each,
+        null,
+        null,
+        like.kind() == JobKind.GANG,
+        false,
+        true,
+        like.image(),
+        5,
+        like.estimatedRunTime(),
+        Duration.ZERO,
+        Duration.ZERO,
+        null);
+  }
+
+  /** Whether none of the attempts is wanted. */
+  static boolean isStopped(Set<Attempt> attempts) {
+    return attempts.stream().noneMatch(Attempt::isWanted);
+  }
+
+  /** The machine's stored attempts, listed as running. */
+  static TaskStatus[] running(Machine machine) {
+    return machine.attempts.values().stream()
+        .filter(a -> a.state() != Attempt.State.PLACEMENT_PENDING)
+        .map(a -> task(a, TaskState.RUNNING))
+        .toArray(TaskStatus[]::new);
+  }
 }
