--- a/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -91,8 +91,10 @@
           logSpeedChange(machine.type, history);
         }
       }
-      case SILENT -> {}
       case RELEASING, GONE -> forget(machine);
+      default -> {
+        // SILENT: it has booted, and nothing more is learnt from it.
+      }
     }
   }
 
--- a/src/main/java/io/pineladder/zones/Zones.java
+++ b/src/main/java/io/pineladder/zones/Zones.java
@@ -71,7 +71,9 @@
             doubtful.add(name);
           }
         }
-        case CUT, APART -> {}
+        default -> {
+          // CUT, APART: no machine is rented where hardly any is heard.
+        }
       }
     }
     up.addAll(doubtful);
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -38,7 +38,7 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Scheduler, workers and fleet of one leader, with a store that commits at once. */
+/** Scheduler, worker manager and autoscaler of one leader, with a store that commits at once. */
 final class LeaderHarness implements EventLoop {
   static final long TERM = 7;
   static final MachineType TYPE =
@@ -57,7 +57,7 @@
   private Instant now = Instant.EPOCH.plusSeconds(100);
   private long order;
 
-  /** The lease is certain, and reports are taken in: by turns not so in a long doubt. */
+  /** Whether the lease is certain and heartbeats are accepted. */
   boolean leaseCertain = true;
 
   final ArrayDeque<SentRequest> sent = new ArrayDeque<>();
@@ -67,6 +67,124 @@
   final WorkerManager workerManager;
   final Autoscaler autoscaler;
 
+  /** Sends commands to the worker manager and collects resignations. */
+  private final class SchedulerCallbacks implements Scheduler.Callbacks {
+    @Override
+    public boolean mayStartTasks() {
+      return true;
+    }
+
+    @Override
+    public void onCommandsDue(Machine machine) {
+      workerManager.requestCommand(machine);
+    }
+
+    @Override
+    public void resign(String reason) {
+      resignations.add(reason);
+    }
+
+    @Override
+    public void onReady(Job job) {}
+
+    @Override
+    public void onCancelledByDependency(Job job) {}
+
+    @Override
+    public Job.State knownFinalState(String job) {
+      return null;
+    }
+
+    @Override
+    public void lookUpJob(String job) {}
+  }
+
+  /** Passes on what is stored. */
+  private final class RecordsListener implements Records.Listener {
+    @Override
+    public void onPlacementStored(Attempt attempt) {
+      scheduler.onPlacementStored(attempt);
+    }
+
+    @Override
+    public void onFinalStateStored(Job job) {
+      scheduler.onFinalStateStored(job);
+    }
+
+    @Override
+    public void onRemoved(Job job) {
+      cluster.removeJob(job);
+    }
+
+    @Override
+    public void onUnpagedRecordFound(Job job, Runnable again) {}
+  }
+
+  /** Answers by {@link #leaseCertain} and collects resignations. */
+  private final class AutoscalerEffects implements Autoscaler.Effects {
+    @Override
+    public int workersHeardByPeers(String zone) {
+      return 0;
+    }
+
+    @Override
+    public boolean mayAct() {
+      return leaseCertain;
+    }
+
+    @Override
+    public boolean acceptsHeartbeats() {
+      return leaseCertain;
+    }
+
+    @Override
+    public void resign(String reason) {
+      resignations.add(reason);
+    }
+
+    @Override
+    public void transferLeadership(String reason) {
+      resignations.add(reason);
+    }
+
+    @Override
+    public void probe(Machine machine) {}
+  }
+
+  /** A leader with complete records. */
+  private final class WorkersListener implements WorkerManager.Listener {
+    @Override
+    public void onUnknownTask(String job) {}
+
+    @Override
+    public boolean isJobEnded(String job) {
+      return false;
+    }
+
+    @Override
+    public boolean areRecordsIncomplete() {
+      return false;
+    }
+
+    @Override
+    public void onNewerFencingToken(long token) {
+      resignations.add("token " + token);
+    }
+
+    @Override
+    public boolean wasReleased(String machine) {
+      return autoscaler.wasReleased(machine);
+    }
+
+    @Override
+    public void onUnexpectedMachine(Machine machine) {}
+
+    @Override
+    public void onCancellationUnprovable(Machine machine) {
+      autoscaler.release(machine);
+    }
+  }
+
   LeaderHarness() {
     Settings settings;
     try {
@@ -77,44 +195,8 @@
     cluster = new ClusterState(settings);
     cluster.setTypes(List.of(TYPE));
     AsyncHttpClient httpClient = (request, onReply) -> sent.add(new SentRequest(request, onReply));
-    WorkerManager[] later = new WorkerManager[1];
-    Autoscaler[] fleetLater = new Autoscaler[1];
     scheduler =
-        new Scheduler(
-            cluster,
-            this,
-            TERM,
-            OperatorSettings.DEFAULTS,
-            new Scheduler.Callbacks() {
-              @Override
-              public boolean mayStartTasks() {
-                return true;
-              }
-
-              @Override
-              public void onCommandsDue(Machine machine) {
-                later[0].requestCommand(machine);
-              }
-
-              @Override
-              public void resign(String reason) {
-                resignations.add(reason);
-              }
-
-              @Override
-              public void onReady(Job job) {}
-
-              @Override
-              public void onCancelledByDependency(Job job) {}
-
-              @Override
-              public Job.State knownFinalState(String job) {
-                return null;
-              }
-
-              @Override
-              public void lookUpJob(String job) {}
-            });
+        new Scheduler(cluster, this, TERM, OperatorSettings.DEFAULTS, new SchedulerCallbacks());
     Records records =
         new Records(
             8192,
@@ -125,25 +207,7 @@
               mutation.writes().forEach(w -> w.value().get());
               schedule(Duration.ZERO, mutation.onCommitted());
             },
-            new Records.Listener() {
-              @Override
-              public void onPlacementStored(Attempt attempt) {
-                scheduler.onPlacementStored(attempt);
-              }
-
-              @Override
-              public void onFinalStateStored(Job job) {
-                scheduler.onFinalStateStored(job);
-              }
-
-              @Override
-              public void onRemoved(Job job) {
-                cluster.removeJob(job);
-              }
-
-              @Override
-              public void onUnpagedRecordFound(Job job, Runnable again) {}
-            },
+            new RecordsListener(),
             NotificationLog.DISABLED);
     scheduler.setRecords(records);
     autoscaler =
@@ -155,77 +219,10 @@
             this,
             TERM,
             OperatorSettings.DEFAULTS,
-            new Autoscaler.Effects() {
-              @Override
-              public int workersHeardByPeers(String zone) {
-                return 0;
-              }
-
-              @Override
-              public boolean mayAct() {
-                return leaseCertain;
-              }
-
-              @Override
-              public boolean acceptsHeartbeats() {
-                return leaseCertain;
-              }
-
-              @Override
-              public void resign(String reason) {
-                resignations.add(reason);
-              }
-
-              @Override
-              public void transferLeadership(String reason) {
-                resignations.add(reason);
-              }
-
-              @Override
-              public void probe(Machine machine) {}
-            });
-    fleetLater[0] = autoscaler;
+            new AutoscalerEffects());
     workerManager =
         new WorkerManager(
-            cluster,
-            scheduler,
-            httpClient,
-            this,
-            TERM,
-            () -> true,
-            new WorkerManager.Listener() {
-              @Override
-              public void onUnknownTask(String job) {}
-
-              @Override
-              public boolean isJobEnded(String job) {
-                return false;
-              }
-
-              @Override
-              public boolean areRecordsIncomplete() {
-                return false;
-              }
-
-              @Override
-              public void onNewerFencingToken(long token) {
-                resignations.add("token " + token);
-              }
-
-              @Override
-              public boolean wasReleased(String machine) {
-                return fleetLater[0].wasReleased(machine);
-              }
-
-              @Override
-              public void onUnexpectedMachine(Machine machine) {}
-
-              @Override
-              public void onCancellationUnprovable(Machine machine) {
-                fleetLater[0].release(machine);
-              }
-            });
-    later[0] = workerManager;
+            cluster, scheduler, httpClient, this, TERM, () -> true, new WorkersListener());
   }
 
   @Override
@@ -258,7 +255,7 @@
     now = end;
   }
 
-  /** Time passes for everybody else; what is due meanwhile runs late. */
+  /** Pauses the process: what is due meanwhile runs late. */
   void pauseProcessFor(Duration duration) {
     now = now.plus(duration);
   }
@@ -297,7 +294,7 @@
         new TaskId(attempt.job.spec.id(), attempt.task), attempt.number, state, null, false);
   }
 
-  /** A report of one machine in zone a, in its first session, with our token. */
+  /** A heartbeat of a machine in zone a, in its first agent epoch, with this term's token. */
   byte[] heartbeat(String machine, long sequence, TaskStatus... tasks) {
     return heartbeat("a", machine, sequence, tasks);
   }
@@ -320,7 +317,7 @@
     return WorkerWire.heartbeatResponse(TERM, orders);
   }
 
-  /** The next direct command that went out; list, rental and other requests are passed over. */
+  /** The next command request that was sent; requests to the cloud are skipped. */
   SentRequest nextCommand() {
     while (!sent.isEmpty()) {
       SentRequest next = sent.poll();
