--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -27,14 +27,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: its part in the leadership, and what it knows whether it leads or not. */
+/**
+ * One controller: its part in the election, its term while it leads, and what it knows whether it
+ * leads or not. Everything happens on the event loop's thread.
+ */
 public final class ControllerNode {
   private static final Logger log = LoggerFactory.getLogger(ControllerNode.class);
   private static final Duration TICK_INTERVAL = Duration.ofSeconds(2);
 
-  /** A tick that comes so much late is worth a line. */
+  /** A tick that is later shows that the process was paused or is overloaded, and is logged. */
   private static final Duration MAX_TICK_DELAY = Duration.ofSeconds(1);
 
+  /** Where no other controller does better, the leadership must not go round. */
   private static final Duration MIN_HAND_OVER_INTERVAL = Duration.ofSeconds(60);
 
   private final Settings settings;
@@ -66,11 +70,12 @@
   private boolean stopped;
 
   /**
-   * A controller.
+   * A controller of this software's version.
    *
-   * @param delivery delivers notices of final states; null where that is switched off
-   * @param shelf where snapshots of the records are kept; null for nowhere
-   * @param background where they are made; null without a shelf
+   * @param nonce tells this process from the controller's earlier ones
+   * @param delivery delivers notifications of final states; null where that is switched off
+   * @param snapshotStore where snapshots of the records are stored; null for nowhere
+   * @param backgroundExecutor writes the snapshots; null without a snapshot store
    */
   public ControllerNode(
       Settings settings,
@@ -94,7 +99,7 @@
   /**
    * A controller that may support an older cluster version than this software does.
    *
-   * @param version what it supports
+   * @param clusterVersion the version that it supports, with the oldest one in force
    */
   public ControllerNode(
       Settings settings,
@@ -159,15 +164,17 @@
             delivery);
   }
 
+  /** Starts the controller; it takes part in elections once it trusts what the store holds. */
   public void start() {
-    log.info("controller {} starts in zone {}", settings.controllerName(), settings.zone());
+    log.info(
+        "Controller started: controller={} zone={}", settings.controllerName(), settings.zone());
     membership.onStoreStatus(replicaManager.generations()::onPeerStatus);
     membership.start();
     tick();
     replicaManager.start();
   }
 
-  /** What this node keeps of the records, and does when the state service has lost them. */
+  /** This node's replica of the records, and what it does when the state service has lost them. */
   public ReplicaManager replicaManager() {
     return replicaManager;
   }
@@ -187,6 +194,7 @@
     return configuration.clusterVersion();
   }
 
+  /** What follows as records are found to be lost or were rebuilt. */
   private final class ReplicaEvents implements ReplicaManager.Host {
     @Override
     public boolean holdsLease() {
@@ -216,7 +224,7 @@
     }
   }
 
-  /** The workers whose leases this node keeps in the leader's place. */
+  /** The workers whose leases this node extends in place of a leader they do not reach. */
   public LeaseKeepAliveWriter leaseKeepAlives() {
     return leaseKeepAlives;
   }
@@ -245,6 +253,7 @@
     }
   }
 
+  /** What follows as this controller's part in the election changes. */
   private final class ElectionEvents implements Election.Listener {
     @Override
     public void onElected(long term, long leaderKeyRevision) {
@@ -286,7 +295,7 @@
     @Override
     public void onLeaderRead(RecordWire.LeaderRecord known) {
       replicaManager.onLeaderRead(known != null);
-      log.debug("the leader is {}", known);
+      log.debug("Leader read: leader={}", known);
     }
   }
 
@@ -365,26 +374,32 @@
     }
   }
 
+  /** The settings that this process was started with. */
   public Settings settings() {
     return settings;
   }
 
+  /** The clock, timers and thread of this controller. */
   public EventLoop eventLoop() {
     return eventLoop;
   }
 
+  /** The client for requests to peers, workers and the cloud. */
   public AsyncHttpClient httpClient() {
     return httpClient;
   }
 
+  /** The client of the state service. */
   public StoreClient storeClient() {
     return storeClient;
   }
 
+  /** How long this node's failovers took. */
   public FailoverTimings failoverTimings() {
     return failoverTimings;
   }
 
+  /** What this node knows of its peers. */
   public Membership membership() {
     return membership;
   }
@@ -394,18 +409,20 @@
     return acceptedJobs;
   }
 
+  /** This node's part in the election. */
   public Election election() {
     return election;
   }
 
-  /** The leader when this node may act as such now, or null. */
+  /** The term while this node leads with a valid lease, so that it may act now; else null. */
   public LeaderTerm leadingTerm() {
     boolean leading = leaderTerm != null && leaderTerm.isLeading();
     return leading && election.isLeaseValid() ? leaderTerm : null;
   }
 
   /**
-   * The leader's memory while this node may answer reports, certain of its lease or not; or null.
+   * The term while this node may answer heartbeats, its lease valid or in doubt for a short time,
+   * whether its records are read or not; else null.
    */
   public LeaderTerm heldTerm() {
     return election.mayExtendWorkerLeases() ? leaderTerm : null;
@@ -416,10 +433,12 @@
     return finalStates;
   }
 
+  /** The cloud's machine types; empty until they are known. */
   public List<MachineType> machineTypes() {
     return configuration.machineTypes();
   }
 
+  /** What operators have set, as this node has last read it. */
   public OperatorSettings operatorSettings() {
     return configuration.operatorSettings();
   }
@@ -430,13 +449,13 @@
     }
     Instant now = eventLoop.now();
     if (tickDueAt != null && tickDueAt.plus(MAX_TICK_DELAY).isBefore(now)) {
-      log.warn("this process stood still or fell behind for {}", Duration.between(tickDueAt, now));
+      log.warn("Process paused or overloaded: delay={}", Duration.between(tickDueAt, now));
     }
     tickDueAt = now.plus(TICK_INTERVAL);
     if (election.holdsTerm()) {
       machineTypeFetcher.fetchIfDue();
     } else {
-      // Its watches may wait for long; this tells whether the store still answers this node.
+      // A watch may wait for long; this read shows whether the store still answers this node.
       storeClient.read(RecordKeys.LEADER, read -> {});
     }
     eventLoop.schedule(TICK_INTERVAL, this::tick);
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -102,44 +102,20 @@
     this.eventLoop = context.eventLoop();
     this.storeClient = context.storeClient();
     Settings settings = context.settings();
-    OperatorSettings operatorSettings = context.configuration().operatorSettings();
     this.lifecycle = new TermLifecycle(elected.term(), eventLoop.now(), leadership);
     this.cluster = new ClusterState(settings);
     cluster.setTypes(context.configuration().machineTypes());
     this.committer =
         new Committer(storeClient, eventLoop, elected.leaderKeyRevision(), new CommitEvents());
-    int valueBytes = settings.storeLimits().valueBytes();
-    this.outbox =
-        new NotificationOutbox(
-            NotificationOutbox.MOST_KEPT,
-            valueBytes,
-            eventLoop,
-            committer::submit,
-            this::onNotificationsStored);
+    this.outbox = newOutbox();
     committer.setNotificationLog(outbox);
-    this.subscriptions =
-        new SubscriptionManager(
-            context.delivery(),
-            outbox,
-            eventLoop,
-            committer::submit,
-            valueBytes,
-            lifecycle::mayAct);
+    this.subscriptions = newSubscriptionManager();
     this.keepAliveReader =
         new LeaseKeepAliveReader(
             storeClient, eventLoop, () -> autoscaler().zones().isAnyUnreachable());
     this.taskStartHold = new TaskStartHold(lifecycle, recordLoss, eventLoop);
-    this.scheduler =
-        new Scheduler(cluster, eventLoop, elected.term(), operatorSettings, new SchedulerEffects());
-    this.records =
-        new Records(
-            valueBytes,
-            settings.currentStoreLimits().valueBytes(),
-            context.configuration().clusterVersion(),
-            eventLoop,
-            committer::submit,
-            new RecordEvents(),
-            outbox);
+    this.scheduler = newScheduler();
+    this.records = newRecords();
     scheduler.setRecords(records);
     this.loadedRecordVerifier = new LoadedRecordVerifier(replica, recordLoss);
     this.loader =
@@ -147,59 +123,119 @@
             storeClient, eventLoop, cluster, committer, records, outbox, new LoadEvents());
     this.reconciler =
         new JobReconciler(storeClient, cluster, committer, records, new ReconciliationEvents());
-    this.recordLossDetector =
-        new RecordLossDetector(
-            lifecycle,
-            committer,
-            reconciler,
-            replica,
-            recordLoss,
-            eventLoop,
-            settings.workerTimes().heartbeatInterval());
-    this.prerequisites =
-        new PrerequisiteReader(
-            cluster.jobs::get,
-            this::finalState,
-            reconciler,
-            eventLoop,
-            lifecycle::isLeading,
-            scheduler::dependencies);
-    this.workers =
-        new WorkerManager(
-            cluster,
-            scheduler,
-            context.httpClient(),
-            eventLoop,
-            elected.term(),
-            lifecycle::mayAct,
-            new WorkerEvents());
+    this.recordLossDetector = newRecordLossDetector();
+    this.prerequisites = newPrerequisiteReader();
+    this.workers = newWorkerManager();
     this.heartbeats =
         new HeartbeatResponder(lifecycle, leadership, workers, cluster, failover, eventLoop);
-    this.autoscaler =
-        new Autoscaler(
-            cluster,
-            scheduler,
-            records,
-            context.httpClient(),
-            eventLoop,
-            elected.term(),
-            operatorSettings,
-            new AutoscalerEffects());
+    this.autoscaler = newAutoscaler();
     this.configurationWriter = new ConfigurationWriter(lifecycle, committer);
     this.statuses = new JobStatusReader(cluster, scheduler, reconciler, pendingSubmissions);
-    this.submissions =
-        new SubmissionHandler(
-            cluster,
-            records,
-            replica,
-            reconciler,
-            statuses,
-            pendingSubmissions,
-            eventLoop,
-            new SubmissionEvents());
+    this.submissions = newSubmissionHandler();
     this.canceller = new JobCanceller(cluster, scheduler, reconciler, pendingSubmissions);
   }
 
+  // ---- the parts; each is created after those that it is given
+
+  private NotificationOutbox newOutbox() {
+    return new NotificationOutbox(
+        NotificationOutbox.MOST_KEPT,
+        maxValueBytes(),
+        eventLoop,
+        committer::submit,
+        this::onNotificationsStored);
+  }
+
+  private SubscriptionManager newSubscriptionManager() {
+    return new SubscriptionManager(
+        context.delivery(),
+        outbox,
+        eventLoop,
+        committer::submit,
+        maxValueBytes(),
+        lifecycle::mayAct);
+  }
+
+  private Scheduler newScheduler() {
+    return new Scheduler(
+        cluster,
+        eventLoop,
+        elected.term(),
+        context.configuration().operatorSettings(),
+        new SchedulerEffects());
+  }
+
+  private Records newRecords() {
+    return new Records(
+        maxValueBytes(),
+        context.settings().currentStoreLimits().valueBytes(),
+        context.configuration().clusterVersion(),
+        eventLoop,
+        committer::submit,
+        new RecordEvents(),
+        outbox);
+  }
+
+  private RecordLossDetector newRecordLossDetector() {
+    return new RecordLossDetector(
+        lifecycle,
+        committer,
+        reconciler,
+        replica,
+        recordLoss,
+        eventLoop,
+        context.settings().workerTimes().heartbeatInterval());
+  }
+
+  private PrerequisiteReader newPrerequisiteReader() {
+    return new PrerequisiteReader(
+        cluster.jobs::get,
+        this::finalState,
+        reconciler,
+        eventLoop,
+        lifecycle::isLeading,
+        scheduler::dependencies);
+  }
+
+  private WorkerManager newWorkerManager() {
+    return new WorkerManager(
+        cluster,
+        scheduler,
+        context.httpClient(),
+        eventLoop,
+        elected.term(),
+        lifecycle::mayAct,
+        new WorkerEvents());
+  }
+
+  private Autoscaler newAutoscaler() {
+    return new Autoscaler(
+        cluster,
+        scheduler,
+        records,
+        context.httpClient(),
+        eventLoop,
+        elected.term(),
+        context.configuration().operatorSettings(),
+        new AutoscalerEffects());
+  }
+
+  private SubmissionHandler newSubmissionHandler() {
+    return new SubmissionHandler(
+        cluster,
+        records,
+        replica,
+        reconciler,
+        statuses,
+        pendingSubmissions,
+        eventLoop,
+        new SubmissionEvents());
+  }
+
+  private int maxValueBytes() {
+    return context.settings().storeLimits().valueBytes();
+  }
+
   // ---- the term's course
 
   /** Reads everything that earlier leaders stored; their late transactions can no longer apply. */
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -18,54 +18,70 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads. A node that finds no leader takes a lease in the state service and writes the leader's
- * key under it, on condition that there is none. The revision of that key is the condition of every
- * transaction; with the base of its generation added it is the term and the token toward workers.
+ * The election of the leader, as one controller takes part in it. A node that finds no leader takes
+ * a lease in the state service and writes the leader's key under it, on condition that there is
+ * none. The revision of that key is the condition of every transaction; with the base of its
+ * generation added it is the number of the term and the fencing token toward workers.
+ *
+ * <p>Used on the event loop's thread only. The lease's expiry is counted from when the request for
+ * it was sent, by this node's own clock and less the drift of the clocks, so it expires here before
+ * it does in the state service.
  */
 public final class Election {
   private static final Logger log = LoggerFactory.getLogger(Election.class);
 
-  /** The clocks' worst drift against one another, with room for rounding. */
+  /** The worst drift of two clocks against one another, with a margin for rounding. */
   private static final double MAX_CLOCK_DRIFT_RATIO = 0.002;
 
-  /** Looking for a leader is most urgent right after an outage, so the pauses stay short. */
+  /** A leader is missed most right after an outage, so the delays between reads stay short. */
   private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(250);
 
   private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(400);
 
-  /** How long a node that makes way for others lets them stand first. */
+  /** How long a node that yields the leadership is no candidate, so that others are first. */
   private static final Duration YIELD_DURATION = Duration.ofSeconds(3);
 
   private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
-  /** Where a node stands. */
+  /** Where the state service creates leases; a lease's own path has its number appended. */
+  private static final String LEASES_PATH = "/holds";
+
+  /** A node's part in the election. */
   public enum State {
-    /** Does not lead; looks for a leader, or knows one. */
+    /** Does not lead; reads the leader's key, or watches it. */
     FOLLOWING,
     /** Has asked for a lease or for the leader's key. */
     CANDIDATE,
-    /** Leads, and its lease holds as far as its own clock can tell. */
+    /** Leads, and its lease is valid by its own clock. */
     LEADING,
     /**
-     * Holds the leader's key as far as it knows, but its lease may have run out. It decides
-     * nothing. When the state service had an outage, the next renewal shows that the lease is still
-     * there and the term goes on.
+     * Has the leader's key as far as it knows, but its lease may have expired; it decides nothing.
+     * After an outage of the state service the next renewal shows that the lease is still there,
+     * and the term goes on.
      */
     IN_DOUBT
   }
 
-  /** What the node does when its part changes. */
+  /** What follows as a node's part in the election changes. */
   public interface Listener {
+    /**
+     * This node was elected and leads from now on.
+     *
+     * @param term the number of the term, which is the fencing token toward workers
+     * @param leaderKeyRevision the condition of the term's transactions
+     */
     void onElected(long term, long leaderKeyRevision);
 
-    /** The state service knows the lease no more. */
+    /** The state service no longer knows the lease; the term is about to end. */
     void onLeaseNotFound();
 
-    /** The lease turned out to hold after all. */
+    /** The lease was in doubt and is valid after all. */
     void onLeaseConfirmed();
 
+    /** The term has ended. */
     void onLeadershipLost(String reason);
 
+    /** The leader's key was read; null when there is none. */
     void onLeaderRead(LeaderRecord leader);
   }
 
@@ -81,25 +97,26 @@
   private long leaseId;
   private long term;
 
-  /** The revision of the leader's key, of which the term is made. */
+  /** The revision of this node's leader key, of which the term's number is made. */
   private long leaderKeyRevision;
 
   private Instant leaseExpiresAt = Instant.MIN;
 
-  /** The lease was given up, so another may hold one before it has run out. */
+  /** The lease was released, so another node may lead before it would have expired. */
   private boolean leaseReleased;
 
   private Instant candidateFrom = Instant.MIN;
   private LeaderRecord knownLeader;
   private long knownLeaderTerm;
 
-  /** Changes with every new try, so that late replies of an older one are told apart. */
+  /** Changes with every new round, so that late replies to an older one are ignored. */
   private int round;
 
   /**
    * A node's part in the election.
    *
-   * @param mayStand whether the store can be trusted to hold what was stored
+   * @param nonce tells this process from the controller's earlier ones
+   * @param mayBecomeCandidate whether the store can be trusted to hold what was stored
    */
   public Election(
       StoreClient storeClient,
@@ -119,8 +136,9 @@
   }
 
   /**
-   * A takeover after a crash costs the lease's life, and a worker must hear the new leader well
-   * before its own lease ends; too short a life makes a busy node lose it by a pause.
+   * The duration of the leader's lease. A failover after a crash takes as long, and a worker must
+   * hear the new leader well before its own lease expires; too short a lease makes a busy node lose
+   * it by a pause.
    */
   static Duration leaseDurationFor(Duration workerLease) {
     Duration tenth = workerLease.dividedBy(10);
@@ -133,25 +151,30 @@
 
   private void moveTo(State next) {
     if (state != next) {
-      log.info("leadership: {} -> {} (term {})", state, next, term);
+      log.info("Election state changed: from={} to={} term={}", state, next, term);
       state = next;
     }
   }
 
+  /** This node's part in the election, as it was when it was last asked or has changed. */
   public State state() {
     return state;
   }
 
+  /** The number of this node's present or last term; 0 before the first. */
   public long term() {
     return term;
   }
 
-  /** The leader as last heard of, perhaps this node itself, or null. */
+  /** The leader as last read, perhaps this node itself; null when none is known. */
   public LeaderRecord knownLeader() {
     return knownLeader;
   }
 
-  /** Whether this node may act: asked before every effect, as any pause may have come before it. */
+  /**
+   * Whether this node leads and its lease is valid by its own clock. Asked before every effect, as
+   * any pause may precede it; moves to {@link State#IN_DOUBT} when the lease has expired.
+   */
   public boolean isLeaseValid() {
     if (state != State.LEADING) {
       return false;
@@ -164,8 +187,8 @@
   }
 
   /**
-   * How long workers' leases may be prolonged by a node that cannot give orders: what a user
-   * cancels meanwhile must still end in time by the end of the lease.
+   * How long a node that cannot send commands may extend workers' leases: what a user cancels
+   * meanwhile must still end within the bound on cancellations, by the expiry of the lease.
    */
   public static Duration maxWorkerLeaseExtension(Settings.WorkerTimes workerTimes) {
     Duration longest =
@@ -173,30 +196,31 @@
     return longest.isNegative() ? Duration.ZERO : longest;
   }
 
-  /** Until when this node was last certain to hold the term. */
+  /** Until when this node's present or last lease is valid by its own clock. */
   public Instant leaseExpiresAt() {
     return leaseExpiresAt;
   }
 
-  /** Whether this node leads, or its doubt is young enough to go on answering reports. */
+  /** Whether this node leads, or has been in doubt for so short that it may answer heartbeats. */
   public boolean mayExtendWorkerLeases() {
     return isLeaseValid()
         || (holdsTerm() && eventLoop.now().isBefore(leaseExpiresAt.plus(maxWorkerLeaseExtension)));
   }
 
   /**
-   * Whether no other can have been elected yet, as far as the lease goes that this node holds or
-   * that it found gone too soon.
+   * Whether no other node can have been elected yet, judged by this node's present or last lease:
+   * it is not expired and was not released, even if the state service no longer knows it.
    */
   public boolean excludesOtherLeader() {
     return !leaseReleased && eventLoop.now().isBefore(leaseExpiresAt);
   }
 
-  /** Whether this node holds the term, certain or in doubt. */
+  /** Whether this node has a term, its lease valid or in doubt. */
   public boolean holdsTerm() {
     return state == State.LEADING || state == State.IN_DOUBT;
   }
 
+  /** Takes part in the election from now on, in a new round. */
   public void start() {
     readLeader(++round);
   }
@@ -233,27 +257,27 @@
               return;
             }
           } catch (MalformedMessageException e) {
-            log.warn("the store's answer on the leader is malformed");
+            log.warn("Leader record malformed: key={} error={}", RecordKeys.LEADER, e.getMessage());
           }
           eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
         });
   }
 
-  /** Whether the leader is this controller's process of before, which ended without a word. */
+  /** Whether the leader is an earlier process of this controller, which ended without release. */
   private boolean isPreviousProcess(LeaderRecord leader) {
     return leader.member().equals(ownRecord.member()) && !leader.nonce().equals(ownRecord.nonce());
   }
 
   /**
-   * Ends the lease that the process before this one held. After an outage of the state service it
-   * has its full time again although nobody is left to use it, and that time is what workers'
-   * leases lack then. Two processes of one controller cannot run at once, since they have the same
-   * addresses; were it so, the older one's transactions and orders would be refused all the same.
+   * Releases the lease of this controller's earlier process. After an outage of the state service
+   * it has its full duration again although nobody is left to use it, and workers' leases would
+   * expire meanwhile. Two processes of one controller cannot run at once, since they have the same
+   * addresses; were it so, the older one's transactions and commands would still be refused.
    */
   private void releasePreviousLease(int expectedRound, long previousLeaseId) {
-    log.info("the lease {} of this controller's process before is ended", previousLeaseId);
+    log.info("Lease of previous process released: leaseId={}", previousLeaseId);
     storeClient.sendImmediately(
-        storeClient.delete("/holds/" + previousLeaseId),
+        storeClient.delete(leasePath(previousLeaseId)),
         reply -> {
           if (expectedRound == round) {
             eventLoop.schedule(
@@ -290,7 +314,7 @@
     moveTo(State.CANDIDATE);
     Instant sentAt = eventLoop.now();
     storeClient.sendImmediately(
-        storeClient.post("/holds", StoreWire.leaseRequest(leaseDuration)),
+        storeClient.post(LEASES_PATH, StoreWire.leaseRequest(leaseDuration)),
         reply -> {
           if (expectedRound != round) {
             return;
@@ -302,7 +326,7 @@
               return;
             }
           } catch (MalformedMessageException e) {
-            log.warn("the store's answer on a lease is malformed");
+            log.warn("Lease response malformed: error={}", e.getMessage());
           }
           moveTo(State.FOLLOWING);
           eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
@@ -338,10 +362,10 @@
         return;
       }
     } catch (MalformedMessageException e) {
-      log.warn("the store's answer on the claim is malformed");
+      log.warn("Leader claim response malformed: error={}", e.getMessage());
     }
     if (reply.is(409) && repeated) {
-      // The first copy, which got no reply, may be what stands there.
+      // The key may have been written by the first copy of the claim, which got no reply.
       storeClient.readImmediately(
           RecordKeys.LEADER,
           (read, same) -> onLeaderReadAfterClaim(expectedRound, leaseSentAt, read, same));
@@ -362,9 +386,9 @@
   }
 
   /**
-   * Our record may have been written by a claim of an earlier round that was carried out late. It
-   * goes with that round's lease, and this node would take itself for the leader for as long as it
-   * renews the other one.
+   * This node's record may have been written by a claim of an earlier round that was executed late.
+   * The key goes with that round's lease, and this node would take itself for the leader as long as
+   * it renews the other lease; so only a key under the present lease counts.
    */
   private void onLeaderReadAfterClaim(
       int expectedRound, Instant leaseSentAt, StoreClient.Read read, Reply reply) {
@@ -381,14 +405,18 @@
         }
       }
     } catch (MalformedMessageException e) {
-      log.warn("the leader's record is malformed");
+      log.warn("Leader record malformed: key={} error={}", RecordKeys.LEADER, e.getMessage());
     }
     abandonCandidacy(expectedRound);
   }
 
+  private static String leasePath(long id) {
+    return LEASES_PATH + "/" + id;
+  }
+
   private void abandonCandidacy(int expectedRound) {
-    // A late copy of the claim finds no lease and does nothing.
-    storeClient.sendImmediately(storeClient.delete("/holds/" + leaseId), reply -> {});
+    // A late copy of the claim finds no lease and has no effect.
+    storeClient.sendImmediately(storeClient.delete(leasePath(leaseId)), reply -> {});
     moveTo(State.FOLLOWING);
     eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
   }
@@ -420,7 +448,7 @@
     isLeaseValid();
     Instant sentAt = eventLoop.now();
     storeClient.sendImmediately(
-        storeClient.post("/holds/" + leaseId + "/touch", StoreWire.leaseRequest(leaseDuration)),
+        storeClient.post(leasePath(leaseId) + "/touch", StoreWire.leaseRequest(leaseDuration)),
         reply -> {
           if (expectedRound != round || !holdsTerm()) {
             return;
@@ -446,8 +474,9 @@
   }
 
   /**
-   * The lease was renewed after it had run out here. Where data was lost meanwhile, leases are
-   * numbered anew and it may be another's; so the leader's key tells.
+   * The lease was renewed after it had expired here. Where the state service has lost data
+   * meanwhile, it numbers leases from the start and this may be another node's; so the leader's key
+   * decides.
    */
   private void confirmLeaderKey(int expectedRound, Instant sentAt) {
     storeClient.readImmediately(
@@ -468,40 +497,44 @@
         });
   }
 
-  /** Gives the term up: it is over, or this node cannot go on. */
+  /** Ends the term and releases the lease; no effect without a term. */
   public void stepDown(String reason) {
     endTerm(reason, true);
   }
 
-  /** Ends the term; a lease that may be another's by now is left alone. */
+  /**
+   * Ends the term.
+   *
+   * @param releaseLease false when the lease may be another node's by now
+   */
   private void endTerm(String reason, boolean releaseLease) {
     if (!holdsTerm()) {
       return;
     }
-    log.warn("term {} is over: {}", term, reason);
+    log.warn("Term ended: term={} reason={}", term, reason);
     int newRound = ++round;
     knownLeader = null;
     moveTo(State.FOLLOWING);
     leaseReleased = releaseLease;
     if (releaseLease) {
-      storeClient.sendImmediately(storeClient.delete("/holds/" + leaseId), reply -> {});
+      storeClient.sendImmediately(storeClient.delete(leasePath(leaseId)), reply -> {});
     }
     listener.onLeadershipLost(reason);
     eventLoop.schedule(retry.nextDelay(), () -> readLeader(newRound));
   }
 
-  /** Gives the term up in favour of any other node that stands within a while. */
+  /** Ends the term, and lets other nodes be candidates first for {@link #YIELD_DURATION}. */
   public void yieldLeadership(String reason) {
     candidateFrom = eventLoop.now().plus(YIELD_DURATION);
     stepDown(reason);
   }
 
-  /** The term of the leader that is known, to tell newer news from older; 0 when none is. */
+  /** The term of the known leader, by which newer information is preferred; 0 when none is. */
   public long knownLeaderTerm() {
     return knownLeaderTerm;
   }
 
-  /** Takes no part until it is started again: nobody leads while records are rebuilt. */
+  /** Takes no part until it is started again: no node leads while the records are rebuilt. */
   public void pause() {
     endTerm("the records are rebuilt", false);
     round++;
--- a/src/main/java/io/pineladder/upgrade/VersionRaiser.java
+++ b/src/main/java/io/pineladder/upgrade/VersionRaiser.java
@@ -14,7 +14,7 @@
 
 /**
  * Raises the cluster version while this controller leads, once every configured controller has
- * shown software that supports it. The record is written in a transaction of the leader, so no
+ * shown software that supports it. The record is written in a transaction of the leader, so that no
  * older leader writes it late.
  */
 public final class VersionRaiser {
@@ -30,6 +30,9 @@
   /**
    * A raiser for one term.
    *
+   * @param peers the configured peers with the version that each has shown to support
+   * @param transactions takes the change of the record
+   * @param isLeading whether the term goes on
    * @param onRaised called when the record is stored
    */
   public VersionRaiser(
@@ -48,8 +51,8 @@
   }
 
   /**
-   * Looks at the members now and from time to time, until the version is raised or the term is
-   * over.
+   * Compares the version with what the peers support, now and every {@link #REVIEW_INTERVAL}, until
+   * the version is raised or the term has ended.
    */
   public void review() {
     if (!isLeading.getAsBoolean() || clusterVersion.inForce() >= clusterVersion.supported()) {
