--- a/src/main/java/io/pineladder/snapshot/ChangeRecord.java
+++ b/src/main/java/io/pineladder/snapshot/ChangeRecord.java
@@ -9,10 +9,12 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * One change of a record after a snapshot, as it stands in the file of changes: a length, a
- * checksum and the change. A last one that was cut short in writing ends the file.
+ * One change of a record after a snapshot. In the file of changes it has a checksum, a length and
+ * the change; a last one that was cut short in writing ends the file.
  *
- * @param json the new value, or null for a key that is gone
+ * @param key the key of the record
+ * @param version the revision of the change
+ * @param json the new value, or null for a deleted key
  */
 public record ChangeRecord(String key, long version, byte[] json) {
   byte[] encode() {
@@ -27,7 +29,7 @@
         content.writePayload(json);
       }
       byte[] bytes = content.toByteArray();
-      out.packLong(Snapshot.checksum(bytes));
+      out.packLong(SnapshotCodec.checksum(bytes));
       out.packBinaryHeader(bytes.length);
       out.writePayload(bytes);
       return out.toByteArray();
@@ -43,19 +45,19 @@
       while (in.hasNext()) {
         long sum = in.unpackLong();
         byte[] bytes = in.readPayload(in.unpackBinaryHeader());
-        if (Snapshot.checksum(bytes) != sum) {
+        if (SnapshotCodec.checksum(bytes) != sum) {
           return changes;
         }
-        changes.add(one(bytes));
+        changes.add(decodeOne(bytes));
       }
     } catch (IOException | RuntimeException | MalformedMessageException e) {
-      // What follows was not written whole.
+      // The rest was not written whole.
       return changes;
     }
     return changes;
   }
 
-  private static ChangeRecord one(byte[] bytes) throws MalformedMessageException {
+  private static ChangeRecord decodeOne(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       String key = in.unpackString();
       long version = in.unpackLong();
--- a/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
@@ -19,15 +19,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Snapshots in a directory, written beside the event thread, one call after the other. A disk that
+ * Snapshots in a directory, written in the background, one operation after the other. A disk that
  * is full or gone costs a log line and a count, and never what the controller serves.
  */
 public final class SnapshotDirectory implements SnapshotStore {
   private static final Logger log = LoggerFactory.getLogger(SnapshotDirectory.class);
 
-  /** Calls that wait; beyond, a disk that hangs would take the memory. */
+  /** Operations that wait; beyond, a disk that hangs would use up the memory. */
   private static final int MAX_QUEUED_OPERATIONS = 256;
 
+  /** A change of files; runs in the background. */
   private interface FileOperation {
     void run() throws IOException;
   }
@@ -36,9 +37,13 @@
   private final BackgroundExecutor backgroundExecutor;
   private final Deque<FileOperation> queue = new ArrayDeque<>();
   private boolean operationRunning;
+
+  /** The last operation failed; the next failure is not logged. */
   private boolean failing;
+
   private long failures;
 
+  /** Snapshots in that directory, which is created when they are loaded. */
   public SnapshotDirectory(Path directory, BackgroundExecutor backgroundExecutor) {
     this.directory = directory;
     this.backgroundExecutor = backgroundExecutor;
@@ -64,7 +69,7 @@
               found.put(file.getFileName().toString(), Files.readAllBytes(file));
             }
           } catch (IOException e) {
-            log.warn("the snapshots in {} cannot be read: {}", directory, e.toString());
+            log.warn("Snapshots cannot be read: directory={} error={}", directory, e.toString());
           }
           return found;
         },
@@ -102,9 +107,9 @@
   }
 
   private static void write(FileChannel out, byte[] bytes) throws IOException {
-    ByteBuffer left = ByteBuffer.wrap(bytes);
-    while (left.hasRemaining()) {
-      out.write(left);
+    ByteBuffer remaining = ByteBuffer.wrap(bytes);
+    while (remaining.hasRemaining()) {
+      out.write(remaining);
     }
   }
 
@@ -148,11 +153,11 @@
         });
   }
 
-  private void recordFailure(String why) {
+  private void recordFailure(String error) {
     failures++;
     if (!failing) {
       failing = true;
-      log.warn("snapshots cannot be written to {}: {}", directory, why);
+      log.warn("Snapshots cannot be written: directory={} error={}", directory, error);
     }
   }
 }
--- a/src/main/java/io/pineladder/snapshot/SnapshotManager.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotManager.java
@@ -6,20 +6,19 @@
 import java.io.ByteArrayOutputStream;
 import java.time.Duration;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller's snapshots: one now and then, and between them each change as it is seen stored, so
- * that what is read back lacks the last moments only.
+ * A controller's snapshots of its replica: one at an interval, and between them each change as it
+ * is seen stored, so that what is loaded lacks the last moments only.
+ *
+ * <p>Used on the event loop only; encoding runs in the background.
  */
 public final class SnapshotManager {
   private static final Logger log = LoggerFactory.getLogger(SnapshotManager.class);
@@ -27,46 +26,54 @@
   /** Between two snapshots, when something has changed. */
   private static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(30);
 
-  /** Changes gather so long before they are written. */
+  /** Changes are collected so long before they are written. */
   private static final Duration CHANGE_FLUSH_DELAY = Duration.ofMillis(20);
 
-  /** Snapshots kept, with the changes that follow each. */
+  /** Snapshots retained, with the changes that follow each. */
   private static final int MAX_SNAPSHOTS = 3;
 
-  /** Changes in bytes after which a snapshot is made sooner. */
+  /** Bytes of changes after which a snapshot is made before the interval has passed. */
   private static final long MAX_CHANGE_BYTES = 16L << 20;
 
-  private static final Pattern FILE_NAME =
-      Pattern.compile("(snapshot|changes)-([0-9]{19})-([0-9]{19})");
-
-  /** What was read back: a snapshot, and the changes after it in their order. */
+  /** A snapshot that was loaded, and the changes after it in their order. */
   public record LoadedSnapshot(Snapshot snapshot, List<ChangeRecord> changes) {}
 
+  /** Whether a snapshot is being encoded. */
+  private enum EncodingState {
+    /** None is. */
+    IDLE,
+    /** One is, in the background. */
+    ENCODING,
+    /** One is, of a replica that has been replaced since: another one has to follow. */
+    OUTDATED
+  }
+
   private final SnapshotStore snapshotStore;
   private final BackgroundExecutor backgroundExecutor;
   private final EventLoop eventLoop;
   private final String cluster;
   private final Supplier<Snapshot> source;
-  private final TreeSet<String> fileNames = new TreeSet<>(BY_AGE);
+
+  /** The files in the store, the oldest first. */
+  private final TreeSet<String> fileNames = new TreeSet<>(SnapshotFileNames.BY_AGE);
+
+  private EncodingState encodingState = EncodingState.IDLE;
+
+  /** The file to which changes are appended; null while no snapshot precedes them. */
   private String changeFile;
+
+  /** Bytes of changes since the last snapshot. */
   private long changeBytes;
+
   private ByteArrayOutputStream bufferedChanges = new ByteArrayOutputStream();
   private boolean flushScheduled;
-  private boolean encoding;
-
-  /** The copy has changed while a snapshot of the one before was made. */
-  private boolean snapshotOutdated;
-
   private boolean stopped;
 
-  private static final Comparator<String> BY_AGE =
-      Comparator.comparing((String name) -> name.substring(name.indexOf('-')))
-          .thenComparing(Comparator.reverseOrder());
-
   /**
    * Snapshots of one controller.
    *
-   * @param source makes a snapshot; null while there is nothing whole to make one of
+   * @param cluster the name of the cluster, which a snapshot must have to be loaded
+   * @param source makes a snapshot; null while the replica is not complete
    */
   public SnapshotManager(
       SnapshotStore snapshotStore,
@@ -81,28 +88,31 @@
     this.source = source;
   }
 
+  /** Begins to make snapshots. */
   public void start() {
     eventLoop.schedule(SNAPSHOT_INTERVAL, this::tick);
   }
 
+  /** Makes no snapshots and writes no changes any more. */
   public void stop() {
     stopped = true;
   }
 
-  /** How many snapshots are on the shelf. */
+  /** The number of snapshots in the store. */
   public int snapshotCount() {
-    return (int) fileNames.stream().filter(n -> n.startsWith("snapshot")).count();
+    return (int) fileNames.stream().filter(SnapshotFileNames::isSnapshot).count();
   }
 
+  /** Writes that have failed since the start. */
   public long failures() {
     return snapshotStore.failures();
   }
 
-  private static String fileName(String kind, Snapshot of) {
-    return String.format("%s-%019d-%019d", kind, of.generationBase(), of.revision());
-  }
-
-  /** A record has changed in the store, as this controller sees it. */
+  /**
+   * A record has changed in the store, as this controller sees it.
+   *
+   * @param json supplies the new value, or null for a deleted key; called at once or not at all
+   */
   public void recordChange(String key, long version, Supplier<byte[]> json) {
     if (changeFile == null || stopped) {
       return;
@@ -114,7 +124,7 @@
       flushScheduled = true;
       eventLoop.schedule(CHANGE_FLUSH_DELAY, this::flush);
     }
-    if (changeBytes > MAX_CHANGE_BYTES && !encoding) {
+    if (changeBytes > MAX_CHANGE_BYTES && encodingState == EncodingState.IDLE) {
       createSnapshot();
     }
   }
@@ -131,19 +141,19 @@
     if (stopped) {
       return;
     }
-    if (!encoding && (changeFile == null || changeBytes > 0)) {
+    if (encodingState == EncodingState.IDLE && (changeFile == null || changeBytes > 0)) {
       createSnapshot();
     }
     eventLoop.schedule(SNAPSHOT_INTERVAL, this::tick);
   }
 
-  /** The copy is another one from here on, so a new snapshot is made of it. */
+  /** The replica was replaced by another one, of which a snapshot is made. */
   public void onReplicaReplaced() {
-    // Changes of the new copy must not follow a snapshot of the one before.
+    // Changes of the new replica must not follow a snapshot of the one before.
     flush();
     changeFile = null;
-    if (encoding) {
-      snapshotOutdated = true;
+    if (encodingState != EncodingState.IDLE) {
+      transitionTo(EncodingState.OUTDATED);
     } else if (!stopped) {
       createSnapshot();
     }
@@ -156,71 +166,78 @@
     }
     flush();
     // From here on changes follow this snapshot; if it is never whole they follow the one before.
-    changeFile = fileName("changes", snapshot);
+    changeFile = SnapshotFileNames.ofChanges(snapshot);
     changeBytes = 0;
-    encoding = true;
-    backgroundExecutor.run(
-        snapshot::encode,
-        bytes -> {
-          encoding = false;
-          String name = fileName("snapshot", snapshot);
-          snapshotStore.replace(name, bytes);
-          fileNames.add(name);
-          fileNames.add(fileName("changes", snapshot));
-          removeExpired();
-          if (snapshotOutdated && !stopped) {
-            snapshotOutdated = false;
-            createSnapshot();
-          }
-        });
+    transitionTo(EncodingState.ENCODING);
+    backgroundExecutor.run(snapshot::encode, bytes -> onEncoded(snapshot, bytes));
+  }
+
+  private void onEncoded(Snapshot snapshot, byte[] bytes) {
+    boolean outdated = encodingState == EncodingState.OUTDATED;
+    transitionTo(EncodingState.IDLE);
+    String name = SnapshotFileNames.ofSnapshot(snapshot);
+    snapshotStore.replace(name, bytes);
+    fileNames.add(name);
+    fileNames.add(SnapshotFileNames.ofChanges(snapshot));
+    removeExpired();
+    if (outdated && !stopped) {
+      createSnapshot();
+    }
+  }
+
+  private void transitionTo(EncodingState next) {
+    encodingState = next;
   }
 
   private void removeExpired() {
     // A snapshot comes before the changes that follow it.
     while (snapshotCount() > MAX_SNAPSHOTS
-        || !fileNames.isEmpty() && fileNames.first().startsWith("changes")) {
+        || !fileNames.isEmpty() && SnapshotFileNames.isChanges(fileNames.first())) {
       snapshotStore.remove(fileNames.pollFirst());
     }
   }
 
   /**
-   * Reads the newest snapshot that is whole and of this cluster, with all changes since.
+   * Loads the newest snapshot that is whole and of this cluster, with all changes since.
    *
-   * @param onFound told null when there is none
+   * @param onLoaded receives null when there is none
    */
-  public void load(Consumer<LoadedSnapshot> onFound) {
-    snapshotStore.loadAll(files -> onFound.accept(newestValid(files)));
+  public void load(Consumer<LoadedSnapshot> onLoaded) {
+    snapshotStore.loadAll(files -> onLoaded.accept(newestValid(files)));
   }
 
   private LoadedSnapshot newestValid(Map<String, byte[]> files) {
     for (String name : files.keySet()) {
-      Matcher of = FILE_NAME.matcher(name);
-      if (of.matches()) {
+      if (SnapshotFileNames.isValid(name)) {
         fileNames.add(name);
       }
     }
     for (String name : fileNames.descendingSet()) {
-      if (!name.startsWith("snapshot")) {
+      if (!SnapshotFileNames.isSnapshot(name)) {
         continue;
       }
       try {
         Snapshot snapshot = Snapshot.decode(files.get(name));
         snapshot.requireCluster(cluster);
-        List<ChangeRecord> since = new ArrayList<>();
-        String first = fileName("changes", snapshot);
-        for (String each : fileNames.tailSet(first, true)) {
-          // Changes of another generation do not follow from this snapshot.
-          boolean same = each.startsWith(first.substring(0, first.lastIndexOf('-')));
-          if (each.startsWith("changes") && same) {
-            since.addAll(ChangeRecord.decode(files.get(each)));
-          }
-        }
-        log.info("{} is read, with {} changes since", name, since.size());
-        return new LoadedSnapshot(snapshot, since);
+        List<ChangeRecord> changes = changesSince(snapshot, files);
+        log.info("Snapshot loaded: file={} changes={}", name, changes.size());
+        return new LoadedSnapshot(snapshot, changes);
       } catch (MalformedMessageException e) {
-        log.warn("{} is left out: {}", name, e.getMessage());
+        log.warn("Snapshot ignored: file={} error={}", name, e.getMessage());
       }
     }
     return null;
   }
+
+  private List<ChangeRecord> changesSince(Snapshot snapshot, Map<String, byte[]> files) {
+    List<ChangeRecord> changes = new ArrayList<>();
+    String first = SnapshotFileNames.ofChanges(snapshot);
+    for (String name : fileNames.tailSet(first, true)) {
+      // Changes of another generation do not follow from this snapshot.
+      if (SnapshotFileNames.isSameKindAndGeneration(name, first)) {
+        changes.addAll(ChangeRecord.decode(files.get(name)));
+      }
+    }
+    return changes;
+  }
 }
