--- a/src/main/java/io/pineladder/membership/FailureDetector.java
+++ b/src/main/java/io/pineladder/membership/FailureDetector.java
@@ -103,6 +103,7 @@
           classifyUnresponsive(peer, now);
         }
       }
+      default -> throw new AssertionError(peer.state());
     }
   }
 
--- a/src/main/java/io/pineladder/store/JobPageEdit.java
+++ b/src/main/java/io/pineladder/store/JobPageEdit.java
@@ -135,6 +135,7 @@
       }
       case ADD_NOTIFICATION -> notification = pages.notificationLog().allocate(job);
       case REMOVE, REWRITE -> {}
+      default -> throw new AssertionError(kind);
     }
   }
 
@@ -155,6 +156,7 @@
         }
       }
       case REWRITE -> {}
+      default -> throw new AssertionError(kind);
     }
   }
 
