--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -28,7 +28,7 @@
  * contact is that.
  *
  * <p>No safety rule rests on this. The lease decides who leads, and proofs from workers where tasks
- * are; membership decides which peer is asked first. Used on the event loop only.
+ * are; membership decides which peer is asked first. Event thread only.
  */
 public final class Membership {
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
@@ -159,7 +159,7 @@
 
   // ---- heartbeats
 
-  /** Sends heartbeats out of turn, for something that must not wait for the next. */
+  /** Sends heartbeats at once, for something that must not wait for the interval. */
   public void sendHeartbeatsNow() {
     byte[] heartbeat = GossipWire.write(nextHeartbeat());
     for (Peer peer : peers.values()) {
--- a/src/main/java/io/pineladder/snapshot/Snapshot.java
+++ b/src/main/java/io/pineladder/snapshot/Snapshot.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * All records as of one revision. Immutable, so that it can be encoded beside the event loop.
+ * All records as of one revision. Immutable, so that it can be encoded in the background.
  *
  * @param cluster whose records these are
  * @param generationBase the generation, as its base
--- a/src/main/java/io/pineladder/snapshot/SnapshotFileNames.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotFileNames.java
@@ -4,7 +4,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Names of the files of snapshots and of the changes that follow them, which tell the generation's
+ * Names of the files of snapshots and of the changes that follow them, which state the generation's
  * base and the revision of the snapshot.
  */
 final class SnapshotFileNames {
--- a/src/main/java/io/pineladder/snapshot/SnapshotManager.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotManager.java
@@ -18,7 +18,7 @@
  * A controller's snapshots of its replica: one at an interval, and between them each change as it
  * is seen stored, so that what is loaded lacks the last moments only.
  *
- * <p>Used on the event loop only; encoding runs in the background.
+ * <p>Event thread only; encoding runs in the background.
  */
 public final class SnapshotManager {
   private static final Logger log = LoggerFactory.getLogger(SnapshotManager.class);
@@ -93,7 +93,7 @@
     eventLoop.schedule(SNAPSHOT_INTERVAL, this::tick);
   }
 
-  /** Makes no snapshots and writes no changes any more. */
+  /** Makes no snapshots and takes no changes any more; buffered changes are still written. */
   public void stop() {
     stopped = true;
   }
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -25,7 +25,7 @@
  * one that got no reply can be sent again unchanged: if the first copy was executed the second
  * fails, and whichever of the two comes late fails as well.
  *
- * <p>Used on the event loop only.
+ * <p>Event thread only.
  */
 public final class Committer {
   private static final Logger log = LoggerFactory.getLogger(Committer.class);
--- a/src/main/java/io/pineladder/store/JobPageEdit.java
+++ b/src/main/java/io/pineladder/store/JobPageEdit.java
@@ -9,7 +9,7 @@
 
 /**
  * A change of one entry of a page of jobs, made in the same transaction as a mutation's other
- * writes. It may be put into several transactions in turn, until one has committed.
+ * writes. It is put into one transaction after another until one has committed.
  */
 final class JobPageEdit {
   /** What changes. */
--- a/src/main/java/io/pineladder/store/JobRecords.java
+++ b/src/main/java/io/pineladder/store/JobRecords.java
@@ -122,7 +122,7 @@
               onStored,
               null));
     } else {
-      // The final state has its own key at once: nodes without a leader look for it there.
+      // The final state has its own key at once: nodes without a leader read it there.
       storePagedFinalState(
           job,
           () -> prepend(pages.replaceRecord(job, () -> encode(job)), notificationEdits(job, false)),
@@ -186,7 +186,7 @@
   /**
    * Stores the final state of a job in a page, and sees to it that no unpaged record is left: a
    * node that reached the store and not this leader may have stored the job again, and the copy
-   * would bring it back to life. Once the final state is there nobody creates another.
+   * would bring it back to life. Once the final state is stored no node creates another.
    */
   private void storePagedFinalState(Job job, Supplier<List<JobPageEdit>> edits, Runnable onStored) {
     boolean hasUnpagedRecord = jobsWithUnpagedRecord.contains(job);
--- a/src/main/java/io/pineladder/store/RecordPages.java
+++ b/src/main/java/io/pineladder/store/RecordPages.java
@@ -86,7 +86,7 @@
   /** Pages in the order in which they are filled, the one written last at the end. */
   private final ArrayDeque<Page<T>> pages = new ArrayDeque<>();
 
-  /** The page that is known to be stored with an entry; it keeps its copy until another is. */
+  /** The page that is known to be stored with an entry; its copy remains until another is. */
   private final Map<T, Page<T>> storedPage = new HashMap<>();
 
   /** The page that is about to be stored with an entry's newest content. */
--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -24,8 +24,8 @@
  * completions and cached images, packed into pages which only leaders write. What was read at the
  * start of the term is taken over by the {@code restore} methods before anything is stored.
  *
- * <p>Used on the event loop only. Nothing is stored when a method returns; {@link Listener} and the
- * callbacks report what is.
+ * <p>Event thread only. Nothing is stored when a method returns; {@link Listener} and the callbacks
+ * report what is.
  */
 public final class Records {
   /** Images stored of a machine, the most recently used ones. */
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -30,7 +30,7 @@
  * whose revision is below one that was known when the request was sent show that the store has lost
  * data: they are reported and not used.
  *
- * <p>Used on the event loop only.
+ * <p>Event thread only.
  */
 public final class StoreClient {
   private static final Logger log = LoggerFactory.getLogger(StoreClient.class);
@@ -177,9 +177,9 @@
   }
 
   /**
-   * Changes something for a user, at once or not at all: a user is told to come back rather than
-   * kept waiting, and users' requests never wait before this node's own. Reads have a budget of
-   * their own: many clients poll, and a submission must not wait for them.
+   * Changes something for a user, at once or not at all: a user is refused rather than kept
+   * waiting, and users' requests never wait before this node's own. Reads have a budget of their
+   * own: many clients poll, and a submission must not wait for them.
    *
    * @param changes puts and deletes in the request
    */
