--- a/src/main/java/io/pineladder/net/AsyncHttpHandler.java
+++ b/src/main/java/io/pineladder/net/AsyncHttpHandler.java
@@ -2,8 +2,14 @@
 
 import java.util.function.Consumer;
 
-/** Answers requests, at once or later, always on the event thread. */
+/** Handles requests without blocking, on the event thread. */
 @FunctionalInterface
 public interface AsyncHttpHandler {
+  /**
+   * Handles a request.
+   *
+   * @param path with the query, if there is one
+   * @param answer takes the response exactly once, on the event thread, at once or later
+   */
   void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer);
 }
--- a/src/main/java/io/pineladder/net/CancellableConnector.java
+++ b/src/main/java/io/pineladder/net/CancellableConnector.java
@@ -19,10 +19,10 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * Makes connections that can be given up. Undertow's client keeps to itself the connection that it
- * is making, and the system goes on trying for minutes: to machines that are cut off that used up
- * all sockets of the process. So the client is given this stand-in for the I/O thread, which does
- * what the real one does and takes hold of what is made.
+ * Opens connections that can be cancelled. Undertow's client does not expose a connection attempt
+ * that is under way, and the operating system retries for minutes: attempts to machines that are
+ * cut off used up all sockets of the process. So the client gets this decorator of the I/O thread,
+ * which records the future of each attempt. Event thread only.
  */
 final class CancellableConnector extends XnioIoThread {
   private final XnioIoThread delegate;
@@ -33,7 +33,7 @@
     this.delegate = delegate;
   }
 
-  /** Begins a connection; cancelling the future closes it, until it has been handed over. */
+  /** Opens a connection; cancelling the future closes it until {@code onConnected} is called. */
   IoFuture<StreamConnection> connect(
       URI address, ByteBufferPool buffers, ClientCallback<ClientConnection> onConnected) {
     pendingConnection = null;
@@ -42,10 +42,10 @@
   }
 
   /**
-   * Begins a connection with TLS, as {@link #connect}.
+   * Opens a TLS connection, as {@link #connect}.
    *
-   * @param address with the address to connect to, so that nothing is looked up
-   * @param host whom the other side's certificate must name
+   * @param address with a literal IP address, so that no name is looked up
+   * @param host name that the certificate of the other side must contain
    */
   IoFuture<StreamConnection> connect(
       URI address,
@@ -85,7 +85,7 @@
     return pendingConnection;
   }
 
-  /** The connection that a future holds which has succeeded. */
+  /** The connection of a future that has succeeded. */
   static StreamConnection completedConnection(IoFuture<StreamConnection> connecting) {
     try {
       return connecting.get();
--- a/src/main/java/io/pineladder/net/ConnectionLimiter.java
+++ b/src/main/java/io/pineladder/net/ConnectionLimiter.java
@@ -12,41 +12,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owner of the process's sockets. A process at its limit refuses whoever comes next, be it a probe,
- * a user or the state service, so each part of the traffic has a share that is kept for it and a
- * most that it may take; what nobody has a share of goes to whoever comes first. So the sockets in
- * use and those kept never exceed the limit, and no part can take another's.
+ * Limits the sockets of the process. A process at its limit would refuse any further connection, be
+ * it a probe, a user or the state service. So each traffic class has a number of sockets reserved
+ * for it and a maximum; the rest is available on a first come, first served basis. Invariant: the
+ * open sockets and the unused reserved ones together never exceed the limit.
  *
- * <p>A part at its bound closes the longest idle of its own sockets if that one is stale, which
- * means that its peer has most likely gone without a word. If none is, an accepted connection gets
- * its answer and is closed, and a call waits for one of its part's to end.
+ * <p>A class at its maximum closes the longest idle of its own sockets if that one is stale, which
+ * means that its peer has most likely disappeared without closing it. If none is stale, an accepted
+ * connection gets one response and is closed, and an outgoing call waits for a socket of its class.
+ * Event thread only.
  */
 public final class ConnectionLimiter {
   private static final Logger log = LoggerFactory.getLogger(ConnectionLimiter.class);
 
-  /** Sockets of the runtime's own: listeners, selectors, standard streams. */
+  /** File descriptors of the runtime: listeners, selectors, standard streams. */
   private static final int RUNTIME_SOCKETS = 16;
 
-  /** What a socket is for. */
+  /** What a socket is used for; the administration API shows these names. */
   public enum TrafficClass {
-    /** Accepted, and it does not show yet who it is. */
+    /** Accepted connections without a request yet. */
     ARRIVING(0.06, 0.2, Duration.ofSeconds(5)),
+    /** Users' requests. */
     USERS(0.12, 0.4, Duration.ofSeconds(20)),
-    /** Workers' reports. */
+    /** Workers' heartbeats. */
     REPORTS(0.2, 0.75, null),
     /** To and from other controllers, and administrators. */
     PEERS(0.06, 0.15, Duration.ofSeconds(30)),
     /** To the state service and the cloud. */
     SERVICES(0.04, 0.12, Duration.ofSeconds(20)),
-    /** Commands straight to workers. */
+    /** Commands to workers. */
     ORDERS(0.08, 0.15, Duration.ofSeconds(20)),
-    /** To subscribers, who come after everybody else: nothing is kept for them. */
+    /** To subscribers; the lowest priority, so no socket is reserved for them. */
     NOTICES(0, 0.03, Duration.ofSeconds(20));
 
     private final double reservedRatio;
     private final double maxRatio;
 
-    /** An idle socket is stale after that; null: after two reports. */
+    /** An idle socket is stale after this; null: after two heartbeat intervals. */
     private final Duration staleAfter;
 
     TrafficClass(double reservedRatio, double maxRatio, Duration staleAfter) {
@@ -56,9 +58,18 @@
     }
   }
 
-  /** How a part stands. */
+  /**
+   * Sockets of one traffic class.
+   *
+   * @param open open now
+   * @param idle open without a request under way
+   * @param peak the most that were open at once
+   * @param maxOpen the maximum
+   * @param refused how many could not be opened or reclassified
+   */
   public record Usage(int open, int idle, int peak, int maxOpen, long refused) {}
 
+  /** The bounds and counts of one traffic class. */
   private static final class SocketQuota {
     final int reserved;
     final int maxOpen;
@@ -81,10 +92,10 @@
   private final Map<TrafficClass, SocketQuota> quotas = new EnumMap<>(TrafficClass.class);
 
   /**
-   * The sockets of one process.
+   * Creates the limiter of a process.
    *
-   * @param limit how many it may have, at least 64
-   * @param report how often a worker reports; one silent for two reports has gone
+   * @param maxSockets how many sockets the process may have, at least 64
+   * @param heartbeatInterval of the workers; after two of them an idle worker connection is stale
    */
   public ConnectionLimiter(int maxSockets, Duration heartbeatInterval, EventLoop eventLoop) {
     this.eventLoop = eventLoop;
@@ -106,7 +117,7 @@
     }
   }
 
-  /** One socket, from before it is opened until after it is closed. */
+  /** One socket, counted from before it is opened until it is closed. */
   public final class Socket {
     private final Runnable close;
     private TrafficClass trafficClass;
@@ -117,11 +128,16 @@
       this.close = close;
     }
 
+    /** The class that the socket counts for now. */
     public TrafficClass trafficClass() {
       return trafficClass;
     }
 
-    /** It shows what the socket is for; false when that part has no room, and it stays as it is. */
+    /**
+     * Counts the socket for another class, once its use is known.
+     *
+     * @return false when that class has no capacity; the socket then keeps its class
+     */
     public boolean reclassify(TrafficClass next) {
       if (next == trafficClass || !open) {
         return true;
@@ -136,12 +152,12 @@
       return true;
     }
 
-    /** Something is under way on it. */
+    /** A request is under way on the socket. */
     public void markBusy() {
       quotas.get(trafficClass).idleSince.remove(this);
     }
 
-    /** Nothing is under way on it. */
+    /** No request is under way on the socket. */
     public void markIdle() {
       if (open) {
         SocketQuota quota = quotas.get(trafficClass);
@@ -150,7 +166,7 @@
       }
     }
 
-    /** It is closed; told once or more. */
+    /** The socket is closed; further calls have no effect. */
     public void markClosed() {
       if (open) {
         open = false;
@@ -161,9 +177,10 @@
   }
 
   /**
-   * A socket about to be opened, or null when its part has no room for it.
+   * Reserves a socket that is about to be opened.
    *
-   * @param close closes it; {@link Socket#markClosed} is to be told as a consequence, or here
+   * @param close closes the socket; may call {@link Socket#markClosed}
+   * @return null when the class has no capacity
    */
   public Socket tryOpen(TrafficClass trafficClass, Runnable close) {
     if (!ensureCapacity(trafficClass)) {
@@ -173,7 +190,7 @@
     return new Socket(trafficClass, close);
   }
 
-  /** Whether the part may have one more, if need be in place of a stale one. */
+  /** Whether the class may have one more socket; closes a stale one if necessary. */
   private boolean ensureCapacity(TrafficClass trafficClass) {
     SocketQuota quota = quotas.get(trafficClass);
     if (hasCapacity(quota) || (closeLongestIdleIfStale(trafficClass) && hasCapacity(quota))) {
@@ -182,7 +199,7 @@
     quota.refused++;
     if (!quota.atLimit) {
       quota.atLimit = true;
-      log.warn("sockets of {} are at their bound: {}", trafficClass, describe());
+      log.warn("Socket limit reached: trafficClass={} open={}", trafficClass, describe());
     }
     return false;
   }
@@ -201,7 +218,7 @@
     return committed < maxSockets;
   }
 
-  /** Closes the part's longest idle socket if it is stale; tells whether it was. */
+  /** Closes the longest idle socket of the class if it is stale; returns whether it was. */
   private boolean closeLongestIdleIfStale(TrafficClass trafficClass) {
     SocketQuota quota = quotas.get(trafficClass);
     Iterator<Map.Entry<Socket, Instant>> idle = quota.idleSince.entrySet().iterator();
@@ -218,11 +235,11 @@
     return true;
   }
 
-  /** Closes what its peer has most likely left without a word, so that it adds up to nothing. */
+  /** Closes all stale sockets; called at a regular interval, so that they do not accumulate. */
   public void closeStaleSockets() {
     for (TrafficClass trafficClass : TrafficClass.values()) {
       while (closeLongestIdleIfStale(trafficClass)) {
-        // The next longest idle one may be stale as well.
+        // The next one may be stale as well.
       }
     }
   }
@@ -231,14 +248,14 @@
     SocketQuota quota = quotas.get(trafficClass);
     quota.open += delta;
     quota.peakOpen = Math.max(quota.peakOpen, quota.open);
-    // Not at once again at each that comes and goes.
+    // Hysteresis: a single socket that closes and opens does not log both lines each time.
     if (quota.atLimit && quota.open * 10 < quota.maxOpen * 9 && hasCapacity(quota)) {
       quota.atLimit = false;
-      log.info("sockets of {} are below their bound again: {}", trafficClass, describe());
+      log.info("Socket limit no longer reached: trafficClass={} open={}", trafficClass, describe());
     }
   }
 
-  /** How each part stands. */
+  /** The present usage of each class. */
   public Map<TrafficClass, Usage> usage() {
     Map<TrafficClass, Usage> usage = new EnumMap<>(TrafficClass.class);
     quotas.forEach(
--- a/src/main/java/io/pineladder/net/EventLoop.java
+++ b/src/main/java/io/pineladder/net/EventLoop.java
@@ -4,17 +4,17 @@
 import java.time.Instant;
 import java.util.random.RandomGenerator;
 
-/** The clocks, timers and chance that the rest of the program sees; simulated in the tests. */
+/** Clocks, timers and random numbers for the rest of the program; simulated in the tests. */
 public interface EventLoop {
-  /** The steady clock. Its origin means nothing; differences do. */
+  /** The monotonic clock. Its origin is arbitrary; only differences are meaningful. */
   Instant now();
 
-  /** The time of day, which may jump within the bound that the settings give. */
+  /** The time of day, which may jump when the system clock is adjusted. */
   Instant wallClock();
 
-  /** Chance, for pauses that are not to coincide; seeded in the tests. */
+  /** Random numbers, for delays that must not coincide; seeded in the tests. */
   RandomGenerator random();
 
-  /** Runs {@code action} on the one event thread after {@code delay}. */
+  /** Runs {@code action} on the event thread after {@code delay}. */
   void schedule(Duration delay, Runnable action);
 }
--- a/src/main/java/io/pineladder/net/HttpExchange.java
+++ b/src/main/java/io/pineladder/net/HttpExchange.java
@@ -12,13 +12,14 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One request and its answer on one connection, on the event thread. */
+/** One request and its response on one connection. Event thread only. */
 final class HttpExchange {
-  /** Told of the end, once. */
+  /** Gets the end of the exchange; exactly one method is called, once. */
   interface Listener {
+    /** The whole response has arrived. */
     void onResponse(ClientResponse response, byte[] body);
 
-    /** Whether the request was executed is not known. */
+    /** The exchange failed; whether the request was executed is not known. */
     void onFailure(String reason);
   }
 
@@ -35,7 +36,7 @@
    * Sends a request.
    *
    * @param body may be null
-   * @param mostAnswer an answer of more bytes is a failure
+   * @param maxResponseBytes a response with a longer body is a failure
    */
   static void send(
       ClientConnection connection,
@@ -47,8 +48,8 @@
     try {
       connection.sendRequest(request, exchange.requestCallback(body));
     } catch (RuntimeException e) {
-      // The client throws when its peer has closed the connection just now. Whether any of the
-      // request left is not known; ending the process for it would cost far more than a retry.
+      // The client throws when the peer has just closed the connection. Whether any of the request
+      // was sent is not known; ending the process for it would cost far more than a retry.
       exchange.fail("the connection was closed");
     }
   }
@@ -147,7 +148,7 @@
     source.resumeReads();
   }
 
-  /** Reads what is there; true once the exchange is over. */
+  /** Reads the available bytes; true once the exchange has ended. */
   private boolean readAvailable(
       StreamSourceChannel source, ByteArrayOutputStream into, ClientResponse response) {
     ByteBuffer buffer = ByteBuffer.allocate(8 * 1024);
--- a/src/main/java/io/pineladder/net/HttpResponses.java
+++ b/src/main/java/io/pineladder/net/HttpResponses.java
@@ -4,30 +4,38 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** The usual answers. */
+/** Common responses. */
 public final class HttpResponses {
   private HttpResponses() {}
 
+  /** Status 200 with a body. */
   public static HttpResponse ok(byte[] body) {
     return new HttpResponse(200, body);
   }
 
+  /** An error status with a reason for the user. */
   public static HttpResponse error(int status, String reason) {
     return new HttpResponse(status, JobWire.error(reason));
   }
 
-  /** What cannot be taken or decided now. */
+  /** Status 503: the request cannot be decided now and may be retried after a second. */
   public static HttpResponse unavailable(String reason) {
     return new HttpResponse(503, JobWire.error(reason), 1);
   }
 
-  /** An answer is given in time, as "later" if need be; what comes after that is dropped. */
+  /**
+   * Limits how long a request waits: after {@code timeout} it is answered with {@link
+   * #unavailable}, and a response that arrives later is dropped.
+   */
   public static Consumer<HttpResponse> withTimeout(
       EventLoop eventLoop, Consumer<HttpResponse> answer, Duration timeout) {
     return withTimeout(eventLoop, answer, timeout, unavailable("not certain yet"));
   }
 
-  /** An answer is given in time, {@code late} if need be; what comes after that is dropped. */
+  /**
+   * Limits how long a request waits: after {@code timeout} it is answered with {@code onTimeout},
+   * and a response that arrives later is dropped.
+   */
   public static Consumer<HttpResponse> withTimeout(
       EventLoop eventLoop,
       Consumer<HttpResponse> answer,
--- a/src/main/java/io/pineladder/net/OutboundHttpClient.java
+++ b/src/main/java/io/pineladder/net/OutboundHttpClient.java
@@ -35,12 +35,13 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * Posts to receivers outside the cluster. A name is looked up for each connection, the address
- * found is checked, and that very address is connected to, so that a name which changes in between
- * does not lead past the check. Redirects are answers like any other and are not followed.
+ * Sends POST requests to receivers outside the cluster. The host name is looked up for each
+ * connection, the address is checked, and the connection is opened to that same address, so that a
+ * name that changes in between cannot bypass the check. Redirects are not followed. Event thread
+ * only, apart from the name lookups.
  */
 public final class OutboundHttpClient implements OutboundClient {
-  /** A receiver's answer is a few words; the rest is not wanted in memory. */
+  /** Receivers respond with a few words; a longer response is a failure, to save memory. */
   private static final int MAX_RESPONSE_BYTES = 4 * 1024;
 
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(15);
@@ -51,7 +52,7 @@
   private final CancellableConnector connector;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024);
 
-  /** Looking up a name blocks; a name server that is slow for one must not delay the others. */
+  /** Name lookups block; one that is slow must not delay the others, so each has a thread. */
   private final ExecutorService lookupExecutor =
       Executors.newCachedThreadPool(
           task -> {
@@ -60,7 +61,7 @@
             return thread;
           });
 
-  /** A connection for each origin, the longest idle first. */
+  /** At most one idle connection for each origin, the longest idle first. */
   private final Map<String, IdleConnection> idleByOrigin = new LinkedHashMap<>();
 
   private XnioSsl ssl;
@@ -74,15 +75,15 @@
   private record IdleConnection(OpenConnection open, Instant since) {}
 
   /**
-   * A caller on the runtime's thread.
+   * Creates a client that trusts the certificate authorities of the Java runtime.
    *
-   * @param allowed whether an address may be connected to
+   * @param addressAllowed whether a connection to an address is allowed
    */
   public OutboundHttpClient(XnioEventLoop eventLoop, Predicate<InetAddress> addressAllowed) {
     this(eventLoop, addressAllowed, null);
   }
 
-  /** A caller that trusts what {@code context} does; null for what the Java runtime does. */
+  /** Creates a client with a TLS context; null for that of the Java runtime. */
   OutboundHttpClient(
       XnioEventLoop eventLoop, Predicate<InetAddress> addressAllowed, SSLContext sslContext) {
     this.eventLoop = eventLoop;
@@ -107,7 +108,7 @@
     return ssl;
   }
 
-  /** What connections of one kind have in common. */
+  /** Scheme, host and port, which requests on one connection have in common. */
   private static String origin(URI url) {
     return url.getScheme() + "://" + url.getRawAuthority();
   }
@@ -117,7 +118,7 @@
     if (idleConnection == null) {
       return null;
     }
-    // What was allowed when it was made need not be now.
+    // The address may no longer be allowed.
     if (idleConnection.open.connection.isOpen()
         && idleConnection.since.plus(IDLE_TIMEOUT).isAfter(eventLoop.now())
         && addressAllowed.test(idleConnection.open.address)) {
@@ -140,7 +141,7 @@
     }
   }
 
-  /** Makes room for a connection that is needed; false when none is idle. */
+  /** Closes the longest idle connection for another one; false when none is idle. */
   private boolean closeLongestIdle() {
     Iterator<IdleConnection> oldestFirst = idleByOrigin.values().iterator();
     if (!oldestFirst.hasNext()) {
@@ -236,7 +237,7 @@
       URI url = message.url();
       String literal = allowedAddress.getHostAddress();
       if (allowedAddress instanceof Inet6Address) {
-        // A scope has no place in a URL; addresses that need one are link-local.
+        // A URL cannot contain a scope; addresses that need one are link-local.
         int scope = literal.indexOf('%');
         literal = "[" + (scope < 0 ? literal : literal.substring(0, scope)) + "]";
       }
@@ -277,7 +278,7 @@
       };
     }
 
-    /** Called by the socket's owner when it must go. */
+    /** Called by the connection limiter to close the socket. */
     private void close() {
       IoUtils.safeClose(openConnection == null ? null : openConnection.channel);
     }
@@ -342,7 +343,7 @@
     }
   }
 
-  /** A {@code Retry-After} in seconds; a date, or anything else, is passed over. */
+  /** A Retry-After header in seconds; null for a date, or any other value. */
   private static Duration parseRetryAfter(String header) {
     return header != null && header.matches("[0-9]{1,9}")
         ? Duration.ofSeconds(Long.parseLong(header))
--- a/src/main/java/io/pineladder/net/UndertowHttpClient.java
+++ b/src/main/java/io/pineladder/net/UndertowHttpClient.java
@@ -28,13 +28,13 @@
 import org.xnio.XnioExecutor;
 
 /**
- * The HTTP client: a few idle connections kept for each address, one request on each at a time. A
- * call that finds no socket of its part free waits for one, as long as its time lasts.
+ * HTTP client with a pool of idle connections, one request at a time on each. A call that finds no
+ * free socket of its traffic class waits for one until its timeout. Event thread only.
  */
 public final class UndertowHttpClient implements AsyncHttpClient {
   private static final int MAX_IDLE_PER_ADDRESS = 3;
 
-  /** With a large fleet a connection kept for each machine would use up the process's sockets. */
+  /** An idle connection for each machine of a large fleet would use up the process's sockets. */
   private static final int MAX_IDLE_CONNECTIONS = 200;
 
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(20);
@@ -48,12 +48,12 @@
   /** All idle connections, the longest idle first. */
   private final Set<IdleConnection> idleByAge = new LinkedHashSet<>();
 
-  /** Calls without a socket, by part. */
+  /** Calls that wait for a socket, by traffic class, the first to be served first. */
   private final Map<ConnectionLimiter.TrafficClass, Deque<Call>> waitingCalls =
       new EnumMap<>(ConnectionLimiter.TrafficClass.class);
 
   /**
-   * A connection; {@code raw} is what closes it at once, where the client would wait for its peer.
+   * A connection; closing {@code channel} closes it at once, while the client waits for its peer.
    */
   private record OpenConnection(
       ClientConnection connection, ConnectionLimiter.Socket socket, StreamConnection channel) {}
@@ -61,9 +61,9 @@
   private record IdleConnection(String address, OpenConnection open, Instant since) {}
 
   /**
-   * A client on the runtime's thread.
+   * Creates a client.
    *
-   * @param parts tells which part of the sockets a connection to an address belongs to
+   * @param trafficClassOf the traffic class of connections to an address
    */
   public UndertowHttpClient(
       XnioEventLoop eventLoop, Function<String, ConnectionLimiter.TrafficClass> trafficClassOf) {
@@ -126,7 +126,7 @@
     IoUtils.safeClose(idleConnection.open.connection);
   }
 
-  /** A socket is closed: the call that has waited longest for one of its part gets the room. */
+  /** Gives the capacity of a closed socket to the call of its class that has waited longest. */
   private void onSocketClosed(ConnectionLimiter.Socket socket) {
     socket.markClosed();
     Deque<Call> queue = waitingCalls.get(socket.trafficClass());
@@ -145,7 +145,7 @@
 
   /** One request under way. */
   private final class Call {
-    /** Where a call stands; {@code DONE} is reached once only. */
+    /** The states of a call; {@code DONE} is final and reached once. */
     private enum State {
       /** No socket is free. */
       WAITING,
@@ -187,7 +187,7 @@
       }
     }
 
-    /** Begins to connect; false when there is no socket for it. */
+    /** Opens a connection; false when the traffic class has no free socket. */
     boolean tryConnect() {
       socket =
           eventLoop
@@ -220,7 +220,7 @@
       return true;
     }
 
-    /** Called by the socket's owner when it must go. */
+    /** Called by the connection limiter to close the socket. */
     private void close() {
       IoUtils.safeClose(openConnection == null ? null : openConnection.connection);
     }
@@ -239,7 +239,7 @@
         timer.remove();
       }
       if (openConnection != null && reply.outcome() != Outcome.ANSWERED) {
-        // The client's own close goes on reading for 10 s, and a peer that hangs says nothing.
+        // The client's own close continues to read for 10 s, and a peer that hangs sends nothing.
         IoUtils.safeClose(openConnection.channel);
       } else if (openConnection == null
           && connecting != null
@@ -252,7 +252,7 @@
 
     private void send(OpenConnection target) {
       if (state == State.DONE) {
-        // Nothing was written on it: the call was given up while the connection was being made.
+        // Nothing was sent: the call ended while the connection was being opened.
         IoUtils.safeClose(target.connection);
         return;
       }
@@ -275,7 +275,7 @@
             @Override
             public void onResponse(ClientResponse response, byte[] answer) {
               if (state != State.DONE) {
-                // Let the client finish its own end of the exchange before the connection is
+                // The client finishes its own part of the exchange before the connection is
                 // reused.
                 eventLoop.execute(() -> release(request.address(), openConnection));
               }
--- a/src/main/java/io/pineladder/net/XnioEventLoop.java
+++ b/src/main/java/io/pineladder/net/XnioEventLoop.java
@@ -37,13 +37,19 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** The one XNIO thread, on which everything runs: servers, the client, timers, the core. */
+/**
+ * The event loop on a single XNIO thread, on which everything runs: listeners, clients, timers and
+ * the core. A second thread runs background work.
+ */
 public final class XnioEventLoop implements EventLoop, BackgroundExecutor {
   private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
 
-  /** Larger bodies than a user may send; reports of full machines stay below it. */
+  /** Above the longest body of a user; heartbeats of full machines stay below it. */
   private static final int MAX_BODY_BYTES = 1 << 20;
 
+  /** The exit code for an internal software error (EX_SOFTWARE in sysexits.h). */
+  private static final int EXIT_CODE_FAULT = 70;
+
   private static final Duration SOCKET_SWEEP_INTERVAL = Duration.ofSeconds(1);
 
   private final XnioWorker worker;
@@ -58,10 +64,10 @@
   private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
 
   /**
-   * A runtime.
+   * Starts the threads.
    *
    * @param maxSockets how many sockets the process may have
-   * @param report how often a worker reports
+   * @param heartbeatInterval of the workers
    */
   public XnioEventLoop(int maxSockets, Duration heartbeatInterval) throws IOException {
     connectionLimiter = new ConnectionLimiter(maxSockets, heartbeatInterval, this);
@@ -83,7 +89,7 @@
     schedule(SOCKET_SWEEP_INTERVAL, this::sweepSockets);
   }
 
-  /** The process's sockets. */
+  /** The limiter of all sockets of the process. */
   public ConnectionLimiter connectionLimiter() {
     return connectionLimiter;
   }
@@ -134,11 +140,12 @@
   }
 
   /**
-   * Runs {@code action}. A fault in one message must not end the event thread, yet the state it
-   * left is not to be trusted: the process ends and its successor starts from the stored state.
+   * Runs an action and halts the process if it throws. The event thread must not end, yet after an
+   * unexpected exception the state in memory cannot be trusted: the process ends with exit code 70,
+   * and its successor starts from the stored state.
    *
-   * <p>An event loop that is stopped by another thread may still be running an action, whose next
-   * timer it then refuses. That is no fault.
+   * <p>An event loop that another thread stops may still be running an action, whose next timer it
+   * then rejects. That does not halt the process.
    */
   static void runOrHalt(Runnable action) {
     try {
@@ -158,15 +165,16 @@
   }
 
   private static void halt(Throwable fault) {
-    log.error("unexpected fault, stopping", fault);
-    Runtime.getRuntime().halt(70);
+    log.error("Unexpected exception, process halts: exitCode={}", EXIT_CODE_FAULT, fault);
+    Runtime.getRuntime().halt(EXIT_CODE_FAULT);
   }
 
   /**
-   * A listener.
+   * An HTTP listener.
    *
-   * @param accepted what a connection counts as until it asks for something
-   * @param parts what a connection is for, by the path that is asked for
+   * @param address IPv4 address and port
+   * @param acceptedClass the traffic class of a connection until its first request
+   * @param trafficClassOf the traffic class of a connection by the path of its request
    */
   public record Listener(
       String address,
@@ -215,7 +223,7 @@
     }
     socket.markIdle();
     acceptedSockets.put(connection, socket);
-    // It may answer the first request at once, so whose socket it is must be known by now.
+    // The first request may be handled within this call, so the socket must be registered before.
     http.handleEvent(connection);
     ChannelListener<? super StreamConnection> undertowListener = connection.getCloseListener();
     connection.setCloseListener(
@@ -235,7 +243,7 @@
     }
   }
 
-  /** Closes the listeners and ends the event thread; timers that are set are dropped. */
+  /** Closes the listeners and stops the event thread; pending timers are dropped. */
   public void stop() {
     servers.forEach(IoUtils::safeClose);
     worker.shutdownNow();
@@ -249,7 +257,7 @@
           .receiveFullBytes(
               (ex, body) -> runOrHalt(() -> dispatch(listener.handler, ex, body)),
               (ex, failure) -> {
-                // A body over the limit cannot be read to its end, so the connection closes.
+                // A body over the limit is not read to its end, so the connection cannot be reused.
                 ex.setPersistent(false);
                 send(ex, new HttpResponse(400, new byte[0]));
               });
@@ -257,7 +265,8 @@
   }
 
   /**
-   * Counts the connection to its part; one that finds no room there gets its answer and is closed.
+   * Counts the connection for its traffic class; one without capacity there gets its response and
+   * is closed.
    */
   private void classify(Listener listener, HttpServerExchange exchange) {
     StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
--- a/src/main/java/io/pineladder/retry/Backoff.java
+++ b/src/main/java/io/pineladder/retry/Backoff.java
@@ -4,8 +4,9 @@
 import java.time.Duration;
 
 /**
- * Pauses between tries of one thing: they double up to a cap, and each is drawn from its upper
- * half, so that those who failed together do not come back together.
+ * Delays between the retries of one operation. The upper bound doubles with each retry up to a
+ * maximum, and each delay is drawn at random from the upper half of its range, so that clients that
+ * failed together do not retry together. Event thread only.
  */
 public final class Backoff {
   private final EventLoop eventLoop;
@@ -14,10 +15,10 @@
   private Duration nextDelay;
 
   /**
-   * A series of pauses.
+   * Creates a series of delays.
    *
-   * @param first the longest that the first pause can be
-   * @param most the longest that any can be
+   * @param initialDelay upper bound of the first delay
+   * @param maxDelay upper bound of all delays
    */
   public Backoff(EventLoop eventLoop, Duration initialDelay, Duration maxDelay) {
     this.eventLoop = eventLoop;
@@ -26,7 +27,7 @@
     this.nextDelay = initialDelay;
   }
 
-  /** The pause before the next try. */
+  /** Draws the delay before the next retry, and doubles the upper bound of the one after it. */
   public Duration nextDelay() {
     long upperBoundNanos = nextDelay.toNanos();
     nextDelay =
@@ -35,7 +36,7 @@
         upperBoundNanos / 2 + (long) (eventLoop.random().nextDouble() * (upperBoundNanos / 2)));
   }
 
-  /** It has succeeded: the next pause is a first one. */
+  /** The operation has succeeded: the next delay is an initial one again. */
   public void reset() {
     nextDelay = initialDelay;
   }
--- a/src/main/java/io/pineladder/retry/CircuitBreaker.java
+++ b/src/main/java/io/pineladder/retry/CircuitBreaker.java
@@ -7,19 +7,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps from calling a party that refuses: after a few failures in a row nothing is sent for a
- * pause, then one call shows whether it is better. The longer it lasts, the longer the pauses.
+ * Circuit breaker for calls to one target. After a number of consecutive failures no call is sent
+ * for a delay, then a single call probes the target. The delay grows with each failed probe. Event
+ * thread only.
  */
 public final class CircuitBreaker {
   private static final Logger log = LoggerFactory.getLogger(CircuitBreaker.class);
 
-  /** Where it stands. */
+  /** The states of a circuit breaker. */
   public enum State {
-    /** Calls go out. */
+    /** Calls are allowed. */
     CLOSED,
-    /** None goes out until the pause is over. */
+    /** No call is allowed until the delay is over. */
     OPEN,
-    /** One has gone out to see. */
+    /** One call is under way as a probe, and no other is allowed. */
     HALF_OPEN
   }
 
@@ -32,10 +33,12 @@
   private Instant openUntil = Instant.MIN;
 
   /**
-   * A breaker for one party.
+   * Creates a closed circuit breaker.
    *
-   * @param party its name in the log
-   * @param failuresAllowed how many in a row open it
+   * @param target name of the target in the log
+   * @param failureThreshold consecutive failures that open the circuit
+   * @param initialDelay upper bound of the first delay
+   * @param maxDelay upper bound of all delays
    */
   public CircuitBreaker(
       String target,
@@ -49,19 +52,23 @@
     this.backoff = new Backoff(eventLoop, initialDelay, maxDelay);
   }
 
+  /** The present state; an open circuit stays open until the next {@link #tryAcquire}. */
   public State state() {
     return state;
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; all changes are made here. */
   private void transitionTo(State next) {
     if (state != next) {
-      log.debug("{}: {} (was {})", target, next, state);
+      log.debug("Circuit breaker changed: target={} state={} previous={}", target, next, state);
       state = next;
     }
   }
 
-  /** Whether a call may go out now; if so its end is to be told. */
+  /**
+   * Whether a call may be sent now. The caller that gets true must report its end with {@link
+   * #onSuccess} or {@link #onFailure}.
+   */
   public boolean tryAcquire() {
     if (state == State.OPEN && !openUntil.isAfter(eventLoop.now())) {
       transitionTo(State.HALF_OPEN);
@@ -70,14 +77,14 @@
     return state == State.CLOSED;
   }
 
-  /** A call was answered as it should be. */
+  /** Reports a call that succeeded. */
   public void onSuccess() {
     consecutiveFailures = 0;
     backoff.reset();
     transitionTo(State.CLOSED);
   }
 
-  /** A call was refused, or not answered. */
+  /** Reports a call that failed or was not answered. */
   public void onFailure() {
     consecutiveFailures++;
     if (state == State.HALF_OPEN || consecutiveFailures >= failureThreshold) {
--- a/src/main/java/io/pineladder/retry/RetryBudget.java
+++ b/src/main/java/io/pineladder/retry/RetryBudget.java
@@ -5,8 +5,8 @@
 import java.time.Instant;
 
 /**
- * How many tries may be made again: a share of the calls that succeed, and a few each second, so
- * that when everything fails the tries do not make up most of what is sent.
+ * Limits retries to a ratio of the successful calls, plus a fixed rate, so that during an outage
+ * retries do not make up most of the load. Event thread only.
  */
 public final class RetryBudget {
   private final EventLoop eventLoop;
@@ -14,11 +14,11 @@
   private final TokenBucket tokens;
 
   /**
-   * A budget, full at first.
+   * Creates a full budget.
    *
-   * @param share of a try that each success allows
-   * @param perSecond tries that are allowed each second in any case
-   * @param most tries that can be saved up
+   * @param retriesPerSuccess retries that each successful call adds, below one
+   * @param retriesPerSecond retries that are added each second in any case
+   * @param maxBurst upper bound of the retries that accumulate
    */
   public RetryBudget(
       EventLoop eventLoop, double retriesPerSuccess, double retriesPerSecond, double maxBurst) {
@@ -27,12 +27,12 @@
     this.tokens = new TokenBucket(retriesPerSecond, maxBurst, eventLoop.now());
   }
 
-  /** A call has succeeded. */
+  /** Reports a call that succeeded. */
   public void onSuccess() {
     tokens.add(retriesPerSuccess, eventLoop.now());
   }
 
-  /** How long a try has to wait for its turn, which it takes; zero when it may go out now. */
+  /** Takes a retry from the budget; returns how long it has to wait, zero when it may go now. */
   public Duration acquireDelay() {
     Instant now = eventLoop.now();
     tokens.consume(1, now);
--- a/src/main/java/io/pineladder/retry/TokenBucket.java
+++ b/src/main/java/io/pineladder/retry/TokenBucket.java
@@ -4,7 +4,8 @@
 import java.time.Instant;
 
 /**
- * A token bucket with a burst of one second's worth, kept a little below what the service allows.
+ * A token bucket. The level may go below zero; callers then wait until it is refilled. Not
+ * thread-safe.
  */
 public final class TokenBucket {
   private final double tokensPerSecond;
@@ -12,6 +13,12 @@
   private double tokens;
   private Instant refilledAt;
 
+  /**
+   * Creates a full bucket.
+   *
+   * @param tokensPerSecond refill rate
+   * @param burst upper bound of the level, in tokens
+   */
   public TokenBucket(double tokensPerSecond, double burst, Instant now) {
     this.tokensPerSecond = tokensPerSecond;
     this.burst = burst;
@@ -27,25 +34,25 @@
     }
   }
 
-  /** Whole units that may be taken now. */
+  /** Whole tokens that can be consumed now; never below zero. */
   public int available(Instant now) {
     refill(now);
     return (int) Math.floor(Math.max(0, tokens));
   }
 
-  /** Takes {@code count}; the level may go below zero, which later takers pay. */
+  /** Consumes {@code count} tokens; a level below zero delays later callers. */
   public void consume(int count, Instant now) {
     refill(now);
     tokens -= count;
   }
 
-  /** Gives a part of a unit back, up to the burst. */
+  /** Adds a fraction of a token, up to the burst. */
   void add(double fraction, Instant now) {
     refill(now);
     tokens = Math.min(burst, tokens + fraction);
   }
 
-  /** How long until {@code count} units are there. */
+  /** How long until {@code count} tokens are available; zero when they are now. */
   public Duration delayUntilAvailable(int count, Instant now) {
     refill(now);
     double missing = Math.min(count, burst) - tokens;
