--- a/src/main/java/io/pineladder/wire/CloudWire.java
+++ b/src/main/java/io/pineladder/wire/CloudWire.java
@@ -8,23 +8,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cloud's messages. */
+/** Messages of the cloud's API: machine types, rental, release and the machine list. */
 public final class CloudWire {
+  /** The most machines that one rental may ask for. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
+
+  /** The most machines that one release may name. */
   public static final int MAX_MACHINES_PER_RELEASE = 100;
+
+  /** Machines in a full page of the list. */
   public static final int PAGE_SIZE = 500;
+
   private static final double MAX_AMOUNT = 1e9;
 
   private CloudWire() {}
 
-  /** What the cloud says of a machine's life. */
+  /** The state of a machine in the cloud's list. */
   public enum MachineStatus {
+    /** It does not run the agent yet. */
     BOOTING,
+    /** It runs, or has a status that this version does not know. */
     RUNNING,
     FAILED
   }
 
-  /** A machine in the cloud's list. */
+  /**
+   * A machine in the cloud's list.
+   *
+   * @param address null until the machine has one
+   */
   public record ListedMachine(
       String name,
       String address,
@@ -34,9 +46,10 @@
       MachineStatus status,
       Duration age) {}
 
-  /** A page of the machine list. */
+  /** A page of the machine list; {@code more} when further pages follow. */
   public record Page(List<ListedMachine> machines, boolean more) {}
 
+  /** Reads the machine types that can be rented. */
   public static List<MachineType> parseTypes(byte[] body) throws MalformedMessageException {
     return readTypes(new Fields(Json.parseObject(body)));
   }
@@ -83,6 +96,12 @@
     return out;
   }
 
+  /**
+   * A request for machines.
+   *
+   * @param request the idempotency key: a repeated request rents nothing more
+   * @param spot whether the machines are preemptible
+   */
   public static byte[] rentalRequest(
       String request, String type, String zone, boolean spot, int count) {
     return Json.bytes(
@@ -94,11 +113,13 @@
             .put("count", count));
   }
 
+  /** The names of the rented machines; empty when the response has none. */
   public static List<String> parseRentedNames(byte[] body) throws MalformedMessageException {
     List<String> names = new Fields(Json.parseObject(body)).textsOrNull("hosts");
     return names == null ? List.of() : names;
   }
 
+  /** A request that returns machines. */
   public static byte[] releaseRequest(List<String> machines) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("hosts");
@@ -106,6 +127,7 @@
     return Json.bytes(out);
   }
 
+  /** Reads a page of the machine list. */
   public static Page parsePage(byte[] body) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<ListedMachine> machines = new ArrayList<>();
--- a/src/main/java/io/pineladder/wire/DeliveryWire.java
+++ b/src/main/java/io/pineladder/wire/DeliveryWire.java
@@ -15,15 +15,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Stored subscriptions and their progress, and the events that subscribers get. */
+/** Stored subscriptions with their progress, and the events that are delivered to subscribers. */
 public final class DeliveryWire {
   /** CloudEvents 1.0, structured mode in JSON. */
   public static final String CONTENT_TYPE = "application/cloudevents+json; charset=utf-8";
 
+  /** The type of an event for a job that is done. */
   public static final String JOB_DONE = "io.pineladder.job.done";
+
+  /** The type of an event for a cancelled job. */
   public static final String JOB_CANCELLED = "io.pineladder.job.cancelled";
 
-  /** Notices that were kept for a subscriber for so long that they had to go. */
+  /** The type of an event for notifications that exceeded their retention and were dropped. */
   public static final String NOTIFICATIONS_LOST = "io.pineladder.notices.lost";
 
   private static final long MAX_NUMBER = Long.MAX_VALUE;
@@ -49,6 +52,7 @@
     return Set.copyOf(textList(node));
   }
 
+  /** The stored form of a subscription. */
   public static ObjectNode subscription(Subscription from) {
     ObjectNode out =
         Json.object()
@@ -67,6 +71,7 @@
     return from.reason() == null ? out : out.put("reason", from.reason());
   }
 
+  /** Reads a stored subscription. */
   public static Subscription parseSubscription(JsonNode value) throws MalformedMessageException {
     Fields in = Fields.of(value);
     List<Subscription.Filter> filters = new ArrayList<>();
@@ -97,7 +102,7 @@
         in.textOr("reason", null));
   }
 
-  /** A page of what subscribers have confirmed, by their events' source. */
+  /** A page of the delivery progress that subscribers have confirmed, by event source. */
   public static ObjectNode progress(Map<String, DeliveryProgress> entries) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("progress");
@@ -111,6 +116,7 @@
     return out;
   }
 
+  /** Reads a page that {@link #progress} wrote. */
   public static Map<String, DeliveryProgress> parseProgress(JsonNode value)
       throws MalformedMessageException {
     Map<String, DeliveryProgress> out = new LinkedHashMap<>();
@@ -126,12 +132,14 @@
     return out;
   }
 
+  /** The stored form of the allowed destination networks. */
   public static ObjectNode networks(Collection<String> networks) {
     ObjectNode out = Json.object();
     out.set("networks", texts(networks));
     return out;
   }
 
+  /** Reads a list of networks; their notation is not checked here. */
   public static List<String> parseNetworks(JsonNode value) throws MalformedMessageException {
     JsonNode list = Fields.of(value).node("networks");
     if (!list.isArray()) {
@@ -147,7 +155,7 @@
 
   // ---- events
 
-  /** An event's id: the same on every repeat, and no other event's. */
+  /** The unique id of an event; the same on every repeated delivery. */
   public static String eventId(Subscription to, long sequence) {
     return to.name() + "." + to.incarnation() + "." + sequence;
   }
@@ -160,7 +168,7 @@
         .put("type", type);
   }
 
-  /** The event that tells of a notice; byte for byte the same on every repeat. */
+  /** The event for a notification; byte for byte the same on every repeated delivery. */
   public static byte[] event(Subscription to, long sequence, Notification notification) {
     ObjectNode event =
         event(to, sequence, notification.finalState() == Job.State.DONE ? JOB_DONE : JOB_CANCELLED)
@@ -179,7 +187,7 @@
     return Json.bytes(event);
   }
 
-  /** The event that tells which notices will never come. */
+  /** The event for a range of sequence numbers that will never be delivered. */
   public static byte[] lostEvent(Subscription to, long first, long last) {
     ObjectNode event =
         event(to, last, NOTIFICATIONS_LOST)
@@ -190,12 +198,15 @@
   }
 
   /**
-   * An event as its receiver sees it; {@code first} is its own sequence unless it tells of a loss.
+   * An event at its receiver.
+   *
+   * @param firstSequence the first lost sequence number; for other events the same as {@code
+   *     sequence}
    */
   public record Event(
       String source, String type, long firstSequence, long sequence, ObjectNode json) {}
 
-  /** Reads an event; the reason names what of it is wrong. */
+  /** Reads an event; the exception names the field that is wrong. */
   public static Event parseEvent(byte[] body) throws MalformedMessageException {
     ObjectNode json = Json.parseObject(body);
     Fields in = Fields.of(json);
@@ -221,12 +232,12 @@
     return new Event(source, type, first, sequence, json);
   }
 
-  /** What a receiver answers: the last sequence that it has. */
+  /** A receiver's response: the last sequence number that it has stored. */
   public static byte[] positionResponse(long position) {
     return Json.bytes(Json.object().put("position", position));
   }
 
-  /** The position that a receiver's answer tells, or -1. */
+  /** The position in a receiver's response; -1 when it names none. */
   public static long parsePosition(byte[] body) {
     try {
       JsonNode position = Json.parseObject(body).path("position");
--- a/src/main/java/io/pineladder/wire/Fields.java
+++ b/src/main/java/io/pineladder/wire/Fields.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Typed reads of one object's fields, with the reason when a field does not fit. */
+/**
+ * Typed reads of the fields of one JSON object; the exception names the field that is wrong. A
+ * field that is null counts as absent.
+ */
 final class Fields {
   private static final double MAX_SECONDS = 1e9;
 
--- a/src/main/java/io/pineladder/wire/GossipWire.java
+++ b/src/main/java/io/pineladder/wire/GossipWire.java
@@ -9,9 +9,9 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** What controllers tell one another about themselves and the others, in MessagePack. */
+/** Heartbeats between controllers, which carry gossip about the others, in MessagePack. */
 public final class GossipWire {
-  /** The path, on the cluster listener, that takes beats. */
+  /** The path for heartbeats on the cluster listener. */
   public static final String PATH = "/peer/v1/beat";
 
   private static final int VERSION = 1;
@@ -20,24 +20,24 @@
   private GossipWire() {}
 
   /**
-   * What a controller has of a peer.
+   * The newest heartbeat that a controller has received from a peer.
    *
-   * @param ago how long ago, at most, the peer made the newest beat that was heard
-   * @param nonce the peer's process
-   * @param sequence the number of that beat, which shows the peer how old this is at most
+   * @param age upper bound of the time since the peer sent it
+   * @param nonce identifies the peer's process
+   * @param sequence the number of that heartbeat; it gives the peer an upper bound of its age
    */
   public record PeerContact(Duration age, String nonce, long sequence) {}
 
   /**
    * What a controller knows of the records in the state service.
    *
-   * @param base the generation that counts for it
-   * @param seen the highest revision that it knows the service to have had in that generation
-   * @param copied up to which revision it has a copy of the records, in the generation {@code
-   *     copyBase}
-   * @param complete whether nothing is missing from that copy
-   * @param token the highest token that it knows anybody to have used
-   * @param lost whether it knows that records of that generation were lost
+   * @param generationBase the generation that is current for it
+   * @param highestRevision the highest known revision of that generation
+   * @param replicaBase the generation of its replica of the records
+   * @param replicaRevision the revision that its replica has
+   * @param replicaComplete whether no record is missing from its replica
+   * @param highestToken the highest known fencing token
+   * @param recordsLost whether it has detected a loss of records in that generation
    */
   public record RecordStatus(
       long generationBase,
@@ -47,19 +47,20 @@
       boolean replicaComplete,
       long highestToken,
       boolean recordsLost) {
+    /** The status from a controller that sends none. */
     public static final RecordStatus NOTHING = new RecordStatus(0, 0, 0, 0, false, 0, false);
   }
 
   /**
-   * One controller's view.
+   * A heartbeat of one controller.
    *
-   * @param nonce tells its processes apart
-   * @param sequence counts the beats of the process
-   * @param storeOk whether the state service answers it
+   * @param nonce identifies its process
+   * @param sequence numbers the heartbeats of the process
+   * @param storeHealthy whether the state service responds to it
    * @param term the term that it leads in with a valid lease; 0 when it does not lead
-   * @param heard what it has of each of its peers, by name
-   * @param stored what it knows of the records
-   * @param version the newest cluster version that its software supports
+   * @param contacts the newest heartbeat from each of its peers, by name
+   * @param recordStatus what it knows of the records
+   * @param supportedVersion the newest cluster version that its software supports
    */
   public record Heartbeat(
       String member,
@@ -71,6 +72,7 @@
       RecordStatus recordStatus,
       int supportedVersion) {}
 
+  /** Encodes a heartbeat. */
   public static byte[] write(Heartbeat heartbeat) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
@@ -94,7 +96,7 @@
       out.packBoolean(recordStatus.replicaComplete());
       out.packLong(recordStatus.highestToken());
       out.packBoolean(recordStatus.recordsLost());
-      // Readers of before stop here and ignore what follows.
+      // Earlier versions stop reading here and ignore the rest.
       out.packInt(heartbeat.supportedVersion());
       return out.toByteArray();
     } catch (IOException e) {
@@ -102,6 +104,7 @@
     }
   }
 
+  /** Decodes a heartbeat of this or an earlier version. */
   public static Heartbeat parse(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
@@ -126,7 +129,7 @@
         contacts.put(
             peer, new PeerContact(Duration.ofMillis(millis), in.unpackString(), in.unpackLong()));
       }
-      // Controllers of before tell nothing of the records.
+      // Earlier versions send no record status.
       RecordStatus recordStatus =
           in.hasNext()
               ? new RecordStatus(
--- a/src/main/java/io/pineladder/wire/JobWire.java
+++ b/src/main/java/io/pineladder/wire/JobWire.java
@@ -11,9 +11,12 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** The user API's job in JSON; also the form in which jobs are stored. */
+/**
+ * Jobs of the user API in JSON, which is also their stored form. The names of the protocol's fields
+ * are mapped to those of {@link JobSpec} here and nowhere else.
+ */
 public final class JobWire {
-  /** A request body may not be longer. */
+  /** The maximum length of a request body. */
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final int MAX_TASKS = 100_000;
@@ -36,10 +39,12 @@
 
   private JobWire() {}
 
+  /** Whether a text has the form of a job id. */
   public static boolean isJobId(String text) {
     return JOB_ID.matcher(text).matches();
   }
 
+  /** Reads the body of a submission. */
   public static JobSpec parse(byte[] body) throws MalformedMessageException {
     if (body.length > MAX_BODY_BYTES) {
       throw new MalformedMessageException("longer than 64 KiB");
@@ -69,8 +74,8 @@
             in.number("memory_gb", 0, MAX_AMOUNT)),
         types == null ? null : List.copyOf(types),
         in.textOr("yard", null),
-        // Only fields that may be null may be absent: taken for false they had jobs accepted that
-        // lack one.
+        // Only fields that may be null may be absent: a default would accept jobs that the protocol
+        // calls malformed.
         in.bool("together"),
         in.bool("spread"),
         in.bool("loaners"),
@@ -83,7 +88,7 @@
         prerequisites(in));
   }
 
-  /** The jobs that this one waits for, each once; none where the field is null or absent. */
+  /** The job ids that this job depends on, without duplicates; none if the field is absent. */
   private static List<String> prerequisites(Fields in) throws MalformedMessageException {
     List<String> ids = in.textsOrNull(PREREQUISITES_FIELD);
     if (ids == null) {
@@ -163,7 +168,7 @@
     return duration.toNanos() / 1e9;
   }
 
-  /** What a user is told of a job. */
+  /** The status of a job in responses to users. */
   public enum Status {
     PENDING("pending"),
     RUNNING("running"),
@@ -176,15 +181,18 @@
       this.wireName = wireName;
     }
 
+    /** Whether the job has ended. */
     public boolean isFinal() {
       return this == DONE || this == CANCELLED;
     }
   }
 
+  /** The response body for a job without task counts. */
   public static byte[] view(String id, Status status) {
     return Json.bytes(Json.object().put("ref", id).put("status", status.wireName));
   }
 
+  /** The response body for a job with the counts of its completed and running tasks. */
   public static byte[] view(String id, Status status, int done, int running) {
     return Json.bytes(
         Json.object()
@@ -194,6 +202,7 @@
             .put("running", running));
   }
 
+  /** The response body of an error. */
   public static byte[] error(String reason) {
     return Json.bytes(Json.object().put("error", reason));
   }
--- a/src/main/java/io/pineladder/wire/Json.java
+++ b/src/main/java/io/pineladder/wire/Json.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** JSON in and out, always as trees: no reflection, so nothing to warm up at the start. */
+/** Reads and writes JSON as trees; data binding by reflection would slow the start-up. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       new ObjectMapper()
@@ -16,14 +16,17 @@
 
   private Json() {}
 
+  /** An empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
+  /** An empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
+  /** The UTF-8 text of a tree. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -32,7 +35,7 @@
     }
   }
 
-  /** Reads a JSON object. */
+  /** Reads one JSON object; anything else, or trailing text, is malformed. */
   public static ObjectNode parseObject(byte[] body) throws MalformedMessageException {
     JsonNode node;
     try {
--- a/src/main/java/io/pineladder/wire/MalformedMessageException.java
+++ b/src/main/java/io/pineladder/wire/MalformedMessageException.java
@@ -1,7 +1,11 @@
 package io.pineladder.wire;
 
-/** A message that does not have the form its protocol asks for. */
+/**
+ * A message that violates its protocol. Without a stack trace, since such messages can be frequent
+ * and the reason says what is wrong.
+ */
 public final class MalformedMessageException extends Exception {
+  /** Creates the exception with a reason that may be shown to the sender. */
   public MalformedMessageException(String message) {
     super(message, null, false, false);
   }
--- a/src/main/java/io/pineladder/wire/PeerWire.java
+++ b/src/main/java/io/pineladder/wire/PeerWire.java
@@ -6,21 +6,27 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** What controllers send one another, in MessagePack. */
+/** Requests that controllers forward to one another, in MessagePack. */
 public final class PeerWire {
-  /** The path, on the cluster listener, that takes these messages. */
+  /** The path for forwarded requests on the cluster listener. */
   public static final String PATH = "/peer/v1";
 
   private static final int VERSION = 1;
 
   private PeerWire() {}
 
-  /** A request handed on; {@code hops} says how often it may be handed on again. */
+  /** A forwarded request; {@code remainingHops} is how often it may be forwarded again. */
   public record ForwardedRequest(String method, String path, byte[] body, int remainingHops) {}
 
-  /** The answer, with the name of the leader that the answering node knows, or null. */
+  /**
+   * The response to a forwarded request.
+   *
+   * @param decided false when the request may be tried at another controller
+   * @param leader the name of the leader that the responding controller knows, or null
+   */
   public record ForwardedResponse(boolean decided, HttpResponse response, String leader) {}
 
+  /** Encodes a forwarded request. */
   public static byte[] write(ForwardedRequest forward) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
@@ -35,6 +41,7 @@
     }
   }
 
+  /** Decodes a forwarded request. */
   public static ForwardedRequest parseRequest(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
@@ -49,6 +56,7 @@
     }
   }
 
+  /** Encodes the response to a forwarded request. */
   public static byte[] write(ForwardedResponse answer) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
@@ -69,6 +77,7 @@
     }
   }
 
+  /** Decodes the response to a forwarded request. */
   public static ForwardedResponse parseResponse(byte[] body) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       if (in.unpackInt() != VERSION) {
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -21,19 +21,19 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** The durable records, as values of the state service. */
+/** The stored records, as values in the consensus-backed key-value store. */
 public final class RecordWire {
   private static final long MAX_NUMBER = Long.MAX_VALUE;
 
-  /** Names the page that counts instead of this copy of a record, as long as it is there. */
+  /** Names the page that takes precedence over this copy of a record while that page exists. */
   private static final String COPIED_FROM = "copied_from";
 
   private RecordWire() {}
 
-  /** A stored job; its completions are kept apart. */
+  /** A stored job; the completions of its tasks are stored separately. */
   public record StoredJob(JobSpec spec, Instant acceptedAt, Job.State state, boolean atFault) {}
 
-  /** A stored placement, with what is needed to reach its machine. */
+  /** A stored placement of a task, with the data to reach its machine. */
   public record Placement(
       String machine,
       String address,
@@ -45,20 +45,21 @@
       long attempt) {}
 
   /**
-   * Completions of one chunk of a job's tasks, as they were when it was stored.
+   * The completed tasks of one chunk of a job when it was stored.
    *
-   * @param chunkTasks how many tasks a chunk of the job has; 0 where the entry does not tell
+   * @param chunkTasks how many tasks a chunk of the job has; 0 where the entry does not say
+   * @param json the stored entry
    */
   public record StoredCompletions(
       String job, int chunk, BitSet done, int chunkTasks, JsonNode json) {}
 
-  /** Images that a machine had cached, with their sizes. */
+  /** Container images in the cache of a machine, with their sizes in GB. */
   public record StoredImages(String machine, Map<String, Double> images) {}
 
-  /** The leader's key. */
+  /** The value of the leader key; {@code nonce} identifies the process. */
   public record LeaderRecord(String member, String address, String nonce) {}
 
-  /** The word for a job's state, in records and to subscribers. */
+  /** The name of a job's state in records and in events to subscribers. */
   public static String wireName(Job.State state) {
     return switch (state) {
       case ACTIVE -> "active";
@@ -76,6 +77,7 @@
     };
   }
 
+  /** The record of a job. */
   public static ObjectNode job(JobSpec spec, Instant acceptedAt, Job.State state) {
     ObjectNode out = Json.object();
     out.set("spec", JobWire.write(spec));
@@ -84,6 +86,7 @@
     return out;
   }
 
+  /** Reads the record of a job. */
   public static StoredJob parseJob(JsonNode value) throws MalformedMessageException {
     Fields in = Fields.of(value);
     return new StoredJob(
@@ -93,7 +96,7 @@
         value.path("at_fault").asBoolean(false));
   }
 
-  /** A job's record as it is copied while the page that it stands in is divided. */
+  /** The copy of a job's record while the page that holds it is divided. */
   public static JsonNode copiedRecord(JsonNode record, String page) {
     return ((ObjectNode) record).deepCopy().put(COPIED_FROM, page);
   }
@@ -121,6 +124,7 @@
     return out;
   }
 
+  /** Adds ranges that {@link #ranges} wrote to {@code done}. */
   public static void addRanges(JsonNode value, BitSet done) throws MalformedMessageException {
     if (!value.isArray()) {
       throw new MalformedMessageException("done is not a list");
@@ -141,7 +145,7 @@
     return page;
   }
 
-  /** A page of jobs with the notices of those that are over. */
+  /** A page of jobs with the notifications for those that have ended. */
   public static ObjectNode page(Stream<JsonNode> entries, Collection<Notification> notifications) {
     ObjectNode page = page(entries);
     if (!notifications.isEmpty()) {
@@ -151,6 +155,7 @@
     return page;
   }
 
+  /** The entry for a notification in a page of jobs. */
   public static JsonNode notification(Notification notification) {
     return Json.array()
         .add(notification.number())
@@ -162,7 +167,7 @@
         .add(notification.endedAt().toEpochMilli());
   }
 
-  /** The notices in a page of jobs. */
+  /** The notifications in a page of jobs; none in a page without any. */
   public static List<Notification> parseNotifications(JsonNode page)
       throws MalformedMessageException {
     List<Notification> notifications = new ArrayList<>();
@@ -201,6 +206,7 @@
     return entry;
   }
 
+  /** The entry for the placement of an attempt. */
   public static JsonNode placement(Attempt attempt) {
     Machine machine = attempt.machine;
     return Json.array()
@@ -214,6 +220,7 @@
         .add(attempt.number);
   }
 
+  /** Reads an entry that {@link #placement} wrote. */
   public static Placement parsePlacement(JsonNode entry) throws MalformedMessageException {
     requireSize(entry, 8);
     return new Placement(
@@ -227,17 +234,18 @@
         entry.get(7).asLong());
   }
 
-  /** The completed tasks of one chunk of so many tasks. */
+  /** The entry for the completed tasks of one chunk of {@code chunkTasks} tasks. */
   public static JsonNode completions(String job, BitSet done, int chunk, int chunkTasks) {
     return Json.array().add(job).add(chunk).add(ranges(done, chunk * chunkTasks, chunkTasks));
   }
 
-  /** The same, telling how many tasks a chunk has; since cluster version 2. */
+  /** The same with the number of tasks in a chunk; since cluster version 2. */
   public static JsonNode completionsWithChunkSize(
       String job, BitSet done, int chunk, int chunkTasks) {
     return ((ArrayNode) completions(job, done, chunk, chunkTasks)).add(chunkTasks);
   }
 
+  /** Reads an entry of either form of completions. */
   public static StoredCompletions parseCompletions(JsonNode entry)
       throws MalformedMessageException {
     boolean hasChunkSize = entry.isArray() && entry.size() == 4;
@@ -252,12 +260,14 @@
         entry.get(0).asText(), entry.get(1).asInt(), done, chunkTasks, entry);
   }
 
+  /** The entry for the cached images of a machine, with their sizes in GB. */
   public static JsonNode images(String machine, Map<String, Double> images) {
     ObjectNode cached = Json.object();
     images.forEach(cached::put);
     return Json.array().add(machine).add(cached);
   }
 
+  /** Reads an entry that {@link #images} wrote. */
   public static StoredImages parseImages(JsonNode entry) throws MalformedMessageException {
     requireSize(entry, 2);
     Map<String, Double> images = new LinkedHashMap<>();
@@ -267,25 +277,27 @@
     return new StoredImages(entry.get(0).asText(), images);
   }
 
-  /** The record of the cluster version that is in force. */
+  /** The record of the current cluster version. */
   public static ObjectNode version(int version) {
     return Json.object().put("version", version);
   }
 
-  /** The cluster version that such a record names. */
+  /** Reads the record of the current cluster version. */
   public static int parseVersion(JsonNode value) throws MalformedMessageException {
     return (int) Fields.of(value).integer("version", 1, Integer.MAX_VALUE);
   }
 
+  /** The record of the final state of a job. */
   public static ObjectNode finalState(Job.State state) {
     return Json.object().put("state", wireName(state));
   }
 
+  /** Reads the final state in a record of one job or of many. */
   public static Job.State parseFinalState(JsonNode value) throws MalformedMessageException {
     return parseState(Fields.of(value).text("state"));
   }
 
-  /** The record that names the generation which counts. */
+  /** The record that names the current generation. */
   public static ObjectNode generation(Generation generation) {
     return Json.object()
         .put("base", generation.base())
@@ -295,7 +307,7 @@
         .put("nonce", generation.writer().nonce());
   }
 
-  /** Reads such a record, whose revision is part of the generation. */
+  /** Reads the record of the current generation; its revision is part of the generation. */
   public static Generation parseGeneration(JsonNode value, long version)
       throws MalformedMessageException {
     Fields in = Fields.of(value);
@@ -309,7 +321,7 @@
         new Generation.Writer(in.text("member"), in.text("nonce")));
   }
 
-  /** Final states of one kind, many in one value. */
+  /** The record of many jobs with the same final state. */
   public static ObjectNode finalStates(Job.State state, List<String> ids) {
     ObjectNode out = finalState(state);
     ArrayNode list = out.putArray("jobs");
@@ -317,7 +329,7 @@
     return out;
   }
 
-  /** The jobs in such a value. */
+  /** The ids of the jobs in a record that {@link #finalStates} wrote. */
   public static List<String> parseFinalStates(JsonNode value) throws MalformedMessageException {
     List<String> ids = Fields.of(value).textsOrNull("jobs");
     if (ids == null) {
@@ -326,6 +338,7 @@
     return ids;
   }
 
+  /** The value of the leader key. */
   public static ObjectNode leader(LeaderRecord leader) {
     return Json.object()
         .put("member", leader.member())
@@ -333,20 +346,24 @@
         .put("nonce", leader.nonce());
   }
 
+  /** Reads the value of the leader key. */
   public static LeaderRecord parseLeader(JsonNode value) throws MalformedMessageException {
     Fields in = Fields.of(value);
     return new LeaderRecord(in.text("member"), in.text("address"), in.text("nonce"));
   }
 
+  /** The record of the machine types that can be rented. */
   public static ObjectNode machineTypes(List<MachineType> types) {
     return CloudWire.writeTypes(types);
   }
 
+  /** Reads the record of the machine types. */
   public static List<MachineType> parseMachineTypes(JsonNode value)
       throws MalformedMessageException {
     return CloudWire.readTypes(Fields.of(value));
   }
 
+  /** The record of the operator settings, with all of them. */
   public static ObjectNode operatorSettings(OperatorSettings settings) {
     return Json.object()
         .put("initial_backoff_s", JobWire.seconds(settings.initialBackoff()))
@@ -355,7 +372,7 @@
         .put("idle_release_s", JobWire.seconds(settings.idleReleaseAfter()));
   }
 
-  /** Reads operator settings; a field that is left out keeps its present value. */
+  /** Reads operator settings; an absent field keeps its present value. */
   public static OperatorSettings parseOperatorSettings(JsonNode value, OperatorSettings present)
       throws MalformedMessageException {
     ObjectNode merged = operatorSettings(present);
--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -14,25 +14,25 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads the settings file; every fault in it is named in one message. */
+/** Reads the settings file; one message names all errors in it. */
 public final class SettingsReader {
   private static final Pattern ADDRESS =
       Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:([1-9]\\d{0,4}|0)");
   private static final double MAX = 1e9;
 
-  /** The largest transaction that is not cut into steps changes so many keys (docs/upgrades.md). */
+  /** Key changes of the largest transaction that cannot be divided (docs/upgrades.md). */
   private static final int LEAST_TRANSACTION_OPS = 4;
 
-  /** What a process is taken to be allowed where neither the platform nor the system says more. */
+  /** The default number of sockets where the operating system allows no more. */
   private static final int USUAL_SOCKETS = 1000;
 
   /**
-   * The most that is taken where the platform does not say: what the shares kept for others leave
-   * to workers' reports is some 4,470, a connection for each of 4,000 machines and more.
+   * The maximum default number of sockets: the classes' reservations leave about 4,470 of them to
+   * heartbeats, which is more than one for each of 4,000 machines.
    */
   static final int MAX_UNTOLD_SOCKETS = 7_000;
 
-  /** Files that the process has open beside its sockets: its archives, logs, snapshots. */
+  /** File descriptors reserved for other files: class archives, logs, snapshots. */
   private static final int OTHER_FILES = 100;
 
   private static final Path LIMITS = Path.of("/proc/self/limits");
@@ -42,17 +42,19 @@
 
   private SettingsReader() {}
 
-  /** A settings file that cannot be used, with every reason. */
+  /** The settings file is invalid; the message names all errors. */
   public static final class BadSettingsException extends Exception {
     BadSettingsException(List<String> faults) {
       super("bad settings: " + String.join("; ", faults));
     }
   }
 
+  /** Reads a settings file. */
   public static Settings read(Path file) throws IOException, BadSettingsException {
     return parse(Files.readString(file));
   }
 
+  /** Reads the text of a settings file. */
   public static Settings parse(String toml) throws BadSettingsException {
     JsonNode root;
     try {
@@ -69,19 +71,56 @@
     return settings;
   }
 
+  /** Reads all tables; the order of the reads is the order of the errors in the message. */
   private Settings settings(Table root) {
     Table external = root.table("external");
     Table deployment = root.table("deployment");
     Table workers = deployment.table("workers");
     Table state = deployment.table("state");
     Table cloud = deployment.table("cloud");
-    String member = root.text("member");
+    String controllerName = root.text("member");
     String zone = root.text("area");
-    String front = root.address("front");
-    String cluster = root.address("cluster_listen");
-    if (!front.isEmpty() && front.equals(cluster)) {
+    String userAddress = root.address("front");
+    String clusterAddress = root.address("cluster_listen");
+    if (!userAddress.isEmpty() && userAddress.equals(clusterAddress)) {
       faults.add("front and cluster_listen are the same");
     }
+    List<Settings.Peer> peers = peers(root);
+    Duration heartbeatInterval = workers.seconds("report_s", 0.01);
+    Duration leaseDuration = workers.seconds("lease_s", 0.1);
+    if (workers.has("report_s") && workers.has("lease_s")) {
+      checkLease(heartbeatInterval, leaseDuration);
+    }
+    List<Team> teams = teams(deployment);
+    List<Settings.Objective> objectives = objectives(deployment);
+    Settings.StoreLimits currentLimits = limits(state, null);
+    Settings.StoreLimits nextLimits =
+        state.has("next") ? limits(state.table("next"), currentLimits) : currentLimits;
+    return new Settings(
+        controllerName,
+        zone,
+        userAddress,
+        clusterAddress,
+        peers,
+        external.address("cloud"),
+        external.address("state"),
+        deployment.texts("zones"),
+        teams,
+        objectives,
+        new Settings.WorkerTimes(
+            heartbeatInterval,
+            leaseDuration,
+            workers.seconds("gang_wait_s", 0.01),
+            workers.seconds("gang_peer_s", 0.01),
+            workers.seconds("cancel_s", 0.01)),
+        currentLimits.strictest(nextLimits),
+        currentLimits,
+        new Settings.CloudLimits(cloud.number("rps", 0.01, MAX), cloud.seconds("list_lag_s", 0)),
+        maxSockets(deployment),
+        coreShare(deployment));
+  }
+
+  private List<Settings.Peer> peers(Table root) {
     List<Settings.Peer> peers = new ArrayList<>();
     for (Table peer : root.tables("seeds")) {
       peers.add(new Settings.Peer(peer.text("member"), peer.text("area"), peer.address("address")));
@@ -89,15 +128,19 @@
     if (peers.isEmpty()) {
       faults.add("seeds names no other controller");
     }
-    Duration report = workers.seconds("report_s", 0.01);
-    Duration lease = workers.seconds("lease_s", 0.1);
-    // A report comes up to a quarter late: with a shorter lease every task would end between two of
-    // them.
-    if (workers.has("report_s")
-        && workers.has("lease_s")
-        && lease.compareTo(report.plus(report.dividedBy(4))) <= 0) {
+    return List.copyOf(peers);
+  }
+
+  /**
+   * Heartbeats arrive up to a quarter late: with a shorter lease all tasks would end in between.
+   */
+  private void checkLease(Duration heartbeatInterval, Duration leaseDuration) {
+    if (leaseDuration.compareTo(heartbeatInterval.plus(heartbeatInterval.dividedBy(4))) <= 0) {
       faults.add("deployment.workers.lease_s is not longer than a report may take to come");
     }
+  }
+
+  private static List<Team> teams(Table deployment) {
     List<Team> teams = new ArrayList<>();
     for (Table team : deployment.tables("teams")) {
       teams.add(
@@ -107,6 +150,10 @@
               team.number("cpus_max", 0, MAX),
               team.number("gpus_max", 0, MAX)));
     }
+    return List.copyOf(teams);
+  }
+
+  private static List<Settings.Objective> objectives(Table deployment) {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (Table item : deployment.tables("objectives")) {
       objectives.add(
@@ -117,43 +164,27 @@
               item.has("share") ? item.number("share", 0, 1) : 1,
               item.has("times") ? item.number("times", 0, MAX) : 1));
     }
-    Settings.StoreLimits inForce = limits(state, null);
-    Settings.StoreLimits toCome =
-        state.has("next") ? limits(state.table("next"), inForce) : inForce;
-    return new Settings(
-        member,
-        zone,
-        front,
-        cluster,
-        List.copyOf(peers),
-        external.address("cloud"),
-        external.address("state"),
-        deployment.texts("zones"),
-        List.copyOf(teams),
-        List.copyOf(objectives),
-        new Settings.WorkerTimes(
-            report,
-            lease,
-            workers.seconds("gang_wait_s", 0.01),
-            workers.seconds("gang_peer_s", 0.01),
-            workers.seconds("cancel_s", 0.01)),
-        inForce.strictest(toCome),
-        inForce,
-        new Settings.CloudLimits(cloud.number("rps", 0.01, MAX), cloud.seconds("list_lag_s", 0)),
-        deployment.has("resources")
-            ? (int) deployment.table("resources").number("max_sockets", 64, MAX)
-            : untoldSockets(openFiles()),
-        deployment.has("resources") && deployment.table("resources").has("core_share")
-            ? deployment.table("resources").number("core_share", 0.001, MAX)
-            : 1);
+    return List.copyOf(objectives);
+  }
+
+  private static int maxSockets(Table deployment) {
+    return deployment.has("resources")
+        ? (int) deployment.table("resources").number("max_sockets", 64, MAX)
+        : untoldSockets(openFiles());
+  }
+
+  private static double coreShare(Table deployment) {
+    return deployment.has("resources") && deployment.table("resources").has("core_share")
+        ? deployment.table("resources").number("core_share", 0.001, MAX)
+        : 1;
   }
 
-  /** How many sockets are taken where the platform does not say, by the system's own limit. */
+  /** The number of sockets where the settings name none, by the limit of open files. */
   static int untoldSockets(long openFiles) {
     return (int) Math.max(USUAL_SOCKETS, Math.min(MAX_UNTOLD_SOCKETS, openFiles - OTHER_FILES));
   }
 
-  /** How many files the system lets this process open; 0 where it does not tell. */
+  /** The operating system's limit of open files for this process; 0 when it is not known. */
   private static long openFiles() {
     try {
       for (String line : Files.readAllLines(LIMITS)) {
@@ -166,7 +197,7 @@
         }
       }
     } catch (IOException | NumberFormatException e) {
-      // Not told.
+      // The limit is not known.
     }
     return 0;
   }
@@ -174,7 +205,7 @@
   /**
    * The state service's limits.
    *
-   * @param otherwise holds where the table names no limit; null where it has to name all of them
+   * @param otherwise limits for those that the table does not name; null when it must name all
    */
   private static Settings.StoreLimits limits(Table table, Settings.StoreLimits otherwise) {
     boolean all = otherwise == null;
@@ -191,7 +222,7 @@
             : otherwise.transactionOps());
   }
 
-  /** One table of the file, with its place for messages. */
+  /** One table of the file, with its path for messages. */
   private final class Table {
     private final String place;
     private final JsonNode node;
--- a/src/main/java/io/pineladder/wire/WorkerWire.java
+++ b/src/main/java/io/pineladder/wire/WorkerWire.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reports of workers and orders to them. */
+/**
+ * Heartbeats of workers and orders to them. On the wire a fencing token is a baton, an agent epoch
+ * a shift, a machine a host and a task a piece; these words are mapped here and nowhere else.
+ */
 public final class WorkerWire {
   private static final Map<String, TaskState> TASK_STATES =
       Map.of(
@@ -31,7 +34,7 @@
 
   private WorkerWire() {}
 
-  /** A task's state as its worker tells it. */
+  /** The state of a task in a heartbeat. */
   public enum TaskState {
     FETCHING_IMAGE,
     WAITING_FOR_GANG,
@@ -64,17 +67,29 @@
     }
   }
 
-  /** One task in a report; {@code cause} is null unless exited. */
+  /**
+   * One task in a heartbeat.
+   *
+   * @param endReason null unless the task has exited
+   * @param checkpointSaved whether its checkpoint was saved before it exited
+   */
   public record TaskStatus(
       TaskId task, long attempt, TaskState state, EndReason endReason, boolean checkpointSaved) {
 
-    /** What the attempt is listed by on its machine. */
+    /** The key of the attempt in its machine's list of attempts. */
     public String attemptKey() {
       return Machine.attemptKey(task.job, task.index, attempt);
     }
   }
 
-  /** A report; {@code notice} is null unless the cloud takes the machine back. */
+  /**
+   * A heartbeat with the status of a machine.
+   *
+   * @param agentEpoch changes when the agent restarts
+   * @param sequence numbers the heartbeats of an agent epoch
+   * @param token the highest fencing token that the worker has seen
+   * @param reclaimNotice time until the cloud reclaims the spot machine; null unless it does
+   */
   public record Heartbeat(
       String machine,
       String address,
@@ -87,6 +102,7 @@
       Duration reclaimNotice,
       List<TaskStatus> tasks) {}
 
+  /** Reads a heartbeat. */
   public static Heartbeat parseHeartbeat(byte[] body) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<TaskStatus> tasks = new ArrayList<>();
@@ -95,7 +111,7 @@
       if (state == null) {
         throw new MalformedMessageException("status is not known");
       }
-      // A cause this version does not know is treated as a failure of the task.
+      // An end reason that this version does not know counts as a failure of the task.
       EndReason endReason =
           state == TaskState.EXITED
               ? END_REASONS.getOrDefault(task.textOr("cause", "error"), EndReason.ERROR)
@@ -129,36 +145,42 @@
       return list.addObject().put("verb", verb).put("piece", job + "/" + index).put("try", attempt);
     }
 
+    /** Adds an order to start an attempt. */
     public void start(String job, int index, long attempt) {
       add("start", job, index, attempt);
     }
 
+    /** Adds an order to end an attempt, with a grace period for its checkpoint. */
     public void kill(String job, int index, long attempt, Duration grace) {
       add("kill", job, index, attempt).put("wind_down_s", JobWire.seconds(grace));
     }
 
+    /** Adds an order to drop an exited attempt from the heartbeats. */
     public void forget(String job, int index, long attempt) {
       add("forget", job, index, attempt);
     }
 
+    /** Whether there is no order. */
     public boolean isEmpty() {
       return list.isEmpty();
     }
   }
 
+  /** The response to a heartbeat. */
   public static byte[] heartbeatResponse(long token, Orders orders) {
     ObjectNode out = Json.object().put("baton", token);
     out.set("orders", orders.list);
     return Json.bytes(out);
   }
 
+  /** Orders that are sent to a worker outside the response to a heartbeat. */
   public static byte[] command(long token, long agentEpoch, Orders orders) {
     ObjectNode out = Json.object().put("baton", token).put("shift", agentEpoch);
     out.set("orders", orders.list);
     return Json.bytes(out);
   }
 
-  /** Tells a worker to report to {@code leader}; null when no leader is known. */
+  /** Redirects a worker to {@code leader}; null when no leader is known. */
   public static byte[] redirect(String leader) {
     ObjectNode out = Json.object();
     if (leader != null) {
