--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -101,20 +101,10 @@
   /** What all attempts that may be on it hold. */
   public Resources used = Resources.ZERO;
 
-  /** The job that capacity is reserved for; null for none. */
-  public Job reservedFor;
-
-  /** What is reserved. */
-  public Resources reserved = Resources.ZERO;
-
-  /** When the reservation expires; undefined without one. */
-  public Instant reservationExpiresAt;
-
-  /**
-   * When the job that holds the reservation should start: tasks that end sooner may run there until
-   * then; null for none.
-   */
-  public Instant reservationStartsAt;
+  private Job reservedFor;
+  private Resources reserved = Resources.ZERO;
+  private Instant reservationExpiresAt;
+  private Instant reservationStartsAt;
 
   /** Images that should be cached, the most recently used last, with their size in GB. */
   public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
@@ -243,6 +233,50 @@
     return type.capacity().minus(used);
   }
 
+  /** Reserves capacity for one task of the job, in place of any other reservation. */
+  public void reserve(Job job, Instant expiresAt) {
+    reservedFor = job;
+    reserved = job.spec.resourcesPerTask();
+    reservationExpiresAt = expiresAt;
+    reservationStartsAt = null;
+  }
+
+  /** Sets when the job that holds the reservation should start: until then others may run here. */
+  public void setReservationStart(Instant startsAt) {
+    reservationStartsAt = startsAt;
+  }
+
+  /** Cancels the reservation, if there is one. */
+  public void cancelReservation() {
+    reservedFor = null;
+    reserved = Resources.ZERO;
+  }
+
+  /** The job that capacity is reserved for, though the reservation may have expired; or null. */
+  public Job reservedFor() {
+    return reservedFor;
+  }
+
+  /** Whether capacity is reserved for the job now. */
+  public boolean isReservedFor(Job job, Instant now) {
+    return reservedFor == job && reservationExpiresAt.isAfter(now);
+  }
+
+  /** Whether capacity is reserved for another job now. */
+  public boolean isReservedForOther(Job job, Instant now) {
+    return reservedFor != null && reservedFor != job && reservationExpiresAt.isAfter(now);
+  }
+
+  /** What is reserved, though the reservation may have expired. */
+  public Resources reserved() {
+    return reserved;
+  }
+
+  /** When the job that holds the reservation should start; null when that is not known. */
+  public Instant reservationStartsAt() {
+    return reservationStartsAt;
+  }
+
   /** Marks an image as used last, and drops the least recently used that exceed the cache. */
   public void touchImage(String image, double gb) {
     images.remove(image);
--- a/src/main/java/io/pineladder/scheduling/ClusterState.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -339,21 +339,17 @@
    */
   void reserve(Machine machine, Job job, Instant until) {
     unreserve(machine);
-    machine.reservedFor = job;
-    machine.reserved = job.spec.resourcesPerTask();
-    machine.reservationExpiresAt = until;
-    machine.reservationStartsAt = null;
+    machine.reserve(job, until);
     reservations.computeIfAbsent(job, j -> new LinkedHashSet<>(2)).add(machine);
   }
 
   /** Cancels the machine's reservation, if there is one. */
   void unreserve(Machine machine) {
-    Job job = machine.reservedFor;
+    Job job = machine.reservedFor();
     if (job == null) {
       return;
     }
-    machine.reservedFor = null;
-    machine.reserved = Resources.ZERO;
+    machine.cancelReservation();
     Set<Machine> reserved = reservations.get(job);
     if (reserved != null && reserved.remove(machine) && reserved.isEmpty()) {
       reservations.remove(job);
--- a/src/main/java/io/pineladder/scheduling/GangReservation.java
+++ b/src/main/java/io/pineladder/scheduling/GangReservation.java
@@ -73,19 +73,14 @@
         now.plusMillis((long) (soonest.get(soonest.size() - 1).secondsUntilFree * 1000));
     for (ExpectedCapacity capacity : soonest) {
       Machine machine = capacity.machine;
-      boolean reservedForOther =
-          machine.reservedFor != null
-              && machine.reservedFor != job
-              && machine.reservationExpiresAt.isAfter(now);
-      if (!reservedForOther) {
+      if (!machine.isReservedForOther(job, now)) {
         Instant earlierExpectedStart =
-            machine.reservedFor == job ? machine.reservationStartsAt : null;
+            machine.reservedFor() == job ? machine.reservationStartsAt() : null;
         cluster.reserve(machine, job, now.plus(PreemptionPolicy.RESERVATION_DURATION));
         // A wrong estimate must not defer the expected start again and again.
-        machine.reservationStartsAt =
-            earlierExpectedStart != null && earlierExpectedStart.isBefore(expectedStart)
-                ? earlierExpectedStart
-                : expectedStart;
+        boolean isEarlier =
+            earlierExpectedStart != null && earlierExpectedStart.isBefore(expectedStart);
+        machine.setReservationStart(isEarlier ? earlierExpectedStart : expectedStart);
       }
     }
   }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -248,23 +248,21 @@
   static Resources availableCapacity(Job job, Machine machine, Instant now) {
     Resources free = machine.free();
     boolean isReservedForOther =
-        machine.reservedFor != null
-            && machine.reservedFor != job
-            && machine.reservationExpiresAt.isAfter(now)
-            && !job.priorityClass().isAbove(machine.reservedFor.priorityClass())
+        machine.isReservedForOther(job, now)
+            && !job.priorityClass().isAbove(machine.reservedFor().priorityClass())
             && !endsBeforeReservation(job, machine, now);
-    return isReservedForOther ? free.minus(machine.reserved) : free;
+    return isReservedForOther ? free.minus(machine.reserved()) : free;
   }
 
   /** Whether a task should end there before the job that holds the reservation can start. */
   private static boolean endsBeforeReservation(Job job, Machine machine, Instant now) {
-    if (machine.reservationStartsAt == null || job.spec.kind() != JobKind.ARRAY) {
+    if (machine.reservationStartsAt() == null || job.spec.kind() != JobKind.ARRAY) {
       return false;
     }
     long millis = (long) (fetchSeconds(job, machine) * 1000);
     return now.plusMillis(millis)
         .plus(job.spec.estimatedRunTime())
-        .isBefore(machine.reservationStartsAt);
+        .isBefore(machine.reservationStartsAt());
   }
 
   /** How many attempts of the job there are, by zone. */
--- a/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -72,8 +72,7 @@
       return false;
     }
     boolean isGang = job.spec.isMultiTaskGang();
-    if (isGang
-        && cluster.reservedFor(job).stream().anyMatch(m -> m.reservationExpiresAt.isAfter(now))) {
+    if (isGang && cluster.reservedFor(job).stream().anyMatch(m -> m.isReservedFor(job, now))) {
       return false;
     }
     List<VictimSelector.PreemptionPlan> plans =
--- a/src/main/java/io/pineladder/scheduling/QueueingHints.java
+++ b/src/main/java/io/pineladder/scheduling/QueueingHints.java
@@ -29,7 +29,7 @@
                   .fitsIn(Placer.availableCapacity(job, machine, eventLoop.now()))) {
             return QueueingHint.SKIP;
           }
-          boolean needsOtherMachines = job.spec.isMultiTaskGang() && machine.reservedFor != job;
+          boolean needsOtherMachines = job.spec.isMultiTaskGang() && machine.reservedFor() != job;
           return needsOtherMachines ? QueueingHint.QUEUE : QueueingHint.QUEUE_IMMEDIATELY;
         };
     QueueingHintTable.HintFunction onOwnAttemptGone =
--- a/src/main/java/io/pineladder/scheduling/TaskStarter.java
+++ b/src/main/java/io/pineladder/scheduling/TaskStarter.java
@@ -38,7 +38,7 @@
 
   /** Starts a task on the machine as soon as its placement is stored. */
   void start(Job job, int task, long number, Machine machine, Instant now) {
-    if (machine.reservedFor == job) {
+    if (machine.reservedFor() == job) {
       context.cluster.unreserve(machine);
     }
     job.pending.clear(task);
--- a/src/main/java/io/pineladder/scheduling/VictimSelector.java
+++ b/src/main/java/io/pineladder/scheduling/VictimSelector.java
@@ -40,7 +40,7 @@
   int countMachinesBeingFreed(Job job, Instant now) {
     int count = 0;
     for (Machine machine : cluster.reservedFor(job)) {
-      if (machine.reservationExpiresAt.isAfter(now)
+      if (machine.isReservedFor(job, now)
           && machine.isSchedulable()
           && !job.spec.resourcesPerTask().fitsIn(machine.free())) {
         count++;
@@ -64,7 +64,7 @@
     for (Machine machine : cluster.machines()) {
       if (!machine.isSchedulable()
           || !Placer.isAllowed(job, machine)
-          || (machine.reservedFor == job && machine.reservationExpiresAt.isAfter(now))
+          || machine.isReservedFor(job, now)
           || !Placer.allowsZoneOf(job, machine)) {
         continue;
       }
