--- a/src/main/java/io/pineladder/upgrade/package-info.java
+++ b/src/main/java/io/pineladder/upgrade/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Versions of the records and messages of a cluster, and how a rolling upgrade moves between them.
+ * How a rolling upgrade ends: the leader raises the cluster version ({@link
+ * io.pineladder.model.ClusterVersion}) once all controllers support the next one.
  */
 package io.pineladder.upgrade;
