--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -168,9 +168,10 @@
     transitionTo(State.OFF);
   }
 
-  private void schedule(Duration pause, int sequence, Runnable action) {
+  /** Schedules an action, which is dropped when the state has changed by then. */
+  private void schedule(Duration delay, int sequence, Runnable action) {
     eventLoop.schedule(
-        pause,
+        delay,
         () -> {
           if (sequence == currentSequence) {
             action.run();
@@ -190,16 +191,16 @@
             schedule(REQUEST_INTERVAL, sequence, () -> readPage(sequence, prefix, after));
             return;
           }
-          boolean own = state == State.LISTING;
+          boolean listing = state == State.LISTING;
           revision = revision < 0 ? page.revision() : revision;
-          page.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), own));
+          page.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), listing));
           if (page.nextPageAfter() != null) {
             schedule(
                 REQUEST_INTERVAL, sequence, () -> readPage(sequence, prefix, page.nextPageAfter()));
             return;
           }
           replica.finalStatesLoaded();
-          if (own) {
+          if (listing) {
             replica.recordsLoaded();
             listener.onReplicaComplete(replica);
             upToDateAt = eventLoop.now();
@@ -239,14 +240,14 @@
           if (sequence != currentSequence) {
             return;
           }
-          String last = after;
+          String lastJob = after;
           if (page != null) {
             Set<String> storedJobs = new HashSet<>();
             page.entries()
                 .forEach(e -> storedJobs.add(e.key().substring(RecordKeys.FINAL_STATE.length())));
             String next = page.nextPageAfter();
-            last = next == null ? null : next.substring(RecordKeys.FINAL_STATE.length());
-            for (String job : replica.finalStatesBetween(after, last)) {
+            lastJob = next == null ? null : next.substring(RecordKeys.FINAL_STATE.length());
+            for (String job : replica.finalStatesBetween(after, lastJob)) {
               if (!storedJobs.contains(job)) {
                 // It may have been stored after the page was read, so it is read again.
                 confirmMissing(sequence, RecordKeys.FINAL_STATE + job, 1);
@@ -254,7 +255,7 @@
               }
             }
           }
-          then.accept(last);
+          then.accept(lastJob);
         });
   }
 
@@ -282,11 +283,11 @@
    * in the replica, is read.
    */
   private void comparePages(int sequence) {
-    int most = Math.min(MAX_COMPARED_PAGES, 4 * storeClient.limits().transactionOps() - 1);
-    SortedMap<String, Long> asked = replica.neverRemovedPages(lastComparedPage, most);
-    lastComparedPage = asked.size() < most ? null : asked.lastKey();
+    int maxPages = Math.min(MAX_COMPARED_PAGES, 4 * storeClient.limits().transactionOps() - 1);
+    SortedMap<String, Long> pages = replica.neverRemovedPages(lastComparedPage, maxPages);
+    lastComparedPage = pages.size() < maxPages ? null : pages.lastKey();
     StoreWire.Transaction compare = storeClient.transaction();
-    asked.forEach(compare::require);
+    pages.forEach(compare::require);
     storeClient.checkConditions(
         compare,
         failed -> {
@@ -294,13 +295,13 @@
             return;
           }
           for (String key : failed == null ? List.<String>of() : failed) {
-            Long before = mismatchedPages.put(key, asked.getOrDefault(key, 0L));
-            if (before != null && before == replica.versionOf(key) && asked.containsKey(key)) {
+            Long before = mismatchedPages.put(key, pages.getOrDefault(key, 0L));
+            if (before != null && before == replica.versionOf(key) && pages.containsKey(key)) {
               confirmMissing(sequence, key, replica.versionOf(key));
             }
           }
           if (failed != null) {
-            mismatchedPages.keySet().removeIf(k -> asked.containsKey(k) && !failed.contains(k));
+            mismatchedPages.keySet().removeIf(k -> pages.containsKey(k) && !failed.contains(k));
           }
           schedule(REQUEST_INTERVAL, sequence, () -> step(sequence));
         });
--- a/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
+++ b/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
@@ -57,11 +57,13 @@
   private void splitPages(String prefix, List<StoreWire.Entry> pages) {
     long nextPageNumber = 0;
     for (StoreWire.Entry page : pages) {
-      nextPageNumber = Math.max(nextPageNumber, number(page.key(), prefix) + 1);
+      nextPageNumber = Math.max(nextPageNumber, RecordKeys.pageNumber(page.key(), prefix) + 1);
       for (JsonNode item : page.value().path("entries")) {
         // A new page with the key of a split one would invalidate the copies of its records.
         String source = RecordWire.copySource(item);
-        nextPageNumber = Math.max(nextPageNumber, source == null ? 0 : number(source, prefix) + 1);
+        nextPageNumber =
+            Math.max(
+                nextPageNumber, source == null ? 0 : RecordKeys.pageNumber(source, prefix) + 1);
       }
     }
     for (StoreWire.Entry page : pages) {
@@ -78,11 +80,6 @@
     }
   }
 
-  private static long number(String key, String prefix) {
-    String rest = key.substring(prefix.length());
-    return rest.matches("[0-9]{1,18}") ? Long.parseLong(rest) : -1;
-  }
-
   private List<ObjectNode> splitPage(JsonNode page) {
     List<ObjectNode> parts = new ArrayList<>();
     ObjectNode part = emptyPage();
--- a/src/main/java/io/pineladder/store/RecordKeys.java
+++ b/src/main/java/io/pineladder/store/RecordKeys.java
@@ -73,7 +73,7 @@
   private RecordKeys() {}
 
   /** The number in a page's key, which follows its prefix; -1 when there is none. */
-  static long pageNumber(String key, String prefix) {
+  public static long pageNumber(String key, String prefix) {
     String rest = key.substring(prefix.length());
     return rest.matches("[0-9]{1,18}") ? Long.parseLong(rest) : -1;
   }
--- a/src/test/java/io/pineladder/replica/RecordReplicaTest.java
+++ b/src/test/java/io/pineladder/replica/RecordReplicaTest.java
@@ -1,6 +1,7 @@
 package io.pineladder.replica;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pineladder.model.Generation;
@@ -20,23 +21,21 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** What several sources make together, against a plain model that knows the rules by heart. */
+/** Merging of records and the detection of lost ones, compared with a reference model. */
 class RecordReplicaTest {
   private static final List<String> PAGES =
       List.of("accepted/0", "accepted/1", "done/0", "done/1", "placed/0", "placed/1", "conf/types");
 
   private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(31);
 
-  /**
-   * What is stored under each key in the end: the highest revision wins, final states are united.
-   */
-  private static final class Model {
+  /** The expected records: of each key the highest revision, and all final states. */
+  private static final class ReferenceModel {
     final Map<String, Entry> records = new TreeMap<>();
-    final Map<String, Job.State> ends = new TreeMap<>();
+    final Map<String, Job.State> finalStates = new TreeMap<>();
 
-    void take(Entry entry) {
+    void put(Entry entry) {
       if (entry.key().startsWith(RecordKeys.FINAL_STATE)) {
-        ends.putIfAbsent(
+        finalStates.putIfAbsent(
             entry.key().substring(RecordKeys.FINAL_STATE.length()), state(entry.value()));
       } else {
         records.merge(entry.key(), entry, (a, b) -> b.revision() > a.revision() ? b : a);
@@ -48,7 +47,7 @@
     return value.get("state").asText().equals("done") ? Job.State.DONE : Job.State.CANCELLED;
   }
 
-  /** One history of a store; sources know different parts of it. */
+  /** The changes of a store in order, of which the sources know different parts. */
   private List<Entry> history() {
     List<Entry> all = new ArrayList<>();
     for (long revision = 1; revision <= 60; revision++) {
@@ -77,12 +76,12 @@
     return found;
   }
 
-  private static Map<String, Job.State> ends(RecordReplica replica) throws Exception {
+  private static Map<String, Job.State> finalStates(RecordReplica replica) throws Exception {
     Map<String, Job.State> found = new TreeMap<>();
     for (Entry entry : replica.generationEntries()) {
       if (entry.key().startsWith(RecordKeys.ARCHIVED_FINAL_STATES)) {
         for (String job : RecordWire.parseFinalStates(entry.value())) {
-          assertEquals(null, found.put(job, state(entry.value())), job + " is there twice");
+          assertNull(found.put(job, state(entry.value())), job + " has two final states");
         }
       }
     }
@@ -90,52 +89,54 @@
   }
 
   @Test
-  void sourcesMakeTogetherWhatThePlainModelMakes() throws Exception {
+  void mergedSourcesEqualTheReferenceModel() throws Exception {
     for (int round = 0; round < 300; round++) {
       RecordReplica replica = new RecordReplica(0);
-      Model model = new Model();
-      List<Entry> rest = new ArrayList<>();
+      ReferenceModel model = new ReferenceModel();
+      List<Entry> surviving = new ArrayList<>();
       int seen = random.nextInt(60);
       for (Entry entry : history()) {
         if (entry.revision() <= seen) {
           replica.put(entry.key(), entry.value(), entry.revision(), random.nextBoolean());
-          model.take(entry);
+          model.put(entry);
         }
-        // What the store still holds: anything, older or newer.
+        // The store holds any part after a data loss, older or newer.
         if (random.nextInt(2) == 0) {
-          rest.add(entry);
-          model.take(entry);
+          surviving.add(entry);
+          model.put(entry);
         }
       }
-      replica.mergeSurviving(rest);
+      replica.mergeSurviving(surviving);
       Map<String, JsonNode> expected = new TreeMap<>();
       model.records.forEach((key, entry) -> expected.put(key, entry.value()));
       assertEquals(expected, records(replica));
-      assertEquals(model.ends, ends(replica));
+      assertEquals(model.finalStates, finalStates(replica));
 
-      // A snapshot with the changes since is the same again, in whatever generation.
-      Snapshot kept = Snapshot.decode(replica.snapshot("c", Instant.EPOCH).encode());
-      RecordReplica back =
-          RecordReplica.fromSnapshot(new SnapshotManager.LoadedSnapshot(kept, List.of()));
-      assertEquals(replica.generationEntries(), back.generationEntries());
-      back.rebaseTo(
+      // A snapshot restores the same records, also in another generation.
+      Snapshot decoded = Snapshot.decode(replica.snapshot("c", Instant.EPOCH).encode());
+      RecordReplica restored =
+          RecordReplica.fromSnapshot(new SnapshotManager.LoadedSnapshot(decoded, List.of()));
+      assertEquals(replica.generationEntries(), restored.generationEntries());
+      restored.rebaseTo(
           new Generation(
               1L << 30, 5, Generation.Phase.COMPLETE, true, new Generation.Writer("m", "n")));
-      assertEquals(expected, records(back));
-      assertEquals(model.ends, ends(back));
+      assertEquals(expected, records(restored));
+      assertEquals(model.finalStates, finalStates(restored));
     }
   }
 
   @Test
-  void aPageThatIsOlderThanItWasSeenIsMissed() {
+  void reportsPagesThatAreMissingOrOlderThanSeen() {
     RecordReplica replica = new RecordReplica(0);
     JsonNode page = Json.object().set("entries", Json.array());
     replica.put("placed/0", page, 7, false);
     replica.put("placed/1", page, 9, false);
     replica.recordsLoaded();
-    List<Entry> whole = List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
-    assertEquals(null, replica.firstMissingKey(RecordKeys.PLACEMENTS, whole));
-    assertEquals("placed/1", replica.firstMissingKey(RecordKeys.PLACEMENTS, whole.subList(0, 1)));
+    List<Entry> complete = List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
+    assertNull(
+        replica.firstMissingKey(RecordKeys.PLACEMENTS, complete), "newer versions are not missing");
+    assertEquals(
+        "placed/1", replica.firstMissingKey(RecordKeys.PLACEMENTS, complete.subList(0, 1)));
     assertEquals(
         "placed/0",
         replica.firstMissingKey(
