--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -166,6 +166,7 @@
     stopped = true;
   }
 
+  /** The only place where the state changes. */
   private void transitionTo(State next, String reason) {
     if (state != next) {
       log.info("Generation state changed: from={} to={} reason=\"{}\"", state, next, reason);
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -391,7 +391,10 @@
     }
   }
 
-  /** A leader with a complete replica can detect a data loss, one without cannot. */
+  /**
+   * A new leader compares the store with its replica; one without a complete replica may miss a
+   * data loss.
+   */
   private boolean leavesElectionToOthers() {
     Instant now = eventLoop.now();
     leaderlessSince = leaderlessSince == null ? now : leaderlessSince;
