--- a/src/test/java/io/pineladder/workers/AutoscalerTest.java
+++ b/src/test/java/io/pineladder/workers/AutoscalerTest.java
@@ -29,7 +29,7 @@
    * price.
    */
   @Test
-  void allTypesSpotMachinesAreAskedForBeforeAnyOrdinaryOne() {
+  void spotMachinesOfAllTypesAreRentedBeforeAnyOnDemandOne() {
     leader.cluster.setTypes(
         List.of(
             new MachineType(
@@ -88,7 +88,7 @@
 
   /** Found by the bench's run of real processes: idle machines stayed rented after the last job. */
   @Test
-  void withoutAnyJobIdleMachinesGoSoon() {
+  void withoutAnyJobIdleMachinesAreReleasedSoon() {
     leader.autoscaler.start();
     for (int second = 0; second < 40; second++) {
       leader.heartbeat("m-1", 1 + second);
@@ -104,10 +104,10 @@
    * any more, and room was rented once again.
    */
   @Test
-  void newPricesDoNotMakeBootingMachinesBeRentedAgain() {
+  void bootingMachinesAreNotRentedAgainAtNewPrices() {
     leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 4, "i"));
-    assertEquals(1, rentals());
+    assertEquals(1, countRentals());
     MachineType was = LeaderHarness.TYPE;
     leader.cluster.setTypes(
         List.of(
@@ -121,21 +121,21 @@
                 was.bootTime(),
                 was.zones())));
     leader.runFor(Duration.ofSeconds(3));
-    assertEquals(0, rentals());
+    assertEquals(0, countRentals());
   }
 
   /** Found on colombo-ops: a guest's work for idle time had every ordinary machine rented. */
   @Test
-  void workForIdleTimeHasNoOrdinaryMachineRentedUntilItHasWaitedForLong() {
+  void idleCapacityWorkRentsNoOnDemandMachineUntilItHasWaitedForLong() {
     leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
-    assertEquals(Set.of(true), kindsAskedFor(Duration.ofSeconds(60)));
+    assertEquals(Set.of(true), requestedMarkets(Duration.ofSeconds(60)));
     leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.NORMAL, 8, "i"));
-    assertEquals(Set.of(true, false), kindsAskedFor(Duration.ofSeconds(60)));
+    assertEquals(Set.of(true, false), requestedMarkets(Duration.ofSeconds(60)));
     LeaderHarness other = new LeaderHarness();
     other.autoscaler.start();
     other.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
-    assertEquals(Set.of(true, false), kindsAskedFor(other, Duration.ofMinutes(11)));
+    assertEquals(Set.of(true, false), requestedMarkets(other, Duration.ofMinutes(11)));
   }
 
   /**
@@ -143,7 +143,7 @@
    * returned.
    */
   @Test
-  void workForIdleTimeDoesNotKeepAnOrdinaryMachine() {
+  void idleCapacityWorkDoesNotKeepAnOnDemandMachine() {
     for (int i = 0; i < 2; i++) {
       leader.heartbeat("m-" + i, 1);
     }
@@ -189,12 +189,12 @@
         "what filled the one makes way");
   }
 
-  private Set<Boolean> kindsAskedFor(Duration within) {
-    return kindsAskedFor(leader, within);
+  private Set<Boolean> requestedMarkets(Duration within) {
+    return requestedMarkets(leader, within);
   }
 
   /** Refuses all rentals and tells whether spot machines (true) and others were asked for. */
-  private static Set<Boolean> kindsAskedFor(LeaderHarness of, Duration within) {
+  private static Set<Boolean> requestedMarkets(LeaderHarness of, Duration within) {
     Set<Boolean> kinds = new HashSet<>();
     for (long second = 0; second < within.toSeconds(); second++) {
       of.runFor(Duration.ofSeconds(1));
@@ -212,7 +212,7 @@
   }
 
   /** Answers what the fleet asks of the cloud and counts the machines it wants rented. */
-  private int rentals() {
+  private int countRentals() {
     int wanted = 0;
     for (int second = 0; second < 3; second++) {
       leader.runFor(Duration.ofSeconds(1));
--- a/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
+++ b/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
@@ -30,7 +30,7 @@
 
   /** A late copy of an unanswered start must find its attempt known, or it would run again. */
   @Test
-  void anUnansweredStartIsHeldForTheWholeSession() {
+  void anUnansweredStartIsKeptForTheWholeAgentEpoch() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
@@ -51,7 +51,7 @@
     assertEquals(Attempt.State.GONE, attempt.state(), "the session's end settles it");
   }
 
-  private String reported(long session, long sequence, long token) {
+  private String heartbeatResponse(long session, long sequence, long token) {
     WorkerWire.Orders orders =
         leader.workerManager.onHeartbeat(
             new Heartbeat(
@@ -70,28 +70,28 @@
 
   /** It took new tasks with each new session, and none of them ever started. */
   @Test
-  void aMachineThatReportsAndHearsNothingGetsNoWorkUntilItAnswers() {
-    reported(1, 1, LeaderHarness.TERM);
+  void anUnreachableMachineThatSendsHeartbeatsGetsNoTasksUntilItReplies() {
+    heartbeatResponse(1, 1, LeaderHarness.TERM);
     Machine machine = leader.cluster.machine("m-1");
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     assertEquals(Machine.Reachability.DOUBTFUL, machine.reachability());
     assertFalse(machine.isSchedulable());
-    reported(1, 2, LeaderHarness.TERM);
+    heartbeatResponse(1, 2, LeaderHarness.TERM);
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
-    reported(2, 1, LeaderHarness.TERM);
+    heartbeatResponse(2, 1, LeaderHarness.TERM);
     assertEquals(Machine.Reachability.UNREACHABLE, machine.reachability());
     assertTrue(job.attempts.isEmpty(), "the new session is the proof");
     assertEquals(1, job.pending.cardinality(), "and the task waits for another machine");
     leader.runFor(Duration.ofSeconds(5));
-    reported(2, 2, LeaderHarness.TERM);
+    heartbeatResponse(2, 2, LeaderHarness.TERM);
     LeaderHarness.SentRequest probe = leader.nextCommand();
-    probe.onReply().accept(AsyncHttpClient.Reply.answered(200, body(2, 3)));
+    probe.onReply().accept(AsyncHttpClient.Reply.answered(200, commandReplyBody(2, 3)));
     assertEquals(Machine.Reachability.REACHABLE, machine.reachability());
     assertTrue(machine.isSchedulable());
   }
 
-  private static byte[] body(long session, long sequence) {
+  private static byte[] commandReplyBody(long session, long sequence) {
     return ("{\"host\":\"m-1\",\"addr\":\"10.1.0.1:9000\",\"hull\":\"g4\",\"yard\":\"a\",\"loaners\":false,"
                 + "\"shift\":"
             + session
@@ -108,29 +108,29 @@
    * response: a start that went with the response may still arrive. It was taken as dropped.
    */
   @Test
-  void anAnswerToACommandSaysNothingOfAStartThatAResponseCarries() {
-    reported(1, 1, LeaderHarness.TERM);
+  void aCommandReplyProvesNothingAboutAStartInAHeartbeatResponse() {
+    heartbeatResponse(1, 1, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Attempt attempt = LeaderHarness.onlyAttempt(job);
     Machine machine = leader.cluster.machine("m-1");
     leader.workerManager.probe(machine);
     LeaderHarness.SentRequest probe = leader.nextCommand();
-    assertTrue(reported(1, 2, LeaderHarness.TERM).contains("start"));
+    assertTrue(heartbeatResponse(1, 2, LeaderHarness.TERM).contains("start"));
     // The worker answered the probe before the response with the start reached it.
-    probe.onReply().accept(AsyncHttpClient.Reply.answered(200, body(1, 3)));
+    probe.onReply().accept(AsyncHttpClient.Reply.answered(200, commandReplyBody(1, 3)));
     leader.scheduler.cancel(job);
     leader.runFor(Duration.ofMillis(60));
     assertTrue(attempt.holdsCapacity(), "the start may be on its way");
     assertFalse(job.finalStateStored, "and so its user is told nothing yet");
-    reported(1, 4, LeaderHarness.TERM);
+    heartbeatResponse(1, 4, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
     assertTrue(
         job.finalStateStored, "a report of the worker's own shows that the response was dropped");
   }
 
-  private LeaderHarness.SentRequest startSent() {
-    reported(1, 1, LeaderHarness.TERM);
+  private LeaderHarness.SentRequest sentStart() {
+    heartbeatResponse(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     return leader.nextCommand();
   }
@@ -138,12 +138,12 @@
   /** Only what the protocol names says that a start was not executed. */
   @ParameterizedTest
   @ValueSource(ints = {200, 201, 404, 421, 429, 500, 502, 503})
-  void anAnswerThatTheProtocolDoesNotNameSettlesNoStart(int status) {
-    startSent().onReply().accept(AsyncHttpClient.Reply.answered(status, new byte[] {'?'}));
+  void aReplyStatusOutsideTheProtocolSettlesNoStart(int status) {
+    sentStart().onReply().accept(AsyncHttpClient.Reply.answered(status, new byte[] {'?'}));
     Attempt attempt = leader.attempts().get(0);
     leader.scheduler.cancel(attempt.job);
     // Sent before the command arrived there.
-    reported(1, 2, LeaderHarness.TERM);
+    heartbeatResponse(1, 2, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
     assertTrue(attempt.holdsCapacity(), "it may run");
     assertFalse(attempt.job.finalStateStored, "and nothing is told");
@@ -151,8 +151,8 @@
 
   @ParameterizedTest
   @ValueSource(ints = {400, 409, -1})
-  void aStartThatTheProtocolSaysWasRefusedNeverRan(int status) {
-    LeaderHarness.SentRequest start = startSent();
+  void aRefusedStartNeverRan(int status) {
+    LeaderHarness.SentRequest start = sentStart();
     Job job = leader.attempts().get(0).job;
     leader.scheduler.cancel(job);
     start
@@ -160,15 +160,15 @@
         .accept(
             status < 0
                 ? AsyncHttpClient.Reply.NOT_SENT
-                : AsyncHttpClient.Reply.answered(status, body(1, 0)));
+                : AsyncHttpClient.Reply.answered(status, commandReplyBody(1, 0)));
     leader.runFor(Duration.ofMillis(60));
     assertTrue(job.finalStateStored);
   }
 
   /** One that is heard through a peer gets its orders with the responses, and goes on working. */
   @Test
-  void aMachineHeardThroughAPeerTakesWorkThoughDirectOrdersFail() {
-    reported(1, 1, LeaderHarness.TERM);
+  void aMachineHeardThroughAPeerIsSchedulableThoughCommandsFail() {
+    heartbeatResponse(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     Machine machine = leader.cluster.machine("m-1");
@@ -181,7 +181,7 @@
 
   /** A response that was dropped is never executed late, so the next report proves absence. */
   @Test
-  void aStartByAResponseThatWasDroppedGoesOutAgain() {
+  void aStartInADroppedHeartbeatResponseIsSentAgain() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
@@ -195,7 +195,7 @@
 
   /** Found by the simulation: such an attempt was never settled and its gang waited for ever. */
   @Test
-  void aStartThatWasRefusedAfterItsTaskWasStoppedIsGone() {
+  void aStartRefusedAfterItsTaskWasKilledIsGone() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     Attempt attempt = LeaderHarness.onlyAttempt(job);
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -33,7 +33,7 @@
   private long sequence;
 
   /** Every machine reports; what a broken job runs has failed, and everything else runs. */
-  private void second() {
+  private void runOneSecond() {
     sequence++;
     for (int i = 0; i < MACHINES; i++) {
       Machine machine = leader.cluster.machine("m-" + i);
@@ -62,8 +62,8 @@
     leader.runFor(Duration.ofMillis(700));
   }
 
-  private Job breaking(String id, JobKind shape, int tasks) {
-    Job job = leader.accept(LeaderHarness.spec(id, shape, PriorityClass.LOW, tasks, "i"));
+  private Job acceptBroken(String id, JobKind kind, int tasks) {
+    Job job = leader.accept(LeaderHarness.spec(id, kind, PriorityClass.LOW, tasks, "i"));
     broken.add(job);
     return job;
   }
@@ -73,13 +73,13 @@
    * the jobs' whole arrays were started again every second.
    */
   @Test
-  void jobsWithAMistakeCostNoMachineAndFewStarts() {
-    second();
-    Job array = breaking("req-000001", JobKind.ARRAY, 8);
-    Job other = breaking("req-000002", JobKind.ARRAY, 8);
-    breaking("req-000003", JobKind.GANG, 2);
+  void failingJobsCostNoMachineAndFewStarts() {
+    runOneSecond();
+    Job array = acceptBroken("req-000001", JobKind.ARRAY, 8);
+    Job other = acceptBroken("req-000002", JobKind.ARRAY, 8);
+    acceptBroken("req-000003", JobKind.GANG, 2);
     for (int i = 0; i < 120; i++) {
-      second();
+      runOneSecond();
     }
     for (int i = 0; i < MACHINES; i++) {
       Machine machine = leader.cluster.machine("m-" + i);
@@ -91,41 +91,41 @@
     assertTrue(failed.size() < 120, "started " + failed.size());
     assertTrue(failed.size() > 40, "still tried now and then: " + failed.size());
     leader.scheduler.cancel(other);
-    second();
+    runOneSecond();
     assertTrue(other.attempts.isEmpty());
     assertTrue(other.finalStateStored);
   }
 
   @Test
-  void aJobAtFaultDisplacesNobodyAndIsTriedWhereThereIsRoom() {
-    second();
+  void aFailingJobPreemptsNothingAndIsTriedWhereCapacityIsFree() {
+    runOneSecond();
     Job job =
         leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.HIGH, 8, "i"));
     broken.add(job);
     for (int i = 0; i < 4; i++) {
-      second();
+      runOneSecond();
     }
     assertTrue(job.failing);
     Job low =
         leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 24, "i"));
     for (int i = 0; i < 40; i++) {
-      second();
+      runOneSecond();
     }
     assertTrue(low.pending.cardinality() <= 2, "all but the probes' room: " + low.pending);
     low.attempts.values().forEach(all -> all.forEach(a -> assertTrue(a.isWanted())));
   }
 
   @Test
-  void aJobThatGoesWellAfterAllGetsAllItsRoom() {
-    second();
-    Job job = breaking("req-000001", JobKind.ARRAY, 8);
+  void aJobThatRecoversGetsAllItsCapacity() {
+    runOneSecond();
+    Job job = acceptBroken("req-000001", JobKind.ARRAY, 8);
     for (int i = 0; i < 4; i++) {
-      second();
+      runOneSecond();
     }
     assertTrue(job.failing);
     broken.clear();
     for (int i = 0; i < 30; i++) {
-      second();
+      runOneSecond();
     }
     assertFalse(job.failing, "what runs on for long is not at fault");
     assertEquals(8, job.attempts.size());
@@ -133,7 +133,7 @@
 
   /** Each takeover would start the whole array once more if a new leader had to find out anew. */
   @Test
-  void aNewLeaderTriesAJobFoundAtFaultWithCare() throws MalformedMessageException {
+  void aNewLeaderStartsFewTasksOfAFailingJob() throws MalformedMessageException {
     ObjectNode stored =
         RecordWire.job(
             LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"),
@@ -141,11 +141,11 @@
             Job.State.ACTIVE);
     assertFalse(RecordWire.parseJob(stored).atFault());
     assertTrue(RecordWire.parseJob(stored.put("at_fault", true)).atFault());
-    second();
+    runOneSecond();
     Job job = new Job(RecordWire.parseJob(stored).spec(), leader.now(), Job.State.ACTIVE);
     job.failing = true;
     leader.scheduler.add(job);
-    second();
+    runOneSecond();
     assertEquals(2, job.attempts.size());
   }
 }
--- a/src/test/java/io/pineladder/workers/FailureDetectionTest.java
+++ b/src/test/java/io/pineladder/workers/FailureDetectionTest.java
@@ -19,7 +19,7 @@
    *
    * @param others the zone of the other four
    */
-  private void sixFallSilent(String others, Duration watched) {
+  private void sixOfTenBecomeSilent(String others, Duration watched) {
     leader.autoscaler.start();
     for (int i = 0; i < 10; i++) {
       leader.heartbeat(i < 6 ? "a" : others, "m-" + i, 1);
@@ -35,8 +35,8 @@
 
   /** Found on laval: a cut zone's machines were given up one by one, each as if it were alone. */
   @Test
-  void aZoneThatFallsSilentIsNotGivenUpWhileItsLeasesMayHold() {
-    sixFallSilent("b", Duration.ofSeconds(25));
+  void anUnreachableZoneIsNotReleasedWhileItsLeasesMayHold() {
+    sixOfTenBecomeSilent("b", Duration.ofSeconds(25));
     for (int i = 0; i < 6; i++) {
       assertEquals(Machine.State.SILENT, leader.cluster.machine("m-" + i).state());
     }
@@ -48,8 +48,8 @@
    * Found on laval-fleet: the first machines heard after a cut had all the others given up at once.
    */
   @Test
-  void theRestOfAZoneThatWasCutHasTimeToBeHeardAgain() {
-    sixFallSilent("b", Duration.ofSeconds(25));
+  void theRestOfAZoneThatIsHeardAgainIsWaitedFor() {
+    sixOfTenBecomeSilent("b", Duration.ofSeconds(25));
     for (int i = 0; i < 3; i++) {
       leader.heartbeat("a", "m-" + i, 2);
     }
@@ -72,8 +72,8 @@
    * twice as long as their tasks could live, though others of the zone were heard all the time.
    */
   @Test
-  void machinesSilentAmongOthersOfTheirZoneAreGivenUp() {
-    sixFallSilent("a", Duration.ofSeconds(14));
+  void silentMachinesAmongOthersOfTheirZoneAreReleased() {
+    sixOfTenBecomeSilent("a", Duration.ofSeconds(14));
     for (int i = 0; i < 6; i++) {
       assertEquals(Machine.State.RELEASING, leader.cluster.machine("m-" + i).state());
     }
@@ -83,9 +83,9 @@
    * Hung machines go on within their lease: where images are slow to come they are worth the wait.
    */
   @Test
-  void manySilentAtOnceAreWaitedForAsLongAsTheirTasksLiveWhereOthersTakeLong() {
+  void manySilentMachinesAreWaitedForUntilLeaseExpiryWhereReplacementsAreSlow() {
     leader.accept(LeaderHarness.spec("req-1", JobKind.SERVICE, PriorityClass.LOW, 1, "i"));
-    sixFallSilent("a", Duration.ofSeconds(14));
+    sixOfTenBecomeSilent("a", Duration.ofSeconds(14));
     for (int i = 0; i < 6; i++) {
       assertEquals(Machine.State.SILENT, leader.cluster.machine("m-" + i).state());
     }
@@ -97,7 +97,7 @@
 
   /** A leader that no worker reaches makes way, but only if it has heard one in its term. */
   @Test
-  void aLeaderThatLosesAllWorkersResignsAndOneThatNeverHadAnyDoesNot() {
+  void aLeaderThatLosesAllWorkersResignsAndOneThatNeverHeardAnyDoesNot() {
     leader.autoscaler.start();
     for (int i = 0; i < 3; i++) {
       Machine machine = new Machine("m-" + i, LeaderHarness.TYPE, "a", false, leader.now());
@@ -122,7 +122,7 @@
    * for a minute with orders only in the reports that those handed on.
    */
   @Test
-  void aLeaderThatMostWorkersReachOnlyThroughPeersMakesWay() {
+  void aLeaderThatMostWorkersReachOnlyThroughPeersTransfersLeadership() {
     leader.autoscaler.start();
     for (int second = 0; second < 30; second++) {
       for (int i = 0; i < 5; i++) {
@@ -142,7 +142,7 @@
    * returned for it.
    */
   @Test
-  void afterALongDoubtTheLeaderGivesNobodyUp() {
+  void afterALongUncertainLeaseNoMachineIsReleased() {
     leader.autoscaler.start();
     for (int second = 0; second < 5; second++) {
       for (int i = 0; i < 12; i++) {
@@ -177,7 +177,7 @@
    * fire before the reports that wait are read: nobody may be given up for this node's own silence.
    */
   @Test
-  void afterAPauseOfItsOwnTheLeaderGivesNobodyUp() {
+  void afterAProcessPauseNoMachineIsReleased() {
     leader.autoscaler.start();
     for (int second = 0; second < 5; second++) {
       for (int i = 0; i < 4; i++) {
@@ -195,7 +195,7 @@
 
   /** Found on the grown colombo: work on 148 machines taken at once waited for their silence. */
   @Test
-  void aMachineThatIsNoLongerListedIsReturnedBeforeItIsMissed() {
+  void aMachineThatIsNoLongerListedIsReleasedBeforeItsHeartbeatTimeout() {
     leader.autoscaler.start();
     boolean wasListed = false;
     for (int second = 0; second < 30; second++) {
@@ -224,7 +224,7 @@
   }
 
   @Test
-  void oneSilentMachineIsReturned() {
+  void oneSilentMachineIsReleased() {
     leader.autoscaler.start();
     for (int second = 0; second < 14; second++) {
       leader.runFor(Duration.ofSeconds(1));
--- a/src/test/java/io/pineladder/workers/GangRestartTest.java
+++ b/src/test/java/io/pineladder/workers/GangRestartTest.java
@@ -18,7 +18,7 @@
 
   /** While a gang gathers, the others keep waiting and a replacement completes it. */
   @Test
-  void aLostTaskOfAGatheringGangIsReplacedUnderItsNumber() {
+  void aLostTaskOfAWaitingGangIsReplacedUnderItsAttemptNumber() {
     leader.heartbeat("m-1", 1);
     leader.heartbeat("m-2", 1);
     leader.cluster.machine("m-1").draining = true;
@@ -55,7 +55,7 @@
    * completed.
    */
   @Test
-  void aGangDisplacedBeforeItsStartsWentOutWaitsAsAWhole() {
+  void aGangPreemptedBeforeItsStartsWereSentIsPendingAsAWhole() {
     leader.heartbeat("m-1", 1);
     leader.heartbeat("m-2", 1);
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 3, "i"));
@@ -69,7 +69,7 @@
 
   /** Found on the grown laval: one task's vain wait stopped the other's fetch, again and again. */
   @Test
-  void aGangTaskThatWaitedInVainStartsAgainAndTheOtherGoesOnFetching() {
+  void aGangTaskThatTimedOutStartsAgainWhileTheOtherGoesOnFetching() {
     leader.heartbeat("m-1", 1);
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     Attempt first = gang.attempts.get(0).iterator().next();
--- a/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
+++ b/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
@@ -26,7 +26,7 @@
 class HeartbeatReconciliationTest {
   private final LeaderHarness leader = new LeaderHarness();
 
-  private String reported(long session, long sequence, long token) {
+  private String heartbeatResponse(long session, long sequence, long token) {
     WorkerWire.Orders orders =
         leader.workerManager.onHeartbeat(
             new Heartbeat(
@@ -45,8 +45,8 @@
 
   /** A copy of a report changes nothing, whenever it comes, and nobody waits for its answer. */
   @Test
-  void aLateCopyOfAReportChangesNothing() {
-    reported(2, 5, LeaderHarness.TERM);
+  void aDuplicateHeartbeatChangesNothing() {
+    heartbeatResponse(2, 5, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Machine machine = leader.cluster.machine("m-1");
@@ -56,7 +56,7 @@
     long[][] copies = {{2, 5}, {2, 4}, {1, 900}, {2, 0}, {0, 7}};
     for (long[] copy : copies) {
       for (long token : new long[] {0, LeaderHarness.TERM - 1, LeaderHarness.TERM}) {
-        String answer = reported(copy[0], copy[1], token);
+        String answer = heartbeatResponse(copy[0], copy[1], token);
         assertFalse(answer.contains("start"), answer);
         assertEquals(heard, machine.lastHeartbeatAt);
         assertEquals(Machine.State.CONFIRMED, machine.state());
@@ -65,7 +65,7 @@
         assertEquals(Attempt.State.PLACEMENT_STORED, attempt.state());
       }
     }
-    assertTrue(reported(2, 6, LeaderHarness.TERM).contains("start"));
+    assertTrue(heartbeatResponse(2, 6, LeaderHarness.TERM).contains("start"));
   }
 
   /**
@@ -74,7 +74,7 @@
    * it.
    */
   @Test
-  void aCompletionIsStoredOnceNoOtherAttemptOfTheTaskIsAnywhere() {
+  void aCompletionIsStoredOnceNoOtherAttemptOfTheTaskExists() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 2, "i"));
     Attempt anew = job.attempts.get(0).iterator().next();
@@ -104,7 +104,7 @@
 
   /** Until a worker has our token an older leader's orders may still reach it. */
   @Test
-  void aReportWithAnOlderTokenProvesNothingAndBringsNoWork() {
+  void aHeartbeatWithAnOlderTokenProvesNothingAndBringsNoTasks() {
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.workerManager.onHeartbeat(
         new Heartbeat("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 3, null, List.of()));
@@ -122,7 +122,7 @@
   }
 
   @Test
-  void aReportOlderThanOneKnownChangesNothing() {
+  void aHeartbeatOlderThanTheNewestChangesNothing() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     Attempt attempt = LeaderHarness.onlyAttempt(job);
@@ -132,7 +132,7 @@
   }
 
   @Test
-  void aHigherTokenMeansThatThisTermIsOver() {
+  void aNewerFencingTokenEndsTheTerm() {
     assertNull(
         leader.workerManager.onHeartbeat(
             new Heartbeat("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 99, null, List.of())));
@@ -141,7 +141,7 @@
 
   /** Incident: reports held up in the network revived machines that had been returned. */
   @Test
-  void aLateReportOfAReturnedMachineDoesNotBlockItsTasks() {
+  void aStaleHeartbeatOfAReleasedMachineDoesNotBlockItsTasks() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     Attempt attempt = LeaderHarness.onlyAttempt(job);
--- a/src/test/java/io/pineladder/workers/LargeFleetTest.java
+++ b/src/test/java/io/pineladder/workers/LargeFleetTest.java
@@ -29,10 +29,10 @@
   private final NavigableSet<String> listed = new TreeSet<>();
 
   /** The machines returned to the cloud, which its list may name for a while yet. */
-  private final NavigableSet<String> returned = new TreeSet<>();
+  private final NavigableSet<String> released = new TreeSet<>();
 
   @BeforeEach
-  void list() {
+  void listMachines() {
     for (int i = 0; i < MACHINES; i++) {
       listed.add(String.format("m-%04d", i));
     }
@@ -45,7 +45,7 @@
         String path = sent.request().path();
         if (path.equals("/rentals/release")) {
           for (JsonNode name : Json.parseObject(sent.request().body()).get("hosts")) {
-            returned.add(name.textValue());
+            released.add(name.textValue());
           }
           sent.onReply().accept(Reply.answered(200, Json.bytes(Json.object())));
         } else if (path.startsWith("/rentals?page=")) {
@@ -78,14 +78,14 @@
 
   /** A machine that was returned is not taken in again from a list that still names it. */
   @Test
-  void everyReturnedMachineOfALargeFleetStaysReturned() throws MalformedMessageException {
+  void everyReleasedMachineOfALargeFleetStaysReleased() throws MalformedMessageException {
     for (String name : listed) {
       leader.cluster.addMachine(new Machine(name, LeaderHarness.TYPE, "a", false, leader.now()));
     }
     List.copyOf(leader.cluster.machines()).forEach(leader.autoscaler::release);
     leader.autoscaler.start();
     runFor(60);
-    assertEquals(MACHINES, returned.size());
+    assertEquals(MACHINES, released.size());
     for (String name : listed) {
       assertTrue(leader.autoscaler.wasReleased(name), name);
     }
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -263,13 +263,14 @@
     now = now.plus(duration);
   }
 
-  static JobSpec spec(String id, JobKind shape, PriorityClass rank, int tasks, String image) {
+  static JobSpec spec(
+      String id, JobKind kind, PriorityClass priorityClass, int tasks, String image) {
     return new JobSpec(
         id,
         "class",
         "red",
-        shape,
-        rank,
+        kind,
+        priorityClass,
         tasks,
         Resources.of(2, 1, 4),
         null,
--- a/src/test/java/io/pineladder/workers/PreemptionTest.java
+++ b/src/test/java/io/pineladder/workers/PreemptionTest.java
@@ -23,7 +23,7 @@
 
   /** Found on colombo: services started on machines without their image came too late. */
   @Test
-  void lowerWorkMakesWayWhereTheImageIsWhenFetchingWouldBeTooLate() {
+  void tasksArePreemptedWhereTheImageIsCachedWhenFetchingWouldBeTooLate() {
     leader.heartbeat("warm", 1);
     Machine warm = leader.cluster.machine("warm");
     warm.touchImage("img-s", 5);
@@ -83,7 +83,7 @@
    * for longer than its lease. And work that holds none of what is lacking was stopped as well.
    */
   @Test
-  void oneLookMakesRoomForAllTasksAndStopsOnlyWhatHelps() {
+  void oneSchedulingCyclePreemptsForAllTasksAndOnlyWhatHelps() {
     for (int i = 0; i < 4; i++) {
       leader.heartbeat("m-" + i, 1);
     }
@@ -105,7 +105,7 @@
    * which nothing made way, waited for minutes until two machines happened to be empty at once.
    */
   @Test
-  void lowerWorkMakesWayForAWholeGangOrNotAtAll() {
+  void tasksArePreemptedForAWholeGangOrNotAtAll() {
     for (int i = 0; i < 3; i++) {
       leader.heartbeat("m-" + i, 1);
     }
@@ -143,7 +143,7 @@
 
   /** Found on colombo-ops: an array of 25,000 tasks kept the leader from renewing its lease. */
   @Test
-  void aHugeArrayStartsAtABoundedPaceAndASmallOneAtOnce() {
+  void aHugeArrayStartsAtABoundedRateAndASmallOneAtOnce() {
     for (int i = 0; i < 40; i++) {
       leader.heartbeat("m-" + i, 1);
     }
@@ -163,7 +163,7 @@
 
   /** Found on laval: tasks sat out fetches of minutes while machines with the image came free. */
   @Test
-  void aFetchingTaskMovesToRoomWhereItsImageIs() {
+  void aFetchingTaskMovesToFreeCapacityWhereItsImageIsCached() {
     leader.heartbeat("cold", 1);
     Job job =
         leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "img"));
