--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -111,7 +111,7 @@
     out.put("member", node.settings().controllerName())
         .put("zone", node.settings().zone())
         .put("leadership", node.election().state().name().toLowerCase(Locale.ROOT))
-        .put("leader", known == null ? null : known.member())
+        .put("leader", known == null ? null : known.controllerName())
         .put("term", leader == null ? node.election().knownLeaderTerm() : leader.term())
         .put("store_healthy", node.storeClient().isHealthy())
         .put("machine_types", node.machineTypes().size())
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -95,7 +95,8 @@
     }
     RecordWire.LeaderRecord knownLeader = node.election().knownLeader();
     boolean leaderIsPeer =
-        knownLeader != null && !knownLeader.member().equals(node.settings().controllerName());
+        knownLeader != null
+            && !knownLeader.controllerName().equals(node.settings().controllerName());
     long token = leaseExtension.leaseExtensionToken(heartbeat, knownLeader, leaderIsPeer);
     if (token > 0) {
       // At once: during a network cut a search through the other controllers takes most of a lease.
@@ -126,7 +127,7 @@
     Instant lastRedirect = lastRedirects.get(heartbeat.machine());
     if (lastRedirect != null
         && lastRedirect.plus(REDIRECT_RETURN_WINDOW).isAfter(now)
-        && !node.membership().isUnreachable(leader.member())) {
+        && !node.membership().isUnreachable(leader.controllerName())) {
       forwardToLeader(leader, heartbeat, body, answer);
       return;
     }
@@ -134,7 +135,7 @@
     if (lastRedirects.size() > MAX_TRACKED_WORKERS) {
       lastRedirects.remove(lastRedirects.keySet().iterator().next());
     }
-    answer.accept(new HttpResponse(421, WorkerWire.redirect(leader.member())));
+    answer.accept(new HttpResponse(421, WorkerWire.redirect(leader.controllerName())));
   }
 
   /**
--- a/src/main/java/io/pineladder/api/LeaseExtensionPolicy.java
+++ b/src/main/java/io/pineladder/api/LeaseExtensionPolicy.java
@@ -50,7 +50,7 @@
     long newestToken = Math.max(heartbeat.token(), election.knownLeaderTerm());
     boolean storeHealthy = node.storeClient().isHealthy();
     if (leaderIsPeer) {
-      if (!node.membership().isUnreachable(knownLeader.member())) {
+      if (!node.membership().isUnreachable(knownLeader.controllerName())) {
         return 0;
       }
       boolean replicaInStep =
@@ -82,7 +82,8 @@
   private boolean mayExtendForUnreachableLeader(
       RecordWire.LeaderRecord knownLeader, WorkerWire.Heartbeat heartbeat) {
     Duration maxExtension = Election.maxWorkerLeaseExtension(node.settings().workerTimes());
-    Instant leaderHeartbeatAt = node.membership().answeredHeartbeatSentAt(knownLeader.member());
+    Instant leaderHeartbeatAt =
+        node.membership().answeredHeartbeatSentAt(knownLeader.controllerName());
     if (node.storeClient().isHealthy()) {
       return heartbeat.token() <= node.election().knownLeaderTerm()
           && leaderHeartbeatAt != null
--- a/src/main/java/io/pineladder/api/PeerForwarder.java
+++ b/src/main/java/io/pineladder/api/PeerForwarder.java
@@ -68,13 +68,14 @@
   /** Whether there is a leader other than this controller whose last call did not just fail. */
   boolean canReachLeader(RecordWire.LeaderRecord knownLeader) {
     boolean leaderIsPeer =
-        knownLeader != null && !knownLeader.member().equals(node.settings().controllerName());
+        knownLeader != null
+            && !knownLeader.controllerName().equals(node.settings().controllerName());
     boolean failedRecently =
         leaderFailedAt != null
             && leaderFailedAt.plus(LEADER_RETRY_DELAY).isAfter(node.eventLoop().now());
     return leaderIsPeer
         && !failedRecently
-        && !node.membership().isUnreachable(knownLeader.member());
+        && !node.membership().isUnreachable(knownLeader.controllerName());
   }
 
   @Override
--- a/src/main/java/io/pineladder/api/PeerRequestHandler.java
+++ b/src/main/java/io/pineladder/api/PeerRequestHandler.java
@@ -43,7 +43,7 @@
       return;
     }
     RecordWire.LeaderRecord knownLeader = node.election().knownLeader();
-    String leaderName = knownLeader == null ? null : knownLeader.member();
+    String leaderName = knownLeader == null ? null : knownLeader.controllerName();
     Consumer<HttpResponse> onDecided =
         response ->
             answer.accept(
--- a/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
+++ b/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
@@ -169,7 +169,7 @@
     all.removeIf(done -> !jobs.containsKey(done.entry.job()));
     for (PageEntry<RecordWire.StoredCompletions> done : all) {
       Job job = jobs.get(done.entry.job());
-      job.done.or(done.entry.done());
+      job.done.or(done.entry.completed());
     }
     for (PageEntry<RecordWire.StoredCompletions> done : all) {
       records.restoreCompletions(done.page, jobs.get(done.entry.job()), done.entry);
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -265,7 +265,8 @@
 
   /** Whether the leader is an earlier process of this controller, which ended without release. */
   private boolean isPreviousProcess(LeaderRecord leader) {
-    return leader.member().equals(ownRecord.member()) && !leader.nonce().equals(ownRecord.nonce());
+    return leader.controllerName().equals(ownRecord.controllerName())
+        && !leader.nonce().equals(ownRecord.nonce());
   }
 
   /**
--- a/src/main/java/io/pineladder/membership/Peer.java
+++ b/src/main/java/io/pineladder/membership/Peer.java
@@ -184,7 +184,7 @@
         reported ? lastHeartbeat.term() : 0,
         stateChanges,
         nonce,
-        reported ? lastHeartbeat.recordStatus() : GossipWire.RecordStatus.NOTHING,
+        reported ? lastHeartbeat.recordStatus() : GossipWire.RecordStatus.UNKNOWN,
         supportedVersion);
   }
 }
--- a/src/main/java/io/pineladder/wire/DeliveryWire.java
+++ b/src/main/java/io/pineladder/wire/DeliveryWire.java
@@ -156,22 +156,25 @@
   // ---- events
 
   /** The unique id of an event; the same on every repeated delivery. */
-  public static String eventId(Subscription to, long sequence) {
-    return to.name() + "." + to.incarnation() + "." + sequence;
+  public static String eventId(Subscription subscription, long sequence) {
+    return subscription.name() + "." + subscription.incarnation() + "." + sequence;
   }
 
-  private static ObjectNode event(Subscription to, long sequence, String type) {
+  private static ObjectNode event(Subscription subscription, long sequence, String type) {
     return Json.object()
         .put("specversion", "1.0")
-        .put("id", eventId(to, sequence))
-        .put("source", to.source())
+        .put("id", eventId(subscription, sequence))
+        .put("source", subscription.source())
         .put("type", type);
   }
 
   /** The event for a notification; byte for byte the same on every repeated delivery. */
-  public static byte[] event(Subscription to, long sequence, Notification notification) {
+  public static byte[] event(Subscription subscription, long sequence, Notification notification) {
     ObjectNode event =
-        event(to, sequence, notification.finalState() == Job.State.DONE ? JOB_DONE : JOB_CANCELLED)
+        event(
+                subscription,
+                sequence,
+                notification.finalState() == Job.State.DONE ? JOB_DONE : JOB_CANCELLED)
             .put("subject", notification.job())
             .put("time", notification.endedAt().toString())
             .put("datacontenttype", "application/json")
@@ -188,12 +191,12 @@
   }
 
   /** The event for a range of sequence numbers that will never be delivered. */
-  public static byte[] lostEvent(Subscription to, long first, long last) {
+  public static byte[] lostEvent(Subscription subscription, long firstSequence, long lastSequence) {
     ObjectNode event =
-        event(to, last, NOTIFICATIONS_LOST)
+        event(subscription, lastSequence, NOTIFICATIONS_LOST)
             .put("datacontenttype", "application/json")
-            .put("sequence", String.format(Locale.ROOT, "%019d", last));
-    event.putObject("data").put("first", first).put("last", last);
+            .put("sequence", String.format(Locale.ROOT, "%019d", lastSequence));
+    event.putObject("data").put("first", firstSequence).put("last", lastSequence);
     return Json.bytes(event);
   }
 
@@ -222,14 +225,14 @@
     } catch (NumberFormatException e) {
       throw new MalformedMessageException("sequence is not a number");
     }
-    long first =
+    long firstSequence =
         type.equals(NOTIFICATIONS_LOST)
             ? Fields.of(in.node("data")).integer("first", 1, sequence)
             : sequence;
     if (sequence < 1) {
       throw new MalformedMessageException("sequence is below 1");
     }
-    return new Event(source, type, first, sequence, json);
+    return new Event(source, type, firstSequence, sequence, json);
   }
 
   /** A receiver's response: the last sequence number that it has stored. */
--- a/src/main/java/io/pineladder/wire/GossipWire.java
+++ b/src/main/java/io/pineladder/wire/GossipWire.java
@@ -48,7 +48,7 @@
       long highestToken,
       boolean recordsLost) {
     /** The status from a controller that sends none. */
-    public static final RecordStatus NOTHING = new RecordStatus(0, 0, 0, 0, false, 0, false);
+    public static final RecordStatus UNKNOWN = new RecordStatus(0, 0, 0, 0, false, 0, false);
   }
 
   /**
@@ -140,7 +140,7 @@
                   in.unpackBoolean(),
                   in.unpackLong(),
                   in.unpackBoolean())
-              : RecordStatus.NOTHING;
+              : RecordStatus.UNKNOWN;
       int supportedVersion = in.hasNext() ? in.unpackInt() : ClusterVersion.UNVERSIONED;
       return new Heartbeat(
           member, nonce, sequence, storeHealthy, term, contacts, recordStatus, supportedVersion);
--- a/src/main/java/io/pineladder/wire/JobWire.java
+++ b/src/main/java/io/pineladder/wire/JobWire.java
@@ -193,13 +193,13 @@
   }
 
   /** The response body for a job with the counts of its completed and running tasks. */
-  public static byte[] view(String id, Status status, int done, int running) {
+  public static byte[] view(String id, Status status, int completedTasks, int runningTasks) {
     return Json.bytes(
         Json.object()
             .put("ref", id)
             .put("status", status.wireName)
-            .put("done", done)
-            .put("running", running));
+            .put("done", completedTasks)
+            .put("running", runningTasks));
   }
 
   /** The response body of an error. */
--- a/src/main/java/io/pineladder/wire/PeerWire.java
+++ b/src/main/java/io/pineladder/wire/PeerWire.java
@@ -27,14 +27,14 @@
   public record ForwardedResponse(boolean decided, HttpResponse response, String leader) {}
 
   /** Encodes a forwarded request. */
-  public static byte[] write(ForwardedRequest forward) {
+  public static byte[] write(ForwardedRequest request) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
-      out.packString(forward.method());
-      out.packString(forward.path());
-      out.packBinaryHeader(forward.body().length);
-      out.writePayload(forward.body());
-      out.packInt(forward.remainingHops());
+      out.packString(request.method());
+      out.packString(request.path());
+      out.packBinaryHeader(request.body().length);
+      out.writePayload(request.body());
+      out.packInt(request.remainingHops());
       return out.toByteArray();
     } catch (IOException e) {
       throw new IllegalStateException(e);
@@ -57,19 +57,19 @@
   }
 
   /** Encodes the response to a forwarded request. */
-  public static byte[] write(ForwardedResponse answer) {
+  public static byte[] write(ForwardedResponse response) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION);
-      out.packBoolean(answer.decided());
-      HttpResponse http = answer.response();
+      out.packBoolean(response.decided());
+      HttpResponse http = response.response();
       out.packInt(http.status());
       out.packInt(http.retryAfterSeconds());
       out.packBinaryHeader(http.body().length);
       out.writePayload(http.body());
-      if (answer.leader() == null) {
+      if (response.leader() == null) {
         out.packNil();
       } else {
-        out.packString(answer.leader());
+        out.packString(response.leader());
       }
       return out.toByteArray();
     } catch (IOException e) {
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -51,13 +51,13 @@
    * @param json the stored entry
    */
   public record StoredCompletions(
-      String job, int chunk, BitSet done, int chunkTasks, JsonNode json) {}
+      String job, int chunk, BitSet completed, int chunkTasks, JsonNode json) {}
 
   /** Container images in the cache of a machine, with their sizes in GB. */
   public record StoredImages(String machine, Map<String, Double> images) {}
 
   /** The value of the leader key; {@code nonce} identifies the process. */
-  public record LeaderRecord(String member, String address, String nonce) {}
+  public record LeaderRecord(String controllerName, String address, String nonce) {}
 
   /** The name of a job's state in records and in events to subscribers. */
   public static String wireName(Job.State state) {
@@ -112,20 +112,20 @@
   }
 
   /** Completed tasks in {@code [from, from + count)} as inclusive ranges. */
-  public static ArrayNode ranges(BitSet done, int from, int count) {
+  public static ArrayNode ranges(BitSet completed, int from, int count) {
     ArrayNode out = Json.array();
     int end = from + count;
-    int first = done.nextSetBit(from);
+    int first = completed.nextSetBit(from);
     while (first >= 0 && first < end) {
-      int last = Math.min(done.nextClearBit(first), end) - 1;
+      int last = Math.min(completed.nextClearBit(first), end) - 1;
       out.addArray().add(first).add(last);
-      first = done.nextSetBit(last + 1);
+      first = completed.nextSetBit(last + 1);
     }
     return out;
   }
 
   /** Adds ranges that {@link #ranges} wrote to {@code done}. */
-  public static void addRanges(JsonNode value, BitSet done) throws MalformedMessageException {
+  public static void addRanges(JsonNode value, BitSet completed) throws MalformedMessageException {
     if (!value.isArray()) {
       throw new MalformedMessageException("done is not a list");
     }
@@ -133,7 +133,7 @@
       if (range.size() != 2 || range.get(0).asInt(-1) < 0 || range.get(1).asInt(-1) < 0) {
         throw new MalformedMessageException("done holds something that is not a range");
       }
-      done.set(range.get(0).intValue(), range.get(1).intValue() + 1);
+      completed.set(range.get(0).intValue(), range.get(1).intValue() + 1);
     }
   }
 
@@ -235,14 +235,14 @@
   }
 
   /** The entry for the completed tasks of one chunk of {@code chunkTasks} tasks. */
-  public static JsonNode completions(String job, BitSet done, int chunk, int chunkTasks) {
-    return Json.array().add(job).add(chunk).add(ranges(done, chunk * chunkTasks, chunkTasks));
+  public static JsonNode completions(String job, BitSet completed, int chunk, int chunkTasks) {
+    return Json.array().add(job).add(chunk).add(ranges(completed, chunk * chunkTasks, chunkTasks));
   }
 
   /** The same with the number of tasks in a chunk; since cluster version 2. */
   public static JsonNode completionsWithChunkSize(
-      String job, BitSet done, int chunk, int chunkTasks) {
-    return ((ArrayNode) completions(job, done, chunk, chunkTasks)).add(chunkTasks);
+      String job, BitSet completed, int chunk, int chunkTasks) {
+    return ((ArrayNode) completions(job, completed, chunk, chunkTasks)).add(chunkTasks);
   }
 
   /** Reads an entry of either form of completions. */
@@ -250,14 +250,14 @@
       throws MalformedMessageException {
     boolean hasChunkSize = entry.isArray() && entry.size() == 4;
     requireSize(entry, hasChunkSize ? 4 : 3);
-    BitSet done = new BitSet();
-    addRanges(entry.get(2), done);
+    BitSet completed = new BitSet();
+    addRanges(entry.get(2), completed);
     int chunkTasks = hasChunkSize ? entry.get(3).asInt() : 0;
     if (hasChunkSize && chunkTasks < 1) {
       throw new MalformedMessageException("a chunk has no tasks");
     }
     return new StoredCompletions(
-        entry.get(0).asText(), entry.get(1).asInt(), done, chunkTasks, entry);
+        entry.get(0).asText(), entry.get(1).asInt(), completed, chunkTasks, entry);
   }
 
   /** The entry for the cached images of a machine, with their sizes in GB. */
@@ -308,12 +308,12 @@
   }
 
   /** Reads the record of the current generation; its revision is part of the generation. */
-  public static Generation parseGeneration(JsonNode value, long version)
+  public static Generation parseGeneration(JsonNode value, long revision)
       throws MalformedMessageException {
     Fields in = Fields.of(value);
     return new Generation(
         in.integer("base", 1, MAX_NUMBER),
-        version,
+        revision,
         value.path("whole").asBoolean(false)
             ? Generation.Phase.COMPLETE
             : Generation.Phase.REBUILDING,
@@ -341,7 +341,7 @@
   /** The value of the leader key. */
   public static ObjectNode leader(LeaderRecord leader) {
     return Json.object()
-        .put("member", leader.member())
+        .put("member", leader.controllerName())
         .put("address", leader.address())
         .put("nonce", leader.nonce());
   }
--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -16,26 +16,26 @@
 
 /** Reads the settings file; one message names all errors in it. */
 public final class SettingsReader {
-  private static final Pattern ADDRESS =
+  private static final Pattern IPV4_ADDRESS =
       Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:([1-9]\\d{0,4}|0)");
-  private static final double MAX = 1e9;
+  private static final double MAX_NUMBER = 1e9;
 
   /** Key changes of the largest transaction that cannot be divided (docs/upgrades.md). */
-  private static final int LEAST_TRANSACTION_OPS = 4;
+  private static final int MIN_TRANSACTION_OPS = 4;
 
   /** The default number of sockets where the operating system allows no more. */
-  private static final int USUAL_SOCKETS = 1000;
+  private static final int MIN_DEFAULT_SOCKETS = 1000;
 
   /**
    * The maximum default number of sockets: the classes' reservations leave about 4,470 of them to
    * heartbeats, which is more than one for each of 4,000 machines.
    */
-  static final int MAX_UNTOLD_SOCKETS = 7_000;
+  static final int MAX_DEFAULT_SOCKETS = 7_000;
 
   /** File descriptors reserved for other files: class archives, logs, snapshots. */
-  private static final int OTHER_FILES = 100;
+  private static final int RESERVED_FILES = 100;
 
-  private static final Path LIMITS = Path.of("/proc/self/limits");
+  private static final Path PROCESS_LIMITS = Path.of("/proc/self/limits");
   private static final Pattern OPEN_FILES = Pattern.compile("Max open files +(\\d+) .*");
 
   private final List<String> faults = new ArrayList<>();
@@ -93,9 +93,9 @@
     }
     List<Team> teams = teams(deployment);
     List<Settings.Objective> objectives = objectives(deployment);
-    Settings.StoreLimits currentLimits = limits(state, null);
+    Settings.StoreLimits currentLimits = storeLimits(state, null);
     Settings.StoreLimits nextLimits =
-        state.has("next") ? limits(state.table("next"), currentLimits) : currentLimits;
+        state.has("next") ? storeLimits(state.table("next"), currentLimits) : currentLimits;
     return new Settings(
         controllerName,
         zone,
@@ -115,7 +115,8 @@
             workers.seconds("cancel_s", 0.01)),
         currentLimits.strictest(nextLimits),
         currentLimits,
-        new Settings.CloudLimits(cloud.number("rps", 0.01, MAX), cloud.seconds("list_lag_s", 0)),
+        new Settings.CloudLimits(
+            cloud.number("rps", 0.01, MAX_NUMBER), cloud.seconds("list_lag_s", 0)),
         maxSockets(deployment),
         coreShare(deployment));
   }
@@ -146,9 +147,10 @@
       teams.add(
           new Team(
               team.text("name"),
-              Resources.of(team.number("cpus", 0, MAX), team.number("gpus", 0, MAX), 0),
-              team.number("cpus_max", 0, MAX),
-              team.number("gpus_max", 0, MAX)));
+              Resources.of(
+                  team.number("cpus", 0, MAX_NUMBER), team.number("gpus", 0, MAX_NUMBER), 0),
+              team.number("cpus_max", 0, MAX_NUMBER),
+              team.number("gpus_max", 0, MAX_NUMBER)));
     }
     return List.copyOf(teams);
   }
@@ -162,32 +164,33 @@
               item.has("class") ? item.text("class") : null,
               item.has("within_s") ? item.seconds("within_s", 0) : null,
               item.has("share") ? item.number("share", 0, 1) : 1,
-              item.has("times") ? item.number("times", 0, MAX) : 1));
+              item.has("times") ? item.number("times", 0, MAX_NUMBER) : 1));
     }
     return List.copyOf(objectives);
   }
 
   private static int maxSockets(Table deployment) {
     return deployment.has("resources")
-        ? (int) deployment.table("resources").number("max_sockets", 64, MAX)
-        : untoldSockets(openFiles());
+        ? (int) deployment.table("resources").number("max_sockets", 64, MAX_NUMBER)
+        : defaultMaxSockets(maxOpenFiles());
   }
 
   private static double coreShare(Table deployment) {
     return deployment.has("resources") && deployment.table("resources").has("core_share")
-        ? deployment.table("resources").number("core_share", 0.001, MAX)
+        ? deployment.table("resources").number("core_share", 0.001, MAX_NUMBER)
         : 1;
   }
 
   /** The number of sockets where the settings name none, by the limit of open files. */
-  static int untoldSockets(long openFiles) {
-    return (int) Math.max(USUAL_SOCKETS, Math.min(MAX_UNTOLD_SOCKETS, openFiles - OTHER_FILES));
+  static int defaultMaxSockets(long openFiles) {
+    return (int)
+        Math.max(MIN_DEFAULT_SOCKETS, Math.min(MAX_DEFAULT_SOCKETS, openFiles - RESERVED_FILES));
   }
 
   /** The operating system's limit of open files for this process; 0 when it is not known. */
-  private static long openFiles() {
+  private static long maxOpenFiles() {
     try {
-      for (String line : Files.readAllLines(LIMITS)) {
+      for (String line : Files.readAllLines(PROCESS_LIMITS)) {
         Matcher limit = OPEN_FILES.matcher(line);
         if (limit.matches()) {
           return Long.parseLong(limit.group(1));
@@ -205,35 +208,37 @@
   /**
    * The state service's limits.
    *
-   * @param otherwise limits for those that the table does not name; null when it must name all
+   * @param fallback limits for those that the table does not name; null when it must name all
    */
-  private static Settings.StoreLimits limits(Table table, Settings.StoreLimits otherwise) {
-    boolean all = otherwise == null;
+  private static Settings.StoreLimits storeLimits(Table table, Settings.StoreLimits fallback) {
+    boolean required = fallback == null;
     return new Settings.StoreLimits(
-        all || table.has("rps") ? table.number("rps", 1, MAX) : otherwise.requestsPerSecond(),
-        all || table.has("write_rps")
-            ? table.number("write_rps", 1, MAX)
-            : otherwise.writesPerSecond(),
-        all || table.has("value_kb")
+        required || table.has("rps")
+            ? table.number("rps", 1, MAX_NUMBER)
+            : fallback.requestsPerSecond(),
+        required || table.has("write_rps")
+            ? table.number("write_rps", 1, MAX_NUMBER)
+            : fallback.writesPerSecond(),
+        required || table.has("value_kb")
             ? (int) (table.number("value_kb", 1, 1e5) * 1024)
-            : otherwise.valueBytes(),
-        all || table.has("txn_ops")
-            ? (int) table.number("txn_ops", LEAST_TRANSACTION_OPS, MAX)
-            : otherwise.transactionOps());
+            : fallback.valueBytes(),
+        required || table.has("txn_ops")
+            ? (int) table.number("txn_ops", MIN_TRANSACTION_OPS, MAX_NUMBER)
+            : fallback.transactionOps());
   }
 
   /** One table of the file, with its path for messages. */
   private final class Table {
-    private final String place;
+    private final String path;
     private final JsonNode node;
 
     Table(String place, JsonNode node) {
-      this.place = place;
+      this.path = place;
       this.node = node;
     }
 
-    private String at(String name) {
-      return place.isEmpty() ? name : place + "." + name;
+    private String pathOf(String name) {
+      return path.isEmpty() ? name : path + "." + name;
     }
 
     boolean has(String name) {
@@ -243,7 +248,7 @@
     private JsonNode get(String name) {
       JsonNode found = node == null ? null : node.get(name);
       if (found == null) {
-        faults.add(at(name) + " is missing");
+        faults.add(pathOf(name) + " is missing");
       }
       return found;
     }
@@ -251,10 +256,10 @@
     Table table(String name) {
       JsonNode found = get(name);
       if (found != null && !found.isObject()) {
-        faults.add(at(name) + " is not a table");
+        faults.add(pathOf(name) + " is not a table");
         found = null;
       }
-      return new Table(at(name), found);
+      return new Table(pathOf(name), found);
     }
 
     List<Table> tables(String name) {
@@ -264,11 +269,11 @@
         return tables;
       }
       if (!found.isArray()) {
-        faults.add(at(name) + " is not a list of tables");
+        faults.add(pathOf(name) + " is not a list of tables");
         return tables;
       }
       for (JsonNode item : found) {
-        tables.add(new Table(at(name) + "[" + tables.size() + "]", item));
+        tables.add(new Table(pathOf(name) + "[" + tables.size() + "]", item));
       }
       return tables;
     }
@@ -279,7 +284,7 @@
         return "";
       }
       if (!found.isTextual() || found.textValue().isEmpty()) {
-        faults.add(at(name) + " is not a text");
+        faults.add(pathOf(name) + " is not a text");
         return "";
       }
       return found.textValue();
@@ -288,9 +293,9 @@
     String address(String name) {
       String found = text(name);
       if (!found.isEmpty()) {
-        boolean valid = ADDRESS.matcher(found).matches();
+        boolean valid = IPV4_ADDRESS.matcher(found).matches();
         if (!valid || Integer.parseInt(found.substring(found.lastIndexOf(':') + 1)) > 65535) {
-          faults.add(at(name) + " is not an IPv4 address with a port");
+          faults.add(pathOf(name) + " is not an IPv4 address with a port");
         }
       }
       return found;
@@ -303,37 +308,37 @@
         return texts;
       }
       if (!found.isArray() || found.isEmpty()) {
-        faults.add(at(name) + " is not a list of texts");
+        faults.add(pathOf(name) + " is not a list of texts");
         return texts;
       }
       for (JsonNode item : found) {
         if (!item.isTextual()) {
-          faults.add(at(name) + " holds something that is not a text");
+          faults.add(pathOf(name) + " holds something that is not a text");
         }
         texts.add(item.asText());
       }
       return texts;
     }
 
-    double number(String name, double least, double most) {
+    double number(String name, double min, double max) {
       JsonNode found = get(name);
       if (found == null) {
-        return least;
+        return min;
       }
       if (!found.isNumber()) {
-        faults.add(at(name) + " is not a number");
-        return least;
+        faults.add(pathOf(name) + " is not a number");
+        return min;
       }
       double value = found.doubleValue();
-      if (!(value >= least && value <= most)) {
-        faults.add(at(name) + " is out of range");
-        return least;
+      if (!(value >= min && value <= max)) {
+        faults.add(pathOf(name) + " is out of range");
+        return min;
       }
       return value;
     }
 
-    Duration seconds(String name, double least) {
-      return Duration.ofNanos(Math.round(number(name, least, 1e6) * 1e9));
+    Duration seconds(String name, double min) {
+      return Duration.ofNanos(Math.round(number(name, min, 1e6) * 1e9));
     }
   }
 }
--- a/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
+++ b/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
@@ -31,7 +31,7 @@
   /** The leader that the state service names; null for a service that does not answer. */
   private RecordWire.LeaderRecord leader;
 
-  private final List<byte[]> handedOn = new ArrayList<>();
+  private final List<byte[]> forwarded = new ArrayList<>();
   private final EventLoop eventLoop =
       new EventLoop() {
         private final RandomGenerator random =
@@ -84,12 +84,12 @@
     }
   }
 
-  private HeartbeatHandler reports(ControllerNode node) {
+  private HeartbeatHandler heartbeatHandler(ControllerNode node) {
     return new HeartbeatHandler(
-        node, (ways, request, answer, alone) -> handedOn.add(request.body()));
+        node, (ways, request, answer, alone) -> forwarded.add(request.body()));
   }
 
-  private static byte[] report(int worker, long token) {
+  private static byte[] heartbeat(int worker, long token) {
     String json =
         """
         {"host":"m-%d","addr":"10.1.0.1:9000","hull":"g4","yard":"a","loaners":false,"shift":1,
@@ -102,43 +102,43 @@
    * A node cut off with its zone: each worker goes the round through the others once in its time.
    */
   @Test
-  void eachWorkerOfALargeFleetKeepsItsRound() {
+  void eachWorkerOfALargeFleetSearchesForALeader() {
     ControllerNode node = node();
-    HeartbeatHandler reports = reports(node);
+    HeartbeatHandler heartbeats = heartbeatHandler(node);
     now = now.plusSeconds(60);
-    int[] sentOn = new int[WORKERS];
+    int[] redirects = new int[WORKERS];
     for (int second = 0; second < 90; second += 3) {
       for (int worker = 0; worker < WORKERS; worker++) {
         int of = worker;
-        reports.handle(
-            report(worker, 1), false, http -> sentOn[of] += http.status() == 421 ? 1 : 0);
+        heartbeats.handle(
+            heartbeat(worker, 1), false, http -> redirects[of] += http.status() == 421 ? 1 : 0);
       }
       now = now.plusSeconds(3);
     }
-    int missed = 0;
-    for (int times : sentOn) {
+    int withoutSearch = 0;
+    for (int times : redirects) {
       // Of 90 seconds with a round in 40 and a report in 3: two or three.
-      missed += times < 2 ? 1 : 0;
+      withoutSearch += times < 2 ? 1 : 0;
     }
-    assertEquals(0, missed, "workers that lost their round");
+    assertEquals(0, withoutSearch, "workers that lost their round");
   }
 
   /** Workers that are back soon after they were sent to the leader are not sent there again. */
   @Test
-  void theReportOfEachWorkerThatDoesNotReachTheLeaderIsHandedOn() {
+  void heartbeatsOfWorkersThatDoNotReachTheLeaderAreForwarded() {
     leader = new RecordWire.LeaderRecord("rung-1", "10.0.0.2:8081", "theirs");
     ControllerNode node = node();
     node.election().start();
-    HeartbeatHandler reports = reports(node);
-    int[] sentToLeader = new int[1];
+    HeartbeatHandler heartbeats = heartbeatHandler(node);
+    int[] redirects = new int[1];
     for (int time = 0; time < 2; time++) {
       for (int worker = 0; worker < WORKERS; worker++) {
-        reports.handle(
-            report(worker, 0), false, http -> sentToLeader[0] += http.status() == 421 ? 1 : 0);
+        heartbeats.handle(
+            heartbeat(worker, 0), false, http -> redirects[0] += http.status() == 421 ? 1 : 0);
       }
       now = now.plusSeconds(3);
     }
-    assertEquals(WORKERS, sentToLeader[0]);
-    assertEquals(WORKERS, handedOn.size());
+    assertEquals(WORKERS, redirects[0]);
+    assertEquals(WORKERS, forwarded.size());
   }
 }
--- a/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -28,7 +28,7 @@
 /** One controller over real HTTP on loopback, with nothing else to talk to. */
 class RequestRouterHttpTest {
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
-  private static XnioEventLoop runtime;
+  private static XnioEventLoop eventLoop;
   private static String front;
   private static String cluster;
 
@@ -38,46 +38,46 @@
     }
   }
 
-  private static final int MOST_SOCKETS = 100;
+  private static final int MAX_SOCKETS = 100;
 
   @BeforeAll
   static void start() throws IOException, SettingsReader.BadSettingsException {
     front = freeAddress();
     cluster = freeAddress();
-    String nowhere = freeAddress();
+    String unusedAddress = freeAddress();
     Settings settings =
         SettingsReader.parse(
             SettingsReaderTest.GOOD
                 .replace("10.0.0.1:8080", front)
                 .replace("10.0.0.1:8081", cluster)
-                .replaceAll("10\\.[02]\\.0\\.\\d:\\d+", nowhere));
-    runtime = new XnioEventLoop(MOST_SOCKETS, Duration.ofSeconds(1));
+                .replaceAll("10\\.[02]\\.0\\.\\d:\\d+", unusedAddress));
+    eventLoop = new XnioEventLoop(MAX_SOCKETS, Duration.ofSeconds(1));
     UndertowHttpClient http =
-        new UndertowHttpClient(runtime, address -> ConnectionLimiter.TrafficClass.SERVICES);
-    ControllerNode node = new ControllerNode(settings, runtime, http, "nonce", null, null, null);
+        new UndertowHttpClient(eventLoop, address -> ConnectionLimiter.TrafficClass.SERVICES);
+    ControllerNode node = new ControllerNode(settings, eventLoop, http, "nonce", null, null, null);
     Metrics metrics = new Metrics();
-    metrics.watch(runtime.connectionLimiter());
-    RequestRouter made = new RequestRouter(node, metrics);
-    runtime.serve(
+    metrics.watch(eventLoop.connectionLimiter());
+    RequestRouter router = new RequestRouter(node, metrics);
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             front,
-            made::handle,
+            router::handle,
             ConnectionLimiter.TrafficClass.ARRIVING,
             path ->
                 path.equals("/v1/report")
                     ? ConnectionLimiter.TrafficClass.REPORTS
                     : ConnectionLimiter.TrafficClass.USERS));
-    runtime.serve(
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             cluster,
-            made::handleCluster,
+            router::handleCluster,
             ConnectionLimiter.TrafficClass.PEERS,
             path -> ConnectionLimiter.TrafficClass.PEERS));
   }
 
   @AfterAll
   static void stop() {
-    runtime.stop();
+    eventLoop.stop();
   }
 
   private static HttpResponse<String> send(String address, String method, String path, String body)
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void aGoodJobIsPutOffAtOnceWhenNothingCanBeStored() throws IOException, InterruptedException {
+  void aValidJobIsUnavailableAtOnceWithoutTheStore() throws IOException, InterruptedException {
     String job =
         """
         {"ref":"req-1","jobclass":"c","owner":"red","shape":"array","rank":"low","pieces":2,
@@ -135,7 +135,7 @@
 
   /** Without a term a worker must be sent on, or its lease would run out here. */
   @Test
-  void aReportToANodeWithoutATermIsNeverAccepted() throws IOException, InterruptedException {
+  void aHeartbeatIsRedirectedWithoutATerm() throws IOException, InterruptedException {
     String report =
         """
         {"host":"m-1","addr":"10.1.0.1:9000","hull":"g4","yard":"a","loaners":false,"shift":1,
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void theAdministrationApiTellsAndRefuses() throws IOException, InterruptedException {
+  void theAdministrationApiAnswersAndRefuses() throws IOException, InterruptedException {
     String status = send(cluster, "GET", "/admin/v1/status", null).body();
     assertTrue(status.contains("\"member\":\"rung-0\""), status);
     assertTrue(status.contains("\"peers\":[{\"member\":\"rung-1\",\"state\":"), status);
--- a/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
+++ b/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
@@ -27,7 +27,7 @@
 class ConnectionLimiterTest {
   private static final int LIMIT = 216;
   private static final int USABLE = 200;
-  private static final Map<TrafficClass, Integer> KEPT =
+  private static final Map<TrafficClass, Integer> RESERVED =
       new EnumMap<>(
           Map.of(
               TrafficClass.ARRIVING,
@@ -44,7 +44,7 @@
               16,
               TrafficClass.NOTICES,
               0));
-  private static final Map<TrafficClass, Integer> MOST =
+  private static final Map<TrafficClass, Integer> MAX_OPEN =
       new EnumMap<>(
           Map.of(
               TrafficClass.ARRIVING,
@@ -104,8 +104,8 @@
   }
 
   /** What the plain model knows of a socket. */
-  private static final class Modelled {
-    TrafficClass part;
+  private static final class ModelSocket {
+    TrafficClass trafficClass;
     Instant idleSince;
 
     /** Of those idle since the same moment the first goes first. */
@@ -116,28 +116,28 @@
   }
 
   private final Clock clock = new Clock();
-  private final List<Modelled> model = new ArrayList<>();
+  private final List<ModelSocket> model = new ArrayList<>();
 
-  private long open(TrafficClass part) {
-    return model.stream().filter(m -> m.part == part).count();
+  private long open(TrafficClass trafficClass) {
+    return model.stream().filter(m -> m.trafficClass == trafficClass).count();
   }
 
-  private boolean isFree(TrafficClass part) {
-    if (open(part) >= MOST.get(part)) {
+  private boolean hasCapacity(TrafficClass trafficClass) {
+    if (open(trafficClass) >= MAX_OPEN.get(trafficClass)) {
       return false;
     }
-    long claimed = 0;
+    long committed = 0;
     for (TrafficClass each : TrafficClass.values()) {
-      claimed += Math.max(open(each), KEPT.get(each));
+      committed += Math.max(open(each), RESERVED.get(each));
     }
-    return open(part) < KEPT.get(part) || claimed < USABLE;
+    return open(trafficClass) < RESERVED.get(trafficClass) || committed < USABLE;
   }
 
   /** Takes the longest idle one out of the model if it is stale. */
-  private Modelled takeStale(TrafficClass part) {
-    Modelled longest = null;
-    for (Modelled each : model) {
-      if (each.part == part
+  private ModelSocket removeStale(TrafficClass trafficClass) {
+    ModelSocket longest = null;
+    for (ModelSocket each : model) {
+      if (each.trafficClass == trafficClass
           && each.idleSince != null
           && (longest == null || each.idleOrder < longest.idleOrder)) {
         longest = each;
@@ -145,7 +145,7 @@
     }
     boolean stale =
         longest != null
-            && !longest.idleSince.plusSeconds(STALE_SECONDS.get(part)).isAfter(clock.now);
+            && !longest.idleSince.plusSeconds(STALE_SECONDS.get(trafficClass)).isAfter(clock.now);
     if (stale) {
       model.remove(longest);
       return longest;
@@ -153,83 +153,85 @@
     return null;
   }
 
-  private boolean hasRoom(TrafficClass part, List<Modelled> expectClosed) {
-    if (isFree(part)) {
+  private boolean ensureCapacity(TrafficClass trafficClass, List<ModelSocket> expectClosed) {
+    if (hasCapacity(trafficClass)) {
       return true;
     }
-    Modelled stale = takeStale(part);
+    ModelSocket stale = removeStale(trafficClass);
     if (stale != null) {
       expectClosed.add(stale);
     }
-    return stale != null && isFree(part);
+    return stale != null && hasCapacity(trafficClass);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void itDoesWhatThePlainModelDoes(long seed) {
+  void itMatchesTheReferenceModel(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    ConnectionLimiter sockets = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
+    ConnectionLimiter limiter = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
     int refused = 0;
     int stale = 0;
     for (int step = 0; step < 20_000; step++) {
-      List<Modelled> expectClosed = new ArrayList<>();
-      TrafficClass part = TrafficClass.values()[random.nextInt(TrafficClass.values().length)];
-      Modelled some = model.isEmpty() ? null : model.get(random.nextInt(model.size()));
+      List<ModelSocket> expectClosed = new ArrayList<>();
+      TrafficClass trafficClass =
+          TrafficClass.values()[random.nextInt(TrafficClass.values().length)];
+      ModelSocket existing = model.isEmpty() ? null : model.get(random.nextInt(model.size()));
       switch (random.nextInt(9)) {
         case 0, 1, 2, 3 -> {
-          boolean room = hasRoom(part, expectClosed);
-          Modelled made = new Modelled();
-          made.part = part;
-          made.real = sockets.tryOpen(part, () -> made.closed = true);
-          assertEquals(room, made.real != null, "step " + step);
-          if (room) {
-            model.add(made);
+          boolean expected = ensureCapacity(trafficClass, expectClosed);
+          ModelSocket opened = new ModelSocket();
+          opened.trafficClass = trafficClass;
+          opened.real = limiter.tryOpen(trafficClass, () -> opened.closed = true);
+          assertEquals(expected, opened.real != null, "step " + step);
+          if (expected) {
+            model.add(opened);
           } else {
             refused++;
           }
         }
         case 4 -> {
-          if (some != null && some.part != part) {
-            boolean room = hasRoom(part, expectClosed);
+          if (existing != null && existing.trafficClass != trafficClass) {
+            boolean expected = ensureCapacity(trafficClass, expectClosed);
             // The one that moves may itself have been the stale one.
-            if (!expectClosed.contains(some)) {
-              assertEquals(room, some.real.reclassify(part));
-              some.part = room ? part : some.part;
-              some.idleSince = room ? null : some.idleSince;
-              if (room) {
-                some.real.markBusy();
+            if (!expectClosed.contains(existing)) {
+              assertEquals(expected, existing.real.reclassify(trafficClass));
+              existing.trafficClass = expected ? trafficClass : existing.trafficClass;
+              existing.idleSince = expected ? null : existing.idleSince;
+              if (expected) {
+                existing.real.markBusy();
               }
             } else {
-              some.real.reclassify(part);
+              existing.real.reclassify(trafficClass);
             }
           }
         }
         case 5, 6 -> {
-          if (some != null) {
-            some.real.markIdle();
-            some.idleSince = clock.now;
-            some.idleOrder = step;
+          if (existing != null) {
+            existing.real.markIdle();
+            existing.idleSince = clock.now;
+            existing.idleOrder = step;
           }
         }
         case 7 -> {
-          if (some != null) {
+          if (existing != null) {
             if (random.nextBoolean()) {
-              some.real.markBusy();
-              some.idleSince = null;
+              existing.real.markBusy();
+              existing.idleSince = null;
             } else {
-              some.real.markClosed();
-              model.remove(some);
+              existing.real.markClosed();
+              model.remove(existing);
             }
           }
         }
         default -> clock.now = clock.now.plusMillis(random.nextInt(400) + 1);
       }
       stale += expectClosed.size();
-      for (Modelled each : expectClosed) {
-        assertTrue(each.closed, "step " + step + ": a stale one of " + each.part + " stays");
+      for (ModelSocket each : expectClosed) {
+        assertTrue(
+            each.closed, "step " + step + ": a stale one of " + each.trafficClass + " stays");
       }
       for (TrafficClass each : TrafficClass.values()) {
-        assertEquals(open(each), sockets.usage().get(each).open(), "step " + step + ": " + each);
+        assertEquals(open(each), limiter.usage().get(each).open(), "step " + step + ": " + each);
       }
       assertTrue(model.size() <= USABLE);
     }
@@ -238,28 +240,28 @@
 
   /** Whatever the others take, a part gets what is kept for it. */
   @Test
-  void noPartTakesAnothersShare() {
-    ConnectionLimiter sockets = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
+  void noTrafficClassTakesTheReservedSocketsOfAnother() {
+    ConnectionLimiter limiter = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
     for (TrafficClass greedy :
         List.of(TrafficClass.REPORTS, TrafficClass.USERS, TrafficClass.ARRIVING)) {
       int count = 0;
-      while (sockets.tryOpen(greedy, () -> {}) != null) {
+      while (limiter.tryOpen(greedy, () -> {}) != null) {
         count++;
       }
-      assertTrue(count >= KEPT.get(greedy));
+      assertTrue(count >= RESERVED.get(greedy));
     }
     for (TrafficClass each :
         List.of(TrafficClass.PEERS, TrafficClass.SERVICES, TrafficClass.ORDERS)) {
-      for (int i = 0; i < KEPT.get(each); i++) {
-        assertNotNull(sockets.tryOpen(each, () -> {}), each + " got " + i);
+      for (int i = 0; i < RESERVED.get(each); i++) {
+        assertNotNull(limiter.tryOpen(each, () -> {}), each + " got " + i);
       }
     }
   }
 
-  private static <T> T onThread(XnioEventLoop runtime, java.util.function.Supplier<T> read)
+  private static <T> T onThread(XnioEventLoop eventLoop, java.util.function.Supplier<T> read)
       throws Exception {
     CompletableFuture<T> got = new CompletableFuture<>();
-    runtime.execute(() -> got.complete(read.get()));
+    eventLoop.execute(() -> got.complete(read.get()));
     return got.get(10, TimeUnit.SECONDS);
   }
 
@@ -268,24 +270,25 @@
    * system went on connecting for minutes, until the process was at its limit.
    */
   @Test
-  void aCallThatIsGivenUpLeavesNoSocketBehind() throws Exception {
-    XnioEventLoop runtime = new XnioEventLoop(100, Duration.ofSeconds(1));
+  void aCancelledCallReleasesItsSocket() throws Exception {
+    XnioEventLoop eventLoop = new XnioEventLoop(100, Duration.ofSeconds(1));
     List<Socket> queue = new ArrayList<>();
-    try (ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+    try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       // Once the queue of a listener that accepts nothing is full, connects to it hang.
       for (int i = 0; i < 2; i++) {
-        queue.add(new Socket(deaf.getInetAddress(), deaf.getLocalPort()));
+        queue.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
       }
-      UndertowHttpClient caller = new UndertowHttpClient(runtime, address -> TrafficClass.ORDERS);
-      String address = "127.0.0.1:" + deaf.getLocalPort();
+      UndertowHttpClient httpClient =
+          new UndertowHttpClient(eventLoop, address -> TrafficClass.ORDERS);
+      String address = "127.0.0.1:" + unresponsive.getLocalPort();
       int calls = 40;
       List<AsyncHttpClient.Reply> replies = new ArrayList<>();
       CompletableFuture<Boolean> all = new CompletableFuture<>();
       onThread(
-          runtime,
+          eventLoop,
           () -> {
             for (int i = 0; i < calls; i++) {
-              caller.call(
+              httpClient.call(
                   AsyncHttpClient.Request.get(address, "/", Duration.ofMillis(300)),
                   reply -> {
                     replies.add(reply);
@@ -299,32 +302,34 @@
       all.get(10, TimeUnit.SECONDS);
       assertTrue(replies.stream().noneMatch(AsyncHttpClient.Reply::isAnswered));
       ConnectionLimiter.Usage usage =
-          onThread(runtime, () -> runtime.connectionLimiter().usage().get(TrafficClass.ORDERS));
+          onThread(eventLoop, () -> eventLoop.connectionLimiter().usage().get(TrafficClass.ORDERS));
       assertTrue(usage.peak() <= usage.maxOpen() && usage.refused() > 0, usage.toString());
       for (int i = 0; i < 100 && usage.open() > 0; i++) {
         Thread.sleep(20);
         usage =
-            onThread(runtime, () -> runtime.connectionLimiter().usage().get(TrafficClass.ORDERS));
+            onThread(
+                eventLoop, () -> eventLoop.connectionLimiter().usage().get(TrafficClass.ORDERS));
       }
       assertEquals(0, usage.open());
     } finally {
       for (Socket each : queue) {
         each.close();
       }
-      runtime.stop();
+      eventLoop.stop();
     }
   }
 
   /** A peer that hangs with our request must not hold our socket for longer than the call lasts. */
   @Test
-  void aRequestThatIsNeverAnsweredLeavesNoSocketBehind() throws Exception {
-    XnioEventLoop runtime = new XnioEventLoop(100, Duration.ofSeconds(1));
+  void aRequestWithoutAResponseReleasesItsSocket() throws Exception {
+    XnioEventLoop eventLoop = new XnioEventLoop(100, Duration.ofSeconds(1));
     try (ServerSocket hanging = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-      UndertowHttpClient caller = new UndertowHttpClient(runtime, address -> TrafficClass.ORDERS);
+      UndertowHttpClient httpClient =
+          new UndertowHttpClient(eventLoop, address -> TrafficClass.ORDERS);
       CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
-      runtime.execute(
+      eventLoop.execute(
           () ->
-              caller.call(
+              httpClient.call(
                   AsyncHttpClient.Request.get(
                       "127.0.0.1:" + hanging.getLocalPort(), "/", Duration.ofMillis(300)),
                   got::complete));
@@ -334,11 +339,12 @@
         Thread.sleep(20);
         open =
             onThread(
-                runtime, () -> runtime.connectionLimiter().usage().get(TrafficClass.ORDERS).open());
+                eventLoop,
+                () -> eventLoop.connectionLimiter().usage().get(TrafficClass.ORDERS).open());
       }
       assertEquals(0, open);
     } finally {
-      runtime.stop();
+      eventLoop.stop();
     }
   }
 
@@ -352,34 +358,35 @@
    * Connections that send nothing use up their own part; other controllers are served all the same.
    */
   @Test
-  void connectionsThatSayNothingShutNoPeerOut() throws Exception {
-    XnioEventLoop runtime = new XnioEventLoop(100, Duration.ofSeconds(1));
+  void silentConnectionsDoNotExhaustTheSocketsOfPeers() throws Exception {
+    XnioEventLoop eventLoop = new XnioEventLoop(100, Duration.ofSeconds(1));
     String front = freeAddress();
     String cluster = freeAddress();
     AsyncHttpHandler handler =
         (method, path, body, answer) -> answer.accept(new HttpResponse(200, new byte[0]));
     List<Socket> silent = new ArrayList<>();
     try {
-      runtime.serve(
+      eventLoop.serve(
           new XnioEventLoop.Listener(
               front, handler, TrafficClass.ARRIVING, path -> TrafficClass.USERS));
-      runtime.serve(
+      eventLoop.serve(
           new XnioEventLoop.Listener(
               cluster, handler, TrafficClass.PEERS, path -> TrafficClass.PEERS));
       int port = Integer.parseInt(front.substring(front.indexOf(':') + 1));
       for (int i = 0; i < 120; i++) {
         silent.add(new Socket(InetAddress.getLoopbackAddress(), port));
       }
-      UndertowHttpClient caller = new UndertowHttpClient(runtime, to -> TrafficClass.SERVICES);
+      UndertowHttpClient httpClient =
+          new UndertowHttpClient(eventLoop, to -> TrafficClass.SERVICES);
       CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
-      runtime.execute(
+      eventLoop.execute(
           () ->
-              caller.call(
+              httpClient.call(
                   AsyncHttpClient.Request.get(cluster, "/peer", Duration.ofSeconds(5)),
                   got::complete));
       assertEquals(200, got.get(10, TimeUnit.SECONDS).status());
       Map<TrafficClass, ConnectionLimiter.Usage> usage =
-          onThread(runtime, () -> runtime.connectionLimiter().usage());
+          onThread(eventLoop, () -> eventLoop.connectionLimiter().usage());
       ConnectionLimiter.Usage arriving = usage.get(TrafficClass.ARRIVING);
       assertTrue(
           arriving.open() <= arriving.maxOpen() && arriving.refused() > 0, arriving.toString());
@@ -387,7 +394,7 @@
       for (Socket each : silent) {
         each.close();
       }
-      runtime.stop();
+      eventLoop.stop();
     }
   }
 }
--- a/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
+++ b/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
@@ -38,7 +38,7 @@
   private static final char[] PASSWORD = "changeit".toCharArray();
 
   @TempDir Path folder;
-  private XnioEventLoop runtime;
+  private XnioEventLoop eventLoop;
 
   private static boolean anyAddress(InetAddress address) {
     return true;
@@ -46,25 +46,25 @@
 
   @BeforeEach
   void start() throws Exception {
-    runtime = new XnioEventLoop(1_000, Duration.ofSeconds(3));
+    eventLoop = new XnioEventLoop(1_000, Duration.ofSeconds(3));
   }
 
   @AfterEach
   void stop() {
-    runtime.stop();
+    eventLoop.stop();
   }
 
-  private Result post(OutboundHttpClient caller, String url, Duration timeout) throws Exception {
-    CompletableFuture<Result> got = new CompletableFuture<>();
+  private Result post(OutboundHttpClient client, String url, Duration timeout) throws Exception {
+    CompletableFuture<Result> received = new CompletableFuture<>();
     OutboundClient.Message message =
         new OutboundClient.Message(
             URI.create(url), Map.of("webhook-id", "x"), new byte[] {'{', '}'}, timeout);
-    runtime.execute(() -> caller.post(message, got::complete));
-    return got.get(20, TimeUnit.SECONDS);
+    eventLoop.execute(() -> client.post(message, received::complete));
+    return received.get(20, TimeUnit.SECONDS);
   }
 
   private Result post(Predicate<InetAddress> allowed, String url) throws Exception {
-    return post(new OutboundHttpClient(runtime, allowed), url, Duration.ofSeconds(10));
+    return post(new OutboundHttpClient(eventLoop, allowed), url, Duration.ofSeconds(10));
   }
 
   private static int port(Undertow server) {
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void redirectsAreAnswersAndConnectionsAreKept() throws Exception {
+  void redirectsAreNotFollowedAndConnectionsAreReused() throws Exception {
     AtomicInteger requests = new AtomicInteger();
     AtomicInteger connections = new AtomicInteger();
     Undertow server =
@@ -89,19 +89,19 @@
             .build();
     server.start();
     try {
-      OutboundHttpClient caller =
-          new OutboundHttpClient(runtime, OutboundHttpClientTest::anyAddress);
+      OutboundHttpClient client =
+          new OutboundHttpClient(eventLoop, OutboundHttpClientTest::anyAddress);
       for (int i = 1; i <= 3; i++) {
-        Result answer =
-            post(caller, "http://localhost:" + port(server) + "/a?b=c", Duration.ofSeconds(10));
-        assertEquals(307, answer.status());
-        assertEquals(Duration.ofSeconds(7), answer.retryAfter());
-        assertEquals("moved", new String(answer.body(), StandardCharsets.UTF_8));
+        Result result =
+            post(client, "http://localhost:" + port(server) + "/a?b=c", Duration.ofSeconds(10));
+        assertEquals(307, result.status());
+        assertEquals(Duration.ofSeconds(7), result.retryAfter());
+        assertEquals("moved", new String(result.body(), StandardCharsets.UTF_8));
         assertEquals(i, requests.get());
       }
       assertEquals(
           1,
-          runtime.connectionLimiter().usage().get(ConnectionLimiter.TrafficClass.NOTICES).peak());
+          eventLoop.connectionLimiter().usage().get(ConnectionLimiter.TrafficClass.NOTICES).peak());
     } finally {
       server.stop();
     }
@@ -109,11 +109,11 @@
 
   /** The address that was checked is the one connected to; one that is not allowed sees nothing. */
   @Test
-  void whatIsNotAllowedIsNotConnectedTo() throws Exception {
+  void noConnectionIsOpenedToAnAddressThatIsNotAllowed() throws Exception {
     try (ServerSocket server =
         new ServerSocket(0, 5, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
-      Result answer = post(address -> false, "http://localhost:" + server.getLocalPort() + "/");
-      assertEquals(Outcome.NOT_ALLOWED, answer.outcome());
+      Result result = post(address -> false, "http://localhost:" + server.getLocalPort() + "/");
+      assertEquals(Outcome.NOT_ALLOWED, result.outcome());
       server.setSoTimeout(300);
       boolean connected;
       try {
@@ -153,8 +153,9 @@
   }
 
   @Test
-  void answersThatDripNeverEndOrAreTooLongAreGivenUp() throws Exception {
-    OutboundHttpClient caller = new OutboundHttpClient(runtime, OutboundHttpClientTest::anyAddress);
+  void slowEndlessAndTooLongResponsesAreCancelled() throws Exception {
+    OutboundHttpClient client =
+        new OutboundHttpClient(eventLoop, OutboundHttpClientTest::anyAddress);
     String head = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n";
     for (int kind = 0; kind < 3; kind++) {
       try (ServerSocket server =
@@ -165,16 +166,16 @@
             Duration.ofMillis(kind == 2 ? 0 : 50),
             kind == 2 ? 50_000 : kind * 1_000);
         Instant begun = Instant.now();
-        Result answer =
+        Result result =
             post(
-                caller,
+                client,
                 "http://127.0.0.1:" + server.getLocalPort() + "/",
                 Duration.ofMillis(kind == 2 ? 15_000 : 800));
-        assertEquals(Outcome.FAILED, answer.outcome());
-        assertTrue(Duration.between(begun, Instant.now()).toSeconds() < 8, answer.failureReason());
+        assertEquals(Outcome.FAILED, result.outcome());
+        assertTrue(Duration.between(begun, Instant.now()).toSeconds() < 8, result.failureReason());
         assertEquals(
             kind == 2 ? "the answer is longer than 4096 bytes" : "no answer in time",
-            answer.failureReason());
+            result.failureReason());
       }
     }
     // The sockets are given up with the calls.
@@ -185,16 +186,16 @@
   }
 
   private int open() throws Exception {
-    CompletableFuture<Integer> got = new CompletableFuture<>();
-    runtime.execute(
+    CompletableFuture<Integer> received = new CompletableFuture<>();
+    eventLoop.execute(
         () ->
-            got.complete(
-                runtime
+            received.complete(
+                eventLoop
                     .connectionLimiter()
                     .usage()
                     .get(ConnectionLimiter.TrafficClass.NOTICES)
                     .open()));
-    return got.get(5, TimeUnit.SECONDS);
+    return received.get(5, TimeUnit.SECONDS);
   }
 
   /** A certificate for the name {@code localhost}, signed by itself. */
@@ -239,7 +240,7 @@
   }
 
   @Test
-  void tlsIsCheckedAgainstTrustAndName() throws Exception {
+  void tlsVerifiesTrustAndHostName() throws Exception {
     SSLContext context = context();
     Undertow server =
         Undertow.builder()
@@ -250,7 +251,7 @@
     try {
       int port = port(server);
       OutboundHttpClient trusting =
-          new OutboundHttpClient(runtime, OutboundHttpClientTest::anyAddress, context);
+          new OutboundHttpClient(eventLoop, OutboundHttpClientTest::anyAddress, context);
       Duration timeout = Duration.ofSeconds(10);
       assertEquals(204, post(trusting, "https://localhost:" + port + "/", timeout).status());
       Result wrongName = post(trusting, "https://127.0.0.1:" + port + "/", timeout);
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -76,7 +76,7 @@
               },
               () ->
                   new Membership.LocalStatus(
-                      true, 0, GossipWire.RecordStatus.NOTHING, ClusterVersion.SUPPORTED));
+                      true, 0, GossipWire.RecordStatus.UNKNOWN, ClusterVersion.SUPPORTED));
       world.serve(
           host + ":8081",
           (method, path, body, answer) -> {
--- a/src/test/java/io/pineladder/sim/RetryTest.java
+++ b/src/test/java/io/pineladder/sim/RetryTest.java
@@ -19,15 +19,15 @@
   private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
 
   @Test
-  void pausesGrowToTheirCapAndDoNotCoincide() {
+  void delaysGrowToTheirMaximumAndDoNotCoincide() {
     Set<Duration> seen = new HashSet<>();
     for (int series = 0; series < 20; series++) {
       Backoff backoff = new Backoff(eventLoop, Duration.ofMillis(100), Duration.ofSeconds(1));
-      long full = 100;
+      long upperBound = 100;
       for (int i = 0; i < 8; i++) {
-        long pause = backoff.nextDelay().toMillis();
-        assertTrue(pause >= full / 2 && pause <= full, "pause " + i + ": " + pause);
-        full = Math.min(1_000, full * 2);
+        long delay = backoff.nextDelay().toMillis();
+        assertTrue(delay >= upperBound / 2 && delay <= upperBound, "pause " + i + ": " + delay);
+        upperBound = Math.min(1_000, upperBound * 2);
       }
       seen.add(backoff.nextDelay());
       backoff.reset();
@@ -37,35 +37,35 @@
   }
 
   @Test
-  void aPartyThatRefusesIsLeftAloneForLongerAndLonger() {
-    CircuitBreaker breaker =
+  void theCircuitStaysOpenForGrowingDelays() {
+    CircuitBreaker circuitBreaker =
         new CircuitBreaker("the cloud", eventLoop, 2, Duration.ofSeconds(1), Duration.ofSeconds(8));
-    assertTrue(breaker.tryAcquire());
-    breaker.onFailure();
-    assertTrue(breaker.tryAcquire(), "one failure says nothing");
-    breaker.onFailure();
+    assertTrue(circuitBreaker.tryAcquire());
+    circuitBreaker.onFailure();
+    assertTrue(circuitBreaker.tryAcquire(), "one failure says nothing");
+    circuitBreaker.onFailure();
     int calls = 0;
     for (int i = 0; i < 600; i++) {
       world.runFor(Duration.ofMillis(100));
-      if (breaker.tryAcquire()) {
-        assertFalse(breaker.tryAcquire(), "one at a time shows whether it is better");
+      if (circuitBreaker.tryAcquire()) {
+        assertFalse(circuitBreaker.tryAcquire(), "one at a time shows whether it is better");
         calls++;
-        breaker.onFailure();
+        circuitBreaker.onFailure();
       }
     }
     // Pauses of up to 1, 2, 4 and then 8 s, each at least half of that.
     assertTrue(calls >= 8 && calls <= 17, calls + " calls in a minute");
-    while (!breaker.tryAcquire()) {
+    while (!circuitBreaker.tryAcquire()) {
       world.runFor(Duration.ofMillis(100));
     }
-    breaker.onSuccess();
-    assertEquals(CircuitBreaker.State.CLOSED, breaker.state());
-    assertTrue(breaker.tryAcquire());
-    assertTrue(breaker.tryAcquire(), "and a second time: it is not only a probe");
+    circuitBreaker.onSuccess();
+    assertEquals(CircuitBreaker.State.CLOSED, circuitBreaker.state());
+    assertTrue(circuitBreaker.tryAcquire());
+    assertTrue(circuitBreaker.tryAcquire(), "and a second time: it is not only a probe");
   }
 
   @Test
-  void triesAgainAreAShareOfWhatSucceeds() {
+  void retriesAreARatioOfTheSuccessfulCalls() {
     RetryBudget budget = new RetryBudget(eventLoop, 0.1, 2, 5);
     int atOnce = 0;
     for (int i = 0; i < 100; i++) {
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -269,7 +269,7 @@
     for (JsonNode page : store.values.values()) {
       for (JsonNode entry : RecordWire.entries(page)) {
         RecordWire.StoredCompletions stored = RecordWire.parseCompletions(entry);
-        read.or(stored.done());
+        read.or(stored.completed());
         chunks.add(stored.job() + "/" + stored.chunk());
       }
     }
--- a/src/test/java/io/pineladder/upgrade/FormatCompatibilityTest.java
+++ b/src/test/java/io/pineladder/upgrade/FormatCompatibilityTest.java
@@ -194,13 +194,13 @@
         RecordWire.parseCompletions(RecordWire.entries(record("done/0")).get(1));
     assertEquals(1, chunk.chunk());
     assertEquals(0, chunk.chunkTasks());
-    assertEquals(10, chunk.done().cardinality());
+    assertEquals(10, chunk.completed().cardinality());
     RecordWire.Placement placement =
         RecordWire.parsePlacement(RecordWire.entries(record("placed/0")).get(0));
     assertEquals("m-000231", placement.machine());
     assertEquals((412L << 20) + 3, placement.attempt());
     assertEquals(Job.State.DONE, RecordWire.parseFinalState(record("end/req-000399")));
-    assertEquals("rung-1", RecordWire.parseLeader(record("lead/holder")).member());
+    assertEquals("rung-1", RecordWire.parseLeader(record("lead/holder")).controllerName());
     assertEquals(900, RecordWire.parseGeneration(record("generation/current"), 3).base());
     assertEquals(List.of(TYPE), RecordWire.parseMachineTypes(record("conf/types")));
     assertEquals(2, RecordWire.parseFinalStates(record("ends/0")).size());
--- a/src/test/java/io/pineladder/wire/JobWireTest.java
+++ b/src/test/java/io/pineladder/wire/JobWireTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void whatIsStoredReadsBackTheSame() throws MalformedMessageException {
+  void aStoredJobReadsBackUnchanged() throws MalformedMessageException {
     JobSpec spec = JobWire.parse(utf8(GOOD));
     BitSet done = new BitSet();
     done.set(3);
@@ -36,7 +36,7 @@
         RecordWire.parseJob(RecordWire.job(spec, Instant.ofEpochMilli(77), Job.State.CANCELLED));
     assertEquals(spec, stored.spec());
     var completions = RecordWire.parseCompletions(RecordWire.completions("req-1", done, 0, 100));
-    assertEquals(done, completions.done());
+    assertEquals(done, completions.completed());
     assertEquals(Job.State.CANCELLED, stored.state());
     assertEquals(Instant.ofEpochMilli(77), stored.acceptedAt());
   }
@@ -62,14 +62,14 @@
         "\"bundle\":\"img-07\"|\"bundle\":\"\"",
         "{\"ref\"|[{\"ref\"",
       })
-  void refusesWhatIsMalformed(String part, String instead) {
+  void refusesMalformedJobs(String part, String instead) {
     String bad = GOOD.replace(part, instead);
     assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(bad)), bad);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "7", "null", "[]", "{", "{} x"})
-  void refusesWhatIsNoObject(String body) {
+  void refusesABodyThatIsNoObject(String body) {
     assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(body)));
   }
 
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -82,7 +82,7 @@
       """;
 
   @Test
-  void readsWhatThePlatformHandsOver() throws SettingsReader.BadSettingsException {
+  void readsThePlatformsSettings() throws SettingsReader.BadSettingsException {
     Settings settings = SettingsReader.parse(GOOD);
     assertEquals("rung-0", settings.controllerName());
     assertEquals(2, settings.peers().size());
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void namesEveryFaultInOneMessage() {
+  void namesEveryErrorInOneMessage() {
     String bad =
         GOOD.replace("area = \"a\"\nfront", "front")
             .replace("txn_ops = 12", "txn_ops = \"many\"")
@@ -118,7 +118,7 @@
 
   /** What cannot be served is refused at the start, with the field's name. */
   @Test
-  void refusesWhatCannotBeServed() {
+  void refusesUnsupportedSettings() {
     String seeds = GOOD.substring(GOOD.indexOf("[[seeds]]"), GOOD.indexOf("[external]"));
     Map<String, String> refused =
         Map.of(
@@ -136,7 +136,7 @@
 
   /** Any number of controllers and zones, teams without limits, no objectives, short times. */
   @Test
-  void servesDeploymentsOfOtherShapes() throws SettingsReader.BadSettingsException {
+  void acceptsOtherDeployments() throws SettingsReader.BadSettingsException {
     String objectives =
         GOOD.substring(
             GOOD.indexOf("[[deployment.objectives]]"), GOOD.indexOf("[deployment.workers]"));
@@ -154,7 +154,7 @@
 
   /** Where the platform names no sockets there is a connection for each worker of a large fleet. */
   @Test
-  void takesSocketsForALargeFleetWhereTheSystemLetsIt() throws SettingsReader.BadSettingsException {
+  void defaultMaxSocketsFitALargeFleet() throws SettingsReader.BadSettingsException {
     Instant now = Instant.EPOCH;
     EventLoop eventLoop =
         new EventLoop() {
@@ -178,15 +178,15 @@
         };
     ConnectionLimiter sockets =
         new ConnectionLimiter(
-            SettingsReader.untoldSockets(20_000), Duration.ofSeconds(3), eventLoop);
+            SettingsReader.defaultMaxSockets(20_000), Duration.ofSeconds(3), eventLoop);
     for (int worker = 0; worker < 4_200; worker++) {
       assertNotNull(
           sockets.tryOpen(ConnectionLimiter.TrafficClass.REPORTS, () -> {}), "worker " + worker);
     }
-    assertEquals(1_000, SettingsReader.untoldSockets(0));
-    assertEquals(1_000, SettingsReader.untoldSockets(1_024));
-    assertEquals(3_996, SettingsReader.untoldSockets(4_096));
-    assertEquals(7_000, SettingsReader.untoldSockets(Long.MAX_VALUE));
+    assertEquals(1_000, SettingsReader.defaultMaxSockets(0));
+    assertEquals(1_000, SettingsReader.defaultMaxSockets(1_024));
+    assertEquals(3_996, SettingsReader.defaultMaxSockets(4_096));
+    assertEquals(7_000, SettingsReader.defaultMaxSockets(Long.MAX_VALUE));
     int untold =
         SettingsReader.parse(GOOD.substring(0, GOOD.indexOf("[deployment.resources]")))
             .maxSockets();
@@ -194,7 +194,7 @@
   }
 
   @Test
-  void saysWhenItIsNoToml() {
+  void refusesAFileThatIsNotToml() {
     var thrown =
         assertThrows(
             SettingsReader.BadSettingsException.class, () -> SettingsReader.parse("member = "));
