--- a/src/main/java/io/pineladder/snapshot/SnapshotManager.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotManager.java
@@ -192,7 +192,7 @@
   private void removeExpired() {
     // A snapshot comes before the changes that follow it.
     while (snapshotCount() > MAX_SNAPSHOTS
-        || !fileNames.isEmpty() && SnapshotFileNames.isChanges(fileNames.first())) {
+        || (!fileNames.isEmpty() && SnapshotFileNames.isChanges(fileNames.first()))) {
       snapshotStore.remove(fileNames.pollFirst());
     }
   }
