--- a/src/main/java/io/pineladder/JobCanceller.java
+++ b/src/main/java/io/pineladder/JobCanceller.java
@@ -1,8 +1,6 @@
 package io.pineladder;
 
 import io.pineladder.model.Job;
-import io.pineladder.reconciliation.JobLookup;
-import io.pineladder.reconciliation.JobReconciler;
 import io.pineladder.scheduling.ClusterState;
 import io.pineladder.scheduling.Scheduler;
 import java.util.function.Consumer;
@@ -11,17 +9,17 @@
 final class JobCanceller {
   private final ClusterState cluster;
   private final Scheduler scheduler;
-  private final JobReconciler reconciler;
+  private final JobStatusReader statuses;
   private final PendingSubmissions pendingSubmissions;
 
   JobCanceller(
       ClusterState cluster,
       Scheduler scheduler,
-      JobReconciler reconciler,
+      JobStatusReader statuses,
       PendingSubmissions pendingSubmissions) {
     this.cluster = cluster;
     this.scheduler = scheduler;
-    this.reconciler = reconciler;
+    this.statuses = statuses;
     this.pendingSubmissions = pendingSubmissions;
   }
 
@@ -39,19 +37,7 @@
       onDone.accept(JobView.UNCERTAIN);
       return;
     }
-    reconciler.lookUp(
-        id,
-        lookup -> {
-          if (lookup instanceof JobLookup.Uncertain) {
-            onDone.accept(JobView.UNCERTAIN);
-          } else if (lookup instanceof JobLookup.Found found) {
-            cancelKnown(found.job(), onDone);
-          } else if (lookup instanceof JobLookup.Ended ended) {
-            onDone.accept(JobView.ended(ended.finalState()));
-          } else {
-            onDone.accept(JobView.NOT_FOUND);
-          }
-        });
+    statuses.lookUp(id, found -> cancelKnown(found, onDone), onDone);
   }
 
   private void cancelKnown(Job job, Consumer<JobView> onDone) {
--- a/src/main/java/io/pineladder/JobStatusReader.java
+++ b/src/main/java/io/pineladder/JobStatusReader.java
@@ -37,17 +37,27 @@
     if (pendingSubmissions.await(id, onDone)) {
       return;
     }
+    lookUp(id, found -> answerWhenCertain(found, onDone), onDone);
+  }
+
+  /**
+   * Looks up a job that is not in memory by a fresh read.
+   *
+   * @param onFound gets a job that has not ended; it is in memory from then on
+   * @param onOther gets the answer for any other outcome
+   */
+  void lookUp(String id, Consumer<Job> onFound, Consumer<JobView> onOther) {
     reconciler.lookUp(
         id,
         lookup -> {
           if (lookup instanceof JobLookup.Uncertain) {
-            onDone.accept(JobView.UNCERTAIN);
+            onOther.accept(JobView.UNCERTAIN);
           } else if (lookup instanceof JobLookup.Found found) {
-            answerWhenCertain(found.job(), onDone);
+            onFound.accept(found.job());
           } else if (lookup instanceof JobLookup.Ended ended) {
-            onDone.accept(JobView.ended(ended.finalState()));
+            onOther.accept(JobView.ended(ended.finalState()));
           } else {
-            onDone.accept(JobView.NOT_FOUND);
+            onOther.accept(JobView.NOT_FOUND);
           }
         });
   }
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -132,7 +132,7 @@
     this.configurationWriter = new ConfigurationWriter(lifecycle, committer);
     this.statuses = new JobStatusReader(cluster, scheduler, reconciler, pendingSubmissions);
     this.submissions = newSubmissionHandler();
-    this.canceller = new JobCanceller(cluster, scheduler, reconciler, pendingSubmissions);
+    this.canceller = new JobCanceller(cluster, scheduler, statuses, pendingSubmissions);
   }
 
   // ---- the parts; each is created after those that it is given
--- a/src/test/java/io/pineladder/sim/ScaleRunTest.java
+++ b/src/test/java/io/pineladder/sim/ScaleRunTest.java
@@ -5,6 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -12,6 +18,10 @@
 
 /** The scale run at a small size, judged by counts and rules, and never by times. */
 class ScaleRunTest {
+  private static final int FIRST_PORT = 21_000;
+  private static final int LAST_PORT = 31_000;
+  private static final int PORTS_A_RUN = 250;
+
   private static ScaleRun run(String... args) {
     ScaleRun run = new ScaleRun();
     new CommandLine(run).parseArgs(args);
@@ -22,6 +32,7 @@
   void aSmallRunKeepsTheRulesAndEndsWhatItStarted() throws Exception {
     ScaleRun run =
         run(
+            "--port", Integer.toString(firstOfFreePorts()),
             "--workers", "60",
             "--per-process", "59",
             "--single", "1",
@@ -55,6 +66,32 @@
             .count());
   }
 
+  /**
+   * The first port of a range that no other run on this machine has. Seen where the test command
+   * ran twice at the same time: the second run could not listen on the default one. The ranges are
+   * below those that the system gives to connections.
+   */
+  private static int firstOfFreePorts() {
+    int ranges = (LAST_PORT - FIRST_PORT) / PORTS_A_RUN;
+    int start = ThreadLocalRandom.current().nextInt(ranges);
+    for (int i = 0; i < ranges; i++) {
+      int first = FIRST_PORT + (start + i) % ranges * PORTS_A_RUN;
+      if (IntStream.range(first, first + PORTS_A_RUN).allMatch(ScaleRunTest::isFree)) {
+        return first;
+      }
+    }
+    throw new AssertionError("no range of " + PORTS_A_RUN + " ports is free");
+  }
+
+  private static boolean isFree(int port) {
+    try (ServerSocket socket = new ServerSocket()) {
+      socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+      return true;
+    } catch (IOException e) {
+      return false;
+    }
+  }
+
   @ParameterizedTest
   @CsvSource({
     "--workers, 0",
--- a/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
+++ b/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
@@ -11,7 +11,6 @@
 import io.pineladder.model.Machine;
 import io.pineladder.model.PriorityClass;
 import io.pineladder.net.AsyncHttpClient;
-import io.pineladder.wire.WorkerWire;
 import io.pineladder.wire.WorkerWire.Heartbeat;
 import io.pineladder.wire.WorkerWire.TaskState;
 import java.nio.charset.StandardCharsets;
@@ -51,40 +50,23 @@
     assertEquals(Attempt.State.GONE, attempt.state(), "the session's end settles it");
   }
 
-  private String heartbeatResponse(long session, long sequence, long token) {
-    WorkerWire.Orders orders =
-        leader.workerManager.onHeartbeat(
-            new Heartbeat(
-                "m-1",
-                "10.1.0.1:9000",
-                "g4",
-                "a",
-                false,
-                session,
-                sequence,
-                token,
-                null,
-                List.of()));
-    return LeaderHarness.text(WorkerWire.heartbeatResponse(LeaderHarness.TERM, orders));
-  }
-
   /** It took new tasks with each new session, and none of them ever started. */
   @Test
   void anUnreachableMachineThatSendsHeartbeatsGetsNoTasksUntilItReplies() {
-    heartbeatResponse(1, 1, LeaderHarness.TERM);
+    leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     Machine machine = leader.cluster.machine("m-1");
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     assertEquals(Machine.Reachability.DOUBTFUL, machine.reachability());
     assertFalse(machine.isSchedulable());
-    heartbeatResponse(1, 2, LeaderHarness.TERM);
+    leader.heartbeatResponse(1, 2, LeaderHarness.TERM);
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
-    heartbeatResponse(2, 1, LeaderHarness.TERM);
+    leader.heartbeatResponse(2, 1, LeaderHarness.TERM);
     assertEquals(Machine.Reachability.UNREACHABLE, machine.reachability());
     assertTrue(job.attempts.isEmpty(), "the new session is the proof");
     assertEquals(1, job.pending.cardinality(), "and the task waits for another machine");
     leader.runFor(Duration.ofSeconds(5));
-    heartbeatResponse(2, 2, LeaderHarness.TERM);
+    leader.heartbeatResponse(2, 2, LeaderHarness.TERM);
     LeaderHarness.SentRequest probe = leader.nextCommand();
     probe.onReply().accept(AsyncHttpClient.Reply.answered(200, commandReplyBody(2, 3)));
     assertEquals(Machine.Reachability.REACHABLE, machine.reachability());
@@ -109,28 +91,28 @@
    */
   @Test
   void aCommandReplyProvesNothingAboutAStartInAHeartbeatResponse() {
-    heartbeatResponse(1, 1, LeaderHarness.TERM);
+    leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Attempt attempt = LeaderHarness.onlyAttempt(job);
     Machine machine = leader.cluster.machine("m-1");
     leader.workerManager.probe(machine);
     LeaderHarness.SentRequest probe = leader.nextCommand();
-    assertTrue(heartbeatResponse(1, 2, LeaderHarness.TERM).contains("start"));
+    assertTrue(leader.heartbeatResponse(1, 2, LeaderHarness.TERM).contains("start"));
     // The worker answered the probe before the response with the start reached it.
     probe.onReply().accept(AsyncHttpClient.Reply.answered(200, commandReplyBody(1, 3)));
     leader.scheduler.cancel(job);
     leader.runFor(Duration.ofMillis(60));
     assertTrue(attempt.holdsCapacity(), "the start may be on its way");
     assertFalse(job.finalStateStored, "and so its user is told nothing yet");
-    heartbeatResponse(1, 4, LeaderHarness.TERM);
+    leader.heartbeatResponse(1, 4, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
     assertTrue(
         job.finalStateStored, "a report of the worker's own shows that the response was dropped");
   }
 
   private LeaderHarness.SentRequest sentStart() {
-    heartbeatResponse(1, 1, LeaderHarness.TERM);
+    leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     return leader.nextCommand();
   }
@@ -143,7 +125,7 @@
     Attempt attempt = leader.attempts().get(0);
     leader.scheduler.cancel(attempt.job);
     // Sent before the command arrived there.
-    heartbeatResponse(1, 2, LeaderHarness.TERM);
+    leader.heartbeatResponse(1, 2, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
     assertTrue(attempt.holdsCapacity(), "it may run");
     assertFalse(attempt.job.finalStateStored, "and nothing is told");
@@ -168,7 +150,7 @@
   /** One that is heard through a peer gets its orders with the responses, and goes on working. */
   @Test
   void aMachineHeardThroughAPeerIsSchedulableThoughCommandsFail() {
-    heartbeatResponse(1, 1, LeaderHarness.TERM);
+    leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     Machine machine = leader.cluster.machine("m-1");
--- a/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
+++ b/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
@@ -12,7 +12,6 @@
 import io.pineladder.model.Machine;
 import io.pineladder.model.PriorityClass;
 import io.pineladder.net.AsyncHttpClient;
-import io.pineladder.wire.WorkerWire;
 import io.pineladder.wire.WorkerWire.Heartbeat;
 import io.pineladder.wire.WorkerWire.TaskId;
 import io.pineladder.wire.WorkerWire.TaskState;
@@ -26,27 +25,10 @@
 class HeartbeatReconciliationTest {
   private final LeaderHarness leader = new LeaderHarness();
 
-  private String heartbeatResponse(long session, long sequence, long token) {
-    WorkerWire.Orders orders =
-        leader.workerManager.onHeartbeat(
-            new Heartbeat(
-                "m-1",
-                "10.1.0.1:9000",
-                "g4",
-                "a",
-                false,
-                session,
-                sequence,
-                token,
-                null,
-                List.of()));
-    return LeaderHarness.text(WorkerWire.heartbeatResponse(LeaderHarness.TERM, orders));
-  }
-
   /** A copy of a report changes nothing, whenever it comes, and nobody waits for its answer. */
   @Test
   void aDuplicateHeartbeatChangesNothing() {
-    heartbeatResponse(2, 5, LeaderHarness.TERM);
+    leader.heartbeatResponse(2, 5, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Machine machine = leader.cluster.machine("m-1");
@@ -56,7 +38,7 @@
     long[][] copies = {{2, 5}, {2, 4}, {1, 900}, {2, 0}, {0, 7}};
     for (long[] copy : copies) {
       for (long token : new long[] {0, LeaderHarness.TERM - 1, LeaderHarness.TERM}) {
-        String answer = heartbeatResponse(copy[0], copy[1], token);
+        String answer = leader.heartbeatResponse(copy[0], copy[1], token);
         assertFalse(answer.contains("start"), answer);
         assertEquals(heard, machine.lastHeartbeatAt);
         assertEquals(Machine.State.CONFIRMED, machine.state());
@@ -65,7 +47,7 @@
         assertEquals(Attempt.State.PLACEMENT_STORED, attempt.state());
       }
     }
-    assertTrue(heartbeatResponse(2, 6, LeaderHarness.TERM).contains("start"));
+    assertTrue(leader.heartbeatResponse(2, 6, LeaderHarness.TERM).contains("start"));
   }
 
   /**
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -321,6 +321,24 @@
     return WorkerWire.heartbeatResponse(TERM, orders);
   }
 
+  /** The response to a heartbeat of an empty machine m-1; unlike the others it takes no time. */
+  String heartbeatResponse(long agentEpoch, long sequence, long token) {
+    WorkerWire.Orders orders =
+        workerManager.onHeartbeat(
+            new Heartbeat(
+                "m-1",
+                "10.1.0.1:9000",
+                "g4",
+                "a",
+                false,
+                agentEpoch,
+                sequence,
+                token,
+                null,
+                List.of()));
+    return text(WorkerWire.heartbeatResponse(TERM, orders));
+  }
+
   /** The next command request that was sent; requests to the cloud are skipped. */
   SentRequest nextCommand() {
     while (!sent.isEmpty()) {
