--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -266,14 +266,14 @@
    * @return whether the store is trusted and no peer knows of a later generation
    */
   public boolean syncWithPeers() {
-    host.peers().forEach(peer -> onPeerStatus(peer.stored()));
+    host.peers().forEach(peer -> onPeerStatus(peer.recordStatus()));
     return isTrusted() && highestKnownBase() == storeClient.generation().base();
   }
 
   private long highestKnownBase() {
     long highest = Math.max(storeClient.generation().base(), host.replica().base());
     for (Membership.PeerStatus peer : host.peers()) {
-      highest = Math.max(highest, peer.stored().generationBase());
+      highest = Math.max(highest, peer.recordStatus().generationBase());
     }
     return highest;
   }
@@ -499,7 +499,7 @@
   }
 
   private void claimGeneration(int sequence) {
-    host.peers().forEach(peer -> observeToken(peer.stored().highestToken()));
+    host.peers().forEach(peer -> observeToken(peer.recordStatus().highestToken()));
     long base =
         Generation.nextBase(
             Math.max(highestObservedToken(), highestKnownBase()), eventLoop.wallClock());
--- a/src/main/java/io/pineladder/generation/RebuildDeferral.java
+++ b/src/main/java/io/pineladder/generation/RebuildDeferral.java
@@ -46,7 +46,7 @@
       RecordReplica own, List<Membership.PeerStatus> peers) {
     for (Membership.PeerStatus peer : peers) {
       if (peer.state() != Membership.State.UP
-          || (!own.isComplete() && peer.stored().replicaComplete())) {
+          || (!own.isComplete() && peer.recordStatus().replicaComplete())) {
         return true;
       }
     }
@@ -56,7 +56,7 @@
   private static boolean peerHasBetterReplica(
       RecordReplica own, List<Membership.PeerStatus> peers) {
     for (Membership.PeerStatus peer : peers) {
-      if (peer.state() == Membership.State.UP && isBetter(peer.stored(), own)) {
+      if (peer.state() == Membership.State.UP && isBetter(peer.recordStatus(), own)) {
         return true;
       }
     }
--- a/src/main/java/io/pineladder/membership/FailureDetector.java
+++ b/src/main/java/io/pineladder/membership/FailureDetector.java
@@ -10,77 +10,77 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state machine of each peer. Suspicion precedes a conclusion, and doubt of this node itself
- * precedes both: a node that hears nobody, or that was paused, calls nobody down.
+ * Failure detection: the state machine of each peer. A peer is suspected before it is marked down,
+ * and a node that has contact with no peer, or whose process was paused, marks no peer down.
  */
 final class FailureDetector {
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
 
   /**
-   * Heartbeats missed in a row before a peer is suspected. One lost message says nothing, and a
-   * leader that has just taken over may answer nobody for two seconds.
+   * Consecutive missed heartbeats before a peer is suspected. Tolerates lost messages and a newly
+   * elected leader, which may not answer for two seconds.
    */
   private static final int SUSPECT_AFTER_MISSES = 3;
 
-  /** A peer is suspected for so long before anything is concluded. */
+  /** How long a peer is suspected before it may be marked down. */
   private static final Duration SUSPICION_PERIOD = Duration.ofSeconds(3);
 
-  /** A contact that is older than this, own or reported, is no evidence that a peer is alive. */
+  /** An older contact, direct or reported by another peer, does not show that a peer is alive. */
   private static final Duration MAX_CONTACT_AGE = Duration.ofMillis(2500);
 
-  /** Answers in a row that bring a peer back. */
+  /** Consecutive answers after which a suspected or failed peer is up again. */
   private static final int UP_AFTER_ANSWERS = 2;
 
-  /** The least time between two changes of a peer's state. */
+  /** Minimum time between two state changes of a peer; limits flapping. */
   private static final Duration MIN_STATE_DURATION = Duration.ofSeconds(2);
 
   private final Collection<Peer> peers;
-  private SelfAssessment selfAssessment = SelfAssessment.SURE;
+  private SelfAssessment localHealth = SelfAssessment.SURE;
 
-  /** Whether any peer was ever heard: until then that none is heard says nothing. */
-  private boolean everHeardPeer;
+  /** Whether contact with a peer was ever proven; before that, having none is not a fault. */
+  private boolean contactEstablished;
 
-  /** Until then nothing is concluded: the process was paused, and has to hear others first. */
-  private Instant doubtfulUntil = Instant.MIN;
+  /** After a process pause no peer is marked down before this instant. */
+  private Instant degradedUntil = Instant.MIN;
 
   FailureDetector(Collection<Peer> peers) {
     this.peers = peers;
   }
 
-  SelfAssessment selfAssessment() {
-    return selfAssessment;
+  SelfAssessment localHealth() {
+    return localHealth;
   }
 
-  /** Some peer is proven to have been alive. */
+  /** Contact with a peer was proven. */
   void onContact() {
-    everHeardPeer = true;
+    contactEstablished = true;
   }
 
-  /** Messages that came during the pause are yet to be read: each peer begins anew. */
+  /** Restarts the detection for each peer: messages received during the pause are still unread. */
   void onProcessPause(Instant now) {
-    log.info("Process pause: no controller is called down for now");
-    doubtfulUntil = now.plus(SUSPICION_PERIOD);
+    log.info("Process pause detected: no peer is marked down until heartbeats have been exchanged");
+    degradedUntil = now.plus(SUSPICION_PERIOD);
     for (Peer peer : peers) {
       peer.onProcessPause(now);
     }
-    reviewSelf(now);
+    evaluateLocalHealth(now);
   }
 
-  /** Something about the peer has changed. */
-  void review(Peer peer, Instant now) {
-    reviewPeer(peer, now);
-    reviewSelf(now);
+  /** Evaluates a peer whose heartbeats, answers or misses have changed. */
+  void evaluate(Peer peer, Instant now) {
+    evaluatePeer(peer, now);
+    evaluateLocalHealth(now);
   }
 
-  /** Time has passed. */
-  void reviewAll(Instant now) {
+  /** Evaluates all peers; to be called periodically. */
+  void evaluateAll(Instant now) {
     for (Peer peer : peers) {
-      reviewPeer(peer, now);
+      evaluatePeer(peer, now);
     }
-    reviewSelf(now);
+    evaluateLocalHealth(now);
   }
 
-  private void reviewPeer(Peer peer, Instant now) {
+  private void evaluatePeer(Peer peer, Instant now) {
     boolean tooSoon = peer.stateChangedAt().plus(MIN_STATE_DURATION).isAfter(now);
     boolean unresponsive = peer.consecutiveMisses() >= SUSPECT_AFTER_MISSES;
     switch (peer.state()) {
@@ -108,20 +108,20 @@
   }
 
   private void classifyUnresponsive(Peer peer, Instant now) {
-    boolean suspectedLong =
+    boolean suspicionExpired =
         peer.state() != State.SUSPECT || !peer.stateChangedAt().plus(SUSPICION_PERIOD).isAfter(now);
-    boolean conclusive = suspectedLong && selfAssessment == SelfAssessment.SURE;
-    if (isHeardByAnyNode(peer, now)) {
+    boolean mayMarkDown = suspicionExpired && localHealth == SelfAssessment.SURE;
+    if (isReachableFromAnyNode(peer, now)) {
       transitionTo(peer, State.APART, now);
-    } else if (conclusive && !hasUpWitness(peer, now)) {
+    } else if (mayMarkDown && !hasUpObserver(peer, now)) {
       transitionTo(peer, State.SUSPECT, now);
-    } else if (conclusive && !isFresh(peer.arrivedAt(), now)) {
+    } else if (mayMarkDown && !isFresh(peer.newestHeartbeatReceivedAt(), now)) {
       transitionTo(peer, State.DOWN, now);
     }
   }
 
-  /** Whether this node or another one still hears from it. */
-  private boolean isHeardByAnyNode(Peer peer, Instant now) {
+  /** Whether this node or another one has a recent contact with the peer. */
+  private boolean isReachableFromAnyNode(Peer peer, Instant now) {
     if (isFresh(peer.contactAt(), now)) {
       return true;
     }
@@ -134,8 +134,8 @@
     return false;
   }
 
-  /** Whether some other node that is up confirms that it does not hear the peer either. */
-  private boolean hasUpWitness(Peer peer, Instant now) {
+  /** Whether another peer is up, which would report a contact with this one. */
+  private boolean hasUpObserver(Peer peer, Instant now) {
     for (Peer other : peers) {
       if (other != peer && other.state() == State.UP && isFresh(other.contactAt(), now)) {
         return true;
@@ -148,7 +148,7 @@
     return at != null && at.plus(MAX_CONTACT_AGE).isAfter(now);
   }
 
-  /** How long ago {@code other} heard the peer, by its last heartbeat; null if not known. */
+  /** The age of {@code other}'s last contact with the peer; null if not known. */
   private static Duration reportedContactAge(Peer other, Peer peer, Instant now) {
     if (!isFresh(other.contactAt(), now)) {
       return null;
@@ -157,20 +157,20 @@
     return contact == null ? null : contact.age().plus(Duration.between(other.contactAt(), now));
   }
 
-  private void reviewSelf(Instant now) {
-    boolean hearsAny = false;
+  private void evaluateLocalHealth(Instant now) {
+    boolean hasContact = false;
     for (Peer peer : peers) {
-      hearsAny |= isFresh(peer.contactAt(), now);
+      hasContact |= isFresh(peer.contactAt(), now);
     }
-    boolean doubtful = doubtfulUntil.isAfter(now) || (everHeardPeer && !hearsAny);
-    SelfAssessment next = doubtful ? SelfAssessment.DOUBTFUL : SelfAssessment.SURE;
-    if (next != selfAssessment) {
-      log.info("Self-assessment changed: assessment={} previous={}", next, selfAssessment);
-      selfAssessment = next;
+    boolean degraded = degradedUntil.isAfter(now) || (contactEstablished && !hasContact);
+    SelfAssessment next = degraded ? SelfAssessment.DOUBTFUL : SelfAssessment.SURE;
+    if (next != localHealth) {
+      log.info("Local health changed: health={} previous={}", next, localHealth);
+      localHealth = next;
     }
   }
 
-  /** The one place where a peer's state changes. */
+  /** The only place where a peer's state changes. */
   private static void transitionTo(Peer peer, State next, Instant now) {
     if (peer.state() != next) {
       log.info(
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -18,52 +18,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Membership of the controllers, by gossip heartbeats: which peers are up, whom this node reaches,
- * and who reaches the state service.
+ * Membership of the controllers by gossip heartbeats: which peers are up, which of them this node
+ * reaches, and which reach the key-value store.
  *
- * <p>Each controller sends every other a heartbeat once a second, which is answered by one; both
- * say how long ago their sender heard the rest. A message may be minutes late, so that one arrives
- * says nothing. Heartbeats are numbered, and each names the number of the newest one that its
- * sender has received: it was made after that one was sent, and so is no older. What counts as
- * contact is that.
+ * <p>Each controller sends every peer a heartbeat once a second, and the peer answers with one of
+ * its own. Each heartbeat lists the age of its sender's last contact with every other controller.
+ * Messages may be delayed by minutes, so the arrival of a heartbeat does not show when its sender
+ * was alive. Therefore heartbeats are numbered, and each acknowledges the newest one that its
+ * sender has received: it was created after that one was sent. Only such an acknowledgement counts
+ * as contact.
  *
- * <p>No safety rule rests on this. The lease decides who leads, and proofs from workers where tasks
- * are; membership decides which peer is asked first. Event thread only.
+ * <p>Safety does not depend on membership: the lease determines the leader, and confirmations from
+ * workers determine where tasks run. Membership determines which peer is contacted first. Event
+ * thread only.
  */
 public final class Membership {
   private static final Logger log = LoggerFactory.getLogger(Membership.class);
 
-  /** How often each peer is sent a heartbeat. */
+  /** The interval at which each peer is sent a heartbeat. */
   public static final Duration HEARTBEAT_INTERVAL = Duration.ofSeconds(1);
 
-  /** A heartbeat without an answer for so long is missed. */
+  /** A heartbeat that is not answered within this time counts as missed. */
   public static final Duration HEARTBEAT_TIMEOUT = Duration.ofMillis(1300);
 
-  /** Reported of a peer whose process is known but with which no contact is proven. */
+  /** The age reported for a peer whose incarnation is known without a proven contact. */
   private static final Duration NEVER_CONTACTED_AGE = Duration.ofDays(1);
 
-  /** A tick that comes so much late shows that this process was paused. */
+  /** A tick delayed by more than this shows that this process was paused. */
   private static final Duration PROCESS_PAUSE_THRESHOLD = Duration.ofSeconds(1);
 
   /** The state of a peer. */
   public enum State {
-    /** It has answered nothing since this process began. */
+    /** It has not answered since this process started. */
     UNKNOWN,
     /** It answers this node. */
     UP,
-    /** It has missed heartbeats; it may be slow, cut off or gone. */
+    /** It has missed heartbeats; it may be slow, partitioned or down. */
     SUSPECT,
-    /** Another node hears it and this one does not reach it. */
+    /** This node does not reach it, but another one does. */
     APART,
-    /** Nobody hears it, as far as this node, which hears others, can know. */
+    /** No controller with which this node has contact reaches it. */
     DOWN
   }
 
-  /** Whether this node trusts its own observations. */
+  /** Whether missed heartbeats can be attributed to the peers rather than to this node. */
   public enum SelfAssessment {
-    /** It hears others, or has just begun. */
+    /** It has contact with a peer, or has not had any yet. */
     SURE,
-    /** It hears nobody, or was paused: what it misses may be its own fault. */
+    /** It lost contact with all peers, or was paused: it may itself be the faulty node. */
     DOUBTFUL
   }
 
@@ -81,23 +83,24 @@
   /**
    * What this node reports about itself.
    *
-   * @param storeReachable whether the state service answers it
-   * @param term the term that it leads, or 0
-   * @param stored the records that it knows
+   * @param storeReachable whether the key-value store answers this node
+   * @param term the term that this node leads, or 0
+   * @param recordStatus what this node knows of the stored records
    * @param version the cluster version that its software supports
    */
   public record LocalStatus(
-      boolean storeReachable, long term, GossipWire.RecordStatus stored, int version) {}
+      boolean storeReachable, long term, GossipWire.RecordStatus recordStatus, int version) {}
 
   /**
    * The status of a peer.
    *
-   * @param sinceContact how long ago it is proven to have been alive; null for never
-   * @param storeReachable whether it reports that the state service answers it
-   * @param term the term that it reports to lead, or 0
-   * @param stateChanges how often its state has changed
-   * @param nonce its process; null when nothing was received of it
-   * @param stored the records that it reports to know
+   * @param sinceContact time since the latest instant at which the peer is proven to have been
+   *     alive; null for never
+   * @param storeReachable whether the peer reports that the key-value store answers it
+   * @param term the term that the peer reports to lead, or 0
+   * @param stateChanges the number of its state changes
+   * @param nonce identifies the incarnation of its process; null before its first heartbeat
+   * @param recordStatus what the peer reports to know of the stored records
    * @param version the cluster version that its software supports
    */
   public record PeerStatus(
@@ -108,7 +111,7 @@
       long term,
       int stateChanges,
       String nonce,
-      GossipWire.RecordStatus stored,
+      GossipWire.RecordStatus recordStatus,
       int version) {}
 
   private final String controllerName;
@@ -120,16 +123,16 @@
   private final SentHeartbeats sentHeartbeats;
   private Instant lastTickAt;
 
-  /** When some peer last was known to lead. */
+  /** When a peer was last proven to lead; null for never. */
   private Instant leaderContactAt;
 
-  private Consumer<GossipWire.RecordStatus> storeStatusListener = stored -> {};
+  private Consumer<GossipWire.RecordStatus> recordStatusListener = stored -> {};
 
   /**
-   * The membership as this controller sees it.
+   * Creates the membership; {@link #start} begins to send heartbeats.
    *
-   * @param nonce tells this process from others of the same controller
-   * @param localStatus asked for each heartbeat
+   * @param nonce identifies the incarnation of this controller's process
+   * @param localStatus supplies the status sent with each heartbeat
    */
   public Membership(
       Settings settings,
@@ -147,19 +150,18 @@
     }
   }
 
-  /** Begins to send heartbeats. */
   public void start() {
     tick();
   }
 
-  /** Sets what receives each newer heartbeat's report of the records. */
+  /** Sets the receiver of the record status in each newer heartbeat. */
   public void onStoreStatus(Consumer<GossipWire.RecordStatus> listener) {
-    storeStatusListener = listener;
+    recordStatusListener = listener;
   }
 
   // ---- heartbeats
 
-  /** Sends heartbeats at once, for something that must not wait for the interval. */
+  /** Sends heartbeats without waiting for the interval; answers to them are ignored. */
   public void sendHeartbeatsNow() {
     byte[] heartbeat = GossipWire.write(nextHeartbeat());
     for (Peer peer : peers.values()) {
@@ -178,7 +180,7 @@
     for (Peer peer : peers.values()) {
       sender.send(peer.address(), heartbeat, answer -> onAnswer(peer, answer, now));
     }
-    failureDetector.reviewAll(eventLoop.now());
+    failureDetector.evaluateAll(eventLoop.now());
     eventLoop.schedule(HEARTBEAT_INTERVAL, this::tick);
   }
 
@@ -201,11 +203,11 @@
         status.storeReachable(),
         status.term(),
         contacts,
-        status.stored(),
+        status.recordStatus(),
         status.version());
   }
 
-  /** Processes a peer's heartbeat; returns the one that answers it. */
+  /** Processes a heartbeat of a peer and returns the heartbeat that answers it. */
   public byte[] handle(byte[] body) throws MalformedMessageException {
     processHeartbeat(GossipWire.parse(body), null);
     return GossipWire.write(nextHeartbeat());
@@ -213,11 +215,11 @@
 
   private void onAnswer(Peer peer, byte[] body, Instant heartbeatSentAt) {
     if (body == null) {
-      peer.onMiss();
-      failureDetector.review(peer, eventLoop.now());
+      peer.onHeartbeatMissed();
+      failureDetector.evaluate(peer, eventLoop.now());
       return;
     }
-    peer.onAnswered(heartbeatSentAt);
+    peer.onHeartbeatAnswered(heartbeatSentAt);
     try {
       processHeartbeat(GossipWire.parse(body), heartbeatSentAt);
     } catch (MalformedMessageException e) {
@@ -231,8 +233,8 @@
   /**
    * Processes a heartbeat.
    *
-   * @param requestSentAt when the heartbeat was sent that this answers, or null: that a peer sends
-   *     something does not show that it can be reached
+   * @param requestSentAt when this node sent the heartbeat that this one answers; null for a
+   *     request, which does not show that its sender can be reached
    */
   private void processHeartbeat(Heartbeat heartbeat, Instant requestSentAt) {
     Peer peer = peers.get(heartbeat.member());
@@ -241,15 +243,15 @@
     }
     boolean newer = peer.isNewer(heartbeat);
     if (newer) {
-      peer.onArrival(eventLoop.now());
-      storeStatusListener.accept(heartbeat.recordStatus());
+      peer.onNewerHeartbeat(eventLoop.now());
+      recordStatusListener.accept(heartbeat.recordStatus());
     }
     Instant contactAt =
         requestSentAt != null
             ? requestSentAt
-            : sentHeartbeats.madeAt(heartbeat.contacts().get(controllerName));
+            : sentHeartbeats.sentAt(heartbeat.contacts().get(controllerName));
     if (newer && (contactAt != null || peer.nonce() == null)) {
-      peer.onIdentified(heartbeat);
+      peer.updateIncarnation(heartbeat);
     }
     if (contactAt != null) {
       onContact(peer, contactAt, heartbeat);
@@ -257,7 +259,7 @@
     if (requestSentAt != null) {
       peer.onValidAnswer();
     }
-    failureDetector.review(peer, eventLoop.now());
+    failureDetector.evaluate(peer, eventLoop.now());
   }
 
   private void onContact(Peer peer, Instant contactAt, Heartbeat heartbeat) {
@@ -272,18 +274,18 @@
 
   // ---- queries
 
-  /** Whether this node trusts its own observations. */
+  /** Whether missed heartbeats can be attributed to the peers rather than to this node. */
   public SelfAssessment selfAssessment() {
-    return failureDetector.selfAssessment();
+    return failureDetector.localHealth();
   }
 
-  /** The state of a peer; {@code UNKNOWN} for one that the settings do not name. */
+  /** The state of a peer; {@code UNKNOWN} for a controller that is not in the settings. */
   public State stateOf(String member) {
     Peer peer = peers.get(member);
     return peer == null ? State.UNKNOWN : peer.state();
   }
 
-  /** Whether this node is known not to reach the peer. */
+  /** Whether the peer has stopped answering this node; false for an unknown state. */
   public boolean isUnreachable(String member) {
     return isUnreachable(stateOf(member));
   }
@@ -295,20 +297,21 @@
     };
   }
 
-  /** Whether each peer has answered a heartbeat or failed to, so that all reports are in. */
+  /** Whether every peer has answered or missed a heartbeat since this process started. */
   public boolean hasProbedAll() {
     return peers.values().stream().allMatch(Peer::isProbed);
   }
 
-  /** Whether some peer that is up reports that the state service answers it. */
+  /** Whether a peer that is up reports that the key-value store answers it. */
   public boolean isStoreReachableByPeer() {
-    return peers.values().stream().anyMatch(p -> p.state() == State.UP && p.reachesStore());
+    return peers.values().stream()
+        .anyMatch(p -> p.state() == State.UP && p.reportsStoreReachable());
   }
 
   /**
-   * Whether half of the peers or more report that the state service does not answer them, and none
-   * that it does. A leader with a certain lease could then be only among the rest, of whom nothing
-   * is heard.
+   * Whether at least half of the peers report that the key-value store does not answer them, and
+   * none reports that it does. A leader with a valid lease could then only be among the peers that
+   * are not up.
    */
   public boolean isStoreUnreachableForMost() {
     long without =
@@ -318,7 +321,7 @@
     return without > 0 && 2 * without >= peers.size() && !isStoreReachableByPeer();
   }
 
-  /** When the latest heartbeat that the peer answered was sent; null for never. */
+  /** When the latest heartbeat answered by the peer was sent; null for never. */
   public Instant answeredHeartbeatSentAt(String member) {
     Peer peer = peers.get(member);
     return peer == null ? null : peer.answeredHeartbeatSentAt();
@@ -342,25 +345,26 @@
   }
 
   /**
-   * The addresses of peers that may be able to do what this node cannot: first those that reach the
-   * state service; those that do not answer this node only when no other is left.
+   * The addresses of peers to which a request may be forwarded that this node cannot serve: first
+   * those that reach the key-value store; those that do not answer this node only when there is no
+   * other.
    */
   public List<String> candidateAddresses() {
     List<String> preferred = new ArrayList<>();
     List<String> reachable = new ArrayList<>();
     List<String> unreachable = new ArrayList<>();
     for (Peer peer : peers.values()) {
-      List<String> group =
+      List<String> candidates =
           isUnreachable(peer.state())
               ? unreachable
-              : peer.state() == State.UP && peer.reachesStore() ? preferred : reachable;
-      group.add(peer.address());
+              : peer.state() == State.UP && peer.reportsStoreReachable() ? preferred : reachable;
+      candidates.add(peer.address());
     }
     preferred.addAll(reachable);
     return preferred.isEmpty() ? unreachable : preferred;
   }
 
-  /** The status of all peers, in the order of the settings. */
+  /** The status of each peer, in the order of the settings. */
   public List<PeerStatus> peerStatuses() {
     Instant now = eventLoop.now();
     List<PeerStatus> statuses = new ArrayList<>();
--- a/src/main/java/io/pineladder/membership/Peer.java
+++ b/src/main/java/io/pineladder/membership/Peer.java
@@ -8,33 +8,35 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Another controller, with what its heartbeats and their absence have shown. */
+/** Another controller: its state, latest contact and latest heartbeat. */
 final class Peer {
   private final Settings.Peer settings;
   private State state = State.UNKNOWN;
   private Instant stateChangedAt;
   private int stateChanges;
 
-  /** The newest instant at which it is proven to have been alive; null for never. */
+  /** The latest instant at which it is proven to have been alive; null for never. */
   private Instant contactAt;
 
-  /** When a heartbeat newer than all before arrived, however old it was; null for never. */
-  private Instant arrivedAt;
+  /** When its newest heartbeat was received, which may have been delayed; null for never. */
+  private Instant newestHeartbeatReceivedAt;
 
-  /** When the latest heartbeat that it answered was sent; null for never. */
+  /** When the latest heartbeat that it answered was sent to it; null for never. */
   private Instant answeredHeartbeatSentAt;
 
-  /** Its process and the number of the newest heartbeat of it; null before the first. */
+  /** The incarnation of its process; null before its first heartbeat. */
   private String nonce;
 
+  /** The number of the newest heartbeat of this incarnation. */
   private long sequence;
+
   private int consecutiveMisses;
   private int consecutiveAnswers;
 
-  /** The cluster version that its software supports, by the newest heartbeat of its process. */
+  /** The cluster version that its software supports, from its newest heartbeat. */
   private int supportedVersion = ClusterVersion.UNVERSIONED;
 
-  /** The heartbeat that proved the newest contact; null for none since this process paused. */
+  /** The heartbeat that proved the latest contact; null for none since a pause of this process. */
   private Heartbeat lastHeartbeat;
 
   Peer(Settings.Peer settings, Instant now) {
@@ -73,8 +75,8 @@
     return contactAt;
   }
 
-  Instant arrivedAt() {
-    return arrivedAt;
+  Instant newestHeartbeatReceivedAt() {
+    return newestHeartbeatReceivedAt;
   }
 
   Instant answeredHeartbeatSentAt() {
@@ -105,39 +107,43 @@
     return lastHeartbeat;
   }
 
-  /** Whether it answered a heartbeat or failed to. */
+  /** Whether it has answered or missed a heartbeat. */
   boolean isProbed() {
     return answeredHeartbeatSentAt != null || consecutiveMisses > 0;
   }
 
-  /** Whether its last heartbeat reports that the state service answers it. */
-  boolean reachesStore() {
+  /** Whether its last heartbeat reports that the key-value store answers it. */
+  boolean reportsStoreReachable() {
     return lastHeartbeat != null && lastHeartbeat.storeHealthy();
   }
 
-  /** Whether its last heartbeat reports that the state service does not answer it. */
+  /** Whether its last heartbeat reports that the key-value store does not answer it. */
   boolean reportsStoreUnreachable() {
     return lastHeartbeat != null && !lastHeartbeat.storeHealthy();
   }
 
-  /** Whether the heartbeat is of another process than the last one, or of a higher number. */
+  /** Whether the heartbeat has another incarnation than the last one, or a higher number. */
   boolean isNewer(Heartbeat heartbeat) {
     return !heartbeat.nonce().equals(nonce) || heartbeat.sequence() > sequence;
   }
 
-  /** A newer heartbeat arrived. */
-  void onArrival(Instant now) {
-    arrivedAt = now;
+  /** A newer heartbeat was received. */
+  void onNewerHeartbeat(Instant now) {
+    newestHeartbeatReceivedAt = now;
   }
 
-  /** A newer heartbeat is of its present process. */
-  void onIdentified(Heartbeat heartbeat) {
+  /** Records the incarnation and number of a newer heartbeat. */
+  void updateIncarnation(Heartbeat heartbeat) {
     nonce = heartbeat.nonce();
     sequence = heartbeat.sequence();
     supportedVersion = heartbeat.supportedVersion();
   }
 
-  /** The heartbeat proves that it was alive at that instant; false if that was known already. */
+  /**
+   * Records that the heartbeat proves the peer to have been alive at that instant.
+   *
+   * @return false if a contact at that instant or later was known already
+   */
   boolean onContact(Instant provenAt, Heartbeat heartbeat) {
     if (contactAt != null && !provenAt.isAfter(contactAt)) {
       return false;
@@ -147,24 +153,24 @@
     return true;
   }
 
-  /** It answered the heartbeat that was sent then, though perhaps with something else. */
-  void onAnswered(Instant heartbeatSentAt) {
+  /** It answered the heartbeat sent at that instant; the answer may be malformed. */
+  void onHeartbeatAnswered(Instant heartbeatSentAt) {
     answeredHeartbeatSentAt = heartbeatSentAt;
   }
 
-  /** It answered a heartbeat with a valid one. */
+  /** It answered a heartbeat with a valid heartbeat. */
   void onValidAnswer() {
     consecutiveMisses = 0;
     consecutiveAnswers++;
   }
 
-  /** It did not answer a heartbeat in time. */
-  void onMiss() {
+  /** It did not answer a heartbeat within {@link Membership#HEARTBEAT_TIMEOUT}. */
+  void onHeartbeatMissed() {
     consecutiveMisses++;
     consecutiveAnswers = 0;
   }
 
-  /** This process was paused: misses and reports of before say nothing, suspicion begins anew. */
+  /** Discards misses and the last heartbeat, and restarts a suspicion, after a process pause. */
   void onProcessPause(Instant now) {
     consecutiveMisses = 0;
     lastHeartbeat = null;
@@ -173,14 +179,13 @@
     }
   }
 
-  /** Its status for others. */
   Membership.PeerStatus status(Instant now) {
     boolean reported = lastHeartbeat != null;
     return new Membership.PeerStatus(
         controllerName(),
         state,
         contactAt == null ? null : Duration.between(contactAt, now),
-        reachesStore(),
+        reportsStoreReachable(),
         reported ? lastHeartbeat.term() : 0,
         stateChanges,
         nonce,
--- a/src/main/java/io/pineladder/membership/SentHeartbeats.java
+++ b/src/main/java/io/pineladder/membership/SentHeartbeats.java
@@ -3,19 +3,19 @@
 import io.pineladder.wire.GossipWire.PeerContact;
 import java.time.Instant;
 
-/** Numbers this process's heartbeats and remembers when the latest of them were made. */
+/** Numbers the heartbeats of this process and records when the latest of them were created. */
 final class SentHeartbeats {
-  /** Heartbeats whose time is remembered; some six are made in a second. */
+  /** Number of heartbeats whose creation time is retained: about 40 s at six per second. */
   private static final int HISTORY_SIZE = 256;
 
   private final String nonce;
-  private final Instant[] madeAt = new Instant[HISTORY_SIZE];
+  private final Instant[] sentAt = new Instant[HISTORY_SIZE];
   private long sequence;
 
   /**
-   * The heartbeats of a process.
+   * Creates an empty history.
    *
-   * @param nonce tells this process from others of the same controller
+   * @param nonce identifies the incarnation of this controller's process
    */
   SentHeartbeats(String nonce) {
     this.nonce = nonce;
@@ -25,24 +25,24 @@
     return nonce;
   }
 
-  /** The number of a heartbeat that is made now. */
+  /** The number of a heartbeat that is created now. */
   long next(Instant now) {
-    madeAt[(int) (++sequence % HISTORY_SIZE)] = now;
+    sentAt[(int) (++sequence % HISTORY_SIZE)] = now;
     return sequence;
   }
 
   /**
-   * When the heartbeat was made that a peer acknowledges.
+   * When the heartbeat that a peer acknowledges was created.
    *
-   * @param acknowledged the newest heartbeat that the peer has received of this controller, or null
-   * @return null if it is of another process, or of a number that is too old or was not used
+   * @param acknowledged the newest heartbeat of this controller that the peer has received, or null
+   * @return null if it is of another incarnation, or its number is too old or was never used
    */
-  Instant madeAt(PeerContact acknowledged) {
+  Instant sentAt(PeerContact acknowledged) {
     if (acknowledged == null || !acknowledged.nonce().equals(nonce)) {
       return null;
     }
     long number = acknowledged.sequence();
-    boolean remembered = number <= sequence && number > sequence - HISTORY_SIZE;
-    return remembered ? madeAt[(int) (number % HISTORY_SIZE)] : null;
+    boolean retained = number <= sequence && number > sequence - HISTORY_SIZE;
+    return retained ? sentAt[(int) (number % HISTORY_SIZE)] : null;
   }
 }
--- a/src/main/java/io/pineladder/membership/package-info.java
+++ b/src/main/java/io/pineladder/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Membership of the controllers: gossip heartbeats between them, and failure detection by these.
- * Event thread only.
+ * Membership of the controllers: gossip heartbeats between them and the failure detection based on
+ * these. Event thread only.
  */
 package io.pineladder.membership;
--- a/src/main/java/io/pineladder/recovery/LocalAcceptances.java
+++ b/src/main/java/io/pineladder/recovery/LocalAcceptances.java
@@ -15,7 +15,7 @@
   private static final Duration RETENTION = Duration.ofMinutes(10);
   private static final int MAX_RETAINED = 2_000;
 
-  private record Acceptance(Instant at, Runnable storeAgain) {}
+  private record Acceptance(Instant acceptedAt, Runnable resubmit) {}
 
   private final EventLoop eventLoop;
   private final Deque<Acceptance> acceptances = new ArrayDeque<>();
@@ -33,9 +33,9 @@
   }
 
   /** Stores all jobs again that are within the retention. */
-  void storeAgain() {
+  void resubmitAll() {
     Instant from = eventLoop.now().minus(RETENTION);
-    acceptances.removeIf(each -> each.at.isBefore(from));
-    acceptances.forEach(each -> each.storeAgain.run());
+    acceptances.removeIf(each -> each.acceptedAt.isBefore(from));
+    acceptances.forEach(each -> each.resubmit.run());
   }
 }
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -198,7 +198,7 @@
 
   /** Whether the store is trusted and no peer with a better replica should be elected first. */
   public boolean mayStandForElection() {
-    return generations.syncWithPeers() && !leavesElectionToOthers();
+    return generations.syncWithPeers() && !defersElectionToPeer();
   }
 
   /** The leader key was read. */
@@ -217,7 +217,10 @@
     electedWithBestReplica =
         canCompare
             || host.peers().stream()
-                .noneMatch(p -> p.stored().replicaComplete() && p.stored().replicaBase() == base);
+                .noneMatch(
+                    p ->
+                        p.recordStatus().replicaComplete()
+                            && p.recordStatus().replicaBase() == base);
     RecordReplica fed = replica.base() == base ? replica : new RecordReplica(base);
     follower.lead(fed);
     return fed;
@@ -225,7 +228,7 @@
 
   /** The term has read all records into its replica. */
   public void onTermStarted(RecordReplica fed) {
-    fed.recordsLoaded();
+    fed.markRecordsLoaded();
     useReplica(fed);
     leaderReplica = fed;
   }
@@ -359,7 +362,7 @@
       throw new MalformedMessageException("not now: no leader that has read all records");
     }
     int jobs =
-        replica.restoreFrom(
+        replica.mergeSnapshot(
             RecordReplica.fromSnapshot(new SnapshotManager.LoadedSnapshot(snapshot, List.of())));
     generations.declareLoss(
         GenerationManager.Evidence.HANDED_IN,
@@ -386,7 +389,7 @@
     replica.setListener(null);
     replica = next;
     if (snapshots != null) {
-      next.setListener(snapshots::recordChange);
+      next.setListener(snapshots::appendChange);
       snapshots.onReplicaReplaced();
     }
   }
@@ -395,7 +398,7 @@
    * A new leader compares the store with its replica; one without a complete replica may miss a
    * data loss.
    */
-  private boolean leavesElectionToOthers() {
+  private boolean defersElectionToPeer() {
     Instant now = eventLoop.now();
     leaderlessSince = leaderlessSince == null ? now : leaderlessSince;
     return !replica.isComplete()
@@ -404,8 +407,8 @@
             .anyMatch(
                 peer ->
                     peer.state() == Membership.State.UP
-                        && peer.stored().replicaComplete()
-                        && peer.stored().replicaBase() == storeClient.generation().base());
+                        && peer.recordStatus().replicaComplete()
+                        && peer.recordStatus().replicaBase() == storeClient.generation().base());
   }
 
   // ---- after a rebuild
@@ -422,7 +425,7 @@
       RecordReplica previous = replica;
       useReplica(complete);
       if (previous.base() != complete.base()) {
-        localAcceptances.storeAgain();
+        localAcceptances.resubmitAll();
         finalStateRestorer.store(previous.finalStatesMissingFrom(complete));
       }
     }
@@ -451,7 +454,7 @@
     if (!generations.isTrusted() || !replica.isComplete()) {
       return true;
     }
-    if (replica.holdsJob(job) || replica.finalState(job) != null) {
+    if (replica.containsJob(job) || replica.finalState(job) != null) {
       return true;
     }
     return recordsMayBeIncomplete();
--- a/src/main/java/io/pineladder/replica/AcceptedJobPages.java
+++ b/src/main/java/io/pineladder/replica/AcceptedJobPages.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Caches the job ids in pages of accepted jobs, so that each revision of a page is parsed once. */
+/** Caches the job ids of accepted-job pages, so that each version of a page is parsed once. */
 final class AcceptedJobPages {
   private static final Logger log = LoggerFactory.getLogger(AcceptedJobPages.class);
 
@@ -18,7 +18,7 @@
 
   private final Map<String, PageIds> byPage = new HashMap<>();
 
-  /** Whether one of these pages holds the job. */
+  /** Whether one of these pages contains the job. */
   boolean contains(Map<String, StoredValue> pages, String jobId) {
     for (Map.Entry<String, StoredValue> page : pages.entrySet()) {
       PageIds cached = byPage.get(page.getKey());
--- a/src/main/java/io/pineladder/replica/FinalStates.java
+++ b/src/main/java/io/pineladder/replica/FinalStates.java
@@ -13,19 +13,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The final states of a replica. A final state never changes and is valid in every generation, so
- * one that the store has lost is retained here.
+ * The final states in a replica. A final state never changes and is valid in every generation, so
+ * it is retained here even if the store loses it.
  */
 final class FinalStates {
   private static final Logger log = LoggerFactory.getLogger(FinalStates.class);
 
-  /** Bounds the memory on the smallest machine; some 100 bytes each. */
+  /** Bounds the memory; a final state takes about 100 bytes. */
   private static final int MAX_FINAL_STATES = 100_000;
 
-  /** Those with a key of their own in the store, by job id. */
+  /** Final states with a key of their own in the store, by job id. */
   private final TreeMap<String, Job.State> keyed = new TreeMap<>();
 
-  /** Those of earlier generations, which share values in the store. */
+  /** Final states of earlier generations, stored with many in one value, by job id. */
   private final Map<String, Job.State> archived = new HashMap<>();
 
   /** A job's final state; null when none is known. */
@@ -38,7 +38,7 @@
     return keyed.size() + archived.size();
   }
 
-  /** Adds the value of a job's own key; without effect beyond the bound. */
+  /** Adds a final state with a key of its own; ignored when the bound is reached. */
   void putKeyed(String jobId, JsonNode value) {
     if (get(jobId) != null || count() >= MAX_FINAL_STATES) {
       return;
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Adds a value with the final states of many jobs. */
+  /** Adds all final states in an archive value. */
   void putArchived(String key, JsonNode value) {
     try {
       Job.State state = RecordWire.parseFinalState(value);
@@ -64,33 +64,33 @@
     archived.putAll(states);
   }
 
-  /** Another generation is in force, in which all of these are archived. */
+  /** Moves all final states to the archive, as in the store when a new generation begins. */
   void archiveAll() {
     archived.putAll(keyed);
     keyed.clear();
   }
 
   /**
-   * Jobs whose final state has a key of its own, in the order of the keys.
+   * Jobs whose final state has a key of its own, in key order.
    *
-   * @param after excludes this job and all before it; null for none
-   * @param last excludes all jobs after it; null for none
+   * @param after the exclusive lower bound; null for none
+   * @param last the inclusive upper bound; null for none
    */
   List<String> keyedBetween(String after, String last) {
-    var rest = after == null ? keyed : keyed.tailMap(after, false);
-    return new ArrayList<>((last == null ? rest : rest.headMap(last, true)).keySet());
+    var remaining = after == null ? keyed : keyed.tailMap(after, false);
+    return new ArrayList<>((last == null ? remaining : remaining.headMap(last, true)).keySet());
   }
 
-  /** A copy of all, by job id in order. */
-  Map<String, Job.State> all() {
+  /** A copy of all final states, ordered by job id. */
+  Map<String, Job.State> toSortedMap() {
     Map<String, Job.State> all = new TreeMap<>(archived);
     all.putAll(keyed);
     return all;
   }
 
-  /** Those that the other lacks, by job id in order. */
+  /** The final states that {@code other} lacks, ordered by job id. */
   Map<String, Job.State> missingFrom(FinalStates other) {
-    Map<String, Job.State> missing = all();
+    Map<String, Job.State> missing = toSortedMap();
     missing.keySet().removeIf(jobId -> other.get(jobId) != null);
     return missing;
   }
--- a/src/main/java/io/pineladder/replica/GenerationEntries.java
+++ b/src/main/java/io/pineladder/replica/GenerationEntries.java
@@ -11,28 +11,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The entries that are written when a replica's records become a new generation. */
+/** Converts the records of a replica into the entries of a new generation. */
 final class GenerationEntries {
   private static final Logger log = LoggerFactory.getLogger(GenerationEntries.class);
 
-  /** Bytes of final states in one value. */
+  /** Maximum size of the final states in one value. */
   private static final int MAX_FINAL_STATE_PAGE_BYTES = 6 * 1024;
 
-  /** The bytes of such a value beside the job ids. */
+  /** Size of such a value without its job ids. */
   private static final int FINAL_STATE_PAGE_OVERHEAD_BYTES = 64;
 
-  /** The longest job id in JSON with its comma. */
+  /** Maximum size of a job id in JSON, with its comma. */
   private static final int MAX_ID_BYTES = 128;
 
-  /** The quotes and the comma of a job id in JSON. */
+  /** Size of the quotes and the comma of a job id in JSON. */
   private static final int ID_OVERHEAD_BYTES = 3;
 
   private GenerationEntries() {}
 
   /**
-   * The entries in the order in which they are written.
+   * Returns the entries in the order in which they are to be written.
    *
-   * @param maxValueBytes the bound on each value
+   * @param maxValueBytes the maximum size of each value
    */
   static List<StoreWire.Entry> of(
       Map<String, StoredValue> records, Map<String, Job.State> finalStates, int maxValueBytes) {
--- a/src/main/java/io/pineladder/replica/RecordReplica.java
+++ b/src/main/java/io/pineladder/replica/RecordReplica.java
@@ -24,23 +24,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The records of one generation as one controller has seen them stored; a new generation is written
- * from them when the store has lost data. A leader feeds its replica with what it reads and
- * commits, other controllers follow the store ({@link ReplicaFollower}). A leader's values share
- * the trees in its memory, a follower's are held as bytes. Event thread only.
+ * A controller's copy of the records of one generation, from which a new generation is written
+ * after a data loss of the store. A leader updates its replica with what it reads and commits; the
+ * replica of any other controller follows the store ({@link ReplicaFollower}). A leader's values
+ * share the JSON trees in its memory, a follower's are stored as bytes. Event thread only.
  */
 public final class RecordReplica {
   private static final Logger log = LoggerFactory.getLogger(RecordReplica.class);
 
-  /** Keys of a leader's lease, of no generation or of another one. */
+  /**
+   * Keys that are not replicated: keys of other generations, the generation record, the leader key,
+   * copies of unreadable values, and worker keep-alives.
+   */
   private static final Pattern NOT_REPLICATED =
       Pattern.compile("(g[0-9]+|lead|generation|damaged|apart)/.*");
 
   /**
-   * Pages that only leaders write and never remove, in the order of their keys: one that is missing
-   * or older was lost.
+   * Prefixes of pages that only leaders write and never remove, in key order. A page that is
+   * missing in the store, or has an older version, was lost.
    */
-  private static final List<String> NEVER_REMOVED =
+  private static final List<String> PERMANENT_PAGE_PREFIXES =
       List.of(RecordKeys.JOB_PAGES, RecordKeys.COMPLETIONS, RecordKeys.PLACEMENTS);
 
   private final TreeMap<String, StoredValue> records = new TreeMap<>();
@@ -52,12 +55,12 @@
   private boolean recordsComplete;
   private boolean finalStatesComplete;
 
-  /** An empty replica of the generation with this base. */
+  /** Creates an empty replica of the generation with this base. */
   public RecordReplica(long base) {
     this.base = base;
   }
 
-  /** Receives each change of a replica. */
+  /** Receives the changes of a replica. */
   public interface Listener {
     /**
      * A record was changed.
@@ -68,8 +71,8 @@
   }
 
   /**
-   * A complete replica from a snapshot and the changes after it. A change that cannot be read is
-   * left out.
+   * Creates a complete replica from a snapshot and the changes after it. Unreadable changes are
+   * skipped.
    */
   public static RecordReplica fromSnapshot(SnapshotManager.LoadedSnapshot loaded) {
     Snapshot snapshot = loaded.snapshot();
@@ -97,42 +100,40 @@
     return replica;
   }
 
-  /** An immutable snapshot of the present records. */
+  /** Takes an immutable snapshot of the current records. */
   public Snapshot snapshot(String cluster, Instant at) {
-    return new Snapshot(cluster, base, revision, at, new TreeMap<>(records), finalStates.all());
+    return new Snapshot(
+        cluster, base, revision, at, new TreeMap<>(records), finalStates.toSortedMap());
   }
 
-  /** Sets the receiver of all later changes; null for none. */
   public void setListener(Listener newListener) {
     listener = newListener;
   }
 
-  /** The base of the generation whose records these are. */
+  /** The base of the generation that this replica copies. */
   public long base() {
     return base;
   }
 
-  /** The revision up to which every change that this controller saw is applied. */
+  /** The revision up to which all changes that this controller has seen are applied. */
   public long revision() {
     return revision;
   }
 
-  /** Whether all records and all final states were read. */
+  /** Whether all records and all final states have been read. */
   public boolean isComplete() {
     return recordsComplete && finalStatesComplete;
   }
 
-  /** Whether all final states were read. */
   public boolean hasAllFinalStates() {
     return finalStatesComplete;
   }
 
-  /** The number of records, without final states. */
+  /** The number of records, not counting final states. */
   public int recordCount() {
     return records.size();
   }
 
-  /** The number of final states. */
   public int finalStateCount() {
     return finalStates.count();
   }
@@ -143,26 +144,26 @@
   }
 
   /**
-   * Jobs whose final state should have a key of its own in the store, in the order of the keys.
+   * Jobs whose final state is expected to have a key of its own in the store, in key order.
    *
-   * @param after excludes this job and all before it; null for none
-   * @param last excludes all jobs after it; null for none
+   * @param after the exclusive lower bound; null for none
+   * @param last the inclusive upper bound; null for none
    */
   List<String> finalStatesBetween(String after, String last) {
     return finalStates.keyedBetween(after, last);
   }
 
-  /** All final states have been put. */
-  void finalStatesLoaded() {
+  /** Marks the final states as complete. */
+  void markFinalStatesLoaded() {
     finalStatesComplete = true;
   }
 
-  /** All records have been put; every later change is put too. */
-  public void recordsLoaded() {
+  /** Marks the records as complete; every later change must be put too. */
+  public void markRecordsLoaded() {
     recordsComplete = true;
   }
 
-  /** The records were written as another generation, whose replica this is from now on. */
+  /** Makes this the replica of a new generation, which was written from it. */
   public void rebaseTo(Generation generation) {
     base = generation.base();
     revision = generation.recordRevision();
@@ -171,7 +172,7 @@
     finalStates.archiveAll();
   }
 
-  /** All changes up to this revision have been put. */
+  /** Records that all changes up to this revision have been put. */
   void advanceTo(long newRevision) {
     revision = Math.max(revision, newRevision);
   }
@@ -181,8 +182,8 @@
    *
    * @param value the new value; null for a removed key
    * @param version the revision of the change
-   * @param asBytes whether the value is held as bytes, which saves memory unless the caller holds
-   *     the tree too
+   * @param asBytes whether to store the value as bytes, which saves memory unless the caller
+   *     retains the tree
    */
   public void put(String key, JsonNode value, long version, boolean asBytes) {
     revision = Math.max(revision, version);
@@ -212,13 +213,14 @@
   }
 
   /**
-   * The first record under the prefix that the store has lost.
+   * Finds the first record under the prefix that the store has lost.
    *
-   * @param listed everything that the store holds under the prefix
-   * @return its key; null when none is missing or this replica cannot tell
+   * @param listed all entries of the store under the prefix
+   * @return its key; null when none is missing, when this replica is incomplete, or when records
+   *     under the prefix may be removed
    */
   public String firstMissingKey(String prefix, List<StoreWire.Entry> listed) {
-    if (!recordsComplete || !NEVER_REMOVED.contains(prefix)) {
+    if (!recordsComplete || !PERMANENT_PAGE_PREFIXES.contains(prefix)) {
       return null;
     }
     Map<String, Long> listedVersions = new HashMap<>();
@@ -232,7 +234,7 @@
   }
 
   /**
-   * The first record that is never removed and that a newer replica of the same generation lacks.
+   * Finds the first page or final state that a newer replica of the same generation lacks.
    *
    * @return its key; null when none is missing, or when the generations differ
    */
@@ -240,9 +242,9 @@
     if (newer.base != base) {
       return null;
     }
-    for (String prefix : NEVER_REMOVED) {
+    for (String prefix : PERMANENT_PAGE_PREFIXES) {
       for (Map.Entry<String, StoredValue> each : recordsWithPrefix(prefix).entrySet()) {
-        // Right after a rebuild the versions here are 0, so that only presence is compared.
+        // Right after a rebuild the versions in this replica are 0, so only presence is compared.
         StoredValue other = newer.records.get(each.getKey());
         if (other == null || other.version() < each.getValue().version()) {
           return each.getKey();
@@ -253,31 +255,31 @@
     return missing.isEmpty() ? null : RecordKeys.FINAL_STATE + missing.keySet().iterator().next();
   }
 
-  /** Final states that a replica of any generation lacks, by job id in order. */
+  /** The final states that a replica of any generation lacks, ordered by job id. */
   public Map<String, Job.State> finalStatesMissingFrom(RecordReplica other) {
     return finalStates.missingFrom(other.finalStates);
   }
 
   /**
-   * Merges the records of an operator's snapshot that this replica's generation began without.
+   * Merges the records of an imported snapshot that this replica lacks.
    *
-   * @return the number of jobs that were restored
+   * @return the number of restored jobs
    */
-  public int restoreFrom(RecordReplica lost) {
-    int jobs = new SnapshotMerger(this).merge(lost.records);
-    finalStates.putAllArchived(lost.finalStatesMissingFrom(this));
+  public int mergeSnapshot(RecordReplica imported) {
+    int jobs = new SnapshotMerger(this).merge(imported.records);
+    finalStates.putAllArchived(imported.finalStatesMissingFrom(this));
     return jobs;
   }
 
   /**
-   * Pages that are never removed, with their versions, in the order of their keys.
+   * Pages that are never removed, with their versions, in key order.
    *
-   * @param after the key after which they begin; null for the first
-   * @param max the most that are returned
+   * @param after the exclusive lower bound of the keys; null for none
+   * @param max the maximum number of pages
    */
-  SortedMap<String, Long> neverRemovedPages(String after, int max) {
+  SortedMap<String, Long> permanentPages(String after, int max) {
     SortedMap<String, Long> found = new TreeMap<>();
-    for (String prefix : NEVER_REMOVED) {
+    for (String prefix : PERMANENT_PAGE_PREFIXES) {
       for (Map.Entry<String, StoredValue> each : recordsWithPrefix(prefix).entrySet()) {
         if (found.size() < max && (after == null || each.getKey().compareTo(after) > 0)) {
           found.put(each.getKey(), each.getValue().version());
@@ -293,8 +295,7 @@
     return known == null ? 0 : known.version();
   }
 
-  /** Whether there is a record with this key. */
-  boolean holdsRecord(String key) {
+  boolean containsRecord(String key) {
     return records.containsKey(key);
   }
 
@@ -303,23 +304,23 @@
   }
 
   /**
-   * A listing of the store as far as it can be read.
+   * A listing of the store, with its damaged records.
    *
-   * @param entries the readable ones, repaired ones among them
-   * @param damaged those that cannot be parsed
+   * @param entries the readable entries, including repaired ones
+   * @param damaged the stored entries that cannot be parsed
    */
   public record ListingResult(List<StoreWire.Entry> entries, List<DamagedRecord> damaged) {}
 
   /**
    * A stored value that cannot be parsed.
    *
-   * @param repaired whether the replica had it at the same revision
+   * @param repaired whether the replica had a readable value of the same revision
    */
   public record DamagedRecord(StoreWire.Entry entry, boolean repaired) {}
 
   /**
-   * Applies everything that the store holds under a prefix. A value that cannot be parsed is
-   * replaced by this replica's of the same revision, or left out.
+   * Applies all entries of the store under a prefix. A value that cannot be parsed is replaced by
+   * the replica's value of the same revision, or left out if there is none.
    */
   public ListingResult applyListing(String prefix, List<StoreWire.Entry> listed) {
     List<StoreWire.Entry> readable = new ArrayList<>(listed.size());
@@ -338,7 +339,7 @@
     if (damaged.stream().allMatch(DamagedRecord::repaired)) {
       recordsWithPrefix(prefix).clear();
     }
-    // Otherwise an older value of a page that cannot be parsed is better than none.
+    // Otherwise retains the replica's older values of records that cannot be parsed.
     readable.forEach(entry -> put(entry.key(), entry.value(), entry.revision(), false));
     return new ListingResult(readable, damaged);
   }
@@ -357,8 +358,8 @@
   }
 
   /**
-   * Merges what the store still holds after a data loss: of each record the newer version, and all
-   * final states. Values that cannot be parsed are ignored.
+   * Merges the records that survived a data loss in the store: the newer version of each record,
+   * and all final states. Values that cannot be parsed are ignored.
    */
   public void mergeSurviving(List<StoreWire.Entry> surviving) {
     for (StoreWire.Entry entry : surviving) {
@@ -370,19 +371,19 @@
     }
   }
 
-  /** Whether a record shows that the job was accepted and has no final state. */
-  public boolean holdsJob(String jobId) {
+  /** Whether there is a record of the job's acceptance, which is removed after the job ends. */
+  public boolean containsJob(String jobId) {
     return records.containsKey(RecordKeys.UNPAGED_JOB + jobId)
         || acceptedJobs.contains(recordsWithPrefix(RecordKeys.JOB_PAGES), jobId);
   }
 
-  /** All entries of a generation with these records, without a bound on the values. */
+  /** All entries of a generation with these records, without a limit on the size of values. */
   public List<StoreWire.Entry> generationEntries() {
     return generationEntries(Integer.MAX_VALUE);
   }
 
-  /** All entries of a generation with these records, in values of at most so many bytes. */
+  /** All entries of a generation with these records, in values of at most this size. */
   public List<StoreWire.Entry> generationEntries(int maxValueBytes) {
-    return GenerationEntries.of(records, finalStates.all(), maxValueBytes);
+    return GenerationEntries.of(records, finalStates.toSortedMap(), maxValueBytes);
   }
 }
--- a/src/main/java/io/pineladder/replica/RecordValidator.java
+++ b/src/main/java/io/pineladder/replica/RecordValidator.java
@@ -6,11 +6,11 @@
 import io.pineladder.wire.RecordWire;
 import io.pineladder.wire.StoreWire;
 
-/** Whether records can be parsed as the kind that their keys name. */
+/** Checks whether records can be parsed as the kind that their keys denote. */
 final class RecordValidator {
   private RecordValidator() {}
 
-  /** True also for kinds of records that a replica only passes on. */
+  /** Whether the value can be parsed; true for kinds of records that are not checked. */
   static boolean isReadable(StoreWire.Entry entry) {
     try {
       String key = entry.key();
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -15,30 +15,30 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a controller's replica up to date with the store, by one request a second, and compares it
- * with the store to detect lost records. A leader's replica is fed by its own reads and commits;
- * for it only the final states of earlier terms are read here. Event thread only.
+ * Keeps a controller's replica up to date with the store, with one request per second, and compares
+ * the two to detect lost records. A leader updates its replica by its own reads and commits; for it
+ * only the final states of earlier terms are read here. Event thread only.
  */
 public final class ReplicaFollower {
-  /** Leaves the request budget to the start of a controller or of a term first. */
+  /** Leaves the request budget to the start of the controller or of a term. */
   private static final Duration INITIAL_DELAY = Duration.ofSeconds(5);
 
-  /** Between requests; also spreads the reading of a large store over time. */
+  /** The interval between requests; spreads the reading of a large store over time. */
   private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
-  /** The age up to which a replica shows in time which jobs have ended. */
+  /** The maximum age of a replica that counts as fresh. */
   private static final Duration MAX_STALENESS = Duration.ofSeconds(6);
 
-  /** Between two pages of final states that a leader compares with the store. */
+  /** The interval at which a leader compares pages of final states with the store. */
   private static final Duration AUDIT_INTERVAL = Duration.ofSeconds(5);
 
-  /** The number of pages in one comparison. */
+  /** Maximum number of pages in one comparison. */
   private static final int MAX_COMPARED_PAGES = 100;
 
-  /** After a longer lag the changes may take more memory than the records. */
+  /** After a longer lag all records are read anew: the changes may take more memory. */
   private static final Duration MAX_LAG = Duration.ofSeconds(10);
 
-  /** What a follower's {@link #step} does, in turn; all other steps read changes. */
+  /** A follower's {@link #step} runs in cycles; steps without a constant read changes. */
   private static final int STEPS_PER_CYCLE = 6;
 
   private static final int COMPARE_STEP = 0;
@@ -46,11 +46,11 @@
 
   /** How the replica is kept up to date. The admin API shows the names. */
   public enum State {
-    /** Nothing is read, since the records are not trusted. */
+    /** Nothing is read because the records are not trusted. */
     OFF,
     /** All records are being read. */
     LISTING,
-    /** Changes are read, and pages and final states compared with the store. */
+    /** Changes are read, and pages and final states are compared with the store. */
     FOLLOWING,
     /** This controller leads; the final states of earlier terms are being read. */
     LEADING,
@@ -66,7 +66,7 @@
   private long revision;
   private Instant upToDateAt;
 
-  /** Pages that differed in their latest comparison, with the version in the replica then. */
+  /** Pages that differed in their latest comparison, with their version in the replica. */
   private final Map<String, Long> mismatchedPages = new HashMap<>();
 
   /** The page after which the next comparison begins; null for the first. */
@@ -77,19 +77,19 @@
 
   private int stepCount;
 
-  /** Incremented with each change of the state, which invalidates replies and timers. */
+  /** Incremented with each state change, to invalidate pending replies and timers. */
   private int currentSequence;
 
-  /** Receives the replica and what it shows. */
+  /** Receives complete replicas and detected losses. */
   public interface Listener {
     /** The replica is complete; it may replace an earlier one. */
     void onReplicaComplete(RecordReplica complete);
 
-    /** A record that is never removed is missing in the store, or older than it was seen. */
+    /** A record that is never removed is missing in the store or older than in the replica. */
     void onRecordMissing(String key);
   }
 
-  /** Creates a follower, which is off. */
+  /** Creates a follower in state {@link State#OFF}. */
   public ReplicaFollower(StoreClient storeClient, EventLoop eventLoop, Listener listener) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
@@ -104,19 +104,18 @@
     currentSequence++;
   }
 
-  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** Whether the replica shows everything stored up to a few seconds ago. */
+  /** Whether the replica contains everything that was stored until {@link #MAX_STALENESS} ago. */
   public boolean isFresh() {
     return state == State.FOLLOWING
         && replica.base() == storeClient.generation().base()
         && upToDateAt.plus(MAX_STALENESS).isAfter(eventLoop.now());
   }
 
-  /** Reads all records into a new replica and then follows the changes; for a non-leader. */
+  /** Reads all records into a new replica, then follows the changes; for a non-leader. */
   public void follow() {
     transitionTo(State.LISTING);
     int sequence = currentSequence;
@@ -126,31 +125,32 @@
   }
 
   /**
-   * This controller leads from now on.
+   * Prepares the replica of a new term of this controller.
    *
-   * @param fed the replica that the term feeds; final states of earlier terms are read into it
+   * @param termReplica the replica that the term updates; final states of earlier terms are read
+   *     into it
    */
-  public void lead(RecordReplica fed) {
-    boolean followed = state == State.FOLLOWING && fed == replica;
-    replica = fed;
+  public void lead(RecordReplica termReplica) {
+    boolean wasFollowing = state == State.FOLLOWING && termReplica == replica;
+    replica = termReplica;
     transitionTo(State.LEADING);
     int sequence = currentSequence;
-    if (followed) {
+    if (wasFollowing) {
       catchUpFinalStates(sequence);
     } else {
       schedule(REQUEST_INTERVAL, sequence, () -> readPage(sequence, RecordKeys.FINAL_STATE, null));
     }
   }
 
-  /** Reads the latest changes before the term; only the final states are not read by the term. */
+  /** Reads the final states in the latest changes before the term; the term reads all others. */
   private void catchUpFinalStates(int sequence) {
     storeClient.readChanges(
         revision,
-        followed -> {
+        result -> {
           if (sequence != currentSequence) {
             return;
           }
-          StoreWire.Changes changes = followed.changes();
+          StoreWire.Changes changes = result.changes();
           if (changes == null) {
             schedule(
                 REQUEST_INTERVAL, sequence, () -> readPage(sequence, RecordKeys.FINAL_STATE, null));
@@ -168,7 +168,7 @@
     transitionTo(State.OFF);
   }
 
-  /** Schedules an action, which is dropped when the state has changed by then. */
+  /** Schedules an action that is dropped if the state changes before. */
   private void schedule(Duration delay, int sequence, Runnable action) {
     eventLoop.schedule(
         delay,
@@ -199,21 +199,21 @@
                 REQUEST_INTERVAL, sequence, () -> readPage(sequence, prefix, page.nextPageAfter()));
             return;
           }
-          replica.finalStatesLoaded();
+          replica.markFinalStatesLoaded();
           if (listing) {
-            replica.recordsLoaded();
+            replica.markRecordsLoaded();
             listener.onReplicaComplete(replica);
             upToDateAt = eventLoop.now();
             transitionTo(State.FOLLOWING);
-            int now = currentSequence;
-            schedule(REQUEST_INTERVAL, now, () -> step(now));
+            int followSequence = currentSequence;
+            schedule(REQUEST_INTERVAL, followSequence, () -> step(followSequence));
           } else {
             startAudit();
           }
         });
   }
 
-  /** The leader's replica is complete; compares final states with the store from now on. */
+  /** Marks the leader's replica as complete and starts to compare final states with the store. */
   private void startAudit() {
     transitionTo(State.FED);
     listener.onReplicaComplete(replica);
@@ -229,10 +229,10 @@
   /**
    * Compares one page of final states with the store.
    *
-   * @param after the job after which the page begins; null for the first
-   * @param then receives the job after which the next page begins; null for the first
+   * @param after the job after which the page begins; null for the first page
+   * @param onDone receives the job after which the next page begins; null for the first page
    */
-  private void auditPage(int sequence, String after, Consumer<String> then) {
+  private void auditPage(int sequence, String after, Consumer<String> onDone) {
     storeClient.readPage(
         RecordKeys.FINAL_STATE,
         after == null ? null : RecordKeys.FINAL_STATE + after,
@@ -249,17 +249,17 @@
             lastJob = next == null ? null : next.substring(RecordKeys.FINAL_STATE.length());
             for (String job : replica.finalStatesBetween(after, lastJob)) {
               if (!storedJobs.contains(job)) {
-                // It may have been stored after the page was read, so it is read again.
+                // The state may have been stored after the page was read.
                 confirmMissing(sequence, RecordKeys.FINAL_STATE + job, 1);
                 break;
               }
             }
           }
-          then.accept(lastJob);
+          onDone.accept(lastJob);
         });
   }
 
-  /** One request; every third compares pages or final states instead of reading changes. */
+  /** Sends one request; every third step compares pages or final states with the store. */
   private void step(int sequence) {
     stepCount = (stepCount + 1) % STEPS_PER_CYCLE;
     if (stepCount == COMPARE_STEP) {
@@ -278,13 +278,13 @@
   }
 
   /**
-   * Compares the versions of pages with the store in a transaction that changes nothing. A page
-   * that differs was written meanwhile or is lost; one that differs twice, without a newer version
-   * in the replica, is read.
+   * Compares the versions of pages with the store by a transaction that only has conditions. A page
+   * that differs was written in the meantime or is lost; a page that differs in two comparisons
+   * while its version in the replica is unchanged is read again.
    */
   private void comparePages(int sequence) {
     int maxPages = Math.min(MAX_COMPARED_PAGES, 4 * storeClient.limits().transactionOps() - 1);
-    SortedMap<String, Long> pages = replica.neverRemovedPages(lastComparedPage, maxPages);
+    SortedMap<String, Long> pages = replica.permanentPages(lastComparedPage, maxPages);
     lastComparedPage = pages.size() < maxPages ? null : pages.lastKey();
     StoreWire.Transaction compare = storeClient.transaction();
     pages.forEach(compare::require);
@@ -308,16 +308,16 @@
   }
 
   /**
-   * Reads a record afresh and reports it when it is missing or older.
+   * Reads a record again and reports it if it is missing or older.
    *
-   * @param known the version that the replica has seen
+   * @param knownVersion the version in the replica
    */
-  private void confirmMissing(int sequence, String key, long known) {
+  private void confirmMissing(int sequence, String key, long knownVersion) {
     storeClient.read(
         key,
         read -> {
-          long found = read.found() ? read.entry().revision() : 0;
-          if (sequence == currentSequence && read.certain() && found < known) {
+          long storedVersion = read.found() ? read.entry().revision() : 0;
+          if (sequence == currentSequence && read.certain() && storedVersion < knownVersion) {
             listener.onRecordMissing(key);
           }
         });
@@ -327,17 +327,17 @@
     Instant sent = eventLoop.now();
     storeClient.readChanges(
         revision,
-        followed -> {
+        result -> {
           if (sequence != currentSequence) {
             return;
           }
-          StoreWire.Changes changes = followed.changes();
+          StoreWire.Changes changes = result.changes();
           if (changes != null) {
             revision = changes.revision();
             upToDateAt = sent;
             changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), true));
             replica.advanceTo(revision);
-          } else if (followed.reply().is(410)
+          } else if (result.reply().is(410)
               || (upToDateAt.plus(MAX_LAG).isBefore(eventLoop.now()) && storeClient.isHealthy())) {
             follow();
             return;
--- a/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
+++ b/src/main/java/io/pineladder/replica/ReplicaPageSplitter.java
@@ -10,15 +10,15 @@
 import java.util.List;
 
 /**
- * Splits pages that were stored under a larger limit, so that each value fits when a generation is
- * written. A generation is in force only once it is complete, so the parts of a page become visible
- * together.
+ * Splits pages that were stored under a larger value limit, so that they fit the current limit when
+ * a generation is written. A generation takes effect only when it is complete, so the parts of a
+ * page become visible together.
  */
 final class ReplicaPageSplitter {
-  /** The bytes of a page beside its items. */
+  /** Size of a page without its items. */
   private static final int PAGE_OVERHEAD_BYTES = 64;
 
-  /** Kinds of records whose items may be in any page of the kind. */
+  /** Prefixes of pages whose items may be in any page with the prefix. */
   private static final List<String> PAGED_PREFIXES =
       List.of(
           RecordKeys.JOB_PAGES,
@@ -26,7 +26,7 @@
           RecordKeys.COMPLETIONS,
           RecordKeys.CACHED_IMAGES);
 
-  /** The lists of items in a stored page. */
+  /** The fields of a stored page that hold its items. */
   private static final List<String> LIST_FIELDS = List.of("entries", "notices");
 
   private final int maxValueBytes;
@@ -37,8 +37,8 @@
   }
 
   /**
-   * The same records in values of at most {@code maxValueBytes}; a single item that is larger stays
-   * as it is.
+   * Returns the same records in values of at most {@code maxValueBytes}. An item that is larger by
+   * itself is not split.
    */
   static List<StoreWire.Entry> split(List<StoreWire.Entry> entries, int maxValueBytes) {
     ReplicaPageSplitter splitter = new ReplicaPageSplitter(maxValueBytes);
@@ -59,7 +59,7 @@
     for (StoreWire.Entry page : pages) {
       nextPageNumber = Math.max(nextPageNumber, RecordKeys.pageNumber(page.key(), prefix) + 1);
       for (JsonNode item : page.value().path("entries")) {
-        // A new page with the key of a split one would invalidate the copies of its records.
+        // Copies are ignored while their source page exists: its key must not be used again.
         String source = RecordWire.copySource(item);
         nextPageNumber =
             Math.max(
@@ -71,7 +71,7 @@
         splitEntries.add(page);
         continue;
       }
-      // The first part keeps the key: copies of its records are ignored while it exists.
+      // The first part retains the key: copies of its records are ignored while it exists.
       String key = page.key();
       for (ObjectNode part : splitPage(page.value())) {
         splitEntries.add(new StoreWire.Entry(key, part, page.revision()));
--- a/src/main/java/io/pineladder/replica/SnapshotMerger.java
+++ b/src/main/java/io/pineladder/replica/SnapshotMerger.java
@@ -11,16 +11,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Merges the records of an operator's snapshot into a replica whose generation began without them:
- * jobs that the replica does not know, with their completions and placements, and configuration
- * that it lacks.
+ * Merges the records of an imported snapshot into a replica that lacks them: unknown jobs,
+ * completions, placements, and missing configuration.
  */
 final class SnapshotMerger {
   private static final Logger log = LoggerFactory.getLogger(SnapshotMerger.class);
 
   /**
-   * Added to the numbers of merged pages, since pages of both sides have the same keys; no leader
-   * reaches such a number by counting.
+   * Added to the numbers of merged pages, to avoid collisions with the pages of the target. No
+   * leader reaches such a number by incrementing.
    */
   private static final long MERGED_PAGE_OFFSET = 1_000_000_000L;
 
@@ -32,9 +31,9 @@
   }
 
   /**
-   * Merges all records; one that cannot be read is left out.
+   * Merges all readable records.
    *
-   * @return the number of jobs that the target did not know
+   * @return the number of jobs that were unknown to the target
    */
   int merge(Map<String, StoredValue> records) {
     for (Map.Entry<String, StoredValue> each : records.entrySet()) {
@@ -66,13 +65,13 @@
       putPage(key, RecordKeys.COMPLETIONS, value);
     } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
       putPage(key, RecordKeys.PLACEMENTS, value);
-    } else if (key.startsWith(RecordKeys.CONFIGURATION) && !target.holdsRecord(key)) {
+    } else if (key.startsWith(RecordKeys.CONFIGURATION) && !target.containsRecord(key)) {
       target.put(key, value, 0, true);
     }
   }
 
   private boolean isUnknown(String jobId) {
-    return target.finalState(jobId) == null && !target.holdsJob(jobId);
+    return target.finalState(jobId) == null && !target.containsJob(jobId);
   }
 
   private void putPage(String key, String prefix, JsonNode page) {
--- a/src/main/java/io/pineladder/replica/StoredValue.java
+++ b/src/main/java/io/pineladder/replica/StoredValue.java
@@ -6,8 +6,8 @@
 import io.pineladder.wire.MalformedMessageException;
 
 /**
- * The value of one record with the revision of its last change, either as a tree that the leader's
- * memory shares or as bytes, which take less memory.
+ * The value of one record with the revision of its last change: either a JSON tree that is shared
+ * with the leader's memory, or bytes, which take less memory.
  */
 record StoredValue(long version, JsonNode value, byte[] bytes) implements Snapshot.Entry {
   static StoredValue ofTree(long version, JsonNode value) {
--- a/src/main/java/io/pineladder/replica/package-info.java
+++ b/src/main/java/io/pineladder/replica/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The records of one generation as one controller has seen them stored: the replica itself, how a
- * controller that does not lead keeps it up to date, and how it is divided into values of the
- * store's size. Event thread only.
+ * A controller's copy of the records of one generation: the replica, the follower that keeps it up
+ * to date, and the conversion into the entries of a new generation. Event thread only.
  */
 package io.pineladder.replica;
--- a/src/main/java/io/pineladder/snapshot/ChangeRecord.java
+++ b/src/main/java/io/pineladder/snapshot/ChangeRecord.java
@@ -9,8 +9,8 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * One change of a record after a snapshot. In the file of changes it has a checksum, a length and
- * the change; a last one that was cut short in writing ends the file.
+ * One change of a record after a snapshot. A change file holds a checksum, a length and the content
+ * of each change; a truncated or damaged change ends the readable part of the file.
  *
  * @param key the key of the record
  * @param version the revision of the change
@@ -38,33 +38,33 @@
     }
   }
 
-  /** All changes up to the first that is cut short or damaged. */
+  /** Decodes all changes before the first that is truncated or damaged. */
   static List<ChangeRecord> decode(byte[] file) {
     List<ChangeRecord> changes = new ArrayList<>();
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(file)) {
       while (in.hasNext()) {
-        long sum = in.unpackLong();
+        long checksum = in.unpackLong();
         byte[] bytes = in.readPayload(in.unpackBinaryHeader());
-        if (SnapshotCodec.checksum(bytes) != sum) {
+        if (SnapshotCodec.checksum(bytes) != checksum) {
           return changes;
         }
-        changes.add(decodeOne(bytes));
+        changes.add(decodeRecord(bytes));
       }
     } catch (IOException | RuntimeException | MalformedMessageException e) {
-      // The rest was not written whole.
+      // The process ended while the rest was being written.
       return changes;
     }
     return changes;
   }
 
-  private static ChangeRecord decodeOne(byte[] bytes) throws MalformedMessageException {
+  private static ChangeRecord decodeRecord(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       String key = in.unpackString();
       long version = in.unpackLong();
       byte[] json = in.tryUnpackNil() ? null : in.readPayload(in.unpackBinaryHeader());
       return new ChangeRecord(key, version, json);
     } catch (IOException e) {
-      throw new MalformedMessageException("not a change");
+      throw new MalformedMessageException("malformed change record: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/io/pineladder/snapshot/Snapshot.java
+++ b/src/main/java/io/pineladder/snapshot/Snapshot.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * All records as of one revision. Immutable, so that it can be encoded in the background.
+ * All records of a cluster at one revision. Immutable, so that it can be encoded in the background.
  *
- * @param cluster whose records these are
- * @param generationBase the generation, as its base
- * @param revision up to which everything is in it
- * @param createdAt when it was made, by the wall clock
+ * @param cluster the identity of the cluster
+ * @param generationBase the base of the generation of the records
+ * @param revision the revision up to which all changes are included
+ * @param createdAt the time of its creation, by the wall clock
  * @param records the records by key
- * @param finalStates final states by job
+ * @param finalStates the final states of ended jobs, by job id
  */
 public record Snapshot(
     String cluster,
@@ -23,19 +23,19 @@
     Map<String, Entry> records,
     Map<String, Job.State> finalStates) {
 
-  /** A value, as JSON, with the revision of its last change. */
+  /** The value of a record with the revision of its last change. */
   public interface Entry {
     /** The revision of the last change. */
     long version();
 
-    /** The value as UTF-8 JSON; the array is not to be changed. */
+    /** The value as UTF-8 JSON; callers must not modify the array. */
     byte[] json();
   }
 
   /**
-   * Requires that it is a snapshot of this cluster.
+   * Requires that this is a snapshot of the given cluster.
    *
-   * @throws MalformedMessageException when it is of another
+   * @throws MalformedMessageException when it is a snapshot of another cluster
    */
   public void requireCluster(String expected) throws MalformedMessageException {
     if (!cluster.equals(expected)) {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Encodes the whole snapshot; may be called on any thread. */
+  /** Encodes the snapshot; may be called on any thread. */
   public byte[] encode() {
     return SnapshotCodec.encode(this);
   }
@@ -51,8 +51,8 @@
   /**
    * Decodes a snapshot.
    *
-   * @throws MalformedMessageException when it is none, is damaged or cut short, or is of another
-   *     format version; the message says which
+   * @throws MalformedMessageException when the bytes are not a snapshot, are damaged or truncated,
+   *     or have another format version; the message states which
    */
   public static Snapshot decode(byte[] bytes) throws MalformedMessageException {
     return SnapshotCodec.decode(bytes);
--- a/src/main/java/io/pineladder/snapshot/SnapshotCodec.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotCodec.java
@@ -19,22 +19,21 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The form of a snapshot in files and between controllers: a header in MessagePack, then sections,
- * each compressed and with a checksum of its content.
+ * Encodes and decodes snapshots for files and for export and import: a header in MessagePack,
+ * followed by sections, each compressed and with a checksum of its content.
  */
 final class SnapshotCodec {
   private static final String MAGIC = "pineladder snapshot";
   private static final int FORMAT_VERSION = 1;
 
-  /** A section ends with the entry that reaches this size. */
+  /** A section ends after the entry with which it reaches this size. */
   private static final int TARGET_SECTION_BYTES = 256 * 1024;
 
-  /** More than any snapshot of this program; what claims more is damaged or hostile. */
+  /** Rejects damaged or malicious input; sections written by this codec are smaller. */
   private static final int MAX_SECTION_BYTES = 4 * 1024 * 1024;
 
   private static final int MAX_SECTIONS = 4_096;
 
-  /** What precedes the sections. */
   private record Header(
       String cluster,
       long generationBase,
@@ -56,7 +55,7 @@
 
   static byte[] encode(Snapshot snapshot) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      List<byte[]> sections = sections(snapshot);
+      List<byte[]> sections = encodeSections(snapshot);
       out.packString(MAGIC);
       out.packInt(FORMAT_VERSION);
       out.packString(snapshot.cluster());
@@ -79,7 +78,7 @@
     }
   }
 
-  private static List<byte[]> sections(Snapshot snapshot) throws IOException {
+  private static List<byte[]> encodeSections(Snapshot snapshot) throws IOException {
     List<byte[]> sections = new ArrayList<>();
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       for (Map.Entry<String, Entry> record : snapshot.records().entrySet()) {
@@ -100,7 +99,7 @@
     return sections;
   }
 
-  /** Ends the section if it has that many bytes. */
+  /** Ends the current section if it has at least that many bytes. */
   private static void endSection(MessageBufferPacker out, List<byte[]> sections, int minBytes) {
     if (out.getTotalWrittenBytes() >= minBytes) {
       sections.add(out.toByteArray());
@@ -110,8 +109,8 @@
 
   private static byte[] deflate(byte[] bytes) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    try (DeflaterOutputStream small = new DeflaterOutputStream(out)) {
-      small.write(bytes);
+    try (DeflaterOutputStream deflater = new DeflaterOutputStream(out)) {
+      deflater.write(bytes);
     }
     return out.toByteArray();
   }
@@ -166,13 +165,13 @@
       throw new MalformedMessageException("section " + section + " is too long");
     }
     try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(compressed))) {
-      // One byte more than claimed, so that a longer section shows and a hostile one ends here.
+      // Reads one byte beyond the stated length, to detect a longer section without inflating it.
       byte[] content = in.readNBytes(length + 1);
       if (content.length == length && checksum(content) == checksum) {
         return content;
       }
     } catch (IOException e) {
-      // Reported below, like a wrong checksum.
+      // Reported below like a checksum mismatch.
     }
     throw new MalformedMessageException("section " + section + " is damaged");
   }
--- a/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotDirectory.java
@@ -19,16 +19,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Snapshots in a directory, written in the background, one operation after the other. A disk that
- * is full or gone costs a log line and a count, and never what the controller serves.
+ * Stores snapshot files in a directory, by sequential operations in the background. A failure, such
+ * as a full disk, is logged and counted and does not affect the service of the controller.
  */
 public final class SnapshotDirectory implements SnapshotStore {
   private static final Logger log = LoggerFactory.getLogger(SnapshotDirectory.class);
 
-  /** Operations that wait; beyond, a disk that hangs would use up the memory. */
+  /** Bounds the memory of queued operations while the disk does not respond. */
   private static final int MAX_QUEUED_OPERATIONS = 256;
 
-  /** A change of files; runs in the background. */
+  /** A file operation; runs in the background. */
   private interface FileOperation {
     void run() throws IOException;
   }
@@ -38,12 +38,12 @@
   private final Deque<FileOperation> queue = new ArrayDeque<>();
   private boolean operationRunning;
 
-  /** The last operation failed; the next failure is not logged. */
-  private boolean failing;
+  /** Whether the last operation failed; only the first of consecutive failures is logged. */
+  private boolean lastOperationFailed;
 
   private long failures;
 
-  /** Snapshots in that directory, which is created when they are loaded. */
+  /** Creates a store for this directory, which is created when snapshots are loaded. */
   public SnapshotDirectory(Path directory, BackgroundExecutor backgroundExecutor) {
     this.directory = directory;
     this.backgroundExecutor = backgroundExecutor;
@@ -62,8 +62,8 @@
           try {
             Files.createDirectories(directory);
             List<Path> files;
-            try (Stream<Path> all = Files.list(directory)) {
-              files = all.filter(Files::isRegularFile).toList();
+            try (Stream<Path> paths = Files.list(directory)) {
+              files = paths.filter(Files::isRegularFile).toList();
             }
             for (Path file : files) {
               found.put(file.getFileName().toString(), Files.readAllBytes(file));
@@ -80,17 +80,17 @@
   public void replace(String name, byte[] bytes) {
     submit(
         () -> {
-          Path part = directory.resolve(name + ".part");
+          Path temporaryFile = directory.resolve(name + ".part");
           try (FileChannel out =
               FileChannel.open(
-                  part,
+                  temporaryFile,
                   StandardOpenOption.CREATE,
                   StandardOpenOption.WRITE,
                   StandardOpenOption.TRUNCATE_EXISTING)) {
             write(out, bytes);
             out.force(true);
           }
-          Files.move(part, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE);
+          Files.move(temporaryFile, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE);
         });
   }
 
@@ -118,25 +118,25 @@
     submit(() -> Files.deleteIfExists(directory.resolve(name)));
   }
 
-  private void submit(FileOperation work) {
+  private void submit(FileOperation operation) {
     if (queue.size() >= MAX_QUEUED_OPERATIONS) {
-      recordFailure("the disk does not keep up");
+      recordFailure("operation dropped: " + queue.size() + " operations are queued");
       return;
     }
-    queue.addLast(work);
+    queue.addLast(operation);
     runNext();
   }
 
   private void runNext() {
-    FileOperation work = operationRunning ? null : queue.pollFirst();
-    if (work == null) {
+    FileOperation operation = operationRunning ? null : queue.pollFirst();
+    if (operation == null) {
       return;
     }
     operationRunning = true;
     backgroundExecutor.run(
         () -> {
           try {
-            work.run();
+            operation.run();
             return "";
           } catch (IOException | RuntimeException e) {
             return e.toString();
@@ -145,7 +145,7 @@
         failure -> {
           operationRunning = false;
           if (failure.isEmpty()) {
-            failing = false;
+            lastOperationFailed = false;
           } else {
             recordFailure(failure);
           }
@@ -155,8 +155,8 @@
 
   private void recordFailure(String error) {
     failures++;
-    if (!failing) {
-      failing = true;
+    if (!lastOperationFailed) {
+      lastOperationFailed = true;
       log.warn("Snapshots cannot be written: directory={} error={}", directory, error);
     }
   }
--- a/src/main/java/io/pineladder/snapshot/SnapshotFileNames.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotFileNames.java
@@ -4,8 +4,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Names of the files of snapshots and of the changes that follow them, which state the generation's
- * base and the revision of the snapshot.
+ * Names of snapshot files and of the files with the changes after them. A name contains the base of
+ * the generation and the revision of the snapshot.
  */
 final class SnapshotFileNames {
   private static final String SNAPSHOT = "snapshot";
@@ -14,7 +14,7 @@
   private static final Pattern PATTERN =
       Pattern.compile("(" + SNAPSHOT + "|" + CHANGES + ")-([0-9]{19})-([0-9]{19})");
 
-  /** By base and revision; a snapshot comes before the changes that follow it. */
+  /** Orders by base and revision; a snapshot precedes its change file. */
   static final Comparator<String> BY_AGE =
       Comparator.comparing((String name) -> name.substring(name.indexOf('-')))
           .thenComparing(Comparator.reverseOrder());
@@ -25,7 +25,7 @@
     return name(SNAPSHOT, snapshot);
   }
 
-  /** The file of the changes that follow a snapshot. */
+  /** The name of the file with the changes after a snapshot. */
   static String ofChanges(Snapshot snapshot) {
     return name(CHANGES, snapshot);
   }
@@ -34,7 +34,7 @@
     return String.format("%s-%019d-%019d", kind, snapshot.generationBase(), snapshot.revision());
   }
 
-  /** Whether a file in the store is one of these; others are left alone. */
+  /** Whether this is the name of a snapshot or change file; other files are ignored. */
   static boolean isValid(String name) {
     return PATTERN.matcher(name).matches();
   }
@@ -47,7 +47,7 @@
     return name.startsWith(CHANGES);
   }
 
-  /** Whether both are changes of the same generation, given that {@code changes} are changes. */
+  /** Whether {@code name} is a change file of the same generation as this change file. */
   static boolean isSameKindAndGeneration(String name, String changes) {
     return name.startsWith(changes.substring(0, changes.lastIndexOf('-')));
   }
--- a/src/main/java/io/pineladder/snapshot/SnapshotManager.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotManager.java
@@ -15,36 +15,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller's snapshots of its replica: one at an interval, and between them each change as it
- * is seen stored, so that what is loaded lacks the last moments only.
+ * Takes periodic snapshots of a controller's replica and appends the changes in between to a file,
+ * so that only the changes of the last moments are lost when the process ends.
  *
  * <p>Event thread only; encoding runs in the background.
  */
 public final class SnapshotManager {
   private static final Logger log = LoggerFactory.getLogger(SnapshotManager.class);
 
-  /** Between two snapshots, when something has changed. */
+  /** The interval between snapshots, if the replica has changed. */
   private static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(30);
 
-  /** Changes are collected so long before they are written. */
+  /** How long changes are buffered before they are written. */
   private static final Duration CHANGE_FLUSH_DELAY = Duration.ofMillis(20);
 
-  /** Snapshots retained, with the changes that follow each. */
+  /** Number of snapshots retained, each with its change file. */
   private static final int MAX_SNAPSHOTS = 3;
 
-  /** Bytes of changes after which a snapshot is made before the interval has passed. */
+  /** Size of a change file at which a snapshot is taken before the interval has passed. */
   private static final long MAX_CHANGE_BYTES = 16L << 20;
 
-  /** A snapshot that was loaded, and the changes after it in their order. */
+  /** A snapshot loaded from the store, with the later changes in order. */
   public record LoadedSnapshot(Snapshot snapshot, List<ChangeRecord> changes) {}
 
-  /** Whether a snapshot is being encoded. */
+  /** The state of the encoding of a snapshot in the background. */
   private enum EncodingState {
-    /** None is. */
+    /** No snapshot is being encoded. */
     IDLE,
-    /** One is, in the background. */
+    /** A snapshot is being encoded. */
     ENCODING,
-    /** One is, of a replica that has been replaced since: another one has to follow. */
+    /** A snapshot of a replica that has since been replaced is being encoded. */
     OUTDATED
   }
 
@@ -54,15 +54,15 @@
   private final String cluster;
   private final Supplier<Snapshot> source;
 
-  /** The files in the store, the oldest first. */
+  /** The names of the files in the store, the oldest first. */
   private final TreeSet<String> fileNames = new TreeSet<>(SnapshotFileNames.BY_AGE);
 
   private EncodingState encodingState = EncodingState.IDLE;
 
-  /** The file to which changes are appended; null while no snapshot precedes them. */
+  /** The file to which changes are appended; null before the first snapshot of the replica. */
   private String changeFile;
 
-  /** Bytes of changes since the last snapshot. */
+  /** Bytes of changes since the latest snapshot. */
   private long changeBytes;
 
   private ByteArrayOutputStream bufferedChanges = new ByteArrayOutputStream();
@@ -70,10 +70,10 @@
   private boolean stopped;
 
   /**
-   * Snapshots of one controller.
+   * Creates the manager; {@link #start} begins to take snapshots.
    *
-   * @param cluster the name of the cluster, which a snapshot must have to be loaded
-   * @param source makes a snapshot; null while the replica is not complete
+   * @param cluster the identity of the cluster; snapshots of other clusters are not loaded
+   * @param source supplies a snapshot, or null while the replica is incomplete
    */
   public SnapshotManager(
       SnapshotStore snapshotStore,
@@ -88,12 +88,11 @@
     this.source = source;
   }
 
-  /** Begins to make snapshots. */
   public void start() {
     eventLoop.schedule(SNAPSHOT_INTERVAL, this::tick);
   }
 
-  /** Makes no snapshots and takes no changes any more; buffered changes are still written. */
+  /** Ends snapshots and ignores later changes; buffered changes are still written. */
   public void stop() {
     stopped = true;
   }
@@ -103,17 +102,17 @@
     return (int) fileNames.stream().filter(SnapshotFileNames::isSnapshot).count();
   }
 
-  /** Writes that have failed since the start. */
+  /** The number of store operations that have failed since the process started. */
   public long failures() {
     return snapshotStore.failures();
   }
 
   /**
-   * A record has changed in the store, as this controller sees it.
+   * Appends a change of the replica.
    *
-   * @param json supplies the new value, or null for a deleted key; called at once or not at all
+   * @param json supplies the new value, or null for a deleted key; called during this call or never
    */
-  public void recordChange(String key, long version, Supplier<byte[]> json) {
+  public void appendChange(String key, long version, Supplier<byte[]> json) {
     if (changeFile == null || stopped) {
       return;
     }
@@ -147,9 +146,9 @@
     eventLoop.schedule(SNAPSHOT_INTERVAL, this::tick);
   }
 
-  /** The replica was replaced by another one, of which a snapshot is made. */
+  /** The replica was replaced by another one; takes a snapshot of it. */
   public void onReplicaReplaced() {
-    // Changes of the new replica must not follow a snapshot of the one before.
+    // Changes of the new replica must not be appended to those of the previous one.
     flush();
     changeFile = null;
     if (encodingState != EncodingState.IDLE) {
@@ -165,7 +164,8 @@
       return;
     }
     flush();
-    // From here on changes follow this snapshot; if it is never whole they follow the one before.
+    // Later changes go to the file of this snapshot. If the snapshot is never stored, they still
+    // follow the previous one: loading reads all later change files of the generation.
     changeFile = SnapshotFileNames.ofChanges(snapshot);
     changeBytes = 0;
     transitionTo(EncodingState.ENCODING);
@@ -179,7 +179,7 @@
     snapshotStore.replace(name, bytes);
     fileNames.add(name);
     fileNames.add(SnapshotFileNames.ofChanges(snapshot));
-    removeExpired();
+    removeOldFiles();
     if (outdated && !stopped) {
       createSnapshot();
     }
@@ -189,8 +189,8 @@
     encodingState = next;
   }
 
-  private void removeExpired() {
-    // A snapshot comes before the changes that follow it.
+  private void removeOldFiles() {
+    // Also removes change files whose snapshot was removed; snapshots precede their change files.
     while (snapshotCount() > MAX_SNAPSHOTS
         || (!fileNames.isEmpty() && SnapshotFileNames.isChanges(fileNames.first()))) {
       snapshotStore.remove(fileNames.pollFirst());
@@ -198,15 +198,15 @@
   }
 
   /**
-   * Loads the newest snapshot that is whole and of this cluster, with all changes since.
+   * Loads the newest valid snapshot of this cluster, with all later changes.
    *
-   * @param onLoaded receives null when there is none
+   * @param onLoaded receives the snapshot; null when there is none
    */
   public void load(Consumer<LoadedSnapshot> onLoaded) {
-    snapshotStore.loadAll(files -> onLoaded.accept(newestValid(files)));
+    snapshotStore.loadAll(files -> onLoaded.accept(newestValidSnapshot(files)));
   }
 
-  private LoadedSnapshot newestValid(Map<String, byte[]> files) {
+  private LoadedSnapshot newestValidSnapshot(Map<String, byte[]> files) {
     for (String name : files.keySet()) {
       if (SnapshotFileNames.isValid(name)) {
         fileNames.add(name);
@@ -233,7 +233,7 @@
     List<ChangeRecord> changes = new ArrayList<>();
     String first = SnapshotFileNames.ofChanges(snapshot);
     for (String name : fileNames.tailSet(first, true)) {
-      // Changes of another generation do not follow from this snapshot.
+      // Changes of another generation do not apply to this snapshot.
       if (SnapshotFileNames.isSameKindAndGeneration(name, first)) {
         changes.addAll(ChangeRecord.decode(files.get(name)));
       }
--- a/src/main/java/io/pineladder/snapshot/SnapshotStore.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotStore.java
@@ -4,22 +4,22 @@
 import java.util.function.Consumer;
 
 /**
- * Stores the files of snapshots: a directory, or a fake of the tests. No call waits for a disk;
- * calls take effect in their order. A failure is logged and counted here and not reported.
+ * Stores snapshot files. Calls do not block and take effect in order. A failure is logged and
+ * counted by the store and not reported to the caller.
  */
 public interface SnapshotStore {
-  /** Reads all files, by name; an empty map when there are none or they cannot be read. */
+  /** Reads all files by name; the map is incomplete or empty when they cannot be read. */
   void loadAll(Consumer<Map<String, byte[]>> onLoaded);
 
-  /** Writes or replaces a file, whole or not at all. */
+  /** Writes or replaces a file atomically. */
   void replace(String name, byte[] bytes);
 
-  /** Appends to a file; its end may be cut short if the process ends meanwhile. */
+  /** Appends to a file; the end may be truncated if the process ends during the write. */
   void append(String name, byte[] bytes);
 
   /** Removes a file, if it exists. */
   void remove(String name);
 
-  /** The number of calls that have failed. */
+  /** The number of operations that have failed. */
   long failures();
 }
--- a/src/main/java/io/pineladder/snapshot/package-info.java
+++ b/src/main/java/io/pineladder/snapshot/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Snapshots of a controller's replica, with the changes that follow each, and the files that hold
- * them. Event thread only; encoding and files are handled in the background.
+ * Snapshots of a controller's replica, the changes after each, and the files that store them. Event
+ * thread only; encoding and file operations run in the background.
  */
 package io.pineladder.snapshot;
--- a/src/test/java/io/pineladder/replica/RecordReplicaTest.java
+++ b/src/test/java/io/pineladder/replica/RecordReplicaTest.java
@@ -21,14 +21,14 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** Merging of records and the detection of lost ones, compared with a reference model. */
+/** Compares the merging of records with a reference model, and tests the detection of lost ones. */
 class RecordReplicaTest {
   private static final List<String> PAGES =
       List.of("accepted/0", "accepted/1", "done/0", "done/1", "placed/0", "placed/1", "conf/types");
 
   private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(31);
 
-  /** The expected records: of each key the highest revision, and all final states. */
+  /** The expected records: the highest revision of each key, and all final states. */
   private static final class ReferenceModel {
     final Map<String, Entry> records = new TreeMap<>();
     final Map<String, Job.State> finalStates = new TreeMap<>();
@@ -47,7 +47,7 @@
     return value.get("state").asText().equals("done") ? Job.State.DONE : Job.State.CANCELLED;
   }
 
-  /** The changes of a store in order, of which the sources know different parts. */
+  /** The changes of a store in order; each source contains a subset of them. */
   private List<Entry> history() {
     List<Entry> all = new ArrayList<>();
     for (long revision = 1; revision <= 60; revision++) {
@@ -94,13 +94,13 @@
       RecordReplica replica = new RecordReplica(0);
       ReferenceModel model = new ReferenceModel();
       List<Entry> surviving = new ArrayList<>();
-      int seen = random.nextInt(60);
+      int replicaRevision = random.nextInt(60);
       for (Entry entry : history()) {
-        if (entry.revision() <= seen) {
+        if (entry.revision() <= replicaRevision) {
           replica.put(entry.key(), entry.value(), entry.revision(), random.nextBoolean());
           model.put(entry);
         }
-        // The store holds any part after a data loss, older or newer.
+        // After a data loss the store may hold any subset, older or newer.
         if (random.nextInt(2) == 0) {
           surviving.add(entry);
           model.put(entry);
@@ -112,7 +112,7 @@
       assertEquals(expected, records(replica));
       assertEquals(model.finalStates, finalStates(replica));
 
-      // A snapshot restores the same records, also in another generation.
+      // A snapshot restores the same records, also after a rebase to another generation.
       Snapshot decoded = Snapshot.decode(replica.snapshot("c", Instant.EPOCH).encode());
       RecordReplica restored =
           RecordReplica.fromSnapshot(new SnapshotManager.LoadedSnapshot(decoded, List.of()));
@@ -131,7 +131,7 @@
     JsonNode page = Json.object().set("entries", Json.array());
     replica.put("placed/0", page, 7, false);
     replica.put("placed/1", page, 9, false);
-    replica.recordsLoaded();
+    replica.markRecordsLoaded();
     List<Entry> complete = List.of(new Entry("placed/0", page, 8), new Entry("placed/1", page, 9));
     assertNull(
         replica.firstMissingKey(RecordKeys.PLACEMENTS, complete), "newer versions are not missing");
