--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -15,25 +15,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Removes the keys of earlier generations, for one leader. Each step deletes a few keys in a
- * transaction that requires the leader's key and the generation, so a leader that was replaced
- * deletes nothing, and its successor continues. Event thread only.
+ * Removes the keys of earlier generations during one term. Each step deletes some keys by a
+ * compare-and-swap on the leader key and the generation, so a leader that was replaced deletes
+ * nothing, and its successor continues. Event thread only.
  */
 public final class GenerationGarbageCollector {
   private static final Logger log = LoggerFactory.getLogger(GenerationGarbageCollector.class);
 
-  /** How long the records of before a rebuild remain for inspection. */
+  /** How long the records of the previous generation are retained for inspection. */
   static final Duration RETENTION = Duration.ofMinutes(10);
 
   private static final Duration STEP_INTERVAL = Duration.ofSeconds(1);
 
-  /** Late transactions of earlier generations may have stored keys again. */
+  /** The interval between complete scans: delayed transactions may store obsolete keys again. */
   private static final Duration RESCAN_INTERVAL = Duration.ofHours(1);
 
-  /** The divisor of the store's write rate; the rest is for the service. */
+  /** The collector uses at most the store's write rate divided by this. */
   private static final int WRITE_RATE_DIVISOR = 8;
 
-  /** Keys of the first generation; any other key belongs to somebody else. */
+  /** Keys of the first generation; other keys without a generation prefix are never removed. */
   private static final Pattern FIRST_GENERATION_KEY =
       Pattern.compile(
           "(accepted|job|done|end|placed|images|inbox|conf|backlog|delivered|damaged|apart|lead)/.*");
@@ -50,7 +50,7 @@
    * Creates the collector of one term.
    *
    * @param leaderKeyRevision the revision of the leader's key
-   * @param isLeading whether the term goes on; the collector ends otherwise
+   * @param isLeading whether the term continues; the collector stops otherwise
    */
   public GenerationGarbageCollector(
       StoreClient storeClient,
@@ -63,7 +63,7 @@
     this.isLeading = isLeading;
   }
 
-  /** Starts after the retention, if there is an earlier generation. */
+  /** Starts the first scan after {@link #RETENTION}, if there is an earlier generation. */
   public void start() {
     if (storeClient.generation().base() != 0) {
       eventLoop.schedule(RETENTION, () -> scanPage(null));
@@ -86,10 +86,10 @@
           }
           List<String> obsoleteKeys = new ArrayList<>();
           String lastKey = after;
-          Generation present = storeClient.generation();
+          Generation current = storeClient.generation();
           int maxDeletes = maxDeletes();
           for (StoreWire.Entry entry : page.entries()) {
-            if (isObsolete(entry.key(), present)) {
+            if (isObsolete(entry.key(), current)) {
               if (obsoleteKeys.size() == maxDeletes) {
                 break;
               }
@@ -97,9 +97,9 @@
             }
             lastKey = entry.key();
           }
-          if (lastKey != null && lastKey.startsWith(present.prefix())) {
-            // Skips the keys of the present generation: '0' follows '/'.
-            lastKey = "g" + present.base() + "0";
+          if (lastKey != null && lastKey.startsWith(current.prefix())) {
+            // Skips the keys of the current generation: '0' is the character after '/'.
+            lastKey = "g" + current.base() + "0";
           }
           boolean more = page.more() || !obsoleteKeys.isEmpty();
           deleteAndContinue(obsoleteKeys, lastKey, more);
@@ -107,15 +107,15 @@
   }
 
   private int maxDeletes() {
-    int share = (int) Math.max(1, storeClient.limits().writesPerSecond() / WRITE_RATE_DIVISOR);
-    return Math.min(share, storeClient.limits().transactionOps());
+    int maxWrites = (int) Math.max(1, storeClient.limits().writesPerSecond() / WRITE_RATE_DIVISOR);
+    return Math.min(maxWrites, storeClient.limits().transactionOps());
   }
 
-  /** Whether a key is of an earlier generation. */
-  static boolean isObsolete(String key, Generation present) {
+  /** Whether a key belongs to an earlier generation. */
+  static boolean isObsolete(String key, Generation current) {
     Matcher later = LATER_GENERATION_KEY.matcher(key);
     return later.matches()
-        ? Long.parseLong(later.group(1)) < present.base()
+        ? Long.parseLong(later.group(1)) < current.base()
         : FIRST_GENERATION_KEY.matcher(key).matches();
   }
 
@@ -129,18 +129,18 @@
           more ? STEP_INTERVAL : RESCAN_INTERVAL, () -> scanPage(more ? lastKey : null));
       return;
     }
-    Generation present = storeClient.generation();
+    Generation current = storeClient.generation();
     StoreWire.Transaction remove =
         new StoreWire.Transaction("")
-            .requireGeneration(present.recordRevision())
-            .require(present.prefix() + RecordKeys.LEADER, leaderKeyRevision);
+            .requireGeneration(current.recordRevision())
+            .require(current.prefix() + RecordKeys.LEADER, leaderKeyRevision);
     obsoleteKeys.forEach(remove::delete);
     storeClient.writeBudget().consume(obsoleteKeys.size(), eventLoop.now());
     storeClient.sendImmediately(
         storeClient.post("/multi", remove.bytes()),
         reply -> {
           removedCount += reply.is(200) ? obsoleteKeys.size() : 0;
-          // After a failure the scan begins again and finds what was not removed.
+          // After a failure a new scan finds the keys that were not removed.
           eventLoop.schedule(STEP_INTERVAL, () -> scanPage(reply.is(200) ? lastKey : null));
         });
   }
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -19,83 +19,83 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state machine of the record generations in one controller (docs/state-loss.md): it follows
- * which generation is in force, detects a data loss of the consensus-backed key-value store, and
- * has a new generation written from a controller's replica.
+ * The state machine of the record generations in one controller (docs/state-loss.md). It tracks the
+ * generation in force, handles a data loss of the consensus-backed key-value store, and rebuilds
+ * the records as a new generation from a controller's replica.
  *
- * <p>A controller that rebuilds claims a new generation by compare-and-swap, writes its records
- * under a key prefix that no transaction of an earlier generation uses, and then marks it as
- * complete. No controller leads before that. Event thread only.
+ * <p>To rebuild, a controller claims a new generation by compare-and-swap, writes its records under
+ * a key prefix that no transaction of an earlier generation uses, and then marks it as complete. No
+ * controller leads in a generation before it is complete. Event thread only.
  */
 public final class GenerationManager {
   private static final Logger log = LoggerFactory.getLogger(GenerationManager.class);
   private static final Duration GENERATION_WATCH_TIMEOUT = Duration.ofSeconds(20);
 
   /**
-   * No leader lease lasts longer. A controller that did not lead waits this long before it claims a
-   * generation: the previous leader may not have detected the loss, and its lease must have expired
-   * before another term begins.
+   * Upper bound of the duration of a leader lease. A controller that did not lead waits this long
+   * before it claims a generation: the previous leader may not have detected the loss, and its
+   * lease must have expired before another term begins.
    */
   static final Duration MAX_PREVIOUS_LEASE = Duration.ofSeconds(4);
 
-  /** The interval at which the generation is read while none is trusted. */
+  /** The interval at which the generation record is read while no generation is trusted. */
   private static final Duration GENERATION_POLL_INTERVAL = Duration.ofMillis(500);
 
   private static final Duration WRITER_CHECK_INTERVAL = Duration.ofSeconds(1);
 
-  /** What this controller knows of the records in the store. The admin API shows the names. */
+  /** Whether the records in the store may be acted upon. The admin API exposes the names. */
   public enum State {
     /** The generation in force has not been read yet. */
     UNREAD,
-    /** The first generation is in force, without a known loss. */
+    /** The first generation is in force and no loss is known. */
     TRUSTED,
     /** A possible data loss is being verified. */
     DOUBTED,
-    /** Data was lost: no record is trusted until a new generation is claimed. */
+    /** Data was lost: no record is trusted until a controller claims a new generation. */
     LOST,
     /** A controller is writing a new generation. */
     REBUILDING,
-    /** A rebuilt generation is complete and in force; trusted like the first one. */
+    /** A complete rebuilt generation is in force and trusted. */
     REBUILT
   }
 
-  /** How a data loss was detected. The admin API shows the names. */
+  /** How a data loss was detected. The admin API exposes the names. */
   public enum Evidence {
-    /** The store answered with a revision below one that it had reached. */
+    /** The store answered with a revision below one that it had reported before. */
     REVISION_BACK,
-    /** The generation record is missing, unreadable or older than one already in force. */
+    /** The generation record is missing, unreadable or outdated, or a rebuild was abandoned. */
     GENERATION_BACK,
-    /** A record that is never removed is missing, or older than it was seen. */
+    /** A record that is never removed is missing, or older than a version seen before. */
     RECORD_MISSING,
-    /** A record cannot be parsed, and the controller that needs it has no replica of it. */
+    /** A record cannot be parsed, and the replica has no readable value of it. */
     UNREADABLE,
-    /** Another controller has reported the loss. */
+    /** A peer has reported the loss. */
     PEER,
-    /** An operator has imported a snapshot of records that were lost everywhere else. */
+    /** An operator has imported a snapshot, which is merged into a new generation. */
     HANDED_IN,
-    /** A worker has seen a fencing token that no leader of this store can have held. */
+    /** A worker has seen a fencing token that no leader in this store can have held. */
     TOKEN_ABOVE,
-    /** A worker runs a task of a job without any record, not even of its final state. */
+    /** A worker runs a task of a job that has neither a record nor a final state. */
     JOB_UNKNOWN;
 
-    /** Whether the replica of the controller that detects it may lack the lost records too. */
+    /** Whether the replica of the detecting controller may lack the lost records too. */
     boolean impliesStaleReplica() {
       return this == TOKEN_ABOVE || this == JOB_UNKNOWN;
     }
   }
 
-  /** The controller of which these are the generations. */
+  /** The controller that uses the generations. */
   public interface Host {
-    /** The replica from which a generation would be written. */
+    /** The replica from which a new generation is written. */
     RecordReplica replica();
 
-    /** Whether this controller leads with a valid lease and a replica that no other can exceed. */
+    /** Whether this controller has a valid leader lease and no other can have a newer replica. */
     boolean isLeader();
 
-    /** The store is not to be trusted: end the term, stop reading and replicating. */
+    /** The store is not trusted; the term, reads and replication must end. */
     void onDataLoss();
 
-    /** Another generation is in force; its phase tells whether it is complete. */
+    /** Another generation, or another phase of the current one, is in force. */
     void onGenerationChange(Generation generation);
 
     /** The peers with their latest gossiped status of the records. */
@@ -115,19 +115,19 @@
   private boolean claimIsExact;
 
   /**
-   * Whether this controller led or rebuilt when the loss was detected: no other can have acted
-   * since, and none has a newer replica.
+   * Whether this controller led or rebuilt when the loss was detected, so that no other controller
+   * can have a newer replica.
    */
   private boolean replicaIsAuthoritative;
 
-  /** The revision of the record that names the generation, as last read; 0 without one. */
+  /** The revision of the generation record when it was last read; 0 if there was none. */
   private long generationRecordRevision;
 
   private final Instant startedAt;
   private Instant lossDetectedAt;
   private GenerationWriter writer;
 
-  /** Incremented to invalidate the reads and timers of earlier sequences. */
+  /** Incremented to invalidate pending reads and timers. */
   private int currentSequence;
 
   private int lossCount;
@@ -155,13 +155,12 @@
                 "revision " + revision + " is below " + storeClient.highestRevision()));
   }
 
-  /** Begins to read the generation and to monitor whoever rebuilds. */
+  /** Starts to read the generation record and to monitor the writer of a rebuild. */
   public void start() {
     readGeneration(++currentSequence);
     checkRebuildWriter();
   }
 
-  /** Ends all activity; for the end of the process. */
   public void stop() {
     stopped = true;
   }
@@ -174,17 +173,16 @@
     }
   }
 
-  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** The number of data losses detected since this process started. */
+  /** The number of data losses declared since this process started. */
   public int lossCount() {
     return lossCount;
   }
 
-  /** How the latest data loss was detected; null without one. */
+  /** How the latest data loss was detected; null if there was none. */
   public Evidence lastEvidence() {
     return lastEvidence;
   }
@@ -194,21 +192,21 @@
     return state == State.TRUSTED || state == State.REBUILT;
   }
 
-  /** The fraction of records written by this controller's rebuild, 0 to 1; 1 without a rebuild. */
+  /** The fraction of records written by this controller's rebuild, 0 to 1; 1 if there is none. */
   public double rebuildProgress() {
     return writer == null || writer.totalCount() == 0
         ? 1
         : (double) writer.writtenCount() / writer.totalCount();
   }
 
-  /** How long a rebuilt generation has been in force here; null for the first generation. */
+  /** Time since this controller adopted a rebuilt generation; null for the first generation. */
   public Duration timeSinceRebuild() {
     return rebuiltGenerationAdoptedAt == null
         ? null
         : Duration.between(rebuiltGenerationAdoptedAt, eventLoop.now());
   }
 
-  /** Records that this fencing token was used by some controller. */
+  /** Records that a controller has used this fencing token. */
   public void observeToken(long token) {
     highestObservedToken = Math.max(highestObservedToken, token);
   }
@@ -220,14 +218,15 @@
   }
 
   /**
-   * The fencing token with which this controller extends a worker's lease while no controller
-   * leads, without orders; 0 when it does not extend it. In state LOST it is the worker's own
-   * token, with which any controller may answer. While this controller rebuilds it is the base of
-   * the new generation, above all tokens used and below that of the next leader. The time is
-   * bounded, because tasks of jobs cancelled right before the loss end only with the lease.
+   * The fencing token with which this controller extends a worker's lease, without commands, while
+   * there is no leader; 0 if it does not extend the lease. In state LOST this is the worker's own
+   * token, with which any controller may answer. While this controller rebuilds, it is the base of
+   * the new generation, which is above all tokens used and below the token of the next leader. The
+   * period is bounded because tasks of jobs cancelled right before the loss end only when the lease
+   * expires.
    *
    * @param workerToken the highest token that the worker has seen
-   * @param maxKeepAlive how long after the loss leases are extended at most
+   * @param maxKeepAlive the maximum time after the loss for which leases are extended
    */
   public long keepAliveToken(long workerToken, Duration maxKeepAlive) {
     if (lossDetectedAt == null || !lossDetectedAt.plus(maxKeepAlive).isAfter(eventLoop.now())) {
@@ -263,7 +262,7 @@
   /**
    * Handles the latest status of all peers.
    *
-   * @return whether the store is trusted and no peer knows of a later generation
+   * @return whether the store is trusted and no peer knows a later generation
    */
   public boolean syncWithPeers() {
     host.peers().forEach(peer -> onPeerStatus(peer.recordStatus()));
@@ -280,7 +279,7 @@
 
   // ---- the generation in force
 
-  /** Reads the generation in force immediately. */
+  /** Reads the generation record immediately. */
   public void readGeneration() {
     readGeneration(++currentSequence);
   }
@@ -328,31 +327,36 @@
               ? RecordWire.parseGeneration(read.entry().value(), read.entry().revision())
               : Generation.FIRST;
     } catch (MalformedMessageException e) {
-      declareLoss(Evidence.GENERATION_BACK, "the generation record cannot be parsed");
+      declareLoss(
+          Evidence.GENERATION_BACK, "generation record cannot be parsed: " + e.getMessage());
       return;
     }
-    Generation present = storeClient.generation();
-    if (found.base() > present.base()) {
+    Generation current = storeClient.generation();
+    if (found.base() > current.base()) {
       adopt(found);
     } else if (found.base() < highestKnownBase()) {
-      declareLoss(Evidence.GENERATION_BACK, "the store names generation " + found.base());
+      declareLoss(
+          Evidence.GENERATION_BACK,
+          "generation record names an earlier generation: " + found.base());
     } else if (state == State.UNREAD) {
       adopt(found);
-    } else if (found.recordRevision() > present.recordRevision()) {
+    } else if (found.recordRevision() > current.recordRevision()) {
       adopt(found);
-    } else if (found.recordRevision() < present.recordRevision()) {
-      declareLoss(Evidence.GENERATION_BACK, "an older record names generation " + found.base());
+    } else if (found.recordRevision() < current.recordRevision()) {
+      declareLoss(
+          Evidence.GENERATION_BACK,
+          "generation record has an earlier revision: " + found.recordRevision());
     }
   }
 
-  /** A possible data loss is to be verified; {@link #clearSuspicion} or a loss follows. */
+  /** Suspects a data loss until {@link #clearSuspicion} or {@link #declareLoss} is called. */
   public void suspectLoss(String reason) {
     if (isTrusted()) {
       transitionTo(State.DOUBTED, reason);
     }
   }
 
-  /** The suspected loss was not confirmed. */
+  /** Restores trust after a suspected loss was not confirmed. */
   public void clearSuspicion() {
     if (state == State.DOUBTED) {
       transitionTo(
@@ -363,7 +367,7 @@
 
   private void adopt(Generation found) {
     if (state == State.LOST && found.base() == storeClient.generation().base()) {
-      // A restored backup or a late transaction: the generation stays lost.
+      // The record reappeared by a restored backup or a delayed transaction; the data stays lost.
       return;
     }
     boolean complete = found.phase() == Phase.COMPLETE;
@@ -385,9 +389,9 @@
   // ---- data loss and claim
 
   /**
-   * A worker has seen a fencing token above that of this leader while its leader key still exists.
-   * No later leader can have been elected in this store, so the key of the one with that token was
-   * lost.
+   * A worker has seen a fencing token above that of this leader, whose leader key still exists. No
+   * later leader can have been elected in this store, so it has lost the key of the leader with
+   * that token.
    */
   public void onHigherToken(long token) {
     observeToken(token);
@@ -395,8 +399,8 @@
   }
 
   /**
-   * Declares that the store has lost data and schedules the claim of a new generation. Without
-   * effect when the loss is known already.
+   * Declares that the store has lost data and schedules the claim of a new generation. Has no
+   * effect if the loss is already known.
    */
   public void declareLoss(Evidence newEvidence, String detail) {
     if (state == State.LOST || (state == State.UNREAD && newEvidence == Evidence.REVISION_BACK)) {
@@ -404,13 +408,13 @@
     }
     lossCount++;
     lastEvidence = newEvidence;
-    Generation present = storeClient.generation();
-    boolean rebuilding = state == State.REBUILDING && isOwn(present) && present.exact();
-    boolean leads = (isTrusted() || state == State.DOUBTED) && host.isLeader();
-    replicaIsAuthoritative = rebuilding || (leads && !newEvidence.impliesStaleReplica());
+    Generation current = storeClient.generation();
+    boolean rebuilding = state == State.REBUILDING && isOwn(current) && current.exact();
+    boolean leading = (isTrusted() || state == State.DOUBTED) && host.isLeader();
+    replicaIsAuthoritative = rebuilding || (leading && !newEvidence.impliesStaleReplica());
     claimIsExact = replicaIsAuthoritative && newEvidence != Evidence.HANDED_IN;
     lossDetectedAt = eventLoop.now();
-    log.error("Data loss of the state service: evidence={} detail=\"{}\"", newEvidence, detail);
+    log.error("Data loss in the key-value store: evidence={} detail=\"{}\"", newEvidence, detail);
     transitionTo(State.LOST, newEvidence.name());
     stopWriting();
     host.onDataLoss();
@@ -419,7 +423,7 @@
         replicaIsAuthoritative ? Duration.ZERO : MAX_PREVIOUS_LEASE, () -> tryClaim(sequence));
   }
 
-  /** Claims a new generation unless another controller with a newer replica is expected to. */
+  /** Claims a new generation unless a controller with a better replica is expected to do so. */
   private void tryClaim(int sequence) {
     if (sequence != currentSequence || stopped || state != State.LOST) {
       return;
@@ -435,8 +439,8 @@
   }
 
   /**
-   * Reads the records that survived. The replica of a leader holds everything that was acted upon;
-   * any other lacks the latest changes, which the store may still hold after a partial loss.
+   * Reads the records that survived a partial loss. Only the replica of a leader contains all
+   * changes that were acted upon; any other may lack the latest ones.
    */
   private void readSurvivingRecords(int sequence, List<StoreWire.Entry> found, String after) {
     if (sequence != currentSequence || stopped || state != State.LOST) {
@@ -465,7 +469,7 @@
         });
   }
 
-  /** Runs the action unless another controller has claimed a generation in the meantime. */
+  /** Runs the action if no controller has claimed a generation in the meantime. */
   private void readGenerationThen(int sequence, Runnable action) {
     storeClient.readGeneration(
         found -> {
@@ -515,7 +519,7 @@
           if (sequence != currentSequence || stopped) {
             return;
           }
-          // Also without a reply the store now shows which claim succeeded.
+          // The generation record shows which claim succeeded, even if the reply was lost.
           readGenerationThen(
               sequence,
               () -> eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> tryClaim(sequence)));
@@ -560,8 +564,8 @@
   }
 
   /**
-   * Declares a rebuild as lost whose writer has ended or is unreachable, so that another controller
-   * claims a generation of its own.
+   * Declares a loss when the writer of a rebuild has ended or is unreachable, so that another
+   * controller claims a new generation.
    */
   private void checkRebuildWriter() {
     if (stopped) {
--- a/src/main/java/io/pineladder/generation/GenerationWriter.java
+++ b/src/main/java/io/pineladder/generation/GenerationWriter.java
@@ -11,19 +11,19 @@
 import java.util.function.Consumer;
 
 /**
- * Writes the records of one new generation and marks it as complete once all are stored. Every
- * transaction requires that the generation is still the one being rebuilt, so no transaction of a
- * writer that was replaced commits later; one without a reply is sent again, which stores the same.
+ * Writes the records of a new generation and then marks it as complete. Every transaction requires
+ * that the generation record is unchanged, so a writer that was replaced cannot commit. A
+ * transaction without a reply is sent again, which is idempotent.
  */
 final class GenerationWriter {
-  /** The store takes transactions of 64 KiB; the rest is for keys and conditions. */
+  /** Leaves space for keys and conditions within the store's limit of 64 KiB. */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
   /** How a rebuild ended. */
   enum Outcome {
     /** The generation is marked as complete. */
     COMPLETE,
-    /** Another generation is in force, or the reply to the last transaction was lost. */
+    /** Another generation is in force, or the generation was completed but the reply was lost. */
     REJECTED
   }
 
@@ -56,22 +56,20 @@
     this.backoff = storeClient.newBackoff();
   }
 
-  /** The number of records stored so far. */
   int writtenCount() {
     return writtenCount;
   }
 
-  /** The number of records to be stored. */
   int totalCount() {
     return entries.size();
   }
 
-  /** Sends nothing more and ignores what is under way. */
+  /** Sends no further transactions and ignores pending replies. */
   void stop() {
     finished = true;
   }
 
-  /** Sends the next transaction within the write budget; each reply sends the one after. */
+  /** Sends the next transaction within the write budget, and further ones after each reply. */
   void writeNext() {
     if (finished) {
       return;
@@ -136,8 +134,7 @@
             backoff.reset();
             onStored.run();
           } else if (reply.is(409) || reply.is(400)) {
-            // Another generation is in force, or the last transaction had committed without a
-            // reply.
+            // Another generation is in force, or the completion was committed without a reply.
             finish(Outcome.REJECTED);
           } else {
             storeClient.scheduleRetry(backoff, () -> send(transaction, onStored));
--- a/src/main/java/io/pineladder/generation/RebuildDeferral.java
+++ b/src/main/java/io/pineladder/generation/RebuildDeferral.java
@@ -7,31 +7,31 @@
 import java.util.List;
 
 /**
- * Which controller claims a new generation after a data loss: the one with the best replica, as far
- * as gossip shows it, and any other once a bounded time has passed.
+ * Decides which controller claims a new generation after a data loss: the one with the best replica
+ * according to gossip, or any other after a bounded delay.
  */
 final class RebuildDeferral {
-  /** How much longer a controller without a complete replica defers to the others. */
+  /** How long a starting controller, or one with an incomplete replica, defers additionally. */
   private static final Duration INCOMPLETE_REPLICA_DELAY = Duration.ofSeconds(8);
 
-  /** The uptime below which peers may still be starting. */
+  /** The uptime during which peers may still be starting. */
   private static final Duration STARTUP_PERIOD = Duration.ofSeconds(20);
 
-  /** How long a controller defers at most to a peer whose better replica is not used. */
+  /** Maximum time for which a controller defers to a peer with a better replica. */
   private static final Duration MAX_DEFERRAL = Duration.ofSeconds(12);
 
   private RebuildDeferral() {}
 
   /**
-   * Whether a controller that did not lead leaves the claim to a peer for now.
+   * Whether a controller that did not lead must leave the claim to a peer for now.
    *
    * @param own the controller's replica
-   * @param uptime since the controller's process started
-   * @param sinceLoss since the controller detected the loss
+   * @param uptime time since the controller's process started
+   * @param sinceLoss time since the controller detected the loss
    */
   static boolean mustDefer(
       RecordReplica own, List<Membership.PeerStatus> peers, Duration uptime, Duration sinceLoss) {
-    // After a restart of all controllers the one with the best replica may be the last to start.
+    // After a restart of all controllers, the one with the best replica may start last.
     boolean starting = uptime.compareTo(STARTUP_PERIOD) < 0;
     Duration delay = GenerationManager.MAX_PREVIOUS_LEASE.plus(INCOMPLETE_REPLICA_DELAY);
     if ((starting || !own.isComplete())
@@ -64,8 +64,8 @@
   }
 
   private static boolean isBetter(RecordStatus status, RecordReplica own) {
-    // Incomplete replicas are compared too: in the first seconds of a cluster none is complete, and
-    // a controller that had read nothing yet wrote an empty generation.
+    // Incomplete replicas are compared too: while a new cluster starts none is complete, and a
+    // controller with an empty replica must not write an empty generation.
     if (status.replicaComplete() != own.isComplete()) {
       return status.replicaComplete();
     }
--- a/src/main/java/io/pineladder/generation/RebuildWriterMonitor.java
+++ b/src/main/java/io/pineladder/generation/RebuildWriterMonitor.java
@@ -6,21 +6,21 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Failure detection for the controller that writes a new generation. */
+/** Detects the failure of the controller that writes a new generation. */
 final class RebuildWriterMonitor {
   /** How long the writer may be unreachable before its rebuild is abandoned. */
   private static final Duration WRITER_UNREACHABLE_TIMEOUT = Duration.ofSeconds(5);
 
   private Instant unreachableSince;
 
-  /** Forgets for how long a writer has been unreachable. */
+  /** Restarts the timeout, for another writer or one that is reachable. */
   void reset() {
     unreachableSince = null;
   }
 
   /**
-   * Whether the writer has been unreachable, or its process replaced, beyond the timeout. To be
-   * called periodically; a positive answer resets the monitor.
+   * Whether the writer has been unreachable, or its process replaced, for longer than the timeout.
+   * To be called periodically; returning true resets the monitor.
    */
   boolean isAbandoned(Generation.Writer writer, List<Membership.PeerStatus> peers, Instant now) {
     if (isUp(writer, peers)) {
--- a/src/main/java/io/pineladder/reconciliation/JobLookup.java
+++ b/src/main/java/io/pineladder/reconciliation/JobLookup.java
@@ -2,15 +2,15 @@
 
 import io.pineladder.model.Job;
 
-/** What a lookup of a job in memory and in the store has shown. */
+/** The result of a lookup of a job in memory and in the store. */
 public sealed interface JobLookup {
-  /** Nothing certain can be said now; to be tried again later. */
+  /** Cannot be determined at present; the lookup is to be retried. */
   JobLookup UNCERTAIN = new Uncertain();
 
   /** The job was never accepted. */
   JobLookup NOT_FOUND = new NotFound();
 
-  /** The job is in memory, possibly just restored from the store. */
+  /** The job is in memory; the lookup may have added it from the store. */
   record Found(Job job) implements JobLookup {}
 
   /** The job is not in memory and has this final state. */
--- a/src/main/java/io/pineladder/reconciliation/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the jobs in the store with those in the leader's memory: jobs that other controllers
- * accepted without a leader are added, and their inbox entries and duplicate records removed. Event
- * thread only.
+ * Reconciles the jobs in the store with those in the leader's memory: adds jobs that other
+ * controllers accepted without a leader, and removes their inbox entries and obsolete records.
+ * Event thread only.
  */
 public final class JobReconciler {
   private static final Logger log = LoggerFactory.getLogger(JobReconciler.class);
@@ -29,25 +29,25 @@
 
   /** The term whose jobs are reconciled. */
   public interface Listener {
-    /** Whether the term goes on; all work ends otherwise. */
+    /** Whether the term continues; reconciliation ends otherwise. */
     boolean isLeading();
 
-    /** Whether this leader is storing the acceptance of the job. */
+    /** Whether this leader's write of the job's acceptance is pending. */
     boolean isAccepting(String id);
 
-    /** A job was found in the store and is to be added to the memory. */
+    /** A job was found in the store and must be added to memory. */
     void onJobFound(Job job);
 
     /** A job that is not in memory was found to have a final state. */
     void onFinalState(String id, Job.State state);
 
-    /** A job's final state in this controller's replica; null when it has none. */
+    /** A job's final state in this controller's replica; null when there is none. */
     Job.State finalState(String id);
 
     /** A record that another controller stored was read. */
     void onRecordRead(StoreWire.Entry entry);
 
-    /** Whether a job without any record may have been lost, so that it is not certain. */
+    /** Whether records may be missing from the store, so that a job without any is uncertain. */
     boolean recordsMayBeIncomplete();
   }
 
@@ -58,10 +58,10 @@
   private final Listener listener;
   private final Backoff backoff;
 
-  /** Counts removals from memory; a read that began before the latest one may be outdated. */
+  /** Number of jobs removed from memory; a read that began before a removal may be outdated. */
   private long removalCount;
 
-  /** Creates a reconciler; {@link #start} begins to watch the inbox. */
+  /** Creates a reconciler; {@link #start} starts to watch the inbox. */
   public JobReconciler(
       StoreClient storeClient,
       ClusterState cluster,
@@ -76,18 +76,17 @@
     this.backoff = storeClient.newBackoff();
   }
 
-  /** A job was removed from memory. */
   public void onJobRemoved() {
     removalCount++;
   }
 
-  /** Reconciles the inbox as it was read, and watches it from then on. */
+  /** Reconciles the entries of the inbox and watches it for later ones. */
   public void start(StoreClient.Listing inbox) {
     inbox.entries().forEach(this::reconcileInboxEntry);
     watchInbox(inbox.revision());
   }
 
-  /** Watches for jobs that other controllers accept while they reach no leader. */
+  /** Watches for jobs that other controllers accept without a leader. */
   private void watchInbox(long after) {
     if (!listener.isLeading()) {
       return;
@@ -96,18 +95,18 @@
         RecordKeys.INBOX,
         after,
         INBOX_WATCH_TIMEOUT,
-        followed -> {
+        result -> {
           if (!listener.isLeading()) {
             return;
           }
-          StoreWire.Changes changes = followed.changes();
+          StoreWire.Changes changes = result.changes();
           if (changes != null) {
             backoff.reset();
             changes.entries().stream()
                 .filter(e -> e.value() != null)
                 .forEach(this::reconcileInboxEntry);
             watchInbox(changes.revision());
-          } else if (followed.reply().is(410)) {
+          } else if (result.reply().is(410)) {
             storeClient.listAll(
                 RecordKeys.INBOX,
                 listener::isLeading,
@@ -132,12 +131,12 @@
         id,
         lookup -> {
           if (lookup instanceof JobLookup.Uncertain) {
-            // The entry stays until the job is certainly known here.
+            // Retains the entry until the lookup has a certain result.
             storeClient.scheduleRetry(backoff, () -> reconcileInboxEntry(entry));
             return;
           }
           if (lookup instanceof JobLookup.Ended) {
-            // Stored again after a data loss by a controller that did not know its final state.
+            // A controller that lacked the final state submitted the job again after a data loss.
             deleteJobRecord(id);
           }
           deleteRecord(entry.key());
@@ -162,15 +161,14 @@
         });
   }
 
-  /** Looks a job up in memory, in the replica's final states and then, afresh, in the store. */
+  /** Looks a job up in memory, in the final states of the replica, and by reads of the store. */
   public void lookUp(String id, Consumer<JobLookup> onDone) {
     if (cluster.jobs.containsKey(id)) {
       onDone.accept(new JobLookup.Found(cluster.jobs.get(id)));
       return;
     }
     if (listener.isAccepting(id)) {
-      // The commit will show whether it is stored in a page; a record of its own may be a
-      // duplicate.
+      // Until the commit ends it is unknown whether an unpaged record of the job is a duplicate.
       onDone.accept(JobLookup.UNCERTAIN);
       return;
     }
@@ -197,7 +195,7 @@
       return;
     }
     if (read.found() && removalCount != removalsBefore) {
-      // The record may be of a job removed meanwhile, which must not end a second time.
+      // The job may have been removed during the read, and must not be added and ended again.
       lookUp(id, onDone);
       return;
     }
@@ -219,10 +217,10 @@
   }
 
   /**
-   * Reads whether another controller has stored a record of the job too, which is then removed with
-   * the job.
+   * Determines whether another controller has stored an unpaged record of the job, so that it is
+   * removed together with the job.
    *
-   * @param onDone called once that is known, while this controller leads
+   * @param onDone called when that is determined, unless the term has ended
    */
   public void findDuplicateRecord(Job job, Runnable onDone) {
     String key = RecordKeys.UNPAGED_JOB + job.spec.id();
@@ -244,7 +242,7 @@
         });
   }
 
-  /** Calls back when the store certainly has neither a record nor a final state of the job. */
+  /** Runs the callback if the store certainly has neither a record nor a final state of the job. */
   public void ifUnknown(String id, Runnable onUnknown) {
     if (cluster.jobs.containsKey(id)
         || listener.isAccepting(id)
@@ -253,15 +251,16 @@
     }
     storeClient.read(
         RecordKeys.UNPAGED_JOB + id,
-        own -> {
-          if (own.found() || !own.certain() || !listener.isLeading()) {
+        recordRead -> {
+          if (recordRead.found() || !recordRead.certain() || !listener.isLeading()) {
             return;
           }
           storeClient.read(
               RecordKeys.FINAL_STATE + id,
-              end -> {
-                boolean gone = end.certain() && !end.found() && listener.isLeading();
-                if (gone && !cluster.jobs.containsKey(id)) {
+              finalStateRead -> {
+                boolean unknown =
+                    finalStateRead.certain() && !finalStateRead.found() && listener.isLeading();
+                if (unknown && !cluster.jobs.containsKey(id)) {
                   onUnknown.run();
                 }
               });
--- a/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
+++ b/src/main/java/io/pineladder/reconciliation/PrerequisiteReader.java
@@ -15,31 +15,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Looks up the jobs that others depend on, in the leader's memory or by reads that begin after the
- * question. Event thread only.
+ * Looks up the jobs on which others depend (DAG dependencies), in the leader's memory or by reads
+ * of the store that begin after the request. Event thread only.
  */
 public final class PrerequisiteReader {
   private static final Logger log = LoggerFactory.getLogger(PrerequisiteReader.class);
 
-  /** Before a lookup that was uncertain is repeated. */
+  /** Delay before an uncertain lookup is retried. */
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** Before an accepted job without any record is looked up again. */
+  /** Delay before the lookup of an accepted job without any record is retried. */
   private static final Duration MISSING_JOB_RETRY_DELAY = Duration.ofSeconds(5);
 
-  /** Whether the prerequisites that a submission names were accepted. */
+  /** Whether the prerequisites of a submission were accepted. */
   public enum Verification {
     /** All were accepted. */
     ALL_ACCEPTED,
     /** At least one was never accepted. */
     NOT_ALL_ACCEPTED,
-    /** Not known now; the submission is to be repeated. */
+    /** Cannot be determined at present; the client must retry the submission. */
     UNCERTAIN
   }
 
   private final Function<String, Job> jobs;
 
-  /** Final states known without a read; null for an unknown one. */
+  /** Final states that are known without a read; null for an unknown one. */
   private final Function<String, Job.State> finalStates;
 
   private final JobReconciler reconciler;
@@ -52,7 +52,7 @@
    *
    * @param jobs the jobs in memory, by id
    * @param finalStates final states that are known without a read; null for an unknown one
-   * @param isLeading whether the term goes on; all work ends otherwise
+   * @param isLeading whether the term continues; lookups end otherwise
    * @param dependencies the dependencies of the term's jobs
    */
   public PrerequisiteReader(
@@ -70,7 +70,7 @@
     this.dependencies = dependencies;
   }
 
-  /** Verifies that all these jobs were accepted, one after the other. */
+  /** Verifies sequentially that all these jobs were accepted. */
   public void verify(List<String> ids, Consumer<Verification> onDone) {
     verifyNext(new ArrayDeque<>(ids), onDone);
   }
@@ -100,7 +100,7 @@
     return jobs.apply(id) != null || finalStates.apply(id) != null;
   }
 
-  /** Looks a prerequisite up for the dependencies, after the present event. */
+  /** Looks up a prerequisite after the current event and passes the result to the dependencies. */
   public void lookUp(String id) {
     eventLoop.schedule(Duration.ZERO, () -> resolve(id));
   }
--- a/src/main/java/io/pineladder/recovery/FinalStateRestorer.java
+++ b/src/main/java/io/pineladder/recovery/FinalStateRestorer.java
@@ -12,11 +12,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Stores final states that this controller has seen and that a rebuilt generation lacks, one after
- * the other. Final states are never undone, so those of all controllers are merged.
+ * Stores final states that this controller's replica contains and a rebuilt generation lacks, one
+ * at a time. A final state never changes, so those of all controllers can be merged.
  */
 final class FinalStateRestorer {
-  /** The interval between two writes; a rebuild lacks the latest few final states at most. */
+  /** The interval between writes; a rebuild lacks only a few of the latest final states. */
   private static final Duration WRITE_INTERVAL = Duration.ofMillis(100);
 
   private final StoreClient storeClient;
@@ -26,7 +26,8 @@
   /**
    * Creates a restorer.
    *
-   * @param isActive whether the store is trusted and this process goes on; all work ends otherwise
+   * @param isActive whether the store is trusted and the process is not stopping; writes end
+   *     otherwise
    */
   FinalStateRestorer(StoreClient storeClient, EventLoop eventLoop, BooleanSupplier isActive) {
     this.storeClient = storeClient;
@@ -34,7 +35,7 @@
     this.isActive = isActive;
   }
 
-  /** Stores the final states of these jobs, unless a job has one in the store. */
+  /** Stores the final states of jobs that have none in the store. */
   void store(Map<String, Job.State> finalStates) {
     storeNext(new ArrayDeque<>(finalStates.entrySet()));
   }
--- a/src/main/java/io/pineladder/recovery/LocalAcceptances.java
+++ b/src/main/java/io/pineladder/recovery/LocalAcceptances.java
@@ -7,8 +7,8 @@
 import java.util.Deque;
 
 /**
- * The jobs that this controller recently accepted without a leader. After a rebuild they are stored
- * again, since the replica from which the generation was written may lack them; storing a job is
+ * The jobs that this controller recently accepted without a leader. They are submitted again after
+ * a rebuild, because the replica from which the generation was written may lack them; submission is
  * idempotent.
  */
 final class LocalAcceptances {
@@ -24,18 +24,18 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Adds a job; beyond the bound the oldest is dropped. */
-  void add(Runnable storeAgain) {
-    acceptances.addLast(new Acceptance(eventLoop.now(), storeAgain));
+  /** Adds a job; drops the oldest one when the bound is exceeded. */
+  void add(Runnable resubmit) {
+    acceptances.addLast(new Acceptance(eventLoop.now(), resubmit));
     if (acceptances.size() > MAX_RETAINED) {
       acceptances.removeFirst();
     }
   }
 
-  /** Stores all jobs again that are within the retention. */
+  /** Submits all jobs again that were accepted within {@link #RETENTION}. */
   void resubmitAll() {
-    Instant from = eventLoop.now().minus(RETENTION);
-    acceptances.removeIf(each -> each.acceptedAt.isBefore(from));
+    Instant cutoff = eventLoop.now().minus(RETENTION);
+    acceptances.removeIf(each -> each.acceptedAt.isBefore(cutoff));
     acceptances.forEach(each -> each.resubmit.run());
   }
 }
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -24,42 +24,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller's part in the recovery of the records, whether it leads or not: it joins the
- * replica of the records, the snapshots, and the state machine of the generations, and tells
- * whether the records may be relied upon. Event thread only.
+ * Coordinates the recovery of the records in one controller, whether it leads or not: the replica
+ * of the records, its snapshots, and the state machine of the generations. Also tells whether
+ * records may be missing from the store. Event thread only.
  */
 public final class ReplicaManager {
   private static final Logger log = LoggerFactory.getLogger(ReplicaManager.class);
 
   /**
-   * How long after a rebuild from a replica that may lack records no job is reported as unknown.
+   * How long after an inexact rebuild, from a replica that may lack records, no job is reported as
+   * unknown.
    */
   private static final Duration INEXACT_REBUILD_UNCERTAINTY = Duration.ofMinutes(2);
 
   /**
-   * How long after an exact rebuild no job is reported as unknown; by then all controllers have
-   * stored again what they accepted right before the loss.
+   * How long after an exact rebuild no job is reported as unknown. By then all controllers have
+   * submitted the jobs again that they accepted right before the loss.
    */
   private static final Duration EXACT_REBUILD_UNCERTAINTY = Duration.ofSeconds(15);
 
-  /** By then every controller that started from a snapshot has compared it with the store. */
+  /** Time within which all controllers that restored a snapshot compare it with the store. */
   private static final Duration SNAPSHOT_VERIFICATION_PERIOD = Duration.ofSeconds(20);
 
-  /** How long a controller without a complete replica leaves the election to one that has it. */
+  /** How long a controller with an incomplete replica defers an election to one that has it. */
   private static final Duration INCOMPLETE_REPLICA_ELECTION_DELAY = Duration.ofSeconds(2);
 
-  /** The controller whose records these are. */
+  /** The controller that uses the records. */
   public interface Host {
-    /** Whether the lease of this controller's present or last term is valid by its own clock. */
+    /** Whether the lease of this controller's current or last term is valid by its own clock. */
     boolean holdsLease();
 
-    /** The store is not to be trusted: end the term and stop reading. */
+    /** The store is not trusted; the term and reads must end. */
     void onDataLoss();
 
     /**
      * Another generation is in force.
      *
-     * @param complete whether it is completely written; no controller leads before
+     * @param complete whether it is completely written; no controller leads before that
      */
     void onGenerationChange(boolean complete);
 
@@ -79,19 +80,19 @@
   private final FinalStateRestorer finalStateRestorer;
   private RecordReplica replica = new RecordReplica(0);
 
-  /** The replica that this controller fed in its latest term; null before the first. */
+  /** The replica of this controller's latest term; null before the first. */
   private RecordReplica leaderReplica;
 
   /**
-   * Whether at its latest election this controller compared the store with a complete replica of
-   * its own, or no peer had one either: then no other knows more.
+   * Whether at its latest election this controller had a complete replica to compare with the
+   * store, or no peer had one either, so that no other controller has more records.
    */
   private boolean electedWithBestReplica;
 
-  /** Since when no leader is known; null while there is one. */
+  /** Since when there has been no leader; null while there is one. */
   private Instant leaderlessSince;
 
-  /** When this process loaded its replica from a snapshot; null without one. */
+  /** When this process loaded its replica from a snapshot; null if it did not. */
   private Instant snapshotRestoredAt;
 
   private boolean stopped;
@@ -132,7 +133,7 @@
         new FinalStateRestorer(storeClient, eventLoop, () -> !stopped && generations.isTrusted());
   }
 
-  /** Loads the latest snapshot, then reads the generation in force. */
+  /** Loads the newest valid snapshot, then reads the generation in force. */
   public void start() {
     if (snapshots == null) {
       generations.start();
@@ -153,7 +154,7 @@
         });
   }
 
-  /** Ends all activity; for the end of the process. */
+  /** Ends all activity when the process ends. */
   public void stop() {
     stopped = true;
     generations.stop();
@@ -162,22 +163,20 @@
     }
   }
 
-  /** The snapshots; null when none are taken. */
+  /** The snapshot manager; null when no snapshots are taken. */
   public SnapshotManager snapshots() {
     return snapshots;
   }
 
-  /** The state machine of the generations. */
   public GenerationManager generations() {
     return generations;
   }
 
-  /** The replica from which a generation would be written. */
+  /** The replica from which a new generation is written. */
   public RecordReplica replica() {
     return replica;
   }
 
-  /** The follower that keeps the replica up to date. */
   public ReplicaFollower follower() {
     return follower;
   }
@@ -196,7 +195,7 @@
 
   // ---- leadership
 
-  /** Whether the store is trusted and no peer with a better replica should be elected first. */
+  /** Whether the store is trusted and the election is not deferred to a peer's better replica. */
   public boolean mayStandForElection() {
     return generations.syncWithPeers() && !defersElectionToPeer();
   }
@@ -209,7 +208,7 @@
   /**
    * This controller was elected.
    *
-   * @return the replica that the term is to feed
+   * @return the replica that the term updates
    */
   public RecordReplica onElected() {
     long base = storeClient.generation().base();
@@ -221,16 +220,16 @@
                     p ->
                         p.recordStatus().replicaComplete()
                             && p.recordStatus().replicaBase() == base);
-    RecordReplica fed = replica.base() == base ? replica : new RecordReplica(base);
-    follower.lead(fed);
-    return fed;
+    RecordReplica termReplica = replica.base() == base ? replica : new RecordReplica(base);
+    follower.lead(termReplica);
+    return termReplica;
   }
 
   /** The term has read all records into its replica. */
-  public void onTermStarted(RecordReplica fed) {
-    fed.markRecordsLoaded();
-    useReplica(fed);
-    leaderReplica = fed;
+  public void onTermStarted(RecordReplica termReplica) {
+    termReplica.markRecordsLoaded();
+    useReplica(termReplica);
+    leaderReplica = termReplica;
   }
 
   /** This controller's term has ended. */
@@ -241,8 +240,8 @@
   }
 
   /**
-   * This leader's key no longer exists. The store ends no lease early, so while the lease is valid
-   * the key was lost.
+   * This leader's key no longer exists. The store never expires a lease early, so the key was lost
+   * if the lease is still valid.
    */
   public void onLeaderKeyMissing() {
     if (host.holdsLease()) {
@@ -254,11 +253,11 @@
 
   /**
    * A worker has seen a fencing token above that of this leader. Either a later leader was elected,
-   * or the store has lost the key of an earlier one; which of them shows by whether this leader's
-   * key still exists.
+   * or the store has lost the key of a previous leader. It is the latter if the key of this leader
+   * still exists.
    *
    * @param isLeading whether this controller still leads in that term
-   * @param endTerm ends it
+   * @param endTerm ends the term
    */
   public void onHigherToken(long token, long term, BooleanSupplier isLeading, Runnable endTerm) {
     generations.observeToken(token);
@@ -277,15 +276,15 @@
           }
           generations.clearSuspicion();
           if (isLeading.getAsBoolean()) {
-            // Also without an answer of the store: the controller with the higher token leads.
+            // Also if the store did not answer: the controller with the higher token leads.
             endTerm.run();
           }
         });
   }
 
   /**
-   * How long the present generation, from which records may be missing, has been in force; null
-   * when none can be missing.
+   * Time since an inexact rebuild, from which records may be missing; null when the generation in
+   * force is exact.
    */
   public Duration timeSinceInexactRebuild() {
     return storeClient.generation().exact() ? null : generations.timeSinceRebuild();
@@ -293,7 +292,7 @@
 
   // ---- generations
 
-  /** Reacts to a data loss, a rebuild and its completion. */
+  /** Handles a data loss, a rebuild and its completion. */
   private final class GenerationHost implements GenerationManager.Host {
     @Override
     public RecordReplica replica() {
@@ -341,19 +340,19 @@
 
   // ---- snapshots
 
-  /** An encoded snapshot of the replica; null while it is incomplete. */
+  /** Encodes a snapshot of the replica; null while the replica is incomplete. */
   public byte[] exportSnapshot() {
-    Snapshot now = snapshot();
-    return now == null ? null : now.encode();
+    Snapshot snapshot = snapshot();
+    return snapshot == null ? null : snapshot.encode();
   }
 
   /**
-   * Merges a snapshot of records that the cluster has lost: its jobs return in a new generation,
-   * beside those accepted since. Only the leader can.
+   * Merges a snapshot with lost records into the replica and starts a rebuild, which restores its
+   * jobs in addition to those accepted since. Only the leader can import a snapshot.
    *
-   * @return the number of jobs that are restored
+   * @return the number of restored jobs
    * @throws MalformedMessageException when it is not a snapshot of this cluster, or when this
-   *     controller cannot import it now
+   *     controller does not lead with a complete replica
    */
   public int importSnapshot(byte[] bytes) throws MalformedMessageException {
     Snapshot snapshot = Snapshot.decode(bytes);
@@ -370,7 +369,7 @@
     return jobs;
   }
 
-  /** Identifies the cluster in its snapshots; stored, so the form must not change. */
+  /** The identity of the cluster in its snapshots; stored, so the format must not change. */
   private static String clusterIdentity(Settings settings) {
     List<String> members = new ArrayList<>(List.of(settings.controllerName()));
     settings.peers().forEach(peer -> members.add(peer.controllerName()));
@@ -395,8 +394,8 @@
   }
 
   /**
-   * A new leader compares the store with its replica; one without a complete replica may miss a
-   * data loss.
+   * Whether a peer with a complete replica should be elected first: a new leader compares the store
+   * with its replica, and misses a data loss if that is incomplete.
    */
   private boolean defersElectionToPeer() {
     Instant now = eventLoop.now();
@@ -413,7 +412,7 @@
 
   // ---- after a rebuild
 
-  /** Replaces the replica by a newer one unless that shows a data loss. */
+  /** Replaces the replica by a newer one unless the comparison shows a data loss. */
   private final class FollowerListener implements ReplicaFollower.Listener {
     @Override
     public void onReplicaComplete(RecordReplica complete) {
@@ -433,22 +432,23 @@
     @Override
     public void onRecordMissing(String key) {
       generations.declareLoss(
-          GenerationManager.Evidence.RECORD_MISSING, key + " is missing or older than it was seen");
+          GenerationManager.Evidence.RECORD_MISSING,
+          key + " is missing or older than in the replica");
     }
   }
 
   /**
    * This controller has accepted a job without a leader.
    *
-   * @param storeAgain submits it again; runs after a rebuild
+   * @param resubmit submits the job again; runs after a rebuild
    */
-  public void onAcceptedWithoutLeader(Runnable storeAgain) {
-    localAcceptances.add(storeAgain);
+  public void onAcceptedWithoutLeader(Runnable resubmit) {
+    localAcceptances.add(resubmit);
   }
 
   /**
-   * Whether a job that the store does not hold may have been lost, so that it must not be reported
-   * as unknown. What this controller has seen stored was not removed, or the replica would show it.
+   * Whether a job that is missing in the store may have been lost, so that it must not be reported
+   * as unknown. The replica also reflects removals, so a job that it contains was lost.
    */
   public boolean jobMayBeMissing(String job) {
     if (!generations.isTrusted() || !replica.isComplete()) {
@@ -461,9 +461,9 @@
   }
 
   /**
-   * Whether a record that is missing may still be restored: an inexact rebuild may lack it, other
-   * controllers store again what they accepted right before a rebuild, and controllers that started
-   * from snapshots have yet to compare them with the store.
+   * Whether a missing record may still be restored: an inexact rebuild may lack it, controllers
+   * submit the jobs again that they accepted right before a rebuild, and controllers that started
+   * from a snapshot may not have compared it with the store yet.
    */
   public boolean recordsMayBeIncomplete() {
     if (snapshotRestoredAt != null
--- a/src/main/java/io/pineladder/recovery/package-info.java
+++ b/src/main/java/io/pineladder/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One controller's part in the recovery of the records after a data loss: its replica, snapshots
- * and generations together. Event thread only.
+ * Recovery of the records after a data loss: coordinates the replica, snapshots and generations of
+ * one controller. Event thread only.
  */
 package io.pineladder.recovery;
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -35,7 +35,7 @@
   /** Maximum number of pages in one comparison. */
   private static final int MAX_COMPARED_PAGES = 100;
 
-  /** After a longer lag all records are read anew: the changes may take more memory. */
+  /** After a longer lag all records are listed again: the changes may take more memory. */
   private static final Duration MAX_LAG = Duration.ofSeconds(10);
 
   /** A follower's {@link #step} runs in cycles; steps without a constant read changes. */
--- a/src/test/java/io/pineladder/generation/RebuildDeferralTest.java
+++ b/src/test/java/io/pineladder/generation/RebuildDeferralTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which controller claims a generation after a data loss, by the replicas that gossip shows. */
+/** Tests which controller claims a generation after a data loss, given the gossiped replicas. */
 class RebuildDeferralTest {
   private static final long OWN_BASE = 5;
   private static final long OWN_REVISION = 100;
@@ -49,29 +49,29 @@
 
   @ParameterizedTest(name = "own complete {0}, peer {1} {2}/{3} complete {4}, {6} s after loss")
   @CsvSource({
-    // Equal replicas: nobody defers once the peers have started.
+    // Equal replicas: no controller defers once the peers have started.
     "true,  UP,   5, 100, true,  60,  4, false",
-    // A peer with a newer complete replica is waited for, up to the maximum.
+    // A controller defers to a newer complete replica, up to the maximum.
     "true,  UP,   5, 101, true,  60,  4, true",
     "true,  UP,   5, 101, true,  60, 12, true",
     "true,  UP,   5, 101, true,  60, 13, false",
     "true,  UP,   6,   1, true,  60,  4, true",
     "true,  UP,   4, 999, true,  60,  4, false",
-    // A complete replica is better than a newer incomplete one.
+    // A complete replica is preferred over a newer incomplete one.
     "true,  UP,   6, 999, false, 60,  4, false",
     "false, UP,   4,   1, true,  60, 12, true",
     "false, UP,   4,   1, true,  60, 13, false",
     // Incomplete replicas are compared too.
     "false, UP,   5, 101, false, 60,  4, true",
     "false, UP,   5, 100, false, 60,  4, false",
-    // An unreachable peer may have a complete replica, but is waited for only with a reason.
+    // A peer that is down is waited for only during startup or with an incomplete own replica.
     "true,  DOWN, 5, 101, true,  60,  4, false",
     "true,  DOWN, 5, 101, true,  19,  4, true",
     "true,  DOWN, 5, 101, true,  20,  4, false",
     "false, DOWN, 5, 100, false, 60, 11, true",
     "false, DOWN, 5, 100, false, 60, 12, false",
   })
-  void defersToBetterReplicasForABoundedTime(
+  void defersToBetterReplicaForBoundedTime(
       boolean ownComplete,
       Membership.State peerState,
       long peerBase,
--- a/src/test/java/io/pineladder/replica/RecordReplicaTest.java
+++ b/src/test/java/io/pineladder/replica/RecordReplicaTest.java
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void mergedSourcesEqualTheReferenceModel() throws Exception {
+  void mergesSourcesLikeReferenceModel() throws Exception {
     for (int round = 0; round < 300; round++) {
       RecordReplica replica = new RecordReplica(0);
       ReferenceModel model = new ReferenceModel();
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void reportsPagesThatAreMissingOrOlderThanSeen() {
+  void reportsMissingOrOutdatedPages() {
     RecordReplica replica = new RecordReplica(0);
     JsonNode page = Json.object().set("entries", Json.array());
     replica.put("placed/0", page, 7, false);
