--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -126,7 +126,7 @@
   /** When a peer was last proven to lead; null for never. */
   private Instant leaderContactAt;
 
-  private Consumer<GossipWire.RecordStatus> recordStatusListener = stored -> {};
+  private Consumer<GossipWire.RecordStatus> recordStatusListener = status -> {};
 
   /**
    * Creates the membership; {@link #start} begins to send heartbeats.
@@ -285,7 +285,7 @@
     return peer == null ? State.UNKNOWN : peer.state();
   }
 
-  /** Whether the peer has stopped answering this node; false for an unknown state. */
+  /** Whether the peer is known not to answer this node; false for an unknown state. */
   public boolean isUnreachable(String member) {
     return isUnreachable(stateOf(member));
   }
