--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -115,9 +115,7 @@
         .put("term", leader == null ? node.election().knownLeaderTerm() : leader.term())
         .put("store_healthy", node.storeClient().isHealthy())
         .put("machine_types", node.machineTypes().size())
-        .put(
-            "doubts_itself",
-            node.membership().selfAssessment() == Membership.SelfAssessment.DOUBTFUL);
+        .put("doubts_itself", node.membership().localHealth() == Membership.LocalHealth.DEGRADED);
     ArrayNode peers = out.putArray("peers");
     for (Membership.PeerStatus peer : node.membership().peerStatuses()) {
       peers
