--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -18,70 +18,70 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The election of the leader, as one controller takes part in it. A node that finds no leader takes
- * a lease in the state service and writes the leader's key under it, on condition that there is
- * none. The revision of that key is the condition of every transaction; with the base of its
- * generation added it is the number of the term and the fencing token toward workers.
+ * Leader election, as run by one controller. A node that finds no leader acquires a lease in the
+ * key-value store and creates the leader key attached to that lease, if the key does not exist. All
+ * transactions of the term are conditional on the revision of the leader key. That revision plus
+ * the base of its generation is the term number, which is also the fencing token for workers.
  *
- * <p>Used on the event loop's thread only. The lease's expiry is counted from when the request for
- * it was sent, by this node's own clock and less the drift of the clocks, so it expires here before
- * it does in the state service.
+ * <p>Not thread-safe: used on the event loop's thread only. The lease expiry is computed on the
+ * local clock from the time at which the lease request was sent, minus the maximum clock drift, so
+ * the lease expires locally before it expires in the store.
  */
 public final class Election {
   private static final Logger log = LoggerFactory.getLogger(Election.class);
 
-  /** The worst drift of two clocks against one another, with a margin for rounding. */
+  /** The maximum relative drift between two clocks, including a margin for rounding. */
   private static final double MAX_CLOCK_DRIFT_RATIO = 0.002;
 
-  /** A leader is missed most right after an outage, so the delays between reads stay short. */
+  /** Retry delays stay short, since the cluster has no leader while elections are retried. */
   private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(250);
 
   private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(400);
 
-  /** How long a node that yields the leadership is no candidate, so that others are first. */
+  /** How long a node that yields leadership does not become a candidate again. */
   private static final Duration YIELD_DURATION = Duration.ofSeconds(3);
 
   private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
-  /** Where the state service creates leases; a lease's own path has its number appended. */
+  /** The store's lease collection; the path of a lease is this path and the lease id. */
   private static final String LEASES_PATH = "/holds";
 
-  /** A node's part in the election. */
+  /** The election state of this node. */
   public enum State {
-    /** Does not lead; reads the leader's key, or watches it. */
+    /** Not the leader; reads or watches the leader key. */
     FOLLOWING,
-    /** Has asked for a lease or for the leader's key. */
+    /** Has requested a lease or the leader key. */
     CANDIDATE,
-    /** Leads, and its lease is valid by its own clock. */
+    /** Is the leader, with a lease that is valid by the local clock. */
     LEADING,
     /**
-     * Has the leader's key as far as it knows, but its lease may have expired; it decides nothing.
-     * After an outage of the state service the next renewal shows that the lease is still there,
-     * and the term goes on.
+     * Holds the leader key as far as it knows, but its lease may have expired, so it must not act.
+     * If the lease turns out to be still valid, as after an outage of the store, the term
+     * continues.
      */
     IN_DOUBT
   }
 
-  /** What follows as a node's part in the election changes. */
+  /** Receives the results of the election. */
   public interface Listener {
     /**
-     * This node was elected and leads from now on.
+     * This node was elected leader.
      *
-     * @param term the number of the term, which is the fencing token toward workers
-     * @param leaderKeyRevision the condition of the term's transactions
+     * @param term the term number, which is also the fencing token for workers
+     * @param leaderKeyRevision the revision on which all transactions of the term are conditional
      */
     void onElected(long term, long leaderKeyRevision);
 
-    /** The state service no longer knows the lease; the term is about to end. */
+    /** The store no longer has the lease; the term is about to end. */
     void onLeaseNotFound();
 
-    /** The lease was in doubt and is valid after all. */
+    /** The lease was in doubt and has been confirmed as valid. */
     void onLeaseConfirmed();
 
     /** The term has ended. */
     void onLeadershipLost(String reason);
 
-    /** The leader's key was read; null when there is none. */
+    /** The leader record was read; null if there is none. */
     void onLeaderRead(LeaderRecord leader);
   }
 
@@ -97,26 +97,26 @@
   private long leaseId;
   private long term;
 
-  /** The revision of this node's leader key, of which the term's number is made. */
+  /** The revision of the leader key written by this node. */
   private long leaderKeyRevision;
 
   private Instant leaseExpiresAt = Instant.MIN;
 
-  /** The lease was released, so another node may lead before it would have expired. */
+  /** The lease was released, so another node may be elected before its expiry time. */
   private boolean leaseReleased;
 
-  private Instant candidateFrom = Instant.MIN;
+  private Instant candidacyAllowedFrom = Instant.MIN;
   private LeaderRecord knownLeader;
   private long knownLeaderTerm;
 
-  /** Changes with every new round, so that late replies to an older one are ignored. */
+  /** Incremented for each election round; replies that belong to an older round are ignored. */
   private int round;
 
   /**
-   * A node's part in the election.
+   * Creates an election in state {@link State#FOLLOWING}; {@link #start} begins it.
    *
-   * @param nonce tells this process from the controller's earlier ones
-   * @param mayBecomeCandidate whether the store can be trusted to hold what was stored
+   * @param nonce distinguishes this process from earlier processes of the same controller
+   * @param mayBecomeCandidate whether this node may currently stand for election
    */
   public Election(
       StoreClient storeClient,
@@ -136,44 +136,47 @@
   }
 
   /**
-   * The duration of the leader's lease. A failover after a crash takes as long, and a worker must
-   * hear the new leader well before its own lease expires; too short a lease makes a busy node lose
-   * it by a pause.
+   * The duration of the leader's lease: a tenth of the workers' lease, within fixed bounds. A
+   * failover after a crash takes at least this long, and workers must receive a response from the
+   * new leader well before their own leases expire. With too short a lease, a pause of a busy
+   * leader would end its term.
    */
   static Duration leaseDurationFor(Duration workerLease) {
     Duration tenth = workerLease.dividedBy(10);
-    Duration shortest = Duration.ofMillis(2500);
-    Duration longest = Duration.ofSeconds(4);
-    return tenth.compareTo(shortest) < 0
-        ? shortest
-        : tenth.compareTo(longest) > 0 ? longest : tenth;
+    Duration min = Duration.ofMillis(2500);
+    Duration max = Duration.ofSeconds(4);
+    return tenth.compareTo(min) < 0 ? min : tenth.compareTo(max) > 0 ? max : tenth;
   }
 
-  private void moveTo(State next) {
+  private void transitionTo(State next) {
     if (state != next) {
       log.info("Election state changed: from={} to={} term={}", state, next, term);
       state = next;
     }
   }
 
-  /** This node's part in the election, as it was when it was last asked or has changed. */
+  /**
+   * The election state as of the last transition; an expired lease is only detected by {@link
+   * #isLeaseValid}.
+   */
   public State state() {
     return state;
   }
 
-  /** The number of this node's present or last term; 0 before the first. */
+  /** The number of this node's current or most recent term; 0 before the first. */
   public long term() {
     return term;
   }
 
-  /** The leader as last read, perhaps this node itself; null when none is known. */
+  /** The most recently read leader, which may be this node; null if none is known. */
   public LeaderRecord knownLeader() {
     return knownLeader;
   }
 
   /**
-   * Whether this node leads and its lease is valid by its own clock. Asked before every effect, as
-   * any pause may precede it; moves to {@link State#IN_DOUBT} when the lease has expired.
+   * Whether this node is the leader and its lease is valid by the local clock. Must be checked
+   * before every side effect, since the process may have been paused. Transitions to {@link
+   * State#IN_DOUBT} if the lease has expired.
    */
   public boolean isLeaseValid() {
     if (state != State.LEADING) {
@@ -182,45 +185,49 @@
     if (eventLoop.now().isBefore(leaseExpiresAt)) {
       return true;
     }
-    moveTo(State.IN_DOUBT);
+    transitionTo(State.IN_DOUBT);
     return false;
   }
 
   /**
-   * How long a node that cannot send commands may extend workers' leases: what a user cancels
-   * meanwhile must still end within the bound on cancellations, by the expiry of the lease.
+   * How long a controller that cannot send commands may extend workers' leases. Tasks of a job that
+   * is cancelled meanwhile end only when the worker's lease expires, which must still happen within
+   * the cancellation bound.
    */
   public static Duration maxWorkerLeaseExtension(Settings.WorkerTimes workerTimes) {
-    Duration longest =
+    Duration extension =
         workerTimes.cancellationBound().minus(workerTimes.leaseDuration()).minusSeconds(4);
-    return longest.isNegative() ? Duration.ZERO : longest;
+    return extension.isNegative() ? Duration.ZERO : extension;
   }
 
-  /** Until when this node's present or last lease is valid by its own clock. */
+  /** When this node's current or most recent lease expires by the local clock. */
   public Instant leaseExpiresAt() {
     return leaseExpiresAt;
   }
 
-  /** Whether this node leads, or has been in doubt for so short that it may answer heartbeats. */
+  /**
+   * Whether this node may extend workers' leases: its lease is valid, or in doubt for less than
+   * {@link #maxWorkerLeaseExtension}.
+   */
   public boolean mayExtendWorkerLeases() {
     return isLeaseValid()
         || (holdsTerm() && eventLoop.now().isBefore(leaseExpiresAt.plus(maxWorkerLeaseExtension)));
   }
 
   /**
-   * Whether no other node can have been elected yet, judged by this node's present or last lease:
-   * it is not expired and was not released, even if the state service no longer knows it.
+   * Whether this node's current or most recent lease rules out another leader: it has neither
+   * expired nor been released, even if the store no longer has it.
    */
   public boolean excludesOtherLeader() {
     return !leaseReleased && eventLoop.now().isBefore(leaseExpiresAt);
   }
 
-  /** Whether this node has a term, its lease valid or in doubt. */
+  /** Whether this node has a term; its lease is valid or in doubt. */
   public boolean holdsTerm() {
     return state == State.LEADING || state == State.IN_DOUBT;
   }
 
-  /** Takes part in the election from now on, in a new round. */
+  /** Starts a new election round. */
   public void start() {
     readLeader(++round);
   }
@@ -249,7 +256,8 @@
             }
             if (read.certain()) {
               setKnownLeader(null);
-              if (!mayBecomeCandidate.getAsBoolean() || eventLoop.now().isBefore(candidateFrom)) {
+              if (!mayBecomeCandidate.getAsBoolean()
+                  || eventLoop.now().isBefore(candidacyAllowedFrom)) {
                 eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
               } else {
                 acquireLease(expectedRound);
@@ -263,20 +271,21 @@
         });
   }
 
-  /** Whether the leader is an earlier process of this controller, which ended without release. */
+  /** Whether the leader is an earlier process of this controller that did not release its lease. */
   private boolean isPreviousProcess(LeaderRecord leader) {
     return leader.controllerName().equals(ownRecord.controllerName())
         && !leader.nonce().equals(ownRecord.nonce());
   }
 
   /**
-   * Releases the lease of this controller's earlier process. After an outage of the state service
-   * it has its full duration again although nobody is left to use it, and workers' leases would
-   * expire meanwhile. Two processes of one controller cannot run at once, since they have the same
-   * addresses; were it so, the older one's transactions and commands would still be refused.
+   * Releases the lease of an earlier process of this controller. Otherwise workers' leases could
+   * expire while the election waits for it: an outage of the store restores a lease to its full
+   * duration. Two processes of one controller cannot run at the same time, since they listen on the
+   * same addresses; even if they did, transactions and commands of the older process would be
+   * fenced.
    */
   private void releasePreviousLease(int expectedRound, long previousLeaseId) {
-    log.info("Lease of previous process released: leaseId={}", previousLeaseId);
+    log.info("Releasing lease of previous process: leaseId={}", previousLeaseId);
     storeClient.sendImmediately(
         storeClient.delete(leasePath(previousLeaseId)),
         reply -> {
@@ -312,7 +321,7 @@
   }
 
   private void acquireLease(int expectedRound) {
-    moveTo(State.CANDIDATE);
+    transitionTo(State.CANDIDATE);
     Instant sentAt = eventLoop.now();
     storeClient.sendImmediately(
         storeClient.post(LEASES_PATH, StoreWire.leaseRequest(leaseDuration)),
@@ -329,7 +338,7 @@
           } catch (MalformedMessageException e) {
             log.warn("Lease response malformed: error={}", e.getMessage());
           }
-          moveTo(State.FOLLOWING);
+          transitionTo(State.FOLLOWING);
           eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
         });
   }
@@ -366,10 +375,10 @@
       log.warn("Leader claim response malformed: error={}", e.getMessage());
     }
     if (reply.is(409) && repeated) {
-      // The key may have been written by the first copy of the claim, which got no reply.
+      // An earlier attempt of this claim, which got no reply, may have written the key.
       storeClient.readImmediately(
           RecordKeys.LEADER,
-          (read, same) -> onLeaderReadAfterClaim(expectedRound, leaseSentAt, read, same));
+          (read, readReply) -> onLeaderReadAfterClaim(expectedRound, leaseSentAt, read, readReply));
       return;
     }
     boolean outcomeUnknown = reply.outcome() == Outcome.UNKNOWN;
@@ -387,9 +396,9 @@
   }
 
   /**
-   * This node's record may have been written by a claim of an earlier round that was executed late.
-   * The key goes with that round's lease, and this node would take itself for the leader as long as
-   * it renews the other lease; so only a key under the present lease counts.
+   * Handles a read of the leader key after a claim that conflicted. A delayed claim of an earlier
+   * round may have written this node's record attached to that round's lease. The key would
+   * disappear when that lease expires, so only a key attached to the current lease counts.
    */
   private void onLeaderReadAfterClaim(
       int expectedRound, Instant leaseSentAt, StoreClient.Read read, Reply reply) {
@@ -416,9 +425,9 @@
   }
 
   private void abandonCandidacy(int expectedRound) {
-    // A late copy of the claim finds no lease and has no effect.
+    // A delayed claim then refers to a lease that no longer exists and has no effect.
     storeClient.sendImmediately(storeClient.delete(leasePath(leaseId)), reply -> {});
-    moveTo(State.FOLLOWING);
+    transitionTo(State.FOLLOWING);
     eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
   }
 
@@ -430,7 +439,7 @@
     leaseReleased = false;
     extendLease(leaseSentAt);
     int newRound = ++round;
-    moveTo(State.LEADING);
+    transitionTo(State.LEADING);
     listener.onLeaderRead(ownRecord);
     listener.onElected(term, leaderKeyRevision);
     eventLoop.schedule(leaseDuration.dividedBy(4), () -> renewLease(newRound));
@@ -456,7 +465,7 @@
           }
           if (reply.is(404)) {
             listener.onLeaseNotFound();
-            endTerm("the lease has ended", false);
+            endTerm("the lease expired in the store", false);
             return;
           }
           boolean renewed = reply.is(200);
@@ -475,9 +484,9 @@
   }
 
   /**
-   * The lease was renewed after it had expired here. Where the state service has lost data
-   * meanwhile, it numbers leases from the start and this may be another node's; so the leader's key
-   * decides.
+   * Verifies the leader key after a lease that had expired locally was renewed. After data loss the
+   * store assigns lease ids from the beginning again, so the renewed lease may belong to another
+   * node.
    */
   private void confirmLeaderKey(int expectedRound, Instant sentAt) {
     storeClient.readImmediately(
@@ -487,18 +496,18 @@
             return;
           }
           if (!read.found() || read.entry().revision() != leaderKeyRevision) {
-            endTerm("the leader's key is another's or gone", false);
+            endTerm("the leader key was deleted or belongs to another controller", false);
             return;
           }
           extendLease(sentAt);
-          moveTo(State.LEADING);
+          transitionTo(State.LEADING);
           if (isLeaseValid()) {
             listener.onLeaseConfirmed();
           }
         });
   }
 
-  /** Ends the term and releases the lease; no effect without a term. */
+  /** Ends the term and releases the lease; does nothing without a term. */
   public void stepDown(String reason) {
     endTerm(reason, true);
   }
@@ -506,7 +515,7 @@
   /**
    * Ends the term.
    *
-   * @param releaseLease false when the lease may be another node's by now
+   * @param releaseLease false if the lease may belong to another node by now
    */
   private void endTerm(String reason, boolean releaseLease) {
     if (!holdsTerm()) {
@@ -515,7 +524,7 @@
     log.warn("Term ended: term={} reason={}", term, reason);
     int newRound = ++round;
     knownLeader = null;
-    moveTo(State.FOLLOWING);
+    transitionTo(State.FOLLOWING);
     leaseReleased = releaseLease;
     if (releaseLease) {
       storeClient.sendImmediately(storeClient.delete(leasePath(leaseId)), reply -> {});
@@ -524,23 +533,26 @@
     eventLoop.schedule(retry.nextDelay(), () -> readLeader(newRound));
   }
 
-  /** Ends the term, and lets other nodes be candidates first for {@link #YIELD_DURATION}. */
+  /** Ends the term and does not become a candidate again for {@link #YIELD_DURATION}. */
   public void yieldLeadership(String reason) {
-    candidateFrom = eventLoop.now().plus(YIELD_DURATION);
+    candidacyAllowedFrom = eventLoop.now().plus(YIELD_DURATION);
     stepDown(reason);
   }
 
-  /** The term of the known leader, by which newer information is preferred; 0 when none is. */
+  /** The term of the known leader, used to prefer newer information; 0 if none is known. */
   public long knownLeaderTerm() {
     return knownLeaderTerm;
   }
 
-  /** Takes no part until it is started again: no node leads while the records are rebuilt. */
+  /**
+   * Ends the term and leaves the election until {@link #start} is called; there is no leader while
+   * the records are rebuilt.
+   */
   public void pause() {
-    endTerm("the records are rebuilt", false);
+    endTerm("the records are being rebuilt", false);
     round++;
     knownLeader = null;
     knownLeaderTerm = 0;
-    moveTo(State.FOLLOWING);
+    transitionTo(State.FOLLOWING);
   }
 }
--- a/src/main/java/io/pineladder/leadership/package-info.java
+++ b/src/main/java/io/pineladder/leadership/package-info.java
@@ -1,2 +1,2 @@
-/** The election of the leader, and its lease in the state service. */
+/** Leader election, based on a lease in the key-value store. */
 package io.pineladder.leadership;
