--- a/src/main/java/io/pineladder/ClusterConfiguration.java
+++ b/src/main/java/io/pineladder/ClusterConfiguration.java
@@ -17,17 +17,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The configuration that the state service holds for all controllers, as this one knows it: the
- * cluster version, the machine types, what operators have set, and the networks that notifications
- * may go to. Followed by a watch, whether this controller leads or not.
+ * This controller's copy of the configuration that all controllers share through the key-value
+ * store: the cluster version, the machine types, the operator settings, and the networks to which
+ * notifications may be delivered. Kept up to date by a watch, on the leader and on followers.
  */
 final class ClusterConfiguration {
   private static final Logger log = LoggerFactory.getLogger(ClusterConfiguration.class);
   private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
-  /** What follows when configuration was read or has changed. */
+  /** Receives configuration that was read or has changed. */
   interface Listener {
-    /** The records have a version that this software must neither read nor write. */
+    /** The cluster version in force is newer than this software supports. */
     void onUnsupportedVersion();
 
     void onMachineTypes(List<MachineType> machineTypes);
@@ -45,10 +45,10 @@
   private boolean closed;
 
   /**
-   * The configuration before anything was read.
+   * Creates an empty configuration; {@link #listAndWatch} reads it.
    *
-   * @param clusterVersion raised as the record of it is read
-   * @param delivery learns the networks it may deliver to; null where delivery is switched off
+   * @param clusterVersion raised when its record is read
+   * @param delivery receives the allowed networks; null if delivery is disabled
    */
   ClusterConfiguration(
       StoreClient storeClient,
@@ -62,12 +62,12 @@
     this.listener = listener;
   }
 
-  /** The version of records and semantics that is in force, as far as this controller knows. */
+  /** The cluster version in force, as far as this controller knows. */
   ClusterVersion clusterVersion() {
     return clusterVersion;
   }
 
-  /** The cloud's machine types; empty until they are known. */
+  /** The machine types that the cloud provider offers; empty until they are known. */
   List<MachineType> machineTypes() {
     return machineTypes;
   }
@@ -76,26 +76,26 @@
     return operatorSettings;
   }
 
-  /** Reads the configuration of the generation in force, and follows it until the next one. */
-  void follow() {
+  /** Reads the configuration of the current generation, and watches it until that changes. */
+  void listAndWatch() {
     long generation = storeClient.generation().base();
-    BooleanSupplier wanted = () -> !closed && storeClient.generation().base() == generation;
+    BooleanSupplier isCurrent = () -> !closed && storeClient.generation().base() == generation;
     storeClient.listAll(
         RecordKeys.CONFIGURATION,
-        wanted,
+        isCurrent,
         listing -> {
-          onEntries(listing.entries());
-          watch(listing.revision(), wanted);
+          applyEntries(listing.entries());
+          watch(listing.revision(), isCurrent);
         });
   }
 
-  /** Ends all following. */
+  /** Stops watching. */
   void close() {
     closed = true;
   }
 
-  private void watch(long afterRevision, BooleanSupplier wanted) {
-    if (!wanted.getAsBoolean()) {
+  private void watch(long afterRevision, BooleanSupplier isCurrent) {
+    if (!isCurrent.getAsBoolean()) {
       return;
     }
     storeClient.watch(
@@ -103,28 +103,31 @@
         afterRevision,
         WATCH_TIMEOUT,
         watched -> {
-          if (!wanted.getAsBoolean()) {
+          if (!isCurrent.getAsBoolean()) {
             return;
           }
           StoreWire.Changes changes = watched.changes();
           if (changes != null) {
             retry.reset();
-            onEntries(changes.entries());
-            watch(changes.revision(), wanted);
+            applyEntries(changes.entries());
+            watch(changes.revision(), isCurrent);
           } else {
-            // 410: the service no longer has the changes after this revision.
+            // 410: the store no longer retains the changes after this revision.
             storeClient.scheduleRetry(
-                retry, watched.reply().is(410) ? this::follow : () -> watch(afterRevision, wanted));
+                retry,
+                watched.reply().is(410)
+                    ? this::listAndWatch
+                    : () -> watch(afterRevision, isCurrent));
           }
         });
   }
 
-  /** Takes in entries that were read, by the watch or by a new term. */
-  void onEntries(List<StoreWire.Entry> entries) {
-    entries.forEach(this::onEntry);
+  /** Applies entries that were read by the watch or by a new term. */
+  void applyEntries(List<StoreWire.Entry> entries) {
+    entries.forEach(this::applyEntry);
   }
 
-  private void onEntry(StoreWire.Entry entry) {
+  private void applyEntry(StoreWire.Entry entry) {
     if (entry.key().equals(RecordKeys.DELIVERY_NETWORKS) && delivery != null) {
       delivery.learnNetworks(entry.value());
     }
@@ -158,9 +161,9 @@
     }
   }
 
-  /** The machine types were read from the store, or fetched from the cloud. */
-  void setMachineTypes(List<MachineType> known) {
-    machineTypes = List.copyOf(known);
+  /** Sets the machine types, which were read from the store or fetched from the cloud provider. */
+  void setMachineTypes(List<MachineType> types) {
+    machineTypes = List.copyOf(types);
     listener.onMachineTypes(machineTypes);
   }
 }
--- a/src/main/java/io/pineladder/ConfigurationWriter.java
+++ b/src/main/java/io/pineladder/ConfigurationWriter.java
@@ -8,12 +8,12 @@
 import io.pineladder.wire.RecordWire;
 import java.util.List;
 
-/** Stores the configuration that all controllers follow; only a leader does. */
+/** Stores the configuration that all controllers share; used by the leader only. */
 final class ConfigurationWriter {
   private final TermLifecycle lifecycle;
   private final Committer committer;
 
-  /** Machine types that came while the records were read; null without any. */
+  /** Machine types received while the term was loading; null if none. */
   private List<MachineType> pendingMachineTypes;
 
   ConfigurationWriter(TermLifecycle lifecycle, Committer committer) {
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Stores the machine types, so that an outage of the cloud does not stop submissions. Types that
-   * come while the records are read are stored afterwards: without them no other node would learn
-   * them, and none could accept a job without a leader.
+   * Stores the machine types, so that submissions are accepted during an outage of the cloud API.
+   * Types received while the term is loading are stored once it leads: other controllers need them
+   * to accept jobs while there is no leader.
    */
   void storeMachineTypes(List<MachineType> machineTypes) {
     if (!lifecycle.isLeading()) {
@@ -40,14 +40,14 @@
             () -> {}));
   }
 
-  /** The term leads from now on: stores what came while the records were read. */
+  /** Stores what was received while the term was loading. */
   void storePending() {
     if (pendingMachineTypes != null) {
       storeMachineTypes(pendingMachineTypes);
     }
   }
 
-  /** Stores what operators have set. */
+  /** Stores the operator settings; {@code onStored} is called after the commit. */
   void storeOperatorSettings(OperatorSettings settings, Runnable onStored) {
     committer.submit(
         Mutation.of(
--- a/src/main/java/io/pineladder/ControllerContext.java
+++ b/src/main/java/io/pineladder/ControllerContext.java
@@ -8,9 +8,9 @@
 import io.pineladder.store.StoreClient;
 
 /**
- * What a controller has for as long as its process lives, and each of its terms uses.
+ * The components of a controller process that all of its terms share.
  *
- * @param delivery delivers notifications of final states; null where that is switched off
+ * @param delivery delivers notifications of final states; null if delivery is disabled
  */
 record ControllerContext(
     Settings settings,
--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -28,18 +28,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller: its part in the election, its term while it leads, and what it knows whether it
- * leads or not. Everything happens on the event loop's thread.
+ * One controller: takes part in the election, holds the current term while it leads, and keeps the
+ * state that it needs as leader and follower. Runs on the event loop's thread.
  */
 public final class ControllerNode {
   private static final Logger log = LoggerFactory.getLogger(ControllerNode.class);
   private static final Duration TICK_INTERVAL = Duration.ofSeconds(2);
 
-  /** A tick that is later shows that the process was paused or is overloaded, and is logged. */
+  /** A tick that is delayed by more indicates a paused or overloaded process, and is logged. */
   private static final Duration MAX_TICK_DELAY = Duration.ofSeconds(1);
 
-  /** Where no other controller does better, the leadership must not go round. */
-  private static final Duration MIN_HAND_OVER_INTERVAL = Duration.ofSeconds(60);
+  /** Prevents leadership from being passed around when no other controller can do better. */
+  private static final Duration MIN_TRANSFER_INTERVAL = Duration.ofSeconds(60);
 
   private final Settings settings;
   private final EventLoop eventLoop;
@@ -58,23 +58,24 @@
   private final Leadership leadership = new NodeLeadership();
   private final ControllerContext context;
 
-  /** The present term of this controller; null while it does not hold one. */
+  /** The current term of this controller; null while it has none. */
   private LeaderTerm leaderTerm;
 
-  /** When this controller last gave a term up because others could do better; null if never. */
-  private Instant handedOverAt;
+  /** When this controller last transferred leadership; null if never. */
+  private Instant leadershipTransferredAt;
 
-  /** When the next tick should come; null before the first. */
+  /** When the next tick is due; null before the first. */
   private Instant tickDueAt;
 
   private boolean stopped;
 
   /**
-   * A controller of this software's version.
+   * Creates a controller that supports the cluster version of this software; {@link #start} starts
+   * it.
    *
-   * @param nonce tells this process from the controller's earlier ones
-   * @param delivery delivers notifications of final states; null where that is switched off
-   * @param snapshotStore where snapshots of the records are stored; null for nowhere
+   * @param nonce distinguishes this process from earlier processes of the same controller
+   * @param delivery delivers notifications of final states; null if delivery is disabled
+   * @param snapshotStore where snapshots of the records are stored; null if snapshots are disabled
    * @param backgroundExecutor writes the snapshots; null without a snapshot store
    */
   public ControllerNode(
@@ -97,9 +98,9 @@
   }
 
   /**
-   * A controller that may support an older cluster version than this software does.
+   * Creates a controller that may support an older cluster version than this software does.
    *
-   * @param clusterVersion the version that it supports, with the oldest one in force
+   * @param clusterVersion the version that it supports, with the oldest version in force
    */
   public ControllerNode(
       Settings settings,
@@ -127,7 +128,8 @@
             httpClient, eventLoop, settings.cloudAddress(), configuration, this::storeMachineTypes);
     this.acceptedJobs = new AcceptedJobIndex(storeClient, eventLoop);
     this.failoverTimings = new FailoverTimings(eventLoop);
-    this.membership = new Membership(settings, nonce, eventLoop, this::sendGossip, this::ownGossip);
+    this.membership =
+        new Membership(settings, nonce, eventLoop, this::sendGossip, this::localStatus);
     this.election =
         new Election(
             storeClient,
@@ -164,7 +166,7 @@
             delivery);
   }
 
-  /** Starts the controller; it takes part in elections once it trusts what the store holds. */
+  /** Starts the controller; it joins the election once it trusts the contents of the store. */
   public void start() {
     log.info(
         "Controller started: controller={} zone={}", settings.controllerName(), settings.zone());
@@ -174,14 +176,15 @@
     replicaManager.start();
   }
 
-  /** This node's replica of the records, and what it does when the state service has lost them. */
+  /** Manages this node's replica of the records, and their rebuild after data loss. */
   public ReplicaManager replicaManager() {
     return replicaManager;
   }
 
   /**
-   * Whether a missing leader may be replaced: not before the peers were asked which revisions they
-   * have seen, or a process that has just begun would lead in a store that has lost its data.
+   * Whether this node may stand for election. All peers must have been asked first for the highest
+   * revision they have seen; otherwise a newly started process could become leader on a store that
+   * has lost its data.
    */
   private boolean mayBecomeCandidate() {
     return membership.hasProbedAll()
@@ -189,12 +192,12 @@
         && !clusterVersion().isUnsupported();
   }
 
-  /** The version of the records that is in force, as far as this node knows. */
+  /** The cluster version in force, as far as this node knows. */
   public ClusterVersion clusterVersion() {
     return configuration.clusterVersion();
   }
 
-  /** What follows as records are found to be lost or were rebuilt. */
+  /** Reacts to data loss and to new generations of the records. */
   private final class ReplicaEvents implements ReplicaManager.Host {
     @Override
     public boolean holdsLease() {
@@ -209,12 +212,12 @@
     }
 
     @Override
-    public void onGenerationChange(boolean whole) {
+    public void onGenerationChange(boolean complete) {
       election.pause();
       acceptedJobs.invalidate();
-      if (whole) {
+      if (complete) {
         election.start();
-        configuration.follow();
+        configuration.listAndWatch();
       }
     }
 
@@ -224,7 +227,7 @@
     }
   }
 
-  /** The workers whose leases this node extends in place of a leader they do not reach. */
+  /** Publishes how many workers' leases this node extends for a leader that they cannot reach. */
   public LeaseKeepAliveWriter leaseKeepAlives() {
     return leaseKeepAlives;
   }
@@ -235,7 +238,7 @@
         reply -> onReply.accept(reply.is(200) ? reply.body() : null));
   }
 
-  private Membership.LocalStatus ownGossip() {
+  private Membership.LocalStatus localStatus() {
     return new Membership.LocalStatus(
         storeClient.isHealthy(),
         election.isLeaseValid() ? election.term() : 0,
@@ -243,7 +246,7 @@
         clusterVersion().supported());
   }
 
-  /** Ends all activity, as a killed process would. */
+  /** Ends all activity without releasing the leader lease, as a killed process would. */
   public void stop() {
     stopped = true;
     configuration.close();
@@ -253,7 +256,7 @@
     }
   }
 
-  /** What follows as this controller's part in the election changes. */
+  /** Starts and ends terms according to the election. */
   private final class ElectionEvents implements Election.Listener {
     @Override
     public void onElected(long term, long leaderKeyRevision) {
@@ -293,13 +296,13 @@
     }
 
     @Override
-    public void onLeaderRead(RecordWire.LeaderRecord known) {
-      replicaManager.onLeaderRead(known != null);
-      log.debug("Leader read: leader={}", known);
+    public void onLeaderRead(RecordWire.LeaderRecord leader) {
+      replicaManager.onLeaderRead(leader != null);
+      log.debug("Leader read: leader={}", leader);
     }
   }
 
-  /** This controller's leadership as its term sees it. */
+  /** The lease operations that the term uses. */
   private final class NodeLeadership implements Leadership {
     @Override
     public boolean isLeaseValid() {
@@ -313,43 +316,44 @@
 
     @Override
     public void resign(String reason) {
-      // What stops this controller may not stop the others, so they go first.
+      // The cause may not affect other controllers, so they get a chance to be elected first.
       election.yieldLeadership(reason);
     }
 
     @Override
     public void transferLeadership(String reason) {
       Instant now = eventLoop.now();
-      if (handedOverAt == null || handedOverAt.plus(MIN_HAND_OVER_INTERVAL).isBefore(now)) {
-        handedOverAt = now;
+      if (leadershipTransferredAt == null
+          || leadershipTransferredAt.plus(MIN_TRANSFER_INTERVAL).isBefore(now)) {
+        leadershipTransferredAt = now;
         election.yieldLeadership(reason);
       }
     }
 
     @Override
-    public void onNewerToken(long token) {
+    public void onNewerFencingToken(long token) {
       long term = election.term();
       replicaManager.onHigherToken(
           token,
           term,
           () -> election.holdsTerm() && election.term() == term,
-          () -> election.stepDown("a worker follows a later leader"));
+          () -> election.stepDown("a worker has seen the fencing token of a later leader"));
     }
 
     @Override
     public void onLeaderKeyLost() {
       replicaManager.onLeaderKeyMissing();
-      election.yieldLeadership("another leader holds the store");
+      election.yieldLeadership("the leader key was deleted or belongs to another controller");
     }
   }
 
-  /** What follows from the configuration that all controllers share. */
+  /** Applies configuration changes to the current term. */
   private final class ConfigurationEvents implements ClusterConfiguration.Listener {
     @Override
     public void onUnsupportedVersion() {
       if (leaderTerm != null) {
         election.yieldLeadership(
-            "the records have a version that this controller does not support");
+            "the cluster version in force is not supported by this controller");
       }
     }
 
@@ -363,7 +367,7 @@
     @Override
     public void onOperatorSettings(OperatorSettings operatorSettings) {
       if (leaderTerm != null) {
-        leaderTerm.configure(operatorSettings);
+        leaderTerm.applyOperatorSettings(operatorSettings);
       }
     }
   }
@@ -374,7 +378,7 @@
     }
   }
 
-  /** The settings that this process was started with. */
+  /** The settings with which this process was started. */
   public Settings settings() {
     return settings;
   }
@@ -384,61 +388,61 @@
     return eventLoop;
   }
 
-  /** The client for requests to peers, workers and the cloud. */
+  /** The client for requests to peers, workers and the cloud provider. */
   public AsyncHttpClient httpClient() {
     return httpClient;
   }
 
-  /** The client of the state service. */
+  /** The client of the key-value store. */
   public StoreClient storeClient() {
     return storeClient;
   }
 
-  /** How long this node's failovers took. */
+  /** The durations of this node's failovers. */
   public FailoverTimings failoverTimings() {
     return failoverTimings;
   }
 
-  /** What this node knows of its peers. */
+  /** The health and status of the peers, as seen by this node. */
   public Membership membership() {
     return membership;
   }
 
-  /** The jobs that leaders accepted, as this node can read them without one. */
+  /** The index of accepted jobs, which this node can read without a leader. */
   public AcceptedJobIndex acceptedJobs() {
     return acceptedJobs;
   }
 
-  /** This node's part in the election. */
+  /** The leader election, as run by this node. */
   public Election election() {
     return election;
   }
 
-  /** The term while this node leads with a valid lease, so that it may act now; else null. */
+  /** The current term if its records are loaded and its lease is valid; otherwise null. */
   public LeaderTerm leadingTerm() {
     boolean leading = leaderTerm != null && leaderTerm.isLeading();
     return leading && election.isLeaseValid() ? leaderTerm : null;
   }
 
   /**
-   * The term while this node may answer heartbeats, its lease valid or in doubt for a short time,
-   * whether its records are read or not; else null.
+   * The current term if it may answer heartbeats: its lease is valid, or has been in doubt for a
+   * limited time, and its records may still be loading. Otherwise null.
    */
   public LeaderTerm heldTerm() {
     return election.mayExtendWorkerLeases() ? leaderTerm : null;
   }
 
-  /** Final states that this node has seen stored, which it may answer whether it leads or not. */
+  /** The cache of stored final states, which are valid answers with or without a leader. */
   public FinalStateCache finalStates() {
     return finalStates;
   }
 
-  /** The cloud's machine types; empty until they are known. */
+  /** The machine types that the cloud provider offers; empty until they are known. */
   public List<MachineType> machineTypes() {
     return configuration.machineTypes();
   }
 
-  /** What operators have set, as this node has last read it. */
+  /** The operator settings, as last read by this node. */
   public OperatorSettings operatorSettings() {
     return configuration.operatorSettings();
   }
@@ -455,7 +459,7 @@
     if (election.holdsTerm()) {
       machineTypeFetcher.fetchIfDue();
     } else {
-      // A watch may wait for long; this read shows whether the store still answers this node.
+      // A watch may wait for a long time, so this read checks that the store is still reachable.
       storeClient.read(RecordKeys.LEADER, read -> {});
     }
     eventLoop.schedule(TICK_INTERVAL, this::tick);
--- a/src/main/java/io/pineladder/ElectedTerm.java
+++ b/src/main/java/io/pineladder/ElectedTerm.java
@@ -1,9 +1,10 @@
 package io.pineladder;
 
 /**
- * An election that this controller has won.
+ * The result of an election that this controller has won.
  *
- * @param term the number of the term, which is the fencing token toward workers
- * @param leaderKeyRevision the revision of the leader's key, the condition of every transaction
+ * @param term the term number, which is also the fencing token for workers
+ * @param leaderKeyRevision the revision of the leader key, on which all transactions of the term
+ *     are conditional
  */
 record ElectedTerm(long term, long leaderKeyRevision) {}
--- a/src/main/java/io/pineladder/HeartbeatResponder.java
+++ b/src/main/java/io/pineladder/HeartbeatResponder.java
@@ -10,9 +10,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Answers workers' heartbeats during a term, and counts them toward the failover's timings. */
+/** Answers workers' heartbeats during a term, and counts them for the failover timings. */
 final class HeartbeatResponder {
-  /** How long a leader that still reads the store extends workers' leases without orders. */
+  /** How long a leader whose term is still loading extends workers' leases without orders. */
   private static final Duration LOADING_KEEP_ALIVE_DURATION = Duration.ofSeconds(2);
 
   private final TermLifecycle lifecycle;
@@ -22,8 +22,8 @@
   private final FailoverTimings.OngoingFailover failover;
   private final EventLoop eventLoop;
 
-  /** Machines with placements recorded by earlier leaders that this term has heard. */
-  private final Set<Machine> recordedMachinesHeard = new HashSet<>();
+  /** Machines with placements stored by earlier leaders that are confirmed in this term. */
+  private final Set<Machine> reportedMachines = new HashSet<>();
 
   HeartbeatResponder(
       TermLifecycle lifecycle,
@@ -41,10 +41,11 @@
   }
 
   /**
-   * Takes a heartbeat in and gives the response's body; null when this controller must not extend
-   * the worker's lease, and the worker must go elsewhere.
+   * Handles a heartbeat.
    *
-   * @param relayed whether a peer forwarded it
+   * @param relayed whether a peer forwarded the heartbeat
+   * @return the response body; null if this controller must not extend the worker's lease, so that
+   *     the worker has to try another controller
    */
   byte[] onHeartbeat(WorkerWire.Heartbeat heartbeat, boolean relayed) {
     if (!lifecycle.isLeading()) {
@@ -53,7 +54,7 @@
           : null;
     }
     if (!leadership.isLeaseValid() && workers.holdsTasksOfEndedJobs(heartbeat.machine())) {
-      // Without orders nothing ends a cancelled job's tasks but the end of the worker's lease.
+      // No orders may be sent now, so only the expiry of the worker's lease ends these tasks.
       return null;
     }
     WorkerWire.Orders orders = workers.onHeartbeat(heartbeat, relayed);
@@ -62,22 +63,22 @@
     }
     failover.recordPhase(FailoverTimings.Phase.FIRST_REPORT);
     Machine machine = cluster.machine(heartbeat.machine());
-    if (failover.expectsMoreReports() && machine != null && machine.knownFromPlacements) {
-      countHeard(machine);
+    if (failover.expectsMoreHeartbeats() && machine != null && machine.knownFromPlacements) {
+      countReportedMachine(machine);
     }
     return WorkerWire.heartbeatResponse(lifecycle.term(), orders);
   }
 
-  /** While the store is read a lease is extended and the token shown to the worker, no more. */
+  /** While the term is loading, a response only extends the lease and carries the token. */
   private boolean mayExtendLeaseWhileLoading() {
     return lifecycle.isLoading()
         && leadership.isLeaseValid()
         && eventLoop.now().isBefore(lifecycle.startedAt().plus(LOADING_KEEP_ALIVE_DURATION));
   }
 
-  private void countHeard(Machine machine) {
-    if (machine.state() == Machine.State.CONFIRMED && recordedMachinesHeard.add(machine)) {
-      failover.onMachineReported();
+  private void countReportedMachine(Machine machine) {
+    if (machine.state() == Machine.State.CONFIRMED && reportedMachines.add(machine)) {
+      failover.onMachineHeartbeat();
     }
   }
 }
--- a/src/main/java/io/pineladder/JobCanceller.java
+++ b/src/main/java/io/pineladder/JobCanceller.java
@@ -5,7 +5,7 @@
 import io.pineladder.scheduling.Scheduler;
 import java.util.function.Consumer;
 
-/** Cancels jobs for users; the answer follows the commit. */
+/** Cancels jobs on behalf of users, and responds after the commit. */
 final class JobCanceller {
   private final ClusterState cluster;
   private final Scheduler scheduler;
@@ -24,8 +24,9 @@
   }
 
   /**
-   * Cancels a job, in memory or as a fresh read finds it. A job that has ended stays as it is and
-   * is answered with its final state; one whose submission is still pending is uncertain.
+   * Cancels a job that is in memory or found by a read of the store. A job that has ended is not
+   * changed, and the response has its final state. The status of a job whose submission is pending
+   * is uncertain.
    */
   void cancel(String id, Consumer<JobView> onDone) {
     Job job = cluster.jobs.get(id);
--- a/src/main/java/io/pineladder/JobStatusReader.java
+++ b/src/main/java/io/pineladder/JobStatusReader.java
@@ -8,7 +8,7 @@
 import io.pineladder.wire.JobWire;
 import java.util.function.Consumer;
 
-/** Answers the status of jobs to users, from the leader's memory or by a fresh read. */
+/** Reads the status of jobs for users, from the leader's memory or from the store. */
 final class JobStatusReader {
   private final ClusterState cluster;
   private final Scheduler scheduler;
@@ -26,25 +26,25 @@
     this.pendingSubmissions = pendingSubmissions;
   }
 
-  /** Answers a job's status, from memory or by a fresh read. */
+  /** Reads a job's status from memory, or from the store if the job is not in memory. */
   void read(String id, Consumer<JobView> onDone) {
     Job job = cluster.jobs.get(id);
     if (job != null) {
-      answerWhenCertain(job, onDone);
+      answerAfterPendingCommit(job, onDone);
       return;
     }
-    // Its record may be there already: another node may have read it, and told its user so.
+    // The job may be stored already, and another node may have reported it to a user.
     if (pendingSubmissions.await(id, onDone)) {
       return;
     }
-    lookUp(id, found -> answerWhenCertain(found, onDone), onDone);
+    lookUp(id, found -> answerAfterPendingCommit(found, onDone), onDone);
   }
 
   /**
-   * Looks up a job that is not in memory by a fresh read.
+   * Looks up a job that is not in memory in the store.
    *
-   * @param onFound gets a job that has not ended; it is in memory from then on
-   * @param onOther gets the answer for any other outcome
+   * @param onFound receives a job that has not ended; it is in memory from then on
+   * @param onOther receives the view for any other outcome
    */
   void lookUp(String id, Consumer<Job> onFound, Consumer<JobView> onOther) {
     reconciler.lookUp(
@@ -63,12 +63,12 @@
   }
 
   /**
-   * Answers the status of a job in memory. While its final state is on its way to the store,
-   * another node may read it there before this one hears of the commit; an answer that is not final
-   * would then be older than what a user has been told already. So the answer waits for the commit,
-   * also where the final state would follow from that of a prerequisite.
+   * Reads the status of a job in memory. While its final state is being stored, another node may
+   * already read that state from the store and return it to a user, so a non-final status from here
+   * could be stale. The response therefore waits for the commit, also if the job's final state
+   * would follow from that of a prerequisite.
    */
-  void answerWhenCertain(Job job, Consumer<JobView> onDone) {
+  void answerAfterPendingCommit(Job job, Consumer<JobView> onDone) {
     Job prerequisite = job.cancellingPrerequisite;
     if (job.cancelledByDependency) {
       onDone.accept(viewOf(job));
@@ -83,9 +83,7 @@
     }
   }
 
-  /**
-   * The status of a job in memory as it is now, whether a commit may be about to change it or not.
-   */
+  /** The current status of a job in memory, ignoring commits in flight that may change it. */
   static JobView viewOf(Job job) {
     if (job.cancelledByDependency || (!job.isActive() && job.finalStateStored)) {
       return new JobView(JobView.toStatus(job.state()), job.done.cardinality(), 0, true);
--- a/src/main/java/io/pineladder/JobView.java
+++ b/src/main/java/io/pineladder/JobView.java
@@ -4,21 +4,21 @@
 import io.pineladder.wire.JobWire;
 
 /**
- * What a user is answered about a job.
+ * The status of a job as shown to users.
  *
- * @param status the job's status; null when it is not known whether or how the job exists
- * @param completedTasks how many of its tasks are complete
- * @param runningTasks how many of its tasks run
- * @param exists false when it is certain that no such job was accepted
+ * @param status the job's status; null if it is not known whether the job exists or in which state
+ * @param completedTasks the number of complete tasks
+ * @param runningTasks the number of running tasks
+ * @param exists false if it is certain that no such job was accepted
  */
 public record JobView(JobWire.Status status, int completedTasks, int runningTasks, boolean exists) {
-  /** Nothing certain can be said now; a later request may learn more. */
+  /** The status cannot be determined now; a later request may succeed. */
   public static final JobView UNCERTAIN = new JobView(null, 0, 0, true);
 
   /** No such job was accepted. */
   public static final JobView NOT_FOUND = new JobView(null, 0, 0, false);
 
-  /** A job with a status and no count of tasks. */
+  /** A job with a status and without task counts. */
   static JobView of(JobWire.Status status) {
     return new JobView(status, 0, 0, true);
   }
@@ -28,12 +28,12 @@
     return of(toStatus(finalState));
   }
 
-  /** Whether nothing certain can be said now. */
+  /** Whether the status cannot be determined now. */
   public boolean isUncertain() {
     return exists && status == null;
   }
 
-  /** The status that users are told for a state that is stored. */
+  /** The status shown to users for a stored state. */
   public static JobWire.Status toStatus(Job.State state) {
     return switch (state) {
       case DONE -> JobWire.Status.DONE;
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -39,11 +39,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of leadership, from reading the store to its end: creates the parts that schedule, store
- * and scale, and connects them. Everything happens on the event loop's thread.
+ * One leadership term, from loading the records to its end. Creates and connects the components
+ * that schedule jobs, store records and scale the cluster. Runs on the event loop's thread.
  *
- * <p>What a term decides has no effect after its end: every transaction requires the leader's key
- * of this term, and workers refuse a fencing token that is older than one they have seen.
+ * <p>A term cannot have effects after its end: every transaction is conditional on the leader key
+ * of this term, and workers reject a fencing token that is lower than the highest they have seen.
  */
 public final class LeaderTerm {
   private static final Logger log = LoggerFactory.getLogger(LeaderTerm.class);
@@ -81,10 +81,10 @@
   private final JobCanceller canceller;
 
   /**
-   * A term that was won and has read nothing yet.
+   * Creates the term of a won election; {@link #load} starts it.
    *
-   * @param replica this controller's copy of the records, which the term goes on to update
-   * @param failover the timings of the failover that this term begins with
+   * @param replica this controller's replica of the records, which the term keeps up to date
+   * @param failover the timings of the failover with which this term begins
    */
   LeaderTerm(
       ControllerContext context,
@@ -135,7 +135,7 @@
     this.canceller = new JobCanceller(cluster, scheduler, statuses, pendingSubmissions);
   }
 
-  // ---- the parts; each is created after those that it is given
+  // ---- components; each is created after those on which it depends
 
   private NotificationOutbox newOutbox() {
     return new NotificationOutbox(
@@ -236,22 +236,22 @@
     return context.settings().storeLimits().valueBytes();
   }
 
-  // ---- the term's course
+  // ---- lifecycle
 
-  /** Reads everything that earlier leaders stored; their late transactions can no longer apply. */
+  /** Loads the records of earlier leaders, whose transactions can no longer commit. */
   void load() {
     loader.load();
   }
 
-  /** All records are read: the term decides from now on. */
-  private void begin(List<Job> jobs, StoreClient.Listing inbox) {
+  /** Starts to schedule, after all records were loaded. */
+  private void startLeading(List<Job> jobs, StoreClient.Listing inbox) {
     lifecycle.startLeading();
     recordLossDetector.onRecordsRead(
         jobs.isEmpty() && cluster.machines().isEmpty() && replica.finalStateCount() == 0);
     recordLoss.onRecordsRead(replica);
     failover.recordPhase(FailoverTimings.Phase.STORE_READ);
     recordLossDetector.startAudit();
-    failover.expectReports(cluster.machines().size());
+    failover.expectHeartbeats(cluster.machines().size());
     for (Job job : jobs) {
       scheduler.add(job);
       if (job.isActive() && job.done.cardinality() == job.spec.tasks()) {
@@ -274,9 +274,9 @@
             eventLoop,
             committer::submit,
             lifecycle::isLeading,
-            this::onClusterVersion)
-        .review();
-    onClusterVersion();
+            this::applyClusterVersion)
+        .raiseWhenSupported();
+    applyClusterVersion();
     autoscaler.start();
     keepAliveReader.start(lifecycle::hasEnded);
     new GenerationGarbageCollector(
@@ -288,7 +288,7 @@
     scheduler.requestRun();
   }
 
-  /** Ends the term: the leadership is lost or given up, or the process stops. */
+  /** Ends the term because leadership was lost or given up, or the process stops. */
   void close() {
     lifecycle.end();
     failover.close();
@@ -296,7 +296,7 @@
     autoscaler.close();
   }
 
-  /** The lease was in doubt and is valid after all. */
+  /** The lease was in doubt and has been confirmed as valid. */
   void onLeaseConfirmed() {
     scheduler.requestRun();
     subscriptions.kick();
@@ -304,8 +304,8 @@
 
   // ---- configuration
 
-  /** Applies what operators have set. */
-  void configure(OperatorSettings operatorSettings) {
+  /** Applies new operator settings. */
+  void applyOperatorSettings(OperatorSettings operatorSettings) {
     scheduler.queue().updateSettings(operatorSettings);
     autoscaler.configure(operatorSettings);
   }
@@ -316,13 +316,13 @@
     scheduler.requestRun();
   }
 
-  /** Stores machine types that the cloud has told, for all controllers. */
+  /** Stores machine types that were fetched from the cloud API, for all controllers. */
   void storeMachineTypes(List<MachineType> machineTypes) {
     configurationWriter.storeMachineTypes(machineTypes);
   }
 
   /**
-   * Stores what operators have set, for all controllers.
+   * Stores operator settings, for all controllers.
    *
    * @param onStored called after the commit
    */
@@ -330,26 +330,26 @@
     configurationWriter.storeOperatorSettings(operatorSettings, onStored);
   }
 
-  /** The cluster version in force may let pages be divided that earlier versions could not read. */
-  private void onClusterVersion() {
+  /** Divides oversized pages if all controllers can read divided pages by now. */
+  private void applyClusterVersion() {
     if (context.configuration().clusterVersion().inForce() >= ClusterVersion.CHAINED_JOBS) {
-      shrinkPages();
+      divideOversizedPages();
     }
   }
 
-  /** Has what earlier leaders stored in values that are too large stored in smaller ones. */
-  private void shrinkPages() {
+  /** Divides pages of earlier leaders that exceed the size limit of the store's values. */
+  private void divideOversizedPages() {
     records.divideOversizedPages(lifecycle::isLeading, committer::requeueDeferred);
   }
 
   // ---- users and workers
 
-  /** Whether the job is known here, so that a submission of it is a repeated one. */
+  /** Whether the job is in memory or being stored, so that a submission of it is a repeated one. */
   public boolean knowsJob(String id) {
     return submissions.isKnown(id);
   }
 
-  /** Verifies that the jobs which a submission names as prerequisites were accepted. */
+  /** Verifies that the prerequisites of a submitted job were accepted. */
   public void verifyPrerequisites(JobSpec spec, Consumer<PrerequisiteReader.Verification> onDone) {
     prerequisites.verify(spec.prerequisites(), onDone);
   }
@@ -357,96 +357,100 @@
   /**
    * Stores a new job.
    *
-   * @param onStored gets the status after the commit; uncertain when the outcome is not known
-   * @param onKnown gets the status of a job that was accepted before
+   * @param onStored receives the status after the commit; uncertain if the outcome is not known
+   * @param onAlreadyAccepted receives the status of a job that was accepted earlier
    */
-  public void submit(JobSpec spec, Consumer<JobView> onStored, Consumer<JobView> onKnown) {
-    submissions.submit(spec, onStored, onKnown);
+  public void submit(
+      JobSpec spec, Consumer<JobView> onStored, Consumer<JobView> onAlreadyAccepted) {
+    submissions.submit(spec, onStored, onAlreadyAccepted);
   }
 
-  /** Answers a job's status, from memory or by a fresh read. */
+  /** Reads a job's status from memory, or from the store if the job is not in memory. */
   public void readStatus(String id, Consumer<JobView> onDone) {
     statuses.read(id, onDone);
   }
 
-  /** Cancels a job; the answer follows the commit. */
+  /** Cancels a job; {@code onDone} is called after the commit. */
   public void cancel(String id, Consumer<JobView> onDone) {
     canceller.cancel(id, onDone);
   }
 
-  /** A request of a user was answered here. */
+  /** A user request was answered by this leader. */
   public void onRequestAnswered() {
     failover.recordPhase(FailoverTimings.Phase.FIRST_ANSWER);
   }
 
   /**
-   * Takes a heartbeat in and gives the response's body; null when this controller must not extend
-   * the worker's lease, and the worker must go elsewhere.
+   * Handles a heartbeat.
    *
-   * @param relayed whether a peer forwarded it
+   * @param relayed whether a peer forwarded the heartbeat
+   * @return the response body; null if this controller must not extend the worker's lease, so that
+   *     the worker has to try another controller
    */
   public byte[] onHeartbeat(WorkerWire.Heartbeat heartbeat, boolean relayed) {
     return heartbeats.onHeartbeat(heartbeat, relayed);
   }
 
-  // ---- what the administration API shows
+  // ---- state exposed to the administration API
 
   /** Whether all records are read and the term has not ended. */
   boolean isLeading() {
     return lifecycle.isLeading();
   }
 
-  /** The term's number, which is the fencing token toward workers. */
+  /** The term number, which is also the fencing token for workers. */
   public long term() {
     return elected.term();
   }
 
-  /** Jobs and machines in memory. */
+  /** The jobs and machines in memory. */
   public ClusterState cluster() {
     return cluster;
   }
 
-  /** What places the jobs of this term. */
+  /** The scheduler of this term. */
   public Scheduler scheduler() {
     return scheduler;
   }
 
-  /** The machines, and the zones that they are in. */
+  /** The autoscaler of this term, which also monitors machines and zones. */
   public Autoscaler autoscaler() {
     return autoscaler;
   }
 
-  /** Who is notified of final states. */
+  /** The webhook subscriptions to final states. */
   public SubscriptionManager subscriptions() {
     return subscriptions;
   }
 
-  /** How many changes of records are not committed yet. */
+  /** The number of record mutations that are not committed yet. */
   public int pendingWrites() {
     return committer.pendingMutations();
   }
 
   /**
-   * The least time in seconds until a job of a chain should start for the jobs that depend on it,
-   * negative when that is past; empty when nothing is expected of any chain.
+   * The minimum slack in seconds over all active jobs with chain deadlines: the time until the job
+   * has to start for its dependents to meet their deadlines, negative if that time has passed.
+   * Empty if no active job has chain deadlines.
    */
   public OptionalDouble minChainSlackSeconds() {
     Instant now = eventLoop.wallClock();
     boolean found = false;
-    double least = Double.POSITIVE_INFINITY;
+    double minSlackSeconds = Double.POSITIVE_INFINITY;
     for (Job job : cluster.jobs.values()) {
       if (job.isActive() && job.chainDeadlines != null) {
         Instant start = job.chainDeadlines.target().minus(job.spec.estimatedRunTime());
-        least = Math.min(least, Duration.between(now, start).toMillis() / 1000.0);
+        minSlackSeconds =
+            Math.min(minSlackSeconds, Duration.between(now, start).toMillis() / 1000.0);
         found = true;
       }
     }
-    return found ? OptionalDouble.of(least) : OptionalDouble.empty();
+    return found ? OptionalDouble.of(minSlackSeconds) : OptionalDouble.empty();
   }
 
-  // ---- what the parts cause in one another
+  // ---- callbacks between components
 
-  /** A final state that is known without a read; null when none is. */
+  /** The final state of a job as known without reading the store; null if unknown. */
   private Job.State finalState(String id) {
     Job.State finalState = replica.finalState(id);
     return finalState != null ? finalState : context.finalStates().stateOf(id);
@@ -456,7 +460,7 @@
     subscriptions.kick();
   }
 
-  /** A job with prerequisites counts as an arrival once it may start, which the scheduler tells. */
+  /** Adds a job; one with prerequisites counts as an arrival only once it is ready to start. */
   private void addJob(Job job) {
     scheduler.add(job);
     if (job.spec.prerequisites().isEmpty()) {
@@ -464,7 +468,7 @@
     }
   }
 
-  /** What follows from commits. */
+  /** Handles the outcomes of commits. */
   private final class CommitEvents implements Committer.Listener {
     @Override
     public void onFenced(String reason) {
@@ -483,8 +487,8 @@
 
     @Override
     public void onLimitsLowered() {
-      // Operators lower them only after all controllers are upgraded (docs/upgrades.md).
-      shrinkPages();
+      // Safe, since operators lower limits only after all upgrades (docs/upgrades.md).
+      divideOversizedPages();
     }
 
     @Override
@@ -493,7 +497,7 @@
     }
   }
 
-  /** What the scheduler causes. */
+  /** Carries out the scheduler's decisions. */
   private final class SchedulerEffects implements Scheduler.Callbacks {
     @Override
     public boolean mayStartTasks() {
@@ -531,7 +535,7 @@
     }
   }
 
-  /** What follows when records are stored. */
+  /** Updates the components when records are stored. */
   private final class RecordEvents implements Records.Listener {
     @Override
     public void onPlacementStored(Attempt attempt) {
@@ -556,12 +560,12 @@
     }
 
     @Override
-    public void onUnpagedRecordFound(Job job, Runnable again) {
-      reconciler.findDuplicateRecord(job, again);
+    public void onUnpagedRecordFound(Job job, Runnable retry) {
+      reconciler.findDuplicateRecord(job, retry);
     }
   }
 
-  /** What follows as the stored records are read. */
+  /** Handles the records that are read while the term is loading. */
   private final class LoadEvents implements TermLoader.Listener {
     @Override
     public boolean isLoading() {
@@ -570,7 +574,7 @@
 
     @Override
     public void onConfiguration(List<StoreWire.Entry> entries) {
-      context.configuration().onEntries(entries);
+      context.configuration().applyEntries(entries);
     }
 
     @Override
@@ -595,11 +599,11 @@
 
     @Override
     public void onLoaded(List<Job> jobs, StoreClient.Listing inbox) {
-      begin(jobs, inbox);
+      startLeading(jobs, inbox);
     }
   }
 
-  /** What follows as jobs that other controllers stored are taken up. */
+  /** Handles jobs that other controllers stored and the reconciler found. */
   private final class ReconciliationEvents implements JobReconciler.Listener {
     @Override
     public boolean isLeading() {
@@ -617,8 +621,8 @@
     }
 
     @Override
-    public void onFinalState(String id, Job.State ended) {
-      context.finalStates().put(id, JobView.toStatus(ended));
+    public void onFinalState(String id, Job.State finalState) {
+      context.finalStates().put(id, JobView.toStatus(finalState));
     }
 
     @Override
@@ -637,7 +641,7 @@
     }
   }
 
-  /** What follows from workers' heartbeats. */
+  /** Handles findings from workers' heartbeats. */
   private final class WorkerEvents implements WorkerManager.Listener {
     @Override
     public void onNewerFencingToken(long token) {
@@ -645,7 +649,7 @@
           "Heartbeat with newer fencing token: observedToken={} ownToken={}",
           token,
           elected.term());
-      leadership.onNewerToken(token);
+      leadership.onNewerFencingToken(token);
     }
 
     @Override
@@ -679,7 +683,7 @@
     }
   }
 
-  /** What the autoscaler asks and causes. */
+  /** Gives the autoscaler access to leadership and workers. */
   private final class AutoscalerEffects implements Autoscaler.Effects {
     @Override
     public boolean mayAct() {
@@ -712,7 +716,7 @@
     }
   }
 
-  /** What follows from submissions. */
+  /** Handles the results of submissions. */
   private final class SubmissionEvents implements SubmissionHandler.Listener {
     @Override
     public void onAccepted(Job job) {
--- a/src/main/java/io/pineladder/Leadership.java
+++ b/src/main/java/io/pineladder/Leadership.java
@@ -1,28 +1,28 @@
 package io.pineladder;
 
-/** The leadership of this controller as its term sees it: its lease, and the ways to give it up. */
+/** The operations of a term on this controller's leadership: lease checks and resignation. */
 interface Leadership {
-  /** Whether no other controller can lead now, by this controller's clock. */
+  /** Whether the lease is valid by the local clock, so that no other controller can be leader. */
   boolean isLeaseValid();
 
   /**
-   * Whether heartbeats are taken in: the lease is valid, or in doubt for less than workers' leases
-   * may be extended without a leader.
+   * Whether heartbeats may be answered: the lease is valid, or has been in doubt for no longer than
+   * workers' leases may be extended without a leader.
    */
   boolean acceptsHeartbeats();
 
-  /** Ends the term in favour of any other controller, because this one cannot go on. */
+  /** Ends the term because this controller cannot continue it; any other one may be elected. */
   void resign(String reason);
 
   /**
-   * Ends the term because other controllers can do what this one cannot. Does nothing shortly after
-   * the last time, so that the leadership does not go round.
+   * Ends the term because another controller may work where this one cannot. Does nothing within a
+   * minimum interval after the last transfer, so that leadership is not passed around.
    */
   void transferLeadership(String reason);
 
-  /** A worker has seen a fencing token above that of this term. */
-  void onNewerToken(long token);
+  /** A worker has seen a higher fencing token than that of this term. */
+  void onNewerFencingToken(long token);
 
-  /** This leader's key is gone from the store, or is another controller's. */
+  /** The leader key was deleted or belongs to another controller. */
   void onLeaderKeyLost();
 }
--- a/src/main/java/io/pineladder/LoadedRecordVerifier.java
+++ b/src/main/java/io/pineladder/LoadedRecordVerifier.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Compares the records that a new term reads with this controller's replica: reports what is
- * missing, and replaces what cannot be read by the replica's copy.
+ * Compares the records that a new term reads with this controller's replica: reports missing
+ * records as data loss, and replaces unreadable ones with the replica's copies.
  */
 final class LoadedRecordVerifier {
   private static final Logger log = LoggerFactory.getLogger(LoadedRecordVerifier.class);
@@ -22,7 +22,7 @@
   private final RecordReplica replica;
   private final RecordLossReporter recordLoss;
 
-  /** Unreadable entries whose records the replica has. */
+  /** Unreadable entries that were replaced with the replica's copies. */
   private final List<StoreWire.Entry> repairedEntries = new ArrayList<>();
 
   LoadedRecordVerifier(RecordReplica replica, RecordLossReporter recordLoss) {
@@ -31,19 +31,19 @@
   }
 
   /**
-   * Verifies all records with a prefix.
+   * Verifies all records with a key prefix.
    *
-   * @return the listing to go on with; null when records are lost, which is reported, and the term
-   *     cannot go on
+   * @return the listing with unreadable records replaced; null if records were lost, which is
+   *     reported and means that the term must end
    */
   StoreClient.Listing verify(String prefix, StoreClient.Listing listing) {
     String missing = replica.firstMissingKey(prefix, listing.entries());
     if (missing != null) {
-      recordLoss.onRecordMissing(missing + " is missing or older than it was seen");
+      recordLoss.onRecordMissing(missing + " is missing or older than in the replica");
       return null;
     }
-    RecordReplica.ListingResult reading = replica.applyListing(prefix, listing.entries());
-    for (RecordReplica.DamagedRecord damaged : reading.damaged()) {
+    RecordReplica.ListingResult result = replica.applyListing(prefix, listing.entries());
+    for (RecordReplica.DamagedRecord damaged : result.damaged()) {
       if (!damaged.repaired()) {
         recordLoss.onUnreadable(damaged.entry().key());
         return null;
@@ -51,10 +51,10 @@
       log.warn("Unreadable record repaired from replica: key={}", damaged.entry().key());
       repairedEntries.add(damaged.entry());
     }
-    return new StoreClient.Listing(reading.entries(), listing.revision());
+    return new StoreClient.Listing(result.entries(), listing.revision());
   }
 
-  /** Stores repaired records again, and their unreadable values under another key for analysis. */
+  /** Rewrites repaired records, and keeps their unreadable values under other keys for analysis. */
   void rewriteRepaired(Committer committer, Records records) {
     for (StoreWire.Entry entry : repairedEntries) {
       committer.submit(
--- a/src/main/java/io/pineladder/MachineTypeFetcher.java
+++ b/src/main/java/io/pineladder/MachineTypeFetcher.java
@@ -13,12 +13,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Fetches the cloud's machine types for the configuration while this controller leads. */
+/** Fetches the machine types from the cloud API while this controller is the leader. */
 final class MachineTypeFetcher {
   private static final Logger log = LoggerFactory.getLogger(MachineTypeFetcher.class);
   private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(60);
 
-  /** Between two requests while no machine type is known, which stops all submissions. */
+  /** Used while no machine type is known, since no job can be accepted until then. */
   private static final Duration INITIAL_INTERVAL = Duration.ofSeconds(2);
 
   private static final Duration CLOUD_TIMEOUT = Duration.ofSeconds(3);
@@ -28,7 +28,7 @@
   private final String cloudAddress;
   private final ClusterConfiguration configuration;
 
-  /** Gets machine types that are not as they were known, to be stored. */
+  /** Receives the machine types when they have changed, in order to store them. */
   private final Consumer<List<MachineType>> onChanged;
 
   private Instant requestedAt;
@@ -46,7 +46,7 @@
     this.onChanged = onChanged;
   }
 
-  /** Fetches the types if the last request is an interval ago. */
+  /** Fetches the machine types if the interval since the last request has elapsed. */
   void fetchIfDue() {
     Duration interval =
         configuration.machineTypes().isEmpty() ? INITIAL_INTERVAL : REFRESH_INTERVAL;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Fetches the types now; a request that fails is repeated when the next one is due. */
+  /** Fetches the machine types now; a failed request is retried when the next one is due. */
   void fetch() {
     requestedAt = eventLoop.now();
     httpClient.call(
--- a/src/main/java/io/pineladder/PendingSubmissions.java
+++ b/src/main/java/io/pineladder/PendingSubmissions.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * Submissions that are on their way to the store, with those who wait for the outcome: the user who
- * submitted, those who repeated the request, and those who asked for the job's status meanwhile.
+ * Submissions that are being stored, with the callbacks that wait for their outcome: those of the
+ * original request, of repeated requests, and of status requests received meanwhile.
  */
 final class PendingSubmissions {
   private final Map<String, List<Consumer<JobView>>> waitersByJob = new HashMap<>();
@@ -18,7 +18,7 @@
     return waitersByJob.containsKey(job);
   }
 
-  /** Begins a submission, whose outcome {@code waiter} gets first. */
+  /** Begins a submission; {@code waiter} is the first to receive its outcome. */
   void begin(String job, Consumer<JobView> waiter) {
     List<Consumer<JobView>> waiters = new ArrayList<>();
     waiters.add(waiter);
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Has {@code waiter} called with the outcome of a submission.
+   * Registers {@code waiter} for the outcome of a submission.
    *
-   * @return false when no submission of this job is pending
+   * @return false if no submission of this job is pending
    */
   boolean await(String job, Consumer<JobView> waiter) {
     List<Consumer<JobView>> waiters = waitersByJob.get(job);
@@ -39,7 +39,7 @@
     return true;
   }
 
-  /** Ends a submission and gives those who wait for it, to be called in this order. */
+  /** Ends a submission and returns its waiters in the order in which they must be called. */
   List<Consumer<JobView>> complete(String job) {
     return waitersByJob.remove(job);
   }
--- a/src/main/java/io/pineladder/RecordLossDetector.java
+++ b/src/main/java/io/pineladder/RecordLossDetector.java
@@ -7,11 +7,11 @@
 import java.time.Duration;
 
 /**
- * Detects during a term that the state service has lost records: by an audit of what this leader
- * has stored, and by jobs that workers run and nothing in the store tells of.
+ * Detects during a term that the key-value store has lost records: by auditing the records that
+ * this leader has stored, and by checking jobs that workers run but that are not in memory.
  */
 final class RecordLossDetector {
-  /** Between two steps of the audit, and between two checks of unknown jobs. */
+  /** The interval between audit steps, and between checks of unknown jobs. */
   private static final Duration AUDIT_INTERVAL = Duration.ofSeconds(1);
 
   private final TermLifecycle lifecycle;
@@ -21,14 +21,14 @@
   private final RecordLossReporter recordLoss;
   private final EventLoop eventLoop;
 
-  /** By then every worker has sent a heartbeat, also one whose first was lost. */
-  private final Duration heartbeatBound;
+  /** Within this time every worker has sent a heartbeat, with a margin for one that is lost. */
+  private final Duration maxHeartbeatDelay;
 
-  /** No record of a job or machine was in the store when this term began. */
-  private boolean startedEmpty;
+  /** The store had no records of jobs or machines when this term began. */
+  private boolean storeEmptyAtStart;
 
-  /** An unknown job was checked less than an interval ago. */
-  private boolean unknownJobChecked;
+  /** An unknown job was checked within the last {@link #AUDIT_INTERVAL}. */
+  private boolean unknownJobCheckThrottled;
 
   RecordLossDetector(
       TermLifecycle lifecycle,
@@ -44,20 +44,20 @@
     this.replica = replica;
     this.recordLoss = recordLoss;
     this.eventLoop = eventLoop;
-    this.heartbeatBound = heartbeatInterval.plus(heartbeatInterval.dividedBy(4)).plusSeconds(2);
+    this.maxHeartbeatDelay = heartbeatInterval.plus(heartbeatInterval.dividedBy(4)).plusSeconds(2);
   }
 
-  /** The records are read; tells whether there were any of jobs or machines. */
+  /** The records were read; {@code empty} if there were none of jobs or machines. */
   void onRecordsRead(boolean empty) {
-    startedEmpty = empty;
+    storeEmptyAtStart = empty;
   }
 
-  /** Begins the audit, which goes on as long as the term leads. */
+  /** Starts the audit, which continues until the term ends. */
   void startAudit() {
     eventLoop.schedule(AUDIT_INTERVAL, () -> audit(null));
   }
 
-  /** Has some records after this key compared with what was stored. */
+  /** Compares a batch of records after this key with what this leader has stored. */
   private void audit(String afterKey) {
     if (lifecycle.isLeading()) {
       committer.audit(
@@ -66,29 +66,31 @@
   }
 
   /**
-   * A worker runs a task of a job that is not in memory: checks whether the store has a record of
-   * it. One job an interval is enough to prove a loss.
+   * Checks whether the store has a record of a job that a worker runs but that is not in memory.
+   * Checks at most one job per interval, since a single unknown job proves a data loss.
    */
   void checkUnknownJob(String job) {
-    if (unknownJobChecked || recordLoss.isRebuildIncomplete() || recordLoss.mayRecordsBeMissing()) {
+    if (unknownJobCheckThrottled
+        || recordLoss.isRebuildIncomplete()
+        || recordLoss.mayRecordsBeMissing()) {
       return;
     }
-    unknownJobChecked = true;
-    eventLoop.schedule(AUDIT_INTERVAL, () -> unknownJobChecked = false);
+    unknownJobCheckThrottled = true;
+    eventLoop.schedule(AUDIT_INTERVAL, () -> unknownJobCheckThrottled = false);
     reconciler.ifUnknown(job, () -> recordLoss.onUnknownJob(job));
   }
 
-  /** Whether a job that the store has no record of may have been lost. */
+  /** Whether the record of a job that is not in the store may have been lost. */
   boolean mayJobBeLost() {
     return recordLoss.mayRecordsBeMissing() || !replica.isComplete() || mayBeFirstStart();
   }
 
   /**
-   * Whether the store was empty when this term began, and workers that know better have not had the
-   * time to send a heartbeat: a cluster that starts for the first time looks like one that has lost
-   * everything.
+   * Whether the store was empty when this term began and not all workers have had time to send a
+   * heartbeat. Until then a first start cannot be distinguished from the loss of all records.
    */
   private boolean mayBeFirstStart() {
-    return startedEmpty && eventLoop.now().isBefore(lifecycle.startedAt().plus(heartbeatBound));
+    return storeEmptyAtStart
+        && eventLoop.now().isBefore(lifecycle.startedAt().plus(maxHeartbeatDelay));
   }
 }
--- a/src/main/java/io/pineladder/RecordLossReporter.java
+++ b/src/main/java/io/pineladder/RecordLossReporter.java
@@ -6,8 +6,8 @@
 import java.time.Duration;
 
 /**
- * What a term learns of the records as a whole, reported to this controller's replica manager,
- * which decides whether they are rebuilt; and what a term has to know of such a rebuild.
+ * Reports records that a term finds missing to this controller's replica manager, which decides
+ * whether to rebuild the records, and exposes the status of rebuilds to the term.
  */
 final class RecordLossReporter {
   private final ReplicaManager replicaManager;
@@ -16,48 +16,49 @@
     this.replicaManager = replicaManager;
   }
 
-  /** The new leader has read all records; its replica is complete from now on. */
+  /** The new leader has read all records, so its replica is complete. */
   void onRecordsRead(RecordReplica replica) {
     replicaManager.onTermStarted(replica);
   }
 
-  /** A record is missing, or older than this controller has seen it stored. */
+  /** A record is missing, or older than a version that this controller has seen stored. */
   void onRecordMissing(String reason) {
     replicaManager.generations().declareLoss(GenerationManager.Evidence.RECORD_MISSING, reason);
   }
 
   /**
-   * A worker runs a task of a job of which nothing is stored. Whoever was told that a job is
-   * accepted may ask for it for ever, so none vanishes unless its records are lost.
+   * A worker runs a task of a job that has no record. Records of accepted jobs are never removed
+   * entirely, since users may query them at any time, so this one was lost.
    */
   void onUnknownJob(String job) {
     replicaManager
         .generations()
         .declareLoss(
             GenerationManager.Evidence.JOB_UNKNOWN,
-            "a worker runs " + job + ", of which nothing is stored");
+            "a worker runs a task of " + job + ", which has no record");
   }
 
-  /** A record cannot be read, and this controller's replica does not have it either. */
+  /** A record is unreadable, and this controller's replica has no copy of it. */
   void onUnreadable(String key) {
     replicaManager
         .generations()
-        .declareLoss(GenerationManager.Evidence.UNREADABLE, key + " cannot be read");
+        .declareLoss(
+            GenerationManager.Evidence.UNREADABLE, key + " is unreadable and not in the replica");
   }
 
-  /** Whether a record that is not in the store may have been lost, and come back. */
+  /** Whether a record that is not in the store may have been lost and may still be restored. */
   boolean mayRecordsBeMissing() {
     return replicaManager.recordsMayBeIncomplete();
   }
 
-  /** Whether the records in force were rebuilt without certainty that they are complete. */
+  /** Whether the current records result from a rebuild that may be incomplete. */
   boolean isRebuildIncomplete() {
     return replicaManager.timeSinceInexactRebuild() != null;
   }
 
-  /** Whether such a rebuild ended less than {@code age} ago. */
+  /** Whether a rebuild that may be incomplete ended less than {@code age} ago. */
   boolean isRebuildIncompleteWithin(Duration age) {
-    Duration incompleteFor = replicaManager.timeSinceInexactRebuild();
-    return incompleteFor != null && incompleteFor.compareTo(age) < 0;
+    Duration sinceRebuild = replicaManager.timeSinceInexactRebuild();
+    return sinceRebuild != null && sinceRebuild.compareTo(age) < 0;
   }
 }
--- a/src/main/java/io/pineladder/SubmissionHandler.java
+++ b/src/main/java/io/pineladder/SubmissionHandler.java
@@ -15,18 +15,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts jobs: stores a new one, and answers a repeated submission like the first, since
- * submission is idempotent.
+ * Accepts jobs. Submission is idempotent: a repeated one gets the response of the first and does
+ * not store the job again.
  */
 final class SubmissionHandler {
   private static final Logger log = LoggerFactory.getLogger(SubmissionHandler.class);
 
-  /** What follows an acceptance. */
+  /** Receives the results of submissions. */
   interface Listener {
-    /** The job is stored and not in memory yet; it may start from now on. */
+    /** The job is stored and has to be added to memory, after which it may start. */
     void onAccepted(Job job);
 
-    /** The job is in memory already, and a second copy would run its tasks twice. */
+    /**
+     * The job was already in memory when its submission committed; adding it would run it twice.
+     */
     void onDuplicate(String reason);
   }
 
@@ -58,7 +60,7 @@
     this.listener = listener;
   }
 
-  /** Whether the job is known here, so that a submission of it is a repeated one. */
+  /** Whether the job is in memory or being stored, so that a submission of it is a repeated one. */
   boolean isKnown(String id) {
     return cluster.jobs.containsKey(id) || pendingSubmissions.contains(id);
   }
@@ -66,14 +68,14 @@
   /**
    * Stores a new job.
    *
-   * @param onStored gets the status after the commit; uncertain when the outcome is not known
-   * @param onKnown gets the status of a job that was accepted before
+   * @param onStored receives the status after the commit; uncertain if the outcome is not known
+   * @param onAlreadyAccepted receives the status of a job that was accepted earlier
    */
-  void submit(JobSpec spec, Consumer<JobView> onStored, Consumer<JobView> onKnown) {
+  void submit(JobSpec spec, Consumer<JobView> onStored, Consumer<JobView> onAlreadyAccepted) {
     String id = spec.id();
-    Job known = cluster.jobs.get(id);
-    if (known != null) {
-      statuses.answerWhenCertain(known, onKnown);
+    Job accepted = cluster.jobs.get(id);
+    if (accepted != null) {
+      statuses.answerAfterPendingCommit(accepted, onAlreadyAccepted);
       return;
     }
     if (pendingSubmissions.await(id, onStored)) {
@@ -81,8 +83,8 @@
     }
     Job.State finalState = replica.finalState(id);
     if (finalState != null) {
-      // Its own record of that may be lost, or be one of many in a value of the generation before.
-      onKnown.accept(JobView.ended(finalState));
+      // Its record in the store may be lost, or archived with others by an earlier generation.
+      onAlreadyAccepted.accept(JobView.ended(finalState));
       return;
     }
     pendingSubmissions.begin(id, onStored);
@@ -101,8 +103,8 @@
         job.spec.jobClass(),
         job.spec.team());
     if (cluster.jobs.containsKey(id)) {
-      // The reconciler leaves jobs alone whose submission is pending; this guards against a fault.
-      listener.onDuplicate("job " + id + " was taken up while it was being accepted");
+      // The reconciler skips jobs whose submission is pending, so this must not happen.
+      listener.onDuplicate("job " + id + " was already in memory when its submission committed");
       return;
     }
     listener.onAccepted(job);
@@ -111,7 +113,7 @@
     waiters.forEach(waiter -> waiter.accept(view));
   }
 
-  /** Another node has stored the job first; its record is the one that counts. */
+  /** Another node stored the job first; responds with the status of that record. */
   private void onStoredElsewhere(String id) {
     List<Consumer<JobView>> waiters = pendingSubmissions.complete(id);
     reconciler.lookUp(
--- a/src/main/java/io/pineladder/TaskStartHold.java
+++ b/src/main/java/io/pineladder/TaskStartHold.java
@@ -7,21 +7,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds back task starts after an incomplete rebuild of the records: an attempt of a task may run
- * on a machine that no record tells of, and a second one must not be started beside it. The hold
- * ends once every machine was heard or is known to be gone.
+ * Holds back task starts after a rebuild of the records that may be incomplete. An attempt without
+ * a record may still be running, and a second attempt of the same task must not be started. The
+ * hold ends once every machine has sent a heartbeat or its release is confirmed.
  */
 final class TaskStartHold {
   private static final Logger log = LoggerFactory.getLogger(TaskStartHold.class);
   private static final Duration REVIEW_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * A term that begins so long after an incomplete rebuild need not hold again: the terms before
-   * have heard all machines, or have returned them.
+   * A term that begins later than this after the rebuild does not hold task starts: earlier terms
+   * have received heartbeats from all machines or have released them.
    */
   private static final Duration MAX_REBUILD_AGE = Duration.ofMinutes(5);
 
-  /** So long after an incomplete rebuild tasks run on, though no record tells of them. */
+  /** How long after such a rebuild tasks without a record are not ended. */
   private static final Duration UNRECORDED_TASK_RETENTION = Duration.ofSeconds(60);
 
   private final TermLifecycle lifecycle;
@@ -36,44 +36,44 @@
   }
 
   /**
-   * Holds task starts back if the records may be incomplete.
+   * Holds back task starts if the records may be incomplete.
    *
-   * @param allMachinesHeard whether nothing can run on a machine that is not known
-   * @param onReleased called when tasks may start again; not called when nothing is held
+   * @param isInventoryConfirmed whether all machines and the tasks that run on them are known
+   * @param onReleased called when tasks may start again; not called if there was no hold
    */
-  void startIfNeeded(BooleanSupplier allMachinesHeard, Runnable onReleased) {
+  void startIfNeeded(BooleanSupplier isInventoryConfirmed, Runnable onReleased) {
     held = recordLoss.isRebuildIncompleteWithin(MAX_REBUILD_AGE);
     if (held) {
       log.info(
-          "Task starts held until all machines are heard: term={} reason=incomplete-rebuild",
+          "Task starts held until machine inventory is confirmed: term={}"
+              + " reason=incomplete-rebuild",
           lifecycle.term());
-      scheduleReview(allMachinesHeard, onReleased);
+      scheduleReview(isInventoryConfirmed, onReleased);
     }
   }
 
-  private void scheduleReview(BooleanSupplier allMachinesHeard, Runnable onReleased) {
-    eventLoop.schedule(REVIEW_INTERVAL, () -> review(allMachinesHeard, onReleased));
+  private void scheduleReview(BooleanSupplier isInventoryConfirmed, Runnable onReleased) {
+    eventLoop.schedule(REVIEW_INTERVAL, () -> review(isInventoryConfirmed, onReleased));
   }
 
-  private void review(BooleanSupplier allMachinesHeard, Runnable onReleased) {
+  private void review(BooleanSupplier isInventoryConfirmed, Runnable onReleased) {
     if (!lifecycle.isLeading()) {
       return;
     }
-    if (lifecycle.mayAct() && allMachinesHeard.getAsBoolean()) {
+    if (lifecycle.mayAct() && isInventoryConfirmed.getAsBoolean()) {
       held = false;
-      log.info("Task starts released, all machines heard: term={}", lifecycle.term());
+      log.info("Task starts released, machine inventory confirmed: term={}", lifecycle.term());
       onReleased.run();
       return;
     }
-    scheduleReview(allMachinesHeard, onReleased);
+    scheduleReview(isInventoryConfirmed, onReleased);
   }
 
-  /** Whether no task may be started. */
   boolean isHeld() {
     return held;
   }
 
-  /** Whether tasks may run that no record tells of, so that they must not be ended. */
+  /** Whether tasks without a record may be running, which must not be ended. */
   boolean mayTasksBeUnrecorded() {
     return held || recordLoss.isRebuildIncompleteWithin(UNRECORDED_TASK_RETENTION);
   }
--- a/src/main/java/io/pineladder/TermLifecycle.java
+++ b/src/main/java/io/pineladder/TermLifecycle.java
@@ -2,17 +2,15 @@
 
 import java.time.Instant;
 
-/**
- * Where one term of leadership stands. All parts of the term share it, on the event loop's thread.
- */
+/** The state of one leadership term, shared by all its components. Event thread only. */
 final class TermLifecycle {
-  /** What a term goes through; it never goes back. */
+  /** The states of a term, in this order. */
   enum State {
-    /** Reads what earlier leaders stored; decides nothing yet. */
+    /** Reads the records that earlier leaders stored; must not act yet. */
     LOADING,
-    /** Has read all records and decides, as long as the lease is valid. */
+    /** Has read all records and may act while the lease is valid. */
     LEADING,
-    /** Has lost or given up the leadership; nothing of it has an effect any more. */
+    /** Has lost or given up leadership; must not act any more. */
     ENDED
   }
 
@@ -22,10 +20,10 @@
   private State state = State.LOADING;
 
   /**
-   * A term that begins to load.
+   * Creates the lifecycle of a term in state {@link State#LOADING}.
    *
-   * @param term its number, which is the fencing token toward workers
-   * @param startedAt when this controller was elected, on the event loop's clock
+   * @param term the term number, which is also the fencing token for workers
+   * @param startedAt when this controller was elected, by the event loop's clock
    */
   TermLifecycle(long term, Instant startedAt, Leadership leadership) {
     this.term = term;
@@ -33,12 +31,12 @@
     this.leadership = leadership;
   }
 
-  /** The term's number, which is the fencing token toward workers. */
+  /** The term number, which is also the fencing token for workers. */
   long term() {
     return term;
   }
 
-  /** When this controller was elected, on the event loop's clock. */
+  /** When this controller was elected, by the event loop's clock. */
   Instant startedAt() {
     return startedAt;
   }
@@ -47,7 +45,7 @@
     return state == State.LOADING;
   }
 
-  /** Whether all records are read and the term goes on, whether its lease is valid now or not. */
+  /** Whether all records are read and the term has not ended; the lease may be invalid. */
   boolean isLeading() {
     return state == State.LEADING;
   }
@@ -56,7 +54,10 @@
     return state == State.ENDED;
   }
 
-  /** Whether the term may have effects now; asked before each, as any pause may precede it. */
+  /**
+   * Whether the term may act. Must be checked before every side effect, since the process may have
+   * been paused.
+   */
   boolean mayAct() {
     return state == State.LEADING && leadership.isLeaseValid();
   }
@@ -68,7 +69,7 @@
     }
   }
 
-  /** The leadership is lost or given up. */
+  /** Leadership was lost or given up. */
   void end() {
     state = State.ENDED;
   }
--- a/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
+++ b/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
@@ -25,9 +25,9 @@
 import java.util.function.Function;
 
 /**
- * Restores the memory of a new term from the records that earlier leaders stored: jobs,
- * completions, placements and expected caches, and where each record stands in the store. Used once
- * for a load.
+ * Restores the in-memory state of a new term from the records of earlier leaders: jobs,
+ * completions, placements and cached images, and the page on which each record is stored. An
+ * instance is used for a single load.
  */
 final class ClusterStateRestorer {
   private final ClusterState cluster;
@@ -42,7 +42,7 @@
   /**
    * Creates a restorer.
    *
-   * @param finalStates the final states in this controller's replica; null for an unknown one
+   * @param finalStates returns the final state of a job in this controller's replica, or null
    */
   ClusterStateRestorer(
       ClusterState cluster,
@@ -59,7 +59,7 @@
     this.now = now;
   }
 
-  /** An entry with the key of the page that holds it. */
+  /** An entry and the key of the page on which it is stored. */
   private record PageEntry<T>(String page, T entry) {}
 
   /** Parses one kind of page entry. */
@@ -68,9 +68,10 @@
   }
 
   /**
-   * Parses the placements, before anything is restored.
+   * Parses the placements. Must be called before {@link #restore}.
    *
-   * @return a machine whose type is not known yet, with which nothing can be restored
+   * @return the name of a machine whose type is not known yet, which prevents a restore; empty if
+   *     all types are known
    */
   Optional<String> readPlacements(StoreClient.Listing listing) throws MalformedMessageException {
     placements = readPages(listing, RecordWire::parsePlacement);
@@ -83,16 +84,16 @@
   }
 
   /**
-   * Restores everything, after {@link #readPlacements} has found no unknown machine type.
+   * Restores all records, after {@link #readPlacements} has found no unknown machine type.
    *
-   * @return all jobs, ordered by the time of their acceptance and then by id
+   * @return all jobs, ordered by acceptance time and then by id
    */
   List<Job> restore(StoredListings stored) throws MalformedMessageException {
     List<Job> ordered = new ArrayList<>();
     restoreJobPages(stored.jobPages, ordered);
     restoreUnpagedJobs(stored.unpagedJobs, ordered);
     restoreCompletions(stored.completions);
-    // In the order of the page keys; which images a machine has cached is an estimate in any case.
+    // In the order of page keys, not of use: the state of the image cache is only an estimate.
     for (PageEntry<RecordWire.StoredImages> images :
         readPages(stored.cachedImages, RecordWire::parseImages)) {
       records.restoreImagePage(images.page);
@@ -144,7 +145,7 @@
       if (paged == null) {
         ordered.add(job);
       } else {
-        // A controller that did not reach the leader stored the job a second time.
+        // The job was also stored by a controller that could not reach the leader.
         records.setHasUnpagedRecord(paged, true);
       }
     }
@@ -152,42 +153,47 @@
 
   private <T> List<PageEntry<T>> readPages(StoreClient.Listing listing, EntryParser<T> parser)
       throws MalformedMessageException {
-    List<PageEntry<T>> found = new ArrayList<>();
+    List<PageEntry<T>> pageEntries = new ArrayList<>();
     for (StoreWire.Entry page : listing.entries()) {
       committer.restoreRevision(page.key(), page.revision());
       for (JsonNode entry : RecordWire.entries(page.value())) {
-        found.add(new PageEntry<>(page.key(), parser.parse(entry)));
+        pageEntries.add(new PageEntry<>(page.key(), parser.parse(entry)));
       }
     }
-    return found;
+    return pageEntries;
   }
 
   private void restoreCompletions(StoreClient.Listing listing) throws MalformedMessageException {
     listing.entries().forEach(page -> records.restoreCompletionPage(page.key()));
-    List<PageEntry<RecordWire.StoredCompletions>> all =
+    List<PageEntry<RecordWire.StoredCompletions>> completions =
         readPages(listing, RecordWire::parseCompletions);
-    all.removeIf(done -> !jobs.containsKey(done.entry.job()));
-    for (PageEntry<RecordWire.StoredCompletions> done : all) {
-      Job job = jobs.get(done.entry.job());
-      job.done.or(done.entry.completed());
+    completions.removeIf(chunk -> !jobs.containsKey(chunk.entry.job()));
+    for (PageEntry<RecordWire.StoredCompletions> chunk : completions) {
+      Job job = jobs.get(chunk.entry.job());
+      job.done.or(chunk.entry.completed());
     }
-    for (PageEntry<RecordWire.StoredCompletions> done : all) {
-      records.restoreCompletions(done.page, jobs.get(done.entry.job()), done.entry);
+    for (PageEntry<RecordWire.StoredCompletions> chunk : completions) {
+      records.restoreCompletions(chunk.page, jobs.get(chunk.entry.job()), chunk.entry);
     }
   }
 
   /**
-   * Restores the placements that are still valid. An attempt is stored only when all earlier ones
-   * of its task are proven gone, so only the highest attempt number of a task counts. Placements of
-   * a job without a record are obsolete, since the record is removed only when no task can be
-   * running; so are those of a completed task of an active job, since a completion is stored only
-   * when no other attempt can be running.
+   * Restores the placements that are still valid and skips obsolete ones:
+   *
+   * <ul>
+   *   <li>All but the highest attempt number of a task, since an attempt is stored only when all
+   *       earlier ones are proven gone.
+   *   <li>Those of a job without a record, since the record is removed only when no task can be
+   *       running.
+   *   <li>Those of a completed task of an active job, since a completion is stored only when no
+   *       other attempt can be running.
+   * </ul>
    */
   private void restorePlacements() {
-    Map<String, Long> newestAttempts = new HashMap<>();
+    Map<String, Long> highestAttempts = new HashMap<>();
     for (PageEntry<RecordWire.Placement> pageEntry : placements) {
       RecordWire.Placement placement = pageEntry.entry;
-      newestAttempts.merge(
+      highestAttempts.merge(
           placement.job() + "/" + placement.task(), placement.attempt(), Math::max);
     }
     for (PageEntry<RecordWire.Placement> pageEntry : placements) {
@@ -196,7 +202,7 @@
       if (job == null
           || placement.task() >= job.spec.tasks()
           || (job.isActive() && job.done.get(placement.task()))
-          || newestAttempts.get(placement.job() + "/" + placement.task()) != placement.attempt()) {
+          || highestAttempts.get(placement.job() + "/" + placement.task()) != placement.attempt()) {
         continue;
       }
       Machine machine = cluster.machine(placement.machine());
@@ -217,7 +223,7 @@
     }
   }
 
-  /** A final state is never undone, also where a rebuild restored an older record of the job. */
+  /** Applies a known final state, since a rebuild may have restored an older record of the job. */
   private Job withFinalState(Job job) {
     Job.State finalState = finalStates.apply(job.spec.id());
     if (job.isActive() && finalState != null) {
--- a/src/main/java/io/pineladder/failover/FailoverTimings.java
+++ b/src/main/java/io/pineladder/failover/FailoverTimings.java
@@ -15,53 +15,57 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The duration of each phase of this controller's failovers. Event thread only. */
+/** Measures the phases of this controller's failovers. Event thread only. */
 public final class FailoverTimings {
   private static final Logger log = LoggerFactory.getLogger(FailoverTimings.class);
   private static final long MAX_PHASE_MILLIS = TimeUnit.HOURS.toMillis(1);
   private static final int HISTORY_SIZE = 10;
 
-  /** When a failover is logged, complete or not. */
+  /** The time after the election at which a failover is logged, whether complete or not. */
   private static final Duration LOG_DELAY = Duration.ofSeconds(60);
 
   /**
-   * The phases of a failover; all but the first are measured from the election. The admin API shows
-   * the names.
+   * The phases of a failover; all but the first are measured from the election. The names are
+   * exposed by the administration API.
    */
   public enum Phase {
-    /** From the last sign of life of the previous leader to the election. */
+    /** From the last contact with the previous leader to the election. */
     ELECTED,
-    /** What earlier leaders stored has been read. */
+    /** The records of earlier leaders were read. */
     STORE_READ,
-    /** The first heartbeat was answered with orders. */
+    /** The first heartbeat was answered after the records were read. */
     FIRST_REPORT,
-    /** The first user request was answered as the leader. */
+    /** The first user request was answered by the new leader. */
     FIRST_ANSWER,
     /** The first placement was stored. */
     FIRST_PLACEMENT,
-    /** Nine tenths of the machines with stored placements have sent a heartbeat. */
+    /** 90 % of the machines with stored placements have sent a heartbeat. */
     FLEET_HEARD;
 
-    /** The name in the admin API, in the meters and in the log. */
+    /** The name in the administration API, in metrics and in the log. */
     public String label() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  /** The phases of one failover so far, by its term. */
+  /**
+   * The phases of one failover.
+   *
+   * @param phases the phases that have ended so far; grows while the failover is in progress
+   */
   public record CompletedFailover(long term, Map<Phase, Duration> phases) {}
 
   private final EventLoop eventLoop;
   private final Map<Phase, Histogram> histograms = new EnumMap<>(Phase.class);
-  private final Deque<CompletedFailover> latest = new ArrayDeque<>();
+  private final Deque<CompletedFailover> recent = new ArrayDeque<>();
 
-  /** Timings without a failover yet. */
+  /** Creates empty timings. */
   public FailoverTimings(EventLoop eventLoop) {
     this.eventLoop = eventLoop;
   }
 
   /**
-   * This controller was elected.
+   * Begins a failover when this controller was elected.
    *
    * @param previousLeaderSeenAt when the previous leader was last known to be alive; null if none
    *     was known
@@ -76,14 +80,14 @@
     return failover;
   }
 
-  /** The durations of a phase in all failovers, in milliseconds; null before the first. */
+  /** The durations of a phase in milliseconds over all failovers; null before the first. */
   public Histogram histogram(Phase phase) {
     return histograms.get(phase);
   }
 
-  /** The latest failovers, the newest first. */
+  /** The most recent failovers, the newest first. */
   public List<CompletedFailover> latest() {
-    return new ArrayList<>(latest);
+    return new ArrayList<>(recent);
   }
 
   /** One failover in progress. */
@@ -97,57 +101,58 @@
 
     private OngoingFailover(long term) {
       this.term = term;
-      latest.addFirst(new CompletedFailover(term, phases));
-      if (latest.size() > HISTORY_SIZE) {
-        latest.removeLast();
+      recent.addFirst(new CompletedFailover(term, phases));
+      if (recent.size() > HISTORY_SIZE) {
+        recent.removeLast();
       }
     }
 
-    /** A phase has ended now; only the first call for each phase counts. */
+    /** Records that a phase has ended now; only the first call for each phase counts. */
     public void recordPhase(Phase phase) {
       if (!phases.containsKey(phase)) {
         recordPhase(phase, Duration.between(electedAt, eventLoop.now()));
       }
     }
 
-    private void recordPhase(Phase phase, Duration took) {
-      phases.put(phase, took);
+    private void recordPhase(Phase phase, Duration duration) {
+      phases.put(phase, duration);
       histograms
           .computeIfAbsent(phase, p -> new Histogram(MAX_PHASE_MILLIS, 2))
-          .recordValue(Math.min(MAX_PHASE_MILLIS, Math.max(0, took.toMillis())));
+          .recordValue(Math.min(MAX_PHASE_MILLIS, Math.max(0, duration.toMillis())));
     }
 
-    /** Heartbeats of this many machines are expected. */
-    public void expectReports(int machines) {
+    /** Sets the number of machines from which heartbeats are expected. */
+    public void expectHeartbeats(int machines) {
       expectedMachines = machines;
       checkFleetHeard();
     }
 
-    /** Whether heartbeats still count for {@link Phase#FLEET_HEARD}. */
-    public boolean expectsMoreReports() {
+    /** Whether {@link Phase#FLEET_HEARD} has not been reached yet. */
+    public boolean expectsMoreHeartbeats() {
       return expectedMachines >= 0 && !phases.containsKey(Phase.FLEET_HEARD);
     }
 
-    /** One more of the expected machines has sent a heartbeat. */
-    public void onMachineReported() {
+    /** Counts one more of the expected machines that has sent a heartbeat. */
+    public void onMachineHeartbeat() {
       reportedMachines++;
       checkFleetHeard();
     }
 
     private void checkFleetHeard() {
-      if (expectsMoreReports() && reportedMachines * 10 >= expectedMachines * 9) {
+      if (expectsMoreHeartbeats() && reportedMachines * 10 >= expectedMachines * 9) {
         recordPhase(Phase.FLEET_HEARD);
       }
     }
 
-    /** The term or the failover has ended; logs it once. */
+    /** Logs the failover; further calls have no effect. */
     public void close() {
       if (closed) {
         return;
       }
       closed = true;
       List<String> durations = new ArrayList<>();
-      phases.forEach((phase, took) -> durations.add(phase.label() + "Ms=" + took.toMillis()));
+      phases.forEach(
+          (phase, duration) -> durations.add(phase.label() + "Ms=" + duration.toMillis()));
       log.info("Failover timings: term={} {}", term, String.join(" ", durations));
     }
   }
--- a/src/main/java/io/pineladder/failover/StoredListings.java
+++ b/src/main/java/io/pineladder/failover/StoredListings.java
@@ -2,7 +2,7 @@
 
 import io.pineladder.store.StoreClient;
 
-/** The records that earlier leaders stored, by kind; filled as each kind is read. */
+/** The records of earlier leaders by kind; each listing is set when it has been read. */
 final class StoredListings {
   StoreClient.Listing unpagedJobs;
   StoreClient.Listing jobPages;
--- a/src/main/java/io/pineladder/failover/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -27,39 +27,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads everything that earlier leaders stored, from which a new term restores its memory ({@link
- * ClusterStateRestorer}). Event thread only.
+ * Reads the records of earlier leaders and restores the in-memory state of a new term from them
+ * with {@link ClusterStateRestorer}. Event thread only.
  */
 public final class TermLoader {
   private static final Logger log = LoggerFactory.getLogger(TermLoader.class);
   private static final Duration MACHINE_TYPES_RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** The term that is loaded. */
+  /** The term that is being loaded. */
   public interface Listener {
-    /** Whether the term still waits for the records; without it nothing more is read. */
+    /** Whether the term is still loading; otherwise loading stops. */
     boolean isLoading();
 
     /** The stored configuration was read. */
     void onConfiguration(List<StoreWire.Entry> entries);
 
-    /** The machine types known at present. */
+    /** The machine types that are currently known. */
     List<MachineType> machineTypes();
 
     /**
-     * A prefix was read.
+     * All records with a key prefix were read.
      *
-     * @return the listing with unreadable records repaired from this controller's replica; null
-     *     when the term must end
+     * @return the listing with unreadable records repaired from this controller's replica; null if
+     *     the term must end
      */
     StoreClient.Listing onPrefixRead(String prefix, StoreClient.Listing listing);
 
-    /** A job's final state as this controller's replica has it; null when none is known. */
+    /** The final state of a job in this controller's replica; null if it has none. */
     Job.State finalState(String id);
 
-    /** A record cannot be parsed; a term with incomplete memory must not decide. */
+    /** A record cannot be parsed; the term must end, since its state would be incomplete. */
     void onUnreadableRecord(String reason);
 
-    /** All jobs with their attempts, ordered by the time of their acceptance, and the inbox. */
+    /**
+     * Loading is complete.
+     *
+     * @param jobs all jobs with their attempts, ordered by acceptance time
+     * @param inbox the ids of jobs that other controllers accepted without a leader
+     */
     void onLoaded(List<Job> jobs, StoreClient.Listing inbox);
   }
 
@@ -74,8 +79,8 @@
   /**
    * Creates a loader; {@link #load} starts it.
    *
-   * @param cluster the empty state that is restored
-   * @param committer learns the revisions of all records read
+   * @param cluster the empty state to restore
+   * @param committer receives the revisions of all records read
    */
   public TermLoader(
       StoreClient storeClient,
@@ -95,8 +100,8 @@
   }
 
   /**
-   * Reads everything that earlier leaders stored. Their late transactions cannot commit any more,
-   * since each requires their leader key.
+   * Reads all records of earlier leaders. Their delayed transactions can no longer commit, since
+   * each is conditional on the leader key of its term.
    */
   public void load() {
     if (!listener.isLoading()) {
@@ -114,11 +119,10 @@
         });
   }
 
-  private void list(
-      String prefix, BooleanSupplier stillWanted, Consumer<StoreClient.Listing> onDone) {
+  private void list(String prefix, BooleanSupplier isActive, Consumer<StoreClient.Listing> onDone) {
     storeClient.listAll(
         prefix,
-        stillWanted,
+        isActive,
         listing -> {
           StoreClient.Listing readable = listener.onPrefixRead(prefix, listing);
           if (readable != null) {
@@ -133,7 +137,7 @@
         try {
           outbox.known(DeliveryWire.parseSubscription(entry.value()));
         } catch (MalformedMessageException e) {
-          // Scheduling for all matters more than the notifications of one subscriber.
+          // One unreadable subscription must not prevent the term from starting.
           log.error(
               "Unreadable subscription left out: key={} detail=\"{}\"",
               entry.key(),
@@ -144,13 +148,13 @@
   }
 
   private void loadRecords(BooleanSupplier isLoading) {
-    // The inbox is read first: a job that leaves it meanwhile is then among the jobs.
+    // The inbox is read first, so that a job that leaves it meanwhile is found among the jobs.
     list(
         RecordKeys.INBOX,
         isLoading,
         inbox -> {
           StoredListings stored = new StoredListings();
-          // A linked map: the order of the requests must be deterministic.
+          // Linked, so that the order of requests is deterministic.
           Map<String, Consumer<StoreClient.Listing>> assignments = new LinkedHashMap<>();
           assignments.put(RecordKeys.UNPAGED_JOB, listing -> stored.unpagedJobs = listing);
           assignments.put(RecordKeys.JOB_PAGES, listing -> stored.jobPages = listing);
@@ -158,7 +162,7 @@
           assignments.put(RecordKeys.PLACEMENTS, listing -> stored.placements = listing);
           assignments.put(RecordKeys.CACHED_IMAGES, listing -> stored.cachedImages = listing);
           if (storeClient.generation().base() != 0) {
-            // Otherwise a job that ended before the data loss would be restored as active.
+            // Needed so that jobs that ended before the data loss are not restored as active.
             assignments.put(RecordKeys.ARCHIVED_FINAL_STATES, listing -> {});
           }
           int[] remaining = {assignments.size()};
@@ -177,21 +181,21 @@
   }
 
   /**
-   * Reads the notifications that are not delivered yet and the progress of each subscriber, after
-   * the term has started. Also without subscriptions, since records of earlier subscribers have
-   * revisions that the committer needs.
+   * Reads the undelivered notifications and the delivery progress of each subscription, after the
+   * term has started. Also called without subscriptions, since the committer needs the revisions of
+   * records that earlier ones left behind.
    *
-   * @param stillWanted whether the term goes on; without it nothing more is read
-   * @param onDone called once all is restored; not called when a record cannot be parsed
+   * @param isActive whether the term has not ended; otherwise reading stops
+   * @param onDone called once the backlog is restored; not called if a record cannot be parsed
    */
-  public void loadBacklog(BooleanSupplier stillWanted, Runnable onDone) {
+  public void loadBacklog(BooleanSupplier isActive, Runnable onDone) {
     list(
         RecordKeys.NOTIFICATION_BACKLOG,
-        stillWanted,
+        isActive,
         backlog ->
             list(
                 RecordKeys.DELIVERY_PROGRESS,
-                stillWanted,
+                isActive,
                 delivered -> restoreBacklog(backlog, delivered, onDone)));
   }
 
@@ -211,7 +215,7 @@
       outbox.complete(notifications, progress);
       onDone.run();
     } catch (MalformedMessageException e) {
-      // Scheduling goes on; nothing is delivered, and no notification is discarded.
+      // Scheduling continues; notifications are retained but not delivered.
       log.error("Deliveries suspended, unreadable backlog: detail=\"{}\"", e.getMessage());
     }
   }
@@ -223,9 +227,9 @@
             cluster, committer, records, outbox, listener::finalState, eventLoop.now());
     List<Job> jobs;
     try {
-      Optional<String> machine = restorer.readPlacements(stored.placements);
-      if (machine.isPresent()) {
-        log.warn("Term load delayed, machine type unknown: machine={}", machine.get());
+      Optional<String> untypedMachine = restorer.readPlacements(stored.placements);
+      if (untypedMachine.isPresent()) {
+        log.warn("Term load delayed, machine type unknown: machine={}", untypedMachine.get());
         eventLoop.schedule(MACHINE_TYPES_RETRY_DELAY, this::load);
         return;
       }
@@ -238,7 +242,7 @@
     listener.onLoaded(jobs, inbox);
   }
 
-  /** A job from its stored record. */
+  /** Creates a job from its stored record. */
   public static Job toJob(JsonNode record) throws MalformedMessageException {
     RecordWire.StoredJob stored = RecordWire.parseJob(record);
     Job job = new Job(stored.spec(), stored.acceptedAt(), stored.state());
--- a/src/main/java/io/pineladder/failover/package-info.java
+++ b/src/main/java/io/pineladder/failover/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a new leader does before it may decide: it loads what earlier leaders stored, and each phase
- * of the failover is measured. Event thread only.
+ * Failover to a new leader: loads the records of earlier leaders, restores the cluster state from
+ * them, and measures each phase. Event thread only.
  */
 package io.pineladder.failover;
--- a/src/main/java/io/pineladder/package-info.java
+++ b/src/main/java/io/pineladder/package-info.java
@@ -1,6 +1,6 @@
 /**
- * One controller ({@link io.pineladder.ControllerNode}) and its terms of leadership ({@link
- * io.pineladder.LeaderTerm}): the lower packages' parts are created and connected here. Everything
- * happens on the event loop's thread.
+ * A controller ({@link io.pineladder.ControllerNode}) and its leadership terms ({@link
+ * io.pineladder.LeaderTerm}). Creates the components of the lower packages and connects them. All
+ * code runs on the event loop's thread.
  */
 package io.pineladder;
--- a/src/main/java/io/pineladder/upgrade/VersionRaiser.java
+++ b/src/main/java/io/pineladder/upgrade/VersionRaiser.java
@@ -13,9 +13,9 @@
 import java.util.function.Supplier;
 
 /**
- * Raises the cluster version while this controller leads, once every configured controller has
- * shown software that supports it. The record is written in a transaction of the leader, so that no
- * older leader writes it late.
+ * Raises the cluster version during a leadership term, once every configured controller has
+ * reported that it supports the new version. The record is written in a transaction of the leader,
+ * so a former leader cannot write it.
  */
 public final class VersionRaiser {
   private static final Duration REVIEW_INTERVAL = Duration.ofMillis(500);
@@ -23,46 +23,46 @@
   private final ClusterVersion clusterVersion;
   private final Supplier<List<Membership.PeerStatus>> peers;
   private final EventLoop eventLoop;
-  private final Consumer<Mutation> transactions;
+  private final Consumer<Mutation> mutationSink;
   private final BooleanSupplier isLeading;
   private final Runnable onRaised;
 
   /**
-   * A raiser for one term.
+   * Creates a raiser for one term; {@link #raiseWhenSupported} starts it.
    *
-   * @param peers the configured peers with the version that each has shown to support
-   * @param transactions takes the change of the record
-   * @param isLeading whether the term goes on
-   * @param onRaised called when the record is stored
+   * @param peers the configured peers with the version that each has reported to support
+   * @param mutationSink commits the mutation of the record
+   * @param isLeading whether the term has not ended
+   * @param onRaised called when the new version is stored
    */
   public VersionRaiser(
       ClusterVersion clusterVersion,
       Supplier<List<Membership.PeerStatus>> peers,
       EventLoop eventLoop,
-      Consumer<Mutation> transactions,
+      Consumer<Mutation> mutationSink,
       BooleanSupplier isLeading,
       Runnable onRaised) {
     this.clusterVersion = clusterVersion;
     this.peers = peers;
     this.eventLoop = eventLoop;
-    this.transactions = transactions;
+    this.mutationSink = mutationSink;
     this.isLeading = isLeading;
     this.onRaised = onRaised;
   }
 
   /**
-   * Compares the version with what the peers support, now and every {@link #REVIEW_INTERVAL}, until
-   * the version is raised or the term has ended.
+   * Compares the version with those that the peers support, now and every {@link #REVIEW_INTERVAL},
+   * until the version is raised or the term has ended.
    */
-  public void review() {
+  public void raiseWhenSupported() {
     if (!isLeading.getAsBoolean() || clusterVersion.inForce() >= clusterVersion.supported()) {
       return;
     }
     if (!isSupportedByAllPeers()) {
-      eventLoop.schedule(REVIEW_INTERVAL, this::review);
+      eventLoop.schedule(REVIEW_INTERVAL, this::raiseWhenSupported);
       return;
     }
-    transactions.accept(
+    mutationSink.accept(
         Mutation.of(
             Mutation.Priority.ACCEPTANCE,
             List.of(
