--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -6,29 +6,29 @@
 import java.util.Map;
 
 /**
- * One start of a task on a machine, from the placement decision until the attempt is proven gone.
- * Used on the event loop's thread only.
+ * One attempt to run a task on a machine, from the placement decision until it is proven that the
+ * attempt is not running. Event thread only.
  */
 public final class Attempt {
   /** The life cycle of an attempt. */
   public enum State {
-    /** Decided; the placement is not stored yet, so no start may be sent. */
+    /** The placement is decided but not stored, so no start command may be sent. */
     PLACEMENT_PENDING,
-    /** Stored; the machine has not reported the attempt, which may be there. */
+    /** The placement is stored; the machine has not reported the attempt but may run it. */
     PLACEMENT_STORED,
-    /** Read from the store by a new leader; the machine has not used this leader's token yet. */
+    /** Restored by a new leader whose fencing token the machine has not acknowledged yet. */
     RECOVERED,
-    /** The machine fetches the task's image. */
+    /** The machine is fetching the task's image. */
     FETCHING_IMAGE,
-    /** Ready, and waiting for the other tasks of its gang. */
+    /** The image is present; the task waits for the other tasks of its gang. */
     WAITING_FOR_GANG,
-    /** The task runs. */
+    /** The task is running. */
     RUNNING,
-    /** Being stopped, and saving its checkpoint within the grace period. */
+    /** The task is being stopped and saves a checkpoint within the grace period. */
     SAVING_CHECKPOINT,
-    /** Ended on the machine, which still lists it. */
+    /** The task has ended; the machine still lists the attempt. */
     EXITED,
-    /** Proven not to be on the machine, now or later. */
+    /** Proven not to run on the machine, now or in the future. */
     GONE
   }
 
@@ -51,145 +51,146 @@
           State.EXITED, EnumSet.of(State.GONE),
           State.GONE, EnumSet.noneOf(State.class));
 
-  private static EnumSet<State> observedOr(State also) {
-    EnumSet<State> set = EnumSet.copyOf(OBSERVED_STATES);
-    set.add(also);
-    return set;
+  private static EnumSet<State> observedOr(State additional) {
+    EnumSet<State> states = EnumSet.copyOf(OBSERVED_STATES);
+    states.add(additional);
+    return states;
   }
 
-  /** The job whose task this is. */
+  /** The job to which the task belongs. */
   public final Job job;
 
-  /** The task's index, from 0. */
+  /** The zero-based index of the task. */
   public final int task;
 
-  /** The attempt number, unique among all terms; the tasks of a gang share one. */
+  /** The attempt number, which is unique across terms; tasks of a gang share the same number. */
   public final long number;
 
-  /** The machine that it was placed on. */
+  /** The machine on which the task is placed. */
   public final Machine machine;
 
-  /** When it was placed, or read from the store. */
+  /** When the placement was decided, or restored from the store. */
   public final Instant createdAt;
 
-  /** The key of the attempt among those of its machine. */
+  /** The key of the attempt within its machine. */
   public final String key;
 
-  /** The number, among all heartbeats handled, of the last one that listed it. */
+  /** The ordinal number, among all heartbeats handled, of the last one that listed the attempt. */
   public long lastListingHeartbeat;
 
   private State state;
 
-  /** Why it ended; null until it has exited. */
+  /** Why the attempt ended; null until it has exited. */
   public EndReason endReason;
 
   private Duration killGracePeriod;
   private Instant killedAt;
   private boolean killSent;
 
-  /** When it was first reported as running; null before. */
+  /** When the attempt was first reported as running; null before. */
   public Instant runningSince;
 
-  /** When its image should be cached on the machine. */
+  /** When the image is expected to be cached on the machine. */
   public Instant imageReadyAt;
 
-  /** The agent epoch that the last start was addressed to; 0 before any. */
+  /** The agent epoch for which the last start command was sent; 0 if none was sent. */
   public long startAgentEpoch;
 
-  /** The sequence number of the heartbeat whose response carried the last start; -1 for none. */
+  /** The sequence number of the heartbeat whose response carried the last start; -1 if none. */
   public long startHeartbeatSequence = -1;
 
-  /** A start was sent directly, not in a heartbeat's response, and has not been answered. */
+  /** A start command was sent directly, not in a heartbeat response, and is unanswered. */
   public boolean directStartPending;
 
   /**
-   * A direct start got no answer: it may still arrive at any time within this agent epoch and
-   * fencing token. The absence of such an attempt is no proof that it is gone, and it is never
-   * forgotten.
+   * A direct start command was not answered, so it may still be executed at any time while its
+   * agent epoch and fencing token are valid. The absence of the attempt from a heartbeat does not
+   * prove that it is gone, and the attempt is not discarded.
    */
   public boolean startUnconfirmed;
 
-  /** The end is handled and, where that matters, stored: the worker may forget the attempt. */
+  /** The end is processed and stored if required, so the worker may discard the attempt. */
   public boolean mayBeForgotten;
 
-  /** The attempt whose completion of the task is stored once this one is gone; or null. */
+  /** The attempt whose completion is stored once this one is gone; null if none. */
   public Attempt completedBy;
 
-  /** An attempt in its first state. */
-  public Attempt(Job job, int task, long number, Machine machine, Instant since, State first) {
+  /** Creates an attempt in the given state. */
+  public Attempt(
+      Job job, int task, long number, Machine machine, Instant createdAt, State initialState) {
     this.job = job;
     this.task = task;
     this.number = number;
     this.machine = machine;
-    this.createdAt = since;
+    this.createdAt = createdAt;
     this.key = Machine.attemptKey(job.spec.id(), task, number);
-    this.imageReadyAt = since;
-    this.state = first;
+    this.imageReadyAt = createdAt;
+    this.state = initialState;
   }
 
-  /** The present state. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
   /**
-   * Changes the state; this is the only place where it changes.
+   * Changes the state; it changes nowhere else.
    *
-   * @throws IllegalStateException if the life cycle has no such transition
+   * @throws IllegalStateException if the transition is not allowed
    */
   public void transitionTo(State next) {
     if (state == next) {
       return;
     }
     if (!ALLOWED_TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException(this + " cannot become " + next);
+      throw new IllegalStateException(this + " cannot transition to " + next);
     }
     state = next;
   }
 
-  /** Whether it may hold capacity on its machine. */
+  /** Whether the attempt may use capacity on its machine. */
   public boolean holdsCapacity() {
     return state != State.EXITED && state != State.GONE;
   }
 
-  /** Whether its machine has reported it in the present state. */
+  /** Whether the current state was reported by the machine. */
   public boolean wasObserved() {
     return OBSERVED_STATES.contains(state);
   }
 
-  /** Whether no kill was decided. */
+  /** Whether no kill of the attempt has been decided. */
   public boolean isWanted() {
     return killGracePeriod == null;
   }
 
-  /** A kill is decided; the attempt is not wanted from now on. */
+  /** Decides to kill the attempt. */
   public void kill(Instant now, Duration gracePeriod) {
     killedAt = now;
     killGracePeriod = gracePeriod;
   }
 
-  /** The kill is to take effect sooner than was decided, so it has to be sent again. */
+  /** Shortens the grace period of the kill, which therefore has to be sent again. */
   public void shortenGracePeriod(Duration gracePeriod) {
     killGracePeriod = gracePeriod;
     killSent = false;
   }
 
-  /** The kill has reached the worker, or is lost and has to be sent again. */
+  /** Records that the kill has reached the worker, or was lost and has to be sent again. */
   public void setKillSent(boolean sent) {
     killSent = sent;
   }
 
-  /** The grace period of its kill; null while the attempt is wanted. */
+  /** The grace period of the kill; null if no kill was decided. */
   public Duration killGracePeriod() {
     return killGracePeriod;
   }
 
-  /** When its kill was decided; null while the attempt is wanted. */
+  /** When the kill was decided; null if none was. */
   public Instant killedAt() {
     return killedAt;
   }
 
-  /** Whether a kill with the present grace period has reached the worker, as far as is known. */
+  /** Whether a kill with the current grace period is assumed to have reached the worker. */
   public boolean isKillSent() {
     return killSent;
   }
--- a/src/main/java/io/pineladder/model/ChainDeadlines.java
+++ b/src/main/java/io/pineladder/model/ChainDeadlines.java
@@ -4,24 +4,26 @@
 import java.time.Instant;
 
 /**
- * When a job should be over for the sake of its dependents, by the time of day.
+ * The deadlines that a job inherits from the jobs that depend on it, in wall-clock time.
  *
- * @param target by then the last job of the chain can keep its deadline
- * @param latest by then it can meet the loosest objective on its end; not before the target
+ * @param target the latest end of this job with which the last job of the chain can meet its
+ *     deadline
+ * @param latest the latest end with which the last job can meet the loosest objective on its end;
+ *     not before {@code target}
  */
 public record ChainDeadlines(Instant target, Instant latest) {
-  /** The earlier of each; {@code null} stands for no bound. */
-  public static ChainDeadlines earlier(ChainDeadlines one, ChainDeadlines other) {
-    if (one == null || other == null) {
-      return one == null ? other : one;
+  /** The earlier target and the earlier latest end; {@code null} means no deadlines. */
+  public static ChainDeadlines earlier(ChainDeadlines a, ChainDeadlines b) {
+    if (a == null || b == null) {
+      return a == null ? b : a;
     }
     return new ChainDeadlines(
-        one.target.isBefore(other.target) ? one.target : other.target,
-        one.latest.isBefore(other.latest) ? one.latest : other.latest);
+        a.target.isBefore(b.target) ? a.target : b.target,
+        a.latest.isBefore(b.latest) ? a.latest : b.latest);
   }
 
-  /** The deadlines earlier by that time. */
-  public ChainDeadlines minus(Duration time) {
-    return new ChainDeadlines(target.minus(time), latest.minus(time));
+  /** The deadlines moved earlier by that duration. */
+  public ChainDeadlines minus(Duration duration) {
+    return new ChainDeadlines(target.minus(duration), latest.minus(duration));
   }
 }
--- a/src/main/java/io/pineladder/model/ClusterVersion.java
+++ b/src/main/java/io/pineladder/model/ClusterVersion.java
@@ -4,23 +4,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The version of records and semantics that is in force in the whole cluster, as one controller
- * knows it. Used on the event loop's thread only.
+ * The version of record formats and semantics that is in force in the cluster, as known to one
+ * controller. Event thread only.
  *
- * <p>A durable record names it. The leader raises it once every configured controller has shown
- * software that supports the next version, and it never falls; so a version that is known to be in
- * force stays known. A controller that has not read the record yet takes the oldest version to be
- * in force.
+ * <p>The version is stored in the key-value store. The leader raises it once every configured
+ * controller has reported that it supports the next version; it is never lowered. A controller that
+ * has not read the record yet assumes the oldest version.
  */
 public final class ClusterVersion {
   private static final Logger log = LoggerFactory.getLogger(ClusterVersion.class);
 
-  /** The version before versions were recorded; also that of a controller that names none. */
+  /** The version before versions were stored; also assumed for a controller that reports none. */
   public static final int UNVERSIONED = 1;
 
   /**
-   * Jobs may name prerequisites, pages of accepted jobs may be divided, and completions name the
-   * size of their chunk.
+   * Jobs may have prerequisites, pages of accepted jobs may be divided, and completions include
+   * their chunk size.
    */
   public static final int CHAINED_JOBS = 2;
 
@@ -30,13 +29,14 @@
   private final int supported;
   private int inForce = UNVERSIONED;
 
-  /** The version for this software, with the oldest one in force. */
+  /** Creates the version state of this software, with the oldest version in force. */
   public ClusterVersion() {
     this(SUPPORTED);
   }
 
   /**
-   * The version for other software, with the oldest one in force; for tests of rolling upgrades.
+   * Creates the version state of other software, with the oldest version in force; for tests of
+   * rolling upgrades.
    *
    * @param supported the newest version that the software supports
    */
@@ -49,24 +49,25 @@
     return supported;
   }
 
-  /** The version that is known to be in force. */
+  /** The version in force, as known to this controller. */
   public int inForce() {
     return inForce;
   }
 
-  /** Whether jobs may name prerequisites. */
+  /** Whether jobs may have prerequisites. */
   public boolean allowsChainedJobs() {
     return inForce >= CHAINED_JOBS;
   }
 
   /**
-   * Whether this software is too old for the records: it must neither read nor write any of them.
+   * Whether the version in force is newer than this software supports, so that this controller must
+   * neither read nor write records.
    */
   public boolean isUnsupported() {
     return inForce > supported;
   }
 
-  /** Takes a version that is recorded as in force; an older one than is known has no effect. */
+  /** Sets the version in force; a version that is not higher has no effect. */
   public void raiseTo(int version) {
     if (version > inForce) {
       log.info("Cluster version raised: version={} previous={}", version, inForce);
--- a/src/main/java/io/pineladder/model/EndReason.java
+++ b/src/main/java/io/pineladder/model/EndReason.java
@@ -8,14 +8,14 @@
   STOPPED,
   /** Another task of its gang ended. */
   GANG_PEER_ENDED,
-  /** Its gang was not complete in time. */
+  /** Not all tasks of its gang were ready in time. */
   GANG_INCOMPLETE,
   /** The task failed. */
   ERROR,
-  /** The machine refused it for lack of capacity. */
+  /** The machine rejected it for lack of capacity. */
   NO_CAPACITY,
-  /** The machine refused it as busy. */
+  /** The machine rejected it because it was busy. */
   MACHINE_BUSY,
-  /** The machine knows nothing of the job. */
+  /** The machine does not know the job. */
   UNKNOWN_JOB
 }
--- a/src/main/java/io/pineladder/model/Job.java
+++ b/src/main/java/io/pineladder/model/Job.java
@@ -9,84 +9,87 @@
 import java.util.Map;
 import java.util.Set;
 
-/** An accepted job in the leader's memory. Used on the event loop's thread only. */
+/** An accepted job in the leader's memory. Event thread only. */
 public final class Job {
-  /** The state of a job, stored by ordinal. The last two are final. */
+  /** The state of a job; stored by ordinal. The last two states are final. */
   public enum State {
-    /** Some task is not complete. */
+    /** At least one task is not complete. */
     ACTIVE,
-    /** Cancelled by its user, or with a job that it depends on. */
+    /** Cancelled by the user, or because a prerequisite was cancelled. */
     CANCELLED,
     /** All tasks are complete. */
     DONE
   }
 
-  /** What the user submitted. */
+  /** The specification that the user submitted. */
   public final JobSpec spec;
 
-  /** When it was accepted, by the time of day of the controller that accepted it. */
+  /** When the job was accepted, by the wall clock of the controller that accepted it. */
   public final Instant acceptedAt;
 
   private State state;
 
-  /** Its own priority class, or the higher one of a dependent. */
   private PriorityClass priorityClass;
 
-  /** When it should be over for its dependents; null when they have no deadlines. */
+  /** The deadlines inherited from dependents; null if they have none. */
   public ChainDeadlines chainDeadlines;
 
   /**
-   * When it could first start, by the time of day: once accepted, or once its last dependency was
-   * done.
+   * When the job became ready to start, in wall-clock time: when it was accepted, or when its last
+   * prerequisite was done.
    */
   public Instant readyAt;
 
-  /** A job that it depends on is not known to be done: no task of it may start. */
+  /** A prerequisite is not known to be done, so no task may start. */
   public boolean blockedByDependencies;
 
   /**
-   * It is cancelled because a job that it depends on is stored as cancelled; it has no final record
-   * of its own.
+   * The job is cancelled because a prerequisite is stored as cancelled; no final state of its own
+   * is stored.
    */
   public boolean cancelledByDependency;
 
-  /** A direct or indirect dependency whose cancellation is being stored, or was; null for none. */
+  /** A direct or indirect prerequisite whose cancellation is being or was stored; null if none. */
   public Job cancellingPrerequisite;
 
-  /** Tasks that are complete. */
+  /** The completed tasks. */
   public final BitSet done = new BitSet();
 
-  /** Complete tasks of which another attempt may still run; they are not stored as complete yet. */
+  /**
+   * Completed tasks that are not stored yet, since another attempt of them may still be running.
+   */
   public final BitSet unprovenDone = new BitSet();
 
-  /** Tasks that wait to be placed. */
+  /** The tasks that wait to be placed. */
   public final BitSet pending = new BitSet();
 
-  /** Attempts that may hold capacity, by task; a superseded one stays until it is proven gone. */
+  /** The attempts that may hold capacity, by task, including superseded ones not proven gone. */
   public final Map<Integer, Set<Attempt>> attempts = new HashMap<>();
 
-  /** The machines on which its tasks failed last, the earliest first. */
+  /** The machines on which tasks have failed most recently, the earliest first. */
   public final Set<String> avoidedMachines = new LinkedHashSet<>();
 
-  /** When it was last reviewed which capacity policy alone denies it; null for never. */
+  /**
+   * When it was last checked whether only policy withholds capacity from the job; null if never.
+   */
   public Instant policyReviewedAt;
 
-  /** It fails on whatever machine, so the fault is its own: it is only probed now and then. */
+  /** The failures are attributed to the job and not to machines, so it only runs as a probe. */
   public boolean failing;
 
-  /** The final state is being stored or is stored; other records of the job no longer matter. */
+  /** The final state is being or was stored; other records of the job are obsolete. */
   public boolean finalStatePending;
 
-  /** Its record is being deleted; only its final state remains. */
+  /** The job's record is being deleted; only the final state remains. */
   public boolean recordRemovalPending;
 
-  /** The final state is stored, so users may be answered with it. */
+  /** The final state is stored, so it may be returned to users. */
   public boolean finalStateStored;
 
   /** Called when the final state is stored. */
   public final List<Runnable> finalStateCallbacks = new ArrayList<>();
 
-  /** A job without attempts. */
+  /** Creates a job without attempts. */
   public Job(JobSpec spec, Instant acceptedAt, State state) {
     this.spec = spec;
     this.acceptedAt = acceptedAt;
@@ -95,35 +98,36 @@
     this.readyAt = acceptedAt;
   }
 
-  /** The priority class that it is scheduled with: its own, or the higher one of a dependent. */
+  /** The effective priority class: the job's own, or the higher one of a dependent. */
   public PriorityClass priorityClass() {
     return priorityClass;
   }
 
-  /** Changes the priority class and deadlines; this is the only place where they change. */
-  public void setUrgency(PriorityClass highest, ChainDeadlines times) {
-    priorityClass = highest;
-    chainDeadlines = times;
+  /** Changes the effective priority class and the inherited deadlines. */
+  public void setUrgency(PriorityClass effectiveClass, ChainDeadlines deadlines) {
+    priorityClass = effectiveClass;
+    chainDeadlines = deadlines;
   }
 
-  /** The present state. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
   /**
-   * Changes the state; this is the only place where it changes.
+   * Changes the state; it changes nowhere else.
    *
-   * @throws IllegalStateException if the present state is final and another one
+   * @throws IllegalStateException if the current state is final and {@code next} differs from it
    */
   public void transitionTo(State next) {
     if (state != State.ACTIVE && state != next) {
-      throw new IllegalStateException(spec.id() + " is " + state + " and cannot become " + next);
+      throw new IllegalStateException(
+          "job " + spec.id() + " is " + state + " and cannot transition to " + next);
     }
     state = next;
   }
 
-  /** Whether it is neither cancelled nor done. */
+  /** Whether the job is neither cancelled nor done. */
   public boolean isActive() {
     return state == State.ACTIVE;
   }
@@ -141,7 +145,7 @@
     }
   }
 
-  /** Whether a task may be started: it is not complete, and no attempt of it holds capacity. */
+  /** Whether a task may be started: it is not complete and no attempt of it may hold capacity. */
   public boolean mayStartTask(int task) {
     return !attempts.containsKey(task) && !done.get(task);
   }
--- a/src/main/java/io/pineladder/model/JobKind.java
+++ b/src/main/java/io/pineladder/model/JobKind.java
@@ -1,11 +1,11 @@
 package io.pineladder.model;
 
-/** How a job's tasks depend on each other. */
+/** The kinds of jobs, by how their tasks are scheduled. */
 public enum JobKind {
-  /** Tasks that are independent of each other (a job array). */
+  /** A job array: tasks are independent of each other. */
   ARRAY,
-  /** Tasks that run together or not at all (gang scheduling). */
+  /** A gang: all tasks run at the same time or none does. */
   GANG,
-  /** Tasks that run until they are cancelled. */
+  /** A service: tasks run until the job is cancelled. */
   SERVICE
 }
--- a/src/main/java/io/pineladder/model/JobSpec.java
+++ b/src/main/java/io/pineladder/model/JobSpec.java
@@ -4,18 +4,18 @@
 import java.util.List;
 
 /**
- * What a user submitted.
+ * The specification of a job, as submitted by a user.
  *
- * @param types the machine types allowed; null for any
- * @param zone the zone required; null for any
- * @param sameZone all tasks must run in one zone
- * @param spreadAcrossZones at most half of the tasks, rounded up, may run in one zone
- * @param spotAllowed the tasks may run on spot machines
- * @param imageGb the size of the image
- * @param checkpointInterval between two checkpoints; zero when a task saves none
- * @param checkpointDuration how long a checkpoint takes
- * @param deadline from the submission to the end; null for none
- * @param prerequisites the ids of the jobs that must be done before any task of this one starts
+ * @param types the allowed machine types; null for any
+ * @param zone the required zone; null for any
+ * @param sameZone whether all tasks must run in the same zone
+ * @param spreadAcrossZones whether at most half of the tasks, rounded up, may run in one zone
+ * @param spotAllowed whether the tasks may run on spot machines
+ * @param imageGb the size of the image in GB
+ * @param checkpointInterval the time between two checkpoints; zero if tasks are not checkpointed
+ * @param checkpointDuration the time to save a checkpoint
+ * @param deadline the time from submission to the required end; null for none
+ * @param prerequisites the ids of the jobs that must be done before any task of this job starts
  */
 public record JobSpec(
     String id,
@@ -38,7 +38,7 @@
     Duration deadline,
     List<String> prerequisites) {
 
-  /** A job without prerequisites. */
+  /** Creates a specification without prerequisites. */
   public JobSpec(
       String id,
       String jobClass,
@@ -80,27 +80,27 @@
         List.of());
   }
 
-  /** Whether its tasks may run on machines of that type. */
+  /** Whether the tasks may run on machines of that type. */
   public boolean allowsType(String type) {
     return types == null || types.contains(type);
   }
 
-  /** Whether its tasks may run in that zone. */
+  /** Whether the tasks may run in that zone. */
   public boolean allowsZone(String name) {
     return zone == null || zone.equals(name);
   }
 
-  /** Whether its tasks save their progress. */
+  /** Whether the tasks save checkpoints. */
   public boolean isCheckpointed() {
     return !checkpointInterval.isZero();
   }
 
-  /** Whether it is a gang of more than one task. */
+  /** Whether the job is a gang with more than one task. */
   public boolean isMultiTaskGang() {
     return kind == JobKind.GANG && tasks > 1;
   }
 
-  /** What the team's limit must allow before any task can run. */
+  /** The resources that the team's limit must leave free before any task can run. */
   public Resources minimumResources() {
     return kind == JobKind.ARRAY ? resourcesPerTask : resourcesPerTask.times(tasks);
   }
--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -6,99 +6,104 @@
 import java.util.Map;
 
 /**
- * A machine as the leader knows it. Used on the event loop's thread only; after a change of what
- * decides whether work may be placed on it, the indexes of the cluster state have to be updated.
+ * The leader's view of a machine. Event thread only. After a change that affects whether work may
+ * be placed on the machine, the indexes of the cluster state must be updated.
  */
 public final class Machine {
-  /** The life cycle of a machine. Shown to operators by these names. */
+  /** The life cycle of a machine. The names are shown to operators. */
   public enum State {
-    /** Rented or listed; no heartbeat in this term yet. */
+    /** Requested from the cloud or listed by it; no heartbeat in this term yet. */
     EXPECTED,
-    /** Heartbeats without this leader's token: earlier leaders' commands may still reach it. */
+    /**
+     * Sends heartbeats without this leader's fencing token, so it may still accept commands of
+     * earlier leaders.
+     */
     HEARD,
-    /** Heartbeats with this leader's token: it runs what it reports and nothing else. */
+    /** Sends heartbeats with this leader's fencing token, so it runs only what it reports. */
     CONFIRMED,
-    /** Was confirmed, and its heartbeats have ceased. */
+    /** Was confirmed, but heartbeats are overdue. */
     SILENT,
-    /** Its return to the cloud was requested. */
+    /** Its release to the cloud was requested. */
     RELEASING,
     /** No longer in the cluster. */
     GONE
   }
 
-  /** Whether commands arrive at the machine, of which its heartbeats are no proof. */
+  /** Whether commands reach the machine, which heartbeats alone do not prove. */
   public enum Reachability {
-    /** No sign that commands do not arrive. */
+    /** There is no evidence that commands fail to arrive. */
     REACHABLE,
-    /** A direct command got no answer although heartbeats come: commands may not arrive. */
+    /** A direct command was unanswered although heartbeats arrive. */
     DOUBTFUL,
-    /** Its agent epoch ended although its heartbeats were answered in time: nothing arrives. */
+    /** The agent epoch ended although heartbeats were answered in time, so nothing arrives. */
     UNREACHABLE
   }
 
-  /** The cloud's name for it, unique in the cluster. */
+  /** The name assigned by the cloud, unique in the cluster. */
   public final String name;
 
-  /** Its type, with the prices of when it was rented or first listed. */
+  /** The machine type, with the prices at the time when it was requested or first listed. */
   public final MachineType type;
 
-  /** Its zone. */
   public final String zone;
 
   /** Whether it is a spot machine, which the cloud may reclaim at any time. */
   public final boolean spot;
 
-  /** When this leader learned of it. */
+  /** When this leader first knew of the machine. */
   public final Instant createdAt;
 
   private State state = State.EXPECTED;
 
-  /** Where its agent takes commands; null before the first heartbeat. */
+  /** The address of the agent for direct commands; null if unknown. */
   public String address;
 
-  /** The agent epoch (session) of the last heartbeat; 0 before any. */
+  /** The agent epoch of the last heartbeat; 0 before any. */
   public long agentEpoch;
 
   /** The sequence number of the last heartbeat in its epoch; -1 before any. */
   public long lastHeartbeatSequence = -1;
 
-  /** When the last heartbeat came; null before any. */
+  /** When the last heartbeat was received; null before any. */
   public Instant lastHeartbeatAt;
 
-  /** Its last heartbeat came through another controller: it cannot reach this one itself. */
+  /**
+   * The last heartbeat was forwarded by another controller, since the machine cannot reach this
+   * one.
+   */
   public boolean reachedThroughPeer;
 
-  /** When the cloud reclaims it; null when no reclaim is announced. */
+  /** When the cloud will reclaim the spot machine; null if no reclaim is announced. */
   public Instant reclaimAt;
 
-  /** It gets no new work, and is to be returned. */
+  /** Gets no new work and will be released. */
   public boolean draining;
 
-  /** Since when it has been seen draining with work on it; null for never. */
+  /** Since when the machine has been draining with work on it; null if never. */
   public Instant drainingSince;
 
   /**
-   * It costs more than it is worth: it gets no new work, and is returned once empty unless its
-   * capacity is needed again.
+   * Not cost-effective: gets no new work, and is released once it is idle unless its capacity is
+   * needed again.
    */
   public boolean retiring;
 
-  /** An on-demand machine that was rented only because arrays would have been late without it. */
+  /** An on-demand machine requested only because arrays would have missed their deadlines. */
   public boolean rentedForDeadlines;
 
-  /** When it first was in the cloud's list in this term; null for never. */
+  /** When the cloud first listed the machine in this term; null if never. */
   public Instant firstListedAt;
 
-  /** The cloud has listed it as running. */
+  /** The cloud has listed the machine as running. */
   public boolean listedRunning;
 
-  /** The cloud has listed it as stopped by itself. */
+  /** The cloud has listed the machine as failed. */
   public boolean stoppedByItself;
 
-  /** The attempts that it may list, by key, exited ones included. */
+  /** The attempts that heartbeats may list, by key, including exited ones. */
   public final Map<String, Attempt> attempts = new LinkedHashMap<>();
 
-  /** What all attempts that may be on it hold. */
+  /** The resources held by all attempts that may be on the machine. */
   public Resources used = Resources.ZERO;
 
   private Job reservedFor;
@@ -106,78 +111,79 @@
   private Instant reservationExpiresAt;
   private Instant reservationStartsAt;
 
-  /** Images that should be cached, the most recently used last, with their size in GB. */
+  /** Images assumed to be cached, with their sizes in GB; the most recently used last. */
   public final LinkedHashMap<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
 
-  /** Jobs fail on it, and whose fault that is is not known yet: it gets no new work. */
+  /** Gets no new work, since jobs have failed on it and the cause is not known yet. */
   public boolean quarantined;
 
-  /** Since when it has had no work; null while it has some. */
+  /** Since when the machine has been idle; null while it has work. */
   public Instant idleSince;
 
-  /** It was rented in this term, so the time of the request is known exactly. */
+  /** Requested in this term, so the time of the request is known exactly. */
   public boolean rentedByThisLeader;
 
-  /** It is named by placements that an earlier leader stored. */
+  /** Referenced by placements that an earlier leader stored. */
   public boolean knownFromPlacements;
 
-  /** A direct command awaits its answer; there is one at a time. */
+  /** A direct command is unanswered; there is at most one at a time. */
   public boolean commandInFlight;
 
   private Reachability reachability = Reachability.REACHABLE;
 
-  /** Since when heartbeats have come without a sign that commands arrive; null otherwise. */
+  /** Since when heartbeats have arrived without evidence that commands do; null if reachable. */
   private Instant unreachableSince;
 
-  /** When its newest heartbeat was last answered with this leader's token; null for never. */
+  /** When its newest heartbeat was last answered with this leader's token; null if never. */
   public Instant lastAnsweredAt;
 
-  /** When it was last probed since its heartbeat was overdue; null for never. */
+  /** When it was last probed because of an overdue heartbeat; null if never. */
   public Instant lastProbedAt;
 
-  /** It reports tasks that no record names, which hold an unknown part of its capacity. */
+  /** Reports tasks without a record, which hold an unknown amount of its capacity. */
   public boolean hasUnknownTasks;
 
-  /** A machine that is expected. */
-  public Machine(String name, MachineType type, String zone, boolean spot, Instant since) {
+  /** Creates a machine in state {@link State#EXPECTED}. */
+  public Machine(String name, MachineType type, String zone, boolean spot, Instant createdAt) {
     this.name = name;
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.createdAt = since;
+    this.createdAt = createdAt;
   }
 
-  /** The present state. */
+  /** The current state. */
   public State state() {
     return state;
   }
 
   /**
-   * Changes the state; this is the only place where it changes. A machine that is being returned
-   * ignores all transitions but the last.
+   * Changes the state; it changes nowhere else. In state {@link State#RELEASING} all transitions
+   * except to {@link State#GONE} are ignored.
    *
    * @throws IllegalStateException if the machine is gone
    */
   public void transitionTo(State next) {
     if (state == State.GONE && next != State.GONE) {
-      throw new IllegalStateException(name + " is gone and cannot become " + next);
+      throw new IllegalStateException(
+          "machine " + name + " is gone and cannot transition to " + next);
     }
     if (state == State.RELEASING && next != State.GONE) {
       return;
     }
     if (next == State.SILENT) {
-      // Silence says no more than that it is cut off; a late heartbeat is no sign of life.
+      // Heartbeats before the silence must not count toward the unreachable period.
       unreachableSince = null;
     }
     state = next;
   }
 
-  /** Whether commands arrive at it, as far as is known. */
+  /** Whether commands reach the machine, as far as is known. */
   public Reachability reachability() {
     return reachability;
   }
 
-  /** Changes the reachability; this is the only place where it changes. */
+  /** Changes the reachability; it changes nowhere else. */
   public void setReachability(Reachability next) {
     if (next == Reachability.REACHABLE) {
       unreachableSince = null;
@@ -185,7 +191,10 @@
     reachability = next;
   }
 
-  /** A heartbeat has come: for how long they have come without a sign that commands arrive. */
+  /**
+   * Returns for how long heartbeats have arrived without evidence that commands do, and starts that
+   * period at {@code now} if it has not started; zero if the machine is reachable.
+   */
   public Duration trackUnreachable(Instant now) {
     if (reachability == Reachability.REACHABLE) {
       return Duration.ZERO;
@@ -195,8 +204,8 @@
   }
 
   /**
-   * Whether commands may reach it. A machine whose heartbeats come through another controller gets
-   * its commands with the responses, so a failure of direct ones is no further evidence.
+   * Whether commands may reach the machine. If another controller forwards its heartbeats, commands
+   * are sent with the responses, so the failure of a direct command is not conclusive.
    */
   private boolean isReachable() {
     return switch (reachability) {
@@ -206,7 +215,7 @@
     };
   }
 
-  /** Whether work may be placed on it without breaking a rule or losing it soon. */
+  /** Whether work may be placed on the machine without violating a rule or an imminent loss. */
   public boolean isSafeToSchedule() {
     return state == State.CONFIRMED
         && isReachable()
@@ -215,25 +224,25 @@
         && !hasUnknownTasks;
   }
 
-  /** Whether work is placed on it: it is safe to, and policy does not exclude it. */
+  /** Whether the machine accepts work: placement is safe, and no policy excludes the machine. */
   public boolean isSchedulable() {
     return isSafeToSchedule() && !retiring && !quarantined;
   }
 
   /**
-   * Whether it is of this type. Only the names are compared: spot prices change, so the type as the
-   * cloud describes it now is seldom equal to the one that the machine was rented as.
+   * Whether the machine is of that type. Compares names only, since prices of a type change over
+   * time and {@link #type} has those of an earlier time.
    */
   public boolean hasType(MachineType other) {
     return type.name().equals(other.name());
   }
 
-  /** The capacity that no attempt holds, whether reserved or not. */
+  /** The capacity that is not held by attempts, whether reserved or not. */
   public Resources free() {
     return type.capacity().minus(used);
   }
 
-  /** Reserves capacity for one task of the job, in place of any other reservation. */
+  /** Reserves capacity for one task of the job, replacing any other reservation. */
   public void reserve(Job job, Instant expiresAt) {
     reservedFor = job;
     reserved = job.spec.resourcesPerTask();
@@ -241,49 +250,54 @@
     reservationStartsAt = null;
   }
 
-  /** Sets when the job that holds the reservation should start: until then others may run here. */
+  /**
+   * Sets when the job with the reservation is expected to start; other tasks may run until then.
+   */
   public void setReservationStart(Instant startsAt) {
     reservationStartsAt = startsAt;
   }
 
-  /** Cancels the reservation, if there is one. */
+  /** Cancels the reservation, if any. */
   public void cancelReservation() {
     reservedFor = null;
     reserved = Resources.ZERO;
   }
 
-  /** The job that capacity is reserved for, though the reservation may have expired; or null. */
+  /** The job for which capacity is reserved; null if none. The reservation may have expired. */
   public Job reservedFor() {
     return reservedFor;
   }
 
-  /** Whether capacity is reserved for the job now. */
+  /** Whether there is an unexpired reservation for the job. */
   public boolean isReservedFor(Job job, Instant now) {
     return reservedFor == job && reservationExpiresAt.isAfter(now);
   }
 
-  /** Whether capacity is reserved for another job now. */
+  /** Whether there is an unexpired reservation for another job. */
   public boolean isReservedForOther(Job job, Instant now) {
     return reservedFor != null && reservedFor != job && reservationExpiresAt.isAfter(now);
   }
 
-  /** What is reserved, though the reservation may have expired. */
+  /** The reserved resources; the reservation may have expired. */
   public Resources reserved() {
     return reserved;
   }
 
-  /** When the job that holds the reservation should start; null when that is not known. */
+  /** When the job with the reservation is expected to start; null if not known. */
   public Instant reservationStartsAt() {
     return reservationStartsAt;
   }
 
-  /** Marks an image as used last, and drops the least recently used that exceed the cache. */
+  /**
+   * Marks an image as most recently used, and evicts least recently used ones beyond the cache
+   * size.
+   */
   public void touchImage(String image, double gb) {
     images.remove(image);
     images.put(image, gb);
     double total = 0;
-    for (double each : images.values()) {
-      total += each;
+    for (double imageGb : images.values()) {
+      total += imageGb;
     }
     var oldest = images.entrySet().iterator();
     while (total > type.cacheGb() && oldest.hasNext() && images.size() > 1) {
@@ -292,7 +306,7 @@
     }
   }
 
-  /** The key of an attempt among those of its machine. */
+  /** The key of an attempt within its machine. */
   public static String attemptKey(String job, int task, long number) {
     return job + "/" + task + "#" + number;
   }
--- a/src/main/java/io/pineladder/model/MachineType.java
+++ b/src/main/java/io/pineladder/model/MachineType.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * A type of machine that the cloud rents. Prices are per hour, sizes in GB.
+ * A machine type that the cloud offers. Prices are per hour, sizes in GB.
  *
- * @param capacity what all attempts on such a machine may hold
+ * @param capacity the resources that attempts on such a machine may hold in total
  * @param cacheGb the size of the image cache
  * @param fetchGbPerSecond the rate at which images are fetched, shared by concurrent fetches
- * @param bootTime from the request until the machine takes work
+ * @param bootTime the time from the request until the machine accepts work
  */
 public record MachineType(
     String name,
@@ -21,12 +21,12 @@
     Duration bootTime,
     List<String> zones) {
 
-  /** How long the fetch of an image of that size takes when it has the whole rate. */
+  /** The time to fetch an image of that size without concurrent fetches. */
   public Duration fetchTime(double imageGb) {
     return Duration.ofMillis((long) (imageGb / Math.max(1e-3, fetchGbPerSecond) * 1000));
   }
 
-  /** The price per hour. */
+  /** The price per hour as a spot or an on-demand machine. */
   public double price(boolean spot) {
     return spot ? spotPrice : onDemandPrice;
   }
--- a/src/main/java/io/pineladder/model/Notification.java
+++ b/src/main/java/io/pineladder/model/Notification.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * A notification to subscribers that a job is over.
+ * A notification to subscribers that a job has reached its final state.
  *
- * @param number its number among all notifications, from 1 without a gap
- * @param endedAt when the job ended, by the time of day of the leader that stored it
+ * @param number the number among all notifications, starting at 1 without gaps
+ * @param endedAt when the job ended, by the wall clock of the leader that stored the final state
  */
 public record Notification(
     long number,
--- a/src/main/java/io/pineladder/model/OperatorSettings.java
+++ b/src/main/java/io/pineladder/model/OperatorSettings.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * The settings that operators change while the service runs, through the administration API only.
+ * Settings that operators can change at runtime, through the administration API.
  *
- * @param initialBackoff the back-off after the first rejection or failure
- * @param maxBackoff the longest back-off
- * @param backoffWindow back-offs end at multiples of it; zero for no rounding
- * @param idleReleaseAfter how long a machine is idle before it is returned
+ * @param initialBackoff the backoff after the first rejection or failure
+ * @param maxBackoff the maximum backoff
+ * @param backoffWindow the ends of backoffs are rounded to multiples of this; zero for no rounding
+ * @param idleReleaseAfter how long a machine is idle before it is released
  */
 public record OperatorSettings(
     Duration initialBackoff,
--- a/src/main/java/io/pineladder/model/PriorityClass.java
+++ b/src/main/java/io/pineladder/model/PriorityClass.java
@@ -1,6 +1,6 @@
 package io.pineladder.model;
 
-/** The priority classes of jobs, the highest first. */
+/** The priority classes of jobs, from highest to lowest. */
 public enum PriorityClass {
   PRODUCTION,
   HIGH,
--- a/src/main/java/io/pineladder/model/Settings.java
+++ b/src/main/java/io/pineladder/model/Settings.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * The platform's settings file, validated.
+ * The validated contents of the settings file.
  *
- * @param controllerName this controller's name
- * @param apiAddress where users and workers connect
- * @param clusterAddress where other controllers connect
- * @param storeLimits the limits that every request to the key-value store respects: those in force
- *     and, where a change of them is announced, those to come as well
- * @param currentStoreLimits the limits of the store that are in force until the announced change
- * @param maxSockets how many sockets this process may have open
- * @param coreShare the processor time that this process may use, in cores
+ * @param controllerName the name of this controller
+ * @param apiAddress the address to which users and workers connect
+ * @param clusterAddress the address to which other controllers connect
+ * @param storeLimits the limits that every request to the key-value store respects: the current
+ *     ones and, if a change is announced, also the future ones
+ * @param currentStoreLimits the limits of the store until the announced change takes effect
+ * @param maxSockets the maximum number of open sockets of this process
+ * @param coreShare the CPU time that this process may use, in cores
  */
 public record Settings(
     String controllerName,
@@ -39,16 +39,15 @@
   /**
    * A service-level objective of a job class.
    *
-   * @param kind which time is meant: the wait for the start, or the end
-   * @param jobClass the class; may be null
-   * @param latestAfter the bound; null when it is the job's own deadline times {@code
-   *     deadlineFactor}
-   * @param share the part of the jobs that must meet it
+   * @param kind what is bounded: the wait for the start, or the time until the end
+   * @param jobClass the job class; may be null
+   * @param latestAfter the bound; null if it is the job's own deadline times {@code deadlineFactor}
+   * @param share the fraction of jobs that must meet the objective
    */
   public record Objective(
       String kind, String jobClass, Duration latestAfter, double share, double deadlineFactor) {}
 
-  /** The times of the worker protocol. */
+  /** The intervals and timeouts of the worker protocol. */
   public record WorkerTimes(
       Duration heartbeatInterval,
       Duration leaseDuration,
@@ -59,7 +58,7 @@
   /** The rate and size limits of the key-value store. */
   public record StoreLimits(
       double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionOps) {
-    /** The stricter of each limit. */
+    /** The lower value of each limit. */
     public StoreLimits strictest(StoreLimits others) {
       return new StoreLimits(
           Math.min(requestsPerSecond, others.requestsPerSecond),
@@ -69,6 +68,6 @@
     }
   }
 
-  /** The rate limit of the cloud's API, and how late its machine list is. */
+  /** The rate limit of the cloud API, and the lag of its machine list. */
   public record CloudLimits(double requestsPerSecond, Duration listLag) {}
 }
--- a/src/main/java/io/pineladder/model/Subscription.java
+++ b/src/main/java/io/pineladder/model/Subscription.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * A webhook subscription to notifications of jobs that are over.
+ * A webhook subscription to notifications of final job states.
  *
- * @param name chosen by the administrator
- * @param incarnation distinguishes it from an earlier one of the same name, whose sequence began
- *     with 1 too
- * @param url where notifications are posted
- * @param createdAfterNumber the number of the last notification stored before it was created
- * @param filters which jobs it is for, the earliest first; there is at least one
- * @param secrets the signing secrets, encrypted; two while one replaces the other
- * @param reason why it is parked or has ended, or null
+ * @param name the name chosen by the administrator
+ * @param incarnation distinguishes this subscription from earlier ones of the same name, whose
+ *     sequences also started at 1
+ * @param url the URL to which notifications are posted
+ * @param createdAfterNumber the number of the last notification stored before the creation
+ * @param filters the past filters and the current one, in chronological order; at least one
+ * @param secrets the encrypted signing secrets; two during a rotation
+ * @param reason why the subscription is parked or ended; otherwise null
  */
 public record Subscription(
     String name,
@@ -25,23 +25,24 @@
     Status status,
     String reason) {
 
-  /** The status of a subscription. Shown to operators by these names. */
+  /** The status of a subscription. The names are shown to operators. */
   public enum Status {
     /** Notifications are delivered. */
     ACTIVE,
 
-    /** An operator has paused it; its notifications are retained. */
+    /** Paused by an operator; notifications are retained. */
     PAUSED,
-    /** Its receiver refuses notifications until an operator resumes it; they are retained. */
+    /** Suspended because the receiver rejects notifications; they are retained until a resume. */
     PARKED,
-    /** Its receiver wants no more; nothing is retained for it. */
+    /** Ended by the receiver; notifications are no longer retained. */
     ENDED
   }
 
   /**
-   * Which jobs a subscription is for.
+   * Selects the jobs of which a subscription receives notifications.
    *
-   * @param afterNumber it applies to notifications with higher numbers, up to the next filter's
+   * @param afterNumber the filter applies to notifications with higher numbers, up to the {@code
+   *     afterNumber} of the next filter
    * @param teams the teams; empty for all
    * @param classes the job classes; empty for all
    */
@@ -52,7 +53,9 @@
     }
   }
 
-  /** Whether the notification is for it. */
+  /**
+   * Whether the notification is newer than the subscription and matches the filter for its number.
+   */
   public boolean wants(Notification notification) {
     if (notification.number() <= createdAfterNumber) {
       return false;
@@ -65,30 +68,30 @@
     return false;
   }
 
-  /** Whether any of its filters, past ones included, is for such a job. */
+  /** Whether any filter, including past ones, matches such a job. */
   public boolean mayWant(String team, String jobClass) {
     return status != Status.ENDED
         && filters.stream().anyMatch(filter -> filter.matches(team, jobClass));
   }
 
-  /** Whether notifications are retained for it. */
+  /** Whether notifications are retained for this subscription. */
   public boolean retainsNotifications() {
     return status != Status.ENDED;
   }
 
-  /** The filter in force. */
+  /** The current filter. */
   public Filter filter() {
     return filters.get(filters.size() - 1);
   }
 
-  /** The source of its events, unique among all subscriptions. */
+  /** The source attribute of its events, unique among all subscriptions. */
   public String source() {
     return "urn:pineladder:subscription:" + name + ":" + incarnation;
   }
 
-  /** The subscription with another status, and the reason for it or null. */
-  public Subscription with(Status next, String why) {
+  /** A copy with another status and its reason, which may be null. */
+  public Subscription with(Status newStatus, String newReason) {
     return new Subscription(
-        name, incarnation, url, createdAfterNumber, filters, secrets, next, why);
+        name, incarnation, url, createdAfterNumber, filters, secrets, newStatus, newReason);
   }
 }
--- a/src/main/java/io/pineladder/model/Team.java
+++ b/src/main/java/io/pineladder/model/Team.java
@@ -1,15 +1,16 @@
 package io.pineladder.model;
 
 /**
- * A team's quota.
+ * The quota of a team.
  *
- * @param guarantee what the team's jobs get before those of teams beyond their own guarantee
- * @param maxCpus the limit on processors in use; zero for none
- * @param maxGpus the limit on accelerators in use; zero for none
+ * @param guarantee the guaranteed quota: within it the team's jobs are scheduled before those of
+ *     teams that exceed their own guarantees
+ * @param maxCpus the limit on CPUs in use; zero for none
+ * @param maxGpus the limit on GPUs in use; zero for none
  */
 public record Team(String name, Resources guarantee, double maxCpus, double maxGpus) {
 
-  /** The limit; a dimension of zero has none. */
+  /** The limit; dimensions that are zero are unlimited. */
   public Resources limit() {
     return Resources.of(maxCpus, maxGpus, 0);
   }
@@ -21,30 +22,30 @@
         && (limit.microGpus() == 0 || usage.microGpus() <= limit.microGpus());
   }
 
-  /** How many more times {@code each} keeps a team with {@code usage} within its limit. */
-  public long countWithin(Resources usage, Resources each) {
+  /** How many more tasks that need {@code perTask} fit within the limit beside {@code usage}. */
+  public long countWithin(Resources usage, Resources perTask) {
     Resources limit = limit();
-    long cpus = unitsWithin(limit.microCpus(), usage.microCpus(), each.microCpus());
-    return Math.min(cpus, unitsWithin(limit.microGpus(), usage.microGpus(), each.microGpus()));
+    long cpus = remainingUnits(limit.microCpus(), usage.microCpus(), perTask.microCpus());
+    return Math.min(
+        cpus, remainingUnits(limit.microGpus(), usage.microGpus(), perTask.microGpus()));
   }
 
-  /** How many more of {@code each} a limit allows beside what is used. */
-  private static long unitsWithin(long limit, long used, long each) {
+  private static long remainingUnits(long limit, long used, long unit) {
     if (limit == 0) {
       return Long.MAX_VALUE;
     }
     if (used > limit) {
       return 0;
     }
-    return each == 0 ? Long.MAX_VALUE : (limit - used) / each;
+    return unit == 0 ? Long.MAX_VALUE : (limit - used) / unit;
   }
 
-  /** Whether anything is guaranteed. */
+  /** Whether the team has a guaranteed quota in any dimension. */
   public boolean hasGuarantee() {
     return guarantee.microCpus() > 0 || guarantee.microGpus() > 0;
   }
 
-  /** Whether the guarantee covers that usage, in the dimensions for which it is set. */
+  /** Whether {@code usage} is within the guarantee in all dimensions for which one is set. */
   public boolean guarantees(Resources usage) {
     return hasGuarantee()
         && (guarantee.microCpus() == 0 || usage.microCpus() <= guarantee.microCpus())
--- a/src/main/java/io/pineladder/model/package-info.java
+++ b/src/main/java/io/pineladder/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the service is about: jobs, attempts, machines, teams, subscriptions and settings. Depends
- * on no other package; names are the field's terms, and {@code wire} maps the protocol's to them.
+ * The domain model: jobs, attempts, machines, teams, subscriptions and settings. Depends on no
+ * other package. The {@code wire} package maps protocol names to the names used here.
  */
 package io.pineladder.model;
