--- a/src/test/java/io/pineladder/ArchitectureTest.java
+++ b/src/test/java/io/pineladder/ArchitectureTest.java
@@ -29,19 +29,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks the layers of the packages: a class depends only on its own package and on packages of
- * lower layers. The compiled classes are read, so a dependency without an import counts; and the
- * imports of the sources, since the compiler copies constants and leaves no dependency.
+ * Checks the package layers: a class may depend only on its own package and on packages of lower
+ * layers. Dependencies are read from compiled classes, which also shows those without an import,
+ * and from imports in the sources, since inlined constants leave no trace in compiled classes.
  */
 class ArchitectureTest {
   private static final String ROOT = "io.pineladder";
 
-  private static final Pattern OWN_IMPORT =
+  private static final Pattern PROJECT_IMPORT =
       Pattern.compile("(?m)^import (?:static )?(io\\.pineladder\\.(?:[a-z]+\\.)*[A-Z]\\w*)");
 
   /**
-   * The layers from the lowest to the highest; packages of one layer do not depend on each other.
-   * The empty name is the package of {@link ControllerNode} and {@link LeaderTerm}.
+   * The layers from lowest to highest; packages of the same layer must not depend on each other.
+   * The empty name is the root package, that of {@link ControllerNode} and {@link LeaderTerm}.
    */
   private static final List<Set<String>> LAYERS =
       List.of(
@@ -59,14 +59,14 @@
           Set.of("cli"));
 
   /**
-   * The dependencies that break the layers and are known, between top-level classes. The set may
-   * only shrink: a dependency that is missing here fails the test, and so does an entry whose
-   * dependency no longer exists.
+   * Known violations of the layers, between top-level classes. The set must only shrink: the test
+   * fails on a violation that is not listed here, and on an entry whose dependency no longer
+   * exists.
    */
-  private static final Set<KnownDependency> KNOWN_UPWARD =
+  private static final Set<KnownViolation> KNOWN_VIOLATIONS =
       Set.of(
-          new KnownDependency(PeerWire.class, HttpResponse.class),
-          new KnownDependency(SubscriptionManager.class, Metrics.class));
+          new KnownViolation(PeerWire.class, HttpResponse.class),
+          new KnownViolation(SubscriptionManager.class, Metrics.class));
 
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void noPackageDependsOnAHigherOne() throws IOException {
+  void packagesDependOnlyOnLowerLayers() throws IOException {
     Map<String, Integer> layerOf = new HashMap<>();
     for (int layer = 0; layer < LAYERS.size(); layer++) {
       for (String name : LAYERS.get(layer)) {
@@ -95,34 +95,34 @@
     for (JavaClass type : CLASSES) {
       for (Dependency dependency : type.getDirectDependenciesFromSelf()) {
         JavaClass target = dependency.getTargetClass().getBaseComponentType();
-        if (isOwn(target)) {
+        if (isProjectClass(target)) {
           dependencies
               .computeIfAbsent(topLevelName(type), name -> new TreeSet<>())
               .add(topLevelName(target));
         }
       }
     }
-    Set<String> upward = new TreeSet<>();
+    Set<String> violations = new TreeSet<>();
     dependencies.forEach(
         (from, targets) -> {
           for (String to : targets) {
             if (!packageOf(to).equals(packageOf(from))
                 && layerOf.get(packageOf(to)) >= layerOf.get(packageOf(from))) {
-              upward.add(from + " -> " + to);
+              violations.add(from + " -> " + to);
             }
           }
         });
     Set<String> known = new TreeSet<>();
-    KNOWN_UPWARD.forEach(dependency -> known.add(dependency.toString()));
-    assertEquals(known, upward);
+    KNOWN_VIOLATIONS.forEach(violation -> known.add(violation.toString()));
+    assertEquals(known, violations);
   }
 
   @Test
   void packagesHaveNoCycles() {
     SliceRule rule =
         SlicesRuleDefinition.slices().assignedFrom(new PackageSlices()).should().beFreeOfCycles();
-    for (KnownDependency dependency : KNOWN_UPWARD) {
-      rule = rule.ignoreDependency(within(dependency.from()), within(dependency.to()));
+    for (KnownViolation violation : KNOWN_VIOLATIONS) {
+      rule = rule.ignoreDependency(within(violation.from()), within(violation.to()));
     }
     rule.check(CLASSES);
   }
@@ -132,7 +132,7 @@
         topLevel.getName(), type -> topLevelName(type).equals(topLevel.getName()));
   }
 
-  private static boolean isOwn(JavaClass type) {
+  private static boolean isProjectClass(JavaClass type) {
     return type.getPackageName().equals(ROOT) || type.getPackageName().startsWith(ROOT + ".");
   }
 
@@ -142,7 +142,7 @@
     return end <= ROOT.length() ? "" : topLevelName.substring(ROOT.length() + 1, end);
   }
 
-  /** What each source file of this module imports of it, between top-level classes. */
+  /** The classes of this module that each source file imports, by top-level class. */
   private static Map<String, Set<String>> importsOfSources() throws IOException {
     Path root = Path.of("src/main/java");
     Map<String, Set<String>> imports = new HashMap<>();
@@ -151,7 +151,10 @@
         String path = root.relativize(file).toString();
         String from = path.substring(0, path.length() - ".java".length()).replace('/', '.');
         Set<String> targets = new TreeSet<>();
-        OWN_IMPORT.matcher(Files.readString(file)).results().forEach(m -> targets.add(m.group(1)));
+        PROJECT_IMPORT
+            .matcher(Files.readString(file))
+            .results()
+            .forEach(m -> targets.add(m.group(1)));
         imports.put(from, targets);
       }
     }
@@ -164,19 +167,19 @@
     return nested < 0 ? name : name.substring(0, nested);
   }
 
-  /** A dependency between two top-level classes. */
-  private record KnownDependency(Class<?> from, Class<?> to) {
+  /** A known dependency between two top-level classes that violates the layers. */
+  private record KnownViolation(Class<?> from, Class<?> to) {
     @Override
     public String toString() {
       return from.getName() + " -> " + to.getName();
     }
   }
 
-  /** Makes each package a slice of its own, also a package within another. */
+  /** Makes each package, including nested ones, a slice of its own. */
   private static final class PackageSlices implements SliceAssignment {
     @Override
     public SliceIdentifier getIdentifierOf(JavaClass type) {
-      return isOwn(type)
+      return isProjectClass(type)
           ? SliceIdentifier.of(packageOf(topLevelName(type)))
           : SliceIdentifier.ignore();
     }
--- a/src/test/java/io/pineladder/upgrade/FormatCompatibilityTest.java
+++ b/src/test/java/io/pineladder/upgrade/FormatCompatibilityTest.java
@@ -41,12 +41,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The formats of cluster version 1, as its software wrote them ({@code upgrade/version-1.json},
- * recorded from production): this software reads each, and before the version is raised writes the
- * same, since controllers of version 1 read it.
+ * Compatibility with the formats of cluster version 1 during a rolling upgrade. This software must
+ * read records and messages as written by version 1 ({@code upgrade/version-1.json}, recorded from
+ * production), and must write the same formats until the cluster version is raised.
  */
 class FormatCompatibilityTest {
-  private static final Instant AT = Instant.ofEpochMilli(1_764_655_200_123L);
+  private static final Instant TIMESTAMP = Instant.ofEpochMilli(1_764_655_200_123L);
 
   private static final MachineType TYPE =
       new MachineType(
@@ -101,9 +101,9 @@
           Duration.ZERO,
           null);
 
-  private final ObjectNode recorded = load();
+  private final ObjectNode recorded = loadRecordedFormats();
 
-  private static ObjectNode load() {
+  private static ObjectNode loadRecordedFormats() {
     try (InputStream in =
         FormatCompatibilityTest.class.getResourceAsStream("/upgrade/version-1.json")) {
       return Json.parseObject(in.readAllBytes());
@@ -112,15 +112,15 @@
     }
   }
 
-  private JsonNode record(String key) {
+  private JsonNode storedRecord(String key) {
     return recorded.get("records").get(key);
   }
 
-  private byte[] message(String name) {
+  private byte[] recordedMessage(String name) {
     return HexFormat.of().parseHex(recorded.at("/messages/" + name).asText());
   }
 
-  private static BitSet done() {
+  private static BitSet completedTasks() {
     BitSet done = new BitSet();
     done.set(0, 3);
     done.set(5);
@@ -131,30 +131,30 @@
   private static Attempt attempt() {
     Machine machine = new Machine("m-000231", TYPE, "a", true, Instant.EPOCH);
     machine.address = "10.1.0.232:9000";
-    Job job = new Job(GANG, AT, Job.State.ACTIVE);
+    Job job = new Job(GANG, TIMESTAMP, Job.State.ACTIVE);
     return new Attempt(
         job, 4, (412L << 20) + 3, machine, Instant.EPOCH, Attempt.State.PLACEMENT_STORED);
   }
 
   @Test
-  void recordsAreWrittenInFormatOfVersionOne() {
+  void writesRecordsInVersionOneFormat() {
     Map<String, JsonNode> written = new LinkedHashMap<>();
-    written.put("job/req-000412", RecordWire.job(GANG, AT, Job.State.ACTIVE));
+    written.put("job/req-000412", RecordWire.job(GANG, TIMESTAMP, Job.State.ACTIVE));
     Notification notification =
-        new Notification(17, "req-000399", "vision", "train", Job.State.DONE, 4, AT);
+        new Notification(17, "req-000399", "vision", "train", Job.State.DONE, 4, TIMESTAMP);
     written.put(
         "accepted/0",
         RecordWire.page(
             Stream.of(
-                RecordWire.job(GANG, AT, Job.State.ACTIVE),
-                RecordWire.job(SERVICE, AT, Job.State.CANCELLED).put("at_fault", true)),
+                RecordWire.job(GANG, TIMESTAMP, Job.State.ACTIVE),
+                RecordWire.job(SERVICE, TIMESTAMP, Job.State.CANCELLED).put("at_fault", true)),
             List.of(notification)));
     written.put(
         "done/0",
         RecordWire.page(
             Stream.of(
-                RecordWire.completions("req-000412", done(), 0, 374),
-                RecordWire.completions("req-000412", done(), 1, 374))));
+                RecordWire.completions("req-000412", completedTasks(), 0, 374),
+                RecordWire.completions("req-000412", completedTasks(), 1, 374))));
     written.put("placed/0", RecordWire.page(Stream.of(RecordWire.placement(attempt()))));
     written.put(
         "images/0",
@@ -176,76 +176,79 @@
     written.put("conf/operator", RecordWire.operatorSettings(OperatorSettings.DEFAULTS));
     written.put(
         "ends/0", RecordWire.finalStates(Job.State.CANCELLED, List.of("req-000001", "req-000002")));
-    written.forEach((key, value) -> assertEquals(record(key).toString(), value.toString(), key));
+    written.forEach(
+        (key, value) -> assertEquals(storedRecord(key).toString(), value.toString(), key));
     assertEquals(recorded.get("records").size(), written.size());
   }
 
   @Test
-  void recordsOfVersionOneAreRead() throws MalformedMessageException {
-    List<JsonNode> jobs = RecordWire.entries(record("accepted/0"));
+  void readsVersionOneRecords() throws MalformedMessageException {
+    List<JsonNode> jobs = RecordWire.entries(storedRecord("accepted/0"));
     RecordWire.StoredJob gang = RecordWire.parseJob(jobs.get(0));
     assertEquals(GANG, gang.spec());
     assertTrue(gang.spec().prerequisites().isEmpty());
     assertNull(RecordWire.copySource(jobs.get(0)));
     assertEquals(SERVICE, RecordWire.parseJob(jobs.get(1)).spec());
     assertTrue(RecordWire.parseJob(jobs.get(1)).atFault());
-    assertEquals(17, RecordWire.parseNotifications(record("accepted/0")).get(0).number());
+    assertEquals(17, RecordWire.parseNotifications(storedRecord("accepted/0")).get(0).number());
     RecordWire.StoredCompletions chunk =
-        RecordWire.parseCompletions(RecordWire.entries(record("done/0")).get(1));
+        RecordWire.parseCompletions(RecordWire.entries(storedRecord("done/0")).get(1));
     assertEquals(1, chunk.chunk());
     assertEquals(0, chunk.chunkTasks());
     assertEquals(10, chunk.completed().cardinality());
     RecordWire.Placement placement =
-        RecordWire.parsePlacement(RecordWire.entries(record("placed/0")).get(0));
+        RecordWire.parsePlacement(RecordWire.entries(storedRecord("placed/0")).get(0));
     assertEquals("m-000231", placement.machine());
     assertEquals((412L << 20) + 3, placement.attempt());
-    assertEquals(Job.State.DONE, RecordWire.parseFinalState(record("end/req-000399")));
-    assertEquals("rung-1", RecordWire.parseLeader(record("lead/holder")).controllerName());
-    assertEquals(900, RecordWire.parseGeneration(record("generation/current"), 3).base());
-    assertEquals(List.of(TYPE), RecordWire.parseMachineTypes(record("conf/types")));
-    assertEquals(2, RecordWire.parseFinalStates(record("ends/0")).size());
+    assertEquals(Job.State.DONE, RecordWire.parseFinalState(storedRecord("end/req-000399")));
+    assertEquals("rung-1", RecordWire.parseLeader(storedRecord("lead/holder")).controllerName());
+    assertEquals(900, RecordWire.parseGeneration(storedRecord("generation/current"), 3).base());
+    assertEquals(List.of(TYPE), RecordWire.parseMachineTypes(storedRecord("conf/types")));
+    assertEquals(2, RecordWire.parseFinalStates(storedRecord("ends/0")).size());
   }
 
-  /** Readers of version 1 stop where its messages end, so what is added stands behind. */
+  /**
+   * Readers of version 1 ignore trailing bytes, so new fields must come after the existing ones.
+   */
   @Test
-  void messagesBeginLikeThoseOfVersionOne() throws MalformedMessageException {
-    Map<String, GossipWire.PeerContact> heard = new LinkedHashMap<>();
-    heard.put("rung-1", new GossipWire.PeerContact(Duration.ofMillis(812), "nonce-1", 44));
-    heard.put("rung-2", new GossipWire.PeerContact(Duration.ofMillis(90), "nonce-2", 7));
+  void extendsVersionOneMessagesOnlyAtTheEnd() throws MalformedMessageException {
+    Map<String, GossipWire.PeerContact> contacts = new LinkedHashMap<>();
+    contacts.put("rung-1", new GossipWire.PeerContact(Duration.ofMillis(812), "nonce-1", 44));
+    contacts.put("rung-2", new GossipWire.PeerContact(Duration.ofMillis(90), "nonce-2", 7));
     GossipWire.RecordStatus stored = new GossipWire.RecordStatus(0, 950, 0, 949, true, 412, false);
-    byte[] before = message("beat");
-    byte[] beat =
+    byte[] versionOne = recordedMessage("beat");
+    byte[] versionTwo =
         GossipWire.write(
-            new GossipWire.Heartbeat("rung-0", "nonce-0", 91, true, 412, heard, stored, 2));
-    assertArrayEquals(before, Arrays.copyOf(beat, before.length));
-    assertEquals(ClusterVersion.UNVERSIONED, GossipWire.parse(before).supportedVersion());
-    assertEquals(2, GossipWire.parse(beat).supportedVersion());
-    assertEquals(stored, GossipWire.parse(before).recordStatus());
+            new GossipWire.Heartbeat("rung-0", "nonce-0", 91, true, 412, contacts, stored, 2));
+    assertArrayEquals(versionOne, Arrays.copyOf(versionTwo, versionOne.length));
+    assertEquals(ClusterVersion.UNVERSIONED, GossipWire.parse(versionOne).supportedVersion());
+    assertEquals(2, GossipWire.parse(versionTwo).supportedVersion());
+    assertEquals(stored, GossipWire.parse(versionOne).recordStatus());
     PeerWire.ForwardedRequest forward =
         new PeerWire.ForwardedRequest(
             "POST", "/v1/jobs", "{\"ref\":\"req-7\"}".getBytes(StandardCharsets.UTF_8), 1);
-    assertArrayEquals(message("forward"), PeerWire.write(forward));
+    assertArrayEquals(recordedMessage("forward"), PeerWire.write(forward));
     PeerWire.ForwardedResponse answer =
         new PeerWire.ForwardedResponse(
             true, new HttpResponse(201, "{}".getBytes(StandardCharsets.UTF_8), 0), "rung-1");
-    assertArrayEquals(message("answer"), PeerWire.write(answer));
-    assertEquals("/v1/jobs", PeerWire.parseRequest(message("forward")).path());
-    assertEquals("rung-1", PeerWire.parseResponse(message("answer")).leader());
+    assertArrayEquals(recordedMessage("answer"), PeerWire.write(answer));
+    assertEquals("/v1/jobs", PeerWire.parseRequest(recordedMessage("forward")).path());
+    assertEquals("rung-1", PeerWire.parseResponse(recordedMessage("answer")).leader());
   }
 
   @Test
-  void fieldsOfVersionTwoAreReadBack() throws MalformedMessageException {
+  void roundTripsVersionTwoFields() throws MalformedMessageException {
     RecordWire.StoredCompletions chunk =
         RecordWire.parseCompletions(
-            RecordWire.completionsWithChunkSize("req-000412", done(), 7, 54));
+            RecordWire.completionsWithChunkSize("req-000412", completedTasks(), 7, 54));
     assertEquals(54, chunk.chunkTasks());
     assertEquals(7, chunk.chunk());
     assertThrows(
         MalformedMessageException.class,
         () ->
             RecordWire.parseCompletions(
-                RecordWire.completionsWithChunkSize("req-000412", done(), 0, 0)));
-    JsonNode job = RecordWire.job(GANG, AT, Job.State.ACTIVE);
+                RecordWire.completionsWithChunkSize("req-000412", completedTasks(), 0, 0)));
+    JsonNode job = RecordWire.job(GANG, TIMESTAMP, Job.State.ACTIVE);
     JsonNode copy = RecordWire.copiedRecord(job, "accepted/3");
     assertEquals("accepted/3", RecordWire.copySource(copy));
     assertEquals(job, RecordWire.withoutCopySource(copy));
