--- a/src/main/java/io/pineladder/TaskStartHold.java
+++ b/src/main/java/io/pineladder/TaskStartHold.java
@@ -45,8 +45,7 @@
     held = recordLoss.isRebuildIncompleteWithin(MAX_REBUILD_AGE);
     if (held) {
       log.info(
-          "Task starts held until machine inventory is confirmed: term={}"
-              + " reason=incomplete-rebuild",
+          "Task starts held, machine inventory unconfirmed: term={} reason=incomplete-rebuild",
           lifecycle.term());
       scheduleReview(isInventoryConfirmed, onReleased);
     }
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -465,7 +465,7 @@
           }
           if (reply.is(404)) {
             listener.onLeaseNotFound();
-            endTerm("the lease expired in the store", false);
+            endTerm("the lease no longer exists in the store", false);
             return;
           }
           boolean renewed = reply.is(200);
