--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -170,7 +170,7 @@
   public void start() {
     log.info(
         "Controller started: controller={} zone={}", settings.controllerName(), settings.zone());
-    membership.onStoreStatus(replicaManager.generations()::onPeerStatus);
+    membership.setRecordStatusListener(replicaManager.generations()::onPeerStatus);
     membership.start();
     tick();
     replicaManager.start();
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -117,7 +117,7 @@
         .put("machine_types", node.machineTypes().size())
         .put(
             "doubts_itself",
-            node.membership().selfAssessment() == Membership.SelfAssessment.DOUBTFUL);
+            node.membership().localHealth() == Membership.LocalHealth.DEGRADED);
     ArrayNode peers = out.putArray("peers");
     for (Membership.PeerStatus peer : node.membership().peerStatuses()) {
       peers
