--- a/src/main/java/io/pineladder/scheduling/PendingJobs.java
+++ b/src/main/java/io/pineladder/scheduling/PendingJobs.java
@@ -59,7 +59,7 @@
 
   /** Makes the job's entry active if it has pending tasks. */
   void enqueue(Job job) {
-    if (job.isActive() && !job.pending.isEmpty()) {
+    if (job.isActive() && !job.pendingTasks.isEmpty()) {
       queue.add(entry(job));
       requestRun();
     }
