--- a/src/main/java/io/pineladder/queue/QueueEntry.java
+++ b/src/main/java/io/pineladder/queue/QueueEntry.java
@@ -5,77 +5,78 @@
 import java.time.Instant;
 
 /**
- * A job's pending tasks in the scheduling queue: one entry whatever their number. Its place and
- * sort keys are changed by {@link SchedulingQueue} only.
+ * The pending tasks of a job in the scheduling queue: one entry per job, regardless of the number
+ * of tasks. Only {@link SchedulingQueue} changes its state and sort keys.
  */
 public final class QueueEntry {
-  /** Where in the queue an entry is. Shown to operators by these names. */
+  /** The state of an entry in the queue. Operators see these names. */
   public enum Place {
     /** Not in the queue. */
     OUTSIDE,
-    /** In the active heap, to be scheduled by priority. */
+    /** In the active heap, which is ordered by priority. */
     ACTIVE,
-    /** In its scheduling cycle. */
+    /** In a scheduling cycle. */
     IN_FLIGHT,
-    /** In back-off after a rejection by a check; an event may cut it short. */
+    /** In back-off after a rejection by a check; events may end the back-off early. */
     BACKOFF_REJECTED,
-    /** In back-off after tasks failed or were refused; no event cuts it short. */
+    /** In back-off after tasks failed or were refused by a machine; no event ends it early. */
     BACKOFF_ERROR,
-    /** Rejected by a check, until an event or a periodic retry activates it. */
+    /** Rejected by a check; activated by an event or a periodic retry. */
     UNSCHEDULABLE
   }
 
-  /** The job whose pending tasks these are. */
+  /** The job that the pending tasks belong to. */
   public final Job job;
 
   Place place = Place.OUTSIDE;
   SchedulingCheck rejectedBy;
 
-  /** Scheduling cycles, or failures, since the back-off was last reset. */
+  /** The number of scheduling cycles or failures since the back-off was last reset. */
   int attempts;
 
   Instant lastCycleAt = Instant.MIN;
 
-  /** The number of this entry's last scheduling cycle among those of the whole queue. */
-  long lastCycle;
+  /** The sequence number of the entry's last scheduling cycle, counted over the whole queue. */
+  long lastCycleNumber;
 
-  /** When its back-off ends. */
   Instant backoffExpiry = Instant.MIN;
 
-  /** Sort key, like those below: fixed while the entry is in the active heap. */
+  /**
+   * Sort key, like the three fields below; must not change while the entry is in the active heap.
+   */
   boolean guaranteed;
 
   PriorityClass priorityClass;
   Instant dueAt = Instant.MAX;
   long arrivalNumber;
 
-  /** An entry outside the queue. */
+  /** Creates an entry that is not in the queue yet. */
   public QueueEntry(Job job) {
     this.job = job;
     this.priorityClass = job.priorityClass();
   }
 
-  /** Where in the queue the entry is. */
+  /** The state of the entry in the queue. */
   public Place place() {
     return place;
   }
 
-  /** The check that rejected it last; null before the first rejection. */
+  /** The check that last rejected the entry; null before the first rejection. */
   public SchedulingCheck rejectedBy() {
     return rejectedBy;
   }
 
-  /** When its last scheduling cycle or failure was. */
+  /** The time of the last scheduling cycle or failure. */
   public Instant lastCycleAt() {
     return lastCycleAt;
   }
 
-  /** Scheduling cycles, or failures, since the back-off was last reset. */
+  /** The number of scheduling cycles or failures since the back-off was last reset. */
   public int attempts() {
     return attempts;
   }
 
-  /** A task was placed: the back-off of the others starts anew. */
+  /** Resets the back-off after a task was placed. */
   public void resetBackoff() {
     attempts = 0;
   }
--- a/src/main/java/io/pineladder/queue/QueueingHint.java
+++ b/src/main/java/io/pineladder/queue/QueueingHint.java
@@ -1,11 +1,13 @@
 package io.pineladder.queue;
 
-/** What a cluster event means for an entry that a check has rejected. */
+/**
+ * What a cluster event means for an entry that a check has rejected, in ascending order of effect.
+ */
 public enum QueueingHint {
-  /** It stays unschedulable. */
+  /** The event does not help: the entry stays unschedulable. */
   SKIP,
-  /** It may be placed now: it becomes active when its back-off has expired. */
+  /** The entry may be schedulable: it becomes active once its back-off has expired. */
   QUEUE,
-  /** It can be placed now: it becomes active without waiting for its back-off. */
+  /** The entry is schedulable: it becomes active without waiting for its back-off. */
   QUEUE_IMMEDIATELY
 }
--- a/src/main/java/io/pineladder/queue/QueueingHintTable.java
+++ b/src/main/java/io/pineladder/queue/QueueingHintTable.java
@@ -3,32 +3,35 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** The hint function for each check and kind of event; none means {@link QueueingHint#SKIP}. */
+/**
+ * The hint functions by check and kind of event; a missing function means {@link
+ * QueueingHint#SKIP}.
+ */
 public final class QueueingHintTable {
-  /** Gives the hint for one entry that the check has rejected. */
+  /** Computes the hint for an entry that the check has rejected. */
   @FunctionalInterface
   public interface HintFunction {
-    /** What the event means for the entry. */
+    /** Returns what the event means for the entry. */
     QueueingHint hint(QueueEntry entry, ClusterEvent event);
   }
 
   private final Map<ClusterEvent.Kind, EnumMap<SchedulingCheck, HintFunction>> functions =
       new EnumMap<>(ClusterEvent.Kind.class);
 
-  /** Sets the function for a check and a kind of event, and returns this table. */
+  /** Registers the function for a check and a kind of event, and returns this table. */
   public QueueingHintTable register(
       SchedulingCheck check, ClusterEvent.Kind kind, HintFunction function) {
     functions.computeIfAbsent(kind, k -> new EnumMap<>(SchedulingCheck.class)).put(check, function);
     return this;
   }
 
-  /** The functions for a kind of event, by check. */
+  /** Returns the functions for a kind of event, by check. */
   Map<SchedulingCheck, HintFunction> functionsFor(ClusterEvent.Kind kind) {
     Map<SchedulingCheck, HintFunction> byCheck = functions.get(kind);
     return byCheck == null ? Map.of() : byCheck;
   }
 
-  /** What the event means for an entry that the check has rejected. */
+  /** Returns what the event means for an entry that the check has rejected. */
   QueueingHint hint(SchedulingCheck check, QueueEntry entry, ClusterEvent event) {
     HintFunction function = functionsFor(event.kind()).get(check);
     return function == null ? QueueingHint.SKIP : function.hint(entry, event);
--- a/src/main/java/io/pineladder/queue/SchedulingCheck.java
+++ b/src/main/java/io/pineladder/queue/SchedulingCheck.java
@@ -1,23 +1,28 @@
 package io.pineladder.queue;
 
-/** The checks that can reject a pending entry. Shown to operators by these names. */
+/** The checks that can reject a pending entry. Operators see these names. */
 public enum SchedulingCheck {
-  /** The team's limit allows no more tasks. */
+  /** The team's resource limit allows no more tasks. */
   TEAM_LIMIT,
-  /** No machine has a type and zone that the job allows, or all of those are spot machines. */
+  /**
+   * No machine of a type and zone that the job allows exists, or all of them are spot machines and
+   * the job does not allow those.
+   */
   PLACE,
   /** No machine that the job may use has enough free capacity. */
   FIT,
-  /** There is capacity only where too many tasks would be in one zone. */
+  /** There is capacity, but only in zones that already have the maximum share of the tasks. */
   SPREAD,
-  /** There is capacity, but not in the one zone that all tasks must share. */
+  /** There is capacity, but not in the single zone that all tasks must share. */
   TOGETHER,
-  /** Tasks of the gang's earlier attempt may still be on a machine. */
+  /** Tasks of the gang's previous attempt may still be on a machine. */
   PREDECESSOR,
-  /** The job fails wherever it runs, and as many of its tasks as are probed at a time are out. */
+  /** The job fails on every machine, and its maximum number of probe tasks is already placed. */
   FAILING,
-  /** The rate at which tasks of large arrays are started is used up. */
+  /** The start rate limit for the tasks of large arrays is used up. */
   PACE,
-  /** A prerequisite is not done; the end of the last one activates the entry, and nothing else. */
+  /**
+   * A prerequisite is not done; only the completion of the last prerequisite activates the entry.
+   */
   DEPENDENCY
 }
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -15,9 +15,9 @@
 import java.util.Set;
 
 /**
- * The pending entries in their three places: the active heap by priority, two back-off heaps
- * (rejections and errors) by expiry, and the unschedulable set by rejecting check. Used on one
- * thread only.
+ * The queue of pending entries: the active heap ordered by priority, two back-off heaps (rejections
+ * and errors) ordered by expiry, and the unschedulable set, grouped by the check that rejected the
+ * entry. Not thread-safe: used on the event loop's thread only.
  */
 public final class SchedulingQueue {
   private static final Comparator<QueueEntry> BY_PRIORITY =
@@ -29,12 +29,14 @@
       Comparator.<QueueEntry, Instant>comparing(e -> e.backoffExpiry)
           .thenComparing(e -> e.arrivalNumber);
 
-  /** The sort keys of an entry, computed whenever it enters the active heap. */
+  /** Computes the sort keys of an entry whenever it enters the active heap. */
   public interface Ordering {
-    /** Whether the job is within its team's guarantee; such entries come first. */
+    /** Whether the job is within its team's guaranteed quota; such entries come first. */
     boolean isGuaranteed(QueueEntry entry);
 
-    /** When the job is due to start, by the time of day; orders entries of one priority class. */
+    /**
+     * When the job is due to start, as wall-clock time; orders entries of the same priority class.
+     */
     Instant dueAt(QueueEntry entry);
   }
 
@@ -44,16 +46,16 @@
   private final EnumMap<SchedulingCheck, Set<QueueEntry>> unschedulable =
       new EnumMap<>(SchedulingCheck.class);
 
-  /** Entries in their scheduling cycle, each with the events that came meanwhile. */
+  /** Entries in a scheduling cycle, each with the events received during it. */
   private final Map<QueueEntry, List<ClusterEvent>> inFlight = new LinkedHashMap<>();
 
   private final QueueingHintTable hints;
   private final Ordering ordering;
   private OperatorSettings settings;
-  private long arrivals;
-  private long cycles;
+  private long arrivalCount;
+  private long cycleCount;
 
-  /** An empty queue. */
+  /** Creates an empty queue. */
   public SchedulingQueue(QueueingHintTable hints, Ordering ordering, OperatorSettings settings) {
     this.hints = hints;
     this.ordering = ordering;
@@ -63,12 +65,12 @@
     }
   }
 
-  /** Sets the back-off times; they apply to back-offs that begin from now on. */
+  /** Sets the back-off times, which apply to back-offs that begin from now on. */
   public void updateSettings(OperatorSettings next) {
     settings = next;
   }
 
-  /** The only place where an entry changes its place. */
+  /** Moves the entry to another state; the only method that changes the state. */
   private void transitionTo(QueueEntry entry, QueueEntry.Place next) {
     switch (entry.place) {
       case ACTIVE -> active.remove(entry);
@@ -77,7 +79,7 @@
       case UNSCHEDULABLE -> unschedulable.get(entry.rejectedBy).remove(entry);
       case IN_FLIGHT -> inFlight.remove(entry);
       case OUTSIDE -> {}
-      default -> throw new IllegalStateException("Unknown place: " + entry);
+      default -> throw new IllegalStateException("Unknown queue entry state: " + entry);
     }
     entry.place = next;
     switch (next) {
@@ -92,28 +94,29 @@
       case UNSCHEDULABLE -> unschedulable.get(entry.rejectedBy).add(entry);
       case IN_FLIGHT -> inFlight.put(entry, new ArrayList<>());
       case OUTSIDE -> {}
-      default -> throw new IllegalStateException("Unknown place: " + entry);
+      default -> throw new IllegalStateException("Unknown queue entry state: " + entry);
     }
   }
 
-  /** Makes a new entry, or one whose job has new pending tasks, active. */
+  /** Activates a new entry, or one whose job has new pending tasks. */
   public void add(QueueEntry entry) {
     if (entry.place == QueueEntry.Place.ACTIVE || entry.place == QueueEntry.Place.IN_FLIGHT) {
       return;
     }
     if (entry.place == QueueEntry.Place.OUTSIDE) {
-      entry.arrivalNumber = ++arrivals;
+      entry.arrivalNumber = ++arrivalCount;
     }
     transitionTo(entry, QueueEntry.Place.ACTIVE);
   }
 
-  /** Removes an entry from wherever it is. */
+  /** Removes an entry, whatever its state. */
   public void remove(QueueEntry entry) {
     transitionTo(entry, QueueEntry.Place.OUTSIDE);
   }
 
   /**
-   * Begins the scheduling cycle of the active entry of highest priority; null if none is active.
+   * Begins a scheduling cycle for the active entry of highest priority; returns null if no entry is
+   * active.
    */
   public QueueEntry pop(Instant now) {
     QueueEntry entry = active.peek();
@@ -122,22 +125,25 @@
     }
     transitionTo(entry, QueueEntry.Place.IN_FLIGHT);
     entry.lastCycleAt = now;
-    entry.lastCycle = ++cycles;
+    entry.lastCycleNumber = ++cycleCount;
     entry.attempts++;
     return entry;
   }
 
-  /** How many scheduling cycles there have been, which is the number of the last one. */
-  public long cycles() {
-    return cycles;
+  /** The number of scheduling cycles so far, which is also the number of the last cycle. */
+  public long cycleCount() {
+    return cycleCount;
   }
 
-  /** Makes an entry active again after a cycle that left tasks pending. */
-  public void putBack(QueueEntry entry) {
+  /** Reactivates an entry after a cycle that left tasks pending. */
+  public void requeue(QueueEntry entry) {
     transitionTo(entry, QueueEntry.Place.ACTIVE);
   }
 
-  /** Ends an entry's cycle with the initial back-off, which no event cuts short. */
+  /**
+   * Ends an entry's cycle with the initial back-off, after a rejection by a check that no event can
+   * satisfy.
+   */
   public void backOff(QueueEntry entry, SchedulingCheck check, Instant now) {
     entry.lastCycleAt = now;
     entry.attempts = 1;
@@ -146,33 +152,38 @@
     transitionTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
   }
 
-  /** Ends an entry's cycle by a rejection; an event that came meanwhile may activate it at once. */
+  /**
+   * Ends an entry's cycle with a rejection. Events received during the cycle may activate the entry
+   * again at once.
+   */
   public void markUnschedulable(QueueEntry entry, SchedulingCheck check, Instant now) {
-    List<ClusterEvent> seen = inFlight.getOrDefault(entry, List.of());
-    QueueingHint best = QueueingHint.SKIP;
-    for (ClusterEvent event : seen) {
+    List<ClusterEvent> received = inFlight.getOrDefault(entry, List.of());
+    QueueingHint strongest = QueueingHint.SKIP;
+    for (ClusterEvent event : received) {
       QueueingHint hint = hints.hint(check, entry, event);
-      if (hint.compareTo(best) > 0) {
-        best = hint;
+      if (hint.compareTo(strongest) > 0) {
+        strongest = hint;
       }
     }
     entry.rejectedBy = check;
     entry.backoffExpiry = backoffExpiry(entry);
     transitionTo(entry, QueueEntry.Place.UNSCHEDULABLE);
-    applyHint(entry, best, now);
+    applyHint(entry, strongest, now);
   }
 
   /**
-   * Puts an entry whose tasks failed or were refused, not rejected by a check, into back-off.
+   * Puts an entry into error back-off after its tasks failed or were refused by a machine, as
+   * opposed to a rejection by a check.
    *
-   * @param failures how often that has happened, whatever was placed in between
+   * @param failures the number of failures so far, including those before tasks that were placed
+   *     successfully
    */
   public void backOffAfterError(QueueEntry entry, int failures, Instant now) {
     entry.lastCycleAt = now;
     entry.attempts = Math.max(1, failures);
     entry.backoffExpiry = backoffExpiry(entry);
     if (entry.place == QueueEntry.Place.OUTSIDE) {
-      entry.arrivalNumber = ++arrivals;
+      entry.arrivalNumber = ++arrivalCount;
     }
     transitionTo(entry, QueueEntry.Place.BACKOFF_ERROR);
   }
@@ -186,7 +197,10 @@
     }
   }
 
-  /** The end of the back-off: initial * 2^(attempts - 1), capped, rounded up to a whole window. */
+  /**
+   * Returns the end of the back-off: initial * 2^(attempts - 1), capped at the maximum and rounded
+   * up to a whole back-off window.
+   */
   private Instant backoffExpiry(QueueEntry entry) {
     Duration delay = settings.initialBackoff();
     for (int i = 1; i < entry.attempts && delay.compareTo(settings.maxBackoff()) < 0; i++) {
@@ -206,11 +220,11 @@
   }
 
   /**
-   * Activates the entries that the event may help. Of those that compete for a machine's capacity
-   * only as many are activated as it holds, the first by priority: capacity freed on a full fleet
-   * must not cost a scheduling cycle of every unschedulable entry.
+   * Activates the entries that the event may make schedulable. If the event has a capacity bound,
+   * only as many entries are activated as that capacity holds, in order of priority. This avoids a
+   * scheduling cycle for every unschedulable entry whenever capacity is freed in a full cluster.
    *
-   * @return whether the event helped any entry
+   * @return whether any entry was affected
    */
   public boolean onEvent(ClusterEvent event, Instant now) {
     Map<SchedulingCheck, QueueingHintTable.HintFunction> hintFunctions =
@@ -219,45 +233,52 @@
       return false;
     }
     inFlight.values().forEach(events -> events.add(event));
-    List<QueueEntry> helped = findHelped(event, hintFunctions);
+    List<QueueEntry> candidates = findCandidates(event, hintFunctions);
     if (event.freeCapacity() != null) {
-      return applyWithinCapacity(event, helped, now);
+      return applyWithinCapacity(event, candidates, now);
     }
-    helped.forEach(entry -> applyEvent(entry, event, now));
-    return !helped.isEmpty();
+    candidates.forEach(entry -> applyEvent(entry, event, now));
+    return !candidates.isEmpty();
   }
 
-  /** The entries that the event may activate, and that have had no scheduling cycle since. */
-  private List<QueueEntry> findHelped(
+  /**
+   * Returns the entries that the event may activate, except those that have had a scheduling cycle
+   * since the event.
+   */
+  private List<QueueEntry> findCandidates(
       ClusterEvent event, Map<SchedulingCheck, QueueingHintTable.HintFunction> hintFunctions) {
-    List<QueueEntry> helped = new ArrayList<>();
+    List<QueueEntry> candidates = new ArrayList<>();
     hintFunctions.forEach(
         (check, function) -> {
           for (QueueEntry entry : unschedulable.get(check)) {
-            if (entry.lastCycle <= event.lastCycle()
+            if (entry.lastCycleNumber <= event.lastCycleNumber()
                 && function.hint(entry, event) != QueueingHint.SKIP) {
-              helped.add(entry);
+              candidates.add(entry);
             }
           }
         });
-    // An entry in back-off was rejected too, and is activated by an event that is sure to help.
+    // Entries in rejection back-off are activated only if the event makes them schedulable.
     for (QueueEntry entry : rejectedInBackoff) {
       QueueingHintTable.HintFunction function = hintFunctions.get(entry.rejectedBy);
       if (function != null
-          && entry.lastCycle <= event.lastCycle()
+          && entry.lastCycleNumber <= event.lastCycleNumber()
           && function.hint(entry, event) == QueueingHint.QUEUE_IMMEDIATELY) {
-        helped.add(entry);
+        candidates.add(entry);
       }
     }
-    return helped;
+    return candidates;
   }
 
-  /** Applies the event to as many of the entries, by priority, as the machine's capacity holds. */
-  private boolean applyWithinCapacity(ClusterEvent event, List<QueueEntry> helped, Instant now) {
-    helped.sort(BY_PRIORITY);
+  /**
+   * Applies the event to the entries in order of priority, as long as the machine's capacity holds
+   * their tasks.
+   */
+  private boolean applyWithinCapacity(
+      ClusterEvent event, List<QueueEntry> candidates, Instant now) {
+    candidates.sort(BY_PRIORITY);
     Resources remaining = event.freeCapacity();
     boolean applied = false;
-    for (QueueEntry entry : helped) {
+    for (QueueEntry entry : candidates) {
       Resources perTask = entry.job.spec.resourcesPerTask();
       long count = Math.min(entry.job.pending.cardinality(), perTask.timesFittingIn(remaining));
       if (count > 0) {
@@ -283,18 +304,18 @@
   }
 
   /**
-   * Activates entries that no event has activated for long, the longest unschedulable first: events
-   * announce freed capacity, but not that what denied an entry capacity has passed, such as a
-   * reservation that expired.
+   * Activates entries that no event has activated for a long time, the longest unschedulable first.
+   * Some changes raise no event, such as the expiry of a reservation.
    *
-   * @param lastCycleBefore entries with a later scheduling cycle are left
-   * @param maxPerCheck the most entries of each check, so that a full fleet's backlog costs a
-   *     bounded number of cycles
+   * @param lastCycleBefore only entries whose last scheduling cycle was before this time are
+   *     activated
+   * @param maxPerCheck the maximum number of entries per check, which bounds the number of cycles
+   *     for the backlog of a full cluster
    */
   public void retryUnschedulable(Instant lastCycleBefore, int maxPerCheck) {
     unschedulable.forEach(
         (check, entries) -> {
-          // The end of the last prerequisite always activates these.
+          // The completion of the last prerequisite always activates these.
           if (check != SchedulingCheck.DEPENDENCY) {
             entries.stream()
                 .limit(maxPerCheck)
@@ -305,7 +326,7 @@
         });
   }
 
-  /** The sort keys of an entry have changed. */
+  /** Updates the position of an entry whose sort keys have changed. */
   public void reorder(QueueEntry entry) {
     if (entry.place == QueueEntry.Place.ACTIVE) {
       transitionTo(entry, QueueEntry.Place.ACTIVE);
@@ -321,7 +342,7 @@
     }
   }
 
-  /** When the next back-off expires; null when no entry is in back-off. */
+  /** When the next back-off expires; null if no entry is in back-off. */
   public Instant nextBackoffExpiry() {
     Instant first = rejectedInBackoff.isEmpty() ? null : rejectedInBackoff.peek().backoffExpiry;
     Instant second = failedInBackoff.isEmpty() ? null : failedInBackoff.peek().backoffExpiry;
@@ -336,7 +357,7 @@
     return !active.isEmpty();
   }
 
-  /** How many entries are in each place, for operators. */
+  /** The number of entries in each state, for operators. */
   public Map<QueueEntry.Place, Integer> sizes() {
     EnumMap<QueueEntry.Place, Integer> sizes = new EnumMap<>(QueueEntry.Place.class);
     sizes.put(QueueEntry.Place.ACTIVE, active.size());
@@ -348,7 +369,7 @@
     return sizes;
   }
 
-  /** How many entries are unschedulable by each check, for operators. */
+  /** The number of unschedulable entries for each check, for operators. */
   public Map<SchedulingCheck, Integer> unschedulableByCheck() {
     EnumMap<SchedulingCheck, Integer> counts = new EnumMap<>(SchedulingCheck.class);
     unschedulable.forEach((check, entries) -> counts.put(check, entries.size()));
--- a/src/main/java/io/pineladder/queue/package-info.java
+++ b/src/main/java/io/pineladder/queue/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The scheduling queue: the active heap by priority, the back-off heaps by expiry, and the
- * unschedulable entries, which cluster events activate by the hints of the checks that rejected
- * them.
+ * The scheduling queue: an active heap ordered by priority, back-off heaps ordered by expiry, and
+ * the unschedulable entries. Cluster events activate entries according to the hint functions
+ * registered for the checks that rejected them.
  */
 package io.pineladder.queue;
--- a/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
+++ b/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
@@ -15,13 +15,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows attempts from their stored placement to their end, and decides what becomes of the task:
- * complete, pending again, or, with its gang, stopped and started anew.
+ * Tracks attempts from their stored placement to their end, and decides what happens to the task:
+ * it is complete, pending again, or stopped and restarted with its gang.
  */
 final class AttemptLifecycle {
   private static final Logger log = LoggerFactory.getLogger(AttemptLifecycle.class);
 
-  /** Machines that a job avoids at the most because its tasks failed there. */
+  /** The maximum number of machines that a job avoids because its tasks failed there. */
   private static final int MAX_AVOIDED_MACHINES = 16;
 
   private final SchedulerContext context;
@@ -49,25 +49,24 @@
   // ---- stopping
 
   /**
-   * Stops all attempts of a job. All that were never sent are marked as killed before any is gone:
-   * those are gone at once, and were taken for lost tasks of a starting gang and started anew, all
-   * but one for which there was no capacity. Found by the simulation, as a gang that waited for its
-   * last task for ever.
+   * Stops all attempts of a job. Attempts that were never sent end immediately, so all of them are
+   * marked as killed first; otherwise they would be treated as lost tasks of a starting gang and
+   * restarted.
    */
   void killAll(Job job, Duration gracePeriod) {
-    List<Attempt> all = new ArrayList<>();
-    job.attempts.values().forEach(all::addAll);
-    for (Attempt attempt : all) {
+    List<Attempt> attempts = new ArrayList<>();
+    job.attempts.values().forEach(attempts::addAll);
+    for (Attempt attempt : attempts) {
       if (attempt.holdsCapacity() && wasNeverSent(attempt)) {
         attempt.kill(context.now(), gracePeriod);
       }
     }
-    all.forEach(attempt -> kill(attempt, gracePeriod));
+    attempts.forEach(attempt -> kill(attempt, gracePeriod));
   }
 
   /**
-   * Stops an attempt; one that is being stopped already stops sooner if the grace period is shorter
-   * than before.
+   * Stops an attempt. If it is being stopped already, a shorter grace period replaces the earlier
+   * one.
    */
   void kill(Attempt attempt, Duration gracePeriod) {
     if (!attempt.holdsCapacity()) {
@@ -87,7 +86,7 @@
     context.callbacks.onCommandsDue(attempt.machine);
   }
 
-  /** Stops an attempt to free its capacity, after its checkpoint; a gang is stopped as a whole. */
+  /** Preempts an attempt after its checkpoint. A gang is preempted as a whole. */
   void preempt(Attempt attempt) {
     JobSpec spec = attempt.job.spec;
     Duration gracePeriod =
@@ -106,13 +105,13 @@
 
   // ---- observations
 
-  /** The placement is stored, so its start may be sent. */
+  /** Handles a stored placement: the start command may be sent now. */
   void onPlacementStored(Attempt attempt) {
     context.cluster.transition(attempt, Attempt.State.PLACEMENT_STORED);
     context.callbacks.onCommandsDue(attempt.machine);
   }
 
-  /** A machine lists the attempt in a state other than exited. */
+  /** Handles a machine that reports the attempt in a state other than exited. */
   void onObserved(Attempt attempt, Attempt.State state) {
     if (attempt.state() == Attempt.State.EXITED) {
       return;
@@ -129,7 +128,7 @@
     if (state == Attempt.State.RUNNING && attempt.runningSince == null) {
       attempt.runningSince = context.now();
       log.debug(
-          "Task runs: attempt={} sincePlacement={} sinceSubmission={}",
+          "Task is running: attempt={} sincePlacement={} sinceSubmission={}",
           attempt,
           Duration.between(attempt.createdAt, context.now()),
           Duration.between(attempt.job.acceptedAt, context.eventLoop.wallClock()));
@@ -137,12 +136,12 @@
     context.cluster.transition(attempt, state);
   }
 
-  /** A machine lists the attempt as exited. */
+  /** Handles a machine that reports the attempt as exited. */
   void onExited(Attempt attempt, EndReason endReason) {
     if (!attempt.holdsCapacity()) {
       return;
     }
-    boolean wanted = attempt.isWanted();
+    boolean wasWanted = attempt.isWanted();
     attempt.endReason = endReason;
     context.cluster.transition(attempt, Attempt.State.EXITED);
     resumeCompletion(attempt);
@@ -154,15 +153,15 @@
       if (endReason == EndReason.ERROR && job.isActive()) {
         onTaskFailed(attempt);
       }
-      onLost(attempt, wanted && isRefusalOrError(endReason));
+      onEndedIncomplete(attempt, wasWanted && isRefusalOrError(endReason));
     }
     freedCapacity.onAttemptEnded(attempt);
   }
 
   /**
-   * Proof has come that the attempt is not on its machine and never will be.
+   * Handles proof that the attempt is not on its machine and cannot start there later.
    *
-   * @param proof what proves it, for the log
+   * @param proof a description of the proof, for the log
    */
   void onGone(Attempt attempt, String proof) {
     boolean heldCapacity = attempt.holdsCapacity();
@@ -170,13 +169,13 @@
     resumeCompletion(attempt);
     if (heldCapacity) {
       log.debug("Attempt gone: attempt={} proof={}", attempt, proof);
-      onLost(attempt, false);
+      onEndedIncomplete(attempt, false);
       freedCapacity.onAttemptEnded(attempt);
     } else if (attempt.endReason == EndReason.GANG_INCOMPLETE
         && attempt.job.mayStartTask(attempt.task)
         && gangRecovery.isGangStillStarting(attempt)) {
-      // Its machine has forgotten it, so it can be started again where its image is.
-      gangRecovery.replace(attempt);
+      // The machine no longer lists the attempt, so the task can restart where its image is cached.
+      gangRecovery.restartTask(attempt);
     }
   }
 
@@ -197,7 +196,7 @@
       jobFinalizer.removeRecordIfFinished(job);
       return;
     }
-    // The tasks of a gang complete together.
+    // All tasks of a gang complete together.
     if (job.spec.kind() == JobKind.GANG) {
       job.done.set(0, job.spec.tasks());
     } else {
@@ -205,7 +204,7 @@
     }
     job.pending.clear(attempt.task);
     faultAttribution.recordSuccess(job);
-    context.cluster.onDemandChanged(job);
+    context.cluster.onQuotaDemandChanged(job);
     stopOtherAttempts(attempt);
     if (job.done.cardinality() == job.spec.tasks()) {
       jobFinalizer.onAllTasksDone(job);
@@ -213,10 +212,10 @@
   }
 
   /**
-   * Stops attempts of a complete task, and stores its completion once none is left. The task was
-   * started anew because an earlier leader knew of its completion and had not stored it; the next
-   * leader assumes that no attempt of a complete task is anywhere. Found by the simulation, as a
-   * team's limit that was exceeded after two failovers.
+   * Stops the other attempts of a completed task, and stores the completion once none of them holds
+   * capacity. Other attempts exist if the task was restarted because an earlier leader had not
+   * stored the completion. A new leader assumes that completed tasks hold no capacity, so storing
+   * the completion sooner could let the team exceed its limit after a failover.
    */
   private void stopOtherAttempts(Attempt complete) {
     Job job = complete.job;
@@ -236,7 +235,7 @@
     others.forEach(other -> kill(other, Duration.ZERO));
   }
 
-  /** If the ended attempt delayed the storing of its task's completion, that goes on. */
+  /** Resumes storing the completion of the task if the ended attempt delayed it. */
   private void resumeCompletion(Attempt ended) {
     Attempt complete = ended.completedBy;
     if (complete != null) {
@@ -251,7 +250,7 @@
     Job job = attempt.job;
     Instant now = context.now();
     job.avoidedMachines.add(attempt.machine.name);
-    // A job that fails everywhere must not run out of machines.
+    // A job that fails on every machine must still have machines left.
     int maxAvoided = Math.min(MAX_AVOIDED_MACHINES, context.cluster.machines().size() / 2);
     if (job.avoidedMachines.size() > maxAvoided) {
       job.avoidedMachines.remove(job.avoidedMachines.iterator().next());
@@ -261,8 +260,8 @@
     faultAttribution.recordFailure(job, attempt.machine, ran, now);
   }
 
-  /** The attempt ended without completing its task. */
-  private void onLost(Attempt attempt, boolean backOff) {
+  /** Handles an attempt that ended without completing its task. */
+  private void onEndedIncomplete(Attempt attempt, boolean backOff) {
     Job job = attempt.job;
     if (!job.isActive()) {
       jobFinalizer.storeCancellationIfStopped(job);
@@ -271,16 +270,16 @@
     }
     if (job.spec.kind() == JobKind.GANG) {
       if (job.attempts.containsKey(attempt.task)) {
-        // An earlier attempt of a task that has been started anew does not affect the gang.
+        // The end of a superseded attempt does not affect the gang.
         return;
       }
       if (!job.attempts.isEmpty()) {
         boolean mayReplace = !job.failing && gangRecovery.isGangStillStarting(attempt);
         if (mayReplace
-            && (gangRecovery.replace(attempt) || gangRecovery.reserveUntilForgotten(attempt))) {
+            && (gangRecovery.restartTask(attempt) || gangRecovery.reserveForRestart(attempt))) {
           return;
         }
-        // A gang that lost a task is stopped as a whole and started again as a whole.
+        // A gang that lost a task is stopped and restarted as a whole.
         killAll(job, job.spec.checkpointDuration());
         return;
       }
@@ -291,7 +290,7 @@
     if (job.pending.isEmpty()) {
       return;
     }
-    // The last task of a failing gang to end may have been stopped because of the others.
+    // The last task of a failing gang to end may have been stopped because another task failed.
     if (backOff || job.failing) {
       backOffAfterError(job, attempt);
     } else {
@@ -301,7 +300,7 @@
 
   private void backOffAfterError(Job job, Attempt attempt) {
     QueueEntry entry = pendingJobs.entry(job);
-    // Tasks that fail together, while the entry is in back-off already, count as one failure.
+    // Failures during the back-off belong to the same round and count once.
     if (entry.place() != QueueEntry.Place.ACTIVE
         && entry.place() != QueueEntry.Place.BACKOFF_ERROR) {
       boolean failing = job.failing || attempt.endReason == EndReason.ERROR;
--- a/src/main/java/io/pineladder/scheduling/ClassLatencies.java
+++ b/src/main/java/io/pineladder/scheduling/ClassLatencies.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * How long jobs of a class take from when they may start until they are done, beyond their
- * estimated run time: waiting, fetching, the slowest task, storing. An exponentially weighted mean
- * over the jobs that end.
+ * Estimates the overhead of jobs by job class: the time from when a job may start until it is done,
+ * beyond its estimated run time. It comprises queueing, image fetches, stragglers and storing the
+ * result. The estimate is an exponentially weighted mean over completed jobs.
  */
 final class ClassLatencies {
-  /** The overhead assumed for a class of which no job has ended yet. */
+  /** The overhead assumed for a class before its first job has completed. */
   static final Duration DEFAULT_OVERHEAD = Duration.ofSeconds(10);
 
   /** The weight of the latest job in the mean. */
@@ -20,7 +20,7 @@
 
   private final Map<String, Double> overheadSeconds = new HashMap<>();
 
-  /** Adds a job that was done at this time of day. */
+  /** Adds a completed job. The time is wall-clock time. */
   void recordCompletion(Job job, Instant completedAt) {
     Duration overhead =
         Duration.between(job.readyAt, completedAt).minus(job.spec.estimatedRunTime());
@@ -29,7 +29,7 @@
         job.spec.jobClass(), seconds, (mean, latest) -> mean + LATEST_JOB_WEIGHT * (latest - mean));
   }
 
-  /** How long the job is expected to take from when it may start until it is done. */
+  /** The expected time from when the job may start until it is done. */
   Duration expectedDuration(Job job) {
     Double seconds = overheadSeconds.get(job.spec.jobClass());
     Duration overhead =
--- a/src/main/java/io/pineladder/scheduling/ClusterState.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -26,97 +26,99 @@
 import java.util.TreeMap;
 
 /**
- * The leader's view of the cluster: teams, machine types, jobs, machines, and what each of them
- * uses, with the indexes that let one event be handled without a scan of the whole fleet. Used on
- * the event loop's thread only.
+ * The leader's view of the cluster: teams, machine types, jobs, machines and their resource usage,
+ * with indexes that avoid a scan of all machines for each event. Not thread-safe: used on the event
+ * loop's thread only.
  *
- * <p>Times of day ({@code wallClock}) are compared with submissions and deadlines; all other
- * instants are the event loop's monotonic time.
+ * <p>Parameters named {@code wallClock} are wall-clock times, which are compared with submission
+ * times and deadlines; all other instants are the event loop's monotonic time.
  */
 public final class ClusterState {
-  /** With a higher probability of a reclaim the price of on-demand machines is worth it. */
-  private static final double SPOT_LOSS_THRESHOLD = 0.1;
+  /**
+   * Above this reclaim probability, jobs at risk of missing an objective use on-demand machines.
+   */
+  private static final double MAX_RECLAIM_PROBABILITY = 0.1;
 
-  /** A job for idle capacity that has waited for so long gets on-demand machines after all. */
-  private static final Duration IDLE_ONLY_PERIOD = Duration.ofMinutes(10);
+  /** How long a job waits for idle or spot capacity before it may use on-demand machines. */
+  private static final Duration IDLE_CAPACITY_ONLY_PERIOD = Duration.ofMinutes(10);
 
-  /** The platform's settings. */
+  /** The settings of the cluster. */
   public final Settings settings;
 
-  /** The jobs in memory by id, in the order in which they were added; changed here only. */
+  /**
+   * The jobs in memory by id, in the order in which they were added. Modified by this class only.
+   */
   public final Map<String, Job> jobs = new LinkedHashMap<>();
 
   private final NavigableMap<String, Machine> machines = new TreeMap<>();
   private final TeamQuotas quotas;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** Schedulable machines with free processors, memory and accelerators. */
-  private final Set<Machine> withGpuCapacity = new LinkedHashSet<>();
+  /** Schedulable machines with free CPU, memory and GPUs. */
+  private final Set<Machine> machinesWithGpuCapacity = new LinkedHashSet<>();
 
-  /** Schedulable machines with free processors and memory. */
-  private final Set<Machine> withCapacity = new LinkedHashSet<>();
+  /** Schedulable machines with free CPU and memory. */
+  private final Set<Machine> machinesWithCapacity = new LinkedHashSet<>();
 
-  /** Machines with free processors and memory that policy alone makes unschedulable. */
-  private final Set<Machine> withheldByPolicy = new LinkedHashSet<>();
+  /** Machines with free CPU and memory that only policy makes unschedulable. */
+  private final Set<Machine> excludedByPolicy = new LinkedHashSet<>();
 
-  /** How many machines there are of each kind. */
+  /** The number of machines of each kind. */
   private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
 
   private final ImageFetchIndex imageFetches = new ImageFetchIndex();
 
   /**
-   * How many attempts hold capacity, by the priority class that their users chose; a higher one
-   * inherited from dependent jobs is not considered.
+   * The number of attempts that hold capacity, by the priority class in the job specification.
+   * Priority inherited from dependent jobs is ignored.
    */
-  private final EnumMap<PriorityClass, Integer> capacityHolders =
+  private final EnumMap<PriorityClass, Integer> attemptCountByPriority =
       new EnumMap<>(PriorityClass.class);
 
-  /** The machines with capacity reserved for a job, by job. */
+  /** The machines with capacity reserved for each job. */
   private final Map<Job, Set<Machine>> reservations = new HashMap<>();
 
   private final ServiceObjectives objectives;
 
-  /** How often spot machines are reclaimed. */
+  /** The estimated reclaim rate of spot machines. */
   public final SpotReclaimRisk spotRisk = new SpotReclaimRisk();
 
-  /** Images, with their size in GB, that machines not added yet are thought to have cached. */
+  /** Images, with their size in GB, that machines not yet added are expected to have cached. */
   private final Map<String, Map<String, Double>> expectedImages = new HashMap<>();
 
-  /** What jobs may require of a machine. */
+  /** The properties of a machine that jobs can constrain. */
   record MachineKind(String type, String zone, boolean spot) {}
 
-  /** A cluster without machines and jobs. */
+  /** Creates a cluster without machines and jobs. */
   public ClusterState(Settings settings) {
     this.settings = settings;
     this.objectives = new ServiceObjectives(settings);
     this.quotas = new TeamQuotas(settings.teams());
   }
 
-  /** The service-level objectives of the settings. */
+  /** The service-level objectives in the settings. */
   ServiceObjectives objectives() {
     return objectives;
   }
 
-  /** How long after its submission the job should have started. */
+  /** How long after its acceptance the job should have started. */
   public Duration startAllowance(Job job, Instant wallClock) {
     return objectives.startAllowance(job, wallClock);
   }
 
-  /** When the job should be over by its own deadline; null without one. */
+  /** When the job should be done according to its own deadline; null without one. */
   ChainDeadlines ownDeadlines(Job job) {
     return objectives.ownDeadlines(job);
   }
 
-  /**
-   * How long the job may still wait before it should have started; negative when it should have.
-   */
+  /** How long the job can wait before it is late to start; negative if it is already late. */
   public Duration startSlack(Job job, Instant wallClock) {
     return Duration.between(wallClock, job.acceptedAt.plus(startAllowance(job, wallClock)));
   }
 
   /**
-   * Whether a job that may use spot machines had better not: the reclaim of one would make it miss
-   * an objective, and is probable enough for a job of its size and run time.
+   * Whether the job allows spot machines but should not use them: a reclaim would make it miss an
+   * objective, and is too probable for its size and run time.
    */
   public boolean avoidsSpot(Job job, Instant wallClock) {
     JobSpec spec = job.spec;
@@ -133,39 +135,42 @@
             Math.max(machineCount, (spec.tasks() - job.done.cardinality()) * machinesPerTask);
       }
     }
-    return spotRisk.reclaimProbability(machineCount, spec.estimatedRunTime()) > SPOT_LOSS_THRESHOLD;
+    return spotRisk.reclaimProbability(machineCount, spec.estimatedRunTime())
+        > MAX_RECLAIM_PROBABILITY;
   }
 
-  /** Whether the job meets an objective if its tasks run through, and not if one is restarted. */
+  /** Whether the job would meet an objective if no task is restarted, but miss it if one is. */
   public boolean wouldMissObjectiveAfterRestart(Job job, Instant wallClock) {
     return objectives.wouldMissObjectiveAfterRestart(job, wallClock);
   }
 
-  /** Whether no service-level objective holds for the job. */
+  /** Whether no service-level objective applies to the job. */
   public boolean hasNoObjective(Job job) {
     return objectives.hasNoObjective(job);
   }
 
   /**
-   * How soon a machine rented now that the job may use would have its image; zero if the job can
-   * use no machine type.
+   * The shortest time in which a newly provisioned machine that the job may use is booted and has
+   * its image cached; zero if the job can use no machine type.
    */
   public Duration soonestStartElsewhere(JobSpec spec) {
-    Duration soonest = null;
+    Duration shortest = null;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name()) && spec.resourcesPerTask().fitsIn(type.capacity())) {
         Duration imageReadyAfter = type.bootTime().plus(type.fetchTime(spec.imageGb()));
-        soonest =
-            soonest == null || imageReadyAfter.compareTo(soonest) < 0 ? imageReadyAfter : soonest;
+        shortest =
+            shortest == null || imageReadyAfter.compareTo(shortest) < 0
+                ? imageReadyAfter
+                : shortest;
       }
     }
-    return soonest == null ? Duration.ZERO : soonest;
+    return shortest == null ? Duration.ZERO : shortest;
   }
 
   /**
-   * Whether the job can wait for capacity that is freed: an array that may use spot machines, whose
-   * start allowance was at least twice the time that another machine takes to be ready. For others
-   * machines are rented at once.
+   * Whether the job can wait for capacity to be freed instead of machines being provisioned at
+   * once: an array that allows spot machines and whose start allowance, when it became ready, was
+   * at least twice the provisioning time of a machine.
    */
   public boolean canWaitForCapacity(Job job) {
     JobSpec spec = job.spec;
@@ -178,62 +183,64 @@
   }
 
   /**
-   * Whether the job, of the lowest priority class and without an objective, runs on idle capacity
-   * and spot machines only. Found on colombo-ops: a guest's work for idle time had every on-demand
-   * machine rented.
+   * Whether the job may use only idle capacity and spot machines: it has the lowest priority class,
+   * no deadline and no objective, and has not waited longer than the limit. This prevents
+   * low-priority work from causing on-demand machines to be provisioned.
    */
   public boolean runsOnIdleCapacityOnly(Job job, Instant wallClock) {
     return job.priorityClass() == PriorityClass.LOW
         && job.spec.deadline() == null
         && hasNoObjective(job)
-        && job.readyAt.plus(IDLE_ONLY_PERIOD).isAfter(wallClock);
+        && job.readyAt.plus(IDLE_CAPACITY_ONLY_PERIOD).isAfter(wallClock);
   }
 
-  /** The team of that name; null when the settings name none. */
+  /** The team of that name; null if the settings do not define it. */
   public Team team(String name) {
     return quotas.team(name);
   }
 
-  /** Adds the machine types that the cloud offers, or replaces them by name. */
+  /** Adds machine types offered by the cloud, replacing those of the same name. */
   public void setTypes(List<MachineType> machineTypes) {
     for (MachineType type : machineTypes) {
       types.put(type.name(), type);
     }
   }
 
-  /** All machine types that the cloud has offered. */
+  /** All machine types offered by the cloud so far. */
   public Collection<MachineType> types() {
     return types.values();
   }
 
-  /** The machine type of that name; null when there is none. */
+  /** The machine type of that name; null if it is unknown. */
   public MachineType type(String name) {
     return types.get(name);
   }
 
-  /** What the team's attempts hold, wherever they may be. */
+  /** The resources held by the team's attempts on all machines. */
   public Resources usage(String team) {
     return quotas.usage(team);
   }
 
-  /** Adds a job; the order of these calls is the order of acceptance. */
+  /** Adds a job. Jobs must be added in the order of their acceptance. */
   public void addJob(Job job) {
     jobs.put(job.spec.id(), job);
     quotas.addJob(job);
   }
 
-  /** Removes a job that is over. */
+  /** Removes a job that is done or cancelled. */
   public void removeJob(Job job) {
     jobs.remove(job.spec.id());
     quotas.removeJob(job);
   }
 
-  /** What the job demands of its team's quota, now or in total, has changed. */
-  public void onDemandChanged(Job job) {
-    quotas.onDemandChanged(job);
+  /** Handles a change of the job's current or total demand on its team's quota. */
+  public void onQuotaDemandChanged(Job job) {
+    quotas.onQuotaDemandChanged(job);
   }
 
-  /** Whether the job fits into its team's guarantee together with the team's earlier jobs. */
+  /**
+   * Whether the job fits into its team's guaranteed quota together with the team's earlier jobs.
+   */
   public boolean isGuaranteed(Job job) {
     return quotas.isGuaranteed(job);
   }
@@ -245,23 +252,28 @@
     return Collections.unmodifiableCollection(machines.values());
   }
 
-  /** Machines whose names follow {@code after}, up to {@code last}; null is no bound. */
+  /**
+   * Machines with names greater than {@code after} and up to {@code last}, inclusive; a null {@code
+   * last} means no upper bound.
+   */
   public Collection<Machine> machinesBetween(String after, String last) {
     NavigableMap<String, Machine> following = machines.tailMap(after, false);
     return (last == null ? following : following.headMap(last, true)).values();
   }
 
-  /** The machine of that name; null when there is none. */
+  /** The machine of that name; null if there is none. */
   public Machine machine(String name) {
     return machines.get(name);
   }
 
-  /** Records images, with their size in GB, that a machine not added yet should have cached. */
+  /**
+   * Records images, with their size in GB, that a machine not yet added is expected to have cached.
+   */
   public void expectImages(String machine, Map<String, Double> images) {
     expectedImages.put(machine, images);
   }
 
-  /** Adds a machine that is rented or listed. */
+  /** Adds a machine that was provisioned, or listed by the cloud. */
   public void addMachine(Machine machine) {
     machines.put(machine.name, machine);
     Map<String, Double> expected = expectedImages.remove(machine.name);
@@ -272,16 +284,16 @@
     updateIndexes(machine);
   }
 
-  /** Removes a machine that is gone; null when there was none. */
+  /** Removes a machine that no longer exists, and returns it; null if it was unknown. */
   public Machine removeMachine(String name) {
     Machine machine = machines.remove(name);
     if (machine != null) {
       machineCounts.computeIfPresent(
           machineKind(machine), (k, count) -> count == 1 ? null : count - 1);
       unreserve(machine);
-      withCapacity.remove(machine);
-      withGpuCapacity.remove(machine);
-      withheldByPolicy.remove(machine);
+      machinesWithCapacity.remove(machine);
+      machinesWithGpuCapacity.remove(machine);
+      excludedByPolicy.remove(machine);
     }
     return machine;
   }
@@ -290,20 +302,22 @@
     return new MachineKind(machine.type.name(), machine.zone, machine.spot);
   }
 
-  /** The kinds of which there is a machine. */
+  /** The kinds of machines that exist in the cluster. */
   Set<MachineKind> machineKinds() {
     return machineCounts.keySet();
   }
 
-  /** Updates the indexes after a change of the machine's state, reclaim notice or usage. */
+  /**
+   * Updates the indexes after a change of the machine's state, reclaim notice or resource usage.
+   */
   public void updateIndexes(Machine machine) {
     Resources free = machine.free();
     boolean hasFreeCapacity = free.microCpus() > 0 && free.microGb() > 0;
     boolean isSchedulable = machine.isSchedulable() && hasFreeCapacity;
     setMembership(
-        withheldByPolicy, machine, hasFreeCapacity && !isSchedulable && machine.isSafeToSchedule());
-    setMembership(withCapacity, machine, isSchedulable);
-    setMembership(withGpuCapacity, machine, isSchedulable && free.microGpus() > 0);
+        excludedByPolicy, machine, hasFreeCapacity && !isSchedulable && machine.isSafeToSchedule());
+    setMembership(machinesWithCapacity, machine, isSchedulable);
+    setMembership(machinesWithGpuCapacity, machine, isSchedulable && free.microGpus() > 0);
   }
 
   private static <T> void setMembership(Set<T> set, T item, boolean isMember) {
@@ -314,19 +328,24 @@
     }
   }
 
-  /** The machines that may have capacity for the job's tasks; all others have none. */
+  /** The machines that may have free capacity for tasks of the job. */
   Collection<Machine> machinesWithCapacityFor(Job job) {
-    return job.spec.resourcesPerTask().microGpus() > 0 ? withGpuCapacity : withCapacity;
+    return job.spec.resourcesPerTask().microGpus() > 0
+        ? machinesWithGpuCapacity
+        : machinesWithCapacity;
   }
 
-  /** Machines with free capacity that policy alone makes unschedulable. */
-  Collection<Machine> machinesWithheldByPolicy() {
-    return withheldByPolicy;
+  /** Machines with free capacity that only policy makes unschedulable. */
+  Collection<Machine> machinesExcludedByPolicy() {
+    return excludedByPolicy;
   }
 
-  /** Whether policy may deny the job any capacity; which, only a scan of the machines can tell. */
+  /**
+   * Whether policy may deny the job capacity. This is a quick check with false positives; an exact
+   * answer takes a scan of the machines.
+   */
   boolean isWithheldByPolicy(Job job) {
-    return !withheldByPolicy.isEmpty()
+    return !excludedByPolicy.isEmpty()
         || !reservations.isEmpty()
         || !job.avoidedMachines.isEmpty()
         || canWaitForCapacity(job);
@@ -334,16 +353,14 @@
 
   // ---- reservations
 
-  /**
-   * Reserves capacity on the machine for one task of the job, in place of any other reservation.
-   */
+  /** Reserves capacity on the machine for one task of the job, replacing any other reservation. */
   void reserve(Machine machine, Job job, Instant until) {
     unreserve(machine);
     machine.reserve(job, until);
     reservations.computeIfAbsent(job, j -> new LinkedHashSet<>(2)).add(machine);
   }
 
-  /** Cancels the machine's reservation, if there is one. */
+  /** Cancels the machine's reservation, if any. */
   void unreserve(Machine machine) {
     Job job = machine.reservedFor();
     if (job == null) {
@@ -356,19 +373,22 @@
     }
   }
 
-  /** The machines with capacity reserved for the job, expired reservations included. */
+  /** The machines with capacity reserved for the job, including expired reservations. */
   Set<Machine> reservedFor(Job job) {
     return reservations.getOrDefault(job, Set.of());
   }
 
   // ---- attempts
 
-  /** The attempts that fetch this image, on whatever machine; the one that has it last first. */
-  Collection<Attempt> fetching(String image) {
-    return imageFetches.fetching(image);
+  /**
+   * The attempts that are fetching this image on any machine, ordered by when the image should be
+   * ready, latest first.
+   */
+  Collection<Attempt> fetchingAttempts(String image) {
+    return imageFetches.fetchingAttempts(image);
   }
 
-  /** Creates an attempt and adds it to its job, its machine and all usage. */
+  /** Creates an attempt and adds it to its job, its machine and the usage totals. */
   public Attempt addAttempt(
       Job job, int task, long number, Machine machine, Instant now, Attempt.State initialState) {
     Attempt attempt = new Attempt(job, task, number, machine, now, initialState);
@@ -377,12 +397,12 @@
     machine.used = machine.used.plus(job.spec.resourcesPerTask());
     machine.idleSince = null;
     quotas.addUsage(job.spec.team(), job.spec.resourcesPerTask());
-    capacityHolders.merge(job.spec.priorityClass(), 1, Integer::sum);
+    attemptCountByPriority.merge(job.spec.priorityClass(), 1, Integer::sum);
     updateIndexes(machine);
     return attempt;
   }
 
-  /** Changes an attempt's state and, when it ends, releases the capacity that it held. */
+  /** Changes the state of an attempt and, if that ends it, releases its capacity. */
   public void transition(Attempt attempt, Attempt.State next) {
     boolean heldCapacity = attempt.holdsCapacity();
     Attempt.State before = attempt.state();
@@ -394,7 +414,7 @@
       Resources freed = attempt.job.spec.resourcesPerTask();
       attempt.machine.used = attempt.machine.used.minus(freed);
       quotas.removeUsage(attempt.job.spec.team(), freed);
-      capacityHolders.merge(attempt.job.spec.priorityClass(), -1, Integer::sum);
+      attemptCountByPriority.merge(attempt.job.spec.priorityClass(), -1, Integer::sum);
       attempt.job.remove(attempt);
       updateIndexes(attempt.machine);
     }
@@ -403,12 +423,15 @@
     }
   }
 
-  /** Whether any attempt may be preempted for the job; which, only a scan of the fleet can tell. */
+  /**
+   * Whether any attempt may be preempted for the job. This is a quick check with false positives;
+   * an exact answer takes a scan of the machines.
+   */
   boolean mayPreemptAny(Job job) {
     if (isGuaranteed(job)) {
       return true;
     }
-    return capacityHolders.entrySet().stream()
+    return attemptCountByPriority.entrySet().stream()
         .anyMatch(e -> e.getValue() > 0 && job.priorityClass().isAbove(e.getKey()));
   }
 }
--- a/src/main/java/io/pineladder/scheduling/FaultAttribution.java
+++ b/src/main/java/io/pineladder/scheduling/FaultAttribution.java
@@ -18,42 +18,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Attributes task failures to jobs or to machines, by where tasks fail and where they succeed.
+ * Attributes task failures to jobs or to machines, based on where tasks fail and succeed.
  *
- * <p>A job that has failed on several machines, none of them known as faulty, and has succeeded on
- * none is failing: it is only probed now and then, and its failures count against no machine. A
- * machine on which several jobs that are not failing have failed is quarantined and gets no more
- * work; once one of those jobs has succeeded elsewhere the machine is faulty and is drained. A job
- * that has succeeded once is never failing, and failures on a machine found faulty no longer count
- * against its jobs.
+ * <p>A job that has failed on several machines that are not known to be faulty, and has succeeded
+ * on none, is failing: only a few of its tasks are tried at a time as probes, and its failures do
+ * not count against machines. A machine on which several jobs that are not failing have failed is
+ * quarantined and gets no new work. Once one of those jobs has succeeded elsewhere, the machine is
+ * faulty and is drained. A job that has succeeded once is never failing, and failures on a faulty
+ * machine no longer count against jobs.
  */
 public final class FaultAttribution {
   private static final Logger log = LoggerFactory.getLogger(FaultAttribution.class);
 
   /**
-   * Machines that a failing job has failed on, and jobs that have failed on a quarantined machine.
+   * The number of machines on which a job must fail to be failing, and of jobs that must fail on a
+   * machine to quarantine it.
    */
   static final int FAULT_THRESHOLD = 2;
 
-  /** Failed machines that are recorded of one job; more are no further evidence. */
+  /** The maximum number of failed machines recorded per job. */
   private static final int MAX_FAILED_MACHINES_PER_JOB = 16;
 
-  /** A task that has run for twice the longest failed run and this margin counts as a success. */
+  /** A task that has run for twice the longest failed run plus this margin counts as successful. */
   private static final Duration SUCCESS_RUN_TIME_MARGIN = Duration.ofSeconds(10);
 
-  /** What follows from an attribution. */
+  /** Receives the results of fault attribution. */
   interface Listener {
-    /** The job is failing now, or no longer. */
+    /** Called when the job becomes failing or ceases to be. */
     void onJobFailingChanged(Job job, boolean failing);
 
-    /** The machine gets no work while it is quarantined. */
+    /** Called when the machine is quarantined, in which state it gets no new work, or released. */
     void onQuarantineChanged(Machine machine, boolean quarantined);
 
-    /** The machine is faulty: it is to be drained and returned. */
+    /** Called when the machine is found faulty and has to be drained and returned. */
     void onMachineFaulty(Machine machine);
   }
 
-  /** The evidence on a job that has failed somewhere. */
+  /** The recorded failures and successes of a job that has failed at least once. */
   private static final class FailureHistory {
     final Set<Machine> failedMachines = new LinkedHashSet<>();
     Duration longestFailedRun = Duration.ZERO;
@@ -61,19 +62,19 @@
     boolean succeeded;
     boolean failing;
 
-    /** An earlier leader found the job failing, on evidence that this one does not have. */
-    boolean inherited;
+    /** An earlier leader found the job failing; its evidence is not available in this term. */
+    boolean restored;
   }
 
   private final Listener listener;
   private final Map<Job, FailureHistory> historyByJob = new LinkedHashMap<>();
 
-  /** Jobs that failed on a machine, of machines not found faulty. */
+  /** The jobs that failed on each machine that is not known to be faulty. */
   private final Map<Machine, Set<Job>> failedJobsByMachine = new HashMap<>();
 
   private final Set<Machine> quarantinedMachines = new LinkedHashSet<>();
 
-  /** Machines found faulty that are not gone yet; failures on them are no evidence. */
+  /** Faulty machines that still exist; failures on them do not count as evidence. */
   private final Set<Machine> faultyMachines = new HashSet<>();
 
   private final Deque<Job> jobsToEvaluate = new ArrayDeque<>();
@@ -82,34 +83,35 @@
     this.listener = listener;
   }
 
-  /** How many jobs are failing. */
   public int countFailingJobs() {
-    return (int) historyByJob.values().stream().filter(c -> c.failing).count();
+    return (int) historyByJob.values().stream().filter(history -> history.failing).count();
   }
 
-  /** How many machines are quarantined. */
   public int countQuarantinedMachines() {
     return quarantinedMachines.size();
   }
 
-  /** An earlier leader found the job failing. */
-  void inheritFailing(Job job) {
+  /** Restores the failing state of a job as found by an earlier leader. */
+  void restoreFailing(Job job) {
     FailureHistory history = historyByJob.computeIfAbsent(job, j -> new FailureHistory());
-    history.inherited = true;
+    history.restored = true;
     history.failing = true;
     history.failureRounds = FAULT_THRESHOLD;
   }
 
-  /** Counts one more round of failures, those that came together, and returns their number. */
+  /**
+   * Counts another round of failures, which groups failures that occur together, and returns the
+   * number of rounds.
+   */
   int countFailureRound(Job job) {
     FailureHistory history = historyByJob.get(job);
     return history == null ? 1 : ++history.failureRounds;
   }
 
   /**
-   * A task of the job failed on the machine.
+   * Records that a task of the job failed on the machine.
    *
-   * @param ran for how long it had run; zero if it had not begun
+   * @param ran how long it had run; zero if it had not started running
    */
   void recordFailure(Job job, Machine machine, Duration ran, Instant now) {
     FailureHistory history = historyByJob.computeIfAbsent(job, j -> new FailureHistory());
@@ -126,7 +128,7 @@
     evaluatePendingJobs();
   }
 
-  /** A task of the job is complete, so the job is not failing. */
+  /** Records that a task of the job completed, so the job is not failing. */
   void recordSuccess(Job job) {
     FailureHistory history = historyByJob.get(job);
     if (history != null && !history.succeeded) {
@@ -136,7 +138,10 @@
     }
   }
 
-  /** Reviews whether jobs that failed on quarantined machines, or are failing, run well by now. */
+  /**
+   * Checks whether jobs that are failing, or that failed on quarantined machines, have tasks that
+   * now run long enough to count as successful.
+   */
   public void reviewRunningJobs(Instant now) {
     for (Map.Entry<Job, FailureHistory> entry : List.copyOf(historyByJob.entrySet())) {
       FailureHistory history = entry.getValue();
@@ -149,7 +154,7 @@
     }
   }
 
-  /** Removes the evidence of a job that is over. */
+  /** Removes the evidence of a job that is done or cancelled. */
   void forget(Job job) {
     FailureHistory history = historyByJob.remove(job);
     if (history != null) {
@@ -159,7 +164,7 @@
     }
   }
 
-  /** Removes a machine that is gone; failures there remain evidence on its jobs. */
+  /** Removes a machine that no longer exists; failures there remain evidence against its jobs. */
   public void forget(Machine machine) {
     failedJobsByMachine.remove(machine);
     quarantinedMachines.remove(machine);
@@ -191,17 +196,20 @@
     return false;
   }
 
-  /** Evaluates the jobs whose evidence has changed, their machines, and what follows from those. */
+  /**
+   * Evaluates the jobs whose evidence has changed and the machines they failed on, until no further
+   * job is affected.
+   */
   private void evaluatePendingJobs() {
     for (Job job = jobsToEvaluate.poll(); job != null; job = jobsToEvaluate.poll()) {
       FailureHistory history = historyByJob.get(job);
       if (history == null) {
         continue;
       }
-      // Machines found faulty are no longer in the set.
+      // The set contains no machines that were found faulty.
       boolean failing =
           !history.succeeded
-              && (history.inherited || history.failedMachines.size() >= FAULT_THRESHOLD);
+              && (history.restored || history.failedMachines.size() >= FAULT_THRESHOLD);
       if (failing != history.failing) {
         history.failing = failing;
         logJob(job, history);
@@ -230,8 +238,8 @@
       jobsNotFailing += history.failing ? 0 : 1;
       anySucceededElsewhere |= history.succeeded;
     }
-    boolean quarantine = jobsNotFailing >= FAULT_THRESHOLD;
-    if (quarantine && anySucceededElsewhere) {
+    boolean shouldQuarantine = jobsNotFailing >= FAULT_THRESHOLD;
+    if (shouldQuarantine && anySucceededElsewhere) {
       log.info("Machine found faulty, jobs fail only there: machine={}", machine);
       quarantinedMachines.remove(machine);
       faultyMachines.add(machine);
@@ -240,11 +248,11 @@
         jobsToEvaluate.add(job);
       }
       listener.onMachineFaulty(machine);
-    } else if (quarantine
+    } else if (shouldQuarantine
         ? quarantinedMachines.add(machine)
         : quarantinedMachines.remove(machine)) {
-      log.info("Machine quarantine changed: machine={} quarantined={}", machine, quarantine);
-      listener.onQuarantineChanged(machine, quarantine);
+      log.info("Machine quarantine changed: machine={} quarantined={}", machine, shouldQuarantine);
+      listener.onQuarantineChanged(machine, shouldQuarantine);
     }
   }
 }
--- a/src/main/java/io/pineladder/scheduling/FreedCapacity.java
+++ b/src/main/java/io/pineladder/scheduling/FreedCapacity.java
@@ -11,16 +11,18 @@
 import java.util.Map;
 
 /**
- * Announces freed capacity to the queue, and offers what the first entries could not use to those
- * that follow.
+ * Publishes freed capacity as queue events, and offers capacity that the first entries could not
+ * use to the entries after them.
  */
 final class FreedCapacity {
   private final EventLoop eventLoop;
   private final PendingJobs pendingJobs;
   private final SchedulingQueue queue;
 
-  /** Machines with freed capacity, with the number of scheduling cycles run by then. */
-  private final Map<Machine, Long> lastCycleByMachine = new LinkedHashMap<>();
+  /**
+   * Machines with freed capacity, with the number of the last scheduling cycle before it was freed.
+   */
+  private final Map<Machine, Long> lastCycleNumberByMachine = new LinkedHashMap<>();
 
   FreedCapacity(EventLoop eventLoop, PendingJobs pendingJobs) {
     this.eventLoop = eventLoop;
@@ -28,37 +30,40 @@
     this.queue = pendingJobs.queue();
   }
 
-  /** The attempt no longer takes capacity on its machine, nor of its team's limit. */
+  /**
+   * Handles the end of an attempt, which frees capacity on its machine and reduces the usage of its
+   * team.
+   */
   void onAttemptEnded(Attempt attempt) {
     Machine machine = attempt.machine;
     Instant now = eventLoop.now();
     queue.onEvent(ClusterEvent.teamUsageReduced(attempt.job.spec.team()), now);
     if (machine.isSchedulable()) {
-      lastCycleByMachine.put(machine, queue.cycles());
-      queue.onEvent(ClusterEvent.capacityFreed(machine, machine.free(), queue.cycles()), now);
+      lastCycleNumberByMachine.put(machine, queue.cycleCount());
+      queue.onEvent(ClusterEvent.capacityFreed(machine, machine.free(), queue.cycleCount()), now);
     }
-    queue.onEvent(ClusterEvent.attemptGone(attempt.job), now);
+    queue.onEvent(ClusterEvent.attemptEnded(attempt.job), now);
     pendingJobs.requestRun();
   }
 
-  /** The machine has become schedulable, or has more capacity than before. */
+  /** Handles a machine that has become schedulable or gained capacity. */
   void onMachineReady(Machine machine) {
-    lastCycleByMachine.put(machine, queue.cycles());
+    lastCycleNumberByMachine.put(machine, queue.cycleCount());
     queue.onEvent(
-        ClusterEvent.machineReady(machine, machine.free(), queue.cycles()), eventLoop.now());
+        ClusterEvent.machineReady(machine, machine.free(), queue.cycleCount()), eventLoop.now());
     pendingJobs.requestRun();
   }
 
   /**
-   * Offers what is left of the freed capacity to entries that have had no scheduling cycle since.
-   * An event activates no more entries than the capacity holds, and those may not be able to use
-   * it, for their team's limit for example; without this it would stay idle.
+   * Offers the remaining freed capacity to entries that have had no scheduling cycle since. An
+   * event activates no more entries than the capacity holds, and those may be unable to use it, for
+   * example because of their team's limit; without this step the capacity would stay idle.
    *
    * @return whether any entry is active now
    */
   boolean reoffer(Instant now) {
     boolean activated = false;
-    for (Map.Entry<Machine, Long> entry : lastCycleByMachine.entrySet()) {
+    for (Map.Entry<Machine, Long> entry : lastCycleNumberByMachine.entrySet()) {
       Machine machine = entry.getKey();
       if (machine.isSchedulable()) {
         ClusterEvent event = ClusterEvent.capacityFreed(machine, machine.free(), entry.getValue());
@@ -68,10 +73,10 @@
     return activated && queue.hasActive();
   }
 
-  /** Removes and returns the machines whose freed capacity no entry wants. */
+  /** Removes and returns the machines whose freed capacity no entry can use. */
   List<Machine> drain() {
-    List<Machine> machines = List.copyOf(lastCycleByMachine.keySet());
-    lastCycleByMachine.clear();
+    List<Machine> machines = List.copyOf(lastCycleNumberByMachine.keySet());
+    lastCycleNumberByMachine.clear();
     return machines;
   }
 }
--- a/src/main/java/io/pineladder/scheduling/GangRecovery.java
+++ b/src/main/java/io/pineladder/scheduling/GangRecovery.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Replaces single tasks of a gang that has not begun to run. A gang that runs and loses a task is
- * stopped and started again as a whole.
+ * Restarts single tasks of a gang that is not running yet. If a running gang loses a task, the
+ * whole gang is stopped and restarted.
  */
 final class GangRecovery {
   private static final Logger log = LoggerFactory.getLogger(GangRecovery.class);
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Whether the gang has not begun yet and its other tasks still wait or fetch, so that one lost
-   * task can be started anew under the same attempt number and the others need not fetch again.
-   * That one task waited in vain for the others is no reason to stop their fetches.
+   * Whether the gang is not running yet and its other tasks are still waiting or fetching images.
+   * Then the lost task can be restarted under the same attempt number, and the others need not
+   * fetch their images again. This includes a task that timed out waiting for its gang.
    */
   boolean isGangStillStarting(Attempt lost) {
     Job job = lost.job;
@@ -54,12 +54,12 @@
   }
 
   /**
-   * Starts a lost task of a starting gang anew. Not on a machine that still lists the attempt: a
-   * start of an attempt that it knows already has no effect there.
+   * Restarts a lost task of a starting gang. A machine that still lists the attempt is not used,
+   * because it ignores the start of an attempt that it already knows.
    *
-   * @return whether it was started
+   * @return whether the task was restarted
    */
-  boolean replace(Attempt lost) {
+  boolean restartTask(Attempt lost) {
     Job job = lost.job;
     Instant now = context.now();
     Placer.Decision decision = placer.place(job, 1, now);
@@ -71,18 +71,18 @@
     if (machine.attempts.containsKey(key) || !context.callbacks.mayStartTasks()) {
       return false;
     }
-    log.debug("Gang task replaced: attempt={} machine={}", lost, machine);
+    log.debug("Gang task restarted: attempt={} machine={}", lost, machine);
     taskStarter.start(job, lost.task, lost.number, machine, now);
     return true;
   }
 
   /**
-   * Reserves the machine of a task that waited in vain for its gang, until the machine has
-   * forgotten the attempt and can start it again.
+   * Reserves the machine of a task that timed out waiting for its gang, until the machine no longer
+   * lists the attempt and can start it again.
    *
    * @return whether the attempt ended for that reason
    */
-  boolean reserveUntilForgotten(Attempt lost) {
+  boolean reserveForRestart(Attempt lost) {
     if (lost.endReason != EndReason.GANG_INCOMPLETE) {
       return false;
     }
--- a/src/main/java/io/pineladder/scheduling/GangReservation.java
+++ b/src/main/java/io/pineladder/scheduling/GangReservation.java
@@ -18,30 +18,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reserves capacity for a gang that has waited for long while freed capacity went to smaller jobs
- * of its priority class. It is reserved on the machines that should have it soonest, for one gang
- * at a time: of the highest priority class, then the first accepted. Tasks that end before the gang
- * can start may run there meanwhile (backfilling); nothing is preempted for it, and jobs of a
- * higher class are not delayed.
+ * Reserves capacity for a gang that has waited for a long time while freed capacity went to smaller
+ * jobs of its priority class. The machines that should have capacity earliest are reserved for one
+ * gang at a time: the gang of the highest priority class, then the first accepted. Tasks that end
+ * before the gang can start may use the reserved capacity (backfilling). Nothing is preempted for a
+ * reservation, and jobs of a higher priority class are not delayed by it.
  */
 final class GangReservation {
   private static final Logger log = LoggerFactory.getLogger(GangReservation.class);
 
   /**
-   * How long a gang waits before capacity is reserved for it. It must begin within four minutes;
-   * the rest of those is for the tasks that run on its machines, and for its images.
+   * How long a gang waits before capacity is reserved for it. Gangs must start within four minutes;
+   * the remaining time is for running tasks to end and for image fetches.
    */
   static final Duration MIN_WAIT = Duration.ofSeconds(60);
 
   /**
-   * A task that has exceeded its estimate is assumed to run on for the estimate divided by this.
+   * The estimated run time divided by this is the minimum remaining time assumed for a running
+   * task, which applies to tasks that exceed their estimate.
    */
   private static final int OVERRUN_DIVISOR = 4;
 
   private final ClusterState cluster;
   private final EventLoop eventLoop;
 
-  /** The gang that capacity is reserved for, or was last; null before the first. */
+  /** The gang that holds the reservation, or held it last; null before the first reservation. */
   private Job holder;
 
   GangReservation(ClusterState cluster, EventLoop eventLoop) {
@@ -49,35 +50,36 @@
     this.eventLoop = eventLoop;
   }
 
-  /** A machine, and the expected seconds until it has capacity for one task of the gang. */
+  /** A machine, and the expected time until it has free capacity for one task of the gang. */
   private record ExpectedCapacity(Machine machine, double secondsUntilFree) {}
 
   /**
-   * The job was rejected for lack of capacity: a gang next in line gets or renews a reservation.
+   * Handles a rejection for lack of capacity: creates or renews the reservation if the job is a
+   * gang that is entitled to it.
    */
   void onGangRejected(Job job, Instant now) {
     JobSpec spec = job.spec;
     if (!spec.isMultiTaskGang() || spec.spreadAcrossZones() || !mayReserve(job)) {
       return;
     }
-    List<ExpectedCapacity> soonest = soonestMachines(job, now);
-    if (soonest.isEmpty()) {
+    List<ExpectedCapacity> earliest = earliestFreeMachines(job, now);
+    if (earliest.isEmpty()) {
       return;
     }
     if (holder != job) {
-      log.info("Capacity reserved for gang: job={} machines={}", job, soonest.size());
+      log.info("Capacity reserved for gang: job={} machines={}", job, earliest.size());
       releaseReservations();
     }
     holder = job;
     Instant expectedStart =
-        now.plusMillis((long) (soonest.get(soonest.size() - 1).secondsUntilFree * 1000));
-    for (ExpectedCapacity capacity : soonest) {
+        now.plusMillis((long) (earliest.get(earliest.size() - 1).secondsUntilFree * 1000));
+    for (ExpectedCapacity capacity : earliest) {
       Machine machine = capacity.machine;
       if (!machine.isReservedForOther(job, now)) {
         Instant earlierExpectedStart =
             machine.reservedFor() == job ? machine.reservationStartsAt() : null;
         cluster.reserve(machine, job, now.plus(PreemptionPolicy.RESERVATION_DURATION));
-        // A wrong estimate must not defer the expected start again and again.
+        // Repeated wrong estimates must not defer the expected start indefinitely.
         boolean isEarlier =
             earlierExpectedStart != null && earlierExpectedStart.isBefore(expectedStart);
         machine.setReservationStart(isEarlier ? earlierExpectedStart : expectedStart);
@@ -89,8 +91,8 @@
     if (job.failing || job.readyAt.plus(MIN_WAIT).isAfter(eventLoop.wallClock())) {
       return false;
     }
-    boolean unheld = holder == null || !holder.isActive() || holder.pending.isEmpty();
-    return unheld
+    boolean isUnclaimed = holder == null || !holder.isActive() || holder.pending.isEmpty();
+    return isUnclaimed
         || holder == job
         || job.priorityClass().isAbove(holder.priorityClass())
         || (job.priorityClass() == holder.priorityClass()
@@ -104,9 +106,10 @@
   }
 
   /**
-   * As many machines as the gang has tasks, of one zone if required; empty when there are too few.
+   * Returns the machines that are expected to have capacity earliest, one for each task and in one
+   * zone if required; empty if there are too few.
    */
-  private List<ExpectedCapacity> soonestMachines(Job job, Instant now) {
+  private List<ExpectedCapacity> earliestFreeMachines(Job job, Instant now) {
     JobSpec spec = job.spec;
     Map<String, List<ExpectedCapacity>> machinesByZone = new LinkedHashMap<>();
     for (Machine machine : cluster.machines()) {
@@ -124,9 +127,9 @@
     for (List<ExpectedCapacity> inZone : machinesByZone.values()) {
       if (inZone.size() >= spec.tasks()) {
         inZone.sort(Comparator.comparingDouble(ExpectedCapacity::secondsUntilFree));
-        List<ExpectedCapacity> soonest = inZone.subList(0, spec.tasks());
-        if (best.isEmpty() || secondsUntilAllFree(soonest) < secondsUntilAllFree(best)) {
-          best = soonest;
+        List<ExpectedCapacity> earliest = inZone.subList(0, spec.tasks());
+        if (best.isEmpty() || secondsUntilAllFree(earliest) < secondsUntilAllFree(best)) {
+          best = earliest;
         }
       }
     }
@@ -137,7 +140,10 @@
     return machines.get(machines.size() - 1).secondsUntilFree;
   }
 
-  /** The expected seconds until one task fits, when no more is placed; MAX_VALUE for never. */
+  /**
+   * Returns the expected seconds until one task fits if nothing else is placed on the machine;
+   * MAX_VALUE if none will fit.
+   */
   private static double secondsUntilFree(JobSpec spec, Machine machine, Instant now) {
     Resources freeCapacity = machine.free();
     if (spec.resourcesPerTask().fitsIn(freeCapacity)) {
--- a/src/main/java/io/pineladder/scheduling/ImageFetchIndex.java
+++ b/src/main/java/io/pineladder/scheduling/ImageFetchIndex.java
@@ -11,7 +11,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The attempts that fetch their image, by image; the one that has it last comes first. */
+/**
+ * An index of attempts that are fetching images, by image; ordered by when the image should be
+ * ready, latest first.
+ */
 final class ImageFetchIndex {
   private static final Comparator<Attempt> LATEST_IMAGE_FIRST =
       Comparator.<Attempt, Instant>comparing(attempt -> attempt.imageReadyAt)
@@ -20,13 +23,13 @@
 
   private final Map<String, NavigableSet<Attempt>> fetchingByImage = new HashMap<>();
 
-  /** The attempts that fetch this image, on whatever machine. */
-  Collection<Attempt> fetching(String image) {
+  /** The attempts that are fetching this image on any machine. */
+  Collection<Attempt> fetchingAttempts(String image) {
     NavigableSet<Attempt> attempts = fetchingByImage.get(image);
     return attempts == null ? List.of() : attempts;
   }
 
-  /** The attempt's state has changed. */
+  /** Updates the index after a state change of the attempt. */
   void onTransition(Attempt attempt, Attempt.State before, Attempt.State next) {
     String image = attempt.job.spec.image();
     if (next == Attempt.State.FETCHING_IMAGE) {
--- a/src/main/java/io/pineladder/scheduling/JobDependencies.java
+++ b/src/main/java/io/pineladder/scheduling/JobDependencies.java
@@ -19,40 +19,46 @@
 import java.util.function.Supplier;
 
 /**
- * The dependency graph (DAG) of the jobs that wait, and what follows when a prerequisite is over.
+ * Tracks jobs that wait for prerequisites in a dependency graph (DAG), and releases or cancels them
+ * when the prerequisites end.
  *
- * <p>A job waits until each of its prerequisites is <em>stored</em> as done, so no start can come
- * before a completion that may yet be lost. It is cancelled once one of them is stored as
- * cancelled, directly or through others: that follows from the stored state of the one job whose
- * user asked for it, so nothing else has to be stored before users are answered, and any controller
- * comes to the same conclusion.
+ * <p>A job waits until each of its prerequisites is <em>stored</em> as done, so that it never
+ * starts after a completion that could still be lost. A job is cancelled once any direct or
+ * indirect prerequisite is stored as cancelled. Since this follows from the stored state of the
+ * prerequisite alone, nothing else has to be stored before clients are answered, and all
+ * controllers reach the same conclusion.
  *
- * <p>The index leads from a prerequisite to its dependents, and from each of those to its unmet
- * prerequisites, so an end costs work for the dependents only, however many other jobs wait. A
- * prerequisite was accepted before the job that names it, hence there are no cycles.
+ * <p>The index maps a prerequisite to its dependents, and each dependent to its unmet
+ * prerequisites, so the end of a job costs time proportional to its dependents only. A prerequisite
+ * is accepted before the jobs that name it, hence there are no cycles.
  *
- * <p>Urgency goes back along the chain: a job has the highest priority class of its own and its
- * dependents', and is to be over in time for all of them.
+ * <p>Urgency propagates from dependents to prerequisites: the priority class of a job is the
+ * highest of its own and its dependents', and the job should be done in time for all of them.
  */
 public final class JobDependencies {
-  /** Receives what follows for a job. */
+  /** Receives the changes of jobs in the graph. */
   interface Listener {
-    /** The job's last prerequisite is done: it may start. */
+    /** Called when the last prerequisite of the job is done: the job may start. */
     void onReady(Job job);
 
-    /** A prerequisite was cancelled, and the job with it; its state has changed already. */
+    /**
+     * Called after the job was cancelled because of a prerequisite; its state has changed already.
+     */
     void onCancelled(Job job);
 
-    /** The job's priority class or its deadlines have changed. */
+    /** Called when the priority class or the deadlines of the job have changed. */
     void onUrgencyChanged(Job job);
 
-    /** The final state of a job that is not in memory, if it is known without a read; or null. */
+    /**
+     * Returns the final state of a job that is not in memory if it is known without a read, or
+     * null.
+     */
     Job.State knownFinalState(String id);
 
     /**
-     * A prerequisite is not in memory and its final state not known. It is to be looked up, and
-     * {@link #onPrerequisiteFound}, {@link #onPrerequisiteNotFound} or {@link #onFinalStateKnown}
-     * is to be called for it.
+     * Called when a prerequisite is not in memory and its final state is unknown. The
+     * implementation looks it up and then calls {@link #onPrerequisiteFound}, {@link
+     * #onPrerequisiteNotFound} or {@link #onFinalStateKnown}.
      */
     void lookUpJob(String id);
   }
@@ -63,21 +69,21 @@
   private final Function<Job, ChainDeadlines> ownDeadlines;
   private final ClassLatencies classLatencies = new ClassLatencies();
 
-  /** The jobs that wait for a prerequisite, by its id. */
+  /** The waiting jobs by the id of each prerequisite. */
   private final Map<String, Set<Job>> dependentsById = new HashMap<>();
 
-  /** The ids of the prerequisites that each waiting job still waits for. */
+  /** The ids of the unmet prerequisites of each waiting job. */
   private final Map<Job, Set<String>> unmetPrerequisites = new LinkedHashMap<>();
 
-  /** Prerequisites that are being looked up. */
+  /** The ids of prerequisites that are being looked up. */
   private final Set<String> pendingLookups = new HashSet<>();
 
   /**
-   * An empty graph.
+   * Creates an empty graph.
    *
-   * @param jobsInMemory the job of an id; null when it is not in memory
-   * @param wallClock the time of day
-   * @param ownDeadlines a job's deadlines by its own specification; null for none
+   * @param jobsInMemory returns the job with an id; null if it is not in memory
+   * @param wallClock returns the wall-clock time
+   * @param ownDeadlines returns the deadlines of a job by its own specification; null for none
    */
   JobDependencies(
       Function<String, Job> jobsInMemory,
@@ -90,12 +96,11 @@
     this.listener = listener;
   }
 
-  /** How many jobs wait for prerequisites. */
   public int countWaitingJobs() {
     return unmetPrerequisites.size();
   }
 
-  /** The number of jobs in the longest chain of those that wait. */
+  /** The number of jobs in the longest chain of waiting jobs. */
   public int longestChainLength() {
     Map<Job, Integer> depths = new HashMap<>();
     int longest = 0;
@@ -106,8 +111,8 @@
   }
 
   /**
-   * The number of jobs from this one back to the first of its chain; without recursion, since
-   * chains may be long.
+   * Returns the number of jobs from this job back to the first of its longest chain. Iterative,
+   * since long chains would overflow the stack.
    */
   private int chainDepth(Job from, Map<Job, Integer> depths) {
     Deque<Job> stack = new ArrayDeque<>(List.of(from));
@@ -117,12 +122,13 @@
       boolean allKnown = true;
       for (String id : unmetPrerequisites.getOrDefault(job, Set.of())) {
         Job prerequisite = jobsInMemory.apply(id);
-        Integer neededDepth = prerequisite == null ? Integer.valueOf(1) : depths.get(prerequisite);
-        if (neededDepth == null) {
+        Integer prerequisiteDepth =
+            prerequisite == null ? Integer.valueOf(1) : depths.get(prerequisite);
+        if (prerequisiteDepth == null) {
           allKnown = false;
           stack.push(prerequisite);
         } else {
-          depth = Math.max(depth, neededDepth + 1);
+          depth = Math.max(depth, prerequisiteDepth + 1);
         }
       }
       if (allKnown) {
@@ -133,16 +139,16 @@
   }
 
   /**
-   * Whether the state of a waiting job is uncertain: a prerequisite of this job or of one before it
-   * may be being looked up, and may turn out to be cancelled.
+   * Whether the state of a waiting job is uncertain: a direct or indirect prerequisite may still be
+   * being looked up, and may turn out to be cancelled.
    */
   public boolean isUncertain(Job job) {
     return !pendingLookups.isEmpty() && unmetPrerequisites.containsKey(job);
   }
 
-  // ---- jobs that come and go
+  // ---- adding and removing jobs
 
-  /** A job is in memory now: it may wait for others, and others for it. */
+  /** Adds a job that is in memory now; it may depend on other jobs, and others on it. */
   void add(Job job) {
     if (job.isActive() && !job.spec.prerequisites().isEmpty()) {
       addWaiting(job);
@@ -182,8 +188,8 @@
   }
 
   /**
-   * A prerequisite that was looked up is in memory; {@link #onFinalStateStored} follows if its
-   * final state is not stored yet.
+   * Handles a prerequisite that was looked up and is in memory. If its final state is not stored
+   * yet, {@link #onFinalStateStored} is called later.
    */
   public void onPrerequisiteFound(Job prerequisite) {
     pendingLookups.remove(prerequisite.spec.id());
@@ -196,13 +202,13 @@
     }
   }
 
-  /** The lookup of a prerequisite gave nothing certain; its dependents wait on. */
+  /** Handles a lookup without a conclusive result; the dependents keep waiting. */
   public void onPrerequisiteNotFound(String id) {
     pendingLookups.remove(id);
   }
 
-  /** A job that may wait for others is cancelled: it is removed from the graph. */
-  void stopWaiting(Job job) {
+  /** Removes a cancelled job from the graph if it is waiting. */
+  void remove(Job job) {
     Set<String> unmet = unmetPrerequisites.remove(job);
     if (unmet == null) {
       return;
@@ -220,9 +226,9 @@
     }
   }
 
-  // ---- ends
+  // ---- final states of prerequisites
 
-  /** The final state of a job in memory is stored. */
+  /** Handles a job in memory whose final state is stored. */
   void onFinalStateStored(Job job) {
     if (job.state() == Job.State.DONE) {
       classLatencies.recordCompletion(job, wallClock.get());
@@ -230,7 +236,7 @@
     onFinalStateKnown(job.spec.id(), job.state());
   }
 
-  /** The final state of a job, in memory or not, is known to be stored. */
+  /** Handles a job, in memory or not, whose final state is known to be stored. */
   public void onFinalStateKnown(String id, Job.State state) {
     pendingLookups.remove(id);
     Set<Job> dependents = dependentsById.remove(id);
@@ -253,9 +259,11 @@
     }
   }
 
-  /** Cancels jobs and all their dependents; without recursion, since chains may be long. */
-  private void cancelWithDependents(Set<Job> first) {
-    Deque<Job> stack = new ArrayDeque<>(first);
+  /**
+   * Cancels jobs and all their dependents. Iterative, since long chains would overflow the stack.
+   */
+  private void cancelWithDependents(Set<Job> jobs) {
+    Deque<Job> stack = new ArrayDeque<>(jobs);
     while (!stack.isEmpty()) {
       Job job = stack.pop();
       if (job.cancelledByDependency || job.finalStateStored) {
@@ -263,7 +271,7 @@
       }
       job.cancelledByDependency = true;
       job.transitionTo(Job.State.CANCELLED);
-      stopWaiting(job);
+      remove(job);
       Set<Job> dependents = dependentsById.remove(job.spec.id());
       if (dependents != null) {
         stack.addAll(dependents);
@@ -273,8 +281,8 @@
   }
 
   /**
-   * The cancellation of a job is being stored: other controllers may read it before this one learns
-   * of the commit, and answer that its dependents are cancelled.
+   * Handles a cancellation that is being stored. Other controllers may read it before this one
+   * learns of the commit, and answer that the dependents are cancelled.
    */
   void onCancellationPending(Job cancelled) {
     markCancellationPending(cancelled, cancelled);
@@ -294,14 +302,19 @@
 
   // ---- urgency
 
-  /** When the prerequisites of this job should be over for its sake; null for no bound. */
+  /**
+   * Returns when the prerequisites of the job should be done so that it meets its deadlines; null
+   * for no bound.
+   */
   private ChainDeadlines prerequisiteDeadlines(Job job) {
     ChainDeadlines deadlines = ChainDeadlines.earlier(job.chainDeadlines, ownDeadlines.apply(job));
     Duration expected = classLatencies.expectedDuration(job);
     return deadlines == null ? null : deadlines.minus(expected);
   }
 
-  /** A prerequisite has one more dependent: it can only become more urgent. */
+  /**
+   * Raises the urgency of a prerequisite that has a new dependent, and of its own prerequisites.
+   */
   private void raiseUrgency(
       Job prerequisite, PriorityClass priorityClass, ChainDeadlines deadlines) {
     if (prerequisite == null || !prerequisite.isActive()) {
@@ -318,29 +331,31 @@
   }
 
   /**
-   * Computes a job's urgency anew from all its dependents, and that of its prerequisites where it
+   * Recomputes the urgency of a job from its dependents, and that of its prerequisites if it
    * changed.
    */
   private void recomputeUrgency(Job job) {
-    if (job.isActive() && recomputeOne(job)) {
+    if (job.isActive() && recomputeFromDependents(job)) {
       recomputePrerequisites(job);
     }
   }
 
-  private void recomputePrerequisites(Job first) {
-    Deque<Job> changed = new ArrayDeque<>(List.of(first));
+  private void recomputePrerequisites(Job changedJob) {
+    Deque<Job> changed = new ArrayDeque<>(List.of(changedJob));
     while (!changed.isEmpty()) {
       Job job = changed.poll();
       for (String id : new ArrayList<>(unmetPrerequisites.getOrDefault(job, Set.of()))) {
         Job prerequisite = jobsInMemory.apply(id);
-        if (prerequisite != null && prerequisite.isActive() && recomputeOne(prerequisite)) {
+        if (prerequisite != null
+            && prerequisite.isActive()
+            && recomputeFromDependents(prerequisite)) {
           changed.add(prerequisite);
         }
       }
     }
   }
 
-  private boolean recomputeOne(Job job) {
+  private boolean recomputeFromDependents(Job job) {
     PriorityClass highest = job.spec.priorityClass();
     ChainDeadlines earliest = null;
     for (Job dependent : dependentsById.getOrDefault(job.spec.id(), Set.of())) {
--- a/src/main/java/io/pineladder/scheduling/JobFinalizer.java
+++ b/src/main/java/io/pineladder/scheduling/JobFinalizer.java
@@ -4,7 +4,10 @@
 import io.pineladder.model.Job;
 import java.util.List;
 
-/** Takes jobs out of scheduling and through their final states, until their records are removed. */
+/**
+ * Removes jobs from scheduling and moves them through their final states until their records are
+ * removed.
+ */
 final class JobFinalizer {
   private final SchedulerContext context;
   private final PendingJobs pendingJobs;
@@ -25,7 +28,7 @@
     this.dependencies = dependencies;
   }
 
-  /** Nothing of the job is started from here on. */
+  /** Removes the job from the queue; no task of it is started after this. */
   void removeFromQueue(Job job) {
     job.pending.clear();
     starvationBound.clear(job);
@@ -33,7 +36,7 @@
     pendingJobs.remove(job);
   }
 
-  /** All tasks of the job are complete: it is done once that is stored. */
+  /** Handles the completion of all tasks: the job is done once that is stored. */
   void onAllTasksDone(Job job) {
     job.transitionTo(Job.State.DONE);
     removeFromQueue(job);
@@ -41,10 +44,10 @@
   }
 
   /**
-   * Stores that a job is cancelled once no attempt of it holds capacity, so that no user is told
-   * sooner. Were it told at once its tasks would have to be gone in time, also where no machine can
-   * be reached, and no lease could last longer than that: a zone that is cut off would lose all
-   * that runs in it for the few jobs that may have been cancelled.
+   * Stores the cancellation of a job once none of its attempts holds capacity. Clients are answered
+   * only after that, because tasks on an unreachable machine end no sooner than its lease expires.
+   * Answering earlier would require leases short enough that an isolated zone loses all of its
+   * work.
    */
   void storeCancellationIfStopped(Job job) {
     if (job.state() != Job.State.CANCELLED || job.finalStatePending) {
@@ -59,14 +62,14 @@
     }
   }
 
-  /** Calls, once, those who wait for the job's final state. */
+  /** Runs and removes the callbacks that wait for the final state of the job. */
   void runFinalStateCallbacks(Job job) {
     List<Runnable> callbacks = List.copyOf(job.finalStateCallbacks);
     job.finalStateCallbacks.clear();
     callbacks.forEach(Runnable::run);
   }
 
-  /** Removes the record of a job whose final state is stored and none of whose attempts is left. */
+  /** Removes the record of a job whose final state is stored and which has no attempts left. */
   void removeRecordIfFinished(Job job) {
     if (job.finalStateStored && job.attempts.isEmpty()) {
       context.records().removeJob(job);
--- a/src/main/java/io/pineladder/scheduling/ObjectiveOrdering.java
+++ b/src/main/java/io/pineladder/scheduling/ObjectiveOrdering.java
@@ -11,13 +11,14 @@
 import java.time.Instant;
 
 /**
- * The sort keys of the scheduling queue: jobs within their team's guarantee first, then by the time
- * at which they must have started to meet their service-level objective.
+ * Computes the sort keys of the scheduling queue: jobs within the guaranteed quota of their team
+ * first, then by the time at which a job must start to meet its service-level objective.
  */
 final class ObjectiveOrdering implements SchedulingQueue.Ordering {
   /**
-   * A job none of whose tasks has started is due by then, counted from when it could start: the
-   * largest jobs, and those whose objectives are missed, must begin within four minutes too.
+   * The maximum start allowance of a job without started tasks, counted from when the job may
+   * start. Ensures that large jobs and jobs that missed their objectives also start within four
+   * minutes.
    */
   private static final Duration MAX_START_DELAY = Duration.ofSeconds(200);
 
@@ -39,9 +40,9 @@
     return entry.job.acceptedAt.plus(startAllowance(entry.job));
   }
 
-  /** How long after its acceptance the job is due to start, as far as its order is concerned. */
+  /** How long after its acceptance the job is due to start, for ordering in the queue. */
   Duration startAllowance(Job job) {
-    // A failing job delays no other.
+    // A failing job must not delay other jobs.
     Duration allowance =
         job.failing
             ? ServiceObjectives.DEFAULT_START_ALLOWANCE
@@ -55,8 +56,8 @@
   }
 
   /**
-   * For how long the job's remaining tasks would take up its team's limit: of jobs that compete for
-   * one limit the small ones go first, since then fewer of them are late.
+   * How long the remaining tasks of the job would occupy the resource limit of its team. Among jobs
+   * that compete for the same limit, small jobs go first so that fewer jobs are late.
    */
   private Duration teamLimitOccupancy(Job job) {
     JobSpec spec = job.spec;
--- a/src/main/java/io/pineladder/scheduling/PendingJobs.java
+++ b/src/main/java/io/pineladder/scheduling/PendingJobs.java
@@ -11,23 +11,27 @@
 import java.util.Map;
 
 /**
- * The jobs with pending tasks: the queue entry of each, and when the queue is processed next. A job
- * has one entry at most, which exists from its first pending task until its last one is started.
+ * The jobs with pending tasks: the queue entry of each job, and the next run of the scheduling
+ * cycles. A job has at most one entry, which exists from its first pending task until its last task
+ * is started.
  */
 final class PendingJobs {
   /**
-   * An entry that no event has activated for so long is tried again; that leaves a third of the
-   * starvation bound for it.
+   * How long an entry stays unschedulable without an event before it is retried. This bounds how
+   * late {@link StarvationBound} detects that policy withholds capacity.
    */
   static final Duration UNSCHEDULABLE_RETRY_DELAY = Duration.ofSeconds(15);
 
-  /** At most one unschedulable entry in so many is tried again in a second. */
+  /**
+   * Retries per second and check are limited to the number of unschedulable entries divided by
+   * this, plus one.
+   */
   private static final int UNSCHEDULABLE_RETRY_DIVISOR = 15;
 
-  /** Unschedulable entries of one check that are tried again in a second at the most. */
+  /** The maximum number of unschedulable entries of one check that are retried per second. */
   private static final int MAX_UNSCHEDULABLE_RETRIES_PER_CHECK = 32;
 
-  /** Between two scheduling cycles of a job that policy alone denies capacity. */
+  /** The interval between scheduling cycles of a job that is denied capacity by policy alone. */
   private static final Duration WITHHELD_RETRY_DELAY = Duration.ofSeconds(5);
 
   private final EventLoop eventLoop;
@@ -38,9 +42,10 @@
   private Instant backoffWakeUpAt;
 
   /**
-   * No pending jobs.
+   * Creates an instance without pending jobs.
    *
-   * @param runCycles processes the queue; run from the event loop, once for any number of requests
+   * @param runCycles runs scheduling cycles; called from the event loop once for any number of
+   *     requests
    */
   PendingJobs(EventLoop eventLoop, SchedulingQueue queue, Runnable runCycles) {
     this.eventLoop = eventLoop;
@@ -52,12 +57,12 @@
     return queue;
   }
 
-  /** The entries of all jobs with pending tasks. */
+  /** The queue entries of all jobs with pending tasks. */
   Iterable<QueueEntry> entries() {
     return entriesByJob.values();
   }
 
-  /** Makes the job's entry active if it has pending tasks. */
+  /** Activates the queue entry of the job if it has pending tasks. */
   void enqueue(Job job) {
     if (job.isActive() && !job.pending.isEmpty()) {
       queue.add(entry(job));
@@ -65,12 +70,12 @@
     }
   }
 
-  /** The job's entry, created if there is none. */
+  /** Returns the queue entry of the job, creating it if needed. */
   QueueEntry entry(Job job) {
     return entriesByJob.computeIfAbsent(job.spec.id(), id -> new QueueEntry(job));
   }
 
-  /** Removes the entry of a job that is over. */
+  /** Removes the queue entry of a job that is done or cancelled. */
   void remove(Job job) {
     QueueEntry entry = entriesByJob.remove(job.spec.id());
     if (entry != null) {
@@ -78,13 +83,13 @@
     }
   }
 
-  /** Removes an entry in its scheduling cycle none of whose tasks is pending any more. */
+  /** Removes an entry that is in its scheduling cycle and has no pending tasks left. */
   void removeInCycle(QueueEntry entry) {
     queue.remove(entry);
     entriesByJob.remove(entry.job.spec.id());
   }
 
-  /** The last dependency of a job is met: its entry becomes active. */
+  /** Activates the queue entry of a job whose last prerequisite is done. */
   void activate(Job job) {
     QueueEntry entry = entriesByJob.get(job.spec.id());
     if (entry != null) {
@@ -92,7 +97,7 @@
     }
   }
 
-  /** The job's priority class or deadlines have changed. */
+  /** Reorders the queue entry of a job whose priority class or deadlines have changed. */
   void reorder(Job job) {
     QueueEntry entry = entriesByJob.get(job.spec.id());
     if (entry != null) {
@@ -100,7 +105,7 @@
     }
   }
 
-  /** Has the queue processed once the current event is handled. */
+  /** Requests a run of the scheduling cycles after the current event. */
   void requestRun() {
     if (!runRequested) {
       runRequested = true;
@@ -113,7 +118,7 @@
     runCycles.run();
   }
 
-  /** Has the queue processed when the next back-off expires. */
+  /** Schedules a run of the scheduling cycles for when the next back-off expires. */
   void scheduleBackoffWakeUp() {
     Instant next = queue.nextBackoffExpiry();
     Instant now = eventLoop.now();
@@ -134,19 +139,19 @@
   }
 
   /**
-   * Activates entries that no event has activated for long, and those that policy alone denies
-   * capacity. Called once a second. Without it a job waited for as long as nothing else happened on
-   * the machine whose capacity had been reserved for another.
+   * Activates entries that no event has activated for a long time, and entries of jobs that are
+   * denied capacity by policy alone. Called once a second. Some changes raise no event, such as the
+   * expiry of a reservation for another job.
    *
-   * @param withheld the jobs that policy alone denies capacity
+   * @param withheldJobs the jobs that are denied capacity by policy alone
    */
-  void retryUnschedulable(List<Job> withheld, Instant now) {
+  void retryUnschedulable(List<Job> withheldJobs, Instant now) {
     int unschedulable = queue.sizes().get(QueueEntry.Place.UNSCHEDULABLE);
     int maxPerCheck =
         Math.min(
             MAX_UNSCHEDULABLE_RETRIES_PER_CHECK, 1 + unschedulable / UNSCHEDULABLE_RETRY_DIVISOR);
     queue.retryUnschedulable(now.minus(UNSCHEDULABLE_RETRY_DELAY), maxPerCheck);
-    for (Job job : withheld) {
+    for (Job job : withheldJobs) {
       QueueEntry entry = entriesByJob.get(job.spec.id());
       if (entry != null && !entry.lastCycleAt().plus(WITHHELD_RETRY_DELAY).isAfter(now)) {
         queue.activateUnschedulable(entry);
--- a/src/main/java/io/pineladder/scheduling/PlacementPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PlacementPolicy.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * What becomes of a placement: policy may be ignored for a job that it would starve, capacity may
- * be preempted or reserved for a rejected one, and one that would fetch its image for too long may
- * wait for a machine that has it.
+ * Applies scheduling policy to placements: overrides policy for jobs that it would starve, preempts
+ * or reserves capacity for rejected jobs, and defers a placement with a long image fetch in favor
+ * of a machine that has the image cached.
  */
 final class PlacementPolicy {
   private final Placer placer;
@@ -33,7 +33,9 @@
     this.ordering = ordering;
   }
 
-  /** Chooses machines for the job's next tasks, without policy where its bound is exceeded. */
+  /**
+   * Chooses machines for the job's next tasks, ignoring policy if the starvation bound is exceeded.
+   */
   Placer.Decision place(Job job, int taskCount, Instant now) {
     Placer.Decision decision = placer.place(job, taskCount, now);
     return decision.isPlaced()
@@ -41,7 +43,7 @@
         : starvationBound.reviewRejection(job, taskCount, decision, now);
   }
 
-  /** Preempts or reserves capacity for a job that was rejected for lack of it. */
+  /** Preempts or reserves capacity for a job that was rejected for lack of capacity. */
   void onRejected(Job job, SchedulingCheck check, Instant now) {
     boolean lacksCapacity =
         check == SchedulingCheck.FIT
@@ -53,7 +55,10 @@
     }
   }
 
-  /** Whether the job waits for capacity that is being preempted where its image is cached. */
+  /**
+   * Whether the job should wait for capacity that is being preempted on machines that have its
+   * image cached.
+   */
   boolean waitsForCachedImage(Job job, Machine machineWithoutImage, Instant now) {
     if (starvationBound.isExceeded(job, now)
         || !preemptionPolicy.waitsForCachedImage(
@@ -64,12 +69,12 @@
     return true;
   }
 
-  /** Jobs that policy alone denies capacity now. */
+  /** The jobs that are currently denied capacity by policy alone. */
   List<Job> withheldJobs() {
     return starvationBound.withheldJobs();
   }
 
-  /** Has tasks that still fetch their image start again on idle machines that have it. */
+  /** Moves tasks that are still fetching their image to idle machines that have it cached. */
   void moveSlowFetches(List<Machine> freedMachines, Instant now, Consumer<Attempt> stop) {
     preemptionPolicy.moveSlowFetches(freedMachines, now, stop);
   }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -25,68 +25,71 @@
 import java.util.function.Supplier;
 
 /**
- * The checks that a placement must pass, and the choice among the machines that pass them by cost:
- * bin packing, with the image's fetch time as the largest part. Costs are in seconds.
+ * Checks which machines a job may use, and chooses among them by cost: bin packing, with the fetch
+ * time of the image as the largest cost. Costs are in seconds.
  */
 public final class Placer {
-  /** The cost of a second task on a machine that still has to fetch a slow image. */
+  /** The additional cost of each further task on a machine that has to fetch the image slowly. */
   private static final double SECOND_FETCH_COST_SECONDS = 10;
 
-  /** The cost of a spot machine for a job that would miss an objective by its reclaim. */
+  /** The cost of a spot machine for a job that would miss an objective if it is reclaimed. */
   private static final double SPOT_RISK_COST_SECONDS = 12;
 
-  /** The benefit of a machine that was rented to meet deadlines, for a task that fills it. */
+  /** The bonus of a machine that was provisioned for deadlines, for a task that fills it. */
   private static final double DEADLINE_MACHINE_BONUS_SECONDS = 5;
 
-  /** The cost of an on-demand machine for a job that may use spot machines. */
+  /** The cost of an on-demand machine for a job that allows spot machines. */
   private static final double ON_DEMAND_COST_SECONDS = 3;
 
-  /** An image that is being fetched already takes this part of the whole fetch on average. */
-  private static final double REMAINING_FETCH_PART = 0.5;
+  /** The average fraction of a fetch that remains if the image is already being fetched. */
+  private static final double REMAINING_FETCH_FRACTION = 0.5;
 
-  /** The least fetch rate assumed, so that a machine type without one is not divided by zero. */
+  /**
+   * The minimum fetch rate assumed, which avoids a division by zero for machine types without a
+   * rate.
+   */
   private static final double MIN_FETCH_GB_PER_SECOND = 1e-3;
 
   private final ClusterState cluster;
-
   private final EventLoop eventLoop;
 
-  /** A placer for the machines of the cluster. */
+  /** Creates a placer for the machines of the cluster. */
   public Placer(ClusterState cluster, EventLoop eventLoop) {
     this.cluster = cluster;
     this.eventLoop = eventLoop;
   }
 
   /**
-   * The outcome of one placement.
+   * The result of a placement.
    *
-   * @param machines a machine for each task that could be placed; one machine may occur repeatedly
-   * @param rejectedBy the check that rejected the rest; null when all tasks were placed
+   * @param machines a machine for each task that could be placed; a machine may occur more than
+   *     once
+   * @param rejectedBy the check that rejected the remaining tasks; null if all tasks were placed
    */
   public record Decision(List<Machine> machines, SchedulingCheck rejectedBy) {
-    /** No task is placed. */
-    static Decision rejected(SchedulingCheck by) {
-      return new Decision(List.of(), by);
+    static Decision rejected(SchedulingCheck check) {
+      return new Decision(List.of(), check);
     }
 
-    /** Whether all tasks that were asked for are placed. */
+    /** Whether all requested tasks are placed. */
     public boolean isPlaced() {
       return rejectedBy == null;
     }
   }
 
   /**
-   * Chooses machines for up to that many tasks in one scan of the machines with capacity. A gang is
-   * placed as a whole or not at all; of other jobs the first tasks may be placed and the rest
-   * rejected.
+   * Chooses machines for up to {@code taskCount} tasks in one scan of the machines with free
+   * capacity. A gang is placed completely or not at all; for other jobs some tasks may be placed
+   * and the rest rejected.
    */
   Decision place(Job job, int taskCount, Instant now) {
     return place(job, taskCount, false, now);
   }
 
   /**
-   * Chooses machines as {@link #place(Job, int, Instant)} does, by the job's own constraints only:
-   * reservations, avoided, retiring and quarantined machines are ignored.
+   * Chooses machines like {@link #place(Job, int, Instant)}, but by the constraints of the job
+   * only: reservations, avoided machines, and the retiring and quarantined states of machines are
+   * ignored.
    */
   Decision placeIgnoringPolicy(Job job, int taskCount, Instant now) {
     return place(job, taskCount, true, now);
@@ -103,13 +106,13 @@
     }
     int maxTasks = (int) Math.min(taskCount, withinLimit);
     boolean avoidsSpot = cluster.avoidsSpot(job, eventLoop.wallClock());
-    // Of thousands of machines a job takes a few: a heap yields those without sorting all.
+    // A job needs few of thousands of machines: a heap avoids sorting all of them.
     PriorityQueue<Candidate> candidates = new PriorityQueue<>(BY_COST);
     for (Machine machine : cluster.machinesWithCapacityFor(job)) {
       addCandidate(job, machine, taskCount, ignorePolicy, avoidsSpot, now, candidates);
     }
     if (ignorePolicy) {
-      for (Machine machine : cluster.machinesWithheldByPolicy()) {
+      for (Machine machine : cluster.machinesExcludedByPolicy()) {
         addCandidate(job, machine, taskCount, true, avoidsSpot, now, candidates);
       }
     }
@@ -121,8 +124,10 @@
         spec.sameZone()
             ? placeInOneZone(job, maxTasks, sortedByCost(candidates), allOrNothing)
             : placeAnywhere(job, maxTasks, candidates, allOrNothing);
-    boolean isCutByLimit = decision.isPlaced() && maxTasks < taskCount;
-    return isCutByLimit ? new Decision(decision.machines(), SchedulingCheck.TEAM_LIMIT) : decision;
+    boolean isReducedByLimit = decision.isPlaced() && maxTasks < taskCount;
+    return isReducedByLimit
+        ? new Decision(decision.machines(), SchedulingCheck.TEAM_LIMIT)
+        : decision;
   }
 
   private static List<Candidate> sortedByCost(PriorityQueue<Candidate> candidates) {
@@ -131,7 +136,10 @@
     return sorted;
   }
 
-  /** Adds a machine that passes the checks and has capacity; twice if a second task costs more. */
+  /**
+   * Adds a machine as a candidate if it passes the checks and has capacity; adds a second candidate
+   * if further tasks on it cost more.
+   */
   private void addCandidate(
       Job job,
       Machine machine,
@@ -165,24 +173,25 @@
   }
 
   /**
-   * Whether the image is not cached there and takes longer to fetch than another machine takes to
-   * boot. Then copies are scarcer than machines: tasks that have to fetch go to different ones, and
-   * leave capacity beside them where the image will be.
+   * Whether the image is not cached on the machine and takes longer to fetch than a new machine
+   * takes to boot. Tasks that fetch such an image are spread over several machines, which leaves
+   * capacity next to each copy of the image.
    */
   private static boolean isSlowFetch(Job job, Machine machine) {
     if (machine.images.containsKey(job.spec.image())) {
       return false;
     }
-    double undisturbedFetchSeconds =
+    double uncontendedFetchSeconds =
         job.spec.imageGb() / Math.max(MIN_FETCH_GB_PER_SECOND, machine.type.fetchGbPerSecond());
-    return undisturbedFetchSeconds > machine.type.bootTime().toMillis() / 1000.0;
+    return uncontendedFetchSeconds > machine.type.bootTime().toMillis() / 1000.0;
   }
 
-  /** A machine with capacity for that many tasks of the job. */
+  /** A machine with capacity for {@code count} tasks of the job. */
   private record Candidate(Machine machine, double cost, int count) {}
 
   private static final Comparator<Candidate> BY_COST =
-      Comparator.<Candidate>comparingDouble(c -> c.cost).thenComparing(c -> c.machine.name);
+      Comparator.<Candidate>comparingDouble(candidate -> candidate.cost)
+          .thenComparing(candidate -> candidate.machine.name);
 
   private boolean anyMachineKindAllowed(JobSpec spec) {
     for (ClusterState.MachineKind kind : cluster.machineKinds()) {
@@ -193,7 +202,7 @@
     return false;
   }
 
-  /** Whether the job's constraints on type, zone and spot machines are met. */
+  /** Whether the job's constraints on machine type, zone and spot machines are met. */
   private static boolean satisfiesConstraints(
       JobSpec spec, String type, String zone, boolean spot) {
     return spec.allowsType(type) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
@@ -203,35 +212,34 @@
     return satisfiesConstraints(spec, machine.type.name(), machine.zone, machine.spot);
   }
 
-  /** Whether the job's constraints are met, and the job does not avoid the machine. */
+  /** Whether the machine meets the job's constraints and the job does not avoid it. */
   static boolean isAllowed(Job job, Machine machine) {
     return satisfiesConstraints(job.spec, machine) && !job.avoidedMachines.contains(machine.name);
   }
 
   /**
-   * Whether a task would occupy an on-demand machine rented for deadlines for long: it takes a
-   * small part of the machine for more than twice the time until another machine is ready, and can
-   * wait for that. The last of such tasks occupied each machine for minutes after the peak that it
-   * was rented for; other tasks leave it soon, and leave spot machines to such ones.
+   * Whether a task would occupy a machine provisioned for deadlines for too long: it uses less than
+   * half of the machine, runs for more than twice the time in which another machine can be ready,
+   * and can wait for that one. Such tasks would delay the release of the machine after the load
+   * peak.
    */
   static boolean wouldBlockDeadlineMachine(
       ClusterState cluster, Job job, Machine machine, Instant wallClock) {
-    Duration readyElsewhereAfter = cluster.soonestStartElsewhere(job.spec);
-    boolean isShort =
-        job.spec.estimatedRunTime().compareTo(readyElsewhereAfter.multipliedBy(2)) <= 0;
+    Duration provisioningTime = cluster.soonestStartElsewhere(job.spec);
+    boolean isShort = job.spec.estimatedRunTime().compareTo(provisioningTime.multipliedBy(2)) <= 0;
     if (isShort || fillsMachine(job.spec, machine.type) || !cluster.canWaitForCapacity(job)) {
       return false;
     }
-    return cluster.startSlack(job, wallClock).compareTo(readyElsewhereAfter) > 0;
+    return cluster.startSlack(job, wallClock).compareTo(provisioningTime) > 0;
   }
 
-  /** Whether a task takes half of a machine of this type or more. */
+  /** Whether a task needs at least half of a machine of this type. */
   public static boolean fillsMachine(JobSpec spec, MachineType type) {
     return 2 * spec.resourcesPerTask().shareOf(type.capacity()) >= 1;
   }
 
-  /** Whether one more task on the machine satisfies the job's constraints on zones. */
-  static boolean allowsZoneOf(Job job, Machine machine) {
+  /** Whether another task on the machine satisfies the job's zone constraints. */
+  static boolean satisfiesZoneConstraints(Job job, Machine machine) {
     Map<String, Integer> zones = attemptsByZone(job);
     if (job.spec.sameZone() && !zones.isEmpty() && !zones.containsKey(machine.zone)) {
       return false;
@@ -239,12 +247,15 @@
     return zones.getOrDefault(machine.zone, 0) < maxTasksPerZone(job);
   }
 
-  /** How many of the job's tasks may be in one zone. */
+  /** The maximum number of tasks of the job in one zone. */
   private static int maxTasksPerZone(Job job) {
     return job.spec.spreadAcrossZones() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
   }
 
-  /** What the job may take of a machine: free capacity less what is reserved for another job. */
+  /**
+   * The capacity that the job may use on the machine: free capacity minus capacity reserved for
+   * another job.
+   */
   static Resources availableCapacity(Job job, Machine machine, Instant now) {
     Resources free = machine.free();
     boolean isReservedForOther =
@@ -254,7 +265,9 @@
     return isReservedForOther ? free.minus(machine.reserved()) : free;
   }
 
-  /** Whether a task should end there before the job that holds the reservation can start. */
+  /**
+   * Whether a task on the machine should end before the job that holds the reservation can start.
+   */
   private static boolean endsBeforeReservation(Job job, Machine machine, Instant now) {
     if (machine.reservationStartsAt() == null || job.spec.kind() != JobKind.ARRAY) {
       return false;
@@ -265,7 +278,7 @@
         .isBefore(machine.reservationStartsAt());
   }
 
-  /** How many attempts of the job there are, by zone. */
+  /** The number of attempts of the job in each zone. */
   private static Map<String, Integer> attemptsByZone(Job job) {
     Map<String, Integer> zones = new HashMap<>();
     for (Set<Attempt> attempts : job.attempts.values()) {
@@ -291,8 +304,8 @@
     double bestCost = Double.MAX_VALUE;
     for (String zone : zones) {
       Iterator<Candidate> inZone =
-          candidates.stream().filter(c -> c.machine.zone.equals(zone)).iterator();
-      // One that is to be spread as well runs half of its tasks at a time; a gang never does.
+          candidates.stream().filter(candidate -> candidate.machine.zone.equals(zone)).iterator();
+      // A job that must also spread across zones can run only half of its tasks at a time here.
       List<Machine> chosen =
           fillCheapest(
               taskCount,
@@ -335,13 +348,20 @@
   /**
    * Fills the cheapest machine, then the next, until enough tasks are placed.
    *
-   * @param cheapest supplies the next machine by cost; null when there is none left
+   * @param nextCheapest supplies the next machine in order of cost; null if there is none left
+   * @param attemptsByZone the number of the job's tasks that each zone already has
+   * @param maxInZone the maximum number of tasks in one zone
    */
   private static List<Machine> fillCheapest(
-      int taskCount, Supplier<Candidate> cheapest, Map<String, Integer> zones, int maxInZone) {
-    Map<String, Integer> tasksByZone = new HashMap<>(zones);
+      int taskCount,
+      Supplier<Candidate> nextCheapest,
+      Map<String, Integer> attemptsByZone,
+      int maxInZone) {
+    Map<String, Integer> tasksByZone = new HashMap<>(attemptsByZone);
     List<Machine> chosen = new ArrayList<>();
-    for (Candidate candidate = cheapest.get(); candidate != null; candidate = cheapest.get()) {
+    for (Candidate candidate = nextCheapest.get();
+        candidate != null;
+        candidate = nextCheapest.get()) {
       int tasksInZone = tasksByZone.getOrDefault(candidate.machine.zone, 0);
       int count =
           Math.min(taskCount - chosen.size(), Math.min(candidate.count, maxInZone - tasksInZone));
@@ -359,9 +379,9 @@
   }
 
   /**
-   * The cost of a task on the machine, in seconds: mostly the time until the image is there. A job
-   * that may use spot machines leaves the others to jobs that may not, and fuller machines come
-   * first so that some become empty and can be returned.
+   * The cost of a task on the machine in seconds, mostly the time until the image is cached. Jobs
+   * that allow spot machines are steered away from on-demand machines, and fuller machines are
+   * preferred so that others become empty and can be released.
    */
   private static double cost(Job job, Machine machine, boolean avoidsSpot) {
     double cost = fetchSeconds(job, machine);
@@ -377,7 +397,9 @@
     return cost;
   }
 
-  /** The seconds until the job's image is cached there, given what else is being fetched. */
+  /**
+   * The seconds until the image of the job is cached on the machine, including other fetches on it.
+   */
   static double fetchSeconds(Job job, Machine machine) {
     String image = job.spec.image();
     if (machine.images.containsKey(image)) {
@@ -389,7 +411,7 @@
         continue;
       }
       if (attempt.job.spec.image().equals(image)) {
-        return REMAINING_FETCH_PART * job.spec.imageGb() / machine.type.fetchGbPerSecond();
+        return REMAINING_FETCH_FRACTION * job.spec.imageGb() / machine.type.fetchGbPerSecond();
       }
       gb += attempt.job.spec.imageGb();
     }
--- a/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -14,24 +14,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides when work is preempted: for a job that finds no capacity, or none where its image is in
- * time. Also moves tasks that still fetch their image to machines that have it.
+ * Decides when to preempt attempts: for a job without sufficient capacity, or without capacity
+ * where its image is available in time. Also moves tasks that are still fetching their image to
+ * machines that have it cached.
  */
 final class PreemptionPolicy {
   private static final Logger log = LoggerFactory.getLogger(PreemptionPolicy.class);
 
-  /** A fetch with more time remaining is worth a new start where the image is cached. */
+  /**
+   * The minimum remaining fetch time for which a task is moved to a machine that has the image
+   * cached.
+   */
   private static final Duration MIN_REMAINING_FETCH_TO_MOVE = Duration.ofSeconds(6);
 
   /**
-   * Fetching tasks of one image, the latest first, that are considered for one machine at the most.
+   * The maximum number of fetching attempts per image that are considered for one machine, latest
+   * first.
    */
   private static final int MAX_FETCHES_EXAMINED_PER_IMAGE = 64;
 
-  /** For how long capacity that was preempted or freed for a job is reserved for it. */
+  /** How long capacity that was preempted or freed for a job stays reserved for it. */
   static final Duration RESERVATION_DURATION = Duration.ofSeconds(20);
 
-  /** Scans of the whole fleet for victims may take one part in so many of the time. */
+  /**
+   * Scans of all machines for victims may take at most 1 / {@code SCAN_TIME_DIVISOR} of the time.
+   */
   private static final int SCAN_TIME_DIVISOR = 5;
 
   private final ClusterState cluster;
@@ -39,11 +46,11 @@
   private final VictimSelector victimSelector;
   private final Consumer<Attempt> preempt;
 
-  /** When the fleet may next be scanned for victims. */
+  /** The earliest time of the next scan of all machines for victims. */
   private Instant nextScanAt = Instant.MIN;
 
   /**
-   * A policy without any preemption yet.
+   * Creates a policy without preemptions in progress.
    *
    * @param preempt stops an attempt to free its capacity
    */
@@ -55,11 +62,11 @@
   }
 
   /**
-   * Preempts work for as many of the job's tasks as still lack capacity, in one scan of the fleet,
-   * which no index can replace. Scans take a bounded part of the time, and the first jobs by
-   * priority get them.
+   * Preempts attempts for those of the job's pending tasks that lack capacity, in one scan of all
+   * machines. Scans take a bounded share of the time and go to the first jobs by priority.
    *
-   * @param maxFetchSeconds only machines on which the job's image is cached by then
+   * @param maxFetchSeconds only machines on which the image of the job is cached within this time
+   *     are considered
    * @return whether any capacity is being freed
    */
   boolean preemptFor(Job job, double maxFetchSeconds, Instant now) {
@@ -86,7 +93,7 @@
             Duration.between(scanStartedAt, scanEndedAt).multipliedBy(SCAN_TIME_DIVISOR - 1));
     for (VictimSelector.PreemptionPlan plan : plans) {
       Machine machine = plan.machine();
-      log.debug("Preempting: job={} victims={} machine={}", job, plan.victims(), machine);
+      log.debug("Preempting attempts: job={} victims={} machine={}", job, plan.victims(), machine);
       cluster.reserve(machine, job, now.plus(RESERVATION_DURATION));
       plan.victims().forEach(preempt);
     }
@@ -94,10 +101,10 @@
   }
 
   /**
-   * Whether the job cannot wait for other capacity. The tasks of an array can: capacity is freed
-   * all the time, and another machine boots. So an array with more start slack than that preempts
-   * only jobs without an objective. Found on galleharbour, where two of five tasks of low priority
-   * were preempted, many of them several times, for jobs that had minutes left.
+   * Whether the job cannot wait for other capacity. An array with more start slack than the
+   * provisioning time of a machine can wait, so it preempts only jobs without an objective. This
+   * avoids repeated preemption of low-priority tasks for jobs that are not close to missing their
+   * objective.
    */
   private boolean isUrgent(Job job) {
     if (job.spec.kind() != JobKind.ARRAY || cluster.isGuaranteed(job)) {
@@ -108,9 +115,9 @@
   }
 
   /**
-   * Whether the job waits for a machine that has its image, although another has capacity: fetching
-   * the image there would make the task late, and work of lower priority is preempted where the
-   * image is.
+   * Whether the job should wait for a machine that has its image cached although another machine
+   * has capacity: fetching the image on that machine would make the task late, and work of lower
+   * priority is being preempted where the image is cached.
    */
   boolean waitsForCachedImage(
       Job job, Machine machineWithoutImage, Duration allowance, Instant now) {
@@ -128,8 +135,9 @@
   }
 
   /**
-   * Moves tasks whose fetch takes long yet to machines with freed capacity that have their image,
-   * when no job wants that capacity. Such a task has done no work yet, so none is lost.
+   * Moves tasks with a long remaining image fetch to machines that have freed capacity and the
+   * image cached, if no pending job can use that capacity. A task that is fetching its image has
+   * done no work yet, so none is lost.
    *
    * @param freedMachines machines with freed capacity
    * @param stop stops an attempt at once
@@ -141,28 +149,31 @@
       }
       Resources freeCapacity = machine.free();
       while (true) {
-        Attempt best = slowestMovableFetch(machine, freeCapacity, now);
-        if (best == null) {
+        Attempt slowest = slowestMovableFetch(machine, freeCapacity, now);
+        if (slowest == null) {
           break;
         }
-        log.debug("Moving a slow fetch: attempt={} machine={}", best, machine);
-        freeCapacity = freeCapacity.minus(best.job.spec.resourcesPerTask());
-        cluster.reserve(machine, best.job, now.plus(RESERVATION_DURATION));
-        stop.accept(best);
+        log.debug("Moving task with slow image fetch: attempt={} machine={}", slowest, machine);
+        freeCapacity = freeCapacity.minus(slowest.job.spec.resourcesPerTask());
+        cluster.reserve(machine, slowest.job, now.plus(RESERVATION_DURATION));
+        stop.accept(slowest);
       }
     }
   }
 
-  /** The fetching attempt that would gain most by a start on this machine instead, or null. */
+  /**
+   * Returns the fetching attempt that would gain most time by a start on this machine instead, or
+   * null.
+   */
   private Attempt slowestMovableFetch(Machine machine, Resources freeCapacity, Instant now) {
     Attempt best = null;
-    Instant latestImage = now.plus(MIN_REMAINING_FETCH_TO_MOVE);
+    Instant latestReadyAt = now.plus(MIN_REMAINING_FETCH_TO_MOVE);
     for (String image : machine.images.keySet()) {
       int examined = 0;
-      for (Attempt attempt : cluster.fetching(image)) {
-        if (!attempt.imageReadyAt.isAfter(latestImage)
+      for (Attempt attempt : cluster.fetchingAttempts(image)) {
+        if (!attempt.imageReadyAt.isAfter(latestReadyAt)
             || ++examined > MAX_FETCHES_EXAMINED_PER_IMAGE) {
-          // All that follow have their image sooner.
+          // The remaining attempts have their image sooner.
           break;
         }
         Job job = attempt.job;
@@ -172,9 +183,9 @@
             && job.spec.resourcesPerTask().fitsIn(freeCapacity)
             && job.spec.resourcesPerTask().fitsIn(Placer.availableCapacity(job, machine, now))
             && Placer.isAllowed(job, machine)
-            && (Placer.allowsZoneOf(job, machine) || job.spec.tasks() == 1)) {
+            && (Placer.satisfiesZoneConstraints(job, machine) || job.spec.tasks() == 1)) {
           best = attempt;
-          latestImage = attempt.imageReadyAt;
+          latestReadyAt = attempt.imageReadyAt;
         }
       }
     }
--- a/src/main/java/io/pineladder/scheduling/QueueingHints.java
+++ b/src/main/java/io/pineladder/scheduling/QueueingHints.java
@@ -10,11 +10,11 @@
 import io.pineladder.queue.SchedulingCheck;
 import java.util.List;
 
-/** Which cluster events may let an entry pass the check that rejected it. */
+/** Defines which cluster events may let an entry pass the check that rejected it. */
 final class QueueingHints {
   private QueueingHints() {}
 
-  /** The hints of all checks that an event can help. */
+  /** Returns the hint functions of all checks that an event can help to pass. */
   static QueueingHintTable createTable(ClusterState cluster, EventLoop eventLoop) {
     QueueingHintTable.HintFunction onCapacity =
         (entry, event) -> {
@@ -32,7 +32,7 @@
           boolean needsOtherMachines = job.spec.isMultiTaskGang() && machine.reservedFor() != job;
           return needsOtherMachines ? QueueingHint.QUEUE : QueueingHint.QUEUE_IMMEDIATELY;
         };
-    QueueingHintTable.HintFunction onOwnAttemptGone =
+    QueueingHintTable.HintFunction onOwnAttemptEnded =
         (entry, event) ->
             event.job() == entry.job ? QueueingHint.QUEUE_IMMEDIATELY : QueueingHint.SKIP;
     QueueingHintTable table = new QueueingHintTable();
@@ -48,11 +48,11 @@
     }
     for (SchedulingCheck check :
         List.of(SchedulingCheck.SPREAD, SchedulingCheck.TOGETHER, SchedulingCheck.PREDECESSOR)) {
-      table.register(check, ClusterEvent.Kind.ATTEMPT_GONE, onOwnAttemptGone);
+      table.register(check, ClusterEvent.Kind.ATTEMPT_ENDED, onOwnAttemptEnded);
     }
     table.register(
         SchedulingCheck.FAILING,
-        ClusterEvent.Kind.ATTEMPT_GONE,
+        ClusterEvent.Kind.ATTEMPT_ENDED,
         (entry, event) -> event.job() == entry.job ? QueueingHint.QUEUE : QueueingHint.SKIP);
     return table.register(
         SchedulingCheck.TEAM_LIMIT,
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -17,44 +17,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Schedules the jobs of one leader term: jobs enter and leave here, and what is observed of their
- * attempts is reported here. The parts are wired here too; each has one concern ({@link
- * SchedulingCycle}, {@link AttemptLifecycle}, {@link JobFinalizer}, {@link PendingJobs}). All of it
- * runs on the event loop's thread.
+ * Schedules the jobs of one leader term. This is the entry point for adding and cancelling jobs and
+ * for reporting observed attempt states. The constructor creates and connects the components:
+ * {@link SchedulingCycle}, {@link AttemptLifecycle}, {@link JobFinalizer}, {@link PendingJobs} and
+ * others. All of them run on the event loop's thread.
  */
 public final class Scheduler {
   private static final Logger log = LoggerFactory.getLogger(Scheduler.class);
 
-  /** For how long policy alone may deny a job capacity, or leave capacity idle, at the most. */
+  /** The maximum time for which policy alone may deny capacity to a job, or leave capacity idle. */
   public static final Duration MAX_POLICY_DELAY = StarvationBound.MAX_POLICY_DELAY;
 
-  /** What the scheduler asks of the leader, and what it reports to it. */
+  /** Callbacks from the scheduler to the leader. */
   public interface Callbacks {
     /**
-     * Whether tasks may be started: not while this node may not act as leader, nor while an earlier
-     * attempt may be on a machine that no record and no heartbeat has named yet.
+     * Whether tasks may be started. False while this node is not allowed to act as leader, and
+     * while earlier attempts may be on machines that no record and no heartbeat has named yet.
      */
     boolean mayStartTasks();
 
-    /** The dependencies of the job are met: it may start from now on. */
+    /** Called when all prerequisites of the job are done, so it may start. */
     void onReady(Job job);
 
-    /** The job is cancelled because one that it depends on is stored as cancelled. */
+    /** Called when the job is cancelled because a prerequisite is stored as cancelled. */
     void onCancelledByDependency(Job job);
 
-    /** The final state of a job that is not in memory, if it is known without a read; or null. */
+    /**
+     * Returns the final state of a job that is not in memory if it is known without a read, or
+     * null.
+     */
     Job.State knownFinalState(String job);
 
     /**
-     * A job that others depend on is not in memory. It is to be looked up, and the result reported
-     * to {@link #dependencies()}.
+     * Called when a prerequisite is not in memory. The implementation looks it up and reports the
+     * result to {@link #dependencies()}.
      */
     void lookUpJob(String job);
 
-    /** Commands for this machine are ready to be sent. */
+    /** Called when commands for this machine are ready to be sent. */
     void onCommandsDue(Machine machine);
 
-    /** This term cannot go on. */
+    /** Called when the leader has to resign because this term cannot continue. */
     void resign(String reason);
   }
 
@@ -70,9 +73,9 @@
   private final SchedulingCycle schedulingCycle;
 
   /**
-   * A scheduler without jobs.
+   * Creates a scheduler without jobs.
    *
-   * @param term the leader's term, a fencing token; attempt numbers begin with it
+   * @param term the term of the leader, which is a fencing token; attempt numbers begin with it
    */
   public Scheduler(
       ClusterState cluster,
@@ -120,32 +123,31 @@
             context, pendingJobs, freedCapacity, placementPolicy, taskStarter, attempts);
   }
 
-  /** Sets the records, before the first job is added. */
+  /** Sets the records; must be called before the first job is added. */
   public void setRecords(Records records) {
     context.setRecords(records);
   }
 
-  /** The scheduling queue, for operators' settings and its sizes. */
+  /** The scheduling queue, for its settings and sizes. */
   public SchedulingQueue queue() {
     return pendingJobs.queue();
   }
 
-  /** Which jobs and machines are held to be faulty. */
+  /** The attribution of failures to jobs and machines. */
   public FaultAttribution faultAttribution() {
     return faultAttribution;
   }
 
-  /** Which jobs wait for which others. */
+  /** The dependency graph of the waiting jobs. */
   public JobDependencies dependencies() {
     return dependencies;
   }
 
-  /** What follows when a job that others depend on is over. */
   private final class DependencyListener implements JobDependencies.Listener {
     @Override
     public void onReady(Job job) {
       job.readyAt = context.eventLoop.wallClock();
-      cluster.onDemandChanged(job);
+      cluster.onQuotaDemandChanged(job);
       pendingJobs.activate(job);
       context.callbacks.onReady(job);
       pendingJobs.requestRun();
@@ -153,7 +155,7 @@
 
     @Override
     public void onCancelled(Job job) {
-      cluster.onDemandChanged(job);
+      cluster.onQuotaDemandChanged(job);
       jobFinalizer.removeFromQueue(job);
       jobFinalizer.runFinalStateCallbacks(job);
       context.callbacks.onCancelledByDependency(job);
@@ -177,7 +179,6 @@
     }
   }
 
-  /** What follows when a job or a machine is found to be faulty, or no longer. */
   private final class FaultListener implements FaultAttribution.Listener {
     @Override
     public void onJobFailingChanged(Job job, boolean failing) {
@@ -206,7 +207,7 @@
 
   // ---- jobs
 
-  /** Adds a new job, or one read from the store whose attempts are known already. */
+  /** Adds a new job, or a job read from the store whose attempts have been added already. */
   public void add(Job job) {
     cluster.addJob(job);
     if (!job.isActive()) {
@@ -217,15 +218,15 @@
       return;
     }
     dependencies.add(job);
-    // A dependency may be cancelled, and the job with it.
+    // Adding the job to the graph cancels it if a prerequisite is cancelled.
     if (!job.isActive()) {
       return;
     }
     if (job.failing) {
-      faultAttribution.inheritFailing(job);
+      faultAttribution.restoreFailing(job);
     }
     if (job.spec.kind() == JobKind.GANG && !job.attempts.isEmpty()) {
-      // A gang is started as a whole. One whose placements were stored in part never completes.
+      // A gang whose placements were stored only in part can never start, so it is stopped.
       if (job.attempts.size() < job.spec.tasks()) {
         attempts.killAll(job, Duration.ZERO);
       }
@@ -240,10 +241,10 @@
   }
 
   /**
-   * Adopts an attempt that a worker reports and that no record names, if its task needs one: after
-   * a loss of state that is where the task runs.
+   * Adopts an attempt that a worker reports but no record names, if its task needs one. After a
+   * loss of stored records such an attempt is the one that runs the task.
    *
-   * @return false when the attempt is to be stopped
+   * @return false if the attempt has to be stopped
    */
   public boolean adoptUnrecorded(Attempt attempt) {
     Job job = attempt.job;
@@ -252,7 +253,7 @@
       return false;
     }
     if (job.spec.kind() == JobKind.GANG) {
-      // Tasks of a gang find one another by the attempt number; two numbers are two gangs.
+      // Tasks of a gang find their peers by attempt number, so all must have the same one.
       for (Set<Attempt> others : job.attempts.values()) {
         if (others.stream().anyMatch(other -> other.number != attempt.number)) {
           return false;
@@ -264,23 +265,23 @@
     return true;
   }
 
-  /** Cancels a job for its user: no task of it is started from here on. */
+  /** Cancels a job at the request of a user; none of its tasks is started after this. */
   public void cancel(Job job) {
     if (!job.isActive()) {
       return;
     }
     job.transitionTo(Job.State.CANCELLED);
-    cluster.onDemandChanged(job);
+    cluster.onQuotaDemandChanged(job);
     jobFinalizer.removeFromQueue(job);
-    dependencies.stopWaiting(job);
+    dependencies.remove(job);
     attempts.killAll(job, Duration.ZERO);
     jobFinalizer.storeCancellationIfStopped(job);
   }
 
-  /** The job's final state is stored. */
+  /** Handles a job whose final state is stored. */
   public void onFinalStateStored(Job job) {
     log.debug("Final state stored: job={} state={}", job, job.state());
-    // Those who wait for this job may ask about one that is cancelled with it.
+    // Callbacks may read the state of dependents, so these are updated first.
     dependencies.onFinalStateStored(job);
     jobFinalizer.runFinalStateCallbacks(job);
     attempts.killAll(job, Duration.ZERO);
@@ -290,50 +291,50 @@
   // ---- attempts
 
   /**
-   * Stops an attempt; one that is being stopped already stops sooner if the grace period is shorter
-   * than before.
+   * Stops an attempt. If it is being stopped already, a shorter grace period replaces the earlier
+   * one.
    */
   public void kill(Attempt attempt, Duration gracePeriod) {
     attempts.kill(attempt, gracePeriod);
   }
 
-  /** Stops an attempt to free its capacity, after its checkpoint; a gang is stopped as a whole. */
+  /** Preempts an attempt after its checkpoint. A gang is preempted as a whole. */
   public void preempt(Attempt attempt) {
     attempts.preempt(attempt);
   }
 
-  /** The placement is stored, so its start may be sent. */
+  /** Handles a stored placement: the start command may be sent now. */
   public void onPlacementStored(Attempt attempt) {
     attempts.onPlacementStored(attempt);
   }
 
-  /** A machine lists the attempt in a state other than exited. */
+  /** Handles a machine that reports the attempt in a state other than exited. */
   public void onAttemptObserved(Attempt attempt, Attempt.State state) {
     attempts.onObserved(attempt, state);
   }
 
-  /** A machine lists the attempt as exited. */
+  /** Handles a machine that reports the attempt as exited. */
   public void onAttemptExited(Attempt attempt, EndReason endReason) {
     attempts.onExited(attempt, endReason);
   }
 
   /**
-   * Proof has come that the attempt is not on its machine and never will be.
+   * Handles proof that the attempt is not on its machine and cannot start there later.
    *
-   * @param proof what proves it, for the log
+   * @param proof a description of the proof, for the log
    */
   public void onAttemptGone(Attempt attempt, String proof) {
     attempts.onGone(attempt, proof);
   }
 
-  /** The machine has become schedulable, or has more capacity than before. */
+  /** Handles a machine that has become schedulable or gained capacity. */
   public void onMachineReady(Machine machine) {
     freedCapacity.onMachineReady(machine);
   }
 
   // ---- scheduling cycles
 
-  /** Has the queue processed once the current event is handled. */
+  /** Requests a run of the scheduling cycles after the current event. */
   public void requestRun() {
     pendingJobs.requestRun();
   }
@@ -342,17 +343,17 @@
     schedulingCycle.runAll();
   }
 
-  /** Tries entries again that no event has activated for long; called once a second. */
+  /** Retries entries that no event has activated for a long time; called once a second. */
   public void retryUnschedulable(Instant now) {
     pendingJobs.retryUnschedulable(placementPolicy.withheldJobs(), now);
   }
 
-  /** The entries of all jobs with pending tasks. */
+  /** The queue entries of all jobs with pending tasks. */
   public Iterable<QueueEntry> pendingEntries() {
     return pendingJobs.entries();
   }
 
-  /** The number of the job's attempts that are running. */
+  /** Returns the number of running attempts of the job. */
   public static int countRunning(Job job) {
     int count = 0;
     for (Set<Attempt> taskAttempts : job.attempts.values()) {
--- a/src/main/java/io/pineladder/scheduling/SchedulerContext.java
+++ b/src/main/java/io/pineladder/scheduling/SchedulerContext.java
@@ -5,9 +5,9 @@
 import java.time.Instant;
 
 /**
- * What the parts of one term's scheduler share: the cluster state, the clock, the callbacks to the
- * leader, and the records that changes are written to. Like all parts of the scheduler it is used
- * on the event loop's thread only.
+ * Objects shared by the components of one term's scheduler: the cluster state, the clock, the
+ * callbacks to the leader, and the records that changes are written to. Not thread-safe: used on
+ * the event loop's thread only.
  */
 final class SchedulerContext {
   final ClusterState cluster;
@@ -21,12 +21,12 @@
     this.callbacks = callbacks;
   }
 
-  /** Sets the records; they call back into the scheduler, so they are built after it. */
+  /** Sets the records. They call back into the scheduler, so they are created after it. */
   void setRecords(Records termRecords) {
     records = termRecords;
   }
 
-  /** The records of this term; set before the first job is added. */
+  /** The records of this term; must be set before the first job is added. */
   Records records() {
     return records;
   }
--- a/src/main/java/io/pineladder/scheduling/SchedulingCycle.java
+++ b/src/main/java/io/pineladder/scheduling/SchedulingCycle.java
@@ -13,26 +13,29 @@
 
 /**
  * The scheduling cycle: takes the entry of highest priority from the queue, places its tasks, and
- * returns the entry to the queue or, with its last task started, removes it.
+ * returns the entry to the queue or removes it once its last task is started.
  */
 final class SchedulingCycle {
-  /** Tasks of one entry that are placed before entries of higher priority are considered. */
+  /**
+   * The maximum number of tasks of one entry per cycle, after which entries of higher priority are
+   * considered.
+   */
   private static final int MAX_TASKS_PER_CYCLE = 128;
 
-  /** Cycles that are run before the event loop handles other events. */
+  /** The maximum number of cycles before the event loop handles other events. */
   private static final int MAX_CYCLES_PER_RUN = 20;
 
-  /** The tasks of a larger array are started at a bounded rate. */
+  /** Arrays with more tasks than this are subject to the start rate limit. */
   private static final int MAX_UNTHROTTLED_ARRAY_TASKS = 256;
 
   /**
-   * The rate for all larger arrays together. Each start costs commands, heartbeats and a
-   * completion, and an array of tens of thousands of tasks that starts at once delays all else that
-   * the leader has to do.
+   * The start rate limit for all large arrays together. Each start costs commands, heartbeats and a
+   * completion, so starting tens of thousands of tasks at once would delay all other work of the
+   * leader.
    */
   private static final double LARGE_ARRAY_STARTS_PER_SECOND = 120;
 
-  /** Tasks of a failing job that are tried at a time. */
+  /** The maximum number of tasks of a failing job that are tried at the same time. */
   private static final int MAX_PROBE_TASKS = 2;
 
   private final SchedulerContext context;
@@ -58,13 +61,16 @@
     this.placementPolicy = placementPolicy;
     this.taskStarter = taskStarter;
     this.attempts = attempts;
-    // A back-off with its window may last for two seconds; what accrues meanwhile is not lost.
+    // Holds two seconds of tokens: an initial back-off rounded up to its window can last that long.
     this.largeArrayStarts =
         new TokenBucket(
             LARGE_ARRAY_STARTS_PER_SECOND, 2 * LARGE_ARRAY_STARTS_PER_SECOND, context.now());
   }
 
-  /** Runs cycles until no entry is active, or requests another run after a bounded number. */
+  /**
+   * Runs cycles until no entry is active, or requests another run after {@link
+   * #MAX_CYCLES_PER_RUN}.
+   */
   void runAll() {
     if (!context.callbacks.mayStartTasks()) {
       return;
@@ -77,7 +83,7 @@
         if (freedCapacity.reoffer(now)) {
           continue;
         }
-        // Stopping an attempt that was never sent frees its machine, so the machines are copied.
+        // Stopping an attempt that was never sent adds freed machines, so drain() returns a copy.
         placementPolicy.moveSlowFetches(
             freedCapacity.drain(), now, attempt -> attempts.kill(attempt, Duration.ZERO));
         pendingJobs.scheduleBackoffWakeUp();
@@ -124,7 +130,7 @@
     pendingJobs.removeInCycle(entry);
   }
 
-  /** Places as many pending tasks of an array or a service as limits and capacity allow. */
+  /** Places as many pending tasks of an array or service as limits and capacity allow. */
   private void placeTasks(QueueEntry entry, Instant now) {
     Job job = entry.job;
     int taskCount = Math.min(job.pending.cardinality(), MAX_TASKS_PER_CYCLE);
@@ -163,7 +169,7 @@
     } else if (job.pending.isEmpty()) {
       pendingJobs.removeInCycle(entry);
     } else {
-      queue.putBack(entry);
+      queue.requeue(entry);
     }
   }
 
--- a/src/main/java/io/pineladder/scheduling/ServiceObjectives.java
+++ b/src/main/java/io/pineladder/scheduling/ServiceObjectives.java
@@ -9,14 +9,14 @@
 import java.util.List;
 
 /**
- * The service-level objectives that the settings give for job classes, and what they mean for one
- * job now. Times of day are those of the controller; allowances count from the job's acceptance.
+ * The service-level objectives in the settings for job classes, applied to single jobs. Instants
+ * are wall-clock times of the controller; allowances count from the acceptance of the job.
  */
 final class ServiceObjectives {
-  /** The start allowance of a job without an objective, or whose objectives are all missed. */
+  /** The start allowance of a job without objectives, or which has missed all of them. */
   static final Duration DEFAULT_START_ALLOWANCE = Duration.ofMinutes(10);
 
-  private static final String WAIT_KIND = "wait";
+  private static final String WAIT_OBJECTIVE_KIND = "wait";
 
   private final Settings settings;
 
@@ -25,8 +25,8 @@
   }
 
   /**
-   * How long after its acceptance the job should have started for the tightest objective that it
-   * can still meet. A missed objective no longer counts, or late jobs would make others late.
+   * How long after its acceptance the job should have started to meet the tightest objective that
+   * it can still meet. Missed objectives no longer count, so that late jobs do not delay others.
    */
   Duration startAllowance(Job job, Instant wallClock) {
     Duration age = Duration.between(job.acceptedAt, wallClock);
@@ -37,7 +37,7 @@
         continue;
       }
       Duration latestStart =
-          objective.kind().equals(WAIT_KIND)
+          objective.kind().equals(WAIT_OBJECTIVE_KIND)
               ? timeLimit
               : timeLimit.minus(job.spec.estimatedRunTime());
       if (latestStart.compareTo(allowance) < 0 && latestStart.compareTo(age) > 0) {
@@ -61,15 +61,17 @@
     return Duration.between(job.acceptedAt, job.readyAt);
   }
 
-  /** Whether no objective holds for the job, neither its own nor a dependent's. */
+  /**
+   * Whether no objective applies to the job, neither its own nor one inherited from a dependent.
+   */
   boolean hasNoObjective(Job job) {
     return job.chainDeadlines == null
-        && settings.objectives().stream().noneMatch(o -> timeLimit(job, o) != null);
+        && settings.objectives().stream().noneMatch(objective -> timeLimit(job, objective) != null);
   }
 
   /**
-   * When the job should be over by its deadline, and when at the latest by the objectives of its
-   * class; null without a deadline.
+   * The target and the latest end of the job by its deadline and the objectives of its class; null
+   * without a deadline.
    */
   ChainDeadlines ownDeadlines(Job job) {
     JobSpec spec = job.spec;
@@ -89,22 +91,22 @@
       maxFactor = 1;
     }
     return new ChainDeadlines(
-        job.acceptedAt.plus(scaled(spec.deadline(), minFactor)),
-        job.acceptedAt.plus(scaled(spec.deadline(), maxFactor)));
+        job.acceptedAt.plus(scale(spec.deadline(), minFactor)),
+        job.acceptedAt.plus(scale(spec.deadline(), maxFactor)));
   }
 
-  private static Duration scaled(Duration duration, double factor) {
+  private static Duration scale(Duration duration, double factor) {
     return Duration.ofMillis((long) (duration.toMillis() * factor));
   }
 
   /**
-   * Whether the job can meet an objective on its end if its tasks run through from now on, and not
-   * if one of them is lost and has to be restarted.
+   * Whether the job would meet an objective on its end if no task is restarted, but miss it if one
+   * is lost and restarted.
    */
   boolean wouldMissObjectiveAfterRestart(Job job, Instant wallClock) {
     Duration age = Duration.between(job.acceptedAt, wallClock);
     Duration endWithoutRestart = age.plus(job.spec.estimatedRunTime());
-    // Until a loss is detected and its task is placed again.
+    // The time until a lost task is detected and placed again.
     Duration restartDelay =
         settings
             .cloudLimits()
@@ -114,7 +116,8 @@
     Duration endAfterRestart =
         endWithoutRestart.plus(restartDelay).plus(job.spec.estimatedRunTime());
     for (Settings.Objective objective : settings.objectives()) {
-      Duration timeLimit = objective.kind().equals(WAIT_KIND) ? null : timeLimit(job, objective);
+      Duration timeLimit =
+          objective.kind().equals(WAIT_OBJECTIVE_KIND) ? null : timeLimit(job, objective);
       if (timeLimit != null
           && endWithoutRestart.compareTo(timeLimit) < 0
           && endAfterRestart.compareTo(timeLimit) > 0) {
@@ -129,8 +132,9 @@
   }
 
   /**
-   * The objective's bound for the job, counted from its acceptance; null if the objective does not
-   * apply. A deadline counts from the acceptance, all else from when the job could start.
+   * The time limit of the objective, counted from the acceptance of the job; null if the objective
+   * does not apply. Deadlines count from the acceptance, other objectives from when the job may
+   * start.
    */
   private static Duration timeLimit(Job job, Settings.Objective objective) {
     JobSpec spec = job.spec;
@@ -140,6 +144,6 @@
     if (objective.latestAfter() != null) {
       return objective.latestAfter().plus(dependencyWait(job));
     }
-    return spec.deadline() == null ? null : scaled(spec.deadline(), objective.deadlineFactor());
+    return spec.deadline() == null ? null : scale(spec.deadline(), objective.deadlineFactor());
   }
 }
--- a/src/main/java/io/pineladder/scheduling/StarvationBound.java
+++ b/src/main/java/io/pineladder/scheduling/StarvationBound.java
@@ -10,32 +10,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Limits for how long policy alone may deny a job capacity. Retiring and quarantined machines,
- * reservations for other jobs, avoided machines, machines rented for deadlines, waits for a cached
- * image: each leaves capacity idle for a good reason, and none of them is a constraint that a user
- * set. A job that could have been placed but for them for {@link #MAX_POLICY_DELAY} is placed by
- * its own constraints only. A wait for capacity that does not exist, or for the team's limit, does
- * not count.
+ * Bounds how long policy alone may deny a job capacity. Policy comprises everything that leaves
+ * capacity idle without being a constraint in the job specification: retiring and quarantined
+ * machines, reservations for other jobs, avoided machines, machines provisioned for deadlines, and
+ * waits for a cached image. A job that policy alone has denied capacity for {@link
+ * #MAX_POLICY_DELAY} is placed by its own constraints only. Waiting for capacity that does not
+ * exist, or for the team's limit, does not count.
  *
- * <p>Found by the simulation as a gang of three that waited for as long as reservations for others
- * were renewed on the machines that it needed, and as a job that avoided the only two machines, on
- * which it had failed by chance.
+ * <p>Without the bound, a gang could wait indefinitely while reservations for other jobs are
+ * renewed on the machines that it needs, and a job could avoid all machines that it may use.
  */
 final class StarvationBound {
   /**
-   * Users are promised that no job waits for 90 s while a machine that fits has capacity. The rest
-   * of those is for detecting it ({@link PendingJobs#UNSCHEDULABLE_RETRY_DELAY}) and for the start
-   * to reach the machine.
+   * The service guarantees that no job waits 90 s while a suitable machine has free capacity. The
+   * remaining time is for detection ({@link PendingJobs#UNSCHEDULABLE_RETRY_DELAY}) and for the
+   * start command to reach the machine.
    */
   static final Duration MAX_POLICY_DELAY = Duration.ofSeconds(55);
 
   /**
-   * A wait goes on if capacity denied by policy is gone for no longer than this: heartbeats lag,
-   * and what is taken on one machine is freed on another.
+   * The maximum gap without capacity that does not end a withheld period: heartbeats lag, and
+   * capacity is taken on one machine while it is freed on another.
    */
   private static final Duration CAPACITY_GAP_TOLERANCE = Duration.ofSeconds(12);
 
-  /** Between two reviews of what policy denies one job. */
+  /** The minimum interval between policy reviews of a job. */
   private static final Duration REVIEW_INTERVAL = Duration.ofSeconds(3);
 
   private static final Logger log = LoggerFactory.getLogger(StarvationBound.class);
@@ -44,10 +43,10 @@
   private final Placer placer;
 
   /**
-   * A job that policy alone denies capacity.
+   * The period in which policy alone denies a job capacity.
    *
-   * @param since when that began
-   * @param lastCapacityAt when there was such capacity last
+   * @param since the start of the period
+   * @param lastCapacityAt when such capacity was last found
    */
   private record WithheldPeriod(Instant since, Instant lastCapacityAt) {}
 
@@ -58,24 +57,29 @@
     this.placer = placer;
   }
 
-  /** Jobs that policy alone denies capacity now. */
+  /** The jobs that are currently denied capacity by policy alone. */
   List<Job> withheldJobs() {
     return List.copyOf(withheldByJob.keySet());
   }
 
-  /** There is capacity for the job, and policy denies it. */
+  /** Records that there is capacity for the job but policy denies it. */
   void recordWithheld(Job job, Instant now) {
     withheldByJob.merge(
-        job, new WithheldPeriod(now, now), (first, again) -> new WithheldPeriod(first.since, now));
+        job,
+        new WithheldPeriod(now, now),
+        (earlier, current) -> new WithheldPeriod(earlier.since, now));
   }
 
-  /** Whether policy has denied the job capacity for longer than it may. */
+  /** Whether policy has denied the job capacity for longer than allowed. */
   boolean isExceeded(Job job, Instant now) {
     WithheldPeriod period = withheldByJob.get(job);
     return period != null && period.since.plus(MAX_POLICY_DELAY).isBefore(now);
   }
 
-  /** A task of the job was placed, or the job is over. */
+  /**
+   * Ends the withheld period of a job that was placed, ended, or is denied capacity for other
+   * reasons.
+   */
   void clear(Job job) {
     withheldByJob.remove(job);
   }
@@ -83,7 +87,7 @@
   /**
    * Reviews a rejection.
    *
-   * @param rejected the decision of all checks, policy included
+   * @param rejected the decision by all checks, including policy
    * @return the same decision, or a placement that policy alone has denied for too long
    */
   Placer.Decision reviewRejection(Job job, int taskCount, Placer.Decision rejected, Instant now) {
--- a/src/main/java/io/pineladder/scheduling/TaskStarter.java
+++ b/src/main/java/io/pineladder/scheduling/TaskStarter.java
@@ -8,19 +8,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Creates the attempts of this term and has their placements stored. Attempt numbers begin with the
+ * Creates the attempts of this term and stores their placements. Attempt numbers begin with the
  * term, so no other leader uses them.
  */
 final class TaskStarter {
   private static final Logger log = LoggerFactory.getLogger(TaskStarter.class);
 
-  /** The low bits of an attempt number, which count the attempts of its term. */
+  /** The number of low-order bits of an attempt number that count the attempts of its term. */
   private static final int ATTEMPT_NUMBER_BITS = 20;
 
   private final SchedulerContext context;
   private final StarvationBound starvationBound;
   private final long term;
-  private long attemptsNumbered;
+  private long attemptCount;
 
   TaskStarter(SchedulerContext context, StarvationBound starvationBound, long term) {
     this.context = context;
@@ -28,15 +28,15 @@
     this.term = term;
   }
 
-  /** A new attempt number; the leader resigns when the term has none left. */
+  /** Returns a new attempt number; the leader resigns if the term has none left. */
   long nextAttemptNumber() {
-    if (++attemptsNumbered >= 1L << ATTEMPT_NUMBER_BITS) {
-      context.callbacks.resign("the term's attempt numbers are used up");
+    if (++attemptCount >= 1L << ATTEMPT_NUMBER_BITS) {
+      context.callbacks.resign("the attempt numbers of the term are exhausted");
     }
-    return (term << ATTEMPT_NUMBER_BITS) + attemptsNumbered;
+    return (term << ATTEMPT_NUMBER_BITS) + attemptCount;
   }
 
-  /** Starts a task on the machine as soon as its placement is stored. */
+  /** Creates an attempt of the task on the machine; it is started once its placement is stored. */
   void start(Job job, int task, long number, Machine machine, Instant now) {
     if (machine.reservedFor() == job) {
       context.cluster.unreserve(machine);
--- a/src/main/java/io/pineladder/scheduling/TeamQuotas.java
+++ b/src/main/java/io/pineladder/scheduling/TeamQuotas.java
@@ -10,15 +10,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What each team uses, and which of its jobs its guaranteed quota covers. */
+/** Tracks the resource usage of each team, and which of its jobs its guaranteed quota covers. */
 final class TeamQuotas {
   private final Map<String, Team> teams = new HashMap<>();
   private final Map<String, Resources> usage = new HashMap<>();
   private final Map<String, TeamJobs> jobsByTeam = new HashMap<>();
 
   /**
-   * A team's jobs in the order of their acceptance, and those that the guarantee covers. These are
-   * computed when they are asked for, once after any number of changes.
+   * The jobs of a team in order of acceptance, and those that its guaranteed quota covers. The
+   * latter are recomputed on demand after changes.
    */
   private static final class TeamJobs {
     final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -32,22 +32,22 @@
     }
   }
 
-  /** The team of that name; null when the settings name none. */
+  /** The team of that name; null if the settings do not define it. */
   Team team(String name) {
     return teams.get(name);
   }
 
-  /** What the team's attempts hold, wherever they may be. */
+  /** The resources held by the team's attempts on all machines. */
   Resources usage(String team) {
     return usage.getOrDefault(team, Resources.ZERO);
   }
 
-  /** An attempt of the team begins to hold resources. */
+  /** Adds the resources of an attempt that starts to hold them. */
   void addUsage(String team, Resources resources) {
     usage.merge(team, resources, Resources::plus);
   }
 
-  /** An attempt of the team no longer holds resources. */
+  /** Subtracts the resources of an attempt that no longer holds them. */
   void removeUsage(String team, Resources resources) {
     usage.merge(team, resources, Resources::minus);
   }
@@ -66,15 +66,17 @@
     }
   }
 
-  /** What the job demands of its team's quota, now or in total, has changed. */
-  void onDemandChanged(Job job) {
+  /** Handles a change of the job's current or total demand on its team's quota. */
+  void onQuotaDemandChanged(Job job) {
     TeamJobs teamJobs = jobsByTeam.get(job.spec.team());
     if (teamJobs != null) {
       teamJobs.stale = true;
     }
   }
 
-  /** Whether the job fits into its team's guarantee together with the team's earlier jobs. */
+  /**
+   * Whether the job fits into its team's guaranteed quota together with the team's earlier jobs.
+   */
   boolean isGuaranteed(Job job) {
     Team team = teams.get(job.spec.team());
     if (team == null || !team.hasGuarantee()) {
--- a/src/main/java/io/pineladder/scheduling/VictimSelector.java
+++ b/src/main/java/io/pineladder/scheduling/VictimSelector.java
@@ -18,11 +18,14 @@
 import java.util.Map;
 
 /**
- * Selects the attempts whose preemption costs least and frees the capacity that a job of higher
- * priority or within its guarantee needs. Costs are in seconds of lost work and delay.
+ * Selects the attempts to preempt at the lowest cost for a job of higher priority, or one within
+ * the guaranteed quota of its team. Costs are in seconds of lost work and delay.
  */
 final class VictimSelector {
-  /** The cost of preempting a task whose job would miss an objective by the restart. */
+  /**
+   * The additional cost of preempting a task whose job would miss an objective because of the
+   * restart.
+   */
   private static final double MISSED_OBJECTIVE_COST_SECONDS = 60;
 
   private final ClusterState cluster;
@@ -33,10 +36,16 @@
     this.eventLoop = eventLoop;
   }
 
-  /** Attempts to preempt on one machine, and what that costs, the image's fetch included. */
+  /**
+   * The attempts to preempt on one machine, and the total cost including the image fetch of the new
+   * task.
+   */
   record PreemptionPlan(Machine machine, List<Attempt> victims, double costSeconds) {}
 
-  /** On how many machines reserved for this job preempted work has not ended yet. */
+  /**
+   * Returns the number of machines reserved for the job whose preempted attempts have not all ended
+   * yet.
+   */
   int countMachinesBeingFreed(Job job, Instant now) {
     int count = 0;
     for (Machine machine : cluster.reservedFor(job)) {
@@ -50,12 +59,13 @@
   }
 
   /**
-   * Selects victims for up to that many tasks of the job, each task on a machine of its own; the
-   * cheapest plans first. One scan of the fleet serves them all: a scan for each task blocked a
-   * leader for seconds when a large job was rejected.
+   * Selects victims for up to {@code taskCount} tasks of the job, one task per machine, with the
+   * cheapest plans first. All tasks share one scan, because a scan per task would block the event
+   * loop for seconds for a large job.
    *
-   * @param maxFetchSeconds only machines on which the job's image is cached by then
-   * @param urgent whether work that has an objective may be preempted for it
+   * @param maxFetchSeconds only machines on which the image of the job is cached within this time
+   *     are considered
+   * @param urgent whether attempts of jobs with an objective may be preempted
    */
   List<PreemptionPlan> selectForTasks(
       Job job, int taskCount, double maxFetchSeconds, boolean urgent, Instant now) {
@@ -65,7 +75,7 @@
       if (!machine.isSchedulable()
           || !Placer.isAllowed(job, machine)
           || machine.isReservedFor(job, now)
-          || !Placer.allowsZoneOf(job, machine)) {
+          || !Placer.satisfiesZoneConstraints(job, machine)) {
         continue;
       }
       double fetchSeconds = Placer.fetchSeconds(job, machine);
@@ -81,9 +91,8 @@
 
   /**
    * Selects machines for all tasks of a gang, with free capacity or with victims, in one zone if
-   * the gang must be; empty when there are not enough. Capacity for a part of it would preempt work
-   * for a gang that may not be able to start. Found on laval-ops: a guest's work of low priority
-   * filled every machine, and gangs of two waited until two machines happened to be empty at once.
+   * the gang requires it; empty if there are not enough. Capacity for only some of the tasks would
+   * preempt work without letting the gang start.
    */
   List<PreemptionPlan> selectForGang(Job job, Instant now) {
     JobSpec spec = job.spec;
@@ -129,14 +138,19 @@
     return plans.stream().mapToDouble(PreemptionPlan::costSeconds).sum();
   }
 
-  /** One scan of the fleet for one job, with the penalties of the jobs met so far. */
+  /**
+   * A scan of the machines for one job, which caches the preemption penalty of each job
+   * encountered.
+   */
   private final class FleetScan {
     private final Job job;
     private final Instant now;
     private final boolean guaranteed;
     private final boolean urgent;
 
-    /** The cost, beside lost work, of preempting any task of a job; infinite if not allowed. */
+    /**
+     * The cost of preempting any task of a job, in addition to lost work; infinite if not allowed.
+     */
     private final IdentityHashMap<Job, Double> penaltySecondsByJob = new IdentityHashMap<>();
 
     FleetScan(Job job, boolean urgent, Instant now) {
@@ -175,7 +189,7 @@
         }
         Resources held = attempt.job.spec.resourcesPerTask();
         if (!attempt.isWanted()) {
-          // It is being stopped already.
+          // The attempt is being stopped already.
           available = available.plus(held);
           reclaimable = reclaimable.plus(held);
           continue;
@@ -195,7 +209,7 @@
       double costSeconds = fetchSeconds;
       for (Victim candidate : candidates) {
         Resources held = candidate.attempt.job.spec.resourcesPerTask();
-        // Preempting what holds nothing of the lacking resources would not help.
+        // Skips attempts that hold none of the resources that are short.
         if (!perTask.fitsIn(available) && held.relievesShortage(perTask, available)) {
           victims.add(candidate.attempt);
           costSeconds += candidate.costSeconds;
@@ -206,12 +220,12 @@
     }
   }
 
-  /** An attempt that may be preempted, and what that would cost. */
+  /** An attempt that may be preempted, and the cost of that. */
   private record Victim(Attempt attempt, double costSeconds) {}
 
   /**
-   * Whether the victim has a lower priority class, or exceeds its own team's guarantee while the
-   * job is within that of another team.
+   * Whether the victim has a lower priority class, or exceeds the guaranteed quota of its team
+   * while the job is within that of another team.
    */
   private boolean mayPreempt(Job job, Job victim, boolean guaranteed) {
     boolean victimGuaranteed = cluster.isGuaranteed(victim);
@@ -221,13 +235,13 @@
     return guaranteed && !victimGuaranteed && !victim.spec.team().equals(job.spec.team());
   }
 
-  /** Seconds of work that are lost by preempting the attempt. */
+  /** The seconds of work lost by preempting the attempt. */
   private static double lostWorkSeconds(Attempt attempt, Instant now) {
     Instant workStartedAt = attempt.runningSince == null ? attempt.createdAt : attempt.runningSince;
     Duration ran = Duration.between(workStartedAt, now);
     if (attempt.job.spec.isCheckpointed()) {
-      Duration save = attempt.job.spec.checkpointDuration();
-      return Math.min(ran.toMillis(), save.toMillis()) / 1000.0;
+      Duration checkpointDuration = attempt.job.spec.checkpointDuration();
+      return Math.min(ran.toMillis(), checkpointDuration.toMillis()) / 1000.0;
     }
     return ran.toMillis() / 1000.0;
   }
--- a/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
+++ b/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The queue against a slow reference model: one list that is searched from end to end. */
+/** Compares the queue with a reference model: a single list with linear search. */
 class SchedulingQueueTest {
   private static final Instant ORIGIN = Instant.EPOCH.plusSeconds(1000);
   private static final OperatorSettings SETTINGS = OperatorSettings.DEFAULTS;
 
-  /** Team events give QUEUE_IMMEDIATELY for the team named, and capacity events QUEUE. */
+  /** Team events return QUEUE_IMMEDIATELY for entries of the team, capacity events QUEUE. */
   private static QueueingHintTable hints() {
     return new QueueingHintTable()
         .register(
@@ -42,14 +42,14 @@
             (entry, event) -> QueueingHint.QUEUE);
   }
 
-  static Job job(String id, String team, PriorityClass rank, Instant acceptedAt) {
+  static Job job(String id, String team, PriorityClass priorityClass, Instant acceptedAt) {
     JobSpec spec =
         new JobSpec(
             id,
             "class",
             team,
             JobKind.ARRAY,
-            rank,
+            priorityClass,
             1,
             Resources.of(1, 0, 1),
             null,
@@ -86,27 +86,27 @@
   /** An entry in the reference model. */
   private static final class ReferenceEntry {
     final QueueEntry entry;
-    QueueEntry.Place place = QueueEntry.Place.ACTIVE;
-    SchedulingCheck by;
-    int tries;
-    Instant triedAt;
-    Instant until;
+    QueueEntry.Place state = QueueEntry.Place.ACTIVE;
+    SchedulingCheck rejectedBy;
+    int attempts;
+    Instant lastCycleAt;
+    Instant backoffExpiry;
 
     ReferenceEntry(QueueEntry entry) {
       this.entry = entry;
     }
 
-    /** The back-off, doubled step by step. */
+    /** Computes the end of the back-off from the number of attempts. */
     void backOff() {
-      double seconds = Math.min(10, Math.pow(2, tries - 1));
-      double end = Duration.between(Instant.EPOCH, triedAt).toMillis() / 1000.0 + seconds;
-      until = Instant.EPOCH.plusSeconds((long) Math.ceil(end - 1e-9));
+      double seconds = Math.min(10, Math.pow(2, attempts - 1));
+      double end = Duration.between(Instant.EPOCH, lastCycleAt).toMillis() / 1000.0 + seconds;
+      backoffExpiry = Instant.EPOCH.plusSeconds((long) Math.ceil(end - 1e-9));
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void matchesTheReferenceModel(long seed) {
+  void matchesReferenceModel(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     SchedulingQueue queue = queue();
     List<ReferenceEntry> model = new ArrayList<>();
@@ -115,8 +115,9 @@
       now = now.plusMillis(random.nextInt(400));
       switch (random.nextInt(6)) {
         case 0 -> {
-          PriorityClass rank = PriorityClass.values()[random.nextInt(4)];
-          QueueEntry entry = new QueueEntry(job("req-" + step, "t" + random.nextInt(3), rank, now));
+          PriorityClass priorityClass = PriorityClass.values()[random.nextInt(4)];
+          QueueEntry entry =
+              new QueueEntry(job("req-" + step, "t" + random.nextInt(3), priorityClass, now));
           queue.add(entry);
           model.add(new ReferenceEntry(entry));
         }
@@ -124,55 +125,56 @@
           QueueEntry popped = queue.pop(now);
           ReferenceEntry first =
               model.stream()
-                  .filter(p -> p.place == QueueEntry.Place.ACTIVE)
+                  .filter(modelEntry -> modelEntry.state == QueueEntry.Place.ACTIVE)
                   .min(
                       Comparator.<ReferenceEntry, PriorityClass>comparing(
-                              p -> p.entry.job.spec.priorityClass())
-                          .thenComparing(p -> p.entry.job.acceptedAt)
-                          .thenComparing(p -> p.entry.arrivalNumber))
+                              modelEntry -> modelEntry.entry.job.spec.priorityClass())
+                          .thenComparing(modelEntry -> modelEntry.entry.job.acceptedAt)
+                          .thenComparing(modelEntry -> modelEntry.entry.arrivalNumber))
                   .orElse(null);
           if (first == null) {
             assertNull(popped);
             break;
           }
           assertSame(first.entry, popped);
-          first.tries++;
-          first.triedAt = now;
-          int fate = random.nextInt(4);
-          if (fate == 0) {
+          first.attempts++;
+          first.lastCycleAt = now;
+          int outcome = random.nextInt(4);
+          if (outcome == 0) {
             queue.remove(popped);
             model.remove(first);
-          } else if (fate == 1) {
+          } else if (outcome == 1) {
             queue.backOffAfterError(popped, popped.attempts(), now);
             first.backOff();
-            first.place = QueueEntry.Place.BACKOFF_ERROR;
+            first.state = QueueEntry.Place.BACKOFF_ERROR;
           } else {
-            first.by = fate == 2 ? SchedulingCheck.TEAM_LIMIT : SchedulingCheck.FIT;
-            queue.markUnschedulable(popped, first.by, now);
+            first.rejectedBy = outcome == 2 ? SchedulingCheck.TEAM_LIMIT : SchedulingCheck.FIT;
+            queue.markUnschedulable(popped, first.rejectedBy, now);
             first.backOff();
-            first.place = QueueEntry.Place.UNSCHEDULABLE;
+            first.state = QueueEntry.Place.UNSCHEDULABLE;
           }
         }
         case 3 -> {
           String team = "t" + random.nextInt(3);
           queue.onEvent(ClusterEvent.teamUsageReduced(team), now);
-          for (ReferenceEntry p : model) {
-            boolean waits =
-                p.place == QueueEntry.Place.UNSCHEDULABLE
-                    || p.place == QueueEntry.Place.BACKOFF_REJECTED;
-            if (waits
-                && p.by == SchedulingCheck.TEAM_LIMIT
-                && p.entry.job.spec.team().equals(team)) {
-              p.place = QueueEntry.Place.ACTIVE;
+          for (ReferenceEntry modelEntry : model) {
+            boolean isRejected =
+                modelEntry.state == QueueEntry.Place.UNSCHEDULABLE
+                    || modelEntry.state == QueueEntry.Place.BACKOFF_REJECTED;
+            if (isRejected
+                && modelEntry.rejectedBy == SchedulingCheck.TEAM_LIMIT
+                && modelEntry.entry.job.spec.team().equals(team)) {
+              modelEntry.state = QueueEntry.Place.ACTIVE;
             }
           }
         }
         case 4 -> {
           queue.onEvent(ClusterEvent.capacityFreed(null, null, Long.MAX_VALUE), now);
-          for (ReferenceEntry p : model) {
-            if (p.place == QueueEntry.Place.UNSCHEDULABLE && p.by == SchedulingCheck.FIT) {
-              p.place =
-                  p.until.isAfter(now)
+          for (ReferenceEntry modelEntry : model) {
+            if (modelEntry.state == QueueEntry.Place.UNSCHEDULABLE
+                && modelEntry.rejectedBy == SchedulingCheck.FIT) {
+              modelEntry.state =
+                  modelEntry.backoffExpiry.isAfter(now)
                       ? QueueEntry.Place.BACKOFF_REJECTED
                       : QueueEntry.Place.ACTIVE;
             }
@@ -180,24 +182,25 @@
         }
         default -> {
           queue.activateExpired(now);
-          for (ReferenceEntry p : model) {
-            boolean backingOff =
-                p.place == QueueEntry.Place.BACKOFF_REJECTED
-                    || p.place == QueueEntry.Place.BACKOFF_ERROR;
-            if (backingOff && !p.until.isAfter(now)) {
-              p.place = QueueEntry.Place.ACTIVE;
+          for (ReferenceEntry modelEntry : model) {
+            boolean isInBackoff =
+                modelEntry.state == QueueEntry.Place.BACKOFF_REJECTED
+                    || modelEntry.state == QueueEntry.Place.BACKOFF_ERROR;
+            if (isInBackoff && !modelEntry.backoffExpiry.isAfter(now)) {
+              modelEntry.state = QueueEntry.Place.ACTIVE;
             }
           }
         }
       }
-      for (ReferenceEntry p : model) {
-        assertEquals(p.place, p.entry.place(), "step " + step + " of " + p.entry);
+      for (ReferenceEntry modelEntry : model) {
+        assertEquals(
+            modelEntry.state, modelEntry.entry.place(), "step " + step + " of " + modelEntry.entry);
       }
     }
   }
 
   @Test
-  void anEventDuringACycleAppliesWhenTheEntryIsRejected() {
+  void appliesEventReceivedDuringCycleOnRejection() {
     SchedulingQueue queue = queue();
     QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
@@ -208,7 +211,7 @@
   }
 
   @Test
-  void anEventWithoutHintFunctionActivatesNothing() {
+  void ignoresEventWithoutHintFunction() {
     SchedulingQueue queue = queue();
     QueueEntry entry = new QueueEntry(job("req-1", "t", PriorityClass.NORMAL, ORIGIN));
     queue.add(entry);
--- a/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
+++ b/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Attributions compared with a reference model that derives them from the whole history. */
+/** Compares attributions with a reference model that derives them from the whole history. */
 class FaultAttributionTest {
   private static final MachineType TYPE =
       new MachineType(
@@ -37,13 +37,13 @@
       new FaultAttribution(
           new FaultAttribution.Listener() {
             @Override
-            public void onJobFailingChanged(Job job, boolean is) {
-              setMembership(failingJobs, job, is);
+            public void onJobFailingChanged(Job job, boolean failing) {
+              setMembership(failingJobs, job, failing);
             }
 
             @Override
-            public void onQuarantineChanged(Machine machine, boolean is) {
-              setMembership(quarantined, machine, is);
+            public void onQuarantineChanged(Machine machine, boolean isQuarantined) {
+              setMembership(quarantined, machine, isQuarantined);
             }
 
             @Override
@@ -53,11 +53,11 @@
             }
           });
 
-  private static <T> void setMembership(Set<T> all, T one, boolean isMember) {
+  private static <T> void setMembership(Set<T> set, T item, boolean isMember) {
     if (isMember) {
-      all.add(one);
+      set.add(item);
     } else {
-      all.remove(one);
+      set.remove(item);
     }
   }
 
@@ -99,21 +99,21 @@
     faultAttribution.recordSuccess(job);
   }
 
-  /** Which jobs failed on which machines, and which succeeded: all else follows from it. */
+  /** The history of failures and successes, from which the expected attributions are derived. */
   private static final class ReferenceModel {
     final Map<Job, Set<Machine>> failedMachines = new LinkedHashMap<>();
     final Set<Job> succeeded = new HashSet<>();
     final Set<Machine> faulty = new HashSet<>();
 
     boolean isFailing(Job job) {
-      Set<Machine> on = new HashSet<>(failedMachines.getOrDefault(job, Set.of()));
-      on.removeAll(faulty);
-      return !succeeded.contains(job) && on.size() >= FaultAttribution.FAULT_THRESHOLD;
+      Set<Machine> machines = new HashSet<>(failedMachines.getOrDefault(job, Set.of()));
+      machines.removeAll(faulty);
+      return !succeeded.contains(job) && machines.size() >= FaultAttribution.FAULT_THRESHOLD;
     }
 
     List<Job> jobsNotFailingOn(Machine machine) {
       return failedMachines.keySet().stream()
-          .filter(j -> failedMachines.get(j).contains(machine) && !isFailing(j))
+          .filter(job -> failedMachines.get(job).contains(machine) && !isFailing(job))
           .toList();
     }
 
@@ -122,16 +122,19 @@
           && jobsNotFailingOn(machine).size() >= FaultAttribution.FAULT_THRESHOLD;
     }
 
-    /** Another machine may be faulty once one is, since jobs are no longer failing then. */
+    /**
+     * Finds faulty machines repeatedly, because each may clear failing jobs whose failures then
+     * count against other machines.
+     */
     void findFaulty(List<Machine> machines) {
       boolean changed = true;
       while (changed) {
         changed = false;
         for (Machine machine : machines) {
-          boolean proven =
+          boolean isFaulty =
               isQuarantined(machine)
                   && jobsNotFailingOn(machine).stream().anyMatch(succeeded::contains);
-          changed |= proven && faulty.add(machine);
+          changed |= isFaulty && faulty.add(machine);
         }
       }
     }
@@ -139,7 +142,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void attributionsMatchTheReferenceModel(long seed) {
+  void matchesReferenceModel(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     ReferenceModel model = new ReferenceModel();
     List<Machine> machines = new ArrayList<>();
@@ -149,8 +152,8 @@
       jobs.add(job(i));
     }
     for (int step = 0; step < 300; step++) {
-      int at = random.nextInt(jobs.size());
-      Job job = jobs.get(at);
+      int index = random.nextInt(jobs.size());
+      Job job = jobs.get(index);
       switch (random.nextInt(12)) {
         case 0 -> {
           if (model.failedMachines.containsKey(job)) {
@@ -162,7 +165,7 @@
           faultAttribution.forget(job);
           model.failedMachines.remove(job);
           failingJobs.remove(job);
-          jobs.set(at, job(100 + step));
+          jobs.set(index, job(100 + step));
         }
         default -> {
           Machine machine = machines.get(random.nextInt(machines.size()));
@@ -170,26 +173,27 @@
           if (!job.done.isEmpty()) {
             model.succeeded.add(job);
           }
-          Set<Machine> on = model.failedMachines.computeIfAbsent(job, j -> new LinkedHashSet<>());
+          Set<Machine> failedMachines =
+              model.failedMachines.computeIfAbsent(job, j -> new LinkedHashSet<>());
           if (!model.faulty.contains(machine)) {
-            on.add(machine);
+            failedMachines.add(machine);
           }
         }
       }
       model.findFaulty(machines);
       assertEquals(model.faulty, faulty, "step " + step);
-      for (Job each : jobs) {
-        assertEquals(model.isFailing(each), failingJobs.contains(each), "step " + step);
+      for (Job other : jobs) {
+        assertEquals(model.isFailing(other), failingJobs.contains(other), "step " + step);
       }
-      for (Machine each : machines) {
-        assertEquals(model.isQuarantined(each), quarantined.contains(each), "step " + step);
+      for (Machine machine : machines) {
+        assertEquals(model.isQuarantined(machine), quarantined.contains(machine), "step " + step);
       }
     }
   }
 
-  /** Several jobs with a mistake of their own, each failing on machine after machine. */
+  /** Jobs that fail on every machine must not cause machines to be quarantined. */
   @Test
-  void failingJobsQuarantineNoMachine() {
+  void doesNotQuarantineMachinesOfFailingJobs() {
     List<Machine> machines = List.of(machine(0), machine(1), machine(2), machine(3));
     List<Job> jobs = List.of(job(0), job(1), job(2));
     for (Machine machine : machines) {
@@ -201,20 +205,20 @@
   }
 
   @Test
-  void aJobWhoseFirstMachinesWereFaultyIsNotFailing() {
-    Machine bad = machine(0);
-    Machine worse = machine(1);
-    Job unlucky = job(0);
-    fail(unlucky, bad);
-    fail(unlucky, worse);
-    assertEquals(Set.of(unlucky), failingJobs);
-    Job other = job(1);
-    Job third = job(2);
-    fail(other, bad);
-    fail(third, bad);
-    assertEquals(Set.of(bad), quarantined, "whose fault it is is not known yet");
-    complete(other);
-    assertEquals(Set.of(bad), faulty);
+  void clearsFailingJobWhenItsMachinesAreFaulty() {
+    Machine faultyMachine = machine(0);
+    Machine otherMachine = machine(1);
+    Job failingJob = job(0);
+    fail(failingJob, faultyMachine);
+    fail(failingJob, otherMachine);
+    assertEquals(Set.of(failingJob), failingJobs);
+    Job secondJob = job(1);
+    Job thirdJob = job(2);
+    fail(secondJob, faultyMachine);
+    fail(thirdJob, faultyMachine);
+    assertEquals(Set.of(faultyMachine), quarantined, "machine is not proven faulty yet");
+    complete(secondJob);
+    assertEquals(Set.of(faultyMachine), faulty);
     assertEquals(Set.of(), quarantined);
     assertEquals(Set.of(), failingJobs, "failures on a faulty machine no longer count");
   }
