--- a/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
+++ b/src/test/java/io/pineladder/scheduling/JobDependenciesTest.java
@@ -23,22 +23,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The dependency graph compared with a reference model that derives everything from the history, in
- * arbitrary orders.
+ * Compares the dependency graph with a reference model that derives the state of all jobs from the
+ * history of events in random order.
  */
 class JobDependenciesTest {
-  private final Map<String, Job> memory = new LinkedHashMap<>();
-  private final Map<String, Job.State> stored = new HashMap<>();
-  private final Map<String, Job> all = new LinkedHashMap<>();
+  private final Map<String, Job> jobsInMemory = new LinkedHashMap<>();
+  private final Map<String, Job.State> storedFinalStates = new HashMap<>();
+  private final Map<String, Job> allJobs = new LinkedHashMap<>();
   private final Set<Job> ready = new HashSet<>();
   private final Set<Job> cancelled = new HashSet<>();
   private final Instant now = Instant.EPOCH.plusSeconds(1_000);
 
   private final JobDependencies dependencies =
       new JobDependencies(
-          memory::get,
+          jobsInMemory::get,
           () -> now,
-          JobDependenciesTest::own,
+          JobDependenciesTest::ownDeadlines,
           new JobDependencies.Listener() {
             @Override
             public void onReady(Job job) {
@@ -55,27 +55,28 @@
 
             @Override
             public Job.State knownFinalState(String id) {
-              return stored.get(id);
+              return storedFinalStates.get(id);
             }
 
             @Override
             public void lookUpJob(String id) {}
           });
 
-  private static ChainDeadlines own(Job job) {
+  private static ChainDeadlines ownDeadlines(Job job) {
     Duration deadline = job.spec.deadline();
     Instant end = deadline == null ? null : job.acceptedAt.plus(deadline);
     return end == null ? null : new ChainDeadlines(end, end.plus(deadline));
   }
 
-  private Job job(int number, PriorityClass rank, Duration deadline, List<String> needs) {
+  private Job job(
+      int number, PriorityClass priorityClass, Duration deadline, List<String> prerequisites) {
     JobSpec spec =
         new JobSpec(
             "req-" + number,
             "work",
             "red",
             JobKind.ARRAY,
-            rank,
+            priorityClass,
             1,
             Resources.of(1, 0, 1),
             null,
@@ -89,114 +90,122 @@
             Duration.ZERO,
             Duration.ZERO,
             deadline,
-            needs);
+            prerequisites);
     return new Job(spec, now, Job.State.ACTIVE);
   }
 
-  private Job add(int number, PriorityClass rank, Duration deadline, String... needs) {
-    Job job = job(number, rank, deadline, List.of(needs));
-    memory.put(job.spec.id(), job);
-    all.put(job.spec.id(), job);
+  private Job add(
+      int number, PriorityClass priorityClass, Duration deadline, String... prerequisites) {
+    Job job = job(number, priorityClass, deadline, List.of(prerequisites));
+    jobsInMemory.put(job.spec.id(), job);
+    allJobs.put(job.spec.id(), job);
     dependencies.add(job);
     return job;
   }
 
-  /** The job's final state is stored, and it leaves the memory. */
-  private void end(Job job, Job.State state) {
+  /** Stores the final state of the job and removes it from memory. */
+  private void storeFinalState(Job job, Job.State state) {
     job.transitionTo(state);
     if (state == Job.State.CANCELLED) {
-      dependencies.stopWaiting(job);
+      dependencies.remove(job);
       dependencies.onCancellationPending(job);
     }
     job.finalStateStored = true;
-    stored.put(job.spec.id(), state);
+    storedFinalStates.put(job.spec.id(), state);
     dependencies.onFinalStateStored(job);
-    memory.remove(job.spec.id());
+    jobsInMemory.remove(job.spec.id());
   }
 
   // ---- the reference model
 
   private boolean isCancelled(String id) {
-    return stored.get(id) == Job.State.CANCELLED
-        || all.get(id).spec.prerequisites().stream().anyMatch(this::isCancelled);
+    return storedFinalStates.get(id) == Job.State.CANCELLED
+        || allJobs.get(id).spec.prerequisites().stream().anyMatch(this::isCancelled);
   }
 
   private boolean mayStart(Job job) {
-    return job.spec.prerequisites().stream().allMatch(id -> stored.get(id) == Job.State.DONE);
+    return job.spec.prerequisites().stream()
+        .allMatch(id -> storedFinalStates.get(id) == Job.State.DONE);
   }
 
-  private PriorityClass rank(Job job) {
+  private PriorityClass expectedPriorityClass(Job job) {
     PriorityClass highest = job.spec.priorityClass();
-    for (Job other : memory.values()) {
-      if (other.isActive() && other.spec.prerequisites().contains(job.spec.id())) {
-        PriorityClass of = rank(other);
-        highest = of.isAbove(highest) ? of : highest;
+    for (Job dependent : jobsInMemory.values()) {
+      if (dependent.isActive() && dependent.spec.prerequisites().contains(job.spec.id())) {
+        PriorityClass inherited = expectedPriorityClass(dependent);
+        highest = inherited.isAbove(highest) ? inherited : highest;
       }
     }
     return highest;
   }
 
-  private ChainDeadlines before(Job job) {
+  private ChainDeadlines expectedChainDeadlines(Job job) {
     ChainDeadlines earliest = null;
-    for (Job other : memory.values()) {
-      if (other.isActive() && other.spec.prerequisites().contains(job.spec.id())) {
-        ChainDeadlines of = ChainDeadlines.earlier(before(other), own(other));
-        Duration expected = other.spec.estimatedRunTime().plus(ClassLatencies.DEFAULT_OVERHEAD);
-        earliest = ChainDeadlines.earlier(earliest, of == null ? null : of.minus(expected));
+    for (Job dependent : jobsInMemory.values()) {
+      if (dependent.isActive() && dependent.spec.prerequisites().contains(job.spec.id())) {
+        ChainDeadlines deadlines =
+            ChainDeadlines.earlier(expectedChainDeadlines(dependent), ownDeadlines(dependent));
+        Duration expected = dependent.spec.estimatedRunTime().plus(ClassLatencies.DEFAULT_OVERHEAD);
+        earliest =
+            ChainDeadlines.earlier(earliest, deadlines == null ? null : deadlines.minus(expected));
       }
     }
     return earliest;
   }
 
-  private void compare() {
-    for (Job job : all.values()) {
+  private void assertMatchesModel() {
+    for (Job job : allJobs.values()) {
       String id = job.spec.id();
-      boolean byOthers = !stored.containsKey(id) && isCancelled(id);
-      assertEquals(byOthers, job.cancelledByDependency && !stored.containsKey(id), id);
-      if (job.isActive() && !byOthers) {
+      boolean cancelledByDependency = !storedFinalStates.containsKey(id) && isCancelled(id);
+      assertEquals(
+          cancelledByDependency,
+          job.cancelledByDependency && !storedFinalStates.containsKey(id),
+          id);
+      if (job.isActive() && !cancelledByDependency) {
         assertEquals(!mayStart(job), job.blockedByDependencies, id);
-        assertEquals(rank(job), job.priorityClass(), id);
-        assertEquals(before(job), job.chainDeadlines, id);
+        assertEquals(expectedPriorityClass(job), job.priorityClass(), id);
+        assertEquals(expectedChainDeadlines(job), job.chainDeadlines, id);
       }
     }
   }
 
   @Test
-  void theGraphMatchesTheHistory() {
+  void matchesReferenceModel() {
     for (int seed = 0; seed < 60; seed++) {
       RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-      List.of(memory, stored, all).forEach(Map::clear);
+      List.of(jobsInMemory, storedFinalStates, allJobs).forEach(Map::clear);
       ready.clear();
       cancelled.clear();
       for (int number = 0; number < 40; number++) {
-        List<String> needs = new ArrayList<>();
+        List<String> prerequisites = new ArrayList<>();
         for (int i = random.nextInt(4); i > 0 && number > 0; i--) {
           String id = "req-" + random.nextInt(number);
-          if (!needs.contains(id)) {
-            needs.add(id);
+          if (!prerequisites.contains(id)) {
+            prerequisites.add(id);
           }
         }
-        PriorityClass rank = PriorityClass.values()[random.nextInt(4)];
+        PriorityClass priorityClass = PriorityClass.values()[random.nextInt(4)];
         Duration deadline = random.nextInt(3) == 0 ? Duration.ofSeconds(200 + number) : null;
-        add(number, rank, deadline, needs.toArray(String[]::new));
-        compare();
-        for (Job job : List.copyOf(memory.values())) {
+        add(number, priorityClass, deadline, prerequisites.toArray(String[]::new));
+        assertMatchesModel();
+        for (Job job : List.copyOf(jobsInMemory.values())) {
           if (job.isActive() && random.nextInt(12) == 0) {
-            end(job, Job.State.CANCELLED);
+            storeFinalState(job, Job.State.CANCELLED);
           } else if (job.isActive() && !job.blockedByDependencies && random.nextInt(3) == 0) {
-            // A completion's time would change the latencies, which the model does not follow.
+            // Keeps the measured overhead at its default, because the model does not track
+            // latencies.
             job.readyAt =
                 now.minus(job.spec.estimatedRunTime()).minus(ClassLatencies.DEFAULT_OVERHEAD);
-            end(job, Job.State.DONE);
+            storeFinalState(job, Job.State.DONE);
           }
-          compare();
+          assertMatchesModel();
         }
       }
     }
   }
 
   @Test
-  void aLongChainIsFollowedWithoutRecursion() {
+  void followsLongChainWithoutRecursion() {
     add(0, PriorityClass.LOW, null);
     for (int number = 1; number <= 5_000; number++) {
       add(number, PriorityClass.LOW, null, "req-" + (number - 1));
@@ -204,19 +213,21 @@
     assertEquals(5_000, dependencies.countWaitingJobs());
     assertEquals(5_001, dependencies.longestChainLength());
     Job last = add(5_001, PriorityClass.HIGH, Duration.ofHours(100), "req-5000");
-    assertEquals(PriorityClass.HIGH, all.get("req-0").priorityClass());
-    assertEquals(own(last).minus(Duration.ofSeconds(15 * 5_001)), all.get("req-0").chainDeadlines);
-    end(all.get("req-0"), Job.State.CANCELLED);
+    assertEquals(PriorityClass.HIGH, allJobs.get("req-0").priorityClass());
+    assertEquals(
+        ownDeadlines(last).minus(Duration.ofSeconds(15 * 5_001)),
+        allJobs.get("req-0").chainDeadlines);
+    storeFinalState(allJobs.get("req-0"), Job.State.CANCELLED);
     assertEquals(5_001, cancelled.size());
     assertEquals(0, dependencies.countWaitingJobs());
   }
 
   /**
-   * A prerequisite that is being looked up may turn out to be cancelled, so its dependents' states
-   * are uncertain.
+   * A prerequisite that is being looked up may turn out to be cancelled, so the state of its
+   * dependents is uncertain.
    */
   @Test
-  void aPrerequisiteBeingLookedUpMakesItsDependentsUncertain() {
+  void reportsUncertainStateWhilePrerequisiteIsLookedUp() {
     Job job = add(2, PriorityClass.LOW, null, "req-1");
     assertTrue(dependencies.isUncertain(job));
     dependencies.onFinalStateKnown("req-1", Job.State.DONE);
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -27,10 +27,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The placement checks against a reference model that counts the tasks that fit in each zone. */
+/**
+ * Compares the placement checks with a reference model that counts the tasks that fit in each zone.
+ */
 class PlacerTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
-  private static final double BLUE_GPUS = 8;
+  private static final double BLUE_GPU_LIMIT = 8;
 
   private record FixedTime(Instant now) implements EventLoop {
     @Override
@@ -40,7 +42,7 @@
 
     @Override
     public RandomGenerator random() {
-      throw new AssertionError("placing leaves nothing to chance");
+      throw new AssertionError("placement must not use random numbers");
     }
 
     @Override
@@ -54,8 +56,8 @@
         name, Resources.of(cpus, gpus, 64), 50, 1, 4, 1, Duration.ofSeconds(10), List.of("a"));
   }
 
-  /** Jobs of the class {@code class} are to be done within two minutes. */
-  private static ClusterState expecting() throws SettingsReader.BadSettingsException {
+  /** Returns a cluster with an objective: jobs of the class {@code class} finish within 120 s. */
+  private static ClusterState clusterWithObjective() throws SettingsReader.BadSettingsException {
     String objective =
         """
         [[deployment.objectives]]
@@ -93,8 +95,10 @@
         null);
   }
 
-  /** How many of the job's tasks could go into each zone, machine by machine and one at a time. */
-  private static Map<String, Integer> takes(ClusterState cluster, Job job) {
+  /**
+   * Returns how many tasks of the job fit into each zone, counting them one by one on each machine.
+   */
+  private static Map<String, Integer> tasksFittingByZone(ClusterState cluster, Job job) {
     Map<String, Integer> zones = new HashMap<>();
     for (Machine machine : cluster.machines()) {
       boolean allowed =
@@ -105,60 +109,67 @@
               && !machine.draining;
       double cpus = machine.type.capacity().cpus();
       double gpus = machine.type.capacity().gpus();
-      double gb = machine.type.capacity().memoryGb();
+      double memoryGb = machine.type.capacity().memoryGb();
       for (Attempt attempt : machine.attempts.values()) {
         cpus -= attempt.job.spec.resourcesPerTask().cpus();
         gpus -= attempt.job.spec.resourcesPerTask().gpus();
-        gb -= attempt.job.spec.resourcesPerTask().memoryGb();
+        memoryGb -= attempt.job.spec.resourcesPerTask().memoryGb();
       }
-      Resources each = job.spec.resourcesPerTask();
-      while (allowed && each.cpus() <= cpus && each.gpus() <= gpus && each.memoryGb() <= gb) {
+      Resources perTask = job.spec.resourcesPerTask();
+      while (allowed
+          && perTask.cpus() <= cpus
+          && perTask.gpus() <= gpus
+          && perTask.memoryGb() <= memoryGb) {
         zones.merge(machine.zone, 1, Integer::sum);
-        cpus -= each.cpus();
-        gpus -= each.gpus();
-        gb -= each.memoryGb();
+        cpus -= perTask.cpus();
+        gpus -= perTask.gpus();
+        memoryGb -= perTask.memoryGb();
       }
     }
     return zones;
   }
 
-  private static boolean canPlace(ClusterState cluster, Job job, int wanted) {
+  private static boolean canPlace(ClusterState cluster, Job job, int taskCount) {
     double gpus = 0;
-    Map<String, Integer> own = new HashMap<>();
+    Map<String, Integer> attemptsByZone = new HashMap<>();
     for (Machine machine : cluster.machines()) {
       for (Attempt attempt : machine.attempts.values()) {
         if (attempt.job.spec.team().equals(job.spec.team())) {
           gpus += attempt.job.spec.resourcesPerTask().gpus();
         }
         if (attempt.job == job) {
-          own.merge(machine.zone, 1, Integer::sum);
+          attemptsByZone.merge(machine.zone, 1, Integer::sum);
         }
       }
     }
     if (job.spec.team().equals("blue")
-        && gpus + wanted * job.spec.resourcesPerTask().gpus() > BLUE_GPUS) {
+        && gpus + taskCount * job.spec.resourcesPerTask().gpus() > BLUE_GPU_LIMIT) {
       return false;
     }
-    Map<String, Integer> takes = takes(cluster, job);
-    int most = job.spec.spreadAcrossZones() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
-    int sum = 0;
-    boolean inOne = false;
-    for (var zone : takes.entrySet()) {
-      int room = Math.min(zone.getValue(), most - own.getOrDefault(zone.getKey(), 0));
-      boolean only = own.isEmpty() || (own.size() == 1 && own.containsKey(zone.getKey()));
-      inOne |= only && room >= wanted;
-      sum += Math.max(0, room);
+    Map<String, Integer> fitting = tasksFittingByZone(cluster, job);
+    int maxTasksPerZone =
+        job.spec.spreadAcrossZones() ? (job.spec.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    int total = 0;
+    boolean fitsInOneZone = false;
+    for (var zone : fitting.entrySet()) {
+      int count =
+          Math.min(
+              zone.getValue(), maxTasksPerZone - attemptsByZone.getOrDefault(zone.getKey(), 0));
+      boolean isOnlyZone =
+          attemptsByZone.isEmpty()
+              || (attemptsByZone.size() == 1 && attemptsByZone.containsKey(zone.getKey()));
+      fitsInOneZone |= isOnlyZone && count >= taskCount;
+      total += Math.max(0, count);
     }
-    return job.spec.sameZone() ? inOne : sum >= wanted;
+    return job.spec.sameZone() ? fitsInOneZone : total >= taskCount;
   }
 
   /**
-   * With policy as well: without policy exactly what the model places is placed, with it never
-   * more.
+   * Without policy, exactly the tasks that the model places are placed; with policy, no others are.
    */
   @ParameterizedTest
   @CsvSource({"1,false", "2,false", "3,false", "4,false", "5,false", "6,true", "7,true", "8,true"})
-  void placesExactlyWhenTheReferenceModelCan(long seed, boolean policy)
+  void placesTasksExactlyWhenReferenceModelDoes(long seed, boolean withPolicy)
       throws SettingsReader.BadSettingsException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
     ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
@@ -169,64 +180,66 @@
               "m-" + i, types.get(i % 2), i % 3 == 0 ? "a" : "b", random.nextInt(4) == 0, NOW);
       machine.transitionTo(i == 8 ? Machine.State.HEARD : Machine.State.CONFIRMED);
       machine.draining = i == 7;
-      machine.retiring = policy && i == 3;
-      machine.quarantined = policy && i == 4;
+      machine.retiring = withPolicy && i == 3;
+      machine.quarantined = withPolicy && i == 4;
       cluster.addMachine(machine);
     }
-    if (policy) {
-      Job other = new Job(randomSpec(random, 1_000), NOW, Job.State.ACTIVE);
-      cluster.reserve(cluster.machine("m-1"), other, NOW.plusSeconds(60));
+    if (withPolicy) {
+      Job reservationHolder = new Job(randomSpec(random, 1_000), NOW, Job.State.ACTIVE);
+      cluster.reserve(cluster.machine("m-1"), reservationHolder, NOW.plusSeconds(60));
     }
     Placer placer = new Placer(cluster, new FixedTime(NOW));
-    int kept = 0;
-    List<Attempt> there = new ArrayList<>();
+    int deniedByPolicy = 0;
+    List<Attempt> attempts = new ArrayList<>();
     int placed = 0;
-    int refused = 0;
+    int rejected = 0;
     for (int step = 0; step < 400; step++) {
       JobSpec spec = randomSpec(random, step);
       Job job = new Job(spec, NOW, Job.State.ACTIVE);
-      int turns = spec.kind() == JobKind.GANG ? 1 : spec.tasks();
-      int wanted = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
-      for (int turn = 0; turn < turns; turn++) {
-        boolean possible = canPlace(cluster, job, wanted);
-        if (policy) {
+      int placements = spec.kind() == JobKind.GANG ? 1 : spec.tasks();
+      int taskCount = spec.kind() == JobKind.GANG ? spec.tasks() : 1;
+      for (int firstTask = 0; firstTask < placements; firstTask++) {
+        boolean canPlace = canPlace(cluster, job, taskCount);
+        if (withPolicy) {
           job.avoidedMachines.add("m-" + random.nextInt(8));
-          boolean placedAllTheSame = placer.place(job, wanted, NOW).isPlaced();
-          assertTrue(possible || !placedAllTheSame, spec.toString());
-          kept += possible && !placedAllTheSame ? 1 : 0;
+          boolean placedWithPolicy = placer.place(job, taskCount, NOW).isPlaced();
+          assertTrue(canPlace || !placedWithPolicy, spec.toString());
+          deniedByPolicy += canPlace && !placedWithPolicy ? 1 : 0;
         }
         Placer.Decision decision =
-            policy ? placer.placeIgnoringPolicy(job, wanted, NOW) : placer.place(job, wanted, NOW);
-        assertEquals(possible, decision.isPlaced(), spec + " " + decision.rejectedBy());
-        if (!possible) {
-          refused++;
+            withPolicy
+                ? placer.placeIgnoringPolicy(job, taskCount, NOW)
+                : placer.place(job, taskCount, NOW);
+        assertEquals(canPlace, decision.isPlaced(), spec + " " + decision.rejectedBy());
+        if (!canPlace) {
+          rejected++;
           break;
         }
         placed++;
-        assertEquals(wanted, decision.machines().size());
-        for (int i = 0; i < wanted; i++) {
-          there.add(
+        assertEquals(taskCount, decision.machines().size());
+        for (int i = 0; i < taskCount; i++) {
+          attempts.add(
               cluster.addAttempt(
                   job,
-                  turn + i,
+                  firstTask + i,
                   step,
                   decision.machines().get(i),
                   NOW,
                   Attempt.State.PLACEMENT_PENDING));
         }
       }
-      while (there.size() > 12 + random.nextInt(12)) {
-        cluster.transition(there.remove(random.nextInt(there.size())), Attempt.State.GONE);
+      while (attempts.size() > 12 + random.nextInt(12)) {
+        cluster.transition(attempts.remove(random.nextInt(attempts.size())), Attempt.State.GONE);
       }
     }
-    assertTrue(placed > 50 && refused > 50, placed + " placed, " + refused + " refused");
-    assertTrue(policy == (kept > 20), kept + " denied capacity by policy");
-    there.forEach(attempt -> cluster.transition(attempt, Attempt.State.GONE));
+    assertTrue(placed > 50 && rejected > 50, placed + " placed, " + rejected + " rejected");
+    assertTrue(withPolicy == (deniedByPolicy > 20), deniedByPolicy + " denied capacity by policy");
+    attempts.forEach(attempt -> cluster.transition(attempt, Attempt.State.GONE));
     assertEquals(Resources.ZERO, cluster.usage("blue"));
   }
 
   @Test
-  void namesTheTeamLimitAsTheReason() throws SettingsReader.BadSettingsException {
+  void rejectsGangAboveTeamLimit() throws SettingsReader.BadSettingsException {
     ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
     JobSpec spec =
         new JobSpec(
@@ -253,15 +266,14 @@
     assertEquals(SchedulingCheck.TEAM_LIMIT, decision.rejectedBy());
   }
 
-  /** Found on colombo scaled up: long jobs on spot machines lost a task each and were done late. */
+  /** A job that cannot lose a task and still meet its objective must not use spot machines. */
   @Test
-  void aJobThatWouldMissItsObjectiveByAReclaimAvoidsSpotMachines()
-      throws SettingsReader.BadSettingsException {
-    ClusterState cluster = expecting();
+  void avoidsSpotMachineWhenReclaimWouldMissObjective() throws SettingsReader.BadSettingsException {
+    ClusterState cluster = clusterWithObjective();
     MachineType type = type("large", 24, 4);
     cluster.setTypes(List.of(type));
     for (boolean spot : List.of(true, false)) {
-      Machine machine = new Machine(spot ? "m-spot" : "m-ordinary", type, "a", spot, NOW);
+      Machine machine = new Machine(spot ? "m-spot" : "m-on-demand", type, "a", spot, NOW);
       machine.transitionTo(Machine.State.CONFIRMED);
       machine.touchImage("img", 1);
       cluster.addMachine(machine);
@@ -295,51 +307,51 @@
               Duration.ZERO,
               null);
       Placer.Decision decision = placer.place(new Job(spec, NOW, Job.State.ACTIVE), 1, NOW);
-      // A short one can start anew in time, and the longest is late whatever happens.
+      // The short job can be restarted in time, and the longest job misses its objective anyway.
       assertEquals(seconds != 80, decision.machines().get(0).spot, seconds + " s");
     }
   }
 
-  /**
-   * Found on galleharbour: two of five tasks of low priority were preempted, many of them several
-   * times, for arrays with minutes left. Work without an objective is preempted at once all the
-   * same.
-   */
+  /** Arrays that can wait for other capacity must not preempt jobs with an objective. */
   @Test
-  void anArrayWithStartSlackPreemptsOnlyWorkWithoutObjective()
+  void preemptsWorkWithObjectiveOnlyWhenArrayLacksStartSlack()
       throws SettingsReader.BadSettingsException {
-    for (boolean expected : List.of(true, false)) {
+    for (boolean victimHasObjective : List.of(true, false)) {
       for (int age : List.of(0, 60, 100)) {
-        ClusterState cluster = expecting();
+        ClusterState cluster = clusterWithObjective();
         MachineType type = type("large", 24, 4);
         cluster.setTypes(List.of(type));
         Machine machine = new Machine("m-1", type, "a", true, NOW);
         machine.transitionTo(Machine.State.CONFIRMED);
         cluster.addMachine(machine);
-        Job low = job("req-1", expected ? "class" : "other", PriorityClass.LOW, NOW);
+        Job low = job("req-1", victimHasObjective ? "class" : "other", PriorityClass.LOW, NOW);
         cluster.addJob(low);
         cluster.addAttempt(low, 0, 1, machine, NOW, Attempt.State.PLACEMENT_PENDING);
         Job high = job("req-2", "class", PriorityClass.NORMAL, NOW);
         high.pending.set(0);
         cluster.addJob(high);
         Instant now = NOW.plusSeconds(age);
-        List<Attempt> stopped = new ArrayList<>();
-        new PreemptionPolicy(cluster, new FixedTime(now), stopped::add)
+        List<Attempt> preempted = new ArrayList<>();
+        new PreemptionPolicy(cluster, new FixedTime(now), preempted::add)
             .preemptFor(high, Double.MAX_VALUE, now);
-        // It runs for 10 s of its 120, and another machine would be ready after 11.
-        assertEquals(!expected || age == 100, !stopped.isEmpty(), expected + " at " + age);
+        // The job takes 10 s of the 120 s allowed, and another machine is ready after 11 s.
+        assertEquals(
+            !victimHasObjective || age == 100,
+            !preempted.isEmpty(),
+            victimHasObjective + " at " + age);
       }
     }
   }
 
-  private static Job job(String id, String jobClass, PriorityClass rank, Instant accepted) {
+  private static Job job(
+      String id, String jobClass, PriorityClass priorityClass, Instant acceptedAt) {
     JobSpec spec =
         new JobSpec(
             id,
             jobClass,
             "red",
             JobKind.ARRAY,
-            rank,
+            priorityClass,
             1,
             Resources.of(24, 4, 1),
             null,
@@ -353,6 +365,6 @@
             Duration.ZERO,
             Duration.ZERO,
             null);
-    return new Job(spec, accepted, Job.State.ACTIVE);
+    return new Job(spec, acceptedAt, Job.State.ACTIVE);
   }
 }
--- a/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
+++ b/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which fetching task moves to a machine that has its image, compared with a reference model that
- * examines all of them.
+ * Compares the choice of the fetching task that moves to a machine with its image cached with a
+ * reference model that examines all fetching tasks.
  */
 class PreemptionPolicyTest {
   private static final Instant NOW = Instant.EPOCH.plusSeconds(100);
@@ -37,9 +37,9 @@
   private ClusterState cluster;
 
   private PreemptionPolicy preemptionPolicy;
-  private int numbers;
+  private int jobCount;
 
-  private static final EventLoop TIME =
+  private static final EventLoop FIXED_TIME =
       new EventLoop() {
         @Override
         public Instant now() {
@@ -53,7 +53,7 @@
 
         @Override
         public RandomGenerator random() {
-          throw new AssertionError("moving leaves nothing to chance");
+          throw new AssertionError("moving fetches must not use random numbers");
         }
 
         @Override
@@ -63,10 +63,10 @@
       };
 
   @BeforeEach
-  void begin() throws SettingsReader.BadSettingsException {
+  void setUp() throws SettingsReader.BadSettingsException {
     cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
     cluster.setTypes(List.of(TYPE));
-    preemptionPolicy = new PreemptionPolicy(cluster, TIME, attempt -> {});
+    preemptionPolicy = new PreemptionPolicy(cluster, FIXED_TIME, attempt -> {});
   }
 
   private Machine machine(String name) {
@@ -77,10 +77,11 @@
     return machine;
   }
 
-  private Attempt fetching(Machine on, String image, double cpus, Duration ready) {
+  private Attempt addFetchingAttempt(
+      Machine machine, String image, double cpus, Duration timeUntilReady) {
     JobSpec spec =
         new JobSpec(
-            "req-" + ++numbers,
+            "req-" + ++jobCount,
             "work",
             "red",
             JobKind.ARRAY,
@@ -99,37 +100,42 @@
             Duration.ZERO,
             null);
     Job job = new Job(spec, NOW, Job.State.ACTIVE);
-    Attempt attempt = cluster.addAttempt(job, 0, numbers, on, NOW, Attempt.State.PLACEMENT_PENDING);
-    attempt.imageReadyAt = NOW.plus(ready);
+    Attempt attempt =
+        cluster.addAttempt(job, 0, jobCount, machine, NOW, Attempt.State.PLACEMENT_PENDING);
+    attempt.imageReadyAt = NOW.plus(timeUntilReady);
     cluster.transition(attempt, Attempt.State.PLACEMENT_STORED);
     cluster.transition(attempt, Attempt.State.FETCHING_IMAGE);
     return attempt;
   }
 
-  private List<Attempt> moved(Machine to) {
+  private List<Attempt> moveSlowFetches(Machine target) {
     List<Attempt> moved = new ArrayList<>();
     preemptionPolicy.moveSlowFetches(
-        List.of(to),
+        List.of(target),
         NOW,
         attempt -> {
           moved.add(attempt);
-          // Stopped, it is gone at once, as an attempt that was never sent is.
+          // The stopped attempt ends at once, like an attempt that was never sent.
           cluster.transition(attempt, Attempt.State.GONE);
         });
     return moved;
   }
 
-  /** The time that the model's best choice would still wait; null when none is worth moving. */
-  private static Instant best(List<Attempt> all, Machine to, Resources room) {
+  /**
+   * Returns when the image of the attempt that the model would move is ready; null if no attempt is
+   * worth moving.
+   */
+  private static Instant expectedImageReadyAt(
+      List<Attempt> attempts, Machine target, Resources freeCapacity) {
     Instant latest = null;
-    for (Attempt attempt : all) {
-      boolean worth =
+    for (Attempt attempt : attempts) {
+      boolean isWorthMoving =
           attempt.holdsCapacity()
-              && attempt.machine != to
-              && to.images.containsKey(attempt.job.spec.image())
+              && attempt.machine != target
+              && target.images.containsKey(attempt.job.spec.image())
               && attempt.imageReadyAt.isAfter(NOW.plusSeconds(6))
-              && attempt.job.spec.resourcesPerTask().fitsIn(room);
-      if (worth && (latest == null || attempt.imageReadyAt.isAfter(latest))) {
+              && attempt.job.spec.resourcesPerTask().fitsIn(freeCapacity);
+      if (isWorthMoving && (latest == null || attempt.imageReadyAt.isAfter(latest))) {
         latest = attempt.imageReadyAt;
       }
     }
@@ -137,46 +143,50 @@
   }
 
   @Test
-  void theSlowestFetchIsMoved() throws SettingsReader.BadSettingsException {
+  void movesSlowestFetch() throws SettingsReader.BadSettingsException {
     int moves = 0;
     for (int seed = 0; seed < 40; seed++) {
-      begin();
+      setUp();
       RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-      Machine to = machine("m-0");
-      to.touchImage("img-0", 5);
-      to.touchImage("img-1", 5);
-      List<Attempt> all = new ArrayList<>();
+      Machine target = machine("m-0");
+      target.touchImage("img-0", 5);
+      target.touchImage("img-1", 5);
+      List<Attempt> attempts = new ArrayList<>();
       for (int i = 1; i <= 2 + seed; i++) {
-        Duration ready = Duration.ofMillis(random.nextInt(12_000));
-        all.add(
-            fetching(machine("m-" + i), "img-" + random.nextInt(3), 1 + random.nextInt(20), ready));
+        Duration timeUntilReady = Duration.ofMillis(random.nextInt(12_000));
+        attempts.add(
+            addFetchingAttempt(
+                machine("m-" + i),
+                "img-" + random.nextInt(3),
+                1 + random.nextInt(20),
+                timeUntilReady));
       }
-      Instant expected = best(all, to, to.free());
-      List<Attempt> moved = moved(to);
+      Instant expected = expectedImageReadyAt(attempts, target, target.free());
+      List<Attempt> moved = moveSlowFetches(target);
       assertEquals(expected, moved.isEmpty() ? null : moved.get(0).imageReadyAt, "seed " + seed);
       moves += moved.isEmpty() ? 0 : 1;
     }
     assertTrue(moves > 10 && moves < 40, "moves: " + moves);
   }
 
-  /** Of thousands of short fetches not each is examined for a machine with freed capacity. */
+  /** The cost of a search must not grow with the number of fetches that end soon. */
   @Test
-  void fetchesThatEndSoonAreNotExamined() {
-    Machine to = machine("m-0");
+  void doesNotExamineFetchesThatEndSoon() {
+    Machine target = machine("m-0");
     for (int i = 0; i < 20; i++) {
-      to.touchImage("img-" + i, 1);
+      target.touchImage("img-" + i, 1);
     }
-    Machine on = machine("m-1");
-    List<Attempt> looked = new ArrayList<>();
+    Machine source = machine("m-1");
+    List<Attempt> attempts = new ArrayList<>();
     for (int i = 0; i < 3_000; i++) {
-      looked.add(fetching(on, "img-" + i % 20, 0, Duration.ofMillis(1_000 + i)));
+      attempts.add(addFetchingAttempt(source, "img-" + i % 20, 0, Duration.ofMillis(1_000 + i)));
     }
-    assertTrue(moved(to).isEmpty());
+    assertTrue(moveSlowFetches(target).isEmpty());
     for (int i = 0; i < 20; i++) {
-      // The first in order is the last to be ready, so one is examined for each image.
-      Attempt first = cluster.fetching("img-" + i).iterator().next();
+      // Attempts are ordered by ready time, latest first, so only one is examined per image.
+      Attempt first = cluster.fetchingAttempts("img-" + i).iterator().next();
       assertTrue(
-          looked.stream()
+          attempts.stream()
               .filter(attempt -> attempt.job.spec.image().equals(first.job.spec.image()))
               .noneMatch(attempt -> attempt.imageReadyAt.isAfter(first.imageReadyAt)));
     }
