--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -284,7 +284,7 @@
     JobSpec spec = job.spec;
     Team team = cluster.team(spec.team());
     Resources used = cluster.usage(spec.team());
-    int count = job.pending.cardinality();
+    int count = job.pendingTasks.cardinality();
     while (count > 0
         && !team.allows(used.plus(plannedBefore).plus(spec.resourcesPerTask().times(count)))) {
       count = count > 64 ? count / 2 : count - 1;
--- a/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
+++ b/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
@@ -149,7 +149,7 @@
     if (endReason == EndReason.DONE && job.spec.kind() != JobKind.SERVICE) {
       onTaskCompleted(attempt);
     } else {
-      attempt.mayBeForgotten = true;
+      attempt.endProcessed = true;
       if (endReason == EndReason.ERROR && job.isActive()) {
         onTaskFailed(attempt);
       }
@@ -191,22 +191,22 @@
   private void onTaskCompleted(Attempt attempt) {
     Job job = attempt.job;
     if (!job.isActive()) {
-      attempt.mayBeForgotten = true;
+      attempt.endProcessed = true;
       jobFinalizer.storeCancellationIfStopped(job);
       jobFinalizer.removeRecordIfFinished(job);
       return;
     }
     // All tasks of a gang complete together.
     if (job.spec.kind() == JobKind.GANG) {
-      job.done.set(0, job.spec.tasks());
+      job.completedTasks.set(0, job.spec.tasks());
     } else {
-      job.done.set(attempt.task);
+      job.completedTasks.set(attempt.task);
     }
-    job.pending.clear(attempt.task);
+    job.pendingTasks.clear(attempt.task);
     faultAttribution.recordSuccess(job);
     context.cluster.onQuotaDemandChanged(job);
     stopOtherAttempts(attempt);
-    if (job.done.cardinality() == job.spec.tasks()) {
+    if (job.completedTasks.cardinality() == job.spec.tasks()) {
       jobFinalizer.onAllTasksDone(job);
     }
   }
@@ -226,11 +226,11 @@
       }
     }
     if (others.isEmpty()) {
-      job.unprovenDone.clear(complete.task);
+      job.unconfirmedCompletedTasks.clear(complete.task);
       context.records().storeCompletion(job, complete);
       return;
     }
-    job.unprovenDone.set(complete.task);
+    job.unconfirmedCompletedTasks.set(complete.task);
     others.get(0).completedBy = complete;
     others.forEach(other -> kill(other, Duration.ZERO));
   }
@@ -283,11 +283,11 @@
         killAll(job, job.spec.checkpointDuration());
         return;
       }
-      job.pending.set(0, job.spec.tasks());
+      job.pendingTasks.set(0, job.spec.tasks());
     } else if (job.mayStartTask(attempt.task)) {
-      job.pending.set(attempt.task);
+      job.pendingTasks.set(attempt.task);
     }
-    if (job.pending.isEmpty()) {
+    if (job.pendingTasks.isEmpty()) {
       return;
     }
     // The last task of a failing gang to end may have been stopped because another task failed.
--- a/src/main/java/io/pineladder/scheduling/ClusterState.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -130,9 +130,9 @@
     double machineCount = 0;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name())) {
-        double machinesPerTask = Math.min(1, spec.resourcesPerTask().shareOf(type.capacity()));
+        double machinesPerTask = Math.min(1, spec.resourcesPerTask().dominantShareOf(type.capacity()));
         machineCount =
-            Math.max(machineCount, (spec.tasks() - job.done.cardinality()) * machinesPerTask);
+            Math.max(machineCount, (spec.tasks() - job.completedTasks.cardinality()) * machinesPerTask);
       }
     }
     return spotRisk.reclaimProbability(machineCount, spec.estimatedRunTime())
@@ -392,7 +392,7 @@
   public Attempt addAttempt(
       Job job, int task, long number, Machine machine, Instant now, Attempt.State initialState) {
     Attempt attempt = new Attempt(job, task, number, machine, now, initialState);
-    job.add(attempt);
+    job.addAttempt(attempt);
     machine.attempts.put(attempt.key, attempt);
     machine.used = machine.used.plus(job.spec.resourcesPerTask());
     machine.idleSince = null;
@@ -415,7 +415,7 @@
       attempt.machine.used = attempt.machine.used.minus(freed);
       quotas.removeUsage(attempt.job.spec.team(), freed);
       attemptCountByPriority.merge(attempt.job.spec.priorityClass(), -1, Integer::sum);
-      attempt.job.remove(attempt);
+      attempt.job.removeAttempt(attempt);
       updateIndexes(attempt.machine);
     }
     if (next == Attempt.State.GONE) {
--- a/src/main/java/io/pineladder/scheduling/FaultAttribution.java
+++ b/src/main/java/io/pineladder/scheduling/FaultAttribution.java
@@ -179,7 +179,7 @@
   }
 
   private static boolean isSuccessful(Job job, FailureHistory history, Instant now) {
-    if (!job.done.isEmpty()) {
+    if (!job.completedTasks.isEmpty()) {
       return true;
     }
     Duration successRunTime =
--- a/src/main/java/io/pineladder/scheduling/GangReservation.java
+++ b/src/main/java/io/pineladder/scheduling/GangReservation.java
@@ -91,7 +91,7 @@
     if (job.failing || job.readyAt.plus(MIN_WAIT).isAfter(eventLoop.wallClock())) {
       return false;
     }
-    boolean isUnclaimed = holder == null || !holder.isActive() || holder.pending.isEmpty();
+    boolean isUnclaimed = holder == null || !holder.isActive() || holder.pendingTasks.isEmpty();
     return isUnclaimed
         || holder == job
         || job.priorityClass().isAbove(holder.priorityClass())
--- a/src/main/java/io/pineladder/scheduling/JobFinalizer.java
+++ b/src/main/java/io/pineladder/scheduling/JobFinalizer.java
@@ -30,7 +30,7 @@
 
   /** Removes the job from the queue; no task of it is started after this. */
   void removeFromQueue(Job job) {
-    job.pending.clear();
+    job.pendingTasks.clear();
     starvationBound.clear(job);
     faultAttribution.forget(job);
     pendingJobs.remove(job);
--- a/src/main/java/io/pineladder/scheduling/PendingJobs.java
+++ b/src/main/java/io/pineladder/scheduling/PendingJobs.java
@@ -64,7 +64,7 @@
 
   /** Activates the queue entry of the job if it has pending tasks. */
   void enqueue(Job job) {
-    if (job.isActive() && !job.pending.isEmpty()) {
+    if (job.isActive() && !job.pendingTasks.isEmpty()) {
       queue.add(entry(job));
       requestRun();
     }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -100,7 +100,7 @@
     boolean allOrNothing = spec.kind() == JobKind.GANG;
     Team team = cluster.team(spec.team());
     long withinLimit =
-        team == null ? 0 : team.countWithin(cluster.usage(spec.team()), spec.resourcesPerTask());
+        team == null ? 0 : team.maxAdditionalUnits(cluster.usage(spec.team()), spec.resourcesPerTask());
     if (withinLimit == 0 || (allOrNothing && withinLimit < taskCount)) {
       return Decision.rejected(SchedulingCheck.TEAM_LIMIT);
     }
@@ -235,7 +235,7 @@
 
   /** Whether a task needs at least half of a machine of this type. */
   public static boolean fillsMachine(JobSpec spec, MachineType type) {
-    return 2 * spec.resourcesPerTask().shareOf(type.capacity()) >= 1;
+    return 2 * spec.resourcesPerTask().dominantShareOf(type.capacity()) >= 1;
   }
 
   /** Whether another task on the machine satisfies the job's zone constraints. */
@@ -393,7 +393,7 @@
               ? -DEADLINE_MACHINE_BONUS_SECONDS
               : ON_DEMAND_COST_SECONDS;
     }
-    cost += 1 - machine.used.shareOf(machine.type.capacity());
+    cost += 1 - machine.used.dominantShareOf(machine.type.capacity());
     return cost;
   }
 
--- a/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -71,7 +71,7 @@
    */
   boolean preemptFor(Job job, double maxFetchSeconds, Instant now) {
     int tasksWithoutCapacity =
-        job.pending.cardinality() - victimSelector.countMachinesBeingFreed(job, now);
+        job.pendingTasks.cardinality() - victimSelector.countMachinesBeingFreed(job, now);
     Instant scanStartedAt = eventLoop.now();
     if (tasksWithoutCapacity <= 0
         || nextScanAt.isAfter(scanStartedAt)
--- a/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
+++ b/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
@@ -95,7 +95,7 @@
   }
 
   private void complete(Job job) {
-    job.done.set(0);
+    job.completedTasks.set(0);
     faultAttribution.recordSuccess(job);
   }
 
@@ -170,7 +170,7 @@
         default -> {
           Machine machine = machines.get(random.nextInt(machines.size()));
           fail(job, machine);
-          if (!job.done.isEmpty()) {
+          if (!job.completedTasks.isEmpty()) {
             model.succeeded.add(job);
           }
           Set<Machine> failedMachines =
