--- a/src/main/java/io/pineladder/store/AcceptedJobIndex.java
+++ b/src/main/java/io/pineladder/store/AcceptedJobIndex.java
@@ -17,23 +17,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An index of the jobs in leaders' pages, for a node that answers users without a leader. The pages
- * are read as a whole when the first user asks; from then on one request for the changes since
- * serves all callers that come while the one before is in flight.
+ * Index of the jobs in the job pages, for a controller that serves users while there is no leader.
+ * The first refresh reads all pages; later ones read only the changes since. Callers that arrive
+ * while a read is in flight share the next one.
  */
 public final class AcceptedJobIndex {
   private static final Logger log = LoggerFactory.getLogger(AcceptedJobIndex.class);
 
-  /** An index that is not used for this long is dropped, for its memory. */
+  /** An index that is not used for this long is dropped to free its memory. */
   private static final Duration IDLE_EXPIRY = Duration.ofSeconds(60);
 
-  /** The state of the index. */
   private enum State {
     /** Nothing is indexed. */
     EMPTY,
     /** The pages, or the changes since, are being read. */
     READING,
-    /** Everything up to a revision is indexed. */
+    /** The index covers everything up to the last revision read. */
     LOADED
   }
 
@@ -44,16 +43,16 @@
   private long revision;
   private Instant lastUsedAt;
 
-  /** Raised with each change of the generation, so that a late reply is recognized. */
-  private int epoch;
+  /** Incremented when the generation changes, so that replies from an earlier one are ignored. */
+  private int generationEpoch;
 
-  /** One timer checks whether the index is still in use, however often it is read. */
+  /** Whether the expiry timer is set; at most one is. */
   private boolean expiryScheduled;
 
-  /** Callers that came after the read in flight began, so that it is too early for them. */
+  /** Callers that arrived after the read in flight began; the next read serves them. */
   private List<Consumer<Boolean>> waitingCallers = new ArrayList<>();
 
-  /** An empty index. */
+  /** Creates an empty index. */
   public AcceptedJobIndex(StoreClient storeClient, EventLoop eventLoop) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
@@ -62,7 +61,7 @@
   /**
    * Brings the index up to date.
    *
-   * @param onDone receives whether {@link #find} now answers as of a moment after this call
+   * @param onDone receives whether the index now reflects a state no older than this call
    */
   public void refresh(Consumer<Boolean> onDone) {
     lastUsedAt = eventLoop.now();
@@ -72,10 +71,10 @@
     }
   }
 
-  /** A job in a page, with the jobs that it depends on. */
+  /** A job in a page, with the IDs of the jobs that it depends on. */
   public record IndexedJob(Job.State state, List<String> prerequisites) {}
 
-  /** The job as of the last refresh, or null when no page holds it. */
+  /** Returns the job as of the last refresh, or null when no page contains it. */
   public IndexedJob find(String id) {
     for (Map<String, IndexedJob> page : pages.values()) {
       IndexedJob found = page.get(id);
@@ -86,9 +85,9 @@
     return null;
   }
 
-  /** Another generation is active: nothing is indexed of it, and a read in flight is of no use. */
+  /** Clears the index and fails waiting callers, because another generation is active. */
   public void invalidate() {
-    epoch++;
+    generationEpoch++;
     List<Consumer<Boolean>> callers = waitingCallers;
     waitingCallers = new ArrayList<>();
     transitionTo(State.EMPTY);
@@ -115,11 +114,11 @@
   }
 
   private void readAll(List<Consumer<Boolean>> callers) {
-    int readEpoch = epoch;
+    int readEpoch = generationEpoch;
     storeClient.listForUser(
         RecordKeys.JOB_PAGES,
         listing -> {
-          if (readEpoch != epoch) {
+          if (readEpoch != generationEpoch) {
             callers.forEach(each -> each.accept(false));
             return;
           }
@@ -132,7 +131,7 @@
             finish(State.EMPTY, callers);
             return;
           }
-          // A job may have moved between pages while they were read one after another.
+          // The pages are not read atomically: a job may have moved between two reads.
           transitionTo(State.LOADED);
           waitingCallers.addAll(0, callers);
           read();
@@ -140,12 +139,12 @@
   }
 
   private void readChanges(List<Consumer<Boolean>> callers) {
-    int readEpoch = epoch;
+    int readEpoch = generationEpoch;
     storeClient.readChangesForUser(
         RecordKeys.JOB_PAGES,
         revision,
         response -> {
-          if (readEpoch != epoch) {
+          if (readEpoch != generationEpoch) {
             callers.forEach(each -> each.accept(false));
             return;
           }
@@ -155,7 +154,7 @@
             finish(indexPages(changes.entries()) ? State.LOADED : State.EMPTY, callers);
             return;
           }
-          // 410: the index is too old to be brought up to date.
+          // 410: the changes since this revision are no longer available.
           finish(response.reply().is(410) ? State.EMPTY : State.LOADED, callers, false);
         });
   }
@@ -187,7 +186,7 @@
     }
   }
 
-  /** Replaces the index of these pages; false when one cannot be decoded. */
+  /** Indexes these pages again; returns false when one of them cannot be decoded. */
   private boolean indexPages(List<StoreWire.Entry> entries) {
     try {
       for (StoreWire.Entry entry : entries) {
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -17,36 +17,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Group commit of one leader's changes to the store: one compare-and-swap transaction in flight at
- * a time, fenced by the leader's key.
+ * Group commit of a leader's changes to the store. At most one compare-and-swap transaction is in
+ * flight, and each is fenced by the leader's key.
  *
- * <p>Each transaction requires that the leader's key still has this term's revision and that every
- * key it writes has the revision last known. So a transaction of an older leader never applies, and
- * one that got no reply can be sent again unchanged: if the first copy was executed the second
- * fails, and whichever of the two comes late fails as well.
+ * <p>A transaction requires that the leader's key still has the revision of this term and that
+ * every key it writes has its last known revision. Transactions of a deposed leader therefore never
+ * apply, and a transaction without a reply can be resent unchanged: at most one of its copies is
+ * executed, the others fail on their conditions.
  *
  * <p>Event thread only.
  */
 public final class Committer {
   private static final Logger log = LoggerFactory.getLogger(Committer.class);
 
-  /** Mutations that are decided by one message go into one transaction. */
+  /** Lets the mutations that result from one message share a transaction. */
   private static final Duration GROUPING_DELAY = Duration.ofMillis(1);
 
   private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
   private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(1);
 
-  /** The state of the committer. */
   private enum State {
     /** No transaction is pending and no timer is set. */
     IDLE,
-    /** A timer is set: for grouping, for the write budget or for a retry. */
+    /** A timer is set for grouping, the write budget or a retry. */
     WAITING,
-    /** A transaction was sent and is not answered. */
+    /** A transaction was sent and its reply is outstanding. */
     IN_FLIGHT,
-    /** Records are read to find out what a transaction without a reply did. */
+    /** Records are being read to find out whether a transaction without a reply was executed. */
     RESOLVING,
-    /** Nothing is sent any more. */
+    /** The term has ended; nothing is sent. */
     CLOSED
   }
 
@@ -55,43 +54,43 @@
   private final long fencingToken;
   private final Listener listener;
 
-  /** The revision of each key as last known; final states, which are never rewritten, excepted. */
+  /** Last known revision of each key, except final states, which are never rewritten. */
   private final TreeMap<String, Long> revisions = new TreeMap<>();
 
   private final MutationQueue queue = new MutationQueue();
   private final Backoff backoff;
   private State state = State.IDLE;
 
-  /** The transaction whose outcome is not known yet, or null. */
+  /** The transaction whose outcome is not known yet; null when there is none. */
   private PendingTransaction pending;
 
   private NotificationLog notificationLog = NotificationLog.DISABLED;
 
-  /** Outcomes that concern the whole term. The committer is closed when the first three come. */
+  /** Receives outcomes that affect the whole term. The first three close the committer. */
   public interface Listener {
-    /** Another leader or generation is active, or the store refuses what this leader writes. */
+    /** Another leader or generation is active, or the store rejects this leader's writes. */
     void onFenced(String reason);
 
-    /** The leader's key is gone or another controller's. */
+    /** The leader's key no longer exists or belongs to another controller. */
     void onLeaderKeyGone();
 
     /**
-     * A record that only this leader writes differs from what it stored, though its leader's key
-     * still exists: the state service has lost data.
+     * The store has lost data: a record that only this leader writes differs from what it stored,
+     * although its leader's key still exists.
      */
     void onDataLoss(String reason);
 
-    /** A value that earlier limits allowed was refused: the announced limits are in force. */
+    /** A value that only the earlier limits allow was rejected: the lower limits are in force. */
     void onLimitsLowered();
 
-    /** The value is stored; null for a deleted key. */
+    /** The value is committed; it is null for a deleted key. */
     void onStored(String key, JsonNode value, long revision);
   }
 
   /**
-   * The changes of one leader.
+   * Creates the committer of one term.
    *
-   * @param fencingToken the revision of its leader's key
+   * @param fencingToken the revision of the leader's key in this term
    */
   public Committer(
       StoreClient storeClient, EventLoop eventLoop, long fencingToken, Listener listener) {
@@ -102,30 +101,30 @@
     this.backoff = new Backoff(eventLoop, INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
   }
 
-  /** The one place where the state changes; {@code CLOSED} is final. */
+  /** Changes the state; {@link State#CLOSED} is final. */
   private void transitionTo(State next) {
     if (state != State.CLOSED) {
       state = next;
     }
   }
 
-  /** Sets what numbers notifications, in the order in which they go into transactions. */
+  /** Sets the log that numbers notifications in the order in which transactions include them. */
   public void setNotificationLog(NotificationLog log) {
     notificationLog = log;
   }
 
-  /** Takes over the revision of a key that was read. */
+  /** Sets the last known revision of a key that was read at the start of the term. */
   public void restoreRevision(String key, long revision) {
     revisions.put(key, revision);
   }
 
-  /** Queues a mutation; its callbacks come from the event loop, never from within this call. */
+  /** Queues a mutation. Its callbacks run later on the event loop, never within this call. */
   public void submit(Mutation mutation) {
     queue.add(mutation);
     scheduleIfIdle();
   }
 
-  /** A page was divided: the mutations that were deferred for it are queued again. */
+  /** Queues the deferred mutations again, because a page was divided. */
   public void requeueDeferred() {
     queue.requeueDeferred();
     scheduleIfIdle();
@@ -138,12 +137,12 @@
     }
   }
 
-  /** Mutations that are not known to be committed. */
+  /** The number of mutations that are queued, deferred or of unknown outcome. */
   public int pendingMutations() {
     return queue.size() + (pending == null ? 0 : pending.mutations().size());
   }
 
-  /** Ends the term: nothing is sent and no callback comes any more. */
+  /** Closes the committer: no transaction is sent and no callback runs from here on. */
   public void close() {
     transitionTo(State.CLOSED);
   }
@@ -253,7 +252,7 @@
       fenced("transaction refused as malformed: reply=" + reply);
       return;
     }
-    // A value as an earlier leader left it: the announced limits are in force by now.
+    // An earlier leader stored the value when the limits were higher.
     log.warn("Transaction refused, a value exceeds the announced limit: limitBytes={}", limit);
     abandon();
     transitionTo(State.WAITING);
@@ -261,20 +260,20 @@
     storeClient.scheduleRetry(backoff, this::sendNext);
   }
 
-  /** A refusal before execution, no reply, or one that the protocol does not name. */
+  /** Handles rejection before execution, a missing reply, and an unexpected status. */
   private void onNoOutcome(Reply reply) {
     boolean notExecuted = reply.is(503) || reply.is(429) || reply.outcome() == Outcome.NOT_SENT;
     if (!notExecuted) {
-      // It may have been executed, or be yet.
+      // It may have been executed, or may still be.
       pending.markAmbiguous();
     } else if (!pending.isAmbiguous()) {
-      // Mutations may be assembled anew when the store is back.
+      // No copy was executed, so its mutations may go into a new transaction.
       abandon();
     }
     retryLater();
   }
 
-  /** The pending transaction was not executed: its mutations are queued again. */
+  /** Queues the mutations of the pending transaction again; it was not executed. */
   private void abandon() {
     queue.requeue(pending.mutations());
     pending = null;
@@ -288,7 +287,7 @@
         .values()
         .forEach(
             (key, value) -> {
-              // Final states are never written again; their revisions would only cost memory.
+              // Final states are never rewritten, so their revisions are not needed.
               if (value == null || key.startsWith(RecordKeys.FINAL_STATE)) {
                 revisions.remove(key);
               } else {
@@ -305,18 +304,18 @@
     sendNext();
   }
 
-  /** Nothing was executed: some conditions did not hold. */
+  /** Handles a transaction that was not executed because these conditions do not hold. */
   private void conditionsFailed(List<String> failed) {
-    PendingTransaction refused = pending;
+    PendingTransaction rejected = pending;
     pending = null;
     List<Mutation> retried = new ArrayList<>();
-    List<Mutation> existing = new ArrayList<>();
-    for (Mutation mutation : refused.mutations()) {
+    List<Mutation> alreadyExisting = new ArrayList<>();
+    for (Mutation mutation : rejected.mutations()) {
       boolean changed =
           mutation.writes().stream().anyMatch(w -> failed.contains(w.key()))
               || mutation.pageEdits().stream().anyMatch(e -> failed.contains(e.page().key));
       if (changed) {
-        String reason = "records changed under their owner: keys=" + failed;
+        String reason = "records differ from their last known revisions: keys=" + failed;
         if (impliesDataLoss(failed)) {
           dataLost(reason);
         } else {
@@ -325,19 +324,20 @@
         return;
       }
       boolean exists = mutation.mustNotExist().stream().anyMatch(failed::contains);
-      (exists ? existing : retried).add(mutation);
+      (exists ? alreadyExisting : retried).add(mutation);
     }
     queue.requeue(retried);
     transitionTo(State.WAITING);
-    existing.forEach(mutation -> mutation.onAlreadyExists().run());
+    alreadyExisting.forEach(mutation -> mutation.onAlreadyExists().run());
     sendNext();
   }
 
   // ---- transactions without a reply
 
   /**
-   * A copy without a reply came before this refusal. Only this leader writes its own records, and
-   * every transaction writes one, so any of them shows whether that copy was executed.
+   * Finds out whether an earlier copy of the pending transaction, which got no reply, was executed.
+   * Every transaction writes a record that only this leader writes, and the revision of that record
+   * shows it.
    */
   private void resolveAmbiguity() {
     transitionTo(State.RESOLVING);
@@ -353,24 +353,25 @@
       storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
       return;
     }
-    long found = read.found() ? read.entry().revision() : 0;
-    long known = revisions.getOrDefault(key, 0L);
-    if (found < known && pending.values().get(key) != null) {
+    long storedRevision = read.found() ? read.entry().revision() : 0;
+    long knownRevision = revisions.getOrDefault(key, 0L);
+    if (storedRevision < knownRevision && pending.values().get(key) != null) {
       dataLost("record missing or older than stored: key=" + key);
       return;
     }
-    if (found != known) {
+    if (storedRevision != knownRevision) {
       confirmLeadership(read.revision());
       return;
     }
-    // Not executed: assembled anew, the next refusal names the conditions that fail.
+    // Not executed. If its mutations are rejected again, the reply names the failed conditions.
     pending.markNotExecuted();
     conditionsFailed(List.of());
   }
 
   /**
-   * A record of ours has changed. That was our copy only if no later leader can have written it: if
-   * the leader's key, read after it, is still ours.
+   * Treats the pending transaction as committed if this controller still holds the leader's key. A
+   * record that it writes has changed, and as the key is read after the record, no later leader can
+   * have written it.
    */
   private void confirmLeadership(long revision) {
     storeClient.read(
@@ -391,7 +392,7 @@
 
   // ---- the end of the term
 
-  /** Closes the committer if the conditions that fence it are among the failed ones. */
+  /** Closes the committer if a fencing condition is among the failed ones. */
   private boolean endedByFencing(List<String> failed) {
     if (failed.contains(RecordKeys.GENERATION)) {
       fenced("another generation of the records is active");
@@ -416,8 +417,8 @@
   }
 
   /**
-   * Whether a record of these can only differ because data was lost. Other nodes create jobs' own
-   * records and inbox entries; all else is written by the leader alone.
+   * Whether a difference in one of these records means that data was lost. Other controllers may
+   * create unpaged job records and inbox entries; only the leader writes the rest.
    */
   private static boolean impliesDataLoss(List<String> keys) {
     return keys.stream()
@@ -427,11 +428,11 @@
   // ---- the audit
 
   /**
-   * Compares a bounded number of records with what was stored, in a transaction that changes
-   * nothing. A difference ends the term like a refused transaction does.
+   * Compares the revisions of a bounded number of records with the last known ones, in a
+   * transaction that changes nothing. A failed fencing condition or lost record ends the term.
    *
-   * @param after the last key compared before, or null to begin
-   * @param onDone receives the last key compared now, or null at the end
+   * @param after the last key of the previous step; null to begin
+   * @param onDone receives the last key of this step; null when the audit is complete
    */
   public void audit(String after, Consumer<String> onDone) {
     if (state == State.CLOSED) {
@@ -441,7 +442,7 @@
     RecordAudit step = new RecordAudit(revisions, this::isInFlight, after, maxConditions);
     String last = step.lastKey();
     storeClient.checkConditions(
-        step.addTo(fencedTransaction()),
+        step.addConditionsTo(fencedTransaction()),
         failed -> {
           if (state == State.CLOSED) {
             return;
@@ -454,7 +455,7 @@
   }
 
   private boolean isInFlight(String key) {
-    return pending != null && pending.changes(key);
+    return pending != null && pending.changesKey(key);
   }
 
   private void onAudited(RecordAudit step, List<String> failed) {
--- a/src/main/java/io/pineladder/store/CompletionRecords.java
+++ b/src/main/java/io/pineladder/store/CompletionRecords.java
@@ -16,29 +16,28 @@
 import java.util.function.Consumer;
 
 /**
- * The records of completed tasks. A job's tasks are divided into chunks, an entry each, so that the
- * completions of a chunk fit into one entry whatever their pattern; all entries of a job are
- * divided alike.
+ * The records of completed tasks. A job's tasks are divided into chunks of equal size, one entry
+ * per chunk. The size is such that every pattern of completions within a chunk fits into its entry.
  */
 final class CompletionRecords {
-  /** The longest range of completions in JSON, with its commas. */
+  /** Upper bound of the encoded size of one range of completed tasks, with its commas. */
   private static final int MAX_RANGE_BYTES = 16;
 
   private static final Duration FLUSH_INTERVAL = Duration.ofMillis(300);
 
-  /** How many tasks a chunk of a job has, and whether its entries say so. */
-  private record Chunking(int tasks, boolean explicit) {}
+  /** How a job's tasks are divided, and whether its entries store the chunk size. */
+  private record Chunking(int tasksPerChunk, boolean storesChunkTasks) {}
 
-  /** A number of consecutive tasks of a job whose completions are stored in one entry. */
+  /** Consecutive tasks of a job whose completions are stored in one entry. */
   private static final class Chunk {
     final Job job;
     final int number;
 
-    /** Attempts whose completion is not known to be stored. */
-    final List<Attempt> waiting = new ArrayList<>();
+    /** Attempts whose completion is not known to be committed. */
+    final List<Attempt> unconfirmedAttempts = new ArrayList<>();
 
-    /** Those of them that the value rendered last contains. */
-    List<Attempt> beingStored = List.of();
+    /** The unconfirmed attempts that the last rendered entry includes. */
+    List<Attempt> renderedAttempts = List.of();
 
     Chunk(Job job, int number) {
       this.job = job;
@@ -48,7 +47,7 @@
 
   private final ClusterVersion clusterVersion;
 
-  /** Tasks of a chunk in entries that do not say it. */
+  /** Chunk size of entries that do not store it. */
   private final int unversionedChunkTasks;
 
   private final int chunkTasks;
@@ -79,15 +78,15 @@
             commit);
   }
 
-  /** Tasks of a chunk, such that no pattern of completions outgrows half a page. */
+  /** The chunk size with which no pattern of completions exceeds half a page. */
   private static int chunkTasks(int valueBytes) {
     return Math.max(16, RecordPages.capacity(valueBytes) / 2 / MAX_RANGE_BYTES - 8);
   }
 
-  /** Stores that a task of the job is complete, as the attempt reported. */
+  /** Stores that the attempt's task is complete. */
   void store(Job job, Attempt attempt) {
-    Chunk chunk = chunk(job, attempt.task / chunkingOf(job).tasks);
-    chunk.waiting.add(attempt);
+    Chunk chunk = chunk(job, attempt.task / chunkingOf(job).tasksPerChunk);
+    chunk.unconfirmedAttempts.add(attempt);
     if (!job.finalStatePending) {
       pages.store(chunk);
     }
@@ -109,7 +108,7 @@
   }
 
   private JsonNode encode(Chunk chunk) {
-    chunk.beingStored = List.copyOf(chunk.waiting);
+    chunk.renderedAttempts = List.copyOf(chunk.unconfirmedAttempts);
     BitSet done = chunk.job.done;
     if (!chunk.job.unprovenDone.isEmpty()) {
       done = (BitSet) done.clone();
@@ -117,37 +116,39 @@
     }
     Chunking chunking = chunkingOf(chunk.job);
     String id = chunk.job.spec.id();
-    return chunking.explicit
-        ? RecordWire.completionsWithChunkSize(id, done, chunk.number, chunking.tasks)
-        : RecordWire.completions(id, done, chunk.number, chunking.tasks);
+    return chunking.storesChunkTasks
+        ? RecordWire.completionsWithChunkSize(id, done, chunk.number, chunking.tasksPerChunk)
+        : RecordWire.completions(id, done, chunk.number, chunking.tasksPerChunk);
   }
 
   private static void onStored(Chunk chunk) {
-    chunk.beingStored.forEach(attempt -> attempt.mayBeForgotten = true);
-    chunk.waiting.removeAll(chunk.beingStored);
-    chunk.beingStored = List.of();
+    chunk.renderedAttempts.forEach(attempt -> attempt.mayBeForgotten = true);
+    chunk.unconfirmedAttempts.removeAll(chunk.renderedAttempts);
+    chunk.renderedAttempts = List.of();
   }
 
-  /** The job's final state is stored, so its completions are not needed any more. */
+  /** Drops the completions of a job whose final state is stored. */
   void discard(Job job) {
     chunkings.remove(job);
     Map<Integer, Chunk> ofJob = chunks.remove(job);
     if (ofJob != null) {
       ofJob
           .values()
-          .forEach(chunk -> chunk.waiting.forEach(attempt -> attempt.mayBeForgotten = true));
+          .forEach(
+              chunk -> chunk.unconfirmedAttempts.forEach(attempt -> attempt.mayBeForgotten = true));
     }
   }
 
-  /** Takes over a page that exists at the start of a term. */
+  /** Registers a page that exists at the start of a term. */
   void restorePage(String page) {
     pages.restorePage(page);
   }
 
   /**
-   * Takes over an entry read at the start of a term, once the job holds the completions of all
-   * entries. Of a chunk's copies the newest holds everything, and only that one must not be lost.
-   * Entries that are divided otherwise than the job's first one are stored anew as that one is.
+   * Restores an entry read at the start of a term, after the completions of all entries were added
+   * to the job. Of several copies of a chunk's entry only the newest, which is complete, has to be
+   * retained. If the chunk size differs from that of the job's first restored entry, all chunks of
+   * the job are stored again with the chunk size of that entry.
    */
   void restore(String page, Job job, RecordWire.StoredCompletions entry) {
     Chunking stored =
@@ -156,7 +157,7 @@
             : new Chunking(entry.chunkTasks(), true);
     Chunking chunking = chunkings.computeIfAbsent(job, j -> stored);
     if (!chunking.equals(stored)) {
-      int last = job.spec.tasks() / chunking.tasks;
+      int last = job.spec.tasks() / chunking.tasksPerChunk;
       for (int number = 0; number <= last; number++) {
         pages.store(chunk(job, number));
       }
@@ -169,12 +170,12 @@
     }
   }
 
-  /** Stores a page anew, since its value cannot be read. */
+  /** Writes a page again from memory, because its stored value cannot be read. */
   void rewritePage(String page) {
     pages.rewritePage(page);
   }
 
-  /** Begins to evacuate an oversized page; false when there is none. */
+  /** See {@link RecordPages#evacuateOversizedPage}. */
   boolean evacuateOversizedPage() {
     return pages.evacuateOversizedPage();
   }
--- a/src/main/java/io/pineladder/store/JobPage.java
+++ b/src/main/java/io/pineladder/store/JobPage.java
@@ -11,28 +11,28 @@
 import java.util.TreeMap;
 
 /**
- * One value of the store with records of jobs and notifications of final states. What it holds to
- * be stored changes only when a transaction has committed; its capacity is reserved before.
+ * A store value that contains job records and notifications of final states. Its content here is
+ * the committed content; capacity is reserved before a change is committed.
  */
 final class JobPage {
   final String key;
 
-  /** The records that are stored, by job id. */
+  /** The committed records, by job ID. */
   private final Map<String, JsonNode> records = new LinkedHashMap<>();
 
-  /** The notifications that are stored, by number. */
+  /** The committed notifications, by number. */
   private final Map<Long, Notification> notifications = new TreeMap<>();
 
-  /** The jobs whose record is or will be here, by id. */
+  /** The jobs whose record is or will be in this page, by job ID. */
   private final Map<String, Job> jobs = new LinkedHashMap<>();
 
-  /** The most bytes that its content takes, that included which is not stored yet. */
+  /** Upper bound of the content's size, uncommitted content included. */
   private int reservedBytes;
 
-  /** An earlier leader left it larger than a value may be. */
-  private boolean inheritedTooLarge;
+  /** Whether it exceeded the capacity when that was lowered. */
+  private boolean wasOversized;
 
-  /** It is being divided: no transaction may change it but the one that deletes it. */
+  /** While it is being divided, only the transaction that deletes it may change it. */
   private boolean dividing;
 
   JobPage(String key) {
@@ -41,7 +41,7 @@
 
   // ---- capacity
 
-  /** The most bytes that its next value can take. */
+  /** Upper bound of the size of its next value. */
   int maxValueBytes() {
     return RecordPages.PAGE_OVERHEAD_BYTES + reservedBytes;
   }
@@ -58,22 +58,21 @@
     reservedBytes -= bytes;
   }
 
-  /** From here on the page is not stored as long as it exceeds the capacity, if it does now. */
-  void markTooLarge(int capacity) {
-    inheritedTooLarge = reservedBytes > capacity;
+  /** Marks the page if it exceeds the capacity now; it is not stored again until it fits. */
+  void markIfOversized(int capacity) {
+    wasOversized = reservedBytes > capacity;
   }
 
-  /** Whether it exceeded the capacity when that was lowered. */
-  boolean isInheritedTooLarge() {
-    return inheritedTooLarge;
+  boolean wasOversized() {
+    return wasOversized;
   }
 
-  /** Whether it was left too large and still is. */
+  /** Whether it was marked as oversized and still exceeds the capacity. */
   boolean isOversized(int capacity) {
-    return inheritedTooLarge && reservedBytes > capacity;
+    return wasOversized && reservedBytes > capacity;
   }
 
-  /** No edit but the copies' may use it any more; it is deleted in the end. */
+  /** Excludes all edits, because the page is copied to other pages and then deleted. */
   void beginDivision() {
     dividing = true;
   }
@@ -84,7 +83,7 @@
 
   // ---- content
 
-  /** The jobs whose record is or will be here. */
+  /** The jobs whose record is or will be in this page. */
   Collection<Job> jobs() {
     return jobs.values();
   }
@@ -97,12 +96,12 @@
     jobs.remove(job.spec.id(), job);
   }
 
-  /** The stored record of a job, or null. */
+  /** The committed record of a job, or null. */
   JsonNode record(String jobId) {
     return records.get(jobId);
   }
 
-  /** A record is known to be stored here. */
+  /** Adds a committed record. */
   void putRecord(String jobId, JsonNode record) {
     records.put(jobId, record);
   }
@@ -111,19 +110,19 @@
     return !notifications.isEmpty();
   }
 
-  /** A notification is known to be stored here. */
+  /** Adds a committed notification. */
   void putNotification(Notification notification) {
     notifications.put(notification.number(), notification);
   }
 
-  /** Leaves a notification out of the next value, if it is still in this one. */
+  /** Removes a notification from the next value and releases its capacity. */
   void removeNotification(long number, int bytes) {
     if (notifications.remove(number) != null) {
       reservedBytes -= bytes;
     }
   }
 
-  /** Its value after these edits, which are applied only when they have committed. */
+  /** The value with these edits; the committed content stays as it is. */
   JsonNode render(List<JobPageEdit> edits) {
     Map<String, JsonNode> nextRecords = new LinkedHashMap<>(records);
     Map<Long, Notification> nextNotifications = new TreeMap<>(notifications);
@@ -131,7 +130,7 @@
     return RecordWire.page(nextRecords.values().stream(), nextNotifications.values());
   }
 
-  /** The transaction with these edits has committed. */
+  /** Applies these edits, whose transaction was committed. */
   void onCommitted(List<JobPageEdit> edits) {
     edits.forEach(edit -> edit.apply(records, notifications));
     edits.forEach(JobPageEdit::onCommitted);
--- a/src/main/java/io/pineladder/store/JobPageDivider.java
+++ b/src/main/java/io/pineladder/store/JobPageDivider.java
@@ -11,20 +11,20 @@
 import java.util.function.Consumer;
 
 /**
- * Divides pages of jobs that an earlier leader left larger than a value may be now. Such a page
- * cannot be stored with fewer jobs as long as the rest is still too large.
+ * Divides job pages that exceed the value limit because an earlier leader wrote them under a higher
+ * one. Removing a few jobs does not help: the page cannot be stored until the rest fits.
  *
- * <p>Its jobs are copied to other pages in bounded steps, and the last step deletes it. Until then
- * the page counts and the copies, which name it, do not; so each step is safe when it is the last,
- * and what changes the page waits.
+ * <p>The page's records are copied to other pages in bounded steps, and the last step deletes the
+ * page. Each copy names the page that it was copied from and is ignored while that page exists, so
+ * the division may stop after any step. Mutations that change the page are deferred meanwhile.
  */
 final class JobPageDivider {
-  /** Where a record of a page that is being divided goes, and the bytes reserved for it there. */
+  /** The page that a record is copied to, and the bytes reserved for it there. */
   private record CopyTarget(JobPage page, int recordBytes) {}
 
   private final JobPages pages;
 
-  /** Pages that hold copies which do not count, by the key of the page that was to be divided. */
+  /** Pages with ignored copies, by the key of the page that the copies were made from. */
   private final Map<String, List<JobPage>> copiesByDividedPage = new HashMap<>();
 
   JobPageDivider(JobPages pages) {
@@ -32,23 +32,24 @@
   }
 
   /**
-   * Takes over a page with a copy of a record, read at the start of a term. The copy does not
-   * count, since the page that it names exists.
+   * Registers a page with an ignored copy, read at the start of a term.
+   *
+   * @param key the page that contains the copy
+   * @param source the page that the copy was made from, which still exists
    */
   void restoreCopy(String key, String source) {
     copiesByDividedPage.computeIfAbsent(source, s -> new ArrayList<>(2)).add(pages.restore(key));
     pages.reserveNumber(source);
   }
 
-  /** From here on a page that is too large is not stored again, but divided. */
+  /** Marks all pages that exceed the capacity; they are divided instead of stored again. */
   void markOversizedPages() {
-    pages.pages().forEach(page -> page.markTooLarge(pages.capacity()));
+    pages.pages().forEach(page -> page.markIfOversized(pages.capacity()));
   }
 
   /**
-   * A page that has to be divided and can be, or null: one that is too large, holds no
-   * notification, now or once the transaction in flight is stored, and no record that takes more
-   * than a value by itself.
+   * Returns an oversized page that can be divided, or null. A page cannot be divided while it
+   * contains a notification or one is in flight for it, or if a single record exceeds the capacity.
    */
   JobPage nextOversizedPage() {
     for (JobPage page : pages.pages()) {
@@ -67,11 +68,11 @@
   }
 
   /**
-   * Divides a page: from here on nothing else may change it.
+   * Divides a page. No other mutation may change it from here on.
    *
-   * @param maxEditsPerMutation jobs copied by one mutation at most
-   * @param commit takes the mutations, which have to be carried out in their order
-   * @param onDivided called when the page is deleted; mutations that waited may go on
+   * @param maxEditsPerMutation maximum number of records that one mutation copies
+   * @param commit accepts the mutations, which must be committed in order
+   * @param onDivided called when the page is deleted, after which deferred mutations may proceed
    */
   void divide(
       JobPage page, int maxEditsPerMutation, Consumer<Mutation> commit, Runnable onDivided) {
@@ -101,10 +102,10 @@
             }));
   }
 
-  /** The edits that copy the page's records, by page; fills in where each job's copy goes. */
+  /** Returns the edits that copy the page's records, by target page; fills in the targets. */
   private Map<JobPage, List<JobPageEdit>> planCopies(JobPage page, Map<Job, CopyTarget> targets) {
     Map<JobPage, List<JobPageEdit>> copies = new LinkedHashMap<>();
-    // Copies of it that an earlier leader made would count as soon as it is deleted.
+    // Copies made by an earlier leader would become effective when the page is deleted.
     for (JobPage stale : copiesByDividedPage.getOrDefault(page.key, List.of())) {
       copies.computeIfAbsent(stale, s -> new ArrayList<>()).add(JobPageEdit.rewrite(pages, stale));
     }
@@ -120,7 +121,7 @@
     return copies;
   }
 
-  /** The page is deleted: the copies of its records count from here on. */
+  /** Makes the copies effective, because the page that they were made from is deleted. */
   private void onPageDeleted(JobPage page, Map<Job, CopyTarget> targets) {
     copiesByDividedPage.remove(page.key);
     pages.removePage(page);
@@ -132,7 +133,7 @@
             target.page.putRecord(id, RecordWire.withoutCopySource(copy));
             pages.moveTo(target.page, job);
           } else {
-            // The job had ended before the first copy was made.
+            // The job's record was removed before it could be copied.
             target.page.release(target.recordBytes);
           }
         });
--- a/src/main/java/io/pineladder/store/JobPageEdit.java
+++ b/src/main/java/io/pineladder/store/JobPageEdit.java
@@ -8,30 +8,29 @@
 import java.util.function.Supplier;
 
 /**
- * A change of one entry of a page of jobs, made in the same transaction as a mutation's other
- * writes. It is put into one transaction after another until one has committed.
+ * A change to one entry of a job page, made in the same transaction as the mutation's other writes.
+ * It is included in successive transactions until one is committed.
  */
 final class JobPageEdit {
-  /** What changes. */
   private enum Kind {
-    /** A job's record is added. */
+    /** Adds a job's record. */
     ADD,
-    /** A job's record is replaced, if it is there. */
+    /** Replaces a job's record if it exists. */
     REPLACE,
-    /** A job's record is removed. */
+    /** Removes a job's record. */
     REMOVE,
-    /** A record of a page that is being divided is copied, with the name of that page. */
+    /** Copies a record from a page that is being divided; the copy names that page. */
     COPY,
-    /** The notification that a job has ended is added. */
+    /** Adds the notification of a job's final state. */
     ADD_NOTIFICATION,
-    /** Nothing changes: the page is stored anew. */
+    /** Writes the page again without a change. */
     REWRITE
   }
 
   private final JobPages pages;
   private final Kind kind;
 
-  /** Whose record it is; null for a change of none. */
+  /** The job whose entry changes; null for {@link Kind#REWRITE}. */
   private final Job job;
 
   private final String jobId;
@@ -43,16 +42,16 @@
   /** The capacity reserved for a notification. */
   private final int notificationBytes;
 
-  /** Where the change is made; null for the job's page at the time. */
+  /** The page to change; null for the page that contains the job's record at the time. */
   private JobPage assignedPage;
 
-  /** The record as last rendered, which is what a committed transaction holds. */
+  /** The record as last rendered; once a transaction is committed, the record in it. */
   private JsonNode rendered;
 
-  /** The notification as last allocated; null when there is no subscriber. */
+  /** The notification as last allocated; null when no subscriber wants it. */
   private Notification notification;
 
-  /** It is part of a transaction that is in flight, or was when it was last checked. */
+  /** Whether it is part of a transaction that may be in flight. */
   private boolean inFlight;
 
   private JobPageEdit(
@@ -97,25 +96,25 @@
     return new JobPageEdit(pages, Kind.REWRITE, page, null, null, null, 0);
   }
 
-  /** The page that it changes now: a job's record moves when its page is divided. */
+  /** The page that it changes at present; a job's record moves when its page is divided. */
   JobPage page() {
     return assignedPage != null ? assignedPage : pages.pageOf(job);
   }
 
-  /** Whether it has to wait until its page is divided. */
-  boolean mustWait() {
+  /** Whether it must be deferred until its page is divided. */
+  boolean mustBeDeferred() {
     JobPage page = page();
     if (page == null) {
       return false;
     }
-    if (page.isDividing() || !page.isInheritedTooLarge()) {
+    if (page.isDividing() || !page.wasOversized()) {
       return page.isDividing();
     }
     int removedBytes = kind == Kind.REMOVE ? pages.recordBytes(job) : 0;
     return page.reservedBytes() - removedBytes > pages.capacity();
   }
 
-  /** It waits, and is part of no transaction. */
+  /** Marks it as part of no transaction. */
   void defer() {
     inFlight = false;
   }
@@ -124,7 +123,7 @@
     return inFlight;
   }
 
-  /** Renders the entry as it is now; called once for each transaction it is put into. */
+  /** Renders the present entry; called once for each transaction that includes this edit. */
   void prepare() {
     inFlight = true;
     switch (kind) {
@@ -139,11 +138,11 @@
     }
   }
 
-  /** Makes the change in the content of the page. */
+  /** Applies the change to the content of a page. */
   void apply(Map<String, JsonNode> records, Map<Long, Notification> notifications) {
     switch (kind) {
       case ADD -> records.put(jobId, rendered);
-      case REPLACE -> records.computeIfPresent(jobId, (same, old) -> rendered);
+      case REPLACE -> records.computeIfPresent(jobId, (id, previous) -> rendered);
       case REMOVE -> records.remove(jobId);
       case COPY -> {
         if (rendered != null) {
@@ -160,19 +159,19 @@
     }
   }
 
-  /** Its page does not take the notification, which goes to another one. */
+  /** Moves the notification to another page, because its page is being divided. */
   void relocateNotification() {
     assignedPage.release(notificationBytes);
     assignedPage = pages.pageWithCapacity(notificationBytes);
     assignedPage.reserve(notificationBytes);
   }
 
-  /** The notification is not to be stored by this edit: its capacity is free again. */
+  /** Releases the capacity reserved for the notification, which this edit will not add. */
   void cancelNotification() {
     assignedPage.release(notificationBytes);
   }
 
-  /** The transaction has committed. */
+  /** Handles the commit of the transaction that includes this edit. */
   void onCommitted() {
     if (kind != Kind.ADD_NOTIFICATION) {
       return;
--- a/src/main/java/io/pineladder/store/JobPages.java
+++ b/src/main/java/io/pineladder/store/JobPages.java
@@ -14,38 +14,37 @@
 import java.util.function.Supplier;
 
 /**
- * The records of the jobs that leaders accepted, many in one value, so that a burst of submissions
- * does not cost a change of the store each.
+ * The records of the jobs that leaders accepted. A page contains many of them, so that a burst of
+ * submissions does not need one write to the store per job.
  *
- * <p>Unlike the entries of {@link RecordPages} a job is in one page only and leaves it in the very
- * transaction that stores its final state: a copy left behind would bring a job that has ended back
- * to life. So a page's next value is made from the edits of one transaction, and what this class
- * holds to be stored changes only when that transaction has committed.
+ * <p>Unlike an entry of {@link RecordPages}, a job's record is in one page only and is removed in
+ * the transaction that stores its final state; a stale copy would resurrect a completed job. A
+ * page's next value is therefore rendered from the edits of one transaction, and the committed
+ * content is updated only when that transaction is committed.
  *
- * <p>The notification that a job has ended takes its record's place in the page, in that same
- * transaction, and so costs no change of its own. It stays until all subscribers are known to have
- * it.
+ * <p>The notification of a job's final state replaces its record in the page in that transaction
+ * and so needs no additional write. It is retained until all subscribers have acknowledged it.
  */
 final class JobPages {
-  /** What a record may still grow by: a final state, a fault attribution. */
+  /** Reserve for the growth of a record: its final state and fault attribution. */
   private static final int RECORD_GROWTH_BYTES = 32;
 
-  /** No instant that a notification holds takes more bytes. */
+  /** The instant with the longest encoding in a notification. */
   private static final Instant LONGEST_INSTANT = Instant.ofEpochMilli(Long.MAX_VALUE / 1_000_000);
 
   private final NotificationLog notificationLog;
   private final int capacity;
 
-  /** All pages, in the order in which they are considered for new records. */
+  /** All pages, in the order in which they are considered for new content. */
   private final ArrayDeque<JobPage> pages = new ArrayDeque<>();
 
   private final Map<Job, JobPage> pageByJob = new HashMap<>();
   private final Map<Job, Integer> recordBytesByJob = new HashMap<>();
 
-  /** Notifications that are not stored yet. */
+  /** Notifications that are not committed yet. */
   private final Map<Job, JobPageEdit> pendingNotifications = new HashMap<>();
 
-  /** The page that gets new records, or null. */
+  /** The page that new content is added to, or null. */
   private JobPage openPage;
 
   private long nextPageNumber;
@@ -55,7 +54,7 @@
     this.notificationLog = notificationLog;
   }
 
-  /** Whether a job's record can be stored at all. */
+  /** Whether a job's record fits into a page. */
   static boolean fits(JsonNode record, int valueBytes) {
     return recordBytes(record) <= RecordPages.capacity(valueBytes);
   }
@@ -64,14 +63,14 @@
     return Json.bytes(record).length + 1 + RECORD_GROWTH_BYTES;
   }
 
-  /** The bytes that a notification takes in its page. */
+  /** The size of a notification in its page, in bytes. */
   static int notificationBytes(Notification notification) {
     return Json.bytes(RecordWire.notification(notification)).length + 1;
   }
 
-  // ---- what edits and division need
+  // ---- access for edits and division
 
-  /** The page in which the job's record is or will be, or null. */
+  /** The page that contains or will contain the job's record, or null. */
   JobPage pageOf(Job job) {
     return pageByJob.get(job);
   }
@@ -81,7 +80,7 @@
     return recordBytesByJob.get(job);
   }
 
-  /** What the content of one page may take, in bytes. */
+  /** Upper bound of the content of a page, in bytes. */
   int capacity() {
     return capacity;
   }
@@ -94,12 +93,12 @@
     return pages;
   }
 
-  /** The notifications that are to be stored in a page. */
+  /** The edits that add notifications to the page and are not committed yet. */
   List<JobPageEdit> pendingNotificationsIn(JobPage page) {
     return pendingNotifications.values().stream().filter(edit -> edit.page() == page).toList();
   }
 
-  /** A page with capacity for that many bytes, a new one if there is none. */
+  /** Returns a page with free capacity for that many bytes; creates one if there is none. */
   JobPage pageWithCapacity(int bytes) {
     if (openPage == null || openPage.reservedBytes() + bytes > capacity) {
       openPage = choosePage(bytes);
@@ -120,19 +119,20 @@
     return page;
   }
 
-  /** The job's record, whose bytes are reserved there, is in that page from here on. */
+  /** Records that the page contains the job's record; capacity was reserved before. */
   void moveTo(JobPage page, Job job) {
     page.addJob(job);
     pageByJob.put(job, page);
   }
 
-  /** The page is not stored any more. */
+  /** Removes a page that was deleted from the store. */
   void removePage(JobPage page) {
     pages.remove(page);
   }
 
   /**
-   * No new page may have the name of one that was divided, or copies of it would seem unfinished.
+   * Excludes the number in this page key from use for new pages. If a new page had the key of a
+   * divided page, copies made from the divided page would be ignored.
    */
   void reserveNumber(String key) {
     nextPageNumber = Math.max(nextPageNumber, RecordKeys.pageNumber(key, RecordKeys.JOB_PAGES) + 1);
@@ -140,7 +140,7 @@
 
   // ---- the start of a term
 
-  /** Takes over a page, if it is not known yet. */
+  /** Returns the page with this key; registers it if it is not known yet. */
   JobPage restore(String key) {
     for (JobPage page : pages) {
       if (page.key.equals(key)) {
@@ -153,13 +153,13 @@
     return page;
   }
 
-  /** Takes over a job's record. */
+  /** Restores a job's record in a page. */
   void restore(JobPage page, Job job, JsonNode record) {
     page.putRecord(job.spec.id(), record);
     assign(page, job, record);
   }
 
-  /** Takes over a notification. */
+  /** Restores a notification in a page. */
   void restore(JobPage page, Notification notification) {
     int bytes = notificationBytes(notification);
     page.putNotification(notification);
@@ -176,7 +176,7 @@
 
   // ---- edits
 
-  /** Adds a new job's record, in a page that has capacity for it. */
+  /** Returns an edit that adds a new job's record to a page with free capacity. */
   JobPageEdit addRecord(Job job, Supplier<JsonNode> value) {
     JsonNode record = value.get();
     JobPage page = pageWithCapacity(recordBytes(record));
@@ -184,23 +184,21 @@
     return JobPageEdit.add(this, page, job, value);
   }
 
-  /** Replaces the job's record. */
   JobPageEdit replaceRecord(Job job, Supplier<JsonNode> value) {
     return JobPageEdit.replace(this, job, value);
   }
 
-  /** Removes the job's record. */
   JobPageEdit removeRecord(Job job) {
     return JobPageEdit.remove(this, job);
   }
 
-  /** Stores a page anew from memory. */
+  /** Returns an edit that writes a page again from memory. */
   JobPageEdit rewrite(String key) {
     return JobPageEdit.rewrite(this, restore(key));
   }
 
-  /** The job's record is not stored, or not any more. */
-  void remove(Job job) {
+  /** Releases the capacity of a job whose record was removed or not stored. */
+  void removeJob(Job job) {
     JobPage page = pageByJob.remove(job);
     if (page != null) {
       page.release(recordBytesByJob.remove(job));
@@ -209,10 +207,10 @@
   }
 
   /**
-   * Adds the notification that a job has ended: in the page of its record, so that one value
-   * changes and not two, or where there is capacity.
+   * Returns an edit that adds the notification of a job's final state. It is added to the page of
+   * the job's record if it fits there, so that only one value changes, or else to another page.
    *
-   * @param removesRecord whether the record leaves its page in the same transaction
+   * @param removesRecord whether the record is removed in the same transaction
    */
   JobPageEdit addNotification(Job job, boolean removesRecord) {
     JobPageEdit previous = pendingNotifications.remove(job);
@@ -220,22 +218,21 @@
       previous.cancelNotification();
     }
     int bytes = maxNotificationBytes(job);
-    JobPage own = pageByJob.get(job);
-    // What leaves a page makes way for its notification there, unless the page is too large all
-    // the same.
+    JobPage ownPage = pageByJob.get(job);
+    // A removed record leaves enough space for its notification, unless the page is oversized.
     boolean fits =
-        own != null
+        ownPage != null
             && (removesRecord
-                ? !own.isInheritedTooLarge()
-                : own.reservedBytes() + bytes <= capacity);
-    JobPage page = fits ? own : pageWithCapacity(bytes);
+                ? !ownPage.wasOversized()
+                : ownPage.reservedBytes() + bytes <= capacity);
+    JobPage page = fits ? ownPage : pageWithCapacity(bytes);
     page.reserve(bytes);
     JobPageEdit edit = JobPageEdit.addNotification(this, page, job, bytes);
     pendingNotifications.put(job, edit);
     return edit;
   }
 
-  /** Numbers are given when a transaction is assembled; no notification is longer than this one. */
+  /** Upper bound of the notification's size; its number is allocated at transaction assembly. */
   private static int maxNotificationBytes(Job job) {
     return notificationBytes(
         new Notification(
@@ -248,12 +245,11 @@
             LONGEST_INSTANT));
   }
 
-  /** The transaction that adds the job's notification has committed. */
   void notificationCommitted(Job job) {
     pendingNotifications.remove(job);
   }
 
-  /** A notification is in the page; the log decides when it may leave. */
+  /** Reports a committed notification to the log, which decides when it is removed. */
   void notificationStored(JobPage page, Notification notification, int bytes) {
     notificationLog.onStored(
         notification, bytes, () -> page.removeNotification(notification.number(), bytes));
--- a/src/main/java/io/pineladder/store/JobRecords.java
+++ b/src/main/java/io/pineladder/store/JobRecords.java
@@ -14,9 +14,9 @@
 import java.util.function.Supplier;
 
 /**
- * The records of jobs, from acceptance to removal. A job that a leader accepted has its record in a
- * page; one that a node accepted without a leader has an unpaged record, a key of its own. While a
- * leader could not be reached a job may have got both.
+ * The records of jobs, from acceptance to removal. A job accepted by a leader has a record in a job
+ * page. A job accepted by another controller while it could not reach a leader has an unpaged
+ * record under its own key. A job submitted to both has both.
  */
 final class JobRecords {
   private final Consumer<Mutation> commit;
@@ -25,7 +25,7 @@
   private final CompletionRecords completions;
   private final JobPages pages;
 
-  /** Jobs in a page that have an unpaged record as well. */
+  /** Jobs that have an unpaged record in addition to the one in a page. */
   private final Set<Job> jobsWithUnpagedRecord = new HashSet<>();
 
   JobRecords(
@@ -59,7 +59,7 @@
         RecordKeys.FINAL_STATE + job.spec.id(), () -> RecordWire.finalState(job.state()));
   }
 
-  /** Sets whether a job in a page has an unpaged record as well. */
+  /** See {@link Records#setHasUnpagedRecord}. */
   void setHasUnpagedRecord(Job job, boolean present) {
     if (present) {
       jobsWithUnpagedRecord.add(job);
@@ -79,12 +79,12 @@
             List.of(RecordKeys.UNPAGED_JOB + id, RecordKeys.FINAL_STATE + id),
             onStored,
             () -> {
-              pages.remove(job);
+              pages.removeJob(job);
               onAlreadyExists.run();
             }));
   }
 
-  /** Stores whether the job's tasks fail by its own fault. */
+  /** See {@link Records#storeFaultAttribution}. */
   void storeFaultAttribution(Job job) {
     boolean paged = pages.pageOf(job) != null;
     commit.accept(
@@ -122,7 +122,7 @@
               onStored,
               null));
     } else {
-      // The final state has its own key at once: nodes without a leader read it there.
+      // Controllers without a leader read the final state from its own key.
       storePagedFinalState(
           job,
           () -> prepend(pages.replaceRecord(job, () -> encode(job)), notificationEdits(job, false)),
@@ -138,7 +138,7 @@
     job.recordRemovalPending = true;
     Runnable onStored =
         () -> {
-          pages.remove(job);
+          pages.removeJob(job);
           jobsWithUnpagedRecord.remove(job);
           finalStateStored(job);
           listener.onRemoved(job);
@@ -174,8 +174,8 @@
   }
 
   /**
-   * The notification of a final state, for the transaction that stores that state first: in one of
-   * its own either could be there without the other.
+   * Returns the edit that adds the notification, for the transaction that first stores the final
+   * state, so that neither is committed without the other.
    */
   private List<JobPageEdit> notificationEdits(Job job, boolean removesRecord) {
     return job.finalStateStored || !notificationLog.hasSubscribers()
@@ -184,9 +184,9 @@
   }
 
   /**
-   * Stores the final state of a job in a page, and sees to it that no unpaged record is left: a
-   * node that reached the store and not this leader may have stored the job again, and the copy
-   * would bring it back to life. Once the final state is stored no node creates another.
+   * Stores the final state of a job in a page and ensures that no unpaged record is left. A
+   * controller that could reach the store but not this leader may have stored the job again, and
+   * that record would resurrect the job. No controller creates one once the final state is stored.
    */
   private void storePagedFinalState(Job job, Supplier<List<JobPageEdit>> edits, Runnable onStored) {
     boolean hasUnpagedRecord = jobsWithUnpagedRecord.contains(job);
@@ -207,7 +207,7 @@
                     job, () -> storePagedFinalState(job, edits, onStored))));
   }
 
-  /** A final state that follows from another one is known without its record, which can wait. */
+  /** A cancellation by dependency can be derived from the prerequisite, so it is not urgent. */
   private static Priority finalStatePriority(Job job) {
     return job.cancelledByDependency ? Priority.CLEANUP : Priority.FINAL_STATE;
   }
@@ -221,7 +221,7 @@
     }
   }
 
-  /** Stores a page of jobs anew, since its value cannot be read. */
+  /** Writes a job page again from memory, because its stored value cannot be read. */
   void rewritePage(String page) {
     commit.accept(
         Mutation.withPageEdits(
--- a/src/main/java/io/pineladder/store/Mutation.java
+++ b/src/main/java/io/pineladder/store/Mutation.java
@@ -6,53 +6,53 @@
 import java.util.function.Supplier;
 
 /**
- * Changes to records that are made together or not at all. Values are asked for when the
- * transaction is put together, so a record that waits is written as it is then; a transaction that
- * was not executed asks for them again.
+ * An atomic set of changes to records. Values are supplied when a transaction is assembled, so a
+ * queued mutation writes the state at that time. If the transaction is not executed, they are
+ * supplied again for the next one.
  *
- * @param priority the order among waiting mutations
+ * @param priority the order among queued mutations
  * @param writes keys that are written or deleted
- * @param pageEdits changes of records in pages of jobs
- * @param mustNotExist keys that other nodes may create and that must be absent
- * @param stillWanted asked before the mutation is sent; it is dropped when false
- * @param onCommitted called when the transaction has committed
- * @param onAlreadyExists called instead when one of {@code mustNotExist} exists; null when there is
- *     none
+ * @param pageEdits changes to entries of job pages
+ * @param mustNotExist keys that other controllers may create and that must not exist
+ * @param isStillNeeded checked when a transaction is assembled; if false, the mutation is dropped
+ * @param onCommitted called when the transaction is committed
+ * @param onAlreadyExists called instead if a key of {@code mustNotExist} exists; null when that
+ *     list is empty
  */
 public record Mutation(
     Priority priority,
     List<Write> writes,
     List<JobPageEdit> pageEdits,
     List<String> mustNotExist,
-    BooleanSupplier stillWanted,
+    BooleanSupplier isStillNeeded,
     Runnable onCommitted,
     Runnable onAlreadyExists) {
 
-  /** The order in which waiting mutations get the write budget, the most urgent first. */
+  /** The order in which queued mutations use the write budget, the most urgent first. */
   public enum Priority {
-    /** Something that a user waits for, such as an accepted job. */
+    /** Changes that a user waits for, such as the acceptance of a job. */
     ACCEPTANCE,
-    /** Final states of jobs, and steps that those wait for. */
+    /** Final states of jobs, and changes that these wait for. */
     FINAL_STATE,
-    /** Placements, which starts of tasks wait for. */
+    /** Placements, which task starts wait for. */
     PLACEMENT,
     /** Completions of tasks. */
     COMPLETION,
-    /** What nobody waits for. */
+    /** Changes that nothing waits for. */
     CLEANUP
   }
 
-  /** A key with its new value; a supplied null deletes it. */
+  /** A key with the supplier of its new value; a supplied null deletes the key. */
   public record Write(String key, Supplier<JsonNode> value) {}
 
-  /** Changes to records that only the leader writes. */
+  /** Creates a mutation of keys that only the leader writes. */
   public static Mutation of(Priority priority, List<Write> writes, Runnable onCommitted) {
     return new Mutation(priority, writes, List.of(), List.of(), () -> true, onCommitted, null);
   }
 
   /**
-   * Changes to jobs' records together with other writes: {@code onAlreadyExists} is called instead
-   * of {@code onCommitted} when one of {@code mustNotExist}, which other nodes may create, exists.
+   * Creates a mutation of entries in job pages and of other keys. If a key of {@code mustNotExist}
+   * exists, {@code onAlreadyExists} is called instead of {@code onCommitted}.
    */
   static Mutation withPageEdits(
       Priority priority,
@@ -65,8 +65,8 @@
         priority, writes, pageEdits, mustNotExist, () -> true, onCommitted, onAlreadyExists);
   }
 
-  /** Whether it changes a page of jobs that is being divided, or has to be first. */
-  boolean mustWait() {
-    return pageEdits.stream().anyMatch(JobPageEdit::mustWait);
+  /** Whether it changes a job page that is being divided or must be divided first. */
+  boolean mustBeDeferred() {
+    return pageEdits.stream().anyMatch(JobPageEdit::mustBeDeferred);
   }
 }
--- a/src/main/java/io/pineladder/store/MutationQueue.java
+++ b/src/main/java/io/pineladder/store/MutationQueue.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Mutations that are in no transaction yet: a first-in, first-out queue for each priority, and
- * beside them those that are deferred until a page of jobs has been divided.
+ * Mutations that are not part of a transaction: a FIFO queue for each priority, and the mutations
+ * that are deferred until a job page is divided.
  */
 final class MutationQueue {
   private final EnumMap<Mutation.Priority, Deque<Mutation>> queues =
@@ -27,7 +27,7 @@
     queues.get(mutation.priority()).addLast(mutation);
   }
 
-  /** Puts mutations back before all others of their priority, in the given order. */
+  /** Puts mutations back at the head of their priority's queue, in the given order. */
   void requeue(List<Mutation> mutations) {
     for (int i = mutations.size() - 1; i >= 0; i--) {
       Mutation mutation = mutations.get(i);
@@ -35,25 +35,25 @@
     }
   }
 
-  /** Sets a mutation aside that changes a page which is being divided. */
+  /** Defers a mutation until the page that it changes is divided. */
   void defer(Mutation mutation) {
     mutation.pageEdits().forEach(JobPageEdit::defer);
     deferred.addLast(mutation);
   }
 
-  /** Puts all deferred mutations back, in the order in which they were deferred. */
+  /** Puts all deferred mutations back at the head of their queues, in their order. */
   void requeueDeferred() {
     List<Mutation> resumed = new ArrayList<>(deferred);
     deferred.clear();
     requeue(resumed);
   }
 
-  /** The queues themselves, of the highest priority first. */
+  /** The modifiable queues, highest priority first. */
   Collection<Deque<Mutation>> byPriority() {
     return queues.values();
   }
 
-  /** The mutation that is sent next, or null when none waits but deferred ones. */
+  /** The next mutation to send, or null; deferred mutations are not considered. */
   Mutation first() {
     for (Deque<Mutation> queue : queues.values()) {
       if (!queue.isEmpty()) {
@@ -63,7 +63,7 @@
     return null;
   }
 
-  /** The number of mutations, deferred ones included. */
+  /** The number of mutations, including deferred ones. */
   int size() {
     int count = deferred.size();
     for (Deque<Mutation> queue : queues.values()) {
--- a/src/main/java/io/pineladder/store/NotificationLog.java
+++ b/src/main/java/io/pineladder/store/NotificationLog.java
@@ -3,9 +3,9 @@
 import io.pineladder.model.Job;
 import io.pineladder.model.Notification;
 
-/** Numbers the notifications of final states and receives which of them are stored. */
+/** Numbers the notifications of final states and keeps track of which are committed. */
 public interface NotificationLog {
-  /** There is no subscriber. */
+  /** The log used when there are no subscribers. */
   NotificationLog DISABLED =
       new NotificationLog() {
         @Override
@@ -28,23 +28,23 @@
         public void onTransactionCommitted() {}
       };
 
-  /** Whether there is a subscriber that may want a notification of any job. */
+  /** Whether any subscriber may want notifications. */
   boolean hasSubscribers();
 
-  /** A transaction is assembled: numbers allocated since the last commit are free again. */
+  /** Begins the assembly of a transaction; numbers allocated since the last commit are reused. */
   void beginTransaction();
 
-  /** Numbers the notification of a job whose final state is stored; null when none is wanted. */
+  /** Numbers the notification of a job's final state; null when no subscriber wants it. */
   Notification allocate(Job job);
 
   /**
-   * The transaction with the notification has committed.
+   * Handles the commit of a notification.
    *
-   * @param storedBytes what it takes in its page
-   * @param removeFromPage leaves the notification out of its page from the next write on
+   * @param storedBytes the size of the notification in its page
+   * @param removeFromPage omits the notification from subsequent writes of its page
    */
   void onStored(Notification notification, int storedBytes, Runnable removeFromPage);
 
-  /** All notifications of the transaction were passed on; they may have come in any order. */
+  /** Called after {@link #onStored} for all notifications of a transaction, in any order. */
   void onTransactionCommitted();
 }
--- a/src/main/java/io/pineladder/store/OversizedPages.java
+++ b/src/main/java/io/pineladder/store/OversizedPages.java
@@ -8,30 +8,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores pages that earlier leaders left larger than a value may be now as pages that are not, at a
- * rate that leaves most of the write budget to what users wait for.
+ * Divides and evacuates pages that exceed the value limit because earlier leaders wrote them under
+ * a higher one. The rate is low, so that most of the write budget remains for users' changes.
  */
 final class OversizedPages {
   private static final Logger log = LoggerFactory.getLogger(OversizedPages.class);
 
-  /** Jobs copied in one change of a page at most. */
   private static final int MAX_COPIES_PER_MUTATION = 64;
 
-  /** Between two checks when no page is too large. */
+  /** Interval between checks while no page is oversized. */
   private static final Duration CHECK_INTERVAL = Duration.ofSeconds(5);
 
-  /** Between two pages of jobs: their changes yield to those that users wait for. */
+  /** Pause after a job page is divided. */
   private static final Duration DIVISION_INTERVAL = Duration.ofMillis(200);
 
-  /** Between two pages of placements, completions or images. */
+  /** Interval between evacuations of pages of placements, completions or images. */
   private static final Duration EVACUATION_INTERVAL = Duration.ofSeconds(3);
 
   private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
   private final JobPageDivider divider;
 
-  /** Begins to evacuate one page of another kind than jobs; false when none is too large. */
-  private final BooleanSupplier evacuateOne;
+  /** Starts to evacuate an oversized page of another kind; false when there is none. */
+  private final BooleanSupplier evacuateNextPage;
 
   private boolean started;
 
@@ -39,14 +38,14 @@
       EventLoop eventLoop,
       Consumer<Mutation> commit,
       JobPageDivider divider,
-      BooleanSupplier evacuateOne) {
+      BooleanSupplier evacuateNextPage) {
     this.eventLoop = eventLoop;
     this.commit = commit;
     this.divider = divider;
-    this.evacuateOne = evacuateOne;
+    this.evacuateNextPage = evacuateNextPage;
   }
 
-  /** See {@link Records#divideOversizedPages}; further calls have no effect. */
+  /** See {@link Records#divideOversizedPages}. Calls after the first have no effect. */
   void start(BooleanSupplier stillWanted, Runnable onDivided) {
     if (started) {
       return;
@@ -79,8 +78,7 @@
 
   private void evacuatePages(BooleanSupplier stillWanted) {
     if (stillWanted.getAsBoolean()) {
-      // One page at a time: the write budget is needed for service.
-      Duration interval = evacuateOne.getAsBoolean() ? EVACUATION_INTERVAL : CHECK_INTERVAL;
+      Duration interval = evacuateNextPage.getAsBoolean() ? EVACUATION_INTERVAL : CHECK_INTERVAL;
       eventLoop.schedule(interval, () -> evacuatePages(stillWanted));
     }
   }
--- a/src/main/java/io/pineladder/store/PendingTransaction.java
+++ b/src/main/java/io/pineladder/store/PendingTransaction.java
@@ -9,21 +9,20 @@
 import java.util.Map;
 
 /**
- * One compare-and-swap transaction of the leader, from its assembly until its outcome is known. Its
- * body never changes, so that a copy without a reply excludes every other copy.
+ * A compare-and-swap transaction of the leader, from its assembly until its outcome is known. Its
+ * body never changes, so that at most one of the copies sent is executed.
  */
 final class PendingTransaction {
   private final List<Mutation> mutations = new ArrayList<>();
   private final Map<String, JsonNode> values = new HashMap<>();
 
-  /** Changed pages of jobs, each with what the mutations change there. */
   private final Map<JobPage, List<JobPageEdit>> pageEdits = new LinkedHashMap<>();
 
   private byte[] body;
   private boolean ambiguous;
   private long highestRevisionWhenSent;
 
-  /** The mutations that are carried out together, in the order in which they were taken. */
+  /** The mutations in the transaction, in the order in which they were added. */
   List<Mutation> mutations() {
     return mutations;
   }
@@ -33,60 +32,60 @@
     return values;
   }
 
-  /** The changed pages of jobs with their edits. */
+  /** The changed job pages with their edits. */
   Map<JobPage, List<JobPageEdit>> pageEdits() {
     return pageEdits;
   }
 
-  /** The encoded request, the same for each attempt. */
+  /** The encoded request, identical for each copy. */
   byte[] body() {
     return body;
   }
 
-  /** Called once, when nothing more is added. */
+  /** Sets the encoded request; called once, after the last addition. */
   void setBody(byte[] encoded) {
     body = encoded;
   }
 
-  /** Whether a copy of it was sent whose outcome is unknown. */
+  /** Whether a copy was sent whose outcome is unknown. */
   boolean isAmbiguous() {
     return ambiguous;
   }
 
-  /** A copy was sent and may have been executed, or may be yet. */
+  /** Notes that a copy was sent that may have been executed or may still be. */
   void markAmbiguous() {
     ambiguous = true;
   }
 
-  /** It is known that no copy was executed. */
+  /** Notes that no copy was executed. */
   void markNotExecuted() {
     ambiguous = false;
   }
 
-  /** The highest revision of the store that was known when it was sent last. */
+  /** The highest known revision of the store when the last copy was sent. */
   long highestRevisionWhenSent() {
     return highestRevisionWhenSent;
   }
 
-  /** It is being sent while this revision is the highest known one. */
+  /** Notes that a copy is sent while this is the highest known revision. */
   void markSent(long highestRevision) {
     highestRevisionWhenSent = highestRevision;
   }
 
-  /** Whether it writes or deletes the key. */
-  boolean changes(String key) {
+  /** Whether the transaction writes or deletes the key. */
+  boolean changesKey(String key) {
     return values.containsKey(key);
   }
 
-  /** Whether a value is larger than the limit, in bytes of JSON. */
+  /** Whether an encoded value exceeds the limit. */
   boolean hasValueLargerThan(int valueBytes) {
     return values.values().stream()
         .anyMatch(value -> value != null && Json.bytes(value).length > valueBytes);
   }
 
   /**
-   * A key whose revision shows whether the transaction was executed. A deletion leaves no revision
-   * to compare, so it is chosen only if there is nothing else.
+   * Returns a key whose revision shows whether the transaction was executed. A deleted key has no
+   * revision to compare, so one is returned only if the transaction writes no other key.
    */
   String evidenceKey() {
     String chosen = null;
--- a/src/main/java/io/pineladder/store/PrefixScan.java
+++ b/src/main/java/io/pineladder/store/PrefixScan.java
@@ -6,17 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads all keys with a prefix, page by page; holds what has been read so far. */
+/** A paginated read of all keys with a prefix. */
 final class PrefixScan {
   private final RevisionTracker revisions;
   private final String prefix;
   private final List<StoreWire.Entry> entries = new ArrayList<>();
   private RevisionTracker.RequestContext context;
 
-  /** The revision of the first page, or -1 before it. */
+  /** The revision of the first page; -1 until it is read. */
   private long revision = -1;
 
-  /** The last key read, after which the next page begins; null before the first. */
+  /** The key after which the next page begins; null for the first page and after the last. */
   private String lastKey;
 
   private boolean complete;
@@ -26,14 +26,14 @@
     this.prefix = prefix;
   }
 
-  /** The path of the next page's request, which is sent now. */
+  /** Returns the request path of the next page; to be called when the request is sent. */
   String nextPath() {
     context = revisions.requestContext();
     String after = lastKey == null ? null : context.keyspace() + lastKey;
     return StoreWire.listPath(context.keyspace() + prefix, after);
   }
 
-  /** Takes in a reply; false when it is no valid page, so that the request is to be repeated. */
+  /** Adds the page in a reply; returns false when the reply is not a valid page. */
   boolean addPage(Reply reply) {
     if (!reply.is(200)) {
       return false;
@@ -44,7 +44,7 @@
         return false;
       }
       entries.addAll(page.entries());
-      // Changes made while later pages are read are seen again by following from the first.
+      // Watching from the first page's revision covers changes made during the scan.
       revision = revision < 0 ? page.revision() : revision;
       lastKey = page.nextPageAfter();
       complete = lastKey == null;
@@ -54,12 +54,11 @@
     }
   }
 
-  /** Whether the last page was taken in. */
   boolean isComplete() {
     return complete;
   }
 
-  /** Everything read, with the revision from which changes are to be followed. */
+  /** The entries read, with the revision from which to watch for changes. */
   StoreClient.Listing listing() {
     return new StoreClient.Listing(entries, revision);
   }
--- a/src/main/java/io/pineladder/store/RecordAudit.java
+++ b/src/main/java/io/pineladder/store/RecordAudit.java
@@ -8,25 +8,25 @@
 import java.util.function.Predicate;
 
 /**
- * One step of the audit: some records whose revisions are compared with what the leader last knew,
- * in a transaction that changes nothing.
+ * One step of the audit, which compares the revisions of some records with those last known to the
+ * leader, in a transaction that changes nothing.
  */
 final class RecordAudit {
-  /** Records compared in a step; more would take the processor from what waits. */
+  /** Maximum number of records per step; limits how long a step occupies the event thread. */
   private static final int MAX_RECORDS = 100;
 
   private final NavigableMap<String, Long> revisions;
   private final Predicate<String> isInFlight;
   private final TreeMap<String, Long> expected = new TreeMap<>();
-  private final boolean last;
+  private final boolean lastStep;
 
   /**
-   * Chooses the records of a step.
+   * Selects the records of a step.
    *
-   * @param revisions the revisions as last known, which may change while the step is under way
-   * @param isInFlight whether a transaction that is under way changes the key
-   * @param after the last key of the step before, or null for the first step
-   * @param maxConditions conditions that the service allows beside those that fence
+   * @param revisions the last known revisions; a live view, which may change during the step
+   * @param isInFlight whether a transaction in flight changes the key
+   * @param after the last key of the previous step; null for the first step
+   * @param maxConditions conditions that the store allows in addition to the fencing ones
    */
   RecordAudit(
       NavigableMap<String, Long> revisions,
@@ -36,8 +36,8 @@
     this.revisions = revisions;
     this.isInFlight = isInFlight;
     int maxRecords = Math.min(MAX_RECORDS, maxConditions);
-    var rest = after == null ? revisions : revisions.tailMap(after, false);
-    for (Map.Entry<String, Long> each : rest.entrySet()) {
+    var remaining = after == null ? revisions : revisions.tailMap(after, false);
+    for (Map.Entry<String, Long> each : remaining.entrySet()) {
       if (expected.size() == maxRecords) {
         break;
       }
@@ -45,24 +45,23 @@
         expected.put(each.getKey(), each.getValue());
       }
     }
-    last = expected.size() < maxRecords;
+    lastStep = expected.size() < maxRecords;
   }
 
-  /** The last key that is compared, or null when no further step is needed. */
+  /** The last key of this step; null when no further step is needed. */
   String lastKey() {
-    return last ? null : expected.lastKey();
+    return lastStep ? null : expected.lastKey();
   }
 
-  /** Adds the conditions of this step to a fenced transaction. */
-  StoreWire.Transaction addTo(StoreWire.Transaction fenced) {
+  StoreWire.Transaction addConditionsTo(StoreWire.Transaction fenced) {
     expected.forEach(fenced::require);
     return fenced;
   }
 
   /**
-   * The keys that differ in the store without having been written meanwhile.
+   * Returns the keys that differ in the store and were not written during the step.
    *
-   * @param failed the keys whose conditions did not hold, all of them of this step
+   * @param failed the keys of this step whose conditions do not hold
    */
   List<String> differing(List<String> failed) {
     return failed.stream()
--- a/src/main/java/io/pineladder/store/RecordPages.java
+++ b/src/main/java/io/pineladder/store/RecordPages.java
@@ -19,32 +19,32 @@
 import java.util.function.Predicate;
 
 /**
- * Many small entries packed into few values, so that the changes to the store do not grow with the
- * tasks. An entry that is new or has changed goes to whichever page is written next; older copies
- * of it stay in their pages until those are written for other entries. So readers must not mind an
- * old copy: what is packed here is either immutable or only ever grows.
+ * Packs many small entries into few values, so that the number of writes does not grow with the
+ * number of tasks. A new or changed entry is added to whichever page is written next; its older
+ * copies stay in their pages until these are written for other entries. Readers must tolerate stale
+ * copies, so entries are either immutable or grow monotonically.
  *
- * <p>A page that an earlier leader left larger than a value may be now is not stored again as long
- * as its live content is too large: its entries are stored in other pages first.
+ * <p>A page may exceed the value limit if an earlier leader wrote it under a higher one. While its
+ * live entries do not fit, it is not written; they are stored in other pages first.
  *
- * @param <T> what an entry is of; compared by identity or as its {@code equals} does
+ * @param <T> the object that an entry describes; used as a map key
  */
 final class RecordPages<T> {
-  /** Small pages cost little to write again for a few entries; many go into one transaction. */
+  /** Bounds the cost of rewriting a page, and lets several pages share a transaction. */
   private static final int MAX_PAGE_BYTES = 12 * 1024;
 
-  /** What a page takes beside its entries. */
+  /** Size of a page without entries, in bytes (upper bound). */
   static final int PAGE_OVERHEAD_BYTES = 64;
 
   /**
-   * One kind of entries.
+   * A kind of entry.
    *
-   * @param prefix the prefix of its pages' keys
-   * @param priority the priority of writes that store new content
+   * @param prefix the prefix of the page keys
+   * @param priority the priority of writes with new or changed entries
    * @param flushInterval how long entries are collected before a page is written
-   * @param isLive whether an entry is still to be stored
-   * @param encoder renders an entry as it is now
-   * @param onStored called for each entry that a committed page has added
+   * @param isLive whether an entry still has to be stored
+   * @param encoder encodes the present content of an entry
+   * @param onStored called for each new or changed entry once its page is committed
    */
   record EntryKind<T>(
       String prefix,
@@ -54,23 +54,21 @@
       Function<T, JsonNode> encoder,
       Consumer<T> onStored) {}
 
-  /** An entry as it was encoded for its page. */
   private record EncodedEntry(JsonNode json, int bytes) {}
 
-  /** One value of the store. */
   private static final class Page<T> {
     final String key;
 
-    /** The content of its value as last rendered. */
+    /** The entries in its last rendered value. */
     final Map<T, EncodedEntry> entries = new LinkedHashMap<>();
 
-    /** Entries that the queued write adds. */
-    Set<T> beingStored = new LinkedHashSet<>();
+    /** New or changed entries in the queued write. */
+    Set<T> entriesBeingStored = new LinkedHashSet<>();
 
-    /** A mutation that writes it is not committed yet. */
+    /** Whether a mutation that writes the page is not committed yet. */
     boolean writeQueued;
 
-    /** It is too large: its entries are being stored elsewhere. */
+    /** Whether its entries are being stored in other pages because it is oversized. */
     boolean evacuating;
 
     Page(String key) {
@@ -83,29 +81,29 @@
   private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
 
-  /** Pages in the order in which they are filled, the one written last at the end. */
+  /** Pages in the order in which they are considered for new entries. */
   private final ArrayDeque<Page<T>> pages = new ArrayDeque<>();
 
-  /** The page that is known to be stored with an entry; its copy remains until another is. */
+  /** The page with the committed copy of an entry; that copy remains until another is committed. */
   private final Map<T, Page<T>> storedPage = new HashMap<>();
 
-  /** The page that is about to be stored with an entry's newest content. */
-  private final Map<T, Page<T>> beingStoredPage = new HashMap<>();
+  /** The page with a queued write of an entry's newest content. */
+  private final Map<T, Page<T>> pageBeingStored = new HashMap<>();
 
-  /** Entries that are in no page with their newest content. */
+  /** Entries whose newest content is in no page yet. */
   private final Set<T> pendingEntries = new LinkedHashSet<>();
 
   private long nextPageNumber;
   private boolean flushScheduled;
 
-  /** The page that is queued to take pending entries and is not rendered yet, or null. */
+  /** The queued page that pending entries will be added to when it is rendered, or null. */
   private Page<T> pageToFill;
 
   /**
-   * Pages of one kind of entries.
+   * Creates the pages of a kind of entry.
    *
-   * @param valueBytes the most bytes of a value
-   * @param commit takes mutations, which are carried out in their order
+   * @param valueBytes maximum size of a value
+   * @param commit accepts mutations, which are committed in order
    */
   RecordPages(EntryKind<T> kind, int valueBytes, EventLoop eventLoop, Consumer<Mutation> commit) {
     this.kind = kind;
@@ -114,19 +112,19 @@
     this.commit = commit;
   }
 
-  /** What the entries of one page may take together, in bytes. */
+  /** Upper bound of the total size of a page's entries, in bytes. */
   static int capacity(int valueBytes) {
     return Math.min(valueBytes, MAX_PAGE_BYTES) - PAGE_OVERHEAD_BYTES;
   }
 
-  /** Takes over an entry read at the start of a term. */
+  /** Restores an entry read at the start of a term. */
   void restore(String key, T entry, JsonNode json) {
     Page<T> page = restorePage(key);
     page.entries.put(entry, encode(json));
     storedPage.put(entry, page);
   }
 
-  /** Takes over a page read at the start of a term, so that its key is not used for a new one. */
+  /** Returns the page with this key; registers it if it is not known yet. */
   Page<T> restorePage(String key) {
     for (Page<T> page : pages) {
       if (page.key.equals(key)) {
@@ -143,7 +141,7 @@
     return new EncodedEntry(json, Json.bytes(json).length + 1);
   }
 
-  /** The entry is new, or has changed since it was stored. */
+  /** Stores an entry that is new or has changed. */
   void store(T entry) {
     pendingEntries.add(entry);
     if (!flushScheduled) {
@@ -152,19 +150,19 @@
     }
   }
 
-  /** Writes the pages of these entries again soon, since they are not live any more. */
+  /** Writes the pages of these entries again, because the entries are no longer live. */
   void rewritePagesOf(Iterable<T> entries) {
-    Set<Page<T>> touched = new LinkedHashSet<>();
+    Set<Page<T>> affectedPages = new LinkedHashSet<>();
     for (T entry : entries) {
       Page<T> page = storedPage.get(entry);
       if (page != null && !page.writeQueued) {
-        touched.add(page);
+        affectedPages.add(page);
       }
     }
-    touched.forEach(this::rewriteOrEvacuate);
+    affectedPages.forEach(this::rewriteOrEvacuate);
   }
 
-  /** Writes the page again from memory. */
+  /** Writes a page again from memory. */
   void rewritePage(String key) {
     Page<T> page = restorePage(key);
     if (!page.writeQueued) {
@@ -180,7 +178,7 @@
     }
   }
 
-  /** Begins to store the content of one oversized page elsewhere; false when there is none. */
+  /** Starts to evacuate an oversized page; returns false when there is none. */
   boolean evacuateOversizedPage() {
     for (Page<T> page : pages) {
       if (!page.writeQueued && !page.evacuating && prune(page) > capacity) {
@@ -191,7 +189,7 @@
     return false;
   }
 
-  /** Stores what is live in the page elsewhere, after which it can be stored again. */
+  /** Stores the page's entries in other pages, after which it can be written again. */
   private void evacuate(Page<T> page) {
     if (!page.evacuating) {
       page.evacuating = true;
@@ -204,7 +202,7 @@
     queueNextPage();
   }
 
-  /** Queues a write; what the page has no capacity for when it is rendered waits for the next. */
+  /** Queues a page for pending entries; those that do not fit into it go to the next one. */
   private void queueNextPage() {
     if (!pendingEntries.isEmpty() && pageToFill == null) {
       pageToFill = choosePage();
@@ -212,7 +210,7 @@
     }
   }
 
-  /** The next page in order that is at most half full of live entries; a new one if none is. */
+  /** Returns the next page that is at most half full of live entries, or a new page. */
   private Page<T> choosePage() {
     for (int i = pages.size(); i > 0; i--) {
       Page<T> page = pages.pollFirst();
@@ -226,23 +224,23 @@
     return page;
   }
 
-  /** Drops entries that are not live or are stored in another page; returns the bytes left. */
+  /** Drops entries that are not live or are stored in another page; returns the remaining bytes. */
   private int prune(Page<T> page) {
     int bytes = 0;
     var entries = page.entries.entrySet().iterator();
     while (entries.hasNext()) {
       Map.Entry<T, EncodedEntry> each = entries.next();
       T entry = each.getKey();
-      boolean here = storedPage.get(entry) == page || page.beingStored.contains(entry);
-      if (here && kind.isLive.test(entry)) {
+      boolean inThisPage = storedPage.get(entry) == page || page.entriesBeingStored.contains(entry);
+      if (inThisPage && kind.isLive.test(entry)) {
         bytes += each.getValue().bytes;
         continue;
       }
       entries.remove();
-      if (here) {
+      if (inThisPage) {
         storedPage.remove(entry, page);
-        beingStoredPage.remove(entry, page);
-        page.beingStored.remove(entry);
+        pageBeingStored.remove(entry, page);
+        page.entriesBeingStored.remove(entry);
       }
     }
     return bytes;
@@ -257,7 +255,7 @@
             () -> onPageStored(page)));
   }
 
-  /** The page's next value; rendered again when the transaction was not executed. */
+  /** Renders the page's next value; called again if the transaction is not executed. */
   private JsonNode nextValue(Page<T> page) {
     if (page == pageToFill) {
       pageToFill = null;
@@ -276,7 +274,7 @@
       int additionalBytes = encoded.bytes - (previous == null ? 0 : previous.bytes);
       if (bytes + additionalBytes > capacity) {
         if (encoded.bytes > capacity) {
-          // Of completions, a pattern that no value holds: it becomes shorter as its gaps close.
+          // A pattern of completions too long for any page; it shortens as its gaps close.
           continue;
         }
         break;
@@ -285,31 +283,31 @@
       bytes += additionalBytes;
       add(page, entry, encoded);
     }
-    // Another page may go into the same transaction.
+    // The transaction may have capacity for another page.
     queueNextPage();
     return RecordWire.page(page.entries.values().stream().map(EncodedEntry::json));
   }
 
   private void add(Page<T> page, T entry, EncodedEntry encoded) {
     page.entries.put(entry, encoded);
-    page.beingStored.add(entry);
-    Page<T> other = beingStoredPage.put(entry, page);
-    if (other != null && other != page) {
-      // Stored after this one, its older content would count as the newest.
-      other.beingStored.remove(entry);
-      if (storedPage.get(entry) != other) {
-        other.entries.remove(entry);
+    page.entriesBeingStored.add(entry);
+    Page<T> superseded = pageBeingStored.put(entry, page);
+    if (superseded != null && superseded != page) {
+      // If it is committed later, its older content must not be taken for the newest.
+      superseded.entriesBeingStored.remove(entry);
+      if (storedPage.get(entry) != superseded) {
+        superseded.entries.remove(entry);
       }
     }
   }
 
   private void onPageStored(Page<T> page) {
     page.writeQueued = false;
-    Set<T> added = page.beingStored;
-    page.beingStored = new LinkedHashSet<>();
+    Set<T> added = page.entriesBeingStored;
+    page.entriesBeingStored = new LinkedHashSet<>();
     for (T entry : added) {
       Page<T> previous = storedPage.put(entry, page);
-      beingStoredPage.remove(entry, page);
+      pageBeingStored.remove(entry, page);
       kind.onStored.accept(entry);
       if (previous != null && previous.evacuating && prune(previous) <= capacity) {
         previous.evacuating = false;
--- a/src/main/java/io/pineladder/store/Records.java
+++ b/src/main/java/io/pineladder/store/Records.java
@@ -20,38 +20,38 @@
 import java.util.function.Consumer;
 
 /**
- * The durable records of one term, kept in step with the leader's memory: jobs, placements,
- * completions and cached images, packed into pages which only leaders write. What was read at the
- * start of the term is taken over by the {@code restore} methods before anything is stored.
+ * Writes the leader's in-memory state to the durable records: jobs, placements, completions and
+ * cached images, packed into pages that only leaders write. The {@code restore} methods register
+ * the records read at the start of the term, before anything is stored.
  *
- * <p>Event thread only. Nothing is stored when a method returns; {@link Listener} and the callbacks
- * report what is.
+ * <p>Event thread only. The methods are asynchronous: {@link Listener} and the callbacks report
+ * what is committed.
  */
 public final class Records {
-  /** Images stored of a machine, the most recently used ones. */
+  /** Maximum number of images stored per machine, the most recently used ones. */
   private static final int MAX_IMAGES_PER_MACHINE = 8;
 
-  /** Placements are collected this long; a start waits for its own to be stored. */
+  /** Short, because a task starts only after its placement is committed. */
   private static final Duration PLACEMENT_FLUSH_INTERVAL = Duration.ofMillis(40);
 
   private static final Duration IMAGES_FLUSH_INTERVAL = Duration.ofSeconds(2);
 
-  /** Receives what follows when records are stored. */
+  /** Notified when records are committed. */
   public interface Listener {
-    /** The placement is stored, so the start of the task may be sent. */
+    /** The placement is committed, so the command to start the task may be sent. */
     void onPlacementStored(Attempt attempt);
 
-    /** The job's final state is stored. */
     void onFinalStateStored(Job job);
 
-    /** The job's record is removed; only its final state is left. */
+    /** The job's record is removed; only its final state remains. */
     void onRemoved(Job job);
 
     /**
-     * Another node has stored an unpaged record of the job too, while it could not reach this
-     * leader; it is to be removed together with the final state.
+     * The final state was not stored because another controller, which could not reach this leader,
+     * has stored an unpaged record of the job. That record must be removed in the same transaction.
      *
-     * @param retry to be run once {@link #setHasUnpagedRecord} was called, or there is none
+     * @param retry stores the final state again; to be run after {@link #setHasUnpagedRecord} was
+     *     called with the result of reading the unpaged record
      */
     void onUnpagedRecordFound(Job job, Runnable retry);
   }
@@ -66,13 +66,13 @@
   private final OversizedPages oversizedPages;
 
   /**
-   * The records of one term.
+   * Creates the records of one term.
    *
-   * @param valueBytes the most bytes of a value that is written
-   * @param unversionedValueBytes the limit by which software without a cluster version divided
-   *     completions
-   * @param clusterVersion the cluster version, which decides what may be written
-   * @param commit takes mutations, which are carried out in their order
+   * @param valueBytes maximum size of a value to write
+   * @param unversionedValueBytes the value limit that determines the chunk size of completions
+   *     written by software without a cluster version
+   * @param clusterVersion determines which record formats may be written
+   * @param commit accepts mutations, which are committed in order
    */
   public Records(
       int valueBytes,
@@ -118,7 +118,7 @@
 
   // ---- placements
 
-  /** Stores the placement of an attempt; its start may be sent once it is stored. */
+  /** Stores the placement of an attempt; see {@link Listener#onPlacementStored}. */
   public void storePlacement(Attempt attempt) {
     placements.store(attempt);
   }
@@ -129,19 +129,19 @@
     }
   }
 
-  /** Takes over a placement read at the start of a term. */
+  /** Restores a placement read at the start of a term. */
   public void restorePlacement(String page, Attempt attempt) {
     placements.restore(page, attempt, RecordWire.placement(attempt));
   }
 
-  /** Takes over a page of placements that exists at the start of a term. */
+  /** Registers a page of placements that exists at the start of a term. */
   public void restorePlacementPage(String page) {
     placements.restorePage(page);
   }
 
   /**
-   * These attempts are gone together with their machine: their placements are removed from the
-   * store too, or the next leader would wait for a machine that does not exist.
+   * Removes the placements of attempts whose machine is gone, so that the next leader does not wait
+   * for a machine that does not exist.
    */
   public void removePlacements(List<Attempt> attempts) {
     placements.rewritePagesOf(attempts);
@@ -149,7 +149,7 @@
 
   // ---- images
 
-  /** Stores the images that the machine has cached, which have changed. */
+  /** Stores the cached images of a machine, which have changed. */
   public void storeImages(Machine machine) {
     images.store(machine);
   }
@@ -164,26 +164,26 @@
     return RecordWire.images(machine.name, stored);
   }
 
-  /** Takes over a page of cached images that exists at the start of a term. */
+  /** Registers a page of cached images that exists at the start of a term. */
   public void restoreImagePage(String page) {
     images.restorePage(page);
   }
 
   // ---- completions
 
-  /** Stores that a task of the job is complete, as the attempt reported. */
+  /** Stores that the attempt's task is complete. */
   public void storeCompletion(Job job, Attempt attempt) {
     completions.store(job, attempt);
   }
 
-  /** Takes over a page of completions that exists at the start of a term. */
+  /** Registers a page of completions that exists at the start of a term. */
   public void restoreCompletionPage(String page) {
     completions.restorePage(page);
   }
 
   /**
-   * Takes over an entry of completions read at the start of a term, once the job holds the
-   * completions of all entries.
+   * Restores an entry of completions read at the start of a term. To be called after the
+   * completions of all entries were added to the job.
    */
   public void restoreCompletions(String page, Job job, RecordWire.StoredCompletions entry) {
     completions.restore(page, job, entry);
@@ -191,7 +191,7 @@
 
   // ---- pages
 
-  /** Stores a page anew from memory, since its value cannot be read; other keys are ignored. */
+  /** Writes a page again from memory, because its value cannot be read; ignores other keys. */
   public void rewritePage(String key) {
     if (key.startsWith(RecordKeys.JOB_PAGES)) {
       jobs.rewritePage(key);
@@ -205,12 +205,12 @@
   }
 
   /**
-   * Stores what earlier leaders left too large as values that are not, a page at a time. Pages of
-   * jobs may be divided only once no earlier software reads them, which would take up a copied job
-   * twice.
+   * Starts to divide and evacuate pages that exceed the value limit, one at a time. To be called
+   * only when no controller runs software that does not know copies of job records, as it would
+   * restore a copied job twice.
    *
-   * @param stillWanted whether the term goes on
-   * @param onDivided called when a page of jobs is divided: mutations deferred for it may go on
+   * @param stillWanted whether the term is still active
+   * @param onDivided called when a job page is divided, after which deferred mutations may proceed
    */
   public void divideOversizedPages(BooleanSupplier stillWanted, Runnable onDivided) {
     oversizedPages.start(stillWanted, onDivided);
@@ -224,7 +224,7 @@
 
   // ---- jobs
 
-  /** Whether a job's record can be stored: the user chooses how long its description is. */
+  /** Whether a job's record fits into a page; the user determines the length of its spec. */
   public static boolean fits(JobSpec spec, int valueBytes) {
     return JobPages.fits(RecordWire.job(spec, Instant.EPOCH, Job.State.ACTIVE), valueBytes);
   }
@@ -232,60 +232,64 @@
   /**
    * Stores a new job.
    *
-   * @param onStored called when it is stored
-   * @param onAlreadyExists called instead when another node has accepted it, or it has ended
+   * @param onStored called when the job's record is committed
+   * @param onAlreadyExists called instead if another controller has accepted the job or it has a
+   *     final state
    */
   public void storeAcceptance(Job job, Runnable onStored, Runnable onAlreadyExists) {
     jobs.storeAcceptance(job, onStored, onAlreadyExists);
   }
 
-  /** Stores whether the job's tasks fail by its own fault, for the next leader. */
+  /** Stores whether the job itself is at fault for the failures of its tasks. */
   public void storeFaultAttribution(Job job) {
     jobs.storeFaultAttribution(job);
   }
 
   /**
-   * Stores the final state that the job has got. Its record stays, with that state, as long as
-   * tasks of it may exist on machines.
+   * Stores the final state of a job. Its record is retained, with that state, while its tasks may
+   * exist on machines.
    */
   public void storeFinalState(Job job) {
     jobs.storeFinalState(job);
   }
 
-  /** Removes the record of an ended job of which no task exists; its final state is left. */
+  /** Removes the record of a job in a final state of which no task exists on any machine. */
   public void removeJob(Job job) {
     jobs.remove(job);
   }
 
-  /** Sets whether a job in a page has an unpaged record as well. */
+  /** Sets whether a job with a record in a page also has an unpaged record. */
   public void setHasUnpagedRecord(Job job, boolean present) {
     jobs.setHasUnpagedRecord(job, present);
   }
 
-  /** Takes over a page of jobs that exists at the start of a term. */
+  /** Registers a job page that exists at the start of a term. */
   public void restoreJobPage(String page) {
     jobPages.restore(page);
   }
 
-  /** Takes over a job in a page read at the start of a term. */
+  /** Restores a job's record read at the start of a term. */
   public void restoreJob(String page, Job job, JsonNode record) {
     jobPages.restore(jobPages.restore(page), job, record);
   }
 
   /**
-   * Takes over a copy of a job's record, read at the start of a term, that does not count: the page
-   * from which it was copied still exists.
+   * Registers a copy of a job's record, read at the start of a term, that is ignored because the
+   * page that it was copied from still exists.
    */
   public void restoreCopy(String page, String source) {
     divider.restoreCopy(page, source);
   }
 
-  /** A copy of a job's record counts, since the page from which it was copied is gone. */
+  /**
+   * Excludes the number of a deleted page from use for new pages, because copies made from it exist
+   * and would be ignored if a page with its key existed again.
+   */
   public void reservePageNumber(String source) {
     jobPages.reserveNumber(source);
   }
 
-  /** Takes over a notification in a page read at the start of a term. */
+  /** Restores a notification read at the start of a term. */
   public void restoreNotification(String page, Notification notification) {
     jobPages.restore(jobPages.restore(page), notification);
   }
--- a/src/main/java/io/pineladder/store/RevisionTracker.java
+++ b/src/main/java/io/pineladder/store/RevisionTracker.java
@@ -4,17 +4,17 @@
 import java.util.function.LongConsumer;
 
 /**
- * The generation of the records in use, and the highest revision that the store is known to have
- * had in it, by which a loss of data shows: the store is strongly consistent, so no response to a
- * request that was sent after a revision was known can be below that one.
+ * Tracks the generation in use and the highest known revision of the store in it, to detect data
+ * loss. The store is linearizable: a response with a revision below one that was known when the
+ * request was sent means that the store was rolled back.
  */
 final class RevisionTracker {
   private Generation generation = Generation.FIRST;
   private long highestRevision;
   private LongConsumer rollbackListener = revision -> {};
 
-  /** Sets what is called with each revision that is below the highest known one. */
-  void onRollback(LongConsumer listener) {
+  /** Sets the listener that is called with each revision that shows a rollback. */
+  void setRollbackListener(LongConsumer listener) {
     rollbackListener = listener;
   }
 
@@ -26,7 +26,7 @@
     return highestRevision;
   }
 
-  /** Switches to a generation; the revisions of another one are not comparable. */
+  /** Switches to a generation; revisions of different generations are not comparable. */
   void useGeneration(Generation next) {
     if (next.base() != generation.base()) {
       highestRevision = next.recordRevision();
@@ -34,15 +34,15 @@
     generation = next;
   }
 
-  /** The store had this revision in the generation with that base. */
-  void observe(long base, long revision) {
+  /** Takes into account that the store had this revision in the generation with that base. */
+  void observeRevision(long base, long revision) {
     if (base == generation.base()) {
       highestRevision = Math.max(highestRevision, revision);
     }
   }
 
-  /** A transaction was committed, which must have raised the revision; false when it did not. */
-  boolean acceptCommit(long highestRevisionWhenSent, long revision) {
+  /** Checks the revision of a committed transaction; false if it was not raised. */
+  boolean acceptCommitRevision(long highestRevisionWhenSent, long revision) {
     return accept(revision, revision > highestRevisionWhenSent);
   }
 
@@ -55,24 +55,23 @@
     return true;
   }
 
-  /** What holds for a request that is sent now. */
   RequestContext requestContext() {
     return new RequestContext();
   }
 
-  /** The generation and the highest revision when a request was made, to judge its response by. */
+  /** The generation and highest known revision when a request was sent, to check its response. */
   final class RequestContext {
     private final Generation requestGeneration = generation;
     private final long highestRevisionWhenSent = highestRevision;
 
-    /** The prefix that keys of the request's generation have in the store. */
+    /** The key prefix of the request's generation. */
     String keyspace() {
       return requestGeneration.prefix();
     }
 
     /**
-     * Takes in the revision of a response; false when it is of another generation, or so low that
-     * the store must have lost data.
+     * Checks the revision of a response; false if another generation is in use by now or the
+     * revision shows a rollback.
      */
     boolean acceptRevision(long revision) {
       if (requestGeneration.base() != generation.base()) {
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -22,13 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the consensus-backed key-value store. Keys are names within the generation in use; the
- * prefix of that generation is added and removed here.
+ * Client of the consensus-backed key-value store. Keys are relative to the generation in use; the
+ * client adds and removes the prefix of that generation.
  *
- * <p>Requests of this node wait for its share of the rate limits; those for users are sent at once
- * or refused; lease renewals and what a failover waits for are sent at once in any case. Replies
- * whose revision is below one that was known when the request was sent show that the store has lost
- * data: they are reported and not used.
+ * <p>The controller's own requests are queued within its share of the rate limits. Requests on
+ * behalf of users are sent immediately or rejected. Lease renewals and requests that a failover
+ * waits for are sent immediately in any case. A reply whose revision is below one that was known
+ * when the request was sent shows that the store has lost data; it is reported and not used.
  *
  * <p>Event thread only.
  */
@@ -36,7 +36,7 @@
   private static final Logger log = LoggerFactory.getLogger(StoreClient.class);
   private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1500);
 
-  /** A long poll times out this long after the service should have ended it. */
+  /** Time that the client allows for the reply after the wait time of a long poll. */
   private static final Duration LONG_POLL_MARGIN = Duration.ofSeconds(5);
 
   private final StoreRequestSender sender;
@@ -45,143 +45,140 @@
   private final Settings.StoreLimits limits;
 
   /**
-   * A client of the store at an address.
+   * Creates a client of the store at an address.
    *
-   * @param limits the rate and size limits of the store, which hold for the whole cluster
-   * @param nodes the number of controllers that share the users' part of the limits
+   * @param limits the rate and size limits of the store, which apply to the whole cluster
+   * @param controllers the number of controllers that share the part of the limits for user traffic
    */
   public StoreClient(
       AsyncHttpClient httpClient,
       EventLoop eventLoop,
       String address,
       Settings.StoreLimits limits,
-      int nodes) {
-    this.sender = new StoreRequestSender(httpClient, eventLoop, limits, nodes);
+      int controllers) {
+    this.sender = new StoreRequestSender(httpClient, eventLoop, limits, controllers);
     this.address = address;
     this.limits = limits;
   }
 
   // ---- generation and revision
 
-  /** Sets what is called with a revision that shows that the store has lost data. */
+  /** Sets the listener that is called with each revision that shows a rollback of the store. */
   public void onRevisionRollback(LongConsumer listener) {
-    revisions.onRollback(listener);
+    revisions.setRollbackListener(listener);
   }
 
-  /** The generation whose records are read and written. */
   public Generation generation() {
     return revisions.generation();
   }
 
-  /** Switches to a generation; requests that are under way belong to the one before. */
+  /** Switches to a generation; requests in flight belong to the previous one. */
   public void useGeneration(Generation next) {
     revisions.useGeneration(next);
   }
 
-  /** The highest revision that the store is known to have had in this generation. */
+  /** The highest known revision of the store in the generation in use. */
   public long highestRevision() {
     return revisions.highestRevision();
   }
 
-  /** The store had this revision in the generation with that base, as a peer knows. */
+  /** Takes into account a revision of the store that a peer knows, in the generation with base. */
   public void observeRevision(long base, long revision) {
-    revisions.observe(base, revision);
+    revisions.observeRevision(base, revision);
   }
 
   /**
-   * A transaction has committed at this revision; false, and reported as a loss of data, when that
-   * is not above the highest revision that was known when it was sent.
+   * Checks the revision of a committed transaction. If it is not above the highest revision known
+   * when the transaction was sent, reports data loss and returns false.
    */
   public boolean acceptCommitRevision(long highestRevisionWhenSent, long revision) {
-    return revisions.acceptCommit(highestRevisionWhenSent, revision);
+    return revisions.acceptCommitRevision(highestRevisionWhenSent, revision);
   }
 
-  /** A transaction on records of this generation, which fails once another one is active. */
+  /** Creates an empty transaction that fails if another generation is active. */
   public StoreWire.Transaction transaction() {
     return new StoreWire.Transaction(generation().prefix())
         .requireGeneration(generation().recordRevision());
   }
 
-  /** The request path of a key of this generation. */
+  /** The request path of a key in the generation in use. */
   public String keyPath(String key) {
     return StoreWire.keyPath(generation().prefix() + key);
   }
 
   // ---- limits and health
 
-  /** The announced limits of the store. */
   public Settings.StoreLimits limits() {
     return limits;
   }
 
-  /** The budget of changed keys, from which the sender of a transaction takes. */
+  /** The budget of changed keys; the sender of a transaction must consume from it. */
   public TokenBucket writeBudget() {
     return sender.writeBudget();
   }
 
-  /** Whether the last request was executed; a refusal for the rate (429) does not count. */
+  /** Whether the last reply shows that the store works; rate-limited replies (429) are ignored. */
   public boolean isHealthy() {
     return sender.isHealthy();
   }
 
-  /** When the last response came that was not a refusal; null for never. */
+  /** The time of the last response to an executed request; null if there was none. */
   public Instant lastResponseAt() {
     return sender.lastResponseAt();
   }
 
-  /** Requests sent since the start, long polls excepted. */
+  /** The number of requests sent since the start, except long polls. */
   public long requestCount() {
     return sender.requestCount();
   }
 
-  /** Requests that the store refused for their rate (429) since the start. */
+  /** The number of rate-limited requests (429) since the start. */
   public long rateLimitedCount() {
     return sender.rateLimitedCount();
   }
 
   // ---- requests
 
-  /** A GET request to the store. */
   public Request get(String path) {
     return Request.get(address, path, REQUEST_TIMEOUT);
   }
 
-  /** A POST request to the store. */
   public Request post(String path, byte[] body) {
     return Request.post(address, path, body, REQUEST_TIMEOUT);
   }
 
-  /** A DELETE request to the store. */
   public Request delete(String path) {
     return new Request(address, "DELETE", path, null, REQUEST_TIMEOUT);
   }
 
-  /** A new back-off between retries of one request. */
+  /** Creates the backoff for retries of one request. */
   public Backoff newBackoff() {
     return sender.newBackoff();
   }
 
-  /** Schedules a retry after the back-off delay, or later when the retry budget is used. */
+  /** Schedules a retry after the backoff delay, or later if the retry budget is exhausted. */
   public void scheduleRetry(Backoff backoff, Runnable action) {
     sender.scheduleRetry(backoff, action);
   }
 
-  /** Sends when the request budget allows. */
+  /** Sends when the request budget allows, in the order of the calls. */
   void send(Request request, Consumer<Reply> onReply) {
     sender.send(request, onReply);
   }
 
-  /** Sends at once, whatever the budget: for lease renewals, which everything depends on. */
+  /**
+   * Sends immediately, even if the budget is exhausted; for lease renewals, which must not wait.
+   */
   public void sendImmediately(Request request, Consumer<Reply> onReply) {
     sender.sendImmediately(request, onReply);
   }
 
   /**
-   * Changes something for a user, at once or not at all: a user is refused rather than kept
-   * waiting, and users' requests never wait before this node's own. Reads have a budget of their
-   * own: many clients poll, and a submission must not wait for them.
+   * Sends a write on behalf of a user immediately, or rejects it if the budget for user writes is
+   * exhausted. User requests are not queued, so they never delay the controller's own. User reads
+   * have a separate budget, so polling clients do not cause submissions to be rejected.
    *
-   * @param changes puts and deletes in the request
+   * @param changes the number of puts and deletes in the request
    */
   public void writeForUser(Request request, int changes, Consumer<Reply> onReply) {
     sender.writeForUser(request, changes, onReply);
@@ -190,11 +187,12 @@
   // ---- reads of one key
 
   /**
-   * The outcome of a read of one key.
+   * The result of reading one key.
    *
-   * @param certain whether the read succeeded; if not, nothing may be concluded
-   * @param entry the key's entry; null when it does not exist, or the read failed
-   * @param revision the entry's revision, or the store's when there is no entry
+   * @param certain whether the read succeeded; if not, the key may or may not exist
+   * @param entry the key's entry; null if it does not exist or the read failed
+   * @param revision the entry's revision; the store's if the key does not exist; 0 if the read
+   *     failed
    */
   public record Read(boolean certain, StoreWire.Entry entry, long revision) {
     static final Read FAILED = new Read(false, null, 0);
@@ -208,31 +206,31 @@
   /** Reads one key when the budget allows. */
   public void read(String key, Consumer<Read> onRead) {
     RequestContext context = revisions.requestContext();
-    send(get(keyPath(key)), reply -> onRead.accept(toRead(reply, context)));
+    send(get(keyPath(key)), reply -> onRead.accept(toReadResult(reply, context)));
   }
 
-  /** Reads one key at once, whatever the budget; the reply itself is passed on as well. */
+  /** Reads one key immediately, even if the budget is exhausted; also passes on the reply. */
   public void readImmediately(String key, BiConsumer<Read, Reply> onRead) {
     RequestContext context = revisions.requestContext();
-    sendImmediately(get(keyPath(key)), reply -> onRead.accept(toRead(reply, context), reply));
+    sendImmediately(get(keyPath(key)), reply -> onRead.accept(toReadResult(reply, context), reply));
   }
 
-  /** Reads one key for a user, at once or not at all. */
+  /** Reads one key on behalf of a user; fails immediately if the budget is exhausted. */
   public void readForUser(String key, Consumer<Read> onRead) {
     RequestContext context = revisions.requestContext();
-    sender.readForUser(get(keyPath(key)), reply -> onRead.accept(toRead(reply, context)));
+    sender.readForUser(get(keyPath(key)), reply -> onRead.accept(toReadResult(reply, context)));
   }
 
   /**
-   * Reads which generation is active, at once: everything waits for that. A revision rollback makes
-   * this answer no less certain, since whoever rebuilds has to know what the store holds now.
+   * Reads the record that names the active generation, immediately. The read succeeds even if the
+   * reply shows a revision rollback, because a rebuild needs to know what the store contains now.
    */
   public void readGeneration(Consumer<Read> onRead) {
     RequestContext context = revisions.requestContext();
     sendImmediately(
         get(StoreWire.keyPath(RecordKeys.GENERATION)),
         reply -> {
-          Read read = toRead(reply, context);
+          Read read = toReadResult(reply, context);
           try {
             if (!read.certain() && reply.is(404)) {
               read = new Read(true, null, StoreWire.parseRevision(reply.body()));
@@ -244,7 +242,7 @@
         });
   }
 
-  private static Read toRead(Reply reply, RequestContext context) {
+  private static Read toReadResult(Reply reply, RequestContext context) {
     try {
       if (reply.is(200)) {
         StoreWire.Entry entry = StoreWire.parseEntry(reply.body(), context.keyspace());
@@ -262,10 +260,10 @@
 
   // ---- reads of a prefix
 
-  /** All keys with a prefix, and the revision from which changes are to be followed. */
+  /** All entries with a key prefix, and the revision from which to watch for changes. */
   public record Listing(List<StoreWire.Entry> entries, long revision) {}
 
-  /** Reads all keys with a prefix; retries until it succeeds or is no longer wanted. */
+  /** Reads all keys with a prefix; retries until it succeeds or {@code stillWanted} is false. */
   public void listAll(String prefix, BooleanSupplier stillWanted, Consumer<Listing> onDone) {
     listNextPage(new PrefixScan(revisions, prefix), stillWanted, newBackoff(), onDone);
   }
@@ -295,7 +293,7 @@
         });
   }
 
-  /** Reads all keys with a prefix for users, at once or not at all; null when that failed. */
+  /** Reads all keys with a prefix on behalf of users; passes null if a read fails. */
   void listForUser(String prefix, Consumer<Listing> onDone) {
     listNextPageForUser(new PrefixScan(revisions, prefix), onDone);
   }
@@ -314,17 +312,17 @@
         });
   }
 
-  /** One page of the keys with a prefix, when the budget allows; null when that failed. */
+  /** Reads one page of the keys with a prefix; passes null if that fails. */
   public void readPage(String prefix, String after, Consumer<StoreWire.Page> onPage) {
     readPage(generation().prefix(), prefix, after, false, onPage);
   }
 
-  /** One page of whatever the store still holds of this generation after it lost data. */
+  /** Reads one page of the generation in use, whatever its revision; passes null if that fails. */
   public void readPageAfterDataLoss(String after, Consumer<StoreWire.Page> onPage) {
     readPage(generation().prefix(), "", after, true, onPage);
   }
 
-  /** One page of all keys of all generations, under their whole names; null when that failed. */
+  /** Reads one page of all generations, with absolute keys; passes null if that fails. */
   public void readPageOfAllGenerations(String after, Consumer<StoreWire.Page> onPage) {
     readPage("", "", after, false, onPage);
   }
@@ -358,11 +356,11 @@
   /**
    * The reply to a request for changes.
    *
-   * @param changes the changes; null when the reply holds none that can be used
+   * @param changes the changes; null if the request failed or the reply cannot be used
    */
   public record ChangesReply(Reply reply, StoreWire.Changes changes) {}
 
-  /** Waits for changes under a prefix, for a given time at most. */
+  /** Waits for changes under a prefix after a revision, at most for the given time. */
   public void watch(String prefix, long after, Duration wait, Consumer<ChangesReply> onReply) {
     RequestContext context = revisions.requestContext();
     longPoll(
@@ -372,7 +370,7 @@
         reply -> onReply.accept(toChangesReply(reply, context)));
   }
 
-  /** Waits for another generation; the reply says no more than that it is time to read. */
+  /** Waits for a change of the generation, which has to be read after the reply. */
   public void watchGeneration(long after, Duration wait, Consumer<Reply> onReply) {
     longPoll(RecordKeys.GENERATION_PREFIX, after, wait, onReply);
   }
@@ -383,7 +381,7 @@
         Request.get(address, StoreWire.watchPath(path, after, wait), timeout), onReply);
   }
 
-  /** All changes of this generation up to now, when the budget allows. */
+  /** Reads all changes in the generation in use after a revision, without waiting for more. */
   public void readChanges(long after, Consumer<ChangesReply> onReply) {
     RequestContext context = revisions.requestContext();
     send(
@@ -391,7 +389,7 @@
         reply -> onReply.accept(toChangesReply(reply, context)));
   }
 
-  /** The changes under a prefix up to now, for users, at once or not at all. */
+  /** Reads the changes under a prefix after a revision, on behalf of users. */
   void readChangesForUser(String prefix, long after, Consumer<ChangesReply> onReply) {
     RequestContext context = revisions.requestContext();
     sender.readForUser(
@@ -414,9 +412,9 @@
   // ---- conditions
 
   /**
-   * Sends a transaction that changes nothing, when the budget allows.
+   * Checks conditions by a transaction that changes nothing.
    *
-   * @param onDone receives the keys whose conditions do not hold; null when that is not known
+   * @param onDone receives the keys whose conditions do not hold; null if the request failed
    */
   public void checkConditions(StoreWire.Transaction conditions, Consumer<List<String>> onDone) {
     RequestContext context = revisions.requestContext();
--- a/src/main/java/io/pineladder/store/StoreRequestSender.java
+++ b/src/main/java/io/pineladder/store/StoreRequestSender.java
@@ -15,27 +15,27 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to the store within this node's share of its rate limits, and observes how the
- * store responds: its health and the budget for retries.
+ * Sends requests to the store within this controller's share of the rate limits, and derives the
+ * store's health and the retry budget from the responses.
  */
 final class StoreRequestSender {
   private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(250);
   private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(500);
 
-  /** Retries beyond a twentieth of the successes are limited to a rate. */
+  /** Retries beyond this share of the successful requests are rate-limited. */
   private static final double RETRY_TO_SUCCESS_RATIO = 0.05;
 
   private static final double RETRIES_PER_SECOND = 10;
   private static final double MAX_RETRY_BURST = 20;
 
   /**
-   * The limits are the whole cluster's. This share of them is for what all nodes together ask on
-   * behalf of users while no leader answers; with more, the leader's commits, its renewals and a
-   * new leader's first reads would be refused along with them.
+   * Share of the cluster-wide limits for the requests that all controllers together send on behalf
+   * of users while no leader answers. The rest is reserved for the leader's commits, lease renewals
+   * and the reads of a new leader.
    */
   private static final double USER_TRAFFIC_SHARE = 0.3;
 
-  /** Of the users' share of requests, what reads get; the rest is for submissions. */
+  /** Share of reads in the user requests; the rest is for submissions. */
   private static final double USER_READ_SHARE = 0.7;
 
   private record QueuedRequest(Request request, Consumer<Reply> onReply) {}
@@ -55,21 +55,25 @@
   private boolean healthy;
 
   StoreRequestSender(
-      AsyncHttpClient httpClient, EventLoop eventLoop, Settings.StoreLimits limits, int nodes) {
+      AsyncHttpClient httpClient,
+      EventLoop eventLoop,
+      Settings.StoreLimits limits,
+      int controllers) {
     this.httpClient = httpClient;
     this.eventLoop = eventLoop;
     Instant now = eventLoop.now();
     double requestsPerSecond = limits.requestsPerSecond() * (1 - USER_TRAFFIC_SHARE);
     double writesPerSecond = limits.writesPerSecond() * (1 - USER_TRAFFIC_SHARE);
     requestBudget = new TokenBucket(requestsPerSecond, Math.max(1, requestsPerSecond), now);
-    // A whole transaction must fit into the burst, or it would never be sent.
+    // The burst must admit a transaction of maximum size, or it would never be sent.
     writeBudget =
         new TokenBucket(writesPerSecond, Math.max(limits.transactionOps(), writesPerSecond), now);
     retryBudget =
         new RetryBudget(eventLoop, RETRY_TO_SUCCESS_RATIO, RETRIES_PER_SECOND, MAX_RETRY_BURST);
-    double nodeShare = USER_TRAFFIC_SHARE / nodes;
-    userReadBudget = userBudget(limits.requestsPerSecond() * nodeShare * USER_READ_SHARE, now);
-    userWriteBudget = userBudget(limits.writesPerSecond() * nodeShare, now);
+    double controllerShare = USER_TRAFFIC_SHARE / controllers;
+    userReadBudget =
+        userBudget(limits.requestsPerSecond() * controllerShare * USER_READ_SHARE, now);
+    userWriteBudget = userBudget(limits.writesPerSecond() * controllerShare, now);
   }
 
   private static TokenBucket userBudget(double perSecond, Instant now) {
@@ -84,7 +88,6 @@
     return healthy;
   }
 
-  /** When the last response came that was not a refusal; null for never. */
   Instant lastResponseAt() {
     return lastResponseAt;
   }
@@ -121,27 +124,27 @@
     }
   }
 
-  /** Sends at once, and charges the budget even if that overdraws it. */
+  /** Sends immediately and charges the budget, even if that overdraws it. */
   void sendImmediately(Request request, Consumer<Reply> onReply) {
     requestBudget.consume(1, eventLoop.now());
     httpClient.call(request, observing(onReply));
   }
 
   /**
-   * Sends a request that the service answers only when something has changed. Charged like {@link
-   * #sendImmediately}, but its reply says nothing of the store's health.
+   * Sends a request that the store answers when something has changed. The budget is charged as by
+   * {@link #sendImmediately}, but the reply does not affect the health status.
    */
   void sendLongPoll(Request request, Consumer<Reply> onReply) {
     requestBudget.consume(1, eventLoop.now());
     httpClient.call(request, onReply);
   }
 
-  /** Sends a read for a user, or answers {@link Reply#NOT_SENT} when the users' budget is used. */
+  /** Sends a user's read, or passes {@link Reply#NOT_SENT} if the budget is exhausted. */
   void readForUser(Request request, Consumer<Reply> onReply) {
     sendForUser(userReadBudget, 1, request, onReply);
   }
 
-  /** Sends a write for a user, or answers {@link Reply#NOT_SENT} when the users' budget is used. */
+  /** Sends a user's write, or passes {@link Reply#NOT_SENT} if the budget is exhausted. */
   void writeForUser(Request request, int changes, Consumer<Reply> onReply) {
     sendForUser(userWriteBudget, changes, request, onReply);
   }
@@ -176,7 +179,7 @@
     return new Backoff(eventLoop, INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
   }
 
-  /** Schedules a retry after the back-off delay, or later when the retry budget is used. */
+  /** Schedules a retry after the backoff delay, or later if the retry budget is exhausted. */
   void scheduleRetry(Backoff backoff, Runnable action) {
     Duration backoffDelay = backoff.nextDelay();
     Duration budgetDelay = retryBudget.acquireDelay();
--- a/src/main/java/io/pineladder/store/TransactionAssembler.java
+++ b/src/main/java/io/pineladder/store/TransactionAssembler.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 
 /**
- * Puts waiting mutations together into one transaction, as many as its limits allow: operations,
- * conditions and bytes. Used for one transaction only.
+ * Combines queued mutations into one transaction, within the limits on operations, conditions and
+ * bytes. An instance assembles a single transaction.
  */
 final class TransactionAssembler {
-  /** The service takes 64 KiB; the rest is for conditions. */
+  /** Limit of the values' size. The store allows 64 KiB; the rest is for conditions. */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
   /** Conditions that every transaction has: the generation and the leader's key. */
@@ -30,12 +30,13 @@
   private int bytes;
 
   /**
-   * An empty transaction.
+   * Creates an assembler with an empty transaction.
    *
    * @param fenced the transaction to fill, fenced by the generation and the leader's key
-   * @param revisions the revision of each key as last known; absent for a key that is not stored
-   * @param maxOperations keys that the write budget allows to be changed now
-   * @param maxTransactionOperations keys that the service allows in a transaction at most
+   * @param revisions the last known revision of each key; absent for keys that are not stored
+   * @param maxOperations the number of keys that the write budget allows to change now
+   * @param maxTransactionOperations the maximum number of keys that the store allows to change in
+   *     one transaction
    */
   TransactionAssembler(
       StoreWire.Transaction fenced,
@@ -48,17 +49,17 @@
     this.remainingConditions = maxConditions(maxTransactionOperations);
   }
 
-  /** Conditions on records that a transaction may have beside those that fence it. */
+  /** The number of conditions that a transaction may have in addition to the fencing ones. */
   static int maxConditions(int maxTransactionOperations) {
     return 4 * maxTransactionOperations - FENCING_CONDITIONS;
   }
 
-  /** Keys that the mutation changes when it is alone in a transaction. */
+  /** The number of keys that the mutation changes when it is alone in a transaction. */
   static int operations(Mutation mutation) {
     return operations(mutation, Map.of());
   }
 
-  /** Keys that the mutation changes and that the transaction does not change already. */
+  /** The number of keys that the mutation changes and the transaction does not change yet. */
   private static int operations(Mutation mutation, Map<JobPage, ?> includedPages) {
     long additionalPages =
         mutation.pageEdits().stream()
@@ -70,26 +71,26 @@
   }
 
   /**
-   * Takes mutations out of the queue, of the highest priority first, up to the first one that the
-   * transaction has no capacity for.
+   * Moves mutations from the queue into the transaction, highest priority first, up to the first
+   * one that does not fit.
    *
-   * @return the transaction, or null when it would be empty
+   * @return the transaction, or null if it would be empty
    */
   PendingTransaction assemble(MutationQueue queue) {
-    // Rendering a value may submit further mutations; those of a priority that is already past
-    // wait for the next transaction.
+    // Rendering a value may submit further mutations. Those of a priority that was already
+    // processed go into the next transaction.
     for (Deque<Mutation> mutations : queue.byPriority()) {
       while (!mutations.isEmpty()) {
         Mutation mutation = mutations.peekFirst();
-        if (!mutation.stillWanted().getAsBoolean()) {
+        if (!mutation.isStillNeeded().getAsBoolean()) {
           mutations.pollFirst();
-        } else if (mutation.mustWait()) {
-          // Whoever divides the page requeues it; what does not touch the page need not wait.
+        } else if (mutation.mustBeDeferred()) {
+          // It is queued again when its page is divided; other mutations need not wait.
           queue.defer(mutations.pollFirst());
         } else if (include(mutation)) {
           mutations.pollFirst();
         } else {
-          // Nothing of lower priority may overtake it, or it could starve.
+          // No mutation of lower priority may overtake it, or it could starve.
           return seal();
         }
       }
@@ -97,7 +98,7 @@
     return seal();
   }
 
-  /** Adds the mutation; false when the transaction has no capacity for it. */
+  /** Adds the mutation; returns false if it does not fit into the transaction. */
   private boolean include(Mutation mutation) {
     int operations = operations(mutation, assembled.pageEdits());
     int conditions = operations + mutation.mustNotExist().size();
@@ -127,7 +128,7 @@
     return true;
   }
 
-  /** Renders the values of the mutation's own keys; returns their bytes. */
+  /** Renders the values of the mutation's writes; returns their total size in bytes. */
   private static int renderWrites(Mutation mutation, Map<String, JsonNode> values) {
     int size = 0;
     for (Mutation.Write write : mutation.writes()) {
@@ -154,7 +155,7 @@
     }
   }
 
-  /** Renders the changed pages of jobs, once each with all their edits, and the request. */
+  /** Renders each changed job page with all its edits, and encodes the request. */
   private PendingTransaction seal() {
     if (assembled.mutations().isEmpty()) {
       return null;
--- a/src/main/java/io/pineladder/store/package-info.java
+++ b/src/main/java/io/pineladder/store/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The consensus-backed key-value store: its client, the group commit of a leader's changes by
- * fenced compare-and-swap transactions, and the durable records packed into pages. Event thread
+ * Client of the consensus-backed key-value store, group commit of the leader's changes in fenced
+ * compare-and-swap transactions, and the durable records, which are packed into pages. Event thread
  * only.
  */
 package io.pineladder.store;
--- a/src/test/java/io/pineladder/store/JobPageDividerTest.java
+++ b/src/test/java/io/pineladder/store/JobPageDividerTest.java
@@ -23,12 +23,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Pages of jobs that an earlier leader left larger than a value may be now. */
+/** Tests the division of job pages that exceed a lowered value limit. */
 class JobPageDividerTest {
   private static final int VALUE_BYTES = 2048;
 
-  /** A subscriber wants a notification of each job that ends. */
-  private static final NotificationLog SUBSCRIBED =
+  /** Wants a notification of each final state. */
+  private static final NotificationLog ONE_SUBSCRIBER =
       new NotificationLog() {
         @Override
         public boolean hasSubscribers() {
@@ -45,13 +45,13 @@
         }
 
         @Override
-        public void onStored(Notification notification, int bytes, Runnable drop) {}
+        public void onStored(Notification notification, int storedBytes, Runnable removeFromPage) {}
 
         @Override
         public void onTransactionCommitted() {}
       };
 
-  private final JobPages pages = new JobPages(VALUE_BYTES, SUBSCRIBED);
+  private final JobPages pages = new JobPages(VALUE_BYTES, ONE_SUBSCRIBER);
   private final JobPageDivider divider = new JobPageDivider(pages);
   private final List<Job> jobs = new ArrayList<>();
   private final JobPage large = pages.restore("accepted/7");
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Carries out a mutation as a committed transaction would. */
+  /** Applies a mutation as if its transaction were committed. */
   private static void commit(Mutation mutation) {
     mutation.pageEdits().forEach(JobPageEdit::prepare);
     mutation.pageEdits().forEach(edit -> edit.page().onCommitted(List.of(edit)));
@@ -96,20 +96,19 @@
   }
 
   @Test
-  void oversizedPageIsDividedInStepsAndItsCopiesCountOnceItIsDeleted()
-      throws MalformedMessageException {
+  void dividesOversizedPageInSteps() throws MalformedMessageException {
     restoreJobs();
     JobPageEdit removal = pages.removeRecord(jobs.get(3));
-    assertFalse(removal.mustWait(), "the earlier limits still hold");
+    assertFalse(removal.mustBeDeferred(), "pages are not marked as oversized yet");
     divider.markOversizedPages();
-    assertTrue(removal.mustWait());
+    assertTrue(removal.mustBeDeferred());
     assertSame(large, divider.nextOversizedPage());
     List<Mutation> steps = new ArrayList<>();
     boolean[] divided = new boolean[1];
     divider.divide(large, 64, steps::add, () -> divided[0] = true);
     for (Mutation step : steps) {
       assertFalse(divided[0]);
-      assertTrue(removal.mustWait());
+      assertTrue(removal.mustBeDeferred());
       for (JobPageEdit edit : step.pageEdits()) {
         edit.prepare();
         assertTrue(edit.page().maxValueBytes() <= VALUE_BYTES);
@@ -121,7 +120,7 @@
       commit(step);
     }
     assertTrue(divided[0]);
-    assertFalse(removal.mustWait());
+    assertFalse(removal.mustBeDeferred());
     assertNotSame(large, removal.page());
     assertNull(divider.nextOversizedPage());
     for (JsonNode entry : RecordWire.entries(removal.page().render(List.of()))) {
@@ -129,12 +128,9 @@
     }
   }
 
-  /**
-   * Found by reading: the end of a job whose notification had its place in the page waited for
-   * ever.
-   */
+  /** Otherwise the final state with that notification would stay deferred forever. */
   @Test
-  void deferredNotificationIsRelocatedWhenItsPageIsDivided() {
+  void relocatesDeferredNotification() {
     restoreJobs();
     JobPageEdit notification = pages.addNotification(jobs.get(0), true);
     assertSame(large, notification.page());
@@ -143,15 +139,12 @@
     assertNotNull(divider.nextOversizedPage());
     divider.divide(large, 64, mutation -> {}, () -> {});
     assertNotSame(large, notification.page());
-    assertFalse(notification.mustWait());
+    assertFalse(notification.mustBeDeferred());
   }
 
-  /**
-   * Found by reading: a notification stored in the page as its division began was deleted with the
-   * page.
-   */
+  /** Otherwise the notification would be deleted together with the page. */
   @Test
-  void pageIsNotDividedWhileANotificationForItIsInFlight() {
+  void doesNotDividePageWithNotificationInFlight() {
     restoreJobs();
     JobPageEdit notification = pages.addNotification(jobs.get(0), true);
     notification.prepare();
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -36,12 +36,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Packed records against a plain model that remembers what each entry was last told to hold. */
+/** Compares packed records with a model that tracks the latest version of each entry. */
 class RecordPagesTest {
   private static final int VALUE_BYTES = 1024;
 
-  /** Timers and transactions that run when the test says so; each may be put off and asked anew. */
-  private static final class Store implements EventLoop {
+  /** Runs timers and transactions on demand; a transaction may fail and be assembled again. */
+  private static final class FakeStore implements EventLoop {
     final ArrayDeque<Runnable> timers = new ArrayDeque<>();
     final List<Mutation> pending = new ArrayList<>();
     final Map<String, JsonNode> values = new LinkedHashMap<>();
@@ -75,15 +75,15 @@
       }
     }
 
-    /** Puts the first waiting changes into one transaction, which is executed or not. */
-    void transact(int most, boolean executed) {
+    /** Puts the first pending mutations into one transaction, which is executed or fails. */
+    void runTransaction(int maxMutations, boolean executed) {
       Map<String, JsonNode> batch = new HashMap<>();
       int taken = 0;
-      while (taken < most && taken < pending.size()) {
+      while (taken < maxMutations && taken < pending.size()) {
         Mutation.Write write = pending.get(taken++).writes().get(0);
         JsonNode value = write.value().get();
-        assertTrue(Json.bytes(value).length <= VALUE_BYTES, "a value outgrows the store's limit");
-        assertTrue(batch.put(write.key(), value) == null, "one key twice in a transaction");
+        assertTrue(Json.bytes(value).length <= VALUE_BYTES, "value exceeds the store's limit");
+        assertTrue(batch.put(write.key(), value) == null, "key written twice in one transaction");
       }
       if (executed) {
         List<Mutation> done = List.copyOf(pending.subList(0, taken));
@@ -95,10 +95,10 @@
     }
   }
 
-  /** Something stored; its number only ever grows. */
+  /** An entry with a version that only increases. */
   private static final class Entry {
     final int id;
-    int number;
+    int version;
     boolean live = true;
 
     Entry(int id) {
@@ -106,7 +106,7 @@
     }
   }
 
-  private static RecordPages<Entry> pages(Store store, Map<Integer, Integer> told) {
+  private static RecordPages<Entry> pages(FakeStore store, Map<Integer, Integer> reportedVersions) {
     Map<Integer, Integer> encoded = new HashMap<>();
     return new RecordPages<>(
         new RecordPages.EntryKind<>(
@@ -115,16 +115,17 @@
             Duration.ZERO,
             entry -> entry.live,
             entry -> {
-              encoded.put(entry.id, entry.number);
-              return Json.array().add(entry.id).add(entry.number).add("x".repeat(entry.id % 60));
+              encoded.put(entry.id, entry.version);
+              return Json.array().add(entry.id).add(entry.version).add("x".repeat(entry.id % 60));
             },
-            entry -> told.put(entry.id, encoded.get(entry.id))),
+            entry -> reportedVersions.put(entry.id, encoded.get(entry.id))),
         VALUE_BYTES,
         store,
         store.pending::add);
   }
 
-  private static Map<Integer, Integer> read(Store store) throws MalformedMessageException {
+  private static Map<Integer, Integer> readNewestVersions(FakeStore store)
+      throws MalformedMessageException {
     Map<Integer, Integer> newest = new HashMap<>();
     for (JsonNode page : store.values.values()) {
       for (JsonNode entry : RecordWire.entries(page)) {
@@ -138,65 +139,65 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void entriesReportedStoredCanAlwaysBeRead(long seed) throws MalformedMessageException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    Store store = new Store();
-    Map<Integer, Integer> told = new HashMap<>();
-    RecordPages<Entry> pages = pages(store, told);
+    FakeStore store = new FakeStore();
+    Map<Integer, Integer> reportedVersions = new HashMap<>();
+    RecordPages<Entry> pages = pages(store, reportedVersions);
     List<Entry> live = new ArrayList<>();
-    int ids = 0;
-    int due = 0;
+    int nextId = 0;
+    int storeCalls = 0;
     for (int step = 0; step < 4000; step++) {
       switch (random.nextInt(6)) {
         case 0, 1 -> {
-          Entry entry = new Entry(ids++);
+          Entry entry = new Entry(nextId++);
           live.add(entry);
           pages.store(entry);
-          due++;
+          storeCalls++;
         }
         case 2 -> {
           if (!live.isEmpty()) {
             Entry entry = live.get(random.nextInt(live.size()));
-            entry.number++;
+            entry.version++;
             pages.store(entry);
-            due++;
+            storeCalls++;
           }
         }
         case 3 -> {
           while (live.size() > 40 + random.nextInt(80)) {
-            Entry over = live.remove(random.nextInt(live.size()));
-            over.live = false;
+            Entry removed = live.remove(random.nextInt(live.size()));
+            removed.live = false;
             if (random.nextInt(4) == 0) {
-              pages.rewritePagesOf(List.of(over));
+              pages.rewritePagesOf(List.of(removed));
             }
           }
         }
         case 4 -> store.runTimers();
-        default -> store.transact(1 + random.nextInt(4), random.nextInt(4) > 0);
+        default -> store.runTransaction(1 + random.nextInt(4), random.nextInt(4) > 0);
       }
-      Map<Integer, Integer> read = read(store);
+      Map<Integer, Integer> read = readNewestVersions(store);
       for (Entry entry : live) {
-        if (told.containsKey(entry.id)) {
+        if (reportedVersions.containsKey(entry.id)) {
           assertTrue(
-              read.getOrDefault(entry.id, -1) >= told.get(entry.id),
+              read.getOrDefault(entry.id, -1) >= reportedVersions.get(entry.id),
               "step " + step + ": entry " + entry.id);
         }
       }
     }
     for (int i = 0; i < 200; i++) {
       store.runTimers();
-      store.transact(4, true);
+      store.runTransaction(4, true);
     }
-    Map<Integer, Integer> read = read(store);
+    Map<Integer, Integer> read = readNewestVersions(store);
     for (Entry entry : live) {
-      assertEquals(entry.number, told.get(entry.id));
-      assertEquals(entry.number, read.get(entry.id));
+      assertEquals(entry.version, reportedVersions.get(entry.id));
+      assertEquals(entry.version, read.get(entry.id));
     }
-    assertTrue(store.writes < due, store.writes + " writes for " + due + " changes");
+    assertTrue(store.writes < storeCalls, store.writes + " writes for " + storeCalls + " changes");
     assertTrue(store.values.size() < 40, store.values.size() + " pages");
   }
 
-  // ---- completions of a huge job
+  // ---- completions of a large job
 
-  private static Job hugeJob() {
+  private static Job largeJob() {
     JobSpec spec =
         new JobSpec(
             "req-000001",
@@ -221,9 +222,9 @@
   }
 
   @Test
-  void completionsOfAHugeJobFitTheirValuesWhateverTheirPattern() throws MalformedMessageException {
-    Store store = new Store();
-    Job job = hugeJob();
+  void largeJobCompletionsFitValueLimit() throws MalformedMessageException {
+    FakeStore store = new FakeStore();
+    Job job = largeJob();
     MachineType type =
         new MachineType(
             "g4", Resources.of(16, 4, 64), 50, 1, 4, 1, Duration.ofSeconds(10), List.of("a"));
@@ -246,12 +247,12 @@
               public void onRemoved(Job removed) {}
 
               @Override
-              public void onUnpagedRecordFound(Job job, Runnable again) {}
+              public void onUnpagedRecordFound(Job job, Runnable retry) {}
             },
             NotificationLog.DISABLED);
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(7);
     Set<Attempt> done = new LinkedHashSet<>();
-    // Every other task of the first half makes for the most ranges.
+    // Completing every other task yields the largest number of ranges.
     for (int task = 0; task < 20_000; task++) {
       if (task < 10_000 ? task % 2 == 1 : random.nextInt(3) == 0) {
         Attempt attempt = new Attempt(job, task, 1, machine, Instant.EPOCH, Attempt.State.RUNNING);
@@ -262,7 +263,7 @@
     }
     for (int i = 0; i < 2000 && !(store.pending.isEmpty() && store.timers.isEmpty()); i++) {
       store.runTimers();
-      store.transact(4, true);
+      store.runTransaction(4, true);
     }
     BitSet read = new BitSet();
     Set<String> chunks = new HashSet<>();
@@ -274,7 +275,7 @@
       }
     }
     assertEquals(job.done, read);
-    assertTrue(chunks.size() > 100, "it takes many entries");
+    assertTrue(chunks.size() > 100, "completions span many entries");
     assertTrue(done.stream().allMatch(attempt -> attempt.mayBeForgotten));
   }
 }
--- a/src/test/java/io/pineladder/store/StoreClientTest.java
+++ b/src/test/java/io/pineladder/store/StoreClientTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 class StoreClientTest {
-  /** Found on the grown colombo: a new leader's reads waited half a minute behind users' polls. */
+  /** Guards against user polls that delay the reads of a new leader or starve submissions. */
   @Test
-  void userRequestsAreNeverQueuedAheadOfTheNodesOwn() {
+  void userReadsDoNotDelayOwnRequestsOrSubmissions() {
     List<String> sent = new ArrayList<>();
     AsyncHttpClient httpClient = (request, onReply) -> sent.add(request.path());
     EventLoop eventLoop =
@@ -58,10 +58,11 @@
     }
     int served = sent.size();
     assertEquals(1000, served + refused[0]);
-    assertTrue(served >= 5 && served <= 20, "a node's part of the limit, not " + served);
+    assertTrue(
+        served >= 5 && served <= 20, "expected the controller's share of the limit, got " + served);
     storeClient.listAll("job/", () -> true, listing -> {});
     assertEquals(served + 1, sent.size());
-    // Found there too: while peers refused each other, polls used up what submissions needed.
+    // User writes have a budget of their own.
     storeClient.writeForUser(storeClient.post("/multi", new byte[0]), 2, reply -> {});
     assertEquals(served + 2, sent.size());
   }
