--- a/src/main/java/io/pineladder/retry/Backoff.java
+++ b/src/main/java/io/pineladder/retry/Backoff.java
@@ -4,9 +4,10 @@
 import java.time.Duration;
 
 /**
- * Delays between the retries of one operation. The upper bound doubles with each retry up to a
- * maximum, and each delay is drawn at random from the upper half of its range, so that clients that
- * failed together do not retry together. Event thread only.
+ * Exponential backoff with jitter for the retries of one operation. The upper bound of the delay
+ * doubles with each retry up to a maximum, and each delay is drawn at random between half of the
+ * bound and the bound, so that clients that fail at the same time do not retry at the same time.
+ * Event thread only.
  */
 public final class Backoff {
   private final EventLoop eventLoop;
@@ -15,7 +16,7 @@
   private Duration nextDelay;
 
   /**
-   * Creates a series of delays.
+   * Creates a backoff.
    *
    * @param initialDelay upper bound of the first delay
    * @param maxDelay upper bound of all delays
@@ -27,7 +28,7 @@
     this.nextDelay = initialDelay;
   }
 
-  /** Draws the delay before the next retry, and doubles the upper bound of the one after it. */
+  /** Returns the delay before the next retry and doubles the upper bound of the following one. */
   public Duration nextDelay() {
     long halfNanos = nextDelay.toNanos() / 2;
     nextDelay =
@@ -35,7 +36,7 @@
     return Duration.ofNanos(halfNanos + (long) (eventLoop.random().nextDouble() * halfNanos));
   }
 
-  /** The operation has succeeded: the next delay is an initial one again. */
+  /** Resets the upper bound to the initial delay; to be called when the operation succeeds. */
   public void reset() {
     nextDelay = initialDelay;
   }
--- a/src/main/java/io/pineladder/retry/CircuitBreaker.java
+++ b/src/main/java/io/pineladder/retry/CircuitBreaker.java
@@ -7,20 +7,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Circuit breaker for calls to one target. After a number of consecutive failures no call is sent
- * for a delay, then a single call probes the target. The delay grows with each failed probe. Event
- * thread only.
+ * Circuit breaker for calls to one target. It opens after a number of consecutive failures and
+ * allows no call until a delay has passed; then a single call probes the target. The delay grows
+ * with each failed probe. Event thread only.
  */
 public final class CircuitBreaker {
   private static final Logger log = LoggerFactory.getLogger(CircuitBreaker.class);
 
-  /** The states of a circuit breaker. */
+  /** The state of a circuit breaker. */
   public enum State {
     /** Calls are allowed. */
     CLOSED,
-    /** No call is allowed until the delay is over. */
+    /** No call is allowed until the delay has passed. */
     OPEN,
-    /** One call is under way as a probe, and no other is allowed. */
+    /** A probe call is in flight; no other call is allowed. */
     HALF_OPEN
   }
 
@@ -35,7 +35,7 @@
   /**
    * Creates a closed circuit breaker.
    *
-   * @param target name of the target in the log
+   * @param target name of the target in log lines
    * @param failureThreshold consecutive failures that open the circuit
    * @param initialDelay upper bound of the first delay
    * @param maxDelay upper bound of all delays
@@ -52,12 +52,11 @@
     this.backoff = new Backoff(eventLoop, initialDelay, maxDelay);
   }
 
-  /** The present state; an open circuit stays open until the next {@link #tryAcquire}. */
+  /** The current state; {@link State#OPEN} is left only by {@link #tryAcquire}. */
   public State state() {
     return state;
   }
 
-  /** Changes the state; all changes are made here. */
   private void transitionTo(State next) {
     if (state != next) {
       log.debug("Circuit breaker changed: target={} state={} previous={}", target, next, state);
@@ -66,7 +65,7 @@
   }
 
   /**
-   * Whether a call may be sent now. The caller that gets true must report its end with {@link
+   * Returns whether a call may be sent now. If so, the caller must report its outcome with {@link
    * #onSuccess} or {@link #onFailure}.
    */
   public boolean tryAcquire() {
@@ -84,7 +83,7 @@
     transitionTo(State.CLOSED);
   }
 
-  /** Reports a call that failed or was not answered. */
+  /** Reports a call that failed or got no reply. */
   public void onFailure() {
     consecutiveFailures++;
     if (state == State.HALF_OPEN || consecutiveFailures >= failureThreshold) {
--- a/src/main/java/io/pineladder/retry/RetryBudget.java
+++ b/src/main/java/io/pineladder/retry/RetryBudget.java
@@ -5,8 +5,8 @@
 import java.time.Instant;
 
 /**
- * Limits retries to a ratio of the successful calls, plus a fixed rate, so that during an outage
- * retries do not make up most of the load. Event thread only.
+ * Limits retries to a ratio of the successful calls plus a fixed rate, so that retries do not
+ * overload a failing service. Event thread only.
  */
 public final class RetryBudget {
   private final EventLoop eventLoop;
@@ -16,9 +16,9 @@
   /**
    * Creates a full budget.
    *
-   * @param retriesPerSuccess retries that each successful call adds, below one
-   * @param retriesPerSecond retries that are added each second in any case
-   * @param maxBurst upper bound of the retries that accumulate
+   * @param retriesPerSuccess retries added per successful call; below one
+   * @param retriesPerSecond retries added per second regardless of successful calls
+   * @param maxBurst maximum number of retries that accumulate
    */
   public RetryBudget(
       EventLoop eventLoop, double retriesPerSuccess, double retriesPerSecond, double maxBurst) {
@@ -32,7 +32,7 @@
     tokens.add(retriesPerSuccess, eventLoop.now());
   }
 
-  /** Takes a retry from the budget; returns how long it has to wait, zero when it may go now. */
+  /** Takes one retry from the budget and returns the delay until it may be sent, possibly zero. */
   public Duration acquireDelay() {
     Instant now = eventLoop.now();
     tokens.consume(1, now);
--- a/src/main/java/io/pineladder/retry/TokenBucket.java
+++ b/src/main/java/io/pineladder/retry/TokenBucket.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 
 /**
- * A token bucket. The level may go below zero; callers then wait until it is refilled. Not
- * thread-safe.
+ * A token bucket. The number of tokens may become negative, which delays later callers until it is
+ * refilled. Not thread-safe.
  */
 public final class TokenBucket {
   private final double tokensPerSecond;
@@ -17,7 +17,7 @@
    * Creates a full bucket.
    *
    * @param tokensPerSecond refill rate
-   * @param burst upper bound of the level, in tokens
+   * @param burst capacity of the bucket, in tokens
    */
   public TokenBucket(double tokensPerSecond, double burst, Instant now) {
     this.tokensPerSecond = tokensPerSecond;
@@ -34,25 +34,28 @@
     }
   }
 
-  /** Whole tokens that can be consumed now; never below zero. */
+  /** The number of whole tokens available now; never negative. */
   public int available(Instant now) {
     refill(now);
     return (int) Math.floor(Math.max(0, tokens));
   }
 
-  /** Consumes {@code count} tokens; a level below zero delays later callers. */
+  /** Consumes {@code count} tokens, even if fewer are available. */
   public void consume(int count, Instant now) {
     refill(now);
     tokens -= count;
   }
 
-  /** Adds a fraction of a token, up to the burst. */
+  /** Adds a fraction of a token, up to the capacity. */
   void add(double fraction, Instant now) {
     refill(now);
     tokens = Math.min(burst, tokens + fraction);
   }
 
-  /** How long until {@code count} tokens are available; zero when they are now. */
+  /**
+   * Returns the time until {@code count} tokens, or a full bucket if that is less, are available;
+   * zero if they are now.
+   */
   public Duration delayUntilAvailable(int count, Instant now) {
     refill(now);
     double missing = Math.min(count, burst) - tokens;
--- a/src/main/java/io/pineladder/retry/package-info.java
+++ b/src/main/java/io/pineladder/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Delays, circuit breakers and budgets for retries and request rates. Event thread only. */
+/** Backoff, circuit breakers, retry budgets and rate limits. Event thread only. */
 package io.pineladder.retry;
