--- a/src/main/java/io/pineladder/store/CompletionRecords.java
+++ b/src/main/java/io/pineladder/store/CompletionRecords.java
@@ -109,10 +109,10 @@
 
   private JsonNode encode(Chunk chunk) {
     chunk.renderedAttempts = List.copyOf(chunk.unconfirmedAttempts);
-    BitSet done = chunk.job.done;
-    if (!chunk.job.unprovenDone.isEmpty()) {
+    BitSet done = chunk.job.completedTasks;
+    if (!chunk.job.unconfirmedCompletedTasks.isEmpty()) {
       done = (BitSet) done.clone();
-      done.andNot(chunk.job.unprovenDone);
+      done.andNot(chunk.job.unconfirmedCompletedTasks);
     }
     Chunking chunking = chunkingOf(chunk.job);
     String id = chunk.job.spec.id();
@@ -122,7 +122,7 @@
   }
 
   private static void onStored(Chunk chunk) {
-    chunk.renderedAttempts.forEach(attempt -> attempt.mayBeForgotten = true);
+    chunk.renderedAttempts.forEach(attempt -> attempt.endProcessed = true);
     chunk.unconfirmedAttempts.removeAll(chunk.renderedAttempts);
     chunk.renderedAttempts = List.of();
   }
@@ -135,7 +135,7 @@
       ofJob
           .values()
           .forEach(
-              chunk -> chunk.unconfirmedAttempts.forEach(attempt -> attempt.mayBeForgotten = true));
+              chunk -> chunk.unconfirmedAttempts.forEach(attempt -> attempt.endProcessed = true));
     }
   }
 
