--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -254,7 +254,7 @@
               watchLeader(expectedRound, entry.revision());
               return;
             }
-            if (read.certain()) {
+            if (read.succeeded()) {
               setKnownLeader(null);
               if (!mayBecomeCandidate.getAsBoolean()
                   || eventLoop.now().isBefore(candidacyAllowedFrom)) {
@@ -401,7 +401,7 @@
    * disappear when that lease expires, so only a key attached to the current lease counts.
    */
   private void onLeaderReadAfterClaim(
-      int expectedRound, Instant leaseSentAt, StoreClient.Read read, Reply reply) {
+      int expectedRound, Instant leaseSentAt, StoreClient.ReadResult read, Reply reply) {
     if (expectedRound != round) {
       return;
     }
@@ -492,7 +492,7 @@
     storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
-          if (expectedRound != round || state != State.IN_DOUBT || !read.certain()) {
+          if (expectedRound != round || state != State.IN_DOUBT || !read.succeeded()) {
             return;
           }
           if (!read.found() || read.entry().revision() != leaderKeyRevision) {
--- a/src/main/java/io/pineladder/reconciliation/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -184,8 +184,8 @@
   }
 
   private void onRecordRead(
-      String id, StoreClient.Read read, long removalsBefore, Consumer<JobLookup> onDone) {
-    if (!listener.isLeading() || !read.certain() || listener.isAccepting(id)) {
+      String id, StoreClient.ReadResult read, long removalsBefore, Consumer<JobLookup> onDone) {
+    if (!listener.isLeading() || !read.succeeded() || listener.isAccepting(id)) {
       onDone.accept(JobLookup.UNCERTAIN);
       return;
     }
@@ -230,7 +230,7 @@
           if (!listener.isLeading()) {
             return;
           }
-          if (!read.certain()) {
+          if (!read.succeeded()) {
             storeClient.scheduleRetry(backoff, () -> findDuplicateRecord(job, onDone));
             return;
           }
@@ -252,14 +252,14 @@
     storeClient.read(
         RecordKeys.UNPAGED_JOB + id,
         recordRead -> {
-          if (recordRead.found() || !recordRead.certain() || !listener.isLeading()) {
+          if (recordRead.found() || !recordRead.succeeded() || !listener.isLeading()) {
             return;
           }
           storeClient.read(
               RecordKeys.FINAL_STATE + id,
               finalStateRead -> {
                 boolean unknown =
-                    finalStateRead.certain() && !finalStateRead.found() && listener.isLeading();
+                    finalStateRead.succeeded() && !finalStateRead.found() && listener.isLeading();
                 if (unknown && !cluster.jobs.containsKey(id)) {
                   onUnknown.run();
                 }
@@ -271,7 +271,7 @@
     storeClient.read(
         RecordKeys.FINAL_STATE + id,
         read -> {
-          if (!read.certain()) {
+          if (!read.succeeded()) {
             onDone.accept(JobLookup.UNCERTAIN);
             return;
           }
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -317,7 +317,7 @@
         key,
         read -> {
           long storedVersion = read.found() ? read.entry().revision() : 0;
-          if (sequence == currentSequence && read.certain() && storedVersion < knownVersion) {
+          if (sequence == currentSequence && read.succeeded() && storedVersion < knownVersion) {
             listener.onRecordMissing(key);
           }
         });
