--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -171,7 +171,8 @@
             now != null
                     && now.source().equals(of.source())
                     && now.status() == Subscription.Status.ACTIVE
-                ? now.withStatus(status, reason.substring(0, Math.min(reason.length(), MOST_REASON)))
+                ? now.withStatus(
+                    status, reason.substring(0, Math.min(reason.length(), MOST_REASON)))
                 : now,
         () -> {});
   }
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -280,7 +280,8 @@
     boolean applied = false;
     for (QueueEntry entry : candidates) {
       Resources perTask = entry.job.spec.resourcesPerTask();
-      long count = Math.min(entry.job.pendingTasks.cardinality(), perTask.timesFittingIn(remaining));
+      long count =
+          Math.min(entry.job.pendingTasks.cardinality(), perTask.timesFittingIn(remaining));
       if (count > 0) {
         remaining = remaining.minus(perTask.times(count));
         applyEvent(entry, event, now);
--- a/src/main/java/io/pineladder/scheduling/ClusterState.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -130,9 +130,11 @@
     double machineCount = 0;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name())) {
-        double machinesPerTask = Math.min(1, spec.resourcesPerTask().dominantShareOf(type.capacity()));
+        double machinesPerTask =
+            Math.min(1, spec.resourcesPerTask().dominantShareOf(type.capacity()));
         machineCount =
-            Math.max(machineCount, (spec.tasks() - job.completedTasks.cardinality()) * machinesPerTask);
+            Math.max(
+                machineCount, (spec.tasks() - job.completedTasks.cardinality()) * machinesPerTask);
       }
     }
     return spotRisk.reclaimProbability(machineCount, spec.estimatedRunTime())
--- a/src/main/java/io/pineladder/scheduling/ObjectiveOrdering.java
+++ b/src/main/java/io/pineladder/scheduling/ObjectiveOrdering.java
@@ -66,7 +66,9 @@
       return Duration.ZERO;
     }
     double share =
-        spec.resourcesPerTask().times(spec.tasks() - job.completedTasks.cardinality()).dominantShareOf(team.limit());
+        spec.resourcesPerTask()
+            .times(spec.tasks() - job.completedTasks.cardinality())
+            .dominantShareOf(team.limit());
     return Duration.ofMillis((long) (spec.estimatedRunTime().toMillis() * share));
   }
 }
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -100,7 +100,9 @@
     boolean allOrNothing = spec.kind() == JobKind.GANG;
     Team team = cluster.team(spec.team());
     long withinLimit =
-        team == null ? 0 : team.maxAdditionalUnits(cluster.usage(spec.team()), spec.resourcesPerTask());
+        team == null
+            ? 0
+            : team.maxAdditionalUnits(cluster.usage(spec.team()), spec.resourcesPerTask());
     if (withinLimit == 0 || (allOrNothing && withinLimit < taskCount)) {
       return Decision.rejected(SchedulingCheck.TEAM_LIMIT);
     }
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -250,7 +250,9 @@
       }
       if (reply.is(404)) {
         long revision = StoreWire.parseRevision(reply.body());
-        return context.acceptRevision(revision) ? new ReadResult(true, null, revision) : ReadResult.FAILED;
+        return context.acceptRevision(revision)
+            ? new ReadResult(true, null, revision)
+            : ReadResult.FAILED;
       }
     } catch (MalformedMessageException e) {
       return ReadResult.FAILED;
