--- a/src/main/java/io/pineladder/autoscaling/ArrivalStatistics.java
+++ b/src/main/java/io/pineladder/autoscaling/ArrivalStatistics.java
@@ -22,7 +22,7 @@
   private static final Duration DEFERRABLE_TIME_CONSTANT = Duration.ofSeconds(90);
 
   /** The share of the forecast to have free for jobs that can wait for a machine to boot. */
-  private static final double PATIENT_HEADROOM_SHARE = 0.25;
+  private static final double DELAY_TOLERANT_HEADROOM_SHARE = 0.25;
 
   /** On-demand headroom of less than this share of the cheapest machine is negligible. */
   private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
@@ -34,8 +34,8 @@
 
   private final ArrivalForecast urgentOnDemand = new ArrivalForecast(TIME_CONSTANT);
   private final ArrivalForecast urgentSpot = new ArrivalForecast(TIME_CONSTANT);
-  private final ArrivalForecast patientOnDemand = new ArrivalForecast(TIME_CONSTANT);
-  private final ArrivalForecast patientSpot = new ArrivalForecast(TIME_CONSTANT);
+  private final ArrivalForecast delayTolerantOnDemand = new ArrivalForecast(TIME_CONSTANT);
+  private final ArrivalForecast delayTolerantSpot = new ArrivalForecast(TIME_CONSTANT);
   private final Map<PriorityClass, ArrivalForecast> deferrableWork =
       new EnumMap<>(PriorityClass.class);
 
@@ -65,9 +65,9 @@
         job.priorityClass() != PriorityClass.PRODUCTION
             && cluster.startSlack(job, eventLoop.wallClock()).compareTo(readyTime) > 0;
     if (spec.spotAllowed()) {
-      (patient ? patientSpot : urgentSpot).add(value, now);
+      (patient ? delayTolerantSpot : urgentSpot).add(value, now);
     } else {
-      (patient ? patientOnDemand : urgentOnDemand).add(value, now);
+      (patient ? delayTolerantOnDemand : urgentOnDemand).add(value, now);
     }
     if (cluster.canWaitForCapacity(job)) {
       double work = value * spec.estimatedRunTime().toMillis() / 1000.0;
@@ -98,9 +98,9 @@
         cluster.types().stream().mapToDouble(t -> t.bootTime().toMillis() / 1000.0).min().orElse(0);
     return spot
         ? urgentSpot.rate(now) * bootSeconds
-            + patientSpot.rate(now) * bootSeconds * PATIENT_HEADROOM_SHARE
+            + delayTolerantSpot.rate(now) * bootSeconds * DELAY_TOLERANT_HEADROOM_SHARE
         : urgentOnDemand.rate(now) * bootSeconds
-            + patientOnDemand.rate(now) * bootSeconds * PATIENT_HEADROOM_SHARE;
+            + delayTolerantOnDemand.rate(now) * bootSeconds * DELAY_TOLERANT_HEADROOM_SHARE;
   }
 
   /**
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -26,7 +26,7 @@
   private final ClusterState cluster;
   private final Scheduler scheduler;
   private final EventLoop eventLoop;
-  private final Effects effects;
+  private final Effects callbacks;
   private final CloudClient cloud;
   private final Zones zones = new Zones();
   private final CapacityEstimates estimates;
@@ -68,11 +68,11 @@
       EventLoop eventLoop,
       long term,
       OperatorSettings operator,
-      Effects effects) {
+      Effects callbacks) {
     this.cluster = cluster;
     this.scheduler = scheduler;
     this.eventLoop = eventLoop;
-    this.effects = effects;
+    this.callbacks = callbacks;
     this.cloud = new CloudClient(cluster.settings, httpClient, eventLoop);
     CapacityRefusals refusals = new CapacityRefusals(cluster, eventLoop);
     MachineTypeSelector types = new MachineTypeSelector(cluster, refusals);
@@ -85,7 +85,7 @@
             new MachineUtilization(cluster, eventLoop),
             new ArrivalStatistics(cluster, eventLoop, types, imageFetch));
     this.releaser =
-        new MachineReleaser(cluster, scheduler, records, cloud, bootTimes, effects::mayAct);
+        new MachineReleaser(cluster, scheduler, records, cloud, bootTimes, callbacks::mayAct);
     RentalClient rentals =
         new RentalClient(cluster, eventLoop, term, cloud, zones, refusals, releaser::wasReleased);
     this.scaleOut = new ScaleOut(cluster, scheduler, eventLoop, estimates, types, rentals);
@@ -93,7 +93,7 @@
     Instant now = eventLoop.now();
     this.inventory = new MachineInventory(cluster, eventLoop, cloud, releaser, now);
     this.lastTickAt = now;
-    this.failureDetector = new FailureDetector(cluster, estimates, zones, effects, now);
+    this.failureDetector = new FailureDetector(cluster, estimates, zones, callbacks, now);
   }
 
   /** Applies changed settings of the operator. */
@@ -150,11 +150,11 @@
     }
     Instant now = eventLoop.now();
     if (now.isAfter(lastTickAt.plus(TICK_INTERVAL).plus(PROCESS_PAUSE_THRESHOLD))
-        || !effects.acceptsHeartbeats()) {
+        || !callbacks.acceptsHeartbeats()) {
       failureDetector.onHeartbeatsNotAccepted(now);
     }
     lastTickAt = now;
-    if (effects.mayAct()) {
+    if (callbacks.mayAct()) {
       inventory.listMachines(now);
       cluster.spotRisk.observe(countConfirmedSpotMachines(), now);
       failureDetector.findMachinesToRelease(now).forEach(releaser::release);
--- a/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -35,7 +35,7 @@
   private static final double VERY_LATE_MARGIN = 1.5;
 
   /** No machine is given up before this multiple of its type's boot time. */
-  private static final double MIN_GIVE_UP_FACTOR = 5;
+  private static final double MIN_TIMEOUT_FACTOR = 5;
 
   /** Boots that take this multiple of their type's boot time on average are slow. */
   private static final double SLOW_FACTOR = 1.75;
@@ -145,9 +145,9 @@
   }
 
   /** Whether a machine has been booting for so long that it is to be released. */
-  boolean isGivenUp(Machine machine, Instant now) {
+  boolean hasTimedOut(Machine machine, Instant now) {
     // It is charged as long as it is waited for.
-    return bootFactor(machine, now) > Math.max(MIN_GIVE_UP_FACTOR, lateFactor(machine.type));
+    return bootFactor(machine, now) > Math.max(MIN_TIMEOUT_FACTOR, lateFactor(machine.type));
   }
 
   /**
--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -32,7 +32,7 @@
  */
 final class CapacityDemand {
   /** The last task of an array takes this much longer than the estimate, as a share of it. */
-  private static final double LAST_TASK_MARGIN = 0.25;
+  private static final double STRAGGLER_MARGIN = 0.25;
 
   /** A kind of machine that can be rented, by the name of its type, since prices change. */
   record MachineKind(String type, boolean spot) {}
@@ -43,7 +43,7 @@
     final Map<String, Double> byZone = new HashMap<>();
 
     /** The zone with the most missing machines, or null if no job is restricted to one. */
-    String zoneInGreatestNeed() {
+    String zoneWithMostMissing() {
       return byZone.entrySet().stream()
           .max(Map.Entry.comparingByValue())
           .map(Map.Entry::getKey)
@@ -74,7 +74,7 @@
 
   private final Map<MachineKind, Double> bootingMachines = new HashMap<>();
   private final Map<MachineKind, MissingMachines> missing = new LinkedHashMap<>();
-  private final List<Machine> deferrableOnly = new ArrayList<>();
+  private final List<Machine> deferrableOnlyMachines = new ArrayList<>();
   private final BatchBacklog backlog;
 
   /** The value of the machines that are up or boot, less what tasks that cannot wait take. */
@@ -84,7 +84,7 @@
   private JobSpec criticalJob;
 
   /** Values of on-demand machines, then of spot machines. */
-  private final double[] wantedValue = new double[2];
+  private final double[] pendingValue = new double[2];
 
   private final double[] bootingValue = new double[2];
   private final double[] freeValue = new double[2];
@@ -134,18 +134,18 @@
   }
 
   /** The value of all that the pending jobs need, whatever boots. */
-  double wantedValue(boolean spot) {
-    return wantedValue[market(spot)];
+  double pendingValue(boolean spot) {
+    return pendingValue[marketIndex(spot)];
   }
 
   /** The value of the machines that boot. */
   double bootingValue(boolean spot) {
-    return bootingValue[market(spot)];
+    return bootingValue[marketIndex(spot)];
   }
 
   /** The value of what is free on schedulable machines. */
   double freeValue(boolean spot) {
-    return freeValue[market(spot)];
+    return freeValue[marketIndex(spot)];
   }
 
   /**
@@ -168,12 +168,12 @@
   }
 
   /** Busy on-demand machines with deferrable tasks only; the list may be sorted. */
-  List<Machine> deferrableOnly() {
-    return deferrableOnly;
+  List<Machine> deferrableOnlyMachines() {
+    return deferrableOnlyMachines;
   }
 
   /**
-   * How much of {@link #deferrableOnly} is needed for all arrays to start in time.
+   * How much of {@link #deferrableOnlyMachines} is needed for all arrays to start in time.
    *
    * @param deferrableValue the value of those machines
    */
@@ -187,7 +187,7 @@
     return duration.toMillis() / 1000.0;
   }
 
-  private static int market(boolean spot) {
+  private static int marketIndex(boolean spot) {
     return spot ? 1 : 0;
   }
 
@@ -198,15 +198,15 @@
         double weight = estimates.bootTimes().weight(machine, now);
         bootingMachines.merge(
             new MachineKind(machine.type.name(), machine.spot), weight, Double::sum);
-        bootingValue[market(machine.spot)] += weight * price;
+        bootingValue[marketIndex(machine.spot)] += weight * price;
         capacity += weight * price;
       }
       case CONFIRMED -> {
         if (machine.isSchedulable()) {
           double free = estimates.utilization().freeShare(machine);
-          freeValue[market(machine.spot)] += free * price;
+          freeValue[marketIndex(machine.spot)] += free * price;
           capacity += price;
-          countUndeferrableWork(machine, free < 1);
+          subtractNonDeferrableTasks(machine, free < 1);
         }
       }
       default -> {}
@@ -219,7 +219,7 @@
    * @param isBusy whether tasks run there that the machine is worth keeping for; an idle one is
    *     kept for its images as long as that is worth it
    */
-  private void countUndeferrableWork(Machine machine, boolean isBusy) {
+  private void subtractNonDeferrableTasks(Machine machine, boolean isBusy) {
     boolean onlyDeferrable = isBusy && !machine.spot;
     for (Attempt attempt : machine.attempts.values()) {
       if (!attempt.holdsCapacity()) {
@@ -231,7 +231,7 @@
       }
     }
     if (onlyDeferrable) {
-      deferrableOnly.add(machine);
+      deferrableOnlyMachines.add(machine);
     }
   }
 
@@ -316,9 +316,9 @@
     double tasks = pendingJob.tasks;
     for (MachineType type : cluster.types()) {
       if (MachineTypeSelector.isUsable(spec, type)) {
-        wantedValue[market(maySpot)] += type == listed ? tasks * taskValue(spec, type) : 0;
-        tasks -= maySpot ? takeBooting(new MachineKind(type.name(), true), spec, type, tasks) : 0;
-        tasks -= takeBooting(new MachineKind(type.name(), false), spec, type, tasks);
+        pendingValue[marketIndex(maySpot)] += type == listed ? tasks * taskValue(spec, type) : 0;
+        tasks -= maySpot ? assignBooting(new MachineKind(type.name(), true), spec, type, tasks) : 0;
+        tasks -= assignBooting(new MachineKind(type.name(), false), spec, type, tasks);
       }
     }
     if (tasks <= 0) {
@@ -337,7 +337,7 @@
    *
    * @return the number of its tasks that they suffice for
    */
-  private double takeBooting(MachineKind kind, JobSpec spec, MachineType type, double tasks) {
+  private double assignBooting(MachineKind kind, JobSpec spec, MachineType type, double tasks) {
     double booting = bootingMachines.getOrDefault(kind, 0.0);
     double machinesPerTask =
         1.0 / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
@@ -365,7 +365,7 @@
     double runSeconds = seconds(spec.estimatedRunTime());
     // What is late by all objectives must not wait for ever.
     double secondsLeft =
-        Math.max(seconds(slack) - LAST_TASK_MARGIN * runSeconds, 2 * seconds(startDelay));
+        Math.max(seconds(slack) - STRAGGLER_MARGIN * runSeconds, 2 * seconds(startDelay));
     double missingBefore = backlog.missingCapacity();
     backlog.add(
         pendingJob.tasks * taskValue(spec, type),
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -30,7 +30,7 @@
   private static final Duration FIRST_HEARTBEAT_TIMEOUT = Duration.ofSeconds(15);
 
   /** How long a cut-off zone with a controller of its own is taken to live on. */
-  private static final Duration PEER_KEPT_ZONE_PATIENCE = Duration.ofMinutes(3);
+  private static final Duration PEER_ZONE_TIMEOUT = Duration.ofMinutes(3);
 
   /**
    * What a heartbeat may be late by on top of its interval: a lost response, another controller.
@@ -41,13 +41,13 @@
   private static final Duration OVERDUE_LEAD = Duration.ofSeconds(4);
 
   /** Machines that may come back are waited for a third of the time that a replacement takes. */
-  private static final int WORTHWHILE_WAIT_DIVISOR = 3;
+  private static final int REPLACEMENT_WAIT_DIVISOR = 3;
 
   private final ClusterState cluster;
   private final CapacityEstimates estimates;
   private final Zones zones;
-  private final ZoneLossPlan zoneLossPlan;
-  private final Autoscaler.Effects effects;
+  private final ZoneOutagePolicy zoneOutagePolicy;
+  private final Autoscaler.Effects callbacks;
   private final Instant startedAt;
 
   /** Until when a zone that was unreachable is taken to be so. */
@@ -64,13 +64,13 @@
       ClusterState cluster,
       CapacityEstimates estimates,
       Zones zones,
-      Autoscaler.Effects effects,
+      Autoscaler.Effects callbacks,
       Instant now) {
     this.cluster = cluster;
     this.estimates = estimates;
     this.zones = zones;
-    this.zoneLossPlan = new ZoneLossPlan(cluster, estimates, zones);
-    this.effects = effects;
+    this.zoneOutagePolicy = new ZoneOutagePolicy(cluster, estimates, zones);
+    this.callbacks = callbacks;
     this.startedAt = now;
     this.acceptingHeartbeatsSince = now;
   }
@@ -89,7 +89,7 @@
   private static final class ZoneHeartbeats {
     int expected;
     int overdue;
-    int recentlyHeard;
+    int recentlySeen;
 
     /** Whether many machines were cut off or hang at once, rather than failed one by one. */
     boolean isCorrelated() {
@@ -108,14 +108,14 @@
     int expected;
 
     /** Whether no heartbeat arrives any more of machines of which some did. */
-    boolean areAllLost() {
+    boolean areAllSilent() {
       return expected >= 2
           && silent.size() == expected
           && silent.stream().anyMatch(m -> m.lastHeartbeatAt != null);
     }
 
-    boolean isAnyRecentlyHeard() {
-      return byZone.values().stream().anyMatch(zone -> zone.recentlyHeard > 0);
+    boolean isAnyRecentlySeen() {
+      return byZone.values().stream().anyMatch(zone -> zone.recentlySeen > 0);
     }
   }
 
@@ -130,10 +130,10 @@
   List<Machine> findMachinesToRelease(Instant now) {
     Duration timeout = heartbeatTimeout();
     Survey survey = survey(timeout, now);
-    if (survey.areAllLost()) {
+    if (survey.areAllSilent()) {
       // No worker reaches this controller any more, while they may reach another. A successor that
       // has never heard any keeps its term, or machines that all died would never be given up.
-      effects.resign("no worker is heard");
+      callbacks.resign("no worker is heard");
       return List.of();
     }
     reviewZones(survey, timeout, now);
@@ -165,11 +165,11 @@
       boolean recentlyHeard =
           machine.lastHeartbeatAt != null
               && machine.lastHeartbeatAt.plus(recentPeriod).isAfter(now);
-      zone.recentlyHeard += recentlyHeard ? 1 : 0;
+      zone.recentlySeen += recentlyHeard ? 1 : 0;
       if (since.plus(overdueAfter).isBefore(now)) {
         zone.overdue++;
         if (now.getEpochSecond() % 2 == 0) {
-          effects.probe(machine);
+          callbacks.probe(machine);
         }
       }
       if (since.plus(timeout).isBefore(now)) {
@@ -195,8 +195,8 @@
               new HeartbeatCounts(
                   heartbeats.expected,
                   heartbeats.overdue,
-                  heartbeats.recentlyHeard,
-                  effects.workersHeardByPeers(zone));
+                  heartbeats.recentlySeen,
+                  callbacks.workersHeardByPeers(zone));
           zones.review(zone, counts, now);
           if (counts.isUnreachable()) {
             // Once a cut is over the first that are heard say nothing of the rest, whose heartbeats
@@ -207,7 +207,7 @@
   }
 
   private List<Machine> selectForRelease(Survey survey, Duration timeout, Instant now) {
-    boolean anyHeard = survey.isAnyRecentlyHeard();
+    boolean anyHeard = survey.isAnyRecentlySeen();
     List<Machine> toRelease = new ArrayList<>();
     List<Machine> lostWithZone = new ArrayList<>();
     for (Machine machine : survey.silent) {
@@ -216,23 +216,23 @@
         continue;
       }
       Duration patience =
-          patience(machine, survey.byZone.get(machine.zone), anyHeard, timeout, now);
+          releaseTimeout(machine, survey.byZone.get(machine.zone), anyHeard, timeout, now);
       if (isCancellationBoundNear(machine, now)) {
         toRelease.add(machine);
       } else if (silentSince(machine).plus(patience).isBefore(now)) {
         (zones.isUnreachable(machine.zone) ? lostWithZone : toRelease).add(machine);
       }
     }
-    toRelease.addAll(zoneLossPlan.machinesToRelease(lostWithZone, now));
+    toRelease.addAll(zoneOutagePolicy.machinesToRelease(lostWithZone, now));
     return toRelease;
   }
 
   /** How long a silent machine is waited for, from its last heartbeat on. */
-  private Duration patience(
+  private Duration releaseTimeout(
       Machine machine, ZoneHeartbeats zone, boolean anyHeard, Duration timeout, Instant now) {
     Duration lease = cluster.settings.workerTimes().leaseDuration();
     if (unreachableUntil.getOrDefault(machine.zone, Instant.MIN).isAfter(now)) {
-      return longestTaskLifetime(machine.zone, anyHeard);
+      return maxTaskLifetime(machine.zone, anyHeard);
     }
     boolean waitsForLease = zone.isCorrelated() && isWorthWaiting(machine, lease.minus(timeout));
     return waitsForLease ? lease : Duration.ZERO;
@@ -258,7 +258,7 @@
       }
     }
     if (throughPeers >= 3 && throughPeers * 2 > heard) {
-      effects.transferLeadership("workers reach its peers and not this node");
+      callbacks.transferLeadership("workers reach its peers and not this node");
     }
   }
 
@@ -269,20 +269,20 @@
   private boolean isWorthWaiting(Machine machine, Duration extraWait) {
     Duration replacementTime =
         machine.type.bootTime().plus(estimates.imageFetch().fetchTime(machine.type));
-    return extraWait.multipliedBy(WORTHWHILE_WAIT_DIVISOR).compareTo(replacementTime) < 0;
+    return extraWait.multipliedBy(REPLACEMENT_WAIT_DIVISOR).compareTo(replacementTime) < 0;
   }
 
   /**
    * How long tasks may live in a zone that is cut off, where controllers keep their workers' leases
    * alive, with the time that a heartbeat then takes to arrive here.
    */
-  private Duration longestTaskLifetime(String zone, boolean anyHeard) {
+  private Duration maxTaskLifetime(String zone, boolean anyHeard) {
     // Where no zone is heard nothing distinguishes a cut from machines that have all died.
     boolean hasPeer =
         anyHeard && cluster.settings.peers().stream().anyMatch(peer -> peer.zone().equals(zone));
     if (hasPeer) {
       // It keeps the leases there alive for as long as it lives.
-      return PEER_KEPT_ZONE_PATIENCE;
+      return PEER_ZONE_TIMEOUT;
     }
     Settings.WorkerTimes workers = cluster.settings.workerTimes();
     Duration renewedLifetime =
@@ -312,13 +312,13 @@
    * come; null if none is expected of it.
    */
   private Instant silentSince(Machine machine) {
-    Instant since = lastHeardSince(machine);
+    Instant since = heartbeatBaseline(machine);
     return since == null || since.isAfter(acceptingHeartbeatsSince)
         ? since
         : acceptingHeartbeatsSince;
   }
 
-  private Instant lastHeardSince(Machine machine) {
+  private Instant heartbeatBaseline(Machine machine) {
     return switch (machine.state()) {
       case HEARD, CONFIRMED, SILENT -> machine.lastHeartbeatAt;
       case EXPECTED -> {
--- a/src/main/java/io/pineladder/autoscaling/OnDemandReview.java
+++ b/src/main/java/io/pineladder/autoscaling/OnDemandReview.java
@@ -30,7 +30,7 @@
   private static final Duration MIN_BILLED_PERIOD = Duration.ofSeconds(45);
 
   /** The last of some tasks runs for about this multiple of their estimate. */
-  private static final double LONGEST_TASK_FACTOR = 1.3;
+  private static final double STRAGGLER_FACTOR = 1.3;
 
   private final ClusterState cluster;
   private final Scheduler scheduler;
@@ -104,7 +104,7 @@
   }
 
   private void retire(CapacityDemand demand, boolean isAnyMissing, Instant now) {
-    List<Machine> deferrableOnly = demand.deferrableOnly();
+    List<Machine> deferrableOnly = demand.deferrableOnlyMachines();
     double deferrableValue = deferrableOnly.stream().mapToDouble(m -> m.type.onDemandPrice()).sum();
     double neededValue =
         Math.max(
@@ -145,7 +145,7 @@
             "Retiring machine drained: machine={} lostValue={} longestSeconds={}",
             machine,
             cost.lostValue,
-            cost.longestSeconds);
+            cost.remainingSeconds);
         remainingSpotValue -= cost.movedValue;
         machine.draining = true;
         List.copyOf(machine.attempts.values()).forEach(scheduler::preempt);
@@ -158,16 +158,16 @@
    *
    * @param lostValue list price an hour, times the seconds that the tasks have run
    * @param movedValue what the tasks take, at list prices an hour
-   * @param longestSeconds how much longer the last of them runs otherwise
+   * @param remainingSeconds how much longer the last of them runs otherwise
    * @param meetsObjectives whether all of them would still meet their objectives
    */
   private record DrainCost(
-      double lostValue, double movedValue, double longestSeconds, boolean meetsObjectives) {
+      double lostValue, double movedValue, double remainingSeconds, boolean meetsObjectives) {
     boolean isWorthwhile(double onDemandPrice, double freeSpotValue) {
       return meetsObjectives
           && movedValue > 0
           && movedValue < freeSpotValue
-          && 2 * lostValue < longestSeconds * onDemandPrice;
+          && 2 * lostValue < remainingSeconds * onDemandPrice;
     }
   }
 
@@ -191,7 +191,7 @@
       longestSeconds =
           Math.max(
               longestSeconds,
-              Math.max(LONGEST_TASK_FACTOR * runSeconds - elapsedSeconds, runSeconds / 2));
+              Math.max(STRAGGLER_FACTOR * runSeconds - elapsedSeconds, runSeconds / 2));
       meetsObjectives &=
           attempt.isWanted() && !cluster.wouldMissObjectiveAfterRestart(attempt.job, wallClock);
     }
--- a/src/main/java/io/pineladder/autoscaling/ScaleIn.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleIn.java
@@ -60,7 +60,7 @@
         case EXPECTED -> {
           if (!machine.listedRunning
               && machine.attempts.isEmpty()
-              && estimates.bootTimes().isGivenUp(machine, now)) {
+              && estimates.bootTimes().hasTimedOut(machine, now)) {
             log.info("Machine never booted, releasing: machine={}", machine);
             releaser.release(machine);
           }
--- a/src/main/java/io/pineladder/autoscaling/ScaleOut.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleOut.java
@@ -60,7 +60,7 @@
                 MachineType type = cluster.type(kind.type());
                 rentals.rent(
                     type,
-                    missing.zoneInGreatestNeed(),
+                    missing.zoneWithMostMissing(),
                     kind.spot(),
                     requestedCount(missing.machines, type),
                     false,
@@ -85,7 +85,7 @@
   private void addMissingHeadroom(CapacityDemand demand, boolean spot) {
     // No job is pending for this yet, so no dearer kind is rented.
     double available =
-        demand.freeValue(spot) + Math.max(demand.wantedValue(spot), demand.bootingValue(spot));
+        demand.freeValue(spot) + Math.max(demand.pendingValue(spot), demand.bootingValue(spot));
     double missingHeadroom = estimates.arrivals().headroom(spot) - available;
     MachineType type = missingHeadroom > 0 ? types.cheapestAvailable(spot, null) : null;
     if (type != null) {
--- a/src/main/java/io/pineladder/autoscaling/ZoneLossPlan.java
+++ b/src/main/java/io/pineladder/autoscaling/ZoneOutagePolicy.java
@@ -21,7 +21,7 @@
  * run there sooner than the zone is likely to be back, production first, and no more at a time than
  * the other zones can take.
  */
-final class ZoneLossPlan {
+final class ZoneOutagePolicy {
   /** Of a zone that is likely to stay unreachable for longer all machines are released. */
   private static final Duration MAX_EXPECTED_OUTAGE = Duration.ofMinutes(10);
 
@@ -32,14 +32,14 @@
   private final CapacityEstimates estimates;
   private final Zones zones;
 
-  ZoneLossPlan(ClusterState cluster, CapacityEstimates estimates, Zones zones) {
+  ZoneOutagePolicy(ClusterState cluster, CapacityEstimates estimates, Zones zones) {
     this.cluster = cluster;
     this.estimates = estimates;
     this.zones = zones;
   }
 
   /** The machines of the zones that are not unreachable. */
-  private static final class Elsewhere {
+  private static final class OtherZones {
     int confirmed;
     int booting;
 
@@ -64,7 +64,7 @@
     if (lost.isEmpty()) {
       return List.of();
     }
-    Elsewhere elsewhere = countElsewhere();
+    OtherZones elsewhere = surveyOtherZones();
     if (elsewhere.confirmed == 0) {
       // No zone is up to compare with, and machines that have all died would never be given up.
       return lost;
@@ -78,7 +78,7 @@
         continue;
       }
       int priority = highestMovablePriority(machine);
-      if (priority >= 0 && isFasterElsewhere(machine, elsewhere.freeMachines, now)) {
+      if (priority >= 0 && isFasterInOtherZones(machine, elsewhere.freeMachines, now)) {
         ordered.add(machine);
         priorities.put(machine, priority);
       }
@@ -88,8 +88,8 @@
     return maxReleases <= 0 ? List.of() : ordered.subList(0, Math.min(maxReleases, ordered.size()));
   }
 
-  private Elsewhere countElsewhere() {
-    Elsewhere elsewhere = new Elsewhere();
+  private OtherZones surveyOtherZones() {
+    OtherZones elsewhere = new OtherZones();
     for (Machine machine : cluster.machines()) {
       if (!zones.isUnreachable(machine.zone)) {
         switch (machine.state()) {
@@ -107,7 +107,7 @@
   }
 
   /** Whether a task of the machine would run elsewhere before the zone is likely to be back. */
-  private boolean isFasterElsewhere(Machine machine, double freeMachines, Instant now) {
+  private boolean isFasterInOtherZones(Machine machine, double freeMachines, Instant now) {
     MachineType type = machine.type;
     Duration ready = estimates.imageFetch().fetchTime(type);
     if (freeMachines < 1) {
--- a/src/main/java/io/pineladder/workers/AttemptReconciler.java
+++ b/src/main/java/io/pineladder/workers/AttemptReconciler.java
@@ -16,11 +16,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the attempts of one machine with the task list of its newest status.
+ * Reconciles a machine's attempts with the task list of its latest status.
  *
- * <p>Only the status of a worker that holds this term's fencing token is reconciled: commands of an
- * older leader no longer take effect there, so the list is complete and an attempt that is absent
- * from it is proven gone, unless its start may still be on its way.
+ * <p>Only a worker that holds this term's fencing token is reconciled. It rejects commands of
+ * earlier leaders, so its list is complete: an attempt that is not listed is gone, unless its start
+ * command may still be in flight.
  */
 final class AttemptReconciler {
   private static final Logger log = LoggerFactory.getLogger(AttemptReconciler.class);
@@ -31,7 +31,7 @@
   private final WorkerManager.Listener listener;
   private final ReachabilityTracker reachability;
 
-  /** The number of statuses reconciled so far, which marks the attempts that the newest lists. */
+  /** Statuses reconciled so far; each attempt keeps the number of the last one that listed it. */
   private long reconciledStatuses;
 
   AttemptReconciler(
@@ -48,12 +48,12 @@
   }
 
   /**
-   * Updates the machine's attempts from the task list of its newest status.
+   * Updates the machine's attempts from the task list of its latest status.
    *
-   * @param source whether the worker sent the list as a heartbeat or as its reply to a command
+   * @param source whether the list arrived in a heartbeat or in a reply to a command
    */
   void reconcile(Machine machine, Heartbeat status, HeartbeatProcessor.Source source) {
-    // A mark on each attempt, not a set of names: a heartbeat may list hundreds of tasks.
+    // Marks each listed attempt instead of building a set: a heartbeat may list hundreds of tasks.
     long mark = ++reconciledStatuses;
     machine.hasUnknownTasks = false;
     for (TaskStatus task : status.tasks()) {
@@ -70,7 +70,7 @@
       attempt.lastListingHeartbeat = mark;
       if (attempt.state() == Attempt.State.PLACEMENT_STORED
           && attempt.startHeartbeatSequence >= 0) {
-        // Its start went out with a heartbeat response, which has therefore arrived.
+        // The start was sent in a heartbeat response, so that response has arrived.
         reachability.update(machine, Machine.Reachability.REACHABLE);
       }
       if (task.state() == TaskState.EXITED) {
@@ -99,10 +99,11 @@
   }
 
   /**
-   * Adds an attempt for a listed task without a stored placement. It holds capacity while it is
-   * listed, and is killed unless records may be missing and it can be adopted.
+   * Adds an attempt for a listed task that has no stored placement. The attempt holds capacity
+   * while it is listed. It is killed, unless stored records may be missing and the scheduler can
+   * adopt it.
    *
-   * @return null if no such task is known
+   * @return null if the job is unknown or has no task with this index
    */
   private Attempt addUnrecordedAttempt(Machine machine, TaskStatus task) {
     Job job = cluster.jobs.get(task.task().job());
@@ -127,7 +128,7 @@
     return attempt;
   }
 
-  /** The newest status of a machine that holds this term's token does not list the attempt. */
+  /** Handles an attempt that is missing from the latest status of its machine. */
   private void onUnlisted(Attempt attempt, long sequence, HeartbeatProcessor.Source source) {
     switch (attempt.state()) {
       case PLACEMENT_PENDING, GONE -> {}
@@ -135,18 +136,17 @@
         if (attempt.startAgentEpoch == 0
             || attempt.directStartPending
             || attempt.startUnconfirmed) {
-          // The start was not sent yet, or one sent as a command may still arrive.
+          // The start has not been sent, or was sent in a request that may still arrive.
           return;
         }
         if (source == HeartbeatProcessor.Source.COMMAND_REPLY
             || attempt.startHeartbeatSequence >= sequence) {
-          // The reply to a command is newer than the worker's heartbeat before it and yet older
-          // than the response to that heartbeat, which may be on its way for 4 s. When it was taken
-          // for proof, tasks were started elsewhere and jobs were reported as cancelled whose
-          // starts were still to arrive.
+          // The worker may have sent this before it received the heartbeat response with the start,
+          // which can be in flight for up to 4 s. Treating the attempt as gone would start the task
+          // twice, or report a job as cancelled whose task still starts.
           return;
         }
-        // The response that carried the start was dropped, and is never executed late.
+        // The response with the start was dropped, and a dropped response is never executed late.
         if (attempt.isWanted()) {
           attempt.startAgentEpoch = 0;
           attempt.startHeartbeatSequence = -1;
--- a/src/main/java/io/pineladder/workers/CommandReplyHandler.java
+++ b/src/main/java/io/pineladder/workers/CommandReplyHandler.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Draws the conclusions from replies to command requests: whether the starts among the commands
- * took effect, whether commands reach the machine, and what its status in the reply says.
+ * Processes replies to command requests: resolves the starts among the commands, updates the
+ * machine's reachability and applies the status that the reply carries.
  */
 final class CommandReplyHandler {
   private static final Logger log = LoggerFactory.getLogger(CommandReplyHandler.class);
@@ -39,20 +39,19 @@
   }
 
   /**
-   * Processes the reply to a command request, or that there is none.
+   * Processes the outcome of a command request, including a missing reply.
    *
-   * @param started the attempts with a start among the commands
-   * @return whether what the machine's attempts call for now may be sent
+   * @param started the attempts whose start was among the commands
+   * @return whether further commands may be sent to the machine now
    */
   boolean onReply(Machine machine, List<Attempt> started, Reply reply) {
     machine.commandInFlight = false;
     boolean executed = reply.is(200);
-    // A status that the protocol does not name proves nothing, least of all that a start had no
-    // effect.
+    // Any other status code proves nothing; in particular not that a start had no effect.
     boolean refused = reply.is(409) || reply.is(400) || reply.outcome() == Outcome.NOT_SENT;
-    settleStarts(started, executed, refused);
+    resolveStarts(started, executed, refused);
     if (refused || !executed) {
-      // Kills in it may not have arrived; the next heartbeat response repeats them.
+      // Kills in the request may not have arrived; the next heartbeat response repeats them.
       machine.attempts.values().forEach(a -> a.setKillSent(false));
     }
     if (!reply.isAnswered()) {
@@ -78,7 +77,7 @@
             machine,
             reply,
             e.getMessage());
-        // It does not list what it started, and a heartbeat from before the command may still come.
+        // The reply lists no tasks, and a heartbeat sent before the command may still arrive.
         started.forEach(attempt -> attempt.startUnconfirmed |= executed);
         reachability.update(machine, Machine.Reachability.DOUBTFUL);
       }
@@ -86,13 +85,13 @@
     return true;
   }
 
-  private void settleStarts(List<Attempt> started, boolean executed, boolean refused) {
+  private void resolveStarts(List<Attempt> started, boolean executed, boolean refused) {
     for (Attempt attempt : started) {
       attempt.directStartPending = false;
       if (refused) {
         attempt.startAgentEpoch = 0;
         if (!attempt.isWanted()) {
-          // Killed while the start was on its way; nothing else would ever settle it.
+          // Killed while the start was in flight. No other event would remove the attempt.
           scheduler.onAttemptGone(attempt, "its start was refused");
         }
       } else if (!executed) {
--- a/src/main/java/io/pineladder/workers/CommandSender.java
+++ b/src/main/java/io/pineladder/workers/CommandSender.java
@@ -17,20 +17,20 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Sends commands to machines by requests of their own, at most one at a time to each. A probe is a
- * request without commands.
+ * Sends commands to workers in requests, with at most one request in flight to each machine. A
+ * probe is a request without commands.
  */
 final class CommandSender {
   private static final String COMMAND_PATH = "/do";
   private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(2);
 
   /**
-   * Probes at a time: when hundreds of machines were overdue, probing all of them at once used up
-   * the connections. Live ones reply within milliseconds, so the others do not wait for long.
+   * Limits the connections that probes use when hundreds of machines are overdue. Live machines
+   * reply within milliseconds, so the queue drains quickly.
    */
   private static final int MAX_CONCURRENT_PROBES = 100;
 
-  /** The least time between two probes of a machine. */
+  /** Minimum time between two probes of the same machine. */
   private static final Duration PROBE_INTERVAL = Duration.ofSeconds(4);
 
   private final AsyncHttpClient httpClient;
@@ -40,7 +40,7 @@
   private final CommandWriter writer;
   private final CommandReplyHandler replies;
 
-  private final Set<Machine> commandsRequested = new LinkedHashSet<>();
+  private final Set<Machine> commandQueue = new LinkedHashSet<>();
   private boolean commandsScheduled;
   private final Set<Machine> probeQueue = new LinkedHashSet<>();
   private int probesInFlight;
@@ -60,9 +60,9 @@
     this.replies = replies;
   }
 
-  /** Has the machine's commands sent by a request once the present event has been processed. */
+  /** Schedules a request with the machine's commands, to be sent after the current event. */
   void requestCommand(Machine machine) {
-    commandsRequested.add(machine);
+    commandQueue.add(machine);
     if (!commandsScheduled) {
       commandsScheduled = true;
       eventLoop.schedule(Duration.ZERO, this::sendRequestedCommands);
@@ -71,14 +71,14 @@
 
   private void sendRequestedCommands() {
     commandsScheduled = false;
-    List<Machine> machines = new ArrayList<>(commandsRequested);
-    commandsRequested.clear();
+    List<Machine> machines = new ArrayList<>(commandQueue);
+    commandQueue.clear();
     machines.forEach(this::sendCommand);
   }
 
   /**
-   * Sends the machine's commands. Without a reply it stays unknown for ever whether they took
-   * effect, so a machine that did not reply gets its commands with heartbeat responses only.
+   * Sends the machine's commands. If a request is not answered, it is never known whether its
+   * commands took effect; so an unresponsive machine gets commands in heartbeat responses only.
    */
   private void sendCommand(Machine machine) {
     if (machine.state() != Machine.State.CONFIRMED
@@ -113,9 +113,10 @@
   }
 
   /**
-   * Probes a machine whose heartbeat is overdue. The reply carries this term's fencing token, so it
-   * proves as much as a heartbeat; the worker's lease may be kept alive by a controller that cannot
-   * reach this one, or the worker may be trying one controller after the other.
+   * Probes a machine whose heartbeat is overdue. The reply proves as much as a heartbeat does,
+   * since it carries this term's fencing token. The worker may be alive although no heartbeat
+   * arrives: a controller that cannot reach this one may renew its lease, or it may be trying the
+   * controllers in turn.
    */
   void probe(Machine machine) {
     probeQueue.add(machine);
--- a/src/main/java/io/pineladder/workers/CommandWriter.java
+++ b/src/main/java/io/pineladder/workers/CommandWriter.java
@@ -13,21 +13,21 @@
 import java.util.List;
 
 /**
- * Writes the start, kill and forget commands that a machine's attempts call for, and notes on each
- * attempt what was sent and how.
+ * Writes the start, kill and forget commands for a machine's attempts, and records on each attempt
+ * what was sent and over which channel.
  */
 final class CommandWriter {
   private final ClusterState cluster;
   private final EventLoop eventLoop;
   private final WorkerManager.Listener listener;
 
-  /** How commands go out. */
+  /** How commands are sent. */
   enum Channel {
-    /** By a request of their own, which may take effect at any time in this agent epoch. */
+    /** In a request, which may take effect at any time during this agent epoch. */
     REQUEST,
     /**
-     * With the response to the heartbeat that the machine's present sequence number belongs to. A
-     * response that is dropped never takes effect.
+     * In the response to the heartbeat with the machine's current sequence number. A response that
+     * is dropped never takes effect.
      */
     HEARTBEAT_RESPONSE
   }
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Writes the commands that the machine's attempts call for now.
+   * Writes the commands that the machine's attempts need now.
    *
-   * @return the attempts with a start among the commands of a request; none for a response
+   * @return the attempts whose start was written to a request; empty for a heartbeat response
    */
   List<Attempt> write(Machine machine, Orders commands, Channel channel) {
     List<Attempt> started = new ArrayList<>();
@@ -67,7 +67,7 @@
     return started;
   }
 
-  /** An unconfirmed start is repeated, wanted or not: only then does the worker list its task. */
+  /** An unconfirmed start is repeated even if unwanted, so that the worker lists the task. */
   private static boolean needsStart(Attempt attempt, Channel channel) {
     boolean repeats = attempt.startUnconfirmed && channel == Channel.HEARTBEAT_RESPONSE;
     return repeats || (attempt.isWanted() && attempt.startAgentEpoch == 0);
@@ -77,8 +77,8 @@
       Attempt attempt, Orders commands, Channel channel, List<Attempt> started) {
     Machine machine = attempt.machine;
     if (!attempt.isWanted() && attempt.job.finalStateStored && isCancellationBoundNear(attempt)) {
-      // Too late to have its start listed and ended: only the machine's release keeps a late copy
-      // of the start from taking effect. Found by the simulation, after a leader was paused.
+      // There is no time left to have the start listed and the task ended. Only releasing the
+      // machine prevents a delayed copy of the start from taking effect.
       listener.onCancellationUnprovable(machine);
       return;
     }
@@ -92,7 +92,7 @@
       started.add(attempt);
     }
     if (!attempt.isWanted()) {
-      // Once listed and ended it cannot be started by a late copy of the first command.
+      // A task that the worker lists as ended cannot be started by a delayed copy of the start.
       commands.kill(job, attempt.task, attempt.number, Duration.ZERO);
     }
   }
@@ -108,16 +108,16 @@
     attempt.setKillSent(true);
   }
 
-  /** Whether half of the time in which a cancelled job's tasks must be gone is over. */
+  /** Whether half of the time limit for ending a cancelled job's tasks has passed. */
   private boolean isCancellationBoundNear(Attempt attempt) {
     Duration halfBound = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
     return attempt.killedAt().plus(halfBound).isBefore(eventLoop.now());
   }
 
   /**
-   * Writes commands for the listed tasks that no attempt accounts for: those that ended are
-   * forgotten, the others killed. While records may be missing this needs the proof that their job
-   * is over.
+   * Writes commands for listed tasks without an attempt: exited tasks are forgotten and others
+   * killed. While stored records may be missing, this is done only if the task's job is in memory
+   * or proven to have ended.
    */
   void writeForUnknownTasks(Heartbeat heartbeat, Machine machine, Orders commands) {
     boolean recordsIncomplete = listener.areRecordsIncomplete();
@@ -130,7 +130,7 @@
         listener.onUnknownTask(job);
       }
       if (recordsIncomplete && !cluster.jobs.containsKey(job) && !listener.isJobEnded(job)) {
-        // The job may have been lost, and come back with its user's repeated submission.
+        // The job's record may be lost, and the user's client may submit the job again.
         continue;
       }
       if (task.state() == TaskState.EXITED) {
--- a/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
+++ b/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
@@ -15,18 +15,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies workers' statuses to the machines: agent epoch, announced reclaim, state and attempts. A
- * status arrives as a heartbeat or as the reply to a command, and counts only if it is newer than
- * the one applied last.
+ * Applies the status of workers to their machines: agent epoch, reclaim notice, state and attempts.
+ * A status arrives in a heartbeat or in a reply to a command, and is ignored unless it is newer
+ * than the last one applied.
  */
 final class HeartbeatProcessor {
   private static final Logger log = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   /** How a status arrived. */
   enum Source {
-    /** A worker sends it only once it has received or given up the response to the one before. */
+    /** Sent only after the worker received, or gave up, the response to its previous heartbeat. */
     HEARTBEAT,
-    /** The response to the heartbeat before it may still be on its way to the worker. */
+    /** The response to the worker's previous heartbeat may still be in flight. */
     COMMAND_REPLY
   }
 
@@ -54,7 +54,7 @@
     this.reconciler = new AttemptReconciler(cluster, scheduler, eventLoop, listener, reachability);
   }
 
-  /** Whether the status is newer than the one applied last to the machine. */
+  /** Whether the status is newer than the last one applied to the machine. */
   static boolean isNewer(Heartbeat status, Machine machine) {
     return status.agentEpoch() > machine.agentEpoch
         || (status.agentEpoch() == machine.agentEpoch
@@ -65,8 +65,8 @@
    * Applies a status.
    *
    * @param viaPeer whether another controller forwarded it
-   * @return its machine, or null where nothing is to be answered: the worker has a newer fencing
-   *     token, or the machine was released or is of an unknown type
+   * @return the machine; null if the worker has a newer fencing token, or if the machine was
+   *     released or has an unknown type
    */
   Machine apply(Heartbeat status, boolean viaPeer, Source source) {
     if (status.token() > term) {
@@ -91,7 +91,7 @@
     machine.lastHeartbeatSequence = status.sequence();
     updateReclaim(machine, status.reclaimNotice());
     if (status.token() < term) {
-      // Commands of an older leader may still reach it: its task list proves nothing yet.
+      // Commands of an earlier leader may still take effect, so the task list proves nothing yet.
       if (machine.state() == Machine.State.EXPECTED) {
         machine.transitionTo(Machine.State.HEARD);
       }
@@ -113,7 +113,7 @@
 
   private Machine addUnexpectedMachine(Heartbeat status) {
     if (listener.wasReleased(status.machine())) {
-      // A heartbeat delayed in the network would revive its tasks and block them.
+      // A delayed heartbeat would add the machine again, and its tasks could not be restarted.
       return null;
     }
     MachineType type = cluster.type(status.type());
@@ -129,7 +129,7 @@
     return machine;
   }
 
-  /** A worker forgets all its tasks when its lease expires; the next epoch starts empty. */
+  /** A worker drops all its tasks when its lease expires, so a new epoch starts without tasks. */
   private void onNewAgentEpoch(Machine machine, long agentEpoch) {
     long previousEpoch = machine.agentEpoch;
     machine.agentEpoch = agentEpoch;
@@ -157,7 +157,7 @@
       }
     }
     if (responsesWereLost) {
-      // The rest was never sent, and would wait for a machine that nothing reaches.
+      // The remaining attempts were never sent and would wait for an unreachable machine.
       for (Attempt attempt : List.copyOf(machine.attempts.values())) {
         if (attempt.holdsCapacity() && attempt.isWanted()) {
           scheduler.preempt(attempt);
@@ -167,9 +167,9 @@
   }
 
   /**
-   * Takes over when the cloud will reclaim the machine.
+   * Updates the time at which the cloud will reclaim the machine.
    *
-   * @param timeLeft null if no reclaim is announced
+   * @param timeLeft null if there is no reclaim notice
    */
   private void updateReclaim(Machine machine, Duration timeLeft) {
     if (timeLeft == null) {
@@ -188,7 +188,7 @@
     }
   }
 
-  /** Preempts what runs on a machine that will be reclaimed, unless it should end in time. */
+  /** Preempts the machine's tasks, except those expected to end before the reclaim. */
   private void preemptBeforeReclaim(Machine machine) {
     Instant now = eventLoop.now();
     for (Attempt attempt : List.copyOf(machine.attempts.values())) {
--- a/src/main/java/io/pineladder/workers/ReachabilityTracker.java
+++ b/src/main/java/io/pineladder/workers/ReachabilityTracker.java
@@ -7,12 +7,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes what is known of whether commands arrive at a machine whose heartbeats arrive here.
+ * Tracks whether commands reach a machine that sends heartbeats.
  *
- * <p>After a command without a reply the machine is probed with an empty command at its next
- * heartbeat, so a lost packet costs it no more than that. A machine whose agent epoch ended
- * although its heartbeats were answered in time has received nothing for a whole lease. Without
- * this state it was given new tasks in each new epoch, none of which ever started.
+ * <p>A machine that did not reply to a command is probed with an empty command at its next
+ * heartbeat, so a single lost packet has no lasting effect. A machine whose agent epoch ended
+ * although its heartbeats were answered in time has received no responses for a whole lease. It
+ * must get no new tasks, since they would not start.
  */
 final class ReachabilityTracker {
   private static final Logger log = LoggerFactory.getLogger(ReachabilityTracker.class);
@@ -25,7 +25,7 @@
     this.scheduler = scheduler;
   }
 
-  /** Sets the machine's reachability; the scheduler is told of one that may take tasks again. */
+  /** Sets the machine's reachability, and notifies the scheduler if it became schedulable. */
   void update(Machine machine, Machine.Reachability next) {
     if (machine.reachability() == next) {
       return;
--- a/src/main/java/io/pineladder/workers/WorkerManager.java
+++ b/src/main/java/io/pineladder/workers/WorkerManager.java
@@ -10,8 +10,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A leader's dealings with the workers: applies their heartbeats and sends them commands, by
- * heartbeat responses and by requests. All methods run on the event loop.
+ * The leader's side of the worker protocol: applies heartbeats and sends commands, in heartbeat
+ * responses and in requests. All methods run on the event loop.
  */
 public final class WorkerManager {
   private final ClusterState cluster;
@@ -23,29 +23,29 @@
   private final CommandWriter commandWriter;
   private final CommandSender commandSender;
 
-  /** The questions and events that the workers' statuses raise for the rest of the leader. */
+  /** Queries and events that the worker manager passes to the rest of the leader. */
   public interface Listener {
     /** A worker has a newer fencing token than this term's. */
     void onNewerFencingToken(long token);
 
-    /** Whether a machine's return was confirmed, so that heartbeats that still come are stale. */
+    /** Whether the cloud has confirmed the machine's release, so its heartbeats are stale. */
     boolean wasReleased(String machine);
 
     /** A machine that was neither rented nor listed sent a heartbeat; it has been added. */
     void onUnexpectedMachine(Machine machine);
 
-    /** Whether placements and jobs may be missing from the records, so that listed tasks stay. */
+    /** Whether stored placements or jobs may be missing, so unknown tasks must not be killed. */
     boolean areRecordsIncomplete();
 
-    /** A worker lists a task that has not ended, of a job that is not in memory. */
+    /** A worker lists a task that has not exited, of a job that is not in memory. */
     void onUnknownTask(String job);
 
-    /** Whether a job that is not in memory is known to be over. */
+    /** Whether a job that is not in memory is known to have ended. */
     boolean isJobEnded(String job);
 
     /**
-     * A cancelled job's task can no longer be proven gone within the cancellation bound, except by
-     * the machine's release.
+     * Only the machine's release can now prove, within the cancellation bound, that a cancelled
+     * job's task has ended.
      */
     void onCancellationUnprovable(Machine machine);
   }
@@ -54,7 +54,7 @@
    * Creates the manager of one term.
    *
    * @param term the term's fencing token
-   * @param mayAct whether the leader's lease allows commands at the moment
+   * @param mayAct whether the leader's lease currently allows commands
    */
   public WorkerManager(
       ClusterState cluster,
@@ -83,7 +83,7 @@
             new CommandReplyHandler(scheduler, term, listener, heartbeats, reachability));
   }
 
-  /** Applies a heartbeat that this controller received itself; see the other overload. */
+  /** Applies a heartbeat that this controller received directly from the worker. */
   public Orders onHeartbeat(Heartbeat heartbeat) {
     return onHeartbeat(heartbeat, false);
   }
@@ -92,13 +92,12 @@
    * Applies a heartbeat.
    *
    * @param viaPeer whether another controller forwarded it
-   * @return the commands for the response, or null when the worker follows a later leader and its
-   *     lease must not be renewed here
+   * @return the commands for the response, or null if the worker follows a later leader and its
+   *     lease must not be renewed by this one
    */
   public Orders onHeartbeat(Heartbeat heartbeat, boolean viaPeer) {
     Machine known = cluster.machine(heartbeat.machine());
-    // A duplicate may come long after the heartbeat. Nobody waits for its response, so no command
-    // goes with it.
+    // The response to a delayed duplicate is not read by the worker, so it carries no commands.
     boolean isNewest = known == null || HeartbeatProcessor.isNewer(heartbeat, known);
     Machine machine = heartbeats.apply(heartbeat, viaPeer, HeartbeatProcessor.Source.HEARTBEAT);
     if (heartbeat.token() > term) {
@@ -120,7 +119,7 @@
     return commands;
   }
 
-  /** Whether tasks of jobs whose end is being stored may still be on a machine. */
+  /** Whether the machine holds tasks of jobs whose final state is being stored. */
   public boolean holdsTasksOfEndedJobs(String name) {
     Machine machine = cluster.machine(name);
     return machine != null
@@ -128,7 +127,7 @@
             .anyMatch(a -> a.holdsCapacity() && a.job.finalStatePending);
   }
 
-  /** Has the machine's commands sent by a request once the present event has been processed. */
+  /** Schedules a request with the machine's commands, to be sent after the current event. */
   public void requestCommand(Machine machine) {
     commandSender.requestCommand(machine);
   }
--- a/src/main/java/io/pineladder/workers/package-info.java
+++ b/src/main/java/io/pineladder/workers/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A leader's dealings with the workers: heartbeats are applied to the machines and reconciled with
- * the attempts, and commands are sent with their responses or by requests. Event thread only.
+ * The leader's side of the worker protocol: applies heartbeats to the machines, reconciles the
+ * attempts with them, and sends commands in heartbeat responses or in requests. All code runs on
+ * the event loop.
  */
 package io.pineladder.workers;
--- a/src/main/java/io/pineladder/zones/HeartbeatCounts.java
+++ b/src/main/java/io/pineladder/zones/HeartbeatCounts.java
@@ -1,45 +1,45 @@
 package io.pineladder.zones;
 
 /**
- * How many machines of a zone send heartbeats.
+ * Heartbeat counts of a zone's machines.
  *
- * @param expected machines whose heartbeats are expected by now
- * @param overdue those of them whose heartbeat is overdue
- * @param recentlyHeard those heard since the first of them was missed
- * @param heardByPeers machines of the zone of which other controllers have heartbeats, by their
- *     newest note
+ * @param expected machines that should have sent a heartbeat by now
+ * @param overdue of those, machines whose heartbeat is overdue
+ * @param recentlySeen of those, machines that sent a heartbeat after the overdue ones had stopped
+ * @param seenByPeers machines whose heartbeats other controllers receive, by their latest
+ *     keep-alive records
  */
-public record HeartbeatCounts(int expected, int overdue, int recentlyHeard, int heardByPeers) {
-  /** Whether hardly any machine is heard. */
+public record HeartbeatCounts(int expected, int overdue, int recentlySeen, int seenByPeers) {
+  /** Whether heartbeats arrive from hardly any machine. */
   public boolean isUnreachable() {
-    return overdue >= 3 && overdue * 3 > expected && recentlyHeard * 5 < expected;
+    return overdue >= 3 && overdue * 3 > expected && recentlySeen * 5 < expected;
   }
 
-  /** Whether more than a few machines are overdue, or none of several is heard. */
+  /** Whether more than a few machines are overdue, or no machine of several was seen recently. */
   boolean isDoubtful() {
-    return (overdue >= 3 && overdue * 10 > expected) || (expected >= 3 && recentlyHeard == 0);
+    return (overdue >= 3 && overdue * 10 > expected) || (expected >= 3 && recentlySeen == 0);
   }
 
-  /** Whether other controllers hear at least half of the machines. */
-  boolean isHeardByPeers() {
-    return heardByPeers * 2 >= expected;
+  /** Whether other controllers receive heartbeats of at least half of the machines. */
+  boolean isSeenByPeers() {
+    return seenByPeers * 2 >= expected;
   }
 
   /**
-   * Whether some machines are heard again. That fewer are overdue proves less: heartbeats of more
-   * machines may be expected by now.
+   * Whether heartbeats arrive again from at least a fifth of the machines. The overdue count is not
+   * used: it can fall just because more machines are expected.
    */
-  boolean isHeardAgain() {
-    return expected > 0 && recentlyHeard * 5 >= expected;
+  boolean isReachableAgain() {
+    return expected > 0 && recentlySeen * 5 >= expected;
   }
 
-  /** Whether nearly all machines are heard. */
+  /** Whether heartbeats arrive from nearly all machines. */
   boolean isRecovered() {
-    return recentlyHeard * 10 >= expected * 9;
+    return recentlySeen * 10 >= expected * 9;
   }
 
-  /** Whether a machine is heard, or none is expected to be. */
-  boolean isAnyHeard() {
-    return recentlyHeard > 0 || expected == 0;
+  /** Whether any machine was seen recently, or none is expected to send heartbeats. */
+  boolean isAnySeen() {
+    return recentlySeen > 0 || expected == 0;
   }
 }
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
@@ -12,45 +12,45 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Reads, for the leader, the notes of other controllers about workers that it does not hear and
- * whose leases they keep alive ({@link LeaseKeepAliveWriter}).
+ * Reads the keep-alive records of other controllers ({@link LeaseKeepAliveWriter}), from which the
+ * leader learns about workers whose heartbeats do not reach it.
  */
 public final class LeaseKeepAliveReader {
   private static final Duration READ_INTERVAL = Duration.ofSeconds(3);
 
-  /** A note that was not renewed for this long is void: two renewals in a row were lost. */
+  /** A record not rewritten for this long has expired: two writes in a row were missed. */
   private static final Duration KEEP_ALIVE_TTL =
       LeaseKeepAliveWriter.WRITE_INTERVAL.multipliedBy(3);
 
-  /** One controller's note, with the time at which it was first seen in this revision. */
+  /** One controller's record, and when this revision of it was first read. */
   private record KeepAlive(long revision, Instant changedAt, JsonNode workersByZone) {}
 
   private final StoreClient storeClient;
   private final EventLoop eventLoop;
-  private final BooleanSupplier needed;
+  private final BooleanSupplier anyZoneUnreachable;
   private final Map<String, KeepAlive> keepAlives = new HashMap<>();
 
   /**
    * Creates a reader that does nothing before {@link #start}.
    *
-   * @param needed whether some zone is unreachable, so that the notes are worth a request
+   * @param anyZoneUnreachable whether some zone is unreachable; otherwise nothing is read
    */
   public LeaseKeepAliveReader(
-      StoreClient storeClient, EventLoop eventLoop, BooleanSupplier needed) {
+      StoreClient storeClient, EventLoop eventLoop, BooleanSupplier anyZoneUnreachable) {
     this.storeClient = storeClient;
     this.eventLoop = eventLoop;
-    this.needed = needed;
+    this.anyZoneUnreachable = anyZoneUnreachable;
   }
 
-  /** Reads the notes at an interval while they are needed, until {@code isOver} holds. */
-  public void start(BooleanSupplier isOver) {
-    if (isOver.getAsBoolean()) {
+  /** Reads the records periodically while a zone is unreachable, until {@code isClosed}. */
+  public void start(BooleanSupplier isClosed) {
+    if (isClosed.getAsBoolean()) {
       return;
     }
-    if (needed.getAsBoolean()) {
+    if (anyZoneUnreachable.getAsBoolean()) {
       storeClient.readPage(RecordKeys.WORKER_KEEP_ALIVES, null, this::onPage);
     }
-    eventLoop.schedule(READ_INTERVAL, () -> start(isOver));
+    eventLoop.schedule(READ_INTERVAL, () -> start(isClosed));
   }
 
   private void onPage(StoreWire.Page page) {
@@ -61,7 +61,7 @@
     for (StoreWire.Entry entry : page.entries()) {
       KeepAlive previous = keepAlives.get(entry.key());
       if (previous == null || previous.revision != entry.revision()) {
-        // A note that is read for the first time may be left from an earlier outage.
+        // A record that is read for the first time may be left over from an earlier outage.
         Instant changedAt = previous == null ? now.minus(KEEP_ALIVE_TTL) : now;
         keepAlives.put(
             entry.key(), new KeepAlive(entry.revision(), changedAt, entry.value().path("zones")));
@@ -69,13 +69,14 @@
     }
   }
 
-  /** How many workers of the zone have leases that other controllers keep alive. */
+  /** The number of workers in the zone whose leases other controllers keep alive. */
   public int workersHeardByPeers(String zone) {
     Instant from = eventLoop.now().minus(KEEP_ALIVE_TTL);
-    int heard = 0;
+    int workers = 0;
     for (KeepAlive keepAlive : keepAlives.values()) {
-      heard += keepAlive.changedAt.isAfter(from) ? keepAlive.workersByZone.path(zone).asInt(0) : 0;
+      workers +=
+          keepAlive.changedAt.isAfter(from) ? keepAlive.workersByZone.path(zone).asInt(0) : 0;
     }
-    return heard;
+    return workers;
   }
 }
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -13,14 +13,15 @@
 import java.util.Map;
 
 /**
- * Tells the leader how many workers' leases this controller keeps alive in its place: by a note in
- * the state service, which both reach although they do not reach one another.
+ * Informs the leader how many worker leases this controller renews on its behalf. The counts are
+ * written to a record in the state service, which works even if the two controllers cannot reach
+ * each other.
  */
 public final class LeaseKeepAliveWriter {
-  /** The interval of the note's renewal while any lease is kept alive. */
+  /** How often the record is written while this controller keeps leases alive. */
   static final Duration WRITE_INTERVAL = Duration.ofSeconds(4);
 
-  /** A worker that was not heard for this long is not counted; heartbeats come more often. */
+  /** A worker is not counted if its last heartbeat is older than this. */
   private final Duration renewalTtl;
 
   private record RenewedLease(String zone, Instant renewedAt) {}
@@ -32,15 +33,15 @@
   private boolean writeScheduled;
 
   /**
-   * The revision of this controller's stored note, 0 for none; null while it is not known because a
-   * write is in flight or its outcome is uncertain.
+   * The revision of this controller's stored record, 0 if there is none; null while unknown,
+   * because a write is in flight or its outcome is uncertain.
    */
   private Long storedRevision;
 
   /**
    * Creates the writer of one controller.
    *
-   * @param heartbeatInterval how often workers send heartbeats
+   * @param heartbeatInterval the interval at which workers send heartbeats
    */
   public LeaseKeepAliveWriter(
       StoreClient storeClient,
@@ -53,12 +54,12 @@
     this.renewalTtl = heartbeatInterval.multipliedBy(2);
   }
 
-  /** This controller has answered a heartbeat in the leader's place, which renews the lease. */
+  /** Counts a worker whose lease this controller renewed on the leader's behalf. */
   public void onLeaseRenewed(String machine, String zone) {
     renewedLeases.put(machine, new RenewedLease(zone, eventLoop.now()));
     if (!writeScheduled) {
       writeScheduled = true;
-      // The first counts would be too low: a zone's workers come one after the other.
+      // Delays the first write until the zone's workers have had time to send heartbeats.
       eventLoop.schedule(WRITE_INTERVAL, this::writeKeepAlive);
     }
   }
@@ -88,9 +89,8 @@
   }
 
   /**
-   * Writes the note on condition of the revision that is known to be stored. Without it a
-   * transaction that got no answer and was executed late replaced a newer note, and a duplicate of
-   * it took effect again.
+   * Writes the record if the stored revision is still the known one. Without this compare-and-swap,
+   * a delayed or duplicated transaction could overwrite a newer record.
    */
   private void write(Map<String, Integer> workersByZone) {
     var value = Json.object();
@@ -106,7 +106,7 @@
           try {
             storedRevision = reply.is(200) ? StoreWire.parseRevision(reply.body()) : null;
           } catch (MalformedMessageException e) {
-            // The outcome is as uncertain as without an answer: the next renewal reads the note.
+            // The outcome is uncertain, as without a reply; the next write reads the record first.
             storedRevision = null;
           }
         });
--- a/src/main/java/io/pineladder/zones/Zone.java
+++ b/src/main/java/io/pineladder/zones/Zone.java
@@ -5,11 +5,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state of one zone as the leader sees it, by the heartbeats of its machines. */
+/** The leader's view of one zone, derived from the heartbeats of its machines. */
 final class Zone {
   private static final Logger log = LoggerFactory.getLogger(Zone.class);
 
-  /** How long a zone that has just come back may take to have nearly all workers heard. */
+  /** Maximum time in {@link State#RETURNING} before nearly all machines have sent heartbeats. */
   private static final Duration MAX_RETURNING_TIME = Duration.ofSeconds(30);
 
   private static final Duration INITIAL_PROBATION = Duration.ofSeconds(30);
@@ -17,20 +17,20 @@
 
   /** The states of a zone; the administration API shows their names. */
   enum State {
-    /** Its machines are heard. */
+    /** Heartbeats arrive from its machines. */
     UP,
-    /** More than a few machines are overdue; zones that are up are preferred for renting. */
+    /** More than a few machines are overdue; machines are rented in UP zones first. */
     DOUBTED,
-    /** Hardly any machine is heard; they may be alive. */
+    /** Unreachable: hardly any heartbeats arrive, although the machines may be alive. */
     CUT,
     /**
-     * Hardly any machine is heard here, but another controller hears them and keeps their leases
-     * alive.
+     * Unreachable from this controller, while other controllers receive the heartbeats and keep the
+     * workers' leases alive.
      */
     APART,
-    /** Heard again; some of its workers have yet to find this controller. */
+    /** Heartbeats arrive again, but not yet from nearly all workers. */
     RETURNING,
-    /** Back, but it was unreachable lately: zones that are up are preferred for renting. */
+    /** Recovered from a recent outage; machines are rented in UP zones first. */
     PROBATION
   }
 
@@ -38,15 +38,14 @@
   private State state = State.UP;
   private Instant stateSince;
 
-  /** Since when it is unreachable, or null. */
+  /** When the current outage began; null while the zone is reachable. */
   private Instant unreachableSince;
 
-  /** How often it has become unreachable. */
-  private int losses;
+  private int outageCount;
 
-  private boolean anyHeard = true;
+  private boolean anySeen = true;
 
-  /** How long it was unreachable earlier, all times together. */
+  /** The total duration of the outages that have ended. */
   private Duration totalEarlierOutage = Duration.ZERO;
 
   Zone(String name, Instant now) {
@@ -54,32 +53,30 @@
     this.stateSince = now;
   }
 
-  /** Its present state. */
   State state() {
     return state;
   }
 
-  /** How often it has become unreachable in this term. */
-  int losses() {
-    return losses;
+  /** How often the zone has become unreachable in this term. */
+  int outageCount() {
+    return outageCount;
   }
 
-  /** The one place where the state changes. */
   private void transitionTo(State next, HeartbeatCounts evidence, Instant now) {
     log.info(
-        "Zone state changed: zone={} state={} previous={} expected={} overdue={} recentlyHeard={}"
-            + " heardByPeers={}",
+        "Zone state changed: zone={} state={} previous={} expected={} overdue={} recentlySeen={}"
+            + " seenByPeers={}",
         name,
         next,
         state,
         evidence.expected(),
         evidence.overdue(),
-        evidence.recentlyHeard(),
-        evidence.heardByPeers());
+        evidence.recentlySeen(),
+        evidence.seenByPeers());
     boolean becomesUnreachable = next == State.CUT || next == State.APART;
     if (becomesUnreachable && unreachableSince == null) {
       unreachableSince = now;
-      losses++;
+      outageCount++;
     } else if (next == State.RETURNING) {
       totalEarlierOutage = totalEarlierOutage.plus(Duration.between(unreachableSince, now));
       unreachableSince = null;
@@ -88,14 +85,14 @@
     stateSince = now;
   }
 
-  /** Applies the present heartbeat counts. */
+  /** Updates the state from the current heartbeat counts. */
   void review(HeartbeatCounts counts, Instant now) {
-    anyHeard = counts.isAnyHeard();
+    anySeen = counts.isAnySeen();
     State next =
         switch (state) {
           case UP, DOUBTED, PROBATION -> {
             if (counts.isUnreachable()) {
-              yield counts.isHeardByPeers() ? State.APART : State.CUT;
+              yield counts.isSeenByPeers() ? State.APART : State.CUT;
             }
             if (state == State.PROBATION) {
               yield stateSince.plus(probationDuration()).isAfter(now) ? state : State.UP;
@@ -103,14 +100,14 @@
             yield counts.isDoubtful() ? State.DOUBTED : State.UP;
           }
           case CUT, APART -> {
-            if (counts.isHeardAgain()) {
+            if (counts.isReachableAgain()) {
               yield State.RETURNING;
             }
-            yield counts.isHeardByPeers() ? State.APART : State.CUT;
+            yield counts.isSeenByPeers() ? State.APART : State.CUT;
           }
           case RETURNING -> {
             if (counts.isUnreachable()) {
-              yield counts.isHeardByPeers() ? State.APART : State.CUT;
+              yield counts.isSeenByPeers() ? State.APART : State.CUT;
             }
             yield counts.isRecovered() || stateSince.plus(MAX_RETURNING_TIME).isBefore(now)
                 ? State.PROBATION
@@ -122,39 +119,39 @@
     }
   }
 
-  /** How long it has to stay up before it counts as up: doubled with each loss. */
+  /** How long the zone stays in probation; doubles with each outage. */
   private Duration probationDuration() {
-    Duration doubled = INITIAL_PROBATION.multipliedBy(1L << Math.min(10, Math.max(0, losses - 1)));
+    Duration doubled =
+        INITIAL_PROBATION.multipliedBy(1L << Math.min(10, Math.max(0, outageCount - 1)));
     return doubled.compareTo(MAX_PROBATION) < 0 ? doubled : MAX_PROBATION;
   }
 
-  /** Whether any of its machines was heard at the last review, or none was expected to be. */
-  boolean isAnyHeard() {
-    return anyHeard;
+  /** Whether any machine was seen recently at the last review, or none was expected. */
+  boolean isAnySeen() {
+    return anySeen;
   }
 
-  /** Whether hardly any of its machines is heard here. */
   boolean isUnreachable() {
     return state == State.CUT || state == State.APART;
   }
 
-  /** For how long it has been unreachable; zero if it is not. */
+  /** The duration of the current outage; zero if the zone is reachable. */
   Duration outageDuration(Instant now) {
     return unreachableSince == null ? Duration.ZERO : Duration.between(unreachableSince, now);
   }
 
   /**
-   * How much longer it is likely to be unreachable: as long as it has been, which holds for faults
-   * of all lengths alike. If it was unreachable before, the average of those outages counts: what
-   * is left of it, but at least half of what has passed.
+   * Estimates how much longer the current outage will last: as long as it has lasted so far, or, if
+   * there were earlier outages, the remainder of their average duration but at least half of the
+   * time passed so far.
    */
   Duration expectedRemainingOutage(Instant now) {
     Duration outage = outageDuration(now);
-    int earlierLosses = losses - 1;
-    if (earlierLosses < 1) {
+    int earlierOutages = outageCount - 1;
+    if (earlierOutages < 1) {
       return outage;
     }
-    Duration averageOutage = totalEarlierOutage.dividedBy(earlierLosses);
+    Duration averageOutage = totalEarlierOutage.dividedBy(earlierOutages);
     Duration remaining = averageOutage.minus(outage);
     return remaining.compareTo(outage.dividedBy(2)) > 0 ? remaining : outage.dividedBy(2);
   }
--- a/src/main/java/io/pineladder/zones/Zones.java
+++ b/src/main/java/io/pineladder/zones/Zones.java
@@ -8,44 +8,44 @@
 import java.util.TreeMap;
 
 /**
- * The zones as one leader sees them: where machines may be rented, and which silent machines may
- * still be alive. All methods run on the event loop.
+ * The leader's view of all zones, from which it decides where to rent machines and which silent
+ * machines may still be alive. All methods run on the event loop.
  */
 public final class Zones {
   private final Map<String, Zone> zones = new TreeMap<>();
 
   /**
-   * A zone as the administration API shows it.
+   * A zone as shown by the administration API.
    *
    * @param state the name of its state
-   * @param losses how often it has become unreachable in this term
-   * @param outageDuration for how long it has been unreachable; zero if it is not
+   * @param losses how often the zone has become unreachable in this term
+   * @param outageDuration the duration of the current outage; zero if the zone is reachable
    */
   public record View(String name, String state, int losses, Duration outageDuration) {}
 
-  /** Applies a zone's heartbeat counts, once a second. */
+  /** Updates a zone from its heartbeat counts; called once a second. */
   public void review(String name, HeartbeatCounts counts, Instant now) {
     zones.computeIfAbsent(name, n -> new Zone(n, now)).review(counts, now);
   }
 
-  /** Whether hardly any machine of some zone is heard here. */
+  /** Whether any zone is unreachable. */
   public boolean isAnyUnreachable() {
     return zones.values().stream().anyMatch(Zone::isUnreachable);
   }
 
-  /** Whether hardly any machine of the zone is heard here. */
+  /** Whether heartbeats arrive from hardly any machine of the zone. */
   public boolean isUnreachable(String name) {
     Zone zone = zones.get(name);
     return zone != null && zone.isUnreachable();
   }
 
-  /** Whether another controller hears the zone and keeps its workers' leases alive. */
+  /** Whether other controllers keep the leases of an unreachable zone's workers alive. */
   public boolean isKeptAliveByPeers(String name) {
     Zone zone = zones.get(name);
     return zone != null && zone.state() == Zone.State.APART;
   }
 
-  /** How much longer the zone is likely to be unreachable; zero if it is not. */
+  /** Estimates how much longer the zone stays unreachable; zero if it is reachable. */
   public Duration expectedRemainingOutage(String name, Instant now) {
     Zone zone = zones.get(name);
     return zone == null || !zone.isUnreachable()
@@ -54,8 +54,8 @@
   }
 
   /**
-   * The candidates where machines may be rented, zones that are up first. Zones where no machine is
-   * heard are left out, unless all of them are.
+   * The candidates in which machines may be rented, UP zones first. Unreachable zones, and doubted
+   * zones where no machine was seen recently, are excluded unless that leaves no candidate.
    */
   public List<String> rentableZones(List<String> candidates) {
     List<String> up = new ArrayList<>();
@@ -67,12 +67,12 @@
         case UP -> up.add(name);
         case PROBATION, RETURNING -> doubtful.add(name);
         case DOUBTED -> {
-          if (zone.isAnyHeard()) {
+          if (zone.isAnySeen()) {
             doubtful.add(name);
           }
         }
         default -> {
-          // CUT, APART: no machine is rented where hardly any is heard.
+          // CUT, APART: the zone is unreachable.
         }
       }
     }
@@ -80,13 +80,13 @@
     return up.isEmpty() ? candidates : up;
   }
 
-  /** All zones, by name. */
+  /** All zones, sorted by name. */
   public List<View> view(Instant now) {
     List<View> views = new ArrayList<>();
     zones.forEach(
         (name, zone) ->
             views.add(
-                new View(name, zone.state().name(), zone.losses(), zone.outageDuration(now))));
+                new View(name, zone.state().name(), zone.outageCount(), zone.outageDuration(now))));
     return views;
   }
 }
--- a/src/main/java/io/pineladder/zones/package-info.java
+++ b/src/main/java/io/pineladder/zones/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The zones as a leader sees them, by the heartbeats that arrive, and the notes by which other
- * controllers tell it of workers whose leases they keep alive. Event thread only.
+ * The leader's view of the zones, derived from the heartbeats that it receives, and the records in
+ * the state service that list how many worker leases the other controllers keep alive. All code
+ * runs on the event loop.
  */
 package io.pineladder.zones;
--- a/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
@@ -43,9 +43,9 @@
     assertEquals(1, boots.weight(machine, after(15)));
     assertEquals(0.5, boots.weight(machine, after(20)));
     assertEquals(0, boots.weight(machine, after(30)));
-    assertFalse(boots.isGivenUp(machine, after(30)));
-    assertFalse(boots.isGivenUp(machine, after(49)));
-    assertTrue(boots.isGivenUp(machine, after(51)));
+    assertFalse(boots.hasTimedOut(machine, after(30)));
+    assertFalse(boots.hasTimedOut(machine, after(49)));
+    assertTrue(boots.hasTimedOut(machine, after(51)));
   }
 
   /** On the operators' nights all machines came up at several times the nominal time. */
@@ -57,8 +57,8 @@
     Machine next = rented();
     assertEquals(1, boots.weight(next, after(49)));
     assertEquals(0.5, boots.weight(next, after(51)));
-    assertFalse(boots.isGivenUp(next, after(50)));
-    assertTrue(boots.isGivenUp(next, after(51)));
+    assertFalse(boots.hasTimedOut(next, after(50)));
+    assertTrue(boots.hasTimedOut(next, after(51)));
     assertEquals(Duration.ofSeconds(40), boots.typicalBootTime(TYPE));
     assertFalse(boots.isTypical(TYPE));
   }
