--- a/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
+++ b/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
@@ -3,28 +3,27 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The value arriving each second, as an exponentially decaying average. */
+/** The value that arrives per second, as an exponentially decaying average. */
 final class ArrivalForecast {
   private final Duration timeConstant;
   private double rate;
   private Instant updatedAt;
 
   /**
-   * Creates a forecast of 0.
+   * Creates a forecast with a rate of 0.
    *
-   * @param timeConstant after which an arrival counts 1/e
+   * @param timeConstant the time after which the weight of an arrival has decayed to 1/e
    */
   ArrivalForecast(Duration timeConstant) {
     this.timeConstant = timeConstant;
   }
 
-  /** Counts an arrival of this value. */
   void add(double value, Instant now) {
     decay(now);
     rate += value / timeConstant.toSeconds();
   }
 
-  /** The value that arrives each second. */
+  /** The value that arrives per second. */
   double rate(Instant now) {
     decay(now);
     return rate;
--- a/src/main/java/io/pineladder/autoscaling/ArrivalStatistics.java
+++ b/src/main/java/io/pineladder/autoscaling/ArrivalStatistics.java
@@ -12,19 +12,20 @@
 import java.util.Map;
 
 /**
- * How much capacity the jobs that arrive ask for, at list prices an hour: the headroom to have free
- * for what arrives while another machine boots, and the rate of work that can be deferred.
+ * Statistics of the capacity that arriving jobs need, at list prices per hour. They determine the
+ * headroom to keep free for jobs that arrive while a machine boots, and the arrival rate of
+ * deferrable work.
  */
 final class ArrivalStatistics {
   private static final Duration TIME_CONSTANT = Duration.ofSeconds(60);
 
-  /** Work that can be deferred comes in large pieces, so its rate is taken over longer. */
+  /** Deferrable work arrives in large batches, so its rate is averaged over a longer time. */
   private static final Duration DEFERRABLE_TIME_CONSTANT = Duration.ofSeconds(90);
 
-  /** The share of the forecast to have free for jobs that can wait for a machine to boot. */
+  /** The share of the forecast to keep free for jobs that can wait for a machine to boot. */
   private static final double DELAY_TOLERANT_HEADROOM_SHARE = 0.25;
 
-  /** On-demand headroom of less than this share of the cheapest machine is negligible. */
+  /** On-demand headroom below this share of the cheapest machine is negligible. */
   private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
 
   private final ClusterState cluster;
@@ -50,7 +51,7 @@
     this.imageFetch = imageFetch;
   }
 
-  /** Counts a job whose tasks may start from now on. */
+  /** Records the arrival of a job whose tasks may start now. */
   void recordArrival(Job job) {
     JobSpec spec = job.spec;
     MachineType type = types.cheapestListed(spec);
@@ -59,15 +60,15 @@
     }
     Instant now = eventLoop.now();
     double value = spec.tasks() * CapacityDemand.taskValue(spec, type);
-    // A job is patient if it can wait for a machine to boot and to fetch its image there.
+    // Delay-tolerant jobs can wait for a machine to boot and fetch their image.
     Duration readyTime = type.bootTime().plus(type.fetchTime(spec.imageGb()));
-    boolean patient =
+    boolean delayTolerant =
         job.priorityClass() != PriorityClass.PRODUCTION
             && cluster.startSlack(job, eventLoop.wallClock()).compareTo(readyTime) > 0;
     if (spec.spotAllowed()) {
-      (patient ? delayTolerantSpot : urgentSpot).add(value, now);
+      (delayTolerant ? delayTolerantSpot : urgentSpot).add(value, now);
     } else {
-      (patient ? delayTolerantOnDemand : urgentOnDemand).add(value, now);
+      (delayTolerant ? delayTolerantOnDemand : urgentOnDemand).add(value, now);
     }
     if (cluster.canWaitForCapacity(job)) {
       double work = value * spec.estimatedRunTime().toMillis() / 1000.0;
@@ -79,19 +80,19 @@
   }
 
   /**
-   * The deferrable work that arrives each second, as value times seconds.
+   * The deferrable work that arrives per second, as value times seconds.
    *
-   * @param below only work of classes above this one counts; null for all
+   * @param aboveClass only work of classes above this one is counted; null to count all classes
    */
-  double deferrableWorkRate(PriorityClass below) {
+  double deferrableWorkRate(PriorityClass aboveClass) {
     Instant now = eventLoop.now();
     return deferrableWork.entrySet().stream()
-        .filter(e -> below == null || e.getKey().isAbove(below))
+        .filter(e -> aboveClass == null || e.getKey().isAbove(aboveClass))
         .mapToDouble(e -> e.getValue().rate(now))
         .sum();
   }
 
-  /** Capacity to have free for what arrives while a machine boots, at list prices an hour. */
+  /** Capacity to keep free for jobs that arrive during a boot, at list prices per hour. */
   double headroom(boolean spot) {
     Instant now = eventLoop.now();
     double bootSeconds =
@@ -104,10 +105,9 @@
   }
 
   /**
-   * Whether arrays that can wait for capacity are made to: only while hardly any work arrives that
-   * may not use spot machines. Such work starts at once by preempting arrays on on-demand machines.
-   * Found on colombo-ops: with few of those rented for arrays, replicas found no capacity at once,
-   * and 0.85 of them started in time instead of 0.97.
+   * Whether job arrays that can wait for capacity are deferred. They are not deferred while much
+   * work arrives that requires on-demand machines: such work starts immediately by preempting
+   * arrays on those machines, which must have been rented for the arrays.
    */
   boolean mayDeferArrays() {
     double lowestPrice =
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -13,14 +13,14 @@
 import java.time.Instant;
 
 /**
- * Rents machines for pending jobs and for what is likely to arrive, detects failed ones, and
- * releases those that are not needed. Reviews them once a second while the leader may act. All
+ * Scales the cluster: rents machines for pending and expected work, detects failed machines, and
+ * releases machines that are not needed. Runs once a second while the leader's lease is valid. All
  * methods run on the event loop.
  */
 public final class Autoscaler {
   private static final Duration TICK_INTERVAL = Duration.ofSeconds(1);
 
-  /** A tick that is late by more than this shows that the process was paused. */
+  /** A tick that is late by more than this indicates that the process was paused. */
   private static final Duration PROCESS_PAUSE_THRESHOLD = Duration.ofSeconds(2);
 
   private final ClusterState cluster;
@@ -38,28 +38,28 @@
   private boolean closed;
   private Instant lastTickAt;
 
-  /** What the autoscaler asks of the leader. */
+  /** Queries and requests that the autoscaler passes to the leader. */
   public interface Effects {
     /** Whether the leader's lease allows it to act now. */
     boolean mayAct();
 
-    /** Whether heartbeats are accepted now, which they may be while the lease is uncertain. */
+    /** Whether heartbeats are accepted now; possibly also while the lease is uncertain. */
     boolean acceptsHeartbeats();
 
     /** Gives up leadership. */
     void resign(String reason);
 
-    /** Gives up leadership to a peer that can do better. */
+    /** Gives up leadership in favour of a peer that is better connected. */
     void transferLeadership(String reason);
 
-    /** How many workers of a zone other controllers have lately reported heartbeats of. */
+    /** The number of workers in the zone whose heartbeats other controllers recently received. */
     int workersHeardByPeers(String zone);
 
     /** Probes a machine whose heartbeat is overdue. */
     void probe(Machine machine);
   }
 
-  /** Creates the autoscaler of one term; it does nothing before {@link #start}. */
+  /** Creates the autoscaler of one term, which is inactive until {@link #start}. */
   public Autoscaler(
       ClusterState cluster,
       Scheduler scheduler,
@@ -96,49 +96,49 @@
     this.failureDetector = new FailureDetector(cluster, estimates, zones, callbacks, now);
   }
 
-  /** Applies changed settings of the operator. */
+  /** Applies changed operator settings. */
   public void configure(OperatorSettings next) {
     scaleIn.configure(next);
   }
 
-  /** The zones as this leader sees them. */
+  /** This leader's view of the zones. */
   public Zones zones() {
     return zones;
   }
 
-  /** Begins the reviews; the jobs of earlier terms are known. */
+  /** Starts the periodic reviews. The jobs of earlier terms must have been loaded. */
   public void start() {
     estimates.imageFetch().start();
     tick();
   }
 
-  /** Ends the reviews; replies of the cloud are ignored from now on. */
+  /** Stops the reviews; later replies of the cloud are ignored. */
   public void close() {
     closed = true;
     cloud.close();
   }
 
-  /** Counts a job whose tasks may start from now on for the forecast. */
+  /** Adds a job whose tasks may start now to the arrival forecast. */
   public void recordArrival(Job job) {
     estimates.arrivals().recordArrival(job);
   }
 
   /**
-   * Whether all machines that existed when this term began are known, with their tasks: a list no
-   * older than the term was read to its end, and each machine has sent a heartbeat or its release
-   * was confirmed.
+   * Whether all machines that existed at the start of the term are known, with their tasks: a list
+   * that is no older than the term was read completely, and each machine has either sent a
+   * heartbeat or been released.
    */
   public boolean isInventoryConfirmed() {
     return inventory.isConfirmed();
   }
 
-  /** Whether the cloud has confirmed the machine's return: what still comes from it is stale. */
+  /** Whether the cloud has confirmed the machine's release, so its messages are stale. */
   public boolean wasReleased(String machine) {
     return releaser.wasReleased(machine);
   }
 
   /**
-   * Asks the cloud to take the machine back; only its answer proves that the tasks there are gone.
+   * Requests the machine's release. Only the cloud's confirmation proves that its tasks are gone.
    */
   public void release(Machine machine) {
     releaser.release(machine);
--- a/src/main/java/io/pineladder/autoscaling/BatchBacklog.java
+++ b/src/main/java/io/pineladder/autoscaling/BatchBacklog.java
@@ -4,25 +4,24 @@
 import java.util.List;
 
 /**
- * Estimates whether the pending deferrable arrays start in time on the present capacity. Work is
- * value times seconds: tasks times their run time times what each takes of a machine at its list
- * price, so machines of all types compare. It is taken to flow through all of the capacity in the
- * order of priority; the last of it starts once capacity times seconds equals its sum, since what
- * runs by then has as much left to do as what runs now.
+ * Estimates whether the pending deferrable job arrays start in time on the current capacity.
+ *
+ * <p>Work is measured as value times seconds: the number of tasks, times their run time, times the
+ * list price of the machine share that each task takes, so that all machine types are comparable.
+ * The model processes work in priority order on the whole capacity. The last task starts once
+ * capacity times elapsed seconds equals the sum of the work, assuming that the tasks running then
+ * have as much work left as those running now.
  */
 final class BatchBacklog {
   /**
-   * Tasks that are due at one time.
+   * A group of tasks with the same start deadline.
    *
-   * @param cumulativeWork the work of these tasks and of all before them
+   * @param cumulativeWork the work of these tasks and of all groups before them
    * @param secondsLeft the seconds left to start them
-   * @param arrivalRate the work of higher priority that arrives each second
+   * @param arrivalRate the work of higher priority that arrives per second
    */
   private record Deadline(double cumulativeWork, double secondsLeft, double arrivalRate) {
-    /**
-     * The capacity, beyond the given one, that would start all in time if it were there from now
-     * on.
-     */
+    /** The capacity that is missing to meet the deadline, if it were available from now on. */
     double missingCapacity(double capacity) {
       return cumulativeWork / secondsLeft + arrivalRate - capacity;
     }
@@ -37,21 +36,21 @@
   /**
    * Creates an empty backlog.
    *
-   * @param capacity what deferrable work may use, at list prices an hour
+   * @param capacity the capacity available to deferrable work, at list prices per hour
    */
   BatchBacklog(double capacity) {
     this.capacity = capacity;
   }
 
   /**
-   * Adds tasks that follow those added before. Tasks that no machine rented now would start in time
-   * count as work but not as a deadline.
+   * Adds tasks that run after those added before. If a machine rented now would be ready too late
+   * for them, they count as work but set no deadline.
    *
-   * @param tasksValue what the tasks take, at list prices an hour
-   * @param runSeconds the seconds that each of them runs
-   * @param secondsLeft the seconds left to start them
-   * @param secondsToReady the seconds until a machine rented now would work on them
-   * @param arrivalRate the work that still arrives each second and goes before them
+   * @param tasksValue the capacity that the tasks take, at list prices per hour
+   * @param runSeconds the run time of each task, in seconds
+   * @param secondsLeft the seconds left to start the tasks
+   * @param secondsToReady the seconds until a machine rented now could run them
+   * @param arrivalRate the work that arrives per second and runs before them
    */
   void add(
       double tasksValue,
@@ -75,16 +74,16 @@
     }
   }
 
-  /** The capacity to rent for all to start in time; 0 if the present one suffices. */
+  /** The capacity to rent so that all tasks start in time; 0 if the current capacity suffices. */
   double missingCapacity() {
     return missingCapacity;
   }
 
   /**
-   * How much of the reducible part of the capacity is needed for all to start in time, with what
-   * arrives.
+   * How much of the reducible part of the capacity is needed so that all tasks, including arriving
+   * ones, start in time.
    *
-   * @param arrivalRate all deferrable work that arrives each second
+   * @param arrivalRate all deferrable work that arrives per second
    */
   double neededCapacity(double reducibleCapacity, double arrivalRate) {
     double needed = arrivalRate - (capacity - reducibleCapacity);
--- a/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -14,39 +14,39 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Estimates how long machines take to boot, and which share of them does, from the latest boots of
- * each type. A rented machine counts in full until it is late by that, then by half, then no more:
- * so capacity that does not arrive is replaced, neither all at once when all boots are slow nor
- * never.
+ * Estimates how long machines take to boot, and what share of them boots in time, from the latest
+ * boots of each type. A booting machine counts in full until it is late by this estimate, then
+ * half, then not at all. So machines that fail to boot are replaced, but not all at once when boots
+ * are slow in general.
  */
 final class BootTimeEstimator {
   private static final Logger log = LoggerFactory.getLogger(BootTimeEstimator.class);
 
-  /** How many boots of a type are remembered. */
+  /** The number of boots that are remembered per type. */
   private static final int HISTORY_SIZE = 32;
 
   /** A machine is not late before this multiple of its type's boot time. */
   private static final double MIN_LATE_FACTOR = 1.6;
 
-  /** A machine is late beyond the slowest tenth of the latest boots, times this. */
+  /** A machine is late after the 90th percentile of the latest boot times, times this. */
   private static final double LATE_MARGIN = 1.25;
 
-  /** A machine that is late by this factor is not counted on any more. */
+  /** A machine is no longer counted after this multiple of the time at which it is late. */
   private static final double VERY_LATE_MARGIN = 1.5;
 
-  /** No machine is given up before this multiple of its type's boot time. */
+  /** No boot times out before this multiple of the type's boot time. */
   private static final double MIN_TIMEOUT_FACTOR = 5;
 
-  /** Boots that take this multiple of their type's boot time on average are slow. */
+  /** Boots are slow if they take this multiple of the type's boot time on average. */
   private static final double SLOW_FACTOR = 1.75;
 
-  /** How many boots of a type must be known before they count as typical. */
+  /** The minimum number of observed boots for a type to be considered typical. */
   private static final int MIN_OBSERVED_BOOTS = 4;
 
-  /** With a smaller share of the machines booting, capacity is not easily replaced. */
+  /** The minimum share of machines that boot in time for a type to be considered typical. */
   private static final double MIN_ARRIVAL_SHARE = 0.8;
 
-  /** The latest boots of a type: their multiples of its boot time, and which were in time. */
+  /** The latest boots of a type: times as multiples of its boot time, and whether in time. */
   private static final class TypeHistory {
     final Deque<Double> bootFactors = new ArrayDeque<>();
     final Deque<Boolean> arrivedInTime = new ArrayDeque<>();
@@ -68,12 +68,12 @@
     return histories.computeIfAbsent(type.name(), t -> new TypeHistory());
   }
 
-  /** Observes a machine; called for each at every review. */
+  /** Updates the history from a machine's state; called for each machine at every review. */
   void observe(Machine machine, Instant now) {
     switch (machine.state()) {
       case EXPECTED -> {
-        // A machine that an earlier leader rented may have been up before it was listed here: the
-        // cloud's list lags.
+        // A machine rented by an earlier leader may have booted before it was first listed here,
+        // because the cloud's list lags.
         if (machine.rentedByThisLeader) {
           booting.add(machine);
           if (weight(machine, now) == 0 && overdue.add(machine)) {
@@ -93,12 +93,12 @@
       }
       case RELEASING, GONE -> forget(machine);
       default -> {
-        // SILENT: it has booted, and nothing more is learnt from it.
+        // SILENT: the machine has booted before.
       }
     }
   }
 
-  /** Forgets a machine that was released. */
+  /** Removes a released machine. */
   void forget(Machine machine) {
     booting.remove(machine);
     overdue.remove(machine);
@@ -125,7 +125,7 @@
     return history.bootFactors.stream().mapToDouble(Double::doubleValue).average().orElse(1);
   }
 
-  /** How long machines of the type have lately taken to boot, on average. */
+  /** The average boot time of recent machines of the type. */
   Duration typicalBootTime(MachineType type) {
     return scaledBootTime(type, averageBootFactor(historyOf(type)));
   }
@@ -137,22 +137,22 @@
     return Math.max(MIN_LATE_FACTOR, slowFactor * LATE_MARGIN);
   }
 
-  /** The share of a machine that has not booted yet to count on: 1, 0.5 or 0. */
+  /** The share of a booting machine that counts as future capacity: 1, 0.5 or 0. */
   double weight(Machine machine, Instant now) {
     double factor = bootFactor(machine, now);
     double lateFactor = lateFactor(machine.type);
     return factor < lateFactor ? 1 : factor < VERY_LATE_MARGIN * lateFactor ? 0.5 : 0;
   }
 
-  /** Whether a machine has been booting for so long that it is to be released. */
+  /** Whether a machine has been booting for so long that it should be released. */
   boolean hasTimedOut(Machine machine, Instant now) {
-    // It is charged as long as it is waited for.
+    // The machine is charged for while it boots, so the wait is limited.
     return bootFactor(machine, now) > Math.max(MIN_TIMEOUT_FACTOR, lateFactor(machine.type));
   }
 
   /**
-   * Whether a machine rented now is likely to boot in about its type's boot time, by the boots that
-   * are known: a new leader, which knows of none yet, must not count on good ones.
+   * Whether enough recent boots show that a new machine is likely to boot in about its type's boot
+   * time; false for a new leader that has observed none.
    */
   boolean isTypical(MachineType type) {
     TypeHistory history = historyOf(type);
@@ -161,11 +161,11 @@
         && arrivalShare(type) > MIN_ARRIVAL_SHARE;
   }
 
-  /** The share of rented machines that boot in time; close to 1 while few boots are known. */
+  /** The share of rented machines that boot in time; close to 1 while few are observed. */
   double arrivalShare(MachineType type) {
     TypeHistory history = historyOf(type);
-    long came = history.arrivedInTime.stream().filter(c -> c).count();
-    return (came + 8.0) / (history.arrivedInTime.size() + 8.0);
+    long inTime = history.arrivedInTime.stream().filter(arrived -> arrived).count();
+    return (inTime + 8.0) / (history.arrivedInTime.size() + 8.0);
   }
 
   private static Duration scaledBootTime(MachineType type, double factor) {
--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -22,22 +22,21 @@
 import java.util.Map;
 
 /**
- * Which machines the pending jobs without capacity need, at one moment. Each job takes what it
- * lacks from the machines that boot, then from the cheapest kind for it that is available.
- * Deferrable jobs wait for capacity that comes free: an on-demand machine, several times as dear,
- * is worth its price only if they would be late without it. Found on galleharbour, where most of
- * the money went to on-demand machines for work that had minutes left.
+ * The machines that the pending jobs without capacity need, at one point in time. Each job is
+ * assigned booting machines first, then machines to rent of the cheapest available kind. Deferrable
+ * jobs wait for capacity to become free, and on-demand machines, which cost several times as much,
+ * are rented for them only if they would otherwise be late.
  *
- * <p>A value is the list price an hour of a share of machines, so that all types compare.
+ * <p>Capacity is measured by its value, the list price per hour, so that all types are comparable.
  */
 final class CapacityDemand {
-  /** The last task of an array takes this much longer than the estimate, as a share of it. */
+  /** How much longer than estimated the longest task of an array runs, as a share. */
   private static final double STRAGGLER_MARGIN = 0.25;
 
-  /** A kind of machine that can be rented, by the name of its type, since prices change. */
+  /** A kind of machine that can be rented; identified by type name because prices change. */
   record MachineKind(String type, boolean spot) {}
 
-  /** Machines missing of a kind, and in which zone if their jobs are restricted to one. */
+  /** The number of missing machines of a kind, and by zone for jobs restricted to one zone. */
   static final class MissingMachines {
     double machines;
     final Map<String, Double> byZone = new HashMap<>();
@@ -54,8 +53,8 @@
   /**
    * The pending tasks of one job that lack capacity.
    *
-   * @param tasks their number, within what the team may use
-   * @param dueAt when they should have started
+   * @param tasks the number of tasks that the team's limit allows
+   * @param dueAt when the tasks should have started
    */
   private record PendingJob(Job job, int tasks, Instant dueAt) {}
 
@@ -66,9 +65,8 @@
   private final Instant wallClock;
 
   /**
-   * Whether arrays that can wait are made to. Not where work arrives that may use on-demand
-   * machines only: what arrays hold of those is the capacity that it gets at once, by preempting
-   * them.
+   * Whether job arrays that can wait for capacity are deferred; see {@link
+   * ArrivalStatistics#mayDeferArrays}.
    */
   private final boolean mayDeferArrays;
 
@@ -77,23 +75,23 @@
   private final List<Machine> deferrableOnlyMachines = new ArrayList<>();
   private final BatchBacklog backlog;
 
-  /** The value of the machines that are up or boot, less what tasks that cannot wait take. */
+  /** The value of running and booting machines, minus that of non-deferrable tasks. */
   private double capacity;
 
-  /** The first job that an on-demand machine would help, or null. */
+  /** The first array that would be late without another on-demand machine, or null. */
   private JobSpec criticalJob;
 
-  /** Values of on-demand machines, then of spot machines. */
+  /** Values by market: on-demand, then spot. */
   private final double[] pendingValue = new double[2];
 
   private final double[] bootingValue = new double[2];
   private final double[] freeValue = new double[2];
 
   /**
-   * Takes stock of the machines and the pending jobs.
+   * Computes the demand from the current machines and pending jobs.
    *
    * @param now the event loop's time
-   * @param wallClock the time of day, to compare with times of acceptance
+   * @param wallClock the time of day, which job acceptance times are compared with
    */
   CapacityDemand(
       ClusterState cluster,
@@ -115,42 +113,42 @@
     pendingJobs(scheduler).forEach(this::addDemand);
   }
 
-  /** The value of what one task takes of a machine of the type. */
+  /** The value of the share that one task takes of a machine of the type. */
   static double taskValue(JobSpec spec, MachineType type) {
     return type.onDemandPrice()
         / Math.max(1, spec.resourcesPerTask().timesFittingIn(type.capacity()));
   }
 
-  /** Machines missing of each kind: on-demand ones for jobs that cannot wait, or spot machines. */
+  /** The missing machines by kind; on-demand ones only for jobs that cannot wait. */
   Map<MachineKind, MissingMachines> missing() {
     return missing;
   }
 
-  /** Adds missing machines of a kind that are for no present job. */
+  /** Adds missing machines of a kind that no current job needs. */
   void addMissing(MachineType type, boolean spot, double machines) {
     missing.computeIfAbsent(new MachineKind(type.name(), spot), k -> new MissingMachines())
             .machines +=
         machines;
   }
 
-  /** The value of all that the pending jobs need, whatever boots. */
+  /** The value of all capacity that the pending jobs need, including what is booting. */
   double pendingValue(boolean spot) {
     return pendingValue[marketIndex(spot)];
   }
 
-  /** The value of the machines that boot. */
+  /** The value of the booting machines. */
   double bootingValue(boolean spot) {
     return bootingValue[marketIndex(spot)];
   }
 
-  /** The value of what is free on schedulable machines. */
+  /** The value of the free capacity of schedulable machines. */
   double freeValue(boolean spot) {
     return freeValue[marketIndex(spot)];
   }
 
   /**
-   * The value of the on-demand machines to add for arrays that would be late. Spot machines that
-   * are requested now may well be granted: what is refused of them is missing the next time.
+   * The value of the on-demand machines to add for arrays that would be late. Missing spot machines
+   * are assumed to be granted; if they are refused, the next review accounts for it.
    */
   double missingForDeferrable() {
     double requestedSpotValue = 0;
@@ -167,7 +165,7 @@
     return criticalJob;
   }
 
-  /** Busy on-demand machines with deferrable tasks only; the list may be sorted. */
+  /** Busy on-demand machines that run deferrable tasks only. The caller may sort the list. */
   List<Machine> deferrableOnlyMachines() {
     return deferrableOnlyMachines;
   }
@@ -181,8 +179,6 @@
     return backlog.neededCapacity(deferrableValue, estimates.arrivals().deferrableWorkRate(null));
   }
 
-  // ---- machines
-
   private static double seconds(Duration duration) {
     return duration.toMillis() / 1000.0;
   }
@@ -216,8 +212,7 @@
   /**
    * Subtracts the tasks that cannot wait from the capacity.
    *
-   * @param isBusy whether tasks run there that the machine is worth keeping for; an idle one is
-   *     kept for its images as long as that is worth it
+   * @param isBusy whether the machine runs tasks that justify keeping it
    */
   private void subtractNonDeferrableTasks(Machine machine, boolean isBusy) {
     boolean onlyDeferrable = isBusy && !machine.spot;
@@ -239,9 +234,7 @@
     return mayDeferArrays && cluster.canWaitForCapacity(job);
   }
 
-  // ---- pending jobs
-
-  /** The jobs that lack capacity, by priority class and then by the time they are due. */
+  /** The jobs that lack capacity, sorted by priority class and then by due time. */
   private List<PendingJob> pendingJobs(Scheduler scheduler) {
     Map<String, Resources> planned = new HashMap<>();
     List<PendingJob> pendingJobs = new ArrayList<>();
@@ -260,7 +253,7 @@
       }
     }
     pendingJobs.sort(
-        Comparator.<PendingJob, PriorityClass>comparing(w -> w.job.priorityClass())
+        Comparator.<PendingJob, PriorityClass>comparing(pending -> pending.job.priorityClass())
             .thenComparing(PendingJob::dueAt));
     return pendingJobs;
   }
@@ -275,11 +268,11 @@
     if (!rejectedForCapacity || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
       return false;
     }
-    // A failing job is tried only where capacity happens to be free.
+    // A failing job is started only on capacity that is free anyway.
     return !entry.job.failing || entry.rejectedBy() == SchedulingCheck.PLACE;
   }
 
-  /** How many of the job's pending tasks the team may use capacity for, beside what is planned. */
+  /** How many pending tasks of the job the team's limit allows, beside what is planned. */
   private int tasksWithinLimit(Job job, Resources plannedBefore) {
     JobSpec spec = job.spec;
     Team team = cluster.team(spec.team());
@@ -292,21 +285,21 @@
     return count;
   }
 
-  // The machine types are those of the settings, one object each.
+  // Each machine type is a single object, so types can be compared by reference.
   @SuppressWarnings("ReferenceEquality")
   private void addDemand(PendingJob pendingJob) {
     Job job = pendingJob.job;
     JobSpec spec = job.spec;
-    // What is pending counts whether or not machines are refused at the moment, or the machines it
-    // needs would be given up with each refusal.
+    // Pending work counts even while the cloud refuses machines. Otherwise each refusal would
+    // make the machines that the work needs look unneeded.
     MachineType listed = types.cheapestListed(spec);
     if (listed == null) {
       return;
     }
     MachineType onDemand = types.cheapestAvailable(false, spec);
     boolean deferrable = isDeferrable(job);
-    // Deferrable jobs would all come to avoid spot machines while they wait, and then have dear
-    // machines at once.
+    // Deferrable jobs do not avoid spot machines: their slack shrinks while they wait, and they
+    // would all switch to on-demand machines.
     boolean avoidsSpot = onDemand != null && !deferrable && cluster.avoidsSpot(job, wallClock);
     boolean maySpot = spec.spotAllowed() && !avoidsSpot;
     boolean idleCapacityOnly = cluster.runsOnIdleCapacityOnly(job, wallClock);
@@ -335,7 +328,7 @@
   /**
    * Assigns booting machines of the kind to the job.
    *
-   * @return the number of its tasks that they suffice for
+   * @return the number of tasks that the assigned machines can run
    */
   private double assignBooting(MachineKind kind, JobSpec spec, MachineType type, double tasks) {
     double booting = bootingMachines.getOrDefault(kind, 0.0);
@@ -358,12 +351,12 @@
   private void addToBacklog(PendingJob pendingJob, MachineType type) {
     JobSpec spec = pendingJob.job.spec;
     Duration startDelay = cluster.soonestStartElsewhere(spec);
-    // For an objective that is missed soon after another machine is ready it is too late to rent.
+    // Ignores objectives that will be missed before, or soon after, a new machine is ready.
     Duration allowance =
         cluster.startAllowance(pendingJob.job, wallClock.plus(startDelay.multipliedBy(2)));
     Duration slack = Duration.between(wallClock, pendingJob.job.acceptedAt.plus(allowance));
     double runSeconds = seconds(spec.estimatedRunTime());
-    // What is late by all objectives must not wait for ever.
+    // Jobs that are late by all objectives must not wait indefinitely.
     double secondsLeft =
         Math.max(seconds(slack) - STRAGGLER_MARGIN * runSeconds, 2 * seconds(startDelay));
     double missingBefore = backlog.missingCapacity();
--- a/src/main/java/io/pineladder/autoscaling/CapacityEstimates.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityEstimates.java
@@ -4,8 +4,8 @@
 import java.time.Duration;
 
 /**
- * What is known of capacity: how long machines boot and fetch images, how much of them is in use,
- * and how much the arriving jobs will ask for.
+ * The estimates that scaling decisions are based on: boot and image fetch times, machine
+ * utilization, and the demand of arriving jobs.
  */
 record CapacityEstimates(
     BootTimeEstimator bootTimes,
@@ -13,14 +13,14 @@
     MachineUtilization utilization,
     ArrivalStatistics arrivals) {
 
-  /** How long it takes to have another machine of the type up, with a typical image. */
+  /** How long it takes until a new machine of the type is up and has fetched a typical image. */
   Duration replacementTime(MachineType type) {
     return bootTimes.typicalBootTime(type).plus(imageFetch.fetchTime(type));
   }
 
   /**
-   * Whether a released machine is easily replaced: a typical image is fetched in less time than a
-   * machine boots, and machines boot as fast as their type says.
+   * Whether a released machine can be replaced quickly: a typical image is fetched in less time
+   * than a machine boots, and recent machines booted in about their type's nominal boot time.
    */
   boolean isQuicklyReplaced(MachineType type) {
     return imageFetch.isFasterThanBoot(type) && bootTimes.isTypical(type);
--- a/src/main/java/io/pineladder/autoscaling/CapacityPool.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityPool.java
@@ -1,4 +1,4 @@
 package io.pineladder.autoscaling;
 
-/** Machines that the cloud may refuse on their own: of one type, in one zone, spot or on-demand. */
+/** The unit in which the cloud grants or refuses capacity: a type, a zone, and a market. */
 record CapacityPool(String type, String zone, boolean spot) {}
--- a/src/main/java/io/pineladder/autoscaling/CapacityRefusals.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityRefusals.java
@@ -8,11 +8,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The capacity pools that the cloud has refused lately, which are not requested for a while. */
+/**
+ * Tracks capacity pools from which the cloud recently refused machines; these are not requested.
+ */
 final class CapacityRefusals {
   private static final Duration MIN_REFUSAL_PERIOD = Duration.ofSeconds(6);
 
-  /** The share of the cloud's request rate that may go into requesting refused pools again. */
+  /** The share of the cloud's request rate that may be used to retry refused pools. */
   private static final double RETRY_RATE_SHARE = 0.4;
 
   private final ClusterState cluster;
@@ -24,18 +26,18 @@
     this.eventLoop = eventLoop;
   }
 
-  /** The cloud has refused machines of the pool now. */
+  /** Records that the cloud refused machines of the pool. */
   void record(CapacityPool pool) {
     refusedUntil.put(pool, eventLoop.now().plus(refusalPeriod()));
   }
 
-  /** Whether the pool counts as refused. */
+  /** Whether the pool's latest refusal is still in effect. */
   boolean isRefused(CapacityPool pool, Instant now) {
     Instant until = refusedUntil.get(pool);
     return until != null && !until.isBefore(now);
   }
 
-  /** Whether the type counts as refused in each of its zones. */
+  /** Whether the type is refused in all of its zones. */
   boolean isRefusedInAllZones(MachineType type, boolean spot) {
     Instant now = eventLoop.now();
     for (String zone : type.zones()) {
@@ -46,7 +48,7 @@
     return true;
   }
 
-  /** For how long a refusal counts: there are many pools and few requests to the cloud. */
+  /** How long a refusal stays in effect, so that retries of all pools fit their rate share. */
   private Duration refusalPeriod() {
     long pools = cluster.types().stream().mapToLong(t -> 2L * t.zones().size()).sum();
     double retriesPerSecond = cluster.settings.cloudLimits().requestsPerSecond() * RETRY_RATE_SHARE;
--- a/src/main/java/io/pineladder/autoscaling/CloudClient.java
+++ b/src/main/java/io/pineladder/autoscaling/CloudClient.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to the cloud within its rate limit; a circuit breaker pauses them for some seconds
- * after a failure.
+ * Sends requests to the cloud API within its rate limit. A circuit breaker pauses requests for a
+ * few seconds after a failure.
  */
 final class CloudClient {
-  /** The share of the cloud's rate limit that is used. */
+  /** The share of the cloud's rate limit that this client uses. */
   private static final double RATE_SHARE = 0.85;
 
   private static final Duration TIMEOUT = Duration.ofSeconds(4);
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Sends a GET request, unless the rate limit or the circuit breaker forbids it now.
+   * Sends a GET request, unless the rate limit or the circuit breaker forbids it.
    *
-   * @return whether it was sent, and so {@code onReply} will be called
+   * @return whether the request was sent; only then is {@code onReply} called
    */
   boolean get(String path, Consumer<Reply> onReply) {
     return call(Request.get(address, path, TIMEOUT), onReply);
@@ -80,7 +80,7 @@
     return true;
   }
 
-  /** Whether the cloud refuses for want of capacity, which is no failure of it. */
+  /** Whether the cloud is out of capacity, which does not count as a failure of its API. */
   static boolean isCapacityRefusal(Reply reply) {
     return reply.is(503)
         && new String(reply.body(), StandardCharsets.UTF_8).contains("no capacity");
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -17,30 +17,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects machines without heartbeats and decides how long each is waited for. A failed machine is
- * released, and the release is the proof that its tasks are gone.
+ * Detects machines without heartbeats and decides when each of them is released. The release of a
+ * machine is the proof that its tasks are gone.
  */
 final class FailureDetector {
   private static final Logger log = LoggerFactory.getLogger(FailureDetector.class);
 
-  /** How long after a failover workers still look for the new leader. */
+  /** How long after a failover workers may still be looking for the new leader. */
   private static final Duration FAILOVER_SETTLE_TIME = Duration.ofSeconds(15);
 
-  /** How long after the start of a term or of a machine its first heartbeat may take. */
+  /** How long the first heartbeat may take after the start of the term or the machine. */
   private static final Duration FIRST_HEARTBEAT_TIMEOUT = Duration.ofSeconds(15);
 
-  /** How long a cut-off zone with a controller of its own is taken to live on. */
+  /** How long tasks may live in an unreachable zone that has its own controller. */
   private static final Duration PEER_ZONE_TIMEOUT = Duration.ofMinutes(3);
 
   /**
-   * What a heartbeat may be late by on top of its interval: a lost response, another controller.
+   * How late a heartbeat may be, for example after a lost response or a switch to another
+   * controller.
    */
   private static final Duration HEARTBEAT_GRACE = Duration.ofSeconds(6);
 
   /** How long before its heartbeat timeout a machine counts as overdue. */
   private static final Duration OVERDUE_LEAD = Duration.ofSeconds(4);
 
-  /** Machines that may come back are waited for a third of the time that a replacement takes. */
+  /** A machine that may recover is waited for at most the replacement time divided by this. */
   private static final int REPLACEMENT_WAIT_DIVISOR = 3;
 
   private final ClusterState cluster;
@@ -50,13 +51,13 @@
   private final Autoscaler.Effects callbacks;
   private final Instant startedAt;
 
-  /** Until when a zone that was unreachable is taken to be so. */
+  /** Until when a zone is treated as unreachable after its last unreachable review. */
   private final Map<String, Instant> unreachableUntil = new HashMap<>();
 
   /**
-   * Since when this leader has accepted heartbeats. After a process pause, what its workers sent is
-   * still unread; while its lease was uncertain for long they were answered without it, or went to
-   * other controllers. That it has no heartbeats of theirs is then its own fault.
+   * Since when this leader has accepted heartbeats without interruption. Heartbeats missing from
+   * before that time do not indicate failed machines: after a process pause they have not been read
+   * yet, and while the lease was uncertain they were not applied or went to other controllers.
    */
   private Instant acceptingHeartbeatsSince;
 
@@ -75,7 +76,7 @@
     this.acceptingHeartbeatsSince = now;
   }
 
-  /** No heartbeats were accepted until now. */
+  /** Restarts all heartbeat timeouts, because no heartbeats were accepted until now. */
   void onHeartbeatsNotAccepted(Instant now) {
     acceptingHeartbeatsSince = now;
   }
@@ -85,29 +86,29 @@
     return interval.plus(interval.dividedBy(4)).plus(HEARTBEAT_GRACE);
   }
 
-  /** The heartbeats of the machines of one zone. */
+  /** The heartbeat counts of one zone. */
   private static final class ZoneHeartbeats {
     int expected;
     int overdue;
     int recentlySeen;
 
-    /** Whether many machines were cut off or hang at once, rather than failed one by one. */
+    /** Whether so many machines are overdue that they probably have a common cause. */
     boolean isCorrelated() {
       return overdue >= 3 && overdue * 20 > expected;
     }
   }
 
-  /** The heartbeats of all machines at one moment. */
+  /** The heartbeat state of all machines at one point in time. */
   private static final class Survey {
     final Map<String, ZoneHeartbeats> byZone = new HashMap<>();
 
-    /** Machines beyond the heartbeat timeout. */
+    /** Machines whose heartbeat timeout has passed. */
     final List<Machine> silent = new ArrayList<>();
 
-    /** Machines that have to send heartbeats, now or soon. */
+    /** The number of machines that should be sending heartbeats, or should soon. */
     int expected;
 
-    /** Whether no heartbeat arrives any more of machines of which some did. */
+    /** Whether all machines are silent, although at least one has sent heartbeats before. */
     boolean areAllSilent() {
       return expected >= 2
           && silent.size() == expected
@@ -120,20 +121,21 @@
   }
 
   /**
-   * Finds the machines without heartbeats that are to be released, which is the proof that their
-   * tasks are gone. When nearly all of a zone is silent the fault is likely between this controller
-   * and them, and a controller in the zone may keep their workers' leases alive; then they are
-   * waited for that long. Hundreds of silent machines in a zone of which others are heard are no
-   * such cut: their leases expire, and the longer they are waited for the later their tasks start
-   * elsewhere.
+   * Finds the silent machines to release now.
+   *
+   * <p>If nearly all machines of a zone are silent, the network between this controller and the
+   * zone has probably failed. A controller in the zone may keep the workers' leases alive, so the
+   * machines are kept for as long as their tasks may live. If heartbeats still arrive from other
+   * machines of the zone, the silent ones are released after the timeout or their lease, however
+   * many they are, because waiting longer only delays their tasks' restart.
    */
   List<Machine> findMachinesToRelease(Instant now) {
     Duration timeout = heartbeatTimeout();
     Survey survey = survey(timeout, now);
     if (survey.areAllSilent()) {
-      // No worker reaches this controller any more, while they may reach another. A successor that
-      // has never heard any keeps its term, or machines that all died would never be given up.
-      callbacks.resign("no worker is heard");
+      // Workers may still reach another controller. A new leader that never received a heartbeat
+      // does not resign; otherwise, machines that have all failed would never be released.
+      callbacks.resign("no worker heartbeats received");
       return List.of();
     }
     reviewZones(survey, timeout, now);
@@ -141,11 +143,11 @@
   }
 
   private Survey survey(Duration timeout, Instant now) {
-    // The machines of a zone become silent one heartbeat after the other: what counts for a cut is
-    // which are overdue, or the first ones would be given up before the last ones are missed.
+    // The machines of a cut-off zone time out at different moments. Outages are detected by the
+    // overdue machines, so that the first ones are not released before the last ones time out.
     Duration overdueAfter = timeout.minus(OVERDUE_LEAD);
-    // In a zone that is cut off all become silent at once: when the first is missed none was heard
-    // since.
+    // In a cut-off zone all heartbeats stop at once: when the first machine becomes overdue, the
+    // last heartbeat of every machine is older than this period.
     Duration recentPeriod = overdueAfter.minus(cluster.settings.workerTimes().heartbeatInterval());
     Survey survey = new Survey();
     for (Machine machine : cluster.machines()) {
@@ -155,17 +157,16 @@
       }
       survey.expected++;
       if (since.isAfter(now)) {
-        // Its first heartbeat is not due yet, so it says nothing of its zone. Found on laval-fleet:
-        // right after a failover idle machines hid that none of those with tasks was heard, which
-        // were given up.
+        // Its first heartbeat is not due yet. Counting it would hide an outage of its zone, for
+        // example right after a failover.
         continue;
       }
       ZoneHeartbeats zone = survey.byZone.computeIfAbsent(machine.zone, z -> new ZoneHeartbeats());
       zone.expected++;
-      boolean recentlyHeard =
+      boolean recentlySeen =
           machine.lastHeartbeatAt != null
               && machine.lastHeartbeatAt.plus(recentPeriod).isAfter(now);
-      zone.recentlySeen += recentlyHeard ? 1 : 0;
+      zone.recentlySeen += recentlySeen ? 1 : 0;
       if (since.plus(overdueAfter).isBefore(now)) {
         zone.overdue++;
         if (now.getEpochSecond() % 2 == 0) {
@@ -199,72 +200,71 @@
                   callbacks.workersHeardByPeers(zone));
           zones.review(zone, counts, now);
           if (counts.isUnreachable()) {
-            // Once a cut is over the first that are heard say nothing of the rest, whose heartbeats
-            // are on their way.
+            // When the zone recovers, some machines send heartbeats before others. The others must
+            // not be released in the meantime.
             unreachableUntil.put(zone, now.plus(timeout));
           }
         });
   }
 
   private List<Machine> selectForRelease(Survey survey, Duration timeout, Instant now) {
-    boolean anyHeard = survey.isAnyRecentlySeen();
+    boolean anySeen = survey.isAnyRecentlySeen();
     List<Machine> toRelease = new ArrayList<>();
-    List<Machine> lostWithZone = new ArrayList<>();
+    List<Machine> inUnreachableZones = new ArrayList<>();
     for (Machine machine : survey.silent) {
       if (zones.isKeptAliveByPeers(machine.zone)) {
-        // Another controller hears it, keeps its lease alive, and ends there what users cancel.
+        // Another controller keeps its lease alive and stops its cancelled tasks.
         continue;
       }
-      Duration patience =
-          releaseTimeout(machine, survey.byZone.get(machine.zone), anyHeard, timeout, now);
+      Duration releaseAfter =
+          releaseTimeout(machine, survey.byZone.get(machine.zone), anySeen, timeout, now);
       if (isCancellationBoundNear(machine, now)) {
         toRelease.add(machine);
-      } else if (silentSince(machine).plus(patience).isBefore(now)) {
-        (zones.isUnreachable(machine.zone) ? lostWithZone : toRelease).add(machine);
+      } else if (silentSince(machine).plus(releaseAfter).isBefore(now)) {
+        (zones.isUnreachable(machine.zone) ? inUnreachableZones : toRelease).add(machine);
       }
     }
-    toRelease.addAll(zoneOutagePolicy.machinesToRelease(lostWithZone, now));
+    toRelease.addAll(zoneOutagePolicy.machinesToRelease(inUnreachableZones, now));
     return toRelease;
   }
 
-  /** How long a silent machine is waited for, from its last heartbeat on. */
+  /** How long after its last heartbeat a silent machine is released. */
   private Duration releaseTimeout(
-      Machine machine, ZoneHeartbeats zone, boolean anyHeard, Duration timeout, Instant now) {
+      Machine machine, ZoneHeartbeats zone, boolean anySeen, Duration timeout, Instant now) {
     Duration lease = cluster.settings.workerTimes().leaseDuration();
     if (unreachableUntil.getOrDefault(machine.zone, Instant.MIN).isAfter(now)) {
-      return maxTaskLifetime(machine.zone, anyHeard);
+      return maxTaskLifetime(machine.zone, anySeen);
     }
     boolean waitsForLease = zone.isCorrelated() && isWorthWaiting(machine, lease.minus(timeout));
     return waitsForLease ? lease : Duration.ZERO;
   }
 
   /**
-   * Resigns when most workers heard recently were heard through peers: they reach other controllers
-   * but not this one. Commands then go out only with forwarded heartbeats' responses, so a peer
-   * serves better as the leader. Found on colombo-ops, where a leader cut off from its workers
-   * alone went on for a minute.
+   * Transfers leadership if most recent heartbeats were forwarded by peers, so the workers reach
+   * other controllers but not this one. Commands could then be sent only in responses to forwarded
+   * heartbeats, and a peer would be a better leader.
    */
   void resignIfWorkersReachPeersOnly(Instant now) {
     if (startedAt.plus(FAILOVER_SETTLE_TIME).isAfter(now)) {
       return;
     }
     Instant from = now.minus(cluster.settings.workerTimes().heartbeatInterval());
-    int heard = 0;
+    int recentlySeen = 0;
     int throughPeers = 0;
     for (Machine machine : cluster.machines()) {
       if (machine.state() == Machine.State.CONFIRMED && machine.lastHeartbeatAt.isAfter(from)) {
-        heard++;
+        recentlySeen++;
         throughPeers += machine.reachedThroughPeer ? 1 : 0;
       }
     }
-    if (throughPeers >= 3 && throughPeers * 2 > heard) {
-      callbacks.transferLeadership("workers reach its peers and not this node");
+    if (throughPeers >= 3 && throughPeers * 2 > recentlySeen) {
+      callbacks.transferLeadership("workers reach peer controllers but not this one");
     }
   }
 
   /**
-   * Whether a machine that may come back with its tasks is worth waiting for this much longer: to
-   * have another ready, with a typical image, takes several times as long.
+   * Whether to wait longer for a machine that may recover with its tasks: worthwhile if a
+   * replacement with a typical image takes several times as long to be ready.
    */
   private boolean isWorthWaiting(Machine machine, Duration extraWait) {
     Duration replacementTime =
@@ -273,15 +273,15 @@
   }
 
   /**
-   * How long tasks may live in a zone that is cut off, where controllers keep their workers' leases
-   * alive, with the time that a heartbeat then takes to arrive here.
+   * How long tasks may live in an unreachable zone, where other controllers may keep the workers'
+   * leases alive, plus the time for a heartbeat to arrive here afterwards.
    */
-  private Duration maxTaskLifetime(String zone, boolean anyHeard) {
-    // Where no zone is heard nothing distinguishes a cut from machines that have all died.
+  private Duration maxTaskLifetime(String zone, boolean anySeen) {
+    // If no heartbeat arrives from any zone, an outage looks the same as failed machines.
     boolean hasPeer =
-        anyHeard && cluster.settings.peers().stream().anyMatch(peer -> peer.zone().equals(zone));
+        anySeen && cluster.settings.peers().stream().anyMatch(peer -> peer.zone().equals(zone));
     if (hasPeer) {
-      // It keeps the leases there alive for as long as it lives.
+      // The peer keeps the leases in its zone alive as long as it runs.
       return PEER_ZONE_TIMEOUT;
     }
     Settings.WorkerTimes workers = cluster.settings.workerTimes();
@@ -293,7 +293,7 @@
     return renewedLifetime.compareTo(minimum) > 0 ? renewedLifetime : minimum;
   }
 
-  /** Whether a cancelled job's task may still run there after half of the cancellation bound. */
+  /** Whether a cancelled task may still run there after half of the cancellation bound. */
   private boolean isCancellationBoundNear(Machine machine, Instant now) {
     Duration halfBound = cluster.settings.workerTimes().cancellationBound().dividedBy(2);
     for (Attempt attempt : machine.attempts.values()) {
@@ -308,8 +308,8 @@
   }
 
   /**
-   * Since when a machine should have sent a heartbeat and none was accepted, which may be a time to
-   * come; null if none is expected of it.
+   * The time from which the heartbeat timeout of a machine is counted, which may be in the future;
+   * null if no heartbeat is expected from it.
    */
   private Instant silentSince(Machine machine) {
     Instant since = heartbeatBaseline(machine);
--- a/src/main/java/io/pineladder/autoscaling/ImageFetchEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/ImageFetchEstimator.java
@@ -4,9 +4,9 @@
 import io.pineladder.scheduling.ClusterState;
 import java.time.Duration;
 
-/** Estimates how long a machine fetches a typical image, from the sizes of the jobs' images. */
+/** Estimates the time to fetch a typical image, based on the image sizes of recent jobs. */
 final class ImageFetchEstimator {
-  /** The weight of a new job's image in the mean size. */
+  /** The weight of a new job's image in the moving average. */
   private static final double NEW_IMAGE_WEIGHT = 0.1;
 
   private final ClusterState cluster;
@@ -17,16 +17,16 @@
   }
 
   /**
-   * Takes the mean size from the jobs known when the term begins. If images counted as small until
-   * the next job arrives, a new leader would release idle machines with images that take minutes to
-   * fetch.
+   * Initializes the mean size from the jobs that are known at the start of the term. With an
+   * initial mean of 0, a new leader would release idle machines whose replacements take minutes to
+   * fetch an image.
    */
   void start() {
     meanImageGb =
         cluster.jobs.values().stream().mapToDouble(j -> j.spec.imageGb()).average().orElse(0);
   }
 
-  /** Includes a new job's image in the mean size. */
+  /** Updates the mean size with a new job's image. */
   void record(double imageGb) {
     meanImageGb =
         meanImageGb == 0
@@ -34,12 +34,12 @@
             : (1 - NEW_IMAGE_WEIGHT) * meanImageGb + NEW_IMAGE_WEIGHT * imageGb;
   }
 
-  /** How long a machine of the type fetches a typical image. */
+  /** How long a machine of the type takes to fetch a typical image. */
   Duration fetchTime(MachineType type) {
     return type.fetchTime(meanImageGb);
   }
 
-  /** Whether a typical image is known to be fetched in less time than a machine boots. */
+  /** Whether fetching a typical image takes less time than booting; false if sizes are unknown. */
   boolean isFasterThanBoot(MachineType type) {
     return meanImageGb > 0 && fetchTime(type).compareTo(type.bootTime()) < 0;
   }
--- a/src/main/java/io/pineladder/autoscaling/MachineInventory.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineInventory.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the cloud's list of machines, page by page: adds machines that were not known and releases
- * those that failed or are no longer listed.
+ * Reads the cloud's list of machines page by page, adds unknown machines, and releases machines
+ * that failed or are no longer listed.
  */
 final class MachineInventory {
   private static final Logger log = LoggerFactory.getLogger(MachineInventory.class);
@@ -28,22 +28,22 @@
   private final CloudClient cloud;
   private final MachineReleaser releaser;
 
-  /** When this term began. */
+  /** When the term started. */
   private final Instant startedAt;
 
   private boolean listInFlight;
 
-  /** A list that the rate limit has interrupted, or null. */
+  /** A list whose next page could not be requested because of the rate limit, or null. */
   private InterruptedList interrupted;
 
-  /** When the first page of the newest complete list was requested. */
+  /** When the first page of the latest complete list was requested. */
   private Instant lastCompleteListAt = Instant.MIN;
 
   /**
-   * A list of which no more pages could be requested at the time.
+   * The position at which reading a list was interrupted.
    *
-   * @param after the last name that was read
-   * @param begunAt when its first page was requested
+   * @param after the last machine name that was read
+   * @param begunAt when the first page of the list was requested
    */
   private record InterruptedList(String after, Instant begunAt) {}
 
@@ -60,10 +60,10 @@
     this.startedAt = startedAt;
   }
 
-  /** Requests the list if it is due, or continues one that the rate limit has interrupted. */
+  /** Requests the list if it is due, or continues an interrupted one. */
   void listMachines(Instant now) {
-    // A list of many pages takes its part of the request rate; a short one is requested as often as
-    // the cloud renews it.
+    // A short list is requested at the rate at which the cloud refreshes it; a list of many pages
+    // less often, since each page uses up part of the request rate.
     long pages = 1L + cluster.machines().size() / CloudWire.PAGE_SIZE;
     Duration interval =
         cluster.settings.cloudLimits().listLag().dividedBy(2).plusSeconds(pages / 2);
@@ -71,7 +71,7 @@
       return;
     }
     if (interrupted != null) {
-      // A list of more pages than the rate allows at once would never complete if begun anew.
+      // Restarting would never complete a list with more pages than the rate limit's burst.
       listInFlight = requestPage(interrupted.after, interrupted.begunAt);
     } else if (!now.isBefore(lastCompleteListAt.plus(interval))) {
       listInFlight = requestPage("", now);
@@ -112,12 +112,12 @@
   }
 
   /**
-   * Releases machines that are no longer listed. A machine that was listed stays listed until it is
-   * gone. One that is missing from a list too young to be from before it was listed has most likely
-   * been reclaimed; its tasks wait for the proof, which its release gives at once. Without this,
-   * work on machines reclaimed without a notice waited for the heartbeat timeout.
+   * Releases machines that are no longer listed. A machine stays listed until it is gone, so a
+   * machine that was listed before and is missing from a sufficiently recent list has most likely
+   * been reclaimed. Confirming its release lets its tasks start elsewhere without waiting for the
+   * heartbeat timeout.
    *
-   * @param last the last name of the page, or null when no more follow
+   * @param last the last machine name of the page, or null if this is the last page
    */
   private void releaseMissing(CloudWire.Page page, String after, String last, Instant sentAt) {
     Set<String> names = new HashSet<>();
@@ -174,9 +174,9 @@
   }
 
   /**
-   * Whether all machines that existed when this term began are known, with their tasks: a list no
-   * older than the term was read to its end, and each machine has sent a heartbeat or its release
-   * was confirmed.
+   * Whether all machines that existed at the start of the term are known, with their tasks: a list
+   * that is no older than the term was read completely, and each machine has either sent a
+   * heartbeat or been released.
    */
   boolean isConfirmed() {
     Duration lag = cluster.settings.cloudLimits().listLag();
--- a/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines to the cloud. Its answer is the proof that a machine's tasks are gone: only then
- * do they start elsewhere.
+ * Releases machines to the cloud. The cloud's confirmation is the proof that a machine's tasks are
+ * gone; only then may they start elsewhere.
  */
 final class MachineReleaser {
   private static final Logger log = LoggerFactory.getLogger(MachineReleaser.class);
 
   /**
-   * Released machines that are remembered, so that what still names them is known to be stale: half
-   * as many again as the 4,000 machines of the largest fleets, which may all go within moments.
+   * How many released machines are remembered, to recognize stale messages about them. Exceeds the
+   * size of the largest supported clusters, whose machines may all be released within a short time.
    */
   static final int MAX_TRACKED_RELEASES = 6_000;
 
@@ -33,7 +33,7 @@
   private final BootTimeEstimator bootTimes;
   private final BooleanSupplier mayAct;
 
-  /** The names of released machines, the oldest first. */
+  /** The names of released machines, oldest first. */
   private final Set<String> released = new LinkedHashSet<>();
 
   private final Set<String> pendingReleases = new LinkedHashSet<>();
@@ -54,12 +54,12 @@
     this.mayAct = mayAct;
   }
 
-  /** Whether the cloud has confirmed the machine's return: what still comes from it is stale. */
+  /** Whether the cloud has confirmed the machine's release, so its messages are stale. */
   boolean wasReleased(String machine) {
     return released.contains(machine);
   }
 
-  /** Asks the cloud to take the machine back, unless that was done before. */
+  /** Requests the machine's release, unless that was done before. */
   void release(Machine machine) {
     if (machine.state() == Machine.State.RELEASING || machine.state() == Machine.State.GONE) {
       return;
@@ -75,7 +75,7 @@
     sendReleases();
   }
 
-  /** Releases a machine that is not needed once its tasks are preempted and have ended. */
+  /** Preempts the machine's tasks, so that it can be released once they have ended. */
   void drain(Machine machine) {
     if (machine.attempts.isEmpty()) {
       release(machine);
@@ -86,7 +86,7 @@
     List.copyOf(machine.attempts.values()).forEach(scheduler::preempt);
   }
 
-  /** Sends the releases that the cloud has not confirmed, one request at a time. */
+  /** Requests the releases that the cloud has not confirmed, one request at a time. */
   void sendReleases() {
     if (releaseInFlight || pendingReleases.isEmpty() || !mayAct.getAsBoolean()) {
       return;
--- a/src/main/java/io/pineladder/autoscaling/MachineTypeSelector.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineTypeSelector.java
@@ -4,12 +4,9 @@
 import io.pineladder.model.MachineType;
 import io.pineladder.scheduling.ClusterState;
 
-/** Selects the machine type whose machines cost a job's tasks least. */
+/** Selects the machine type with the lowest cost per task of a job. */
 final class MachineTypeSelector {
-  /**
-   * The last of its tasks keep a machine by this part longer than its tasks run, for each factor of
-   * e in their number.
-   */
+  /** The last of n tasks keeps a machine for this fraction of the run time longer, times ln(n). */
   private static final double TAIL_COST_FACTOR = 0.15;
 
   private final ClusterState cluster;
@@ -20,23 +17,23 @@
     this.refusals = refusals;
   }
 
-  /** Whether the job's tasks fit machines of the type, and may run there. */
+  /** Whether the job's tasks fit on machines of the type and may run there. */
   static boolean isUsable(JobSpec spec, MachineType type) {
     return spec.allowsType(type.name())
         && spec.resourcesPerTask().fitsIn(type.capacity())
         && (spec.zone() == null || type.zones().contains(spec.zone()));
   }
 
-  /** The cheapest type for the job by on-demand prices, refused or not; null if none is usable. */
+  /** The cheapest usable type by on-demand price, including refused ones; null if there is none. */
   MachineType cheapestListed(JobSpec spec) {
     return cheapest(false, spec, true);
   }
 
   /**
-   * The cheapest type for the job that has not been refused lately.
+   * The cheapest usable type that is not currently refused in all its zones.
    *
-   * @param spec null for the type that is cheapest relative to its on-demand price
-   * @return null if there is none
+   * @param spec the job, or null to select by price relative to the on-demand price
+   * @return null if there is no such type
    */
   MachineType cheapestAvailable(boolean spot, JobSpec spec) {
     return cheapest(spot, spec, false);
@@ -54,8 +51,8 @@
       if (spec == null) {
         price /= type.onDemandPrice();
       } else {
-        // What a machine holds beyond one small job's tasks serves others, but not at once; and it
-        // is paid for until the last of its tasks ends.
+        // A small job does not fill the machine, and other jobs use the rest only later. The
+        // machine is paid for until its last task ends.
         long tasks =
             Math.min(spec.resourcesPerTask().timesFittingIn(type.capacity()), spec.tasks());
         price *= (1 + TAIL_COST_FACTOR * Math.log((double) tasks)) / tasks;
--- a/src/main/java/io/pineladder/autoscaling/MachineUtilization.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineUtilization.java
@@ -4,7 +4,7 @@
 import io.pineladder.net.EventLoop;
 import io.pineladder.scheduling.ClusterState;
 
-/** How much of a machine is in use by tasks that it is worth keeping for. */
+/** Computes how much of a machine is used by tasks that justify keeping it. */
 final class MachineUtilization {
   private final ClusterState cluster;
   private final EventLoop eventLoop;
@@ -15,9 +15,9 @@
   }
 
   /**
-   * Whether nothing runs there that the machine is worth keeping for. Checkpointed work that runs
-   * on idle capacity only fills an on-demand machine but does not keep it. Found on colombo-ops,
-   * where a guest's kept a thousand rented.
+   * Whether the machine runs no tasks that justify keeping it. Checkpointed tasks that may run on
+   * idle capacity only do not justify an on-demand machine; otherwise such work could keep a whole
+   * fleet of on-demand machines rented.
    */
   boolean isIdle(Machine machine) {
     if (machine.attempts.isEmpty()) {
@@ -31,7 +31,7 @@
                         && cluster.runsOnIdleCapacityOnly(a.job, eventLoop.wallClock()));
   }
 
-  /** The share of the machine's capacity that is free, 0 to 1; 1 if it is idle. */
+  /** The free share of the machine's capacity, from 0 to 1; 1 if the machine is idle. */
   double freeShare(Machine machine) {
     return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.shareOf(machine.type.capacity()));
   }
--- a/src/main/java/io/pineladder/autoscaling/OnDemandReview.java
+++ b/src/main/java/io/pineladder/autoscaling/OnDemandReview.java
@@ -16,20 +16,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Retires on-demand machines that serve only jobs which would be in time without them: those take
- * no more tasks and are released as theirs end, and take tasks again when they are needed after
- * all. Without this, machines rented for a peak were kept as long as any job was pending.
+ * Retires on-demand machines whose jobs would start in time without them. A retiring machine gets
+ * no new tasks and is released when its tasks have ended, unless it is needed again before that.
+ * Without this, machines rented for a peak would be kept as long as any job is pending.
  */
 final class OnDemandReview {
   private static final Logger log = LoggerFactory.getLogger(OnDemandReview.class);
 
-  /**
-   * A machine costs as much as if it had been kept for this long; released much sooner it is money
-   * lost.
-   */
+  /** The cloud charges at least this much time per machine, so no machine is retired earlier. */
   private static final Duration MIN_BILLED_PERIOD = Duration.ofSeconds(45);
 
-  /** The last of some tasks runs for about this multiple of their estimate. */
+  /** The longest task of a group runs for about this multiple of the estimated run time. */
   private static final double STRAGGLER_FACTOR = 1.3;
 
   private final ClusterState cluster;
@@ -46,10 +43,10 @@
   }
 
   /**
-   * Retires machines and takes them back into use. The on-demand machines missing in the demand are
-   * reduced by what was taken back.
+   * Retires machines, or reactivates retiring ones if capacity is missing. The demand's missing
+   * on-demand machines are reduced by the reactivated capacity.
    *
-   * @return what is still to be rented for arrays that would be late, at list prices an hour
+   * @return the capacity still to be rented for arrays that would be late, at list prices per hour
    */
   double review(CapacityDemand demand, Instant now) {
     double missingNow = 0;
@@ -98,7 +95,7 @@
         retiring.add(machine);
       }
     }
-    // The dearer a machine is, the dearer are the last tasks that keep it.
+    // Reactivates cheap machines first: the last tasks on an expensive one cost more.
     retiring.sort(Comparator.comparing(machine -> machine.type.onDemandPrice()));
     return retiring;
   }
@@ -109,7 +106,7 @@
     double neededValue =
         Math.max(
             demand.neededForDeferrable(deferrableValue), 2 * estimates.arrivals().headroom(false));
-    // The larger a machine, the longer the last of its tasks keep it.
+    // Retires large machines first: they take longest until their last task has ended.
     deferrableOnly.sort(
         Comparator.<Machine>comparingDouble(machine -> -machine.type.onDemandPrice())
             .thenComparing(machine -> -estimates.utilization().freeShare(machine)));
@@ -126,11 +123,10 @@
   }
 
   /**
-   * Preempts the last tasks on retiring machines, to start again on spot machines with capacity for
-   * them, if that loses less than the machine costs until they end. Found on galleharbour, where a
-   * hundred on-demand machines were each kept for two minutes by a few long tasks.
+   * Preempts the last tasks on retiring machines if they can restart on free spot capacity and the
+   * lost progress costs less than keeping the machine until they end.
    *
-   * @param freeSpotValue what is free on spot machines, at list prices an hour
+   * @param freeSpotValue the free capacity of spot machines, at list prices per hour
    */
   private void drainRetiring(double freeSpotValue, Instant now) {
     Instant wallClock = eventLoop.wallClock();
@@ -154,12 +150,12 @@
   }
 
   /**
-   * What preempting all tasks of a machine costs.
+   * The cost of preempting all tasks of a machine.
    *
-   * @param lostValue list price an hour, times the seconds that the tasks have run
-   * @param movedValue what the tasks take, at list prices an hour
-   * @param remainingSeconds how much longer the last of them runs otherwise
-   * @param meetsObjectives whether all of them would still meet their objectives
+   * @param lostValue the lost progress: hourly price times the seconds that the tasks have run
+   * @param movedValue the capacity that the tasks take, at list prices per hour
+   * @param remainingSeconds how long the last task would run if it were not preempted
+   * @param meetsObjectives whether all jobs would still meet their service-level objectives
    */
   private record DrainCost(
       double lostValue, double movedValue, double remainingSeconds, boolean meetsObjectives) {
--- a/src/main/java/io/pineladder/autoscaling/RentalClient.java
+++ b/src/main/java/io/pineladder/autoscaling/RentalClient.java
@@ -19,13 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents machines. A request without an answer may have been executed, so it is repeated under its
- * identifier until it is answered: the cloud rents nothing twice for it.
+ * Rents machines. An unanswered request may have been executed, so it is retried with the same
+ * request identifier, which makes it idempotent, until it is answered.
  */
 final class RentalClient {
   private static final Logger log = LoggerFactory.getLogger(RentalClient.class);
 
-  /** Machines requested at a time: when hundreds are lost together, fifty a second are too few. */
+  /** Sized to replace hundreds of machines that are lost together. */
   private static final int MAX_MACHINES_PER_RENT = 200;
 
   private final ClusterState cluster;
@@ -35,10 +35,10 @@
   private final Zones zones;
   private final CapacityRefusals refusals;
 
-  /** Whether a machine's return was confirmed, by its name. */
+  /** Whether the cloud has confirmed the release of the machine with this name. */
   private final Predicate<String> wasReleased;
 
-  /** Requests that were not answered yet. */
+  /** Requests that have not been answered. */
   private final List<Rental> openRentals = new ArrayList<>();
 
   private long requestCount;
@@ -61,7 +61,7 @@
   /**
    * Creates the client of one term.
    *
-   * @param term makes the identifiers of requests unique among all terms
+   * @param term makes request identifiers unique across terms
    */
   RentalClient(
       ClusterState cluster,
@@ -80,17 +80,16 @@
     this.wasReleased = wasReleased;
   }
 
-  /** Whether a request is in flight. */
   boolean isRequestInFlight() {
     return openRentals.stream().anyMatch(r -> r.inFlight);
   }
 
   /**
-   * Requests machines, spread over the zones so that those with the fewest of their kind come
-   * first.
+   * Requests machines, spread over the zones, starting with the zones that have the fewest machines
+   * of this kind.
    *
-   * @param zone the only zone to rent in, or null for all
-   * @param forDeadlines whether they are rented only because arrays would be late without them
+   * @param zone the only zone to rent in, or null for all zones of the type
+   * @param forDeadlines whether the machines are rented only to start job arrays in time
    */
   void rent(
       MachineType type, String zone, boolean spot, int count, boolean forDeadlines, Instant now) {
@@ -112,9 +111,9 @@
     }
   }
 
-  /** The pools of the type to rent from, by the number of such machines in their zones. */
+  /** The pools to rent from, sorted by the number of such machines in their zones. */
   private List<CapacityPool> openPools(MachineType type, String zone, boolean spot, Instant now) {
-    // A machine rented in a zone from which no heartbeat arrives serves nobody.
+    // A machine in an unreachable zone could not be used.
     List<String> candidateZones = new ArrayList<>(zones.rentableZones(type.zones()));
     if (zone != null) {
       candidateZones.retainAll(List.of(zone));
@@ -136,7 +135,7 @@
     return openPools;
   }
 
-  /** Repeats the requests that got no answer. */
+  /** Retries the requests that were not answered. */
   void resendUnanswered() {
     for (Rental rental : List.copyOf(openRentals)) {
       if (!rental.inFlight) {
@@ -159,7 +158,7 @@
   private void onRentalReply(Rental rental, Reply reply) {
     rental.inFlight = false;
     if (!reply.isAnswered()) {
-      // It may have been executed: the same request again tells, and rents nothing twice.
+      // The request may have been executed. Retrying it returns the result and rents nothing twice.
       return;
     }
     openRentals.remove(rental);
--- a/src/main/java/io/pineladder/autoscaling/ScaleIn.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleIn.java
@@ -16,14 +16,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Releases machines that never booted, are unreachable, drained, or idle for long enough. */
+/** Releases machines that did not boot, are unreachable, are drained, or have been idle. */
 final class ScaleIn {
   private static final Logger log = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** With this multiple of the headroom free, idle machines need not be kept for long. */
+  /** If this multiple of the headroom is free, idle machines are surplus. */
   private static final double SURPLUS_HEADROOM_FACTOR = 2;
 
-  /** A surplus idle machine is kept for the usual least time divided by this. */
+  /** A surplus idle machine is kept for the configured idle time divided by this. */
   private static final int SURPLUS_IDLE_DIVISOR = 3;
 
   private final ClusterState cluster;
@@ -50,7 +50,7 @@
     operator = next;
   }
 
-  /** Reviews all machines and releases or drains those that are to go. */
+  /** Reviews all machines, and releases or drains those that are not needed. */
   void review(Instant now) {
     Map<Boolean, Double> freeByMarket = new HashMap<>();
     List<Machine> idle = new ArrayList<>();
@@ -106,12 +106,13 @@
   }
 
   /**
-   * Whether an idle machine is to go.
+   * Whether an idle machine is no longer needed.
    *
-   * @param freeWithoutIt what is free on the other machines of its market, at list prices an hour
+   * @param freeWithoutIt the free capacity of the other machines of its market (spot or on-demand),
+   *     at list prices per hour
    */
   private boolean isIdleTooLong(Machine machine, double freeWithoutIt, Instant now) {
-    // Without any job no headroom is needed.
+    // Without jobs, no headroom is needed.
     boolean noJobs = cluster.jobs.isEmpty();
     double headroom = estimates.arrivals().headroom(machine.spot);
     boolean surplus =
@@ -123,8 +124,8 @@
   }
 
   /**
-   * Whether a draining machine still has tasks after the time for which policy may withhold
-   * capacity from a job: a service that is left on a faulty machine never ends by itself.
+   * Whether a machine has been draining for longer than policy may withhold capacity from a job. A
+   * service on a draining machine would otherwise never end.
    */
   private boolean isDrainOverdue(Machine machine, Instant now) {
     if (!machine.draining) {
@@ -135,19 +136,19 @@
   }
 
   /**
-   * Whether a machine was unreachable for as long as its replacement takes and a lease, by the end
-   * of which no earlier task runs there any more.
+   * Whether a machine has been unreachable for longer than a worker lease, after which no earlier
+   * task runs there, plus the time that a replacement takes.
    */
   private boolean isUnreachableTooLong(Machine machine, Instant now) {
     if (machine.reachedThroughPeer || zones.isUnreachable(machine.zone)) {
       return false;
     }
-    Duration patience =
+    Duration limit =
         cluster.settings.workerTimes().leaseDuration().plus(idleRetention(machine.type));
-    return machine.trackUnreachable(now).compareTo(patience) > 0;
+    return machine.trackUnreachable(now).compareTo(limit) > 0;
   }
 
-  /** An idle machine is kept for as long as its replacement would take. */
+  /** An idle machine is kept at least as long as its replacement would take. */
   private Duration idleRetention(MachineType type) {
     Duration replacementTime = estimates.replacementTime(type);
     return replacementTime.compareTo(operator.idleReleaseAfter()) > 0
--- a/src/main/java/io/pineladder/autoscaling/ScaleOut.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleOut.java
@@ -7,11 +7,11 @@
 import java.time.Instant;
 
 /**
- * Rents machines for pending jobs, for arrays that would be late otherwise, and for what is likely
- * to arrive while a machine boots.
+ * Rents machines for pending jobs, for job arrays that would otherwise start late, and for the work
+ * that is expected to arrive while a machine boots.
  */
 final class ScaleOut {
-  /** A smaller share of a machine is not worth renting one. */
+  /** No machine is rented for a smaller share of one. */
   private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
 
   private final ClusterState cluster;
@@ -38,7 +38,7 @@
     this.onDemandReview = new OnDemandReview(cluster, scheduler, eventLoop, estimates);
   }
 
-  /** Rents the machines that are missing, unless an earlier request is in flight. */
+  /** Rents the missing machines, unless an earlier request is in flight. */
   void rentMissing(Instant now) {
     rentals.resendUnanswered();
     if (rentals.isRequestInFlight() || cluster.jobs.isEmpty()) {
@@ -77,13 +77,13 @@
     }
   }
 
-  /** The machines to request so that this many arrive. */
+  /** The number of machines to request so that about this many boot in time. */
   private int requestedCount(double machines, MachineType type) {
     return (int) Math.ceil(machines / estimates.bootTimes().arrivalShare(type));
   }
 
   private void addMissingHeadroom(CapacityDemand demand, boolean spot) {
-    // No job is pending for this yet, so no dearer kind is rented.
+    // No job needs the headroom yet, so no more expensive kind is rented instead.
     double available =
         demand.freeValue(spot) + Math.max(demand.pendingValue(spot), demand.bootingValue(spot));
     double missingHeadroom = estimates.arrivals().headroom(spot) - available;
--- a/src/main/java/io/pineladder/autoscaling/ZoneOutagePolicy.java
+++ b/src/main/java/io/pineladder/autoscaling/ZoneOutagePolicy.java
@@ -15,17 +15,19 @@
 import java.util.Map;
 
 /**
- * Decides which machines of an unreachable zone to release. A task starts elsewhere only once its
- * machine is proven gone, and the proof is the machine's release, which discards cached images and
- * boots that were paid for. So a machine is released only if its tasks may run elsewhere and would
- * run there sooner than the zone is likely to be back, production first, and no more at a time than
- * the other zones can take.
+ * Decides which machines of unreachable zones to release.
+ *
+ * <p>A task is started elsewhere only once its machine is proven gone, and the proof is the
+ * machine's release, which also discards its cached images and the cost of its boot. A machine is
+ * therefore released only if its tasks may run in other zones and would start there before the zone
+ * is expected to recover. Machines with higher-priority tasks go first, and no more are released at
+ * a time than the other zones can absorb.
  */
 final class ZoneOutagePolicy {
-  /** Of a zone that is likely to stay unreachable for longer all machines are released. */
+  /** If a zone is expected to stay unreachable for longer, all its machines are released. */
   private static final Duration MAX_EXPECTED_OUTAGE = Duration.ofMinutes(10);
 
-  /** Replacements may boot at a time for the machines of the other zones divided by this. */
+  /** At most the other zones' machines divided by this may boot as replacements at a time. */
   private static final int REPLACEMENT_DIVISOR = 20;
 
   private final ClusterState cluster;
@@ -38,17 +40,16 @@
     this.zones = zones;
   }
 
-  /** The machines of the zones that are not unreachable. */
+  /** Machine counts of the reachable zones. */
   private static final class OtherZones {
     int confirmed;
     int booting;
 
-    /** What is free on schedulable machines, as a number of machines. */
+    /** The free capacity of schedulable machines, in units of whole machines. */
     double freeMachines;
 
-    /** How many machines may be released now. */
     int maxReleases() {
-      // Machines that boot already are for what was released before.
+      // Machines that are booting replace machines released earlier.
       return (int) Math.max(1, freeMachines)
           + Math.max(1, confirmed / REPLACEMENT_DIVISOR)
           - booting;
@@ -58,55 +59,55 @@
   /**
    * Selects the machines to release now.
    *
-   * @param lost silent machines of unreachable zones whose tasks should have ended by now
+   * @param candidates silent machines of unreachable zones whose tasks should have ended by now
    */
-  List<Machine> machinesToRelease(List<Machine> lost, Instant now) {
-    if (lost.isEmpty()) {
+  List<Machine> machinesToRelease(List<Machine> candidates, Instant now) {
+    if (candidates.isEmpty()) {
       return List.of();
     }
-    OtherZones elsewhere = surveyOtherZones();
-    if (elsewhere.confirmed == 0) {
-      // No zone is up to compare with, and machines that have all died would never be given up.
-      return lost;
+    OtherZones otherZones = surveyOtherZones();
+    if (otherZones.confirmed == 0) {
+      // No zone is reachable. If nothing were released, failed machines would be kept forever.
+      return candidates;
     }
     List<Machine> ordered = new ArrayList<>();
     Map<Machine, Integer> priorities = new HashMap<>();
-    for (Machine machine : lost) {
+    for (Machine machine : candidates) {
       if (zones.expectedRemainingOutage(machine.zone, now).compareTo(MAX_EXPECTED_OUTAGE) > 0) {
         ordered.add(machine);
         priorities.put(machine, Integer.MAX_VALUE);
         continue;
       }
       int priority = highestMovablePriority(machine);
-      if (priority >= 0 && isFasterInOtherZones(machine, elsewhere.freeMachines, now)) {
+      if (priority >= 0 && isFasterInOtherZones(machine, otherZones.freeMachines, now)) {
         ordered.add(machine);
         priorities.put(machine, priority);
       }
     }
     ordered.sort(Comparator.comparing(priorities::get));
-    int maxReleases = elsewhere.maxReleases();
+    int maxReleases = otherZones.maxReleases();
     return maxReleases <= 0 ? List.of() : ordered.subList(0, Math.min(maxReleases, ordered.size()));
   }
 
   private OtherZones surveyOtherZones() {
-    OtherZones elsewhere = new OtherZones();
+    OtherZones otherZones = new OtherZones();
     for (Machine machine : cluster.machines()) {
       if (!zones.isUnreachable(machine.zone)) {
         switch (machine.state()) {
           case CONFIRMED -> {
-            elsewhere.confirmed++;
-            elsewhere.freeMachines +=
+            otherZones.confirmed++;
+            otherZones.freeMachines +=
                 machine.isSchedulable() ? estimates.utilization().freeShare(machine) : 0;
           }
-          case EXPECTED, HEARD -> elsewhere.booting++;
+          case EXPECTED, HEARD -> otherZones.booting++;
           default -> {}
         }
       }
     }
-    return elsewhere;
+    return otherZones;
   }
 
-  /** Whether a task of the machine would run elsewhere before the zone is likely to be back. */
+  /** Whether a task could start in another zone before this zone is expected to recover. */
   private boolean isFasterInOtherZones(Machine machine, double freeMachines, Instant now) {
     MachineType type = machine.type;
     Duration ready = estimates.imageFetch().fetchTime(type);
@@ -117,8 +118,8 @@
   }
 
   /**
-   * The ordinal of the highest priority class of a task on it that may run in another zone; -1 if
-   * there is none.
+   * The ordinal of the highest priority class among the machine's tasks that may run in another
+   * zone; -1 if there is none.
    */
   private int highestMovablePriority(Machine machine) {
     int highest = -1;
@@ -135,7 +136,7 @@
     return highest;
   }
 
-  /** Whether a task of the job may run in another zone, one that is not unreachable. */
+  /** Whether a task of the job may run in another reachable zone. */
   private boolean canMoveFrom(Job job, Machine from) {
     int maxPerZone = (job.spec.tasks() + 1) / 2;
     Map<String, Integer> attemptsByZone = new HashMap<>();
--- a/src/main/java/io/pineladder/autoscaling/package-info.java
+++ b/src/main/java/io/pineladder/autoscaling/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The machines that a leader rents from the cloud: failure detection, scale out for pending and
- * forecast work, scale in of what is not needed, and the cloud's list of them. Event thread only.
+ * Manages the machines that a leader rents from the cloud: scale out for pending and forecast work,
+ * scale in of idle machines, failure detection and the machine inventory. All code runs on the
+ * event loop.
  */
 package io.pineladder.autoscaling;
--- a/src/test/java/io/pineladder/workers/FailureDetectionTest.java
+++ b/src/test/java/io/pineladder/workers/FailureDetectionTest.java
@@ -114,7 +114,7 @@
     other.heartbeat("m-1", 1);
     other.heartbeat("m-2", 1);
     other.runFor(Duration.ofSeconds(14));
-    assertTrue(other.resignations.contains("no worker is heard"));
+    assertTrue(other.resignations.contains("no worker heartbeats received"));
   }
 
   /**
