--- a/src/test/java/io/pineladder/autoscaling/BatchBacklogTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BatchBacklogTest.java
@@ -9,118 +9,137 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/**
- * What would be late, against a plain model that lets the work flow through the machines step by
- * step.
- */
+/** Compares the backlog's estimates with a simple model that processes the work in time steps. */
 class BatchBacklogTest {
-  private static final double STEP = 0.05;
+  private static final double STEP_SECONDS = 0.05;
 
-  /** Tasks with the time left to start them, and the work that comes before them each second. */
-  private record Piece(double worth, double run, double within, double ready, double rate) {}
+  /** The arguments of one call of {@link BatchBacklog#add}. */
+  private record TaskGroup(
+      double value,
+      double runSeconds,
+      double secondsLeft,
+      double secondsToReady,
+      double arrivalRate) {}
 
   /**
-   * Whether the last of each piece has started in time on the capacity, with more of it once ready.
+   * Whether all groups start in time, with {@code extra} capacity added once new machines are
+   * ready.
    */
-  private static boolean inTime(List<Piece> pieces, double capacity, double extra) {
-    double before = 0;
-    for (Piece piece : pieces) {
-      before += piece.worth * piece.run;
-      double open = before;
-      for (double at = 0; at < piece.within; at += STEP) {
-        open += piece.rate * STEP;
-        open -= (capacity + (at >= piece.ready ? extra : 0)) * STEP;
+  private static boolean startsInTime(List<TaskGroup> groups, double capacity, double extra) {
+    double cumulativeWork = 0;
+    for (TaskGroup group : groups) {
+      cumulativeWork += group.value * group.runSeconds;
+      double remainingWork = cumulativeWork;
+      for (double elapsed = 0; elapsed < group.secondsLeft; elapsed += STEP_SECONDS) {
+        remainingWork += group.arrivalRate * STEP_SECONDS;
+        remainingWork -= (capacity + (elapsed >= group.secondsToReady ? extra : 0)) * STEP_SECONDS;
       }
-      if (open > 1e-3 * before + piece.rate * STEP) {
+      if (remainingWork > 1e-3 * cumulativeWork + group.arrivalRate * STEP_SECONDS) {
         return false;
       }
     }
     return true;
   }
 
-  private static List<Piece> random(RandomGenerator random) {
-    List<Piece> pieces = new ArrayList<>();
-    double within = 90;
+  private static List<TaskGroup> randomGroups(RandomGenerator random) {
+    List<TaskGroup> groups = new ArrayList<>();
+    double secondsLeft = 90;
     int count = 1 + random.nextInt(5);
     for (int i = 0; i < count; i++) {
-      within += random.nextInt(40);
-      pieces.add(
-          new Piece(
+      secondsLeft += random.nextInt(40);
+      groups.add(
+          new TaskGroup(
               1 + random.nextInt(60),
               5 + random.nextInt(80),
-              within,
+              secondsLeft,
               10 + random.nextInt(20),
               random.nextInt(6)));
     }
-    return pieces;
+    return groups;
   }
 
-  /** More than what all tasks take at once helps nobody, and is not rented. */
-  private static boolean isEnoughWhenAllRunAtOnce(List<Piece> pieces, double capacity) {
-    double worth = 0;
-    for (int i = 0; i < pieces.size(); i++) {
-      worth += pieces.get(i).worth;
-      if (!inTime(pieces.subList(0, i + 1), capacity, worth * 0.98)) {
+  /**
+   * Whether every group starts in time with extra capacity below the value of its tasks and those
+   * before, which caps the missing capacity.
+   */
+  private static boolean sufficesWhenAllRunConcurrently(List<TaskGroup> groups, double capacity) {
+    double concurrentValue = 0;
+    for (int i = 0; i < groups.size(); i++) {
+      concurrentValue += groups.get(i).value;
+      if (!startsInTime(groups.subList(0, i + 1), capacity, concurrentValue * 0.98)) {
         return false;
       }
     }
     return true;
   }
 
-  private static BatchBacklog of(List<Piece> pieces, double capacity) {
+  private static BatchBacklog backlogOf(List<TaskGroup> groups, double capacity) {
     BatchBacklog backlog = new BatchBacklog(capacity);
-    pieces.forEach(p -> backlog.add(p.worth, p.run, p.within, p.ready, p.rate));
+    groups.forEach(
+        group ->
+            backlog.add(
+                group.value,
+                group.runSeconds,
+                group.secondsLeft,
+                group.secondsToReady,
+                group.arrivalRate));
     return backlog;
   }
 
   @Test
-  void whatIsRentedIsWhatTheModelNeeds() {
+  void missingCapacityMatchesStepwiseModel() {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(27);
-    int lacked = 0;
+    int roundsWithMissing = 0;
     for (int round = 0; round < 400; round++) {
-      List<Piece> pieces = random(random);
+      List<TaskGroup> groups = randomGroups(random);
       double capacity = 4 + random.nextInt(60);
-      double lacking = of(pieces, capacity).missingCapacity();
-      if (lacking > 0) {
-        lacked++;
-        assertTrue(!inTime(pieces, capacity * 0.98, 0), "nothing was to be rented");
-        if (isEnoughWhenAllRunAtOnce(pieces, capacity)) {
-          assertTrue(inTime(pieces, capacity, lacking * 1.02), "too little is rented");
-          assertTrue(!inTime(pieces, capacity * 0.98, lacking * 0.9), "too much is rented");
+      double missing = backlogOf(groups, capacity).missingCapacity();
+      if (missing > 0) {
+        roundsWithMissing++;
+        assertTrue(!startsInTime(groups, capacity * 0.98, 0), "no capacity should be missing");
+        if (sufficesWhenAllRunConcurrently(groups, capacity)) {
+          assertTrue(startsInTime(groups, capacity, missing * 1.02), "missing capacity is too low");
+          assertTrue(
+              !startsInTime(groups, capacity * 0.98, missing * 0.9),
+              "missing capacity is too high");
         }
       } else {
-        assertTrue(inTime(pieces, capacity * 1.02, 0), "something was to be rented");
+        assertTrue(startsInTime(groups, capacity * 1.02, 0), "some capacity should be missing");
       }
     }
-    assertTrue(lacked > 100, lacked + " rounds lacked something");
+    assertTrue(roundsWithMissing > 100, roundsWithMissing + " rounds with missing capacity");
   }
 
   @Test
-  void whatIsKeptIsWhatTheModelNeeds() {
+  void neededCapacityMatchesStepwiseModel() {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(28);
     for (int round = 0; round < 400; round++) {
-      List<Piece> pieces = random(random);
+      List<TaskGroup> groups = randomGroups(random);
       double capacity = 20 + random.nextInt(60);
-      double part = capacity / 2;
-      double needed = of(pieces, capacity).neededCapacity(part, 0);
-      if (needed < part) {
-        assertTrue(inTime(pieces, (capacity - part + needed) * 1.02, 0), "too little is kept");
+      double reducible = capacity / 2;
+      double needed = backlogOf(groups, capacity).neededCapacity(reducible, 0);
+      if (needed < reducible) {
+        assertTrue(
+            startsInTime(groups, (capacity - reducible + needed) * 1.02, 0),
+            "needed capacity is too low");
       }
       if (needed > 0) {
-        assertTrue(!inTime(pieces, (capacity - part + needed) * 0.95, 0), "too much is kept");
+        assertTrue(
+            !startsInTime(groups, (capacity - reducible + needed) * 0.95, 0),
+            "needed capacity is too high");
       }
     }
   }
 
   @Test
-  void whatComesKeepsMachinesThoughNothingWaits() {
+  void arrivingWorkNeedsCapacityWithoutBacklog() {
     assertEquals(3, new BatchBacklog(10).neededCapacity(5, 8));
     assertEquals(0, new BatchBacklog(10).neededCapacity(5, 4));
     assertEquals(5, new BatchBacklog(10).neededCapacity(5, 80));
   }
 
   @Test
-  void whatCannotBeHelpedPressesNoMore() {
+  void ignoresDeadlinesThatNewMachinesCannotMeet() {
     BatchBacklog backlog = new BatchBacklog(1);
     backlog.add(100, 60, 15, 20, 0);
     assertEquals(0, backlog.missingCapacity());
--- a/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
@@ -18,74 +18,76 @@
           "g4", Resources.of(16, 4, 64), 50, 0.1, 4, 1, Duration.ofSeconds(10), List.of("a"));
   private static final Instant START = Instant.EPOCH;
 
-  private final BootTimeEstimator boots = new BootTimeEstimator();
-  private int names;
+  private final BootTimeEstimator estimator = new BootTimeEstimator();
+  private int machineCount;
 
-  private Machine rented() {
-    Machine machine = new Machine("m-" + ++names, TYPE, "a", false, START);
+  private Machine rentMachine() {
+    Machine machine = new Machine("m-" + ++machineCount, TYPE, "a", false, START);
     machine.rentedByThisLeader = true;
-    boots.observe(machine, START);
+    estimator.observe(machine, START);
     return machine;
   }
 
-  private static Instant after(double seconds) {
+  private static Instant secondsAfterStart(double seconds) {
     return START.plusMillis((long) (seconds * 1000));
   }
 
-  private void comes(Machine machine, double seconds) {
+  private void finishBoot(Machine machine, double seconds) {
     machine.transitionTo(Machine.State.HEARD);
-    boots.observe(machine, after(seconds));
+    estimator.observe(machine, secondsAfterStart(seconds));
   }
 
   @Test
-  void aMachineThatIsLateCountsHalfAndThenNotAtAll() {
-    Machine machine = rented();
-    assertEquals(1, boots.weight(machine, after(15)));
-    assertEquals(0.5, boots.weight(machine, after(20)));
-    assertEquals(0, boots.weight(machine, after(30)));
-    assertFalse(boots.hasTimedOut(machine, after(30)));
-    assertFalse(boots.hasTimedOut(machine, after(49)));
-    assertTrue(boots.hasTimedOut(machine, after(51)));
+  void weightDecreasesWhenBootIsLate() {
+    Machine machine = rentMachine();
+    assertEquals(1, estimator.weight(machine, secondsAfterStart(15)));
+    assertEquals(0.5, estimator.weight(machine, secondsAfterStart(20)));
+    assertEquals(0, estimator.weight(machine, secondsAfterStart(30)));
+    assertFalse(estimator.hasTimedOut(machine, secondsAfterStart(30)));
+    assertFalse(estimator.hasTimedOut(machine, secondsAfterStart(49)));
+    assertTrue(estimator.hasTimedOut(machine, secondsAfterStart(51)));
   }
 
-  /** On the operators' nights all machines came up at several times the nominal time. */
+  /** Guards against giving up all machines when boots are slow in general. */
   @Test
-  void whenAllBootsAreSlowTheyAreWaitedForAndRoomIsKeptForLonger() {
+  void adaptsToSlowBoots() {
     for (int i = 0; i < 20; i++) {
-      comes(rented(), 40);
+      finishBoot(rentMachine(), 40);
     }
-    Machine next = rented();
-    assertEquals(1, boots.weight(next, after(49)));
-    assertEquals(0.5, boots.weight(next, after(51)));
-    assertFalse(boots.hasTimedOut(next, after(50)));
-    assertTrue(boots.hasTimedOut(next, after(51)));
-    assertEquals(Duration.ofSeconds(40), boots.typicalBootTime(TYPE));
-    assertFalse(boots.isTypical(TYPE));
+    Machine next = rentMachine();
+    assertEquals(1, estimator.weight(next, secondsAfterStart(49)));
+    assertEquals(0.5, estimator.weight(next, secondsAfterStart(51)));
+    assertFalse(estimator.hasTimedOut(next, secondsAfterStart(50)));
+    assertTrue(estimator.hasTimedOut(next, secondsAfterStart(51)));
+    assertEquals(Duration.ofSeconds(40), estimator.typicalBootTime(TYPE));
+    assertFalse(estimator.isTypical(TYPE));
   }
 
   @Test
-  void whenHalfNeverComeMoreAreAskedForAndOneLateComerIsNoFailure() {
+  void arrivalShareReflectsFailedBoots() {
     for (int i = 0; i < 16; i++) {
-      comes(rented(), 10);
-      boots.observe(rented(), after(35));
+      finishBoot(rentMachine(), 10);
+      estimator.observe(rentMachine(), secondsAfterStart(35));
     }
-    assertTrue(boots.arrivalShare(TYPE) < 0.65, "part " + boots.arrivalShare(TYPE));
-    assertTrue(boots.arrivalShare(TYPE) >= 0.5);
+    assertTrue(
+        estimator.arrivalShare(TYPE) < 0.65, "arrival share: " + estimator.arrivalShare(TYPE));
+    assertTrue(estimator.arrivalShare(TYPE) >= 0.5);
   }
 
   /**
-   * Found on colombo-ops: after a takeover all boots looked slow, from what the old leader rented.
+   * Guards against estimating slow boots after a failover, from machines that booted before the
+   * term.
    */
   @Test
-  void machinesThatWereUpBeforeDoNotCount() {
+  void ignoresMachinesRentedByEarlierLeader() {
     Machine old = new Machine("m-0", TYPE, "a", false, START);
-    boots.observe(old, after(300));
-    comes(old, 301);
-    assertEquals(TYPE.bootTime(), boots.typicalBootTime(TYPE));
-    assertFalse(boots.isTypical(TYPE), "nothing has been seen");
+    estimator.observe(old, secondsAfterStart(300));
+    finishBoot(old, 301);
+    assertEquals(TYPE.bootTime(), estimator.typicalBootTime(TYPE));
+    assertFalse(estimator.isTypical(TYPE), "no boots have been observed");
     for (int i = 0; i < 4; i++) {
-      comes(rented(), 10);
+      finishBoot(rentMachine(), 10);
     }
-    assertTrue(boots.isTypical(TYPE));
+    assertTrue(estimator.isTypical(TYPE));
   }
 }
--- a/src/test/java/io/pineladder/workers/AutoscalerTest.java
+++ b/src/test/java/io/pineladder/workers/AutoscalerTest.java
@@ -20,16 +20,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which machines are rented and which are kept. */
+/** Tests which machines the autoscaler rents, keeps and releases. */
 class AutoscalerTest {
   private final LeaderHarness leader = new LeaderHarness();
 
   /**
-   * The other type's spot machines come before dear ones of the type that is cheapest by list
-   * price.
+   * Guards against renting on-demand machines of the cheapest type while spot machines of another
+   * type are available.
    */
   @Test
-  void spotMachinesOfAllTypesAreRentedBeforeAnyOnDemandOne() {
+  void rentsSpotMachinesOfAllTypesBeforeOnDemandMachines() {
     leader.cluster.setTypes(
         List.of(
             new MachineType(
@@ -43,14 +43,14 @@
                 List.of("a"))));
     leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.NORMAL, 8, "i"));
-    List<String> asked = new ArrayList<>();
+    List<String> requested = new ArrayList<>();
     for (int second = 0; second < 6; second++) {
       leader.runFor(Duration.ofSeconds(1));
-      for (var sent = leader.sent.poll(); sent != null; sent = leader.sent.poll()) {
+      for (var sent = leader.sentRequests.poll(); sent != null; sent = leader.sentRequests.poll()) {
         if (sent.request().path().equals("/rentals")) {
-          String body = LeaderHarness.text(sent.request().body());
+          String body = LeaderHarness.bodyText(sent.request().body());
           String type = body.contains("\"big\"") ? "big" : "g4";
-          asked.add(type + (body.contains("\"loaners\":true") ? " spot" : ""));
+          requested.add(type + (body.contains("\"loaners\":true") ? " spot" : ""));
           byte[] refusal = "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
           sent.onReply().accept(AsyncHttpClient.Reply.answered(503, refusal));
         } else {
@@ -58,37 +58,42 @@
         }
       }
     }
-    int ordinary = asked.indexOf("g4") < 0 ? asked.indexOf("big") : asked.indexOf("g4");
-    assertTrue(asked.contains("g4 spot") && asked.contains("big spot"), asked.toString());
-    assertTrue(ordinary < 0 || ordinary > asked.lastIndexOf("big spot"), asked.toString());
+    int firstOnDemand =
+        requested.indexOf("g4") < 0 ? requested.indexOf("big") : requested.indexOf("g4");
+    assertTrue(
+        requested.contains("g4 spot") && requested.contains("big spot"), requested.toString());
+    assertTrue(
+        firstOnDemand < 0 || firstOnDemand > requested.lastIndexOf("big spot"),
+        requested.toString());
   }
 
   /**
-   * Found on the first laval: right after a takeover images were taken for small, and idle machines
-   * whose images take minutes to fetch were returned as if any other were as good.
+   * Guards against a new leader that assumes small images and releases idle machines whose
+   * replacements take minutes to fetch an image.
    */
   @Test
-  void aNewLeaderKeepsIdleMachinesWhereImagesAreSlowToFetch() {
+  void newLeaderKeepsIdleMachinesWhenImagesAreSlowToFetch() {
     leader.accept(
         LeaderHarness.spec("req-000001", JobKind.SERVICE, PriorityClass.PRODUCTION, 1, "i"));
     leader.autoscaler.start();
     for (int second = 0; second < 40; second++) {
       for (int i = 0; i < 6; i++) {
         Machine machine = leader.cluster.machine("m-" + i);
-        TaskStatus[] tasks = machine == null ? new TaskStatus[0] : LeaderHarness.running(machine);
+        TaskStatus[] tasks =
+            machine == null ? new TaskStatus[0] : LeaderHarness.runningStatuses(machine);
         leader.heartbeat("m-" + i, 1 + second, tasks);
       }
       leader.runFor(Duration.ofMillis(640));
     }
     for (int i = 0; i < 6; i++) {
-      // 5 GB at 0.1 GB a second and 10 s of booting: having one ready again takes a minute.
+      // Fetching 5 GB at 0.1 GB/s plus 10 s of booting: a replacement takes a minute.
       assertEquals(Machine.State.CONFIRMED, leader.cluster.machine("m-" + i).state());
     }
   }
 
-  /** Found by the bench's run of real processes: idle machines stayed rented after the last job. */
+  /** Guards against idle machines that stay rented after the last job. */
   @Test
-  void withoutAnyJobIdleMachinesAreReleasedSoon() {
+  void releasesIdleMachinesWhenThereAreNoJobs() {
     leader.autoscaler.start();
     for (int second = 0; second < 40; second++) {
       leader.heartbeat("m-1", 1 + second);
@@ -100,33 +105,33 @@
   }
 
   /**
-   * Found on laval-ops: after each change of the spot prices no machine counted as booting or spare
-   * any more, and room was rented once again.
+   * Guards against renting the same capacity again after a price change, because booting machines
+   * have a type with the old price.
    */
   @Test
-  void bootingMachinesAreNotRentedAgainAtNewPrices() {
+  void countsBootingMachinesAfterPriceChange() {
     leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 4, "i"));
     assertEquals(1, countRentals());
-    MachineType was = LeaderHarness.TYPE;
+    MachineType oldType = LeaderHarness.TYPE;
     leader.cluster.setTypes(
         List.of(
             new MachineType(
-                was.name(),
-                was.capacity(),
-                was.cacheGb(),
-                was.fetchGbPerSecond(),
-                was.onDemandPrice(),
-                was.spotPrice() * 1.1,
-                was.bootTime(),
-                was.zones())));
+                oldType.name(),
+                oldType.capacity(),
+                oldType.cacheGb(),
+                oldType.fetchGbPerSecond(),
+                oldType.onDemandPrice(),
+                oldType.spotPrice() * 1.1,
+                oldType.bootTime(),
+                oldType.zones())));
     leader.runFor(Duration.ofSeconds(3));
     assertEquals(0, countRentals());
   }
 
-  /** Found on colombo-ops: a guest's work for idle time had every ordinary machine rented. */
+  /** Guards against renting on-demand machines for jobs that should run on idle capacity. */
   @Test
-  void idleCapacityWorkRentsNoOnDemandMachineUntilItHasWaitedForLong() {
+  void idleCapacityJobRentsOnDemandMachinesOnlyAfterLongWait() {
     leader.autoscaler.start();
     leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
     assertEquals(Set.of(true), requestedMarkets(Duration.ofSeconds(60)));
@@ -138,28 +143,25 @@
     assertEquals(Set.of(true, false), requestedMarkets(other, Duration.ofMinutes(11)));
   }
 
-  /**
-   * Found on colombo-ops: a guest's work for idle time kept a thousand machines from being
-   * returned.
-   */
+  /** Guards against jobs that should run on idle capacity keeping on-demand machines rented. */
   @Test
-  void idleCapacityWorkDoesNotKeepAnOnDemandMachine() {
+  void drainsOnDemandMachineThatRunsIdleCapacityJobsOnly() {
     for (int i = 0; i < 2; i++) {
       leader.heartbeat("m-" + i, 1);
     }
-    JobSpec like = LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 7, "i");
+    JobSpec spec = LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 7, "i");
     leader.accept(
         LeaderHarness.spec("req-000001", JobKind.SERVICE, PriorityClass.PRODUCTION, 1, "i"));
     Job filler =
         leader.accept(
             new JobSpec(
-                like.id(),
-                like.jobClass(),
-                like.team(),
-                like.kind(),
-                like.priorityClass(),
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
+                spec.kind(),
+                spec.priorityClass(),
                 7,
-                like.resourcesPerTask(),
+                spec.resourcesPerTask(),
                 null,
                 null,
                 false,
@@ -176,31 +178,34 @@
     for (int second = 0; second < 70; second++) {
       for (int i = 0; i < 2; i++) {
         leader.heartbeat(
-            "m-" + i, 2 + second, LeaderHarness.running(leader.cluster.machine("m-" + i)));
+            "m-" + i, 2 + second, LeaderHarness.runningStatuses(leader.cluster.machine("m-" + i)));
       }
       leader.runFor(Duration.ofMillis(880));
     }
-    int kept = leader.cluster.machine("m-0").draining ? 1 : 0;
-    assertTrue(leader.cluster.machine("m-" + (1 - kept)).draining, "only filled");
-    assertTrue(leader.cluster.machine("m-" + kept).isSchedulable(), "a replica runs there");
+    int keptMachine = leader.cluster.machine("m-0").draining ? 1 : 0;
+    assertTrue(
+        leader.cluster.machine("m-" + (1 - keptMachine)).draining, "runs idle-capacity tasks only");
+    assertTrue(leader.cluster.machine("m-" + keptMachine).isSchedulable(), "a replica runs there");
     assertEquals(
         4,
         filler.attempts.values().stream().filter(LeaderHarness::isStopped).count(),
-        "what filled the one makes way");
+        "the tasks on the drained machine are preempted");
   }
 
   private Set<Boolean> requestedMarkets(Duration within) {
     return requestedMarkets(leader, within);
   }
 
-  /** Refuses all rentals and tells whether spot machines (true) and others were asked for. */
-  private static Set<Boolean> requestedMarkets(LeaderHarness of, Duration within) {
-    Set<Boolean> kinds = new HashSet<>();
+  /** Refuses all rentals; returns true for spot and false for on-demand if any were requested. */
+  private static Set<Boolean> requestedMarkets(LeaderHarness harness, Duration within) {
+    Set<Boolean> markets = new HashSet<>();
     for (long second = 0; second < within.toSeconds(); second++) {
-      of.runFor(Duration.ofSeconds(1));
-      for (var sent = of.sent.poll(); sent != null; sent = of.sent.poll()) {
+      harness.runFor(Duration.ofSeconds(1));
+      for (var sent = harness.sentRequests.poll();
+          sent != null;
+          sent = harness.sentRequests.poll()) {
         if (sent.request().path().equals("/rentals")) {
-          kinds.add(LeaderHarness.text(sent.request().body()).contains("\"loaners\":true"));
+          markets.add(LeaderHarness.bodyText(sent.request().body()).contains("\"loaners\":true"));
           byte[] refusal = "{\"error\":\"no capacity\"}".getBytes(StandardCharsets.UTF_8);
           sent.onReply().accept(AsyncHttpClient.Reply.answered(503, refusal));
         } else {
@@ -208,17 +213,17 @@
         }
       }
     }
-    return kinds;
+    return markets;
   }
 
-  /** Answers what the fleet asks of the cloud and counts the machines it wants rented. */
+  /** Answers the cloud requests of 3 s and returns the number of rental requests. */
   private int countRentals() {
-    int wanted = 0;
+    int rentals = 0;
     for (int second = 0; second < 3; second++) {
       leader.runFor(Duration.ofSeconds(1));
-      for (var sent = leader.sent.poll(); sent != null; sent = leader.sent.poll()) {
+      for (var sent = leader.sentRequests.poll(); sent != null; sent = leader.sentRequests.poll()) {
         if (sent.request().path().equals("/rentals")) {
-          wanted++;
+          rentals++;
           byte[] names = "{\"hosts\":[\"m-1\"]}".getBytes(StandardCharsets.UTF_8);
           sent.onReply().accept(AsyncHttpClient.Reply.answered(200, names));
         } else {
@@ -226,6 +231,6 @@
         }
       }
     }
-    return wanted;
+    return rentals;
   }
 }
--- a/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
+++ b/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
@@ -21,38 +21,41 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whether starts and kills take effect, by commands and by heartbeat responses, when replies are
- * lost or refused.
+ * Tests the delivery of starts and kills in requests and heartbeat responses, when replies are lost
+ * or commands are refused.
  */
 class CommandDeliveryTest {
   private final LeaderHarness leader = new LeaderHarness();
 
-  /** A late copy of an unanswered start must find its attempt known, or it would run again. */
+  /**
+   * The worker must keep listing the attempt, or a delayed copy of its start would run it again.
+   */
   @Test
-  void anUnansweredStartIsKeptForTheWholeAgentEpoch() {
+  void keepsUnansweredStartUntilAgentEpochEnds() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
-    Attempt attempt = LeaderHarness.onlyAttempt(job);
-    String first = LeaderHarness.text(leader.heartbeat("m-1", 2));
+    Attempt attempt = LeaderHarness.firstAttempt(job);
+    String first = LeaderHarness.bodyText(leader.heartbeat("m-1", 2));
     assertTrue(first.contains("start"), first);
     assertEquals(Attempt.State.PLACEMENT_STORED, attempt.state(), "absence proves nothing yet");
-    leader.heartbeat("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
+    leader.heartbeat("m-1", 3, LeaderHarness.taskStatus(attempt, TaskState.RUNNING));
     leader.scheduler.kill(attempt, Duration.ZERO);
     String after =
-        LeaderHarness.text(
-            leader.heartbeat("m-1", 4, LeaderHarness.exited(attempt, EndReason.STOPPED)));
+        LeaderHarness.bodyText(
+            leader.heartbeat("m-1", 4, LeaderHarness.exitedStatus(attempt, EndReason.STOPPED)));
     assertFalse(
         after.contains("\"forget\",\"piece\":\"req-1/0\",\"try\":" + attempt.number), after);
     leader.workerManager.onHeartbeat(
         new Heartbeat(
             "m-1", "10.1.0.1:9000", "g4", "a", false, 2, 1, LeaderHarness.TERM, null, List.of()));
-    assertEquals(Attempt.State.GONE, attempt.state(), "the session's end settles it");
+    assertEquals(
+        Attempt.State.GONE, attempt.state(), "the attempt is gone once the agent epoch ends");
   }
 
-  /** It took new tasks with each new session, and none of them ever started. */
+  /** Guards against placing tasks, in each new agent epoch, where commands do not arrive. */
   @Test
-  void anUnreachableMachineThatSendsHeartbeatsGetsNoTasksUntilItReplies() {
+  void schedulesNoTasksOnUnreachableMachineUntilItReplies() {
     leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     Machine machine = leader.cluster.machine("m-1");
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
@@ -63,8 +66,8 @@
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
     leader.heartbeatResponse(2, 1, LeaderHarness.TERM);
     assertEquals(Machine.Reachability.UNREACHABLE, machine.reachability());
-    assertTrue(job.attempts.isEmpty(), "the new session is the proof");
-    assertEquals(1, job.pending.cardinality(), "and the task waits for another machine");
+    assertTrue(job.attempts.isEmpty(), "the new agent epoch proves the attempt gone");
+    assertEquals(1, job.pending.cardinality(), "the task is pending again");
     leader.runFor(Duration.ofSeconds(5));
     leader.heartbeatResponse(2, 2, LeaderHarness.TERM);
     LeaderHarness.SentRequest probe = leader.nextCommand();
@@ -73,10 +76,10 @@
     assertTrue(machine.isSchedulable());
   }
 
-  private static byte[] commandReplyBody(long session, long sequence) {
+  private static byte[] commandReplyBody(long agentEpoch, long sequence) {
     return ("{\"host\":\"m-1\",\"addr\":\"10.1.0.1:9000\",\"hull\":\"g4\",\"yard\":\"a\",\"loaners\":false,"
                 + "\"shift\":"
-            + session
+            + agentEpoch
             + ",\"tally\":"
             + sequence
             + ",\"baton\":"
@@ -86,15 +89,15 @@
   }
 
   /**
-   * The answer to a command is newer than the report before it and older than that report's
-   * response: a start that went with the response may still arrive. It was taken as dropped.
+   * The worker may send a command reply before it receives the response to its previous heartbeat.
+   * Guards against treating a start in that response as dropped.
    */
   @Test
-  void aCommandReplyProvesNothingAboutAStartInAHeartbeatResponse() {
+  void commandReplyDoesNotResolveStartInHeartbeatResponse() {
     leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
-    Attempt attempt = LeaderHarness.onlyAttempt(job);
+    Attempt attempt = LeaderHarness.firstAttempt(job);
     Machine machine = leader.cluster.machine("m-1");
     leader.workerManager.probe(machine);
     LeaderHarness.SentRequest probe = leader.nextCommand();
@@ -103,38 +106,37 @@
     probe.onReply().accept(AsyncHttpClient.Reply.answered(200, commandReplyBody(1, 3)));
     leader.scheduler.cancel(job);
     leader.runFor(Duration.ofMillis(60));
-    assertTrue(attempt.holdsCapacity(), "the start may be on its way");
-    assertFalse(job.finalStateStored, "and so its user is told nothing yet");
+    assertTrue(attempt.holdsCapacity(), "the start may be in flight");
+    assertFalse(job.finalStateStored, "no final state while the start may take effect");
     leader.heartbeatResponse(1, 4, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
-    assertTrue(
-        job.finalStateStored, "a report of the worker's own shows that the response was dropped");
+    assertTrue(job.finalStateStored, "the next heartbeat shows that the response was dropped");
   }
 
-  private LeaderHarness.SentRequest sentStart() {
+  private LeaderHarness.SentRequest sendStart() {
     leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     return leader.nextCommand();
   }
 
-  /** Only what the protocol names says that a start was not executed. */
+  /** Only status codes defined by the protocol prove that a start was not executed. */
   @ParameterizedTest
   @ValueSource(ints = {200, 201, 404, 421, 429, 500, 502, 503})
-  void aReplyStatusOutsideTheProtocolSettlesNoStart(int status) {
-    sentStart().onReply().accept(AsyncHttpClient.Reply.answered(status, new byte[] {'?'}));
+  void unexpectedReplyStatusDoesNotResolveStart(int status) {
+    sendStart().onReply().accept(AsyncHttpClient.Reply.answered(status, new byte[] {'?'}));
     Attempt attempt = leader.attempts().get(0);
     leader.scheduler.cancel(attempt.job);
-    // Sent before the command arrived there.
+    // This heartbeat was sent before the command arrived.
     leader.heartbeatResponse(1, 2, LeaderHarness.TERM);
     leader.runFor(Duration.ofMillis(60));
-    assertTrue(attempt.holdsCapacity(), "it may run");
-    assertFalse(attempt.job.finalStateStored, "and nothing is told");
+    assertTrue(attempt.holdsCapacity(), "the task may run");
+    assertFalse(attempt.job.finalStateStored, "no final state while the task may run");
   }
 
   @ParameterizedTest
   @ValueSource(ints = {400, 409, -1})
-  void aRefusedStartNeverRan(int status) {
-    LeaderHarness.SentRequest start = sentStart();
+  void refusedStartDidNotRun(int status) {
+    LeaderHarness.SentRequest start = sendStart();
     Job job = leader.attempts().get(0).job;
     leader.scheduler.cancel(job);
     start
@@ -147,9 +149,9 @@
     assertTrue(job.finalStateStored);
   }
 
-  /** One that is heard through a peer gets its orders with the responses, and goes on working. */
+  /** Such a machine gets its commands in responses to forwarded heartbeats. */
   @Test
-  void aMachineHeardThroughAPeerIsSchedulableThoughCommandsFail() {
+  void machineReachedThroughPeerIsSchedulableWhenCommandsFail() {
     leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.UNKNOWN);
@@ -161,26 +163,26 @@
     assertTrue(machine.isSchedulable());
   }
 
-  /** A response that was dropped is never executed late, so the next report proves absence. */
+  /** A dropped response is never executed late, so the next heartbeat proves the start lost. */
   @Test
-  void aStartInADroppedHeartbeatResponseIsSentAgain() {
+  void resendsStartOfDroppedHeartbeatResponse() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
-    assertTrue(LeaderHarness.text(leader.heartbeat("m-1", 2)).contains("start"));
-    assertTrue(LeaderHarness.text(leader.heartbeat("m-1", 3)).contains("start"));
+    assertTrue(LeaderHarness.bodyText(leader.heartbeat("m-1", 2)).contains("start"));
+    assertTrue(LeaderHarness.bodyText(leader.heartbeat("m-1", 3)).contains("start"));
     leader.scheduler.cancel(job);
     leader.runFor(Duration.ofMillis(10));
-    assertFalse(LeaderHarness.text(leader.heartbeat("m-1", 4)).contains("start"));
+    assertFalse(LeaderHarness.bodyText(leader.heartbeat("m-1", 4)).contains("start"));
     assertTrue(job.attempts.isEmpty());
   }
 
-  /** Found by the simulation: such an attempt was never settled and its gang waited for ever. */
+  /** Guards against an attempt that is never removed, whose gang would wait forever. */
   @Test
-  void aStartRefusedAfterItsTaskWasKilledIsGone() {
+  void removesKilledAttemptWhenItsStartIsRefused() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    Attempt attempt = LeaderHarness.onlyAttempt(job);
+    Attempt attempt = LeaderHarness.firstAttempt(job);
     LeaderHarness.SentRequest start = leader.nextCommand();
     leader.scheduler.kill(attempt, Duration.ZERO);
     start.onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -23,16 +23,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that were submitted with a mistake, among machines that are sound. */
+/** Tests jobs whose tasks always fail, on healthy machines. */
 class FailingJobsTest {
   private static final int MACHINES = 6;
 
   private final LeaderHarness leader = new LeaderHarness();
   private final Set<Attempt> failed = new HashSet<>();
-  private final Set<Job> broken = new HashSet<>();
+  private final Set<Job> failingJobs = new HashSet<>();
   private long sequence;
 
-  /** Every machine reports; what a broken job runs has failed, and everything else runs. */
+  /** Sends a heartbeat of every machine: tasks of failing jobs have failed, others are running. */
   private void runOneSecond() {
     sequence++;
     for (int i = 0; i < MACHINES; i++) {
@@ -43,7 +43,7 @@
         if (attempt.state() == Attempt.State.PLACEMENT_PENDING) {
           continue;
         }
-        boolean fails = broken.contains(attempt.job);
+        boolean fails = failingJobs.contains(attempt.job);
         if (fails) {
           failed.add(attempt);
         }
@@ -57,27 +57,27 @@
       }
       leader.heartbeat("m-" + i, sequence, tasks.toArray(TaskStatus[]::new));
     }
-    leader.sent.clear();
+    leader.sentRequests.clear();
     leader.scheduler.faultAttribution().reviewRunningJobs(leader.now());
     leader.runFor(Duration.ofMillis(700));
   }
 
-  private Job acceptBroken(String id, JobKind kind, int tasks) {
+  private Job acceptFailing(String id, JobKind kind, int tasks) {
     Job job = leader.accept(LeaderHarness.spec(id, kind, PriorityClass.LOW, tasks, "i"));
-    broken.add(job);
+    failingJobs.add(job);
     return job;
   }
 
   /**
-   * Found on colombo-ops: machines on which two jobs with a mistake had failed were returned, and
-   * the jobs' whole arrays were started again every second.
+   * Guards against releasing machines because faulty jobs failed on them, and against restarting
+   * whole arrays of such jobs every second.
    */
   @Test
-  void failingJobsCostNoMachineAndFewStarts() {
+  void failingJobsBackOffWithoutQuarantiningMachines() {
     runOneSecond();
-    Job array = acceptBroken("req-000001", JobKind.ARRAY, 8);
-    Job other = acceptBroken("req-000002", JobKind.ARRAY, 8);
-    acceptBroken("req-000003", JobKind.GANG, 2);
+    Job array = acceptFailing("req-000001", JobKind.ARRAY, 8);
+    Job other = acceptFailing("req-000002", JobKind.ARRAY, 8);
+    acceptFailing("req-000003", JobKind.GANG, 2);
     for (int i = 0; i < 120; i++) {
       runOneSecond();
     }
@@ -86,10 +86,10 @@
       assertTrue(machine.isSchedulable(), machine.name);
     }
     assertTrue(array.failing);
-    assertTrue(array.isActive(), "it is the user's to cancel");
-    // One wave of each, then a few probes each time the longest back-off of 10 s is over.
+    assertTrue(array.isActive(), "only the user cancels it");
+    // One start of every task, then a few probes after each maximum back-off of 10 s.
     assertTrue(failed.size() < 120, "started " + failed.size());
-    assertTrue(failed.size() > 40, "still tried now and then: " + failed.size());
+    assertTrue(failed.size() > 40, "still probed: " + failed.size());
     leader.scheduler.cancel(other);
     runOneSecond();
     assertTrue(other.attempts.isEmpty());
@@ -97,11 +97,11 @@
   }
 
   @Test
-  void aFailingJobPreemptsNothingAndIsTriedWhereCapacityIsFree() {
+  void failingJobRunsOnFreeCapacityOnly() {
     runOneSecond();
     Job job =
         leader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.HIGH, 8, "i"));
-    broken.add(job);
+    failingJobs.add(job);
     for (int i = 0; i < 4; i++) {
       runOneSecond();
     }
@@ -111,29 +111,29 @@
     for (int i = 0; i < 40; i++) {
       runOneSecond();
     }
-    assertTrue(low.pending.cardinality() <= 2, "all but the probes' room: " + low.pending);
+    assertTrue(low.pending.cardinality() <= 2, "all but the probes' capacity: " + low.pending);
     low.attempts.values().forEach(all -> all.forEach(a -> assertTrue(a.isWanted())));
   }
 
   @Test
-  void aJobThatRecoversGetsAllItsCapacity() {
+  void recoveredJobGetsFullCapacity() {
     runOneSecond();
-    Job job = acceptBroken("req-000001", JobKind.ARRAY, 8);
+    Job job = acceptFailing("req-000001", JobKind.ARRAY, 8);
     for (int i = 0; i < 4; i++) {
       runOneSecond();
     }
     assertTrue(job.failing);
-    broken.clear();
+    failingJobs.clear();
     for (int i = 0; i < 30; i++) {
       runOneSecond();
     }
-    assertFalse(job.failing, "what runs on for long is not at fault");
+    assertFalse(job.failing, "a job whose tasks keep running is not failing");
     assertEquals(8, job.attempts.size());
   }
 
-  /** Each takeover would start the whole array once more if a new leader had to find out anew. */
+  /** Guards against starting the whole array again after each failover. */
   @Test
-  void aNewLeaderStartsFewTasksOfAFailingJob() throws MalformedMessageException {
+  void newLeaderStartsFewTasksOfFailingJob() throws MalformedMessageException {
     ObjectNode stored =
         RecordWire.job(
             LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"),
--- a/src/test/java/io/pineladder/workers/FailureDetectionTest.java
+++ b/src/test/java/io/pineladder/workers/FailureDetectionTest.java
@@ -10,33 +10,34 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Machines and zones without heartbeats, and leaders that workers do not reach. */
+/** Tests failure detection for machines, zones and the leader's own connectivity. */
 class FailureDetectionTest {
   private final LeaderHarness leader = new LeaderHarness();
 
   /**
-   * Ten machines, of which the first six fall silent.
+   * Adds ten machines and lets the first six, in zone a, become silent.
    *
-   * @param others the zone of the other four
+   * @param otherZone the zone of the other four machines
+   * @param watched how long the other machines go on sending heartbeats
    */
-  private void sixOfTenBecomeSilent(String others, Duration watched) {
+  private void silenceSixOfTenMachines(String otherZone, Duration watched) {
     leader.autoscaler.start();
     for (int i = 0; i < 10; i++) {
-      leader.heartbeat(i < 6 ? "a" : others, "m-" + i, 1);
+      leader.heartbeat(i < 6 ? "a" : otherZone, "m-" + i, 1);
       leader.runFor(Duration.ofMillis(300));
     }
     for (int second = 0; second < watched.toSeconds(); second++) {
       leader.runFor(Duration.ofSeconds(1));
       for (int i = 6; i < 10; i++) {
-        leader.heartbeat(others, "m-" + i, 2 + second);
+        leader.heartbeat(otherZone, "m-" + i, 2 + second);
       }
     }
   }
 
-  /** Found on laval: a cut zone's machines were given up one by one, each as if it were alone. */
+  /** Guards against releasing the machines of an unreachable zone one by one. */
   @Test
-  void anUnreachableZoneIsNotReleasedWhileItsLeasesMayHold() {
-    sixOfTenBecomeSilent("b", Duration.ofSeconds(25));
+  void keepsMachinesOfUnreachableZoneWhileLeasesMayBeValid() {
+    silenceSixOfTenMachines("b", Duration.ofSeconds(25));
     for (int i = 0; i < 6; i++) {
       assertEquals(Machine.State.SILENT, leader.cluster.machine("m-" + i).state());
     }
@@ -45,11 +46,12 @@
   }
 
   /**
-   * Found on laval-fleet: the first machines heard after a cut had all the others given up at once.
+   * Guards against releasing the remaining silent machines when the first ones send heartbeats
+   * again after an outage.
    */
   @Test
-  void theRestOfAZoneThatIsHeardAgainIsWaitedFor() {
-    sixOfTenBecomeSilent("b", Duration.ofSeconds(25));
+  void keepsSilentMachinesWhileZoneRecovers() {
+    silenceSixOfTenMachines("b", Duration.ofSeconds(25));
     for (int i = 0; i < 3; i++) {
       leader.heartbeat("a", "m-" + i, 2);
     }
@@ -68,24 +70,25 @@
   }
 
   /**
-   * Found on laval-fleet: machines cut off by the hundred were taken for a cut zone and waited for
-   * twice as long as their tasks could live, though others of the zone were heard all the time.
+   * Guards against treating many silent machines as a zone outage although heartbeats arrive from
+   * other machines of the zone.
    */
   @Test
-  void silentMachinesAmongOthersOfTheirZoneAreReleased() {
-    sixOfTenBecomeSilent("a", Duration.ofSeconds(14));
+  void releasesManySilentMachinesOfReachableZone() {
+    silenceSixOfTenMachines("a", Duration.ofSeconds(14));
     for (int i = 0; i < 6; i++) {
       assertEquals(Machine.State.RELEASING, leader.cluster.machine("m-" + i).state());
     }
   }
 
   /**
-   * Hung machines go on within their lease: where images are slow to come they are worth the wait.
+   * Machines that hang may recover within their lease, so they are waited for if replacing them is
+   * slow.
    */
   @Test
-  void manySilentMachinesAreWaitedForUntilLeaseExpiryWhereReplacementsAreSlow() {
+  void waitsForLeaseExpiryWhenReplacementsAreSlow() {
     leader.accept(LeaderHarness.spec("req-1", JobKind.SERVICE, PriorityClass.LOW, 1, "i"));
-    sixOfTenBecomeSilent("a", Duration.ofSeconds(14));
+    silenceSixOfTenMachines("a", Duration.ofSeconds(14));
     for (int i = 0; i < 6; i++) {
       assertEquals(Machine.State.SILENT, leader.cluster.machine("m-" + i).state());
     }
@@ -95,9 +98,9 @@
     }
   }
 
-  /** A leader that no worker reaches makes way, but only if it has heard one in its term. */
+  /** A leader that no worker reaches resigns, but only if it received heartbeats before. */
   @Test
-  void aLeaderThatLosesAllWorkersResignsAndOneThatNeverHeardAnyDoesNot() {
+  void resignsWhenAllPreviouslySeenWorkersAreSilent() {
     leader.autoscaler.start();
     for (int i = 0; i < 3; i++) {
       Machine machine = new Machine("m-" + i, LeaderHarness.TYPE, "a", false, leader.now());
@@ -117,17 +120,14 @@
     assertTrue(other.resignations.contains("no worker heartbeats received"));
   }
 
-  /**
-   * Found on colombo-ops: a leader that its workers could not reach, while its peers could, went on
-   * for a minute with orders only in the reports that those handed on.
-   */
+  /** Guards against a leader that keeps its term while its workers reach only other controllers. */
   @Test
-  void aLeaderThatMostWorkersReachOnlyThroughPeersTransfersLeadership() {
+  void transfersLeadershipWhenMostWorkersReachPeersOnly() {
     leader.autoscaler.start();
     for (int second = 0; second < 30; second++) {
       for (int i = 0; i < 5; i++) {
         leader.heartbeat("m-" + i, 1 + second);
-        // After a takeover many come by detours, and two of five may be cut off themselves.
+        // Forwarding is expected right after a failover, and for a minority of machines.
         boolean most = second < 10 || second >= 25;
         leader.cluster.machine("m-" + i).reachedThroughPeer = i < (most ? 4 : 2);
       }
@@ -137,12 +137,11 @@
   }
 
   /**
-   * Found on the gap day of colombo: the lease held again after an outage of 68 s, in which the
-   * workers had been answered without taking in what they said, and 800 machines of 1,054 were
-   * returned for it.
+   * Guards against releasing machines whose heartbeats were not applied while the leader's lease
+   * was uncertain.
    */
   @Test
-  void afterALongUncertainLeaseNoMachineIsReleased() {
+  void keepsMachinesAfterLongUncertainLease() {
     leader.autoscaler.start();
     for (int second = 0; second < 5; second++) {
       for (int i = 0; i < 12; i++) {
@@ -150,13 +149,13 @@
       }
       leader.runFor(Duration.ofMillis(280));
     }
-    // All have work, so none is returned for having none.
+    // All machines have tasks, so none is released as idle.
     leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 48, "i"));
     assertEquals(48, leader.attempts().size());
     leader.leaseCertain = false;
     leader.runFor(Duration.ofSeconds(68));
     leader.leaseCertain = true;
-    // Some are back at once; the others report within their time.
+    // Some send heartbeats at once, the others within the heartbeat timeout.
     for (int i = 0; i < 4; i++) {
       leader.heartbeat("m-" + i, 20);
     }
@@ -169,15 +168,15 @@
     assertTrue(
         leader.cluster.machine("m-11") == null
             || leader.cluster.machine("m-11").state() != Machine.State.CONFIRMED,
-        "one that stays silent is missed all the same");
+        "a machine that stays silent is released");
   }
 
   /**
-   * A leader that stands still keeps its lease when the state service was out meanwhile. Timers
-   * fire before the reports that wait are read: nobody may be given up for this node's own silence.
+   * A paused leader may keep its lease, and after the pause timers fire before queued heartbeats
+   * are read. Guards against releasing machines because of the leader's own pause.
    */
   @Test
-  void afterAProcessPauseNoMachineIsReleased() {
+  void keepsMachinesAfterProcessPause() {
     leader.autoscaler.start();
     for (int second = 0; second < 5; second++) {
       for (int i = 0; i < 4; i++) {
@@ -193,21 +192,24 @@
     }
   }
 
-  /** Found on the grown colombo: work on 148 machines taken at once waited for their silence. */
+  /** Guards against waiting for the heartbeat timeout of machines reclaimed without notice. */
   @Test
-  void aMachineThatIsNoLongerListedIsReleasedBeforeItsHeartbeatTimeout() {
+  void releasesUnlistedMachineBeforeHeartbeatTimeout() {
     leader.autoscaler.start();
     boolean wasListed = false;
     for (int second = 0; second < 30; second++) {
       leader.heartbeat("m-1", 1 + second);
       leader.heartbeat("m-2", 1 + second);
       leader.runFor(Duration.ofSeconds(1));
-      for (var sent = leader.sent.poll(); sent != null; sent = leader.sent.poll()) {
+      for (var sent = leader.sentRequests.poll(); sent != null; sent = leader.sentRequests.poll()) {
         if (sent.request().path().startsWith("/rentals?")) {
-          // Until a list is surely younger than the machine's first, its absence means nothing.
-          boolean all = !wasListed;
+          // A machine missing from a list is released only if the list is newer than its first
+          // listing.
+          boolean isFirstList = !wasListed;
           byte[] list =
-              all ? LeaderHarness.machineList("m-1", "m-2") : LeaderHarness.machineList("m-2");
+              isFirstList
+                  ? LeaderHarness.machineList("m-1", "m-2")
+                  : LeaderHarness.machineList("m-2");
           wasListed = true;
           sent.onReply().accept(AsyncHttpClient.Reply.answered(200, list));
         }
@@ -224,7 +226,7 @@
   }
 
   @Test
-  void oneSilentMachineIsReleased() {
+  void releasesSingleSilentMachine() {
     leader.autoscaler.start();
     for (int second = 0; second < 14; second++) {
       leader.runFor(Duration.ofSeconds(1));
--- a/src/test/java/io/pineladder/workers/GangRestartTest.java
+++ b/src/test/java/io/pineladder/workers/GangRestartTest.java
@@ -12,13 +12,13 @@
 import io.pineladder.wire.WorkerWire.TaskState;
 import org.junit.jupiter.api.Test;
 
-/** Gangs that lose a task before all of them run. */
+/** Tests gangs that lose a task before all their tasks run. */
 class GangRestartTest {
   private final LeaderHarness leader = new LeaderHarness();
 
-  /** While a gang gathers, the others keep waiting and a replacement completes it. */
+  /** While a gang waits for its tasks, a lost task is replaced and the others are kept. */
   @Test
-  void aLostTaskOfAWaitingGangIsReplacedUnderItsAttemptNumber() {
+  void replacesLostTaskOfWaitingGangWithSameAttemptNumber() {
     leader.heartbeat("m-1", 1);
     leader.heartbeat("m-2", 1);
     leader.cluster.machine("m-1").draining = true;
@@ -28,9 +28,11 @@
     leader.heartbeat(
         "m-2",
         2,
-        LeaderHarness.task(first, TaskState.WAITING_FOR_GANG),
-        LeaderHarness.exited(second, EndReason.NO_CAPACITY));
-    assertFalse(first.isWanted(), "the only machine lists it already, so the gang starts again");
+        LeaderHarness.taskStatus(first, TaskState.WAITING_FOR_GANG),
+        LeaderHarness.exitedStatus(second, EndReason.NO_CAPACITY));
+    assertFalse(
+        first.isWanted(),
+        "the only machine still lists the lost attempt, so the whole gang restarts");
     LeaderHarness other = new LeaderHarness();
     other.heartbeat("m-2", 1);
     gang = other.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
@@ -41,8 +43,8 @@
     other.heartbeat(
         "m-2",
         2,
-        LeaderHarness.task(first, TaskState.WAITING_FOR_GANG),
-        LeaderHarness.exited(second, EndReason.NO_CAPACITY));
+        LeaderHarness.taskStatus(first, TaskState.WAITING_FOR_GANG),
+        LeaderHarness.exitedStatus(second, EndReason.NO_CAPACITY));
     assertTrue(first.isWanted());
     Attempt replacement = gang.attempts.get(1).iterator().next();
     assertEquals(second.number, replacement.number);
@@ -50,12 +52,11 @@
   }
 
   /**
-   * Found by the simulation: a gang was displaced before its starts went out. Task after task was
-   * taken for lost and started anew, all but the one that had made way, and the gang never
-   * completed.
+   * Guards against treating the tasks as lost and restarting them one by one: the preempted task is
+   * not restarted, so the gang would never be complete.
    */
   @Test
-  void aGangPreemptedBeforeItsStartsWereSentIsPendingAsAWhole() {
+  void requeuesWholeGangPreemptedBeforeStart() {
     leader.heartbeat("m-1", 1);
     leader.heartbeat("m-2", 1);
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 3, "i"));
@@ -63,13 +64,13 @@
       attempt.startAgentEpoch = 0;
     }
     leader.scheduler.preempt(gang.attempts.get(2).iterator().next());
-    assertTrue(gang.attempts.isEmpty(), "none was started anew: " + gang.attempts);
+    assertTrue(gang.attempts.isEmpty(), "no task was restarted: " + gang.attempts);
     assertEquals(3, gang.pending.cardinality());
   }
 
-  /** Found on the grown laval: one task's vain wait stopped the other's fetch, again and again. */
+  /** Guards against stopping a task's image fetch because another task timed out waiting. */
   @Test
-  void aGangTaskThatTimedOutStartsAgainWhileTheOtherGoesOnFetching() {
+  void restartsTimedOutGangTaskWhileOtherTaskFetchesImage() {
     leader.heartbeat("m-1", 1);
     Job gang = leader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     Attempt first = gang.attempts.get(0).iterator().next();
@@ -77,13 +78,13 @@
     leader.heartbeat(
         "m-1",
         2,
-        LeaderHarness.exited(first, EndReason.GANG_INCOMPLETE),
-        LeaderHarness.task(second, TaskState.FETCHING_IMAGE));
+        LeaderHarness.exitedStatus(first, EndReason.GANG_INCOMPLETE),
+        LeaderHarness.taskStatus(second, TaskState.FETCHING_IMAGE));
     assertTrue(second.isWanted());
     assertFalse(gang.attempts.containsKey(0), "its machine still lists the attempt");
-    leader.heartbeat("m-1", 3, LeaderHarness.task(second, TaskState.FETCHING_IMAGE));
-    Attempt again = gang.attempts.get(0).iterator().next();
-    assertEquals(first.number, again.number);
-    assertEquals("m-1", again.machine.name);
+    leader.heartbeat("m-1", 3, LeaderHarness.taskStatus(second, TaskState.FETCHING_IMAGE));
+    Attempt restarted = gang.attempts.get(0).iterator().next();
+    assertEquals(first.number, restarted.number);
+    assertEquals("m-1", restarted.machine.name);
   }
 }
--- a/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
+++ b/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
@@ -21,26 +21,26 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What heartbeats prove about attempts, and what late, duplicate and foreign ones do not. */
+/** Tests how current, late, duplicate and foreign heartbeats affect attempts. */
 class HeartbeatReconciliationTest {
   private final LeaderHarness leader = new LeaderHarness();
 
-  /** A copy of a report changes nothing, whenever it comes, and nobody waits for its answer. */
+  /** Guards against applying duplicates, or sending commands in their responses. */
   @Test
-  void aDuplicateHeartbeatChangesNothing() {
+  void ignoresDuplicateHeartbeats() {
     leader.heartbeatResponse(2, 5, LeaderHarness.TERM);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.nextCommand().onReply().accept(AsyncHttpClient.Reply.NOT_SENT);
     Machine machine = leader.cluster.machine("m-1");
-    Attempt attempt = LeaderHarness.onlyAttempt(job);
-    Instant heard = machine.lastHeartbeatAt;
+    Attempt attempt = LeaderHarness.firstAttempt(job);
+    Instant lastHeartbeatAt = machine.lastHeartbeatAt;
     leader.runFor(Duration.ofSeconds(3));
     long[][] copies = {{2, 5}, {2, 4}, {1, 900}, {2, 0}, {0, 7}};
     for (long[] copy : copies) {
       for (long token : new long[] {0, LeaderHarness.TERM - 1, LeaderHarness.TERM}) {
         String answer = leader.heartbeatResponse(copy[0], copy[1], token);
         assertFalse(answer.contains("start"), answer);
-        assertEquals(heard, machine.lastHeartbeatAt);
+        assertEquals(lastHeartbeatAt, machine.lastHeartbeatAt);
         assertEquals(Machine.State.CONFIRMED, machine.state());
         assertEquals(2, machine.agentEpoch);
         assertEquals(5, machine.lastHeartbeatSequence);
@@ -51,42 +51,41 @@
   }
 
   /**
-   * Found by the simulation: the leader before knew of the completion and had not stored it, so the
-   * task was started anew. Stored as complete while that start ran, the next leader did not count
-   * it.
+   * Guards against storing a completion reported late, while a newer attempt of the same task may
+   * still run: the next leader would not count it.
    */
   @Test
-  void aCompletionIsStoredOnceNoOtherAttemptOfTheTaskExists() {
+  void storesCompletionOnceNoOtherAttemptOfTaskExists() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 2, "i"));
-    Attempt anew = job.attempts.get(0).iterator().next();
+    Attempt newer = job.attempts.get(0).iterator().next();
     Attempt other = job.attempts.get(1).iterator().next();
     leader.heartbeat(
         "m-1",
         2,
-        LeaderHarness.task(anew, TaskState.RUNNING),
-        LeaderHarness.task(other, TaskState.RUNNING));
-    TaskStatus before =
+        LeaderHarness.taskStatus(newer, TaskState.RUNNING),
+        LeaderHarness.taskStatus(other, TaskState.RUNNING));
+    TaskStatus completed =
         new TaskStatus(new TaskId("req-1", 0), 3, TaskState.EXITED, EndReason.DONE, false);
-    leader.heartbeat("m-2", 1, before);
-    Attempt complete = leader.cluster.machine("m-2").attempts.get(before.attemptKey());
+    leader.heartbeat("m-2", 1, completed);
+    Attempt completedAttempt = leader.cluster.machine("m-2").attempts.get(completed.attemptKey());
     assertTrue(job.done.get(0));
     leader.runFor(Duration.ofSeconds(2));
-    assertFalse(complete.mayBeForgotten, "not stored while the new attempt may run");
-    assertFalse(anew.isWanted(), "it is stopped");
+    assertFalse(completedAttempt.mayBeForgotten, "not stored while the newer attempt may run");
+    assertFalse(newer.isWanted(), "the newer attempt is stopped");
     leader.heartbeat(
         "m-1",
         3,
-        LeaderHarness.exited(anew, EndReason.STOPPED),
-        LeaderHarness.task(other, TaskState.RUNNING));
+        LeaderHarness.exitedStatus(newer, EndReason.STOPPED),
+        LeaderHarness.taskStatus(other, TaskState.RUNNING));
     leader.runFor(Duration.ofSeconds(2));
-    assertTrue(complete.mayBeForgotten);
+    assertTrue(completedAttempt.mayBeForgotten);
     assertTrue(job.isActive());
   }
 
-  /** Until a worker has our token an older leader's orders may still reach it. */
+  /** Until a worker holds this term's token, commands of an earlier leader may still reach it. */
   @Test
-  void aHeartbeatWithAnOlderTokenProvesNothingAndBringsNoTasks() {
+  void doesNotReconcileHeartbeatWithOlderToken() {
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
     leader.workerManager.onHeartbeat(
         new Heartbeat("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 3, null, List.of()));
@@ -104,36 +103,40 @@
   }
 
   @Test
-  void aHeartbeatOlderThanTheNewestChangesNothing() {
+  void ignoresOutOfOrderHeartbeat() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    Attempt attempt = LeaderHarness.onlyAttempt(job);
-    leader.heartbeat("m-1", 5, LeaderHarness.task(attempt, TaskState.RUNNING));
+    Attempt attempt = LeaderHarness.firstAttempt(job);
+    leader.heartbeat("m-1", 5, LeaderHarness.taskStatus(attempt, TaskState.RUNNING));
     leader.heartbeat("m-1", 4);
     assertEquals(Attempt.State.RUNNING, attempt.state());
   }
 
   @Test
-  void aNewerFencingTokenEndsTheTerm() {
+  void endsTermOnNewerFencingToken() {
     assertNull(
         leader.workerManager.onHeartbeat(
             new Heartbeat("m-1", "10.1.0.1:9000", "g4", "a", false, 1, 1, 99, null, List.of())));
     assertEquals(List.of("token 99"), leader.resignations);
   }
 
-  /** Incident: reports held up in the network revived machines that had been returned. */
+  /** Guards against delayed heartbeats that add released machines again. */
   @Test
-  void aStaleHeartbeatOfAReleasedMachineDoesNotBlockItsTasks() {
+  void ignoresStaleHeartbeatOfReleasedMachine() {
     leader.heartbeat("m-1", 1);
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
-    Attempt attempt = LeaderHarness.onlyAttempt(job);
-    leader.heartbeat("m-1", 2, LeaderHarness.task(attempt, TaskState.RUNNING));
-    leader.sent.clear();
+    Attempt attempt = LeaderHarness.firstAttempt(job);
+    leader.heartbeat("m-1", 2, LeaderHarness.taskStatus(attempt, TaskState.RUNNING));
+    leader.sentRequests.clear();
     leader.autoscaler.release(leader.cluster.machine("m-1"));
-    assertEquals("/rentals/release", leader.sent.peek().request().path());
-    leader.sent.poll().onReply().accept(AsyncHttpClient.Reply.answered(200, new byte[] {'{', '}'}));
+    assertEquals("/rentals/release", leader.sentRequests.peek().request().path());
+    leader
+        .sentRequests
+        .poll()
+        .onReply()
+        .accept(AsyncHttpClient.Reply.answered(200, new byte[] {'{', '}'}));
     assertTrue(job.attempts.isEmpty());
-    leader.heartbeat("m-1", 3, LeaderHarness.task(attempt, TaskState.RUNNING));
+    leader.heartbeat("m-1", 3, LeaderHarness.taskStatus(attempt, TaskState.RUNNING));
     assertTrue(job.attempts.isEmpty());
     assertNull(leader.cluster.machine("m-1"));
   }
--- a/src/test/java/io/pineladder/workers/LargeFleetTest.java
+++ b/src/test/java/io/pineladder/workers/LargeFleetTest.java
@@ -19,16 +19,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A leader with more machines than the largest fleets have. */
+/** Tests a leader with more machines than the largest supported clusters have. */
 class LargeFleetTest {
   private static final int MACHINES = 4_200;
 
   private final LeaderHarness leader = new LeaderHarness();
 
-  /** What the cloud lists. */
+  /** The machines that the cloud lists. */
   private final NavigableSet<String> listed = new TreeSet<>();
 
-  /** The machines returned to the cloud, which its list may name for a while yet. */
+  /** The released machines, which the cloud's list still includes. */
   private final NavigableSet<String> released = new TreeSet<>();
 
   @BeforeEach
@@ -40,8 +40,8 @@
 
   private void runFor(int seconds) throws MalformedMessageException {
     for (int tenth = 0; tenth < 10 * seconds; tenth++) {
-      while (!leader.sent.isEmpty()) {
-        LeaderHarness.SentRequest sent = leader.sent.poll();
+      while (!leader.sentRequests.isEmpty()) {
+        LeaderHarness.SentRequest sent = leader.sentRequests.poll();
         String path = sent.request().path();
         if (path.equals("/rentals/release")) {
           for (JsonNode name : Json.parseObject(sent.request().body()).get("hosts")) {
@@ -59,10 +59,10 @@
   private byte[] page(String path) {
     int since = path.indexOf("&since=");
     String after = since < 0 ? "" : path.substring(since + "&since=".length());
-    ObjectNode out = Json.object();
-    ArrayNode hosts = out.putArray("hosts");
-    List<String> rest = List.copyOf(listed.tailSet(after, false));
-    for (String name : rest.subList(0, Math.min(CloudWire.PAGE_SIZE, rest.size()))) {
+    ObjectNode page = Json.object();
+    ArrayNode hosts = page.putArray("hosts");
+    List<String> remaining = List.copyOf(listed.tailSet(after, false));
+    for (String name : remaining.subList(0, Math.min(CloudWire.PAGE_SIZE, remaining.size()))) {
       hosts
           .addObject()
           .put("ref", name)
@@ -72,13 +72,13 @@
           .put("status", "booting")
           .put("age_s", 1.0);
     }
-    boolean more = rest.size() > CloudWire.PAGE_SIZE;
-    return Json.bytes(out.put("truncated", more));
+    boolean more = remaining.size() > CloudWire.PAGE_SIZE;
+    return Json.bytes(page.put("truncated", more));
   }
 
-  /** A machine that was returned is not taken in again from a list that still names it. */
+  /** Guards against adding released machines again from a list that still includes them. */
   @Test
-  void everyReleasedMachineOfALargeFleetStaysReleased() throws MalformedMessageException {
+  void remembersAllReleasedMachinesOfLargeFleet() throws MalformedMessageException {
     for (String name : listed) {
       leader.cluster.addMachine(new Machine(name, LeaderHarness.TYPE, "a", false, leader.now()));
     }
@@ -92,13 +92,13 @@
     assertEquals(0, leader.cluster.machines().size());
   }
 
-  /** The rate of the cloud's interface allows fewer pages at once than the list has. */
+  /** Guards against restarting a list that has more pages than the rate limit allows at once. */
   @Test
-  void theListOfALargeFleetIsReadToItsEnd() throws MalformedMessageException {
+  void readsWholeMachineListDespiteRateLimit() throws MalformedMessageException {
     leader.autoscaler.start();
     runFor(10);
     assertEquals(MACHINES, leader.cluster.machines().size());
-    // And so it goes on: what is added at the end is found, whatever else was asked for.
+    // Later lists are read to the end as well: a machine added at the end is found.
     listed.add("n-0000");
     runFor(20);
     assertNotNull(leader.cluster.machine("n-0000"));
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -38,29 +38,32 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Scheduler, worker manager and autoscaler of one leader, with a store that commits at once. */
+/**
+ * The scheduler, worker manager and autoscaler of one leader, with a store that commits at once.
+ */
 final class LeaderHarness implements EventLoop {
   static final long TERM = 7;
   static final MachineType TYPE =
       new MachineType(
           "g4", Resources.of(16, 4, 64), 50, 0.1, 4, 1, Duration.ofSeconds(10), List.of("a", "b"));
 
-  /** A request that went out and waits for its reply. */
+  /** A sent request that awaits its reply. */
   record SentRequest(AsyncHttpClient.Request request, Consumer<AsyncHttpClient.Reply> onReply) {}
 
-  private record Timer(Instant at, long order, Runnable action) {}
+  private record Timer(Instant at, long sequence, Runnable action) {}
 
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
-          (a, b) -> a.at.equals(b.at) ? Long.compare(a.order, b.order) : a.at.compareTo(b.at));
+          (a, b) ->
+              a.at.equals(b.at) ? Long.compare(a.sequence, b.sequence) : a.at.compareTo(b.at));
   private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
   private Instant now = Instant.EPOCH.plusSeconds(100);
-  private long order;
+  private long nextTimerSequence;
 
   /** Whether the lease is certain and heartbeats are accepted. */
   boolean leaseCertain = true;
 
-  final ArrayDeque<SentRequest> sent = new ArrayDeque<>();
+  final ArrayDeque<SentRequest> sentRequests = new ArrayDeque<>();
   final List<String> resignations = new ArrayList<>();
   final ClusterState cluster;
   final Scheduler scheduler;
@@ -99,7 +102,7 @@
     public void lookUpJob(String job) {}
   }
 
-  /** Passes on what is stored. */
+  /** Passes storage events to the scheduler and the cluster state. */
   private final class RecordsListener implements Records.Listener {
     @Override
     public void onPlacementStored(Attempt attempt) {
@@ -120,8 +123,8 @@
     public void onUnpagedRecordFound(Job job, Runnable again) {}
   }
 
-  /** Answers by {@link #leaseCertain} and collects resignations. */
-  private final class AutoscalerEffects implements Autoscaler.Effects {
+  /** Answers lease queries from {@link #leaseCertain} and collects resignations. */
+  private final class AutoscalerCallbacks implements Autoscaler.Effects {
     @Override
     public int workersHeardByPeers(String zone) {
       return 0;
@@ -151,7 +154,7 @@
     public void probe(Machine machine) {}
   }
 
-  /** A leader with complete records. */
+  /** Listener of a leader with complete records. */
   private final class WorkersListener implements WorkerManager.Listener {
     @Override
     public void onUnknownTask(String job) {}
@@ -194,7 +197,8 @@
     }
     cluster = new ClusterState(settings);
     cluster.setTypes(List.of(TYPE));
-    AsyncHttpClient httpClient = (request, onReply) -> sent.add(new SentRequest(request, onReply));
+    AsyncHttpClient httpClient =
+        (request, onReply) -> sentRequests.add(new SentRequest(request, onReply));
     scheduler =
         new Scheduler(cluster, this, TERM, OperatorSettings.DEFAULTS, new SchedulerCallbacks());
     Records records =
@@ -205,7 +209,7 @@
             this,
             mutation -> {
               for (var write : mutation.writes()) {
-                // As the store does: a value is made when it is written.
+                // Like the store, serializes each value when it is written.
                 var unused = write.value().get();
               }
               schedule(Duration.ZERO, mutation.onCommitted());
@@ -222,7 +226,7 @@
             this,
             TERM,
             OperatorSettings.DEFAULTS,
-            new AutoscalerEffects());
+            new AutoscalerCallbacks());
     workerManager =
         new WorkerManager(
             cluster, scheduler, httpClient, this, TERM, () -> true, new WorkersListener());
@@ -245,7 +249,7 @@
 
   @Override
   public void schedule(Duration delay, Runnable action) {
-    timers.add(new Timer(now.plus(delay), order++, action));
+    timers.add(new Timer(now.plus(delay), nextTimerSequence++, action));
   }
 
   void runFor(Duration duration) {
@@ -258,7 +262,7 @@
     now = end;
   }
 
-  /** Pauses the process: what is due meanwhile runs late. */
+  /** Simulates a process pause: timers that become due run after it. */
   void pauseProcessFor(Duration duration) {
     now = now.plus(duration);
   }
@@ -293,12 +297,12 @@
     return job;
   }
 
-  static TaskStatus task(Attempt attempt, TaskState state) {
+  static TaskStatus taskStatus(Attempt attempt, TaskState state) {
     return new TaskStatus(
         new TaskId(attempt.job.spec.id(), attempt.task), attempt.number, state, null, false);
   }
 
-  /** A heartbeat of a machine in zone a, in its first agent epoch, with this term's token. */
+  /** Sends a heartbeat from zone a in the first agent epoch; returns the response body. */
   byte[] heartbeat(String machine, long sequence, TaskStatus... tasks) {
     return heartbeat("a", machine, sequence, tasks);
   }
@@ -321,7 +325,7 @@
     return WorkerWire.heartbeatResponse(TERM, orders);
   }
 
-  /** The response to a heartbeat of an empty machine m-1; unlike the others it takes no time. */
+  /** The response to a heartbeat of m-1 without tasks; does not advance the time. */
   String heartbeatResponse(long agentEpoch, long sequence, long token) {
     WorkerWire.Orders orders =
         workerManager.onHeartbeat(
@@ -336,38 +340,37 @@
                 token,
                 null,
                 List.of()));
-    return text(WorkerWire.heartbeatResponse(TERM, orders));
+    return bodyText(WorkerWire.heartbeatResponse(TERM, orders));
   }
 
-  /** The next command request that was sent; requests to the cloud are skipped. */
+  /** Removes and returns the next command request; cloud requests are discarded. */
   SentRequest nextCommand() {
-    while (!sent.isEmpty()) {
-      SentRequest next = sent.poll();
+    while (!sentRequests.isEmpty()) {
+      SentRequest next = sentRequests.poll();
       if (next.request.path().equals("/do")) {
         return next;
       }
     }
-    throw new AssertionError("no direct command went out");
+    throw new AssertionError("no command request was sent");
   }
 
-  /** Every attempt on any machine. */
+  /** The attempts on all machines. */
   List<Attempt> attempts() {
     List<Attempt> all = new ArrayList<>();
     cluster.machines().forEach(machine -> all.addAll(machine.attempts.values()));
     return all;
   }
 
-  static Attempt onlyAttempt(Job job) {
+  static Attempt firstAttempt(Job job) {
     return job.attempts.values().iterator().next().iterator().next();
   }
 
-  /** A body as text. */
-  static String text(byte[] body) {
+  static String bodyText(byte[] body) {
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  /** An exited task as its worker lists it. */
-  static TaskStatus exited(Attempt attempt, EndReason cause) {
+  /** The status of an exited task. */
+  static TaskStatus exitedStatus(Attempt attempt, EndReason cause) {
     return new TaskStatus(
         new TaskId(attempt.job.spec.id(), attempt.task),
         attempt.number,
@@ -376,7 +379,7 @@
         false);
   }
 
-  /** The cloud's list of running spot machines. */
+  /** A cloud list response with running spot machines. */
   static byte[] machineList(String... machines) {
     StringBuilder hosts = new StringBuilder();
     for (String machine : machines) {
@@ -391,39 +394,38 @@
     return ("{\"hosts\":[" + hosts + "],\"truncated\":false}").getBytes(StandardCharsets.UTF_8);
   }
 
-  /** The same job with other tasks; a gang must have them in one zone. */
-  static JobSpec withResources(JobSpec like, Resources each) {
+  /** A copy of the job with other resources per task; gangs are restricted to one zone. */
+  static JobSpec withResources(JobSpec spec, Resources perTask) {
     return new JobSpec(
-        like.id(),
-        like.jobClass(),
-        like.team(),
-        like.kind(),
-        like.priorityClass(),
-        like.tasks(),
-        each,
+        spec.id(),
+        spec.jobClass(),
+        spec.team(),
+        spec.kind(),
+        spec.priorityClass(),
+        spec.tasks(),
+        perTask,
         null,
         null,
-        like.kind() == JobKind.GANG,
+        spec.kind() == JobKind.GANG,
         false,
         true,
-        like.image(),
+        spec.image(),
         5,
-        like.estimatedRunTime(),
+        spec.estimatedRunTime(),
         Duration.ZERO,
         Duration.ZERO,
         null);
   }
 
-  /** Whether none of the attempts is wanted. */
   static boolean isStopped(Set<Attempt> attempts) {
     return attempts.stream().noneMatch(Attempt::isWanted);
   }
 
-  /** The machine's stored attempts, listed as running. */
-  static TaskStatus[] running(Machine machine) {
+  /** The machine's attempts with a stored placement, reported as running. */
+  static TaskStatus[] runningStatuses(Machine machine) {
     return machine.attempts.values().stream()
         .filter(a -> a.state() != Attempt.State.PLACEMENT_PENDING)
-        .map(a -> task(a, TaskState.RUNNING))
+        .map(a -> taskStatus(a, TaskState.RUNNING))
         .toArray(TaskStatus[]::new);
   }
 }
--- a/src/test/java/io/pineladder/workers/PreemptionTest.java
+++ b/src/test/java/io/pineladder/workers/PreemptionTest.java
@@ -17,13 +17,13 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Tasks that are preempted for others, or moved to another machine. */
+/** Tests preemption, and the migration of tasks that fetch their image. */
 class PreemptionTest {
   private final LeaderHarness leader = new LeaderHarness();
 
-  /** Found on colombo: services started on machines without their image came too late. */
+  /** Guards against late starts of services on machines that have to fetch their image first. */
   @Test
-  void tasksArePreemptedWhereTheImageIsCachedWhenFetchingWouldBeTooLate() {
+  void preemptsOnMachineWithCachedImageWhenFetchingTakesTooLong() {
     leader.heartbeat("warm", 1);
     Machine warm = leader.cluster.machine("warm");
     warm.touchImage("img-s", 5);
@@ -31,7 +31,7 @@
         leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 4, "img-a"));
     TaskStatus[] running =
         array.attempts.values().stream()
-            .map(set -> LeaderHarness.task(set.iterator().next(), TaskState.RUNNING))
+            .map(set -> LeaderHarness.taskStatus(set.iterator().next(), TaskState.RUNNING))
             .toArray(TaskStatus[]::new);
     leader.heartbeat("warm", 2, running);
     leader.heartbeat("cold", 1);
@@ -58,8 +58,8 @@
                 Duration.ZERO,
                 Duration.ZERO,
                 null));
-    assertTrue(job.attempts.isEmpty(), "it waits for the warm room");
-    Attempt displaced =
+    assertTrue(job.attempts.isEmpty(), "it waits for capacity on the machine with its image");
+    Attempt preempted =
         array.attempts.values().stream()
             .map(set -> set.iterator().next())
             .filter(a -> !a.isWanted())
@@ -70,25 +70,26 @@
             .map(set -> set.iterator().next())
             .map(
                 a ->
-                    a == displaced
-                        ? LeaderHarness.exited(a, EndReason.STOPPED)
-                        : LeaderHarness.task(a, TaskState.RUNNING))
+                    a == preempted
+                        ? LeaderHarness.exitedStatus(a, EndReason.STOPPED)
+                        : LeaderHarness.taskStatus(a, TaskState.RUNNING))
             .toArray(TaskStatus[]::new);
     leader.heartbeat("warm", 3, after);
-    assertEquals(warm, LeaderHarness.onlyAttempt(job).machine);
+    assertEquals(warm, LeaderHarness.firstAttempt(job).machine);
   }
 
   /**
-   * Found on colombo-ops: a look at the whole fleet for each of a job's tasks stopped the leader
-   * for longer than its lease. And work that holds none of what is lacking was stopped as well.
+   * Guards against scanning all machines once per task, which blocked the leader for longer than
+   * its lease, and against preempting tasks that do not hold the missing resource.
    */
   @Test
-  void oneSchedulingCyclePreemptsForAllTasksAndOnlyWhatHelps() {
+  void preemptsOnlyUsefulTasksInOneSchedulingCycle() {
     for (int i = 0; i < 4; i++) {
       leader.heartbeat("m-" + i, 1);
     }
-    JobSpec cpus = LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 4, "i");
-    Job tiny = leader.accept(LeaderHarness.withResources(cpus, Resources.of(1, 0, 1)));
+    JobSpec cpuOnlySpec =
+        LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 4, "i");
+    Job cpuOnly = leader.accept(LeaderHarness.withResources(cpuOnlySpec, Resources.of(1, 0, 1)));
     Job low =
         leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 16, "i"));
     assertTrue(low.pending.isEmpty());
@@ -97,15 +98,15 @@
     }
     leader.accept(LeaderHarness.spec("req-000003", JobKind.ARRAY, PriorityClass.HIGH, 3, "i"));
     assertEquals(3, low.attempts.values().stream().filter(LeaderHarness::isStopped).count());
-    assertEquals(0, tiny.attempts.values().stream().filter(LeaderHarness::isStopped).count());
+    assertEquals(0, cpuOnly.attempts.values().stream().filter(LeaderHarness::isStopped).count());
   }
 
   /**
-   * Found on laval-ops: a guest's work of low rank was on every machine, and gangs of two, for
-   * which nothing made way, waited for minutes until two machines happened to be empty at once.
+   * Guards against gangs that wait for minutes because no tasks of lower priority are preempted for
+   * them.
    */
   @Test
-  void tasksArePreemptedForAWholeGangOrNotAtAll() {
+  void preemptsForWholeGangOrNotAtAll() {
     for (int i = 0; i < 3; i++) {
       leader.heartbeat("m-" + i, 1);
     }
@@ -114,18 +115,20 @@
     for (Attempt attempt : leader.attempts()) {
       leader.scheduler.onAttemptObserved(attempt, Attempt.State.RUNNING);
     }
-    Resources whole = Resources.of(16, 4, 64);
+    Resources wholeMachine = Resources.of(16, 4, 64);
     leader.accept(
         LeaderHarness.withResources(
-            LeaderHarness.spec("req-000002", JobKind.GANG, PriorityClass.HIGH, 4, "i"), whole));
+            LeaderHarness.spec("req-000002", JobKind.GANG, PriorityClass.HIGH, 4, "i"),
+            wholeMachine));
     assertEquals(
         0,
         low.attempts.values().stream().filter(LeaderHarness::isStopped).count(),
-        "three machines are no room for four");
+        "four tasks do not fit on three machines");
     Job gang =
         leader.accept(
             LeaderHarness.withResources(
-                LeaderHarness.spec("req-000003", JobKind.GANG, PriorityClass.HIGH, 2, "i"), whole));
+                LeaderHarness.spec("req-000003", JobKind.GANG, PriorityClass.HIGH, 2, "i"),
+                wholeMachine));
     assertEquals(8, low.attempts.values().stream().filter(LeaderHarness::isStopped).count());
     for (int i = 0; i < 3; i++) {
       TaskStatus[] tasks =
@@ -133,22 +136,23 @@
               .map(
                   a ->
                       a.isWanted()
-                          ? LeaderHarness.task(a, TaskState.RUNNING)
-                          : LeaderHarness.exited(a, EndReason.STOPPED))
+                          ? LeaderHarness.taskStatus(a, TaskState.RUNNING)
+                          : LeaderHarness.exitedStatus(a, EndReason.STOPPED))
               .toArray(TaskStatus[]::new);
       leader.heartbeat("m-" + i, 2, tasks);
     }
-    assertEquals(2, gang.attempts.size(), "the freed rooms are the gang's");
+    assertEquals(2, gang.attempts.size(), "the gang gets the freed machines");
   }
 
-  /** Found on colombo-ops: an array of 25,000 tasks kept the leader from renewing its lease. */
+  /** Guards against large arrays that keep the leader from renewing its lease in time. */
   @Test
-  void aHugeArrayStartsAtABoundedRateAndASmallOneAtOnce() {
+  void limitsStartRateOfLargeArray() {
     for (int i = 0; i < 40; i++) {
       leader.heartbeat("m-" + i, 1);
     }
-    JobSpec many = LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.NORMAL, 1000, "i");
-    Job huge = leader.accept(LeaderHarness.withResources(many, Resources.of(0.25, 0, 0.5)));
+    JobSpec largeSpec =
+        LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.NORMAL, 1000, "i");
+    Job huge = leader.accept(LeaderHarness.withResources(largeSpec, Resources.of(0.25, 0, 0.5)));
     leader.runFor(Duration.ofMillis(500));
     assertTrue(huge.attempts.size() <= 240, "at once: " + huge.attempts.size());
     Job small =
@@ -161,20 +165,20 @@
     assertTrue(huge.pending.isEmpty());
   }
 
-  /** Found on laval: tasks sat out fetches of minutes while machines with the image came free. */
+  /** Guards against waiting for a slow fetch although a machine with the image is free. */
   @Test
-  void aFetchingTaskMovesToFreeCapacityWhereItsImageIsCached() {
+  void movesFetchingTaskToMachineWithCachedImage() {
     leader.heartbeat("cold", 1);
     Job job =
         leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "img"));
-    Attempt first = LeaderHarness.onlyAttempt(job);
-    leader.heartbeat("cold", 2, LeaderHarness.task(first, TaskState.FETCHING_IMAGE));
+    Attempt first = LeaderHarness.firstAttempt(job);
+    leader.heartbeat("cold", 2, LeaderHarness.taskStatus(first, TaskState.FETCHING_IMAGE));
     Machine warm = new Machine("warm", LeaderHarness.TYPE, "a", false, leader.now());
     warm.touchImage("img", 5);
     leader.cluster.addMachine(warm);
     leader.heartbeat("warm", 1);
     assertFalse(first.isWanted());
-    leader.heartbeat("cold", 3, LeaderHarness.exited(first, EndReason.STOPPED));
-    assertEquals("warm", LeaderHarness.onlyAttempt(job).machine.name);
+    leader.heartbeat("cold", 3, LeaderHarness.exitedStatus(first, EndReason.STOPPED));
+    assertEquals("warm", LeaderHarness.firstAttempt(job).machine.name);
   }
 }
