--- a/src/main/java/io/pineladder/autoscaling/MachineUtilization.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineUtilization.java
@@ -33,6 +33,6 @@
 
   /** The free share of the machine's capacity, from 0 to 1; 1 if the machine is idle. */
   double freeShare(Machine machine) {
-    return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.shareOf(machine.type.capacity()));
+    return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.dominantShareOf(machine.type.capacity()));
   }
 }
--- a/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
+++ b/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
@@ -67,7 +67,7 @@
     leader.heartbeatResponse(2, 1, LeaderHarness.TERM);
     assertEquals(Machine.Reachability.UNREACHABLE, machine.reachability());
     assertTrue(job.attempts.isEmpty(), "the new agent epoch proves the attempt gone");
-    assertEquals(1, job.pending.cardinality(), "the task is pending again");
+    assertEquals(1, job.pendingTasks.cardinality(), "the task is pending again");
     leader.runFor(Duration.ofSeconds(5));
     leader.heartbeatResponse(2, 2, LeaderHarness.TERM);
     LeaderHarness.SentRequest probe = leader.nextCommand();
--- a/src/test/java/io/pineladder/workers/GangRestartTest.java
+++ b/src/test/java/io/pineladder/workers/GangRestartTest.java
@@ -65,7 +65,7 @@
     }
     leader.scheduler.preempt(gang.attempts.get(2).iterator().next());
     assertTrue(gang.attempts.isEmpty(), "no task was restarted: " + gang.attempts);
-    assertEquals(3, gang.pending.cardinality());
+    assertEquals(3, gang.pendingTasks.cardinality());
   }
 
   /** Guards against stopping a task's image fetch because another task timed out waiting. */
--- a/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
+++ b/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
@@ -69,9 +69,9 @@
         new TaskStatus(new TaskId("req-1", 0), 3, TaskState.EXITED, EndReason.DONE, false);
     leader.heartbeat("m-2", 1, completed);
     Attempt completedAttempt = leader.cluster.machine("m-2").attempts.get(completed.attemptKey());
-    assertTrue(job.done.get(0));
+    assertTrue(job.completedTasks.get(0));
     leader.runFor(Duration.ofSeconds(2));
-    assertFalse(completedAttempt.mayBeForgotten, "not stored while the newer attempt may run");
+    assertFalse(completedAttempt.endProcessed, "not stored while the newer attempt may run");
     assertFalse(newer.isWanted(), "the newer attempt is stopped");
     leader.heartbeat(
         "m-1",
@@ -79,7 +79,7 @@
         LeaderHarness.exitedStatus(newer, EndReason.STOPPED),
         LeaderHarness.taskStatus(other, TaskState.RUNNING));
     leader.runFor(Duration.ofSeconds(2));
-    assertTrue(completedAttempt.mayBeForgotten);
+    assertTrue(completedAttempt.endProcessed);
     assertTrue(job.isActive());
   }
 
