--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -684,7 +684,7 @@
   }
 
   /** Gives the autoscaler access to leadership and workers. */
-  private final class AutoscalerEffects implements Autoscaler.Effects {
+  private final class AutoscalerEffects implements Autoscaler.Callbacks {
     @Override
     public boolean mayAct() {
       return lifecycle.mayAct();
@@ -706,8 +706,8 @@
     }
 
     @Override
-    public int workersHeardByPeers(String zone) {
-      return keepAliveReader.workersHeardByPeers(zone);
+    public int workersSeenByPeers(String zone) {
+      return keepAliveReader.workersSeenByPeers(zone);
     }
 
     @Override
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -244,7 +244,7 @@
           .addObject()
           .put("name", zone.name())
           .put("state", zone.state().toLowerCase(Locale.ROOT))
-          .put("losses", zone.losses())
+          .put("losses", zone.outageCount())
           .put("gone_s", zone.outageDuration().toMillis() / 1e3);
     }
     ArrayNode list = out.putArray("machines");
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -13,20 +13,20 @@
 import java.time.Instant;
 
 /**
- * Rents machines for pending jobs and for what is likely to arrive, detects failed ones, and
- * releases those that are not needed. Reviews them once a second while the leader may act. All
+ * Scales the cluster: rents machines for pending and expected work, detects failed machines, and
+ * releases machines that are not needed. Runs once a second while the leader's lease is valid. All
  * methods run on the event loop.
  */
 public final class Autoscaler {
   private static final Duration TICK_INTERVAL = Duration.ofSeconds(1);
 
-  /** A tick that is late by more than this shows that the process was paused. */
+  /** A tick that is late by more than this indicates that the process was paused. */
   private static final Duration PROCESS_PAUSE_THRESHOLD = Duration.ofSeconds(2);
 
   private final ClusterState cluster;
   private final Scheduler scheduler;
   private final EventLoop eventLoop;
-  private final Effects effects;
+  private final Callbacks callbacks;
   private final CloudClient cloud;
   private final Zones zones = new Zones();
   private final CapacityEstimates estimates;
@@ -38,28 +38,28 @@
   private boolean closed;
   private Instant lastTickAt;
 
-  /** What the autoscaler asks of the leader. */
-  public interface Effects {
+  /** Queries and requests that the autoscaler passes to the leader. */
+  public interface Callbacks {
     /** Whether the leader's lease allows it to act now. */
     boolean mayAct();
 
-    /** Whether heartbeats are accepted now, which they may be while the lease is uncertain. */
+    /** Whether heartbeats are accepted now; possibly also while the lease is uncertain. */
     boolean acceptsHeartbeats();
 
     /** Gives up leadership. */
     void resign(String reason);
 
-    /** Gives up leadership to a peer that can do better. */
+    /** Gives up leadership in favour of a peer that is better connected. */
     void transferLeadership(String reason);
 
-    /** How many workers of a zone other controllers have lately reported heartbeats of. */
-    int workersHeardByPeers(String zone);
+    /** The number of workers in the zone whose heartbeats other controllers recently received. */
+    int workersSeenByPeers(String zone);
 
     /** Probes a machine whose heartbeat is overdue. */
     void probe(Machine machine);
   }
 
-  /** Creates the autoscaler of one term; it does nothing before {@link #start}. */
+  /** Creates the autoscaler of one term, which is inactive until {@link #start}. */
   public Autoscaler(
       ClusterState cluster,
       Scheduler scheduler,
@@ -68,11 +68,11 @@
       EventLoop eventLoop,
       long term,
       OperatorSettings operator,
-      Effects effects) {
+      Callbacks callbacks) {
     this.cluster = cluster;
     this.scheduler = scheduler;
     this.eventLoop = eventLoop;
-    this.effects = effects;
+    this.callbacks = callbacks;
     this.cloud = new CloudClient(cluster.settings, httpClient, eventLoop);
     CapacityRefusals refusals = new CapacityRefusals(cluster, eventLoop);
     MachineTypeSelector types = new MachineTypeSelector(cluster, refusals);
@@ -85,7 +85,7 @@
             new MachineUtilization(cluster, eventLoop),
             new ArrivalStatistics(cluster, eventLoop, types, imageFetch));
     this.releaser =
-        new MachineReleaser(cluster, scheduler, records, cloud, bootTimes, effects::mayAct);
+        new MachineReleaser(cluster, scheduler, records, cloud, bootTimes, callbacks::mayAct);
     RentalClient rentals =
         new RentalClient(cluster, eventLoop, term, cloud, zones, refusals, releaser::wasReleased);
     this.scaleOut = new ScaleOut(cluster, scheduler, eventLoop, estimates, types, rentals);
@@ -93,52 +93,52 @@
     Instant now = eventLoop.now();
     this.inventory = new MachineInventory(cluster, eventLoop, cloud, releaser, now);
     this.lastTickAt = now;
-    this.failureDetector = new FailureDetector(cluster, estimates, zones, effects, now);
+    this.failureDetector = new FailureDetector(cluster, estimates, zones, callbacks, now);
   }
 
-  /** Applies changed settings of the operator. */
+  /** Applies changed operator settings. */
   public void configure(OperatorSettings next) {
     scaleIn.configure(next);
   }
 
-  /** The zones as this leader sees them. */
+  /** This leader's view of the zones. */
   public Zones zones() {
     return zones;
   }
 
-  /** Begins the reviews; the jobs of earlier terms are known. */
+  /** Starts the periodic reviews. The jobs of earlier terms must have been loaded. */
   public void start() {
     estimates.imageFetch().start();
     tick();
   }
 
-  /** Ends the reviews; replies of the cloud are ignored from now on. */
+  /** Stops the reviews; later replies of the cloud are ignored. */
   public void close() {
     closed = true;
     cloud.close();
   }
 
-  /** Counts a job whose tasks may start from now on for the forecast. */
+  /** Adds a job whose tasks may start now to the arrival forecast. */
   public void recordArrival(Job job) {
     estimates.arrivals().recordArrival(job);
   }
 
   /**
-   * Whether all machines that existed when this term began are known, with their tasks: a list no
-   * older than the term was read to its end, and each machine has sent a heartbeat or its release
-   * was confirmed.
+   * Whether all machines that existed at the start of the term are known, with their tasks: a list
+   * that is no older than the term was read completely, and each machine has either sent a
+   * heartbeat or been released.
    */
   public boolean isInventoryConfirmed() {
     return inventory.isConfirmed();
   }
 
-  /** Whether the cloud has confirmed the machine's return: what still comes from it is stale. */
+  /** Whether the cloud has confirmed the machine's release, so its messages are stale. */
   public boolean wasReleased(String machine) {
     return releaser.wasReleased(machine);
   }
 
   /**
-   * Asks the cloud to take the machine back; only its answer proves that the tasks there are gone.
+   * Requests the machine's release. Only the cloud's confirmation proves that its tasks are gone.
    */
   public void release(Machine machine) {
     releaser.release(machine);
@@ -150,11 +150,11 @@
     }
     Instant now = eventLoop.now();
     if (now.isAfter(lastTickAt.plus(TICK_INTERVAL).plus(PROCESS_PAUSE_THRESHOLD))
-        || !effects.acceptsHeartbeats()) {
+        || !callbacks.acceptsHeartbeats()) {
       failureDetector.onHeartbeatsNotAccepted(now);
     }
     lastTickAt = now;
-    if (effects.mayAct()) {
+    if (callbacks.mayAct()) {
       inventory.listMachines(now);
       cluster.spotRisk.observe(countConfirmedSpotMachines(), now);
       failureDetector.findMachinesToRelease(now).forEach(releaser::release);
