--- a/src/main/java/io/pineladder/wire/CloudWire.java
+++ b/src/main/java/io/pineladder/wire/CloudWire.java
@@ -8,15 +8,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages of the cloud's API: machine types, rental, release and the machine list. */
+/** Messages of the cloud API: machine types, rentals, releases and the machine list. */
 public final class CloudWire {
-  /** The most machines that one rental may ask for. */
+  /** Maximum number of machines in one rental. */
   public static final int MAX_MACHINES_PER_RENTAL = 50;
 
-  /** The most machines that one release may name. */
+  /** Maximum number of machines in one release. */
   public static final int MAX_MACHINES_PER_RELEASE = 100;
 
-  /** Machines in a full page of the list. */
+  /** Number of machines in a full page of the list. */
   public static final int PAGE_SIZE = 500;
 
   private static final double MAX_AMOUNT = 1e9;
@@ -25,9 +25,9 @@
 
   /** The state of a machine in the cloud's list. */
   public enum MachineStatus {
-    /** It does not run the agent yet. */
+    /** Does not run the agent yet. */
     BOOTING,
-    /** It runs, or has a status that this version does not know. */
+    /** Running, or in a status that this version does not know. */
     RUNNING,
     FAILED
   }
@@ -35,7 +35,8 @@
   /**
    * A machine in the cloud's list.
    *
-   * @param address null until the machine has one
+   * @param address null until the cloud has assigned one
+   * @param age time since the creation of the machine
    */
   public record ListedMachine(
       String name,
@@ -46,7 +47,7 @@
       MachineStatus status,
       Duration age) {}
 
-  /** A page of the machine list; {@code more} when further pages follow. */
+  /** A page of the machine list and whether further pages follow. */
   public record Page(List<ListedMachine> machines, boolean more) {}
 
   /** Reads the machine types that can be rented. */
@@ -57,10 +58,10 @@
   static List<MachineType> readTypes(Fields in) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (Fields type : in.objects("hulls")) {
-      List<String> zones = type.textsOrNull("yards");
+      List<String> zones = type.stringsOrNull("yards");
       types.add(
           new MachineType(
-              type.text("sku"),
+              type.string("sku"),
               Resources.of(
                   type.number("vcpus", 0, MAX_AMOUNT),
                   type.number("cards", 0, MAX_AMOUNT),
@@ -97,29 +98,29 @@
   }
 
   /**
-   * A request for machines.
+   * Encodes a request to rent machines.
    *
-   * @param request the idempotency key: a repeated request rents nothing more
+   * @param idempotencyKey identifies the rental; a repeated request rents no further machines
    * @param spot whether the machines are preemptible
    */
   public static byte[] rentalRequest(
-      String request, String type, String zone, boolean spot, int count) {
+      String idempotencyKey, String type, String zone, boolean spot, int count) {
     return Json.bytes(
         Json.object()
-            .put("charter", request)
+            .put("charter", idempotencyKey)
             .put("hull", type)
             .put("yard", zone)
             .put("loaners", spot)
             .put("count", count));
   }
 
-  /** The names of the rented machines; empty when the response has none. */
+  /** The names of the rented machines; empty if the response names none. */
   public static List<String> parseRentedNames(byte[] body) throws MalformedMessageException {
-    List<String> names = new Fields(Json.parseObject(body)).textsOrNull("hosts");
+    List<String> names = new Fields(Json.parseObject(body)).stringsOrNull("hosts");
     return names == null ? List.of() : names;
   }
 
-  /** A request that returns machines. */
+  /** Encodes a request to release machines. */
   public static byte[] releaseRequest(List<String> machines) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("hosts");
@@ -134,12 +135,12 @@
     for (Fields item : in.objects("hosts")) {
       machines.add(
           new ListedMachine(
-              item.text("ref"),
-              item.textOr("addr", null),
-              item.text("hull"),
-              item.text("yard"),
+              item.string("ref"),
+              item.stringOr("addr", null),
+              item.string("hull"),
+              item.string("yard"),
               item.boolOr("loaners", false),
-              switch (item.text("status")) {
+              switch (item.string("status")) {
                 case "booting" -> MachineStatus.BOOTING;
                 case "failed" -> MachineStatus.FAILED;
                 default -> MachineStatus.RUNNING;
--- a/src/main/java/io/pineladder/wire/DeliveryWire.java
+++ b/src/main/java/io/pineladder/wire/DeliveryWire.java
@@ -15,18 +15,18 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Stored subscriptions with their progress, and the events that are delivered to subscribers. */
+/** Stored subscriptions and their delivery progress, and the events sent to subscribers. */
 public final class DeliveryWire {
   /** CloudEvents 1.0, structured mode in JSON. */
   public static final String CONTENT_TYPE = "application/cloudevents+json; charset=utf-8";
 
-  /** The type of an event for a job that is done. */
+  /** The type of an event for a completed job. */
   public static final String JOB_DONE = "io.pineladder.job.done";
 
   /** The type of an event for a cancelled job. */
   public static final String JOB_CANCELLED = "io.pineladder.job.cancelled";
 
-  /** The type of an event for notifications that exceeded their retention and were dropped. */
+  /** The type of an event for notifications that were dropped at the end of their retention. */
   public static final String NOTIFICATIONS_LOST = "io.pineladder.notices.lost";
 
   private static final long MAX_NUMBER = Long.MAX_VALUE;
@@ -35,40 +35,40 @@
 
   // ---- stored records
 
-  private static ArrayNode texts(Collection<String> values) {
+  private static ArrayNode stringArray(Collection<String> values) {
     ArrayNode out = Json.array();
     values.forEach(out::add);
     return out;
   }
 
-  private static List<String> textList(JsonNode node) {
+  private static List<String> stringList(JsonNode node) {
     List<String> out = new ArrayList<>();
-    node.forEach(each -> out.add(each.asText()));
+    node.forEach(item -> out.add(item.asText()));
     return out;
   }
 
-  /** The texts of a list, each once. */
+  /** The distinct strings of a JSON array. */
   public static Set<String> texts(JsonNode node) {
-    return Set.copyOf(textList(node));
+    return Set.copyOf(stringList(node));
   }
 
   /** The stored form of a subscription. */
-  public static ObjectNode subscription(Subscription from) {
+  public static ObjectNode subscription(Subscription subscription) {
     ObjectNode out =
         Json.object()
-            .put("name", from.name())
-            .put("incarnation", from.incarnation())
-            .put("url", from.url())
-            .put("since", from.createdAfterNumber());
+            .put("name", subscription.name())
+            .put("incarnation", subscription.incarnation())
+            .put("url", subscription.url())
+            .put("since", subscription.createdAfterNumber());
     ArrayNode filters = out.putArray("filters");
-    for (Subscription.Filter filter : from.filters()) {
-      ObjectNode one = filters.addObject().put("after", filter.afterNumber());
-      one.set("owners", texts(filter.teams().stream().sorted().toList()));
-      one.set("classes", texts(filter.classes().stream().sorted().toList()));
+    for (Subscription.Filter filter : subscription.filters()) {
+      ObjectNode item = filters.addObject().put("after", filter.afterNumber());
+      item.set("owners", stringArray(filter.teams().stream().sorted().toList()));
+      item.set("classes", stringArray(filter.classes().stream().sorted().toList()));
     }
-    out.set("secrets", texts(from.secrets()));
-    out.put("status", from.status().name().toLowerCase(Locale.ROOT));
-    return from.reason() == null ? out : out.put("reason", from.reason());
+    out.set("secrets", stringArray(subscription.secrets()));
+    out.put("status", subscription.status().name().toLowerCase(Locale.ROOT));
+    return subscription.reason() == null ? out : out.put("reason", subscription.reason());
   }
 
   /** Reads a stored subscription. */
@@ -87,36 +87,36 @@
     }
     Subscription.Status status;
     try {
-      status = Subscription.Status.valueOf(in.text("status").toUpperCase(Locale.ROOT));
+      status = Subscription.Status.valueOf(in.string("status").toUpperCase(Locale.ROOT));
     } catch (IllegalArgumentException e) {
       throw new MalformedMessageException("unknown status");
     }
     return new Subscription(
-        in.text("name"),
-        in.text("incarnation"),
-        in.text("url"),
+        in.string("name"),
+        in.string("incarnation"),
+        in.string("url"),
         in.integer("since", 0, MAX_NUMBER),
         List.copyOf(filters),
-        textList(in.node("secrets")),
+        stringList(in.node("secrets")),
         status,
-        in.textOr("reason", null));
+        in.stringOr("reason", null));
   }
 
-  /** A page of the delivery progress that subscribers have confirmed, by event source. */
+  /** The stored form of one page of the confirmed delivery progress, by event source. */
   public static ObjectNode progress(Map<String, DeliveryProgress> entries) {
     ObjectNode out = Json.object();
     ArrayNode list = out.putArray("progress");
     entries.forEach(
-        (source, at) ->
+        (source, progress) ->
             list.addArray()
                 .add(source)
-                .add(at.lastNumber())
-                .add(at.lastSequence())
-                .add(at.firstLostSequence()));
+                .add(progress.lastNumber())
+                .add(progress.lastSequence())
+                .add(progress.firstLostSequence()));
     return out;
   }
 
-  /** Reads a page that {@link #progress} wrote. */
+  /** Reads a page written by {@link #progress}. */
   public static Map<String, DeliveryProgress> parseProgress(JsonNode value)
       throws MalformedMessageException {
     Map<String, DeliveryProgress> out = new LinkedHashMap<>();
@@ -135,27 +135,27 @@
   /** The stored form of the allowed destination networks. */
   public static ObjectNode networks(Collection<String> networks) {
     ObjectNode out = Json.object();
-    out.set("networks", texts(networks));
+    out.set("networks", stringArray(networks));
     return out;
   }
 
-  /** Reads a list of networks; their notation is not checked here. */
+  /** Reads a list of networks without checking their notation. */
   public static List<String> parseNetworks(JsonNode value) throws MalformedMessageException {
     JsonNode list = Fields.of(value).node("networks");
     if (!list.isArray()) {
       throw new MalformedMessageException("networks is not a list");
     }
-    for (JsonNode each : list) {
-      if (!each.isTextual()) {
+    for (JsonNode item : list) {
+      if (!item.isTextual()) {
         throw new MalformedMessageException("networks holds something that is not a text");
       }
     }
-    return textList(list);
+    return stringList(list);
   }
 
   // ---- events
 
-  /** The unique id of an event; the same on every repeated delivery. */
+  /** The unique id of an event, identical in repeated deliveries. */
   public static String eventId(Subscription subscription, long sequence) {
     return subscription.name() + "." + subscription.incarnation() + "." + sequence;
   }
@@ -168,7 +168,7 @@
         .put("type", type);
   }
 
-  /** The event for a notification; byte for byte the same on every repeated delivery. */
+  /** The event for a notification, byte for byte identical in repeated deliveries. */
   public static byte[] event(Subscription subscription, long sequence, Notification notification) {
     ObjectNode event =
         event(
@@ -178,7 +178,8 @@
             .put("subject", notification.job())
             .put("time", notification.endedAt().toString())
             .put("datacontenttype", "application/json")
-            // The sequence extension: a text whose order is that of the numbers.
+            // Zero-padded, so that the lexical order is that of the numbers, as the CloudEvents
+            // extension "sequence" requires.
             .put("sequence", String.format(Locale.ROOT, "%019d", sequence));
     event
         .putObject("data")
@@ -201,27 +202,27 @@
   }
 
   /**
-   * An event at its receiver.
+   * A received event.
    *
-   * @param firstSequence the first lost sequence number; for other events the same as {@code
-   *     sequence}
+   * @param firstSequence the first lost sequence number for {@link #NOTIFICATIONS_LOST}; otherwise
+   *     equal to {@code sequence}
    */
   public record Event(
       String source, String type, long firstSequence, long sequence, ObjectNode json) {}
 
-  /** Reads an event; the exception names the field that is wrong. */
+  /** Reads an event; the exception names the invalid field. */
   public static Event parseEvent(byte[] body) throws MalformedMessageException {
     ObjectNode json = Json.parseObject(body);
     Fields in = Fields.of(json);
-    if (!in.text("specversion").equals("1.0")) {
+    if (!in.string("specversion").equals("1.0")) {
       throw new MalformedMessageException("specversion is not 1.0");
     }
-    in.text("id");
-    String source = in.text("source");
-    String type = in.text("type");
+    in.string("id");
+    String source = in.string("source");
+    String type = in.string("type");
     long sequence;
     try {
-      sequence = Long.parseLong(in.text("sequence"));
+      sequence = Long.parseLong(in.string("sequence"));
     } catch (NumberFormatException e) {
       throw new MalformedMessageException("sequence is not a number");
     }
@@ -235,12 +236,12 @@
     return new Event(source, type, firstSequence, sequence, json);
   }
 
-  /** A receiver's response: the last sequence number that it has stored. */
+  /** Encodes a receiver's response with the last sequence number that it has stored. */
   public static byte[] positionResponse(long position) {
     return Json.bytes(Json.object().put("position", position));
   }
 
-  /** The position in a receiver's response; -1 when it names none. */
+  /** The position in a receiver's response; -1 if it has no valid one. */
   public static long parsePosition(byte[] body) {
     try {
       JsonNode position = Json.parseObject(body).path("position");
--- a/src/main/java/io/pineladder/wire/Fields.java
+++ b/src/main/java/io/pineladder/wire/Fields.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Typed reads of the fields of one JSON object; the exception names the field that is wrong. A
- * field that is null counts as absent.
+ * Typed access to the fields of a JSON object; exceptions name the invalid field. A null field
+ * counts as absent.
  */
 final class Fields {
   private static final double MAX_SECONDS = 1e9;
@@ -26,45 +26,45 @@
     return new Fields(object);
   }
 
-  private JsonNode present(String name) {
+  private JsonNode presentNode(String name) {
     JsonNode node = object.get(name);
     return node == null || node.isNull() ? null : node;
   }
 
-  private JsonNode required(String name) throws MalformedMessageException {
-    JsonNode node = present(name);
+  private JsonNode requiredNode(String name) throws MalformedMessageException {
+    JsonNode node = presentNode(name);
     if (node == null) {
       throw new MalformedMessageException(name + " is missing");
     }
     return node;
   }
 
-  String text(String name) throws MalformedMessageException {
-    JsonNode node = required(name);
+  String string(String name) throws MalformedMessageException {
+    JsonNode node = requiredNode(name);
     if (!node.isTextual() || node.textValue().isEmpty()) {
       throw new MalformedMessageException(name + " is not a text");
     }
     return node.textValue();
   }
 
-  String textOr(String name, String fallback) throws MalformedMessageException {
-    return present(name) == null ? fallback : text(name);
+  String stringOr(String name, String defaultValue) throws MalformedMessageException {
+    return presentNode(name) == null ? defaultValue : string(name);
   }
 
   boolean bool(String name) throws MalformedMessageException {
-    JsonNode node = required(name);
+    JsonNode node = requiredNode(name);
     if (!node.isBoolean()) {
       throw new MalformedMessageException(name + " is not true or false");
     }
     return node.booleanValue();
   }
 
-  boolean boolOr(String name, boolean fallback) throws MalformedMessageException {
-    return present(name) == null ? fallback : bool(name);
+  boolean boolOr(String name, boolean defaultValue) throws MalformedMessageException {
+    return presentNode(name) == null ? defaultValue : bool(name);
   }
 
   long integer(String name, long min, long max) throws MalformedMessageException {
-    JsonNode node = required(name);
+    JsonNode node = requiredNode(name);
     if (!node.isIntegralNumber() || !node.canConvertToLong()) {
       throw new MalformedMessageException(name + " is not a whole number");
     }
@@ -76,7 +76,7 @@
   }
 
   double number(String name, double min, double max) throws MalformedMessageException {
-    JsonNode node = required(name);
+    JsonNode node = requiredNode(name);
     if (!node.isNumber()) {
       throw new MalformedMessageException(name + " is not a number");
     }
@@ -92,30 +92,30 @@
   }
 
   Duration secondsOrNull(String name) throws MalformedMessageException {
-    return present(name) == null ? null : seconds(name);
+    return presentNode(name) == null ? null : seconds(name);
   }
 
-  /** The texts of a list, or null when the field is absent. */
-  List<String> textsOrNull(String name) throws MalformedMessageException {
-    JsonNode node = present(name);
+  /** The strings of a list, or null if the field is absent. */
+  List<String> stringsOrNull(String name) throws MalformedMessageException {
+    JsonNode node = presentNode(name);
     if (node == null) {
       return null;
     }
     if (!node.isArray()) {
       throw new MalformedMessageException(name + " is not a list");
     }
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     for (JsonNode item : node) {
       if (!item.isTextual()) {
         throw new MalformedMessageException(name + " holds something that is not a text");
       }
-      texts.add(item.textValue());
+      strings.add(item.textValue());
     }
-    return texts;
+    return strings;
   }
 
   List<Fields> objects(String name) throws MalformedMessageException {
-    JsonNode node = required(name);
+    JsonNode node = requiredNode(name);
     if (!node.isArray()) {
       throw new MalformedMessageException(name + " is not a list");
     }
@@ -127,6 +127,6 @@
   }
 
   JsonNode node(String name) throws MalformedMessageException {
-    return required(name);
+    return requiredNode(name);
   }
 }
--- a/src/main/java/io/pineladder/wire/GossipWire.java
+++ b/src/main/java/io/pineladder/wire/GossipWire.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Heartbeats between controllers, which carry gossip about the others, in MessagePack. */
+/** Heartbeats between controllers in MessagePack; they carry gossip about the other peers. */
 public final class GossipWire {
   /** The path for heartbeats on the cluster listener. */
   public static final String PATH = "/peer/v1/beat";
@@ -20,24 +20,26 @@
   private GossipWire() {}
 
   /**
-   * The newest heartbeat that a controller has received from a peer.
+   * The latest heartbeat that a controller has received from a peer.
    *
    * @param age upper bound of the time since the peer sent it
    * @param nonce identifies the peer's process
-   * @param sequence the number of that heartbeat; it gives the peer an upper bound of its age
+   * @param sequence the heartbeat's sequence number, from which the peer derives its own upper
+   *     bound of the age
    */
   public record PeerContact(Duration age, String nonce, long sequence) {}
 
   /**
-   * What a controller knows of the records in the state service.
+   * A controller's view of the records in the state service.
    *
-   * @param generationBase the generation that is current for it
+   * @param generationBase the generation that the controller considers current
    * @param highestRevision the highest known revision of that generation
-   * @param replicaBase the generation of its replica of the records
-   * @param replicaRevision the revision that its replica has
-   * @param replicaComplete whether no record is missing from its replica
+   * @param replicaBase the generation of the controller's replica of the records
+   * @param replicaRevision the revision of the replica
+   * @param replicaComplete whether no record is missing from the replica
    * @param highestToken the highest known fencing token
-   * @param recordsLost whether it has detected a loss of records in that generation
+   * @param recordsLost whether the controller has detected a loss of records in the current
+   *     generation
    */
   public record RecordStatus(
       long generationBase,
@@ -47,20 +49,20 @@
       boolean replicaComplete,
       long highestToken,
       boolean recordsLost) {
-    /** The status from a controller that sends none. */
+    /** The status of a controller that does not send one. */
     public static final RecordStatus UNKNOWN = new RecordStatus(0, 0, 0, 0, false, 0, false);
   }
 
   /**
    * A heartbeat of one controller.
    *
-   * @param nonce identifies its process
-   * @param sequence numbers the heartbeats of the process
-   * @param storeHealthy whether the state service responds to it
-   * @param term the term that it leads in with a valid lease; 0 when it does not lead
-   * @param contacts the newest heartbeat from each of its peers, by name
-   * @param recordStatus what it knows of the records
-   * @param supportedVersion the newest cluster version that its software supports
+   * @param nonce identifies the sending process
+   * @param sequence sequence number within the process
+   * @param storeHealthy whether the state service responds to the sender
+   * @param term the term in which the sender leads with a valid lease; 0 if it does not lead
+   * @param contacts the latest heartbeat from each of the sender's peers, by name
+   * @param recordStatus the sender's view of the records
+   * @param supportedVersion the newest cluster version that the sender supports
    */
   public record Heartbeat(
       String member,
@@ -82,11 +84,11 @@
       out.packBoolean(heartbeat.storeHealthy());
       out.packLong(heartbeat.term());
       out.packMapHeader(heartbeat.contacts().size());
-      for (Map.Entry<String, PeerContact> each : heartbeat.contacts().entrySet()) {
-        out.packString(each.getKey());
-        out.packLong(each.getValue().age().toMillis());
-        out.packString(each.getValue().nonce());
-        out.packLong(each.getValue().sequence());
+      for (Map.Entry<String, PeerContact> contact : heartbeat.contacts().entrySet()) {
+        out.packString(contact.getKey());
+        out.packLong(contact.getValue().age().toMillis());
+        out.packString(contact.getValue().nonce());
+        out.packLong(contact.getValue().sequence());
       }
       RecordStatus recordStatus = heartbeat.recordStatus();
       out.packLong(recordStatus.generationBase());
@@ -96,7 +98,7 @@
       out.packBoolean(recordStatus.replicaComplete());
       out.packLong(recordStatus.highestToken());
       out.packBoolean(recordStatus.recordsLost());
-      // Earlier versions stop reading here and ignore the rest.
+      // Earlier versions ignore the fields from here on.
       out.packInt(heartbeat.supportedVersion());
       return out.toByteArray();
     } catch (IOException e) {
@@ -122,12 +124,13 @@
       Map<String, PeerContact> contacts = new LinkedHashMap<>();
       for (int i = 0; i < count; i++) {
         String peer = in.unpackString();
-        long millis = in.unpackLong();
-        if (millis < 0) {
+        long ageMillis = in.unpackLong();
+        if (ageMillis < 0) {
           throw new MalformedMessageException("heard in the future");
         }
         contacts.put(
-            peer, new PeerContact(Duration.ofMillis(millis), in.unpackString(), in.unpackLong()));
+            peer,
+            new PeerContact(Duration.ofMillis(ageMillis), in.unpackString(), in.unpackLong()));
       }
       // Earlier versions send no record status.
       RecordStatus recordStatus =
--- a/src/main/java/io/pineladder/wire/JobWire.java
+++ b/src/main/java/io/pineladder/wire/JobWire.java
@@ -12,11 +12,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Jobs of the user API in JSON, which is also their stored form. The names of the protocol's fields
- * are mapped to those of {@link JobSpec} here and nowhere else.
+ * Jobs of the user API in JSON, which is also their stored form. Only this class maps the field
+ * names of the protocol to those of {@link JobSpec}.
  */
 public final class JobWire {
-  /** The maximum length of a request body. */
+  /** Maximum length of a request body. */
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final int MAX_TASKS = 100_000;
@@ -39,9 +39,9 @@
 
   private JobWire() {}
 
-  /** Whether a text has the form of a job id. */
-  public static boolean isJobId(String text) {
-    return JOB_ID.matcher(text).matches();
+  /** Whether a string has the form of a job id. */
+  public static boolean isJobId(String id) {
+    return JOB_ID.matcher(id).matches();
   }
 
   /** Reads the body of a submission. */
@@ -53,18 +53,18 @@
   }
 
   static JobSpec parse(Fields in) throws MalformedMessageException {
-    String id = in.text("ref");
+    String id = in.string("ref");
     if (!isJobId(id)) {
       throw new MalformedMessageException("ref is not a job id");
     }
-    List<String> types = in.textsOrNull("hulls");
+    List<String> types = in.stringsOrNull("hulls");
     if (types != null && types.isEmpty()) {
       throw new MalformedMessageException("hulls is empty");
     }
     return new JobSpec(
         id,
-        boundedText(in, "jobclass"),
-        boundedText(in, "owner"),
+        boundedString(in, "jobclass"),
+        boundedString(in, "owner"),
         choice(in, "shape", JOB_KINDS),
         choice(in, "rank", PRIORITY_CLASSES),
         (int) in.integer("pieces", 1, MAX_TASKS),
@@ -73,13 +73,12 @@
             in.number("cards", 0, MAX_AMOUNT),
             in.number("memory_gb", 0, MAX_AMOUNT)),
         types == null ? null : List.copyOf(types),
-        in.textOr("yard", null),
-        // Only fields that may be null may be absent: a default would accept jobs that the protocol
-        // calls malformed.
+        in.stringOr("yard", null),
+        // Required: the protocol defines a job without these fields as malformed.
         in.bool("together"),
         in.bool("spread"),
         in.bool("loaners"),
-        boundedText(in, "bundle"),
+        boundedString(in, "bundle"),
         in.number("image_gb", 0, MAX_AMOUNT),
         in.seconds("guess_s"),
         in.seconds("mark_every_s"),
@@ -88,9 +87,9 @@
         prerequisites(in));
   }
 
-  /** The job ids that this job depends on, without duplicates; none if the field is absent. */
+  /** The distinct ids of the jobs that this job depends on; empty if the field is absent. */
   private static List<String> prerequisites(Fields in) throws MalformedMessageException {
-    List<String> ids = in.textsOrNull(PREREQUISITES_FIELD);
+    List<String> ids = in.stringsOrNull(PREREQUISITES_FIELD);
     if (ids == null) {
       return List.of();
     }
@@ -103,17 +102,17 @@
     return ids.stream().distinct().toList();
   }
 
-  private static String boundedText(Fields in, String field) throws MalformedMessageException {
-    String text = in.text(field);
-    if (text.length() > MAX_NAME_LENGTH) {
+  private static String boundedString(Fields in, String field) throws MalformedMessageException {
+    String value = in.string(field);
+    if (value.length() > MAX_NAME_LENGTH) {
       throw new MalformedMessageException(field + " is too long");
     }
-    return text;
+    return value;
   }
 
   private static <T> T choice(Fields in, String field, Map<String, T> choices)
       throws MalformedMessageException {
-    T chosen = choices.get(in.text(field));
+    T chosen = choices.get(in.string(field));
     if (chosen == null) {
       throw new MalformedMessageException(field + " is none of " + choices.keySet());
     }
@@ -158,7 +157,7 @@
 
   private static <T> String wireName(Map<String, T> map, T value) {
     return map.entrySet().stream()
-        .filter(e -> e.getValue().equals(value))
+        .filter(entry -> entry.getValue().equals(value))
         .findFirst()
         .orElseThrow()
         .getKey();
--- a/src/main/java/io/pineladder/wire/Json.java
+++ b/src/main/java/io/pineladder/wire/Json.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** Reads and writes JSON as trees; data binding by reflection would slow the start-up. */
+/** Reads and writes JSON as trees; reflective data binding would slow down the start-up. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       new ObjectMapper()
@@ -16,17 +16,15 @@
 
   private Json() {}
 
-  /** An empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** An empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
 
-  /** The UTF-8 text of a tree. */
+  /** Encodes a tree as JSON in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -35,7 +33,7 @@
     }
   }
 
-  /** Reads one JSON object; anything else, or trailing text, is malformed. */
+  /** Reads a single JSON object; any other value or trailing content is malformed. */
   public static ObjectNode parseObject(byte[] body) throws MalformedMessageException {
     JsonNode node;
     try {
--- a/src/main/java/io/pineladder/wire/MalformedMessageException.java
+++ b/src/main/java/io/pineladder/wire/MalformedMessageException.java
@@ -1,8 +1,8 @@
 package io.pineladder.wire;
 
 /**
- * A message that violates its protocol. Without a stack trace, since such messages can be frequent
- * and the reason says what is wrong.
+ * Thrown for a message that violates its protocol. It has no stack trace, since such messages can
+ * be frequent and the reason identifies the error.
  */
 public final class MalformedMessageException extends Exception {
   /** Creates the exception with a reason that may be shown to the sender. */
--- a/src/main/java/io/pineladder/wire/PeerWire.java
+++ b/src/main/java/io/pineladder/wire/PeerWire.java
@@ -6,7 +6,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Requests that controllers forward to one another, in MessagePack. */
+/** Requests that controllers forward to each other, in MessagePack. */
 public final class PeerWire {
   /** The path for forwarded requests on the cluster listener. */
   public static final String PATH = "/peer/v1";
@@ -15,14 +15,14 @@
 
   private PeerWire() {}
 
-  /** A forwarded request; {@code remainingHops} is how often it may be forwarded again. */
+  /** A forwarded request; it may be forwarded {@code remainingHops} more times. */
   public record ForwardedRequest(String method, String path, byte[] body, int remainingHops) {}
 
   /**
    * The response to a forwarded request.
    *
-   * @param decided false when the request may be tried at another controller
-   * @param leader the name of the leader that the responding controller knows, or null
+   * @param decided false if the request may be retried at another controller
+   * @param leader name of the leader known to the responding controller, or null
    */
   public record ForwardedResponse(boolean decided, HttpResponse response, String leader) {}
 
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -21,19 +21,23 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** The stored records, as values in the consensus-backed key-value store. */
+/** The form of the records in the consensus-backed key-value store. */
 public final class RecordWire {
   private static final long MAX_NUMBER = Long.MAX_VALUE;
 
-  /** Names the page that takes precedence over this copy of a record while that page exists. */
+  /** The page that takes precedence over this copy of a record for as long as the page exists. */
   private static final String COPIED_FROM = "copied_from";
 
   private RecordWire() {}
 
-  /** A stored job; the completions of its tasks are stored separately. */
+  /**
+   * A stored job; the completions of its tasks are stored separately.
+   *
+   * @param atFault whether the failures of its tasks are attributed to the job itself
+   */
   public record StoredJob(JobSpec spec, Instant acceptedAt, Job.State state, boolean atFault) {}
 
-  /** A stored placement of a task, with the data to reach its machine. */
+  /** A stored placement of a task, with the data needed to reach its machine. */
   public record Placement(
       String machine,
       String address,
@@ -45,15 +49,15 @@
       long attempt) {}
 
   /**
-   * The completed tasks of one chunk of a job when it was stored.
+   * The stored completed tasks of one chunk of a job.
    *
-   * @param chunkTasks how many tasks a chunk of the job has; 0 where the entry does not say
+   * @param chunkTasks number of tasks per chunk of the job; 0 if the entry does not contain it
    * @param json the stored entry
    */
   public record StoredCompletions(
       String job, int chunk, BitSet completed, int chunkTasks, JsonNode json) {}
 
-  /** Container images in the cache of a machine, with their sizes in GB. */
+  /** Container images in a machine's cache, with their sizes in GB. */
   public record StoredImages(String machine, Map<String, Double> images) {}
 
   /** The value of the leader key; {@code nonce} identifies the process. */
@@ -68,8 +72,8 @@
     };
   }
 
-  private static Job.State parseState(String word) throws MalformedMessageException {
-    return switch (word) {
+  private static Job.State parseState(String name) throws MalformedMessageException {
+    return switch (name) {
       case "active" -> Job.State.ACTIVE;
       case "cancelled" -> Job.State.CANCELLED;
       case "done" -> Job.State.DONE;
@@ -92,26 +96,26 @@
     return new StoredJob(
         JobWire.parse(Fields.of(in.node("spec"))),
         Instant.ofEpochMilli(in.integer("accepted_ms", 0, MAX_NUMBER)),
-        parseState(in.text("state")),
+        parseState(in.string("state")),
         value.path("at_fault").asBoolean(false));
   }
 
-  /** The copy of a job's record while the page that holds it is divided. */
+  /** The copy of a job's record that is written while its page is divided. */
   public static JsonNode copiedRecord(JsonNode record, String page) {
     return ((ObjectNode) record).deepCopy().put(COPIED_FROM, page);
   }
 
-  /** A job's record without the name of the page that it was copied from. */
+  /** A job's record without the name of the page from which it was copied. */
   public static JsonNode withoutCopySource(JsonNode record) {
     return record.has(COPIED_FROM) ? ((ObjectNode) record).deepCopy().without(COPIED_FROM) : record;
   }
 
-  /** The page that a job's record was copied from; null for a record that was not copied. */
+  /** The page from which a job's record was copied; null if it was not copied. */
   public static String copySource(JsonNode record) {
     return record.path(COPIED_FROM).textValue();
   }
 
-  /** Completed tasks in {@code [from, from + count)} as inclusive ranges. */
+  /** The completed tasks in {@code [from, from + count)}, as inclusive ranges. */
   public static ArrayNode ranges(BitSet completed, int from, int count) {
     ArrayNode out = Json.array();
     int end = from + count;
@@ -124,7 +128,7 @@
     return out;
   }
 
-  /** Adds ranges that {@link #ranges} wrote to {@code done}. */
+  /** Adds ranges written by {@link #ranges} to {@code completed}. */
   public static void addRanges(JsonNode value, BitSet completed) throws MalformedMessageException {
     if (!value.isArray()) {
       throw new MalformedMessageException("done is not a list");
@@ -137,7 +141,7 @@
     }
   }
 
-  /** A page with these entries. */
+  /** A page with the given entries. */
   public static ObjectNode page(Stream<JsonNode> entries) {
     ObjectNode page = Json.object();
     ArrayNode list = page.putArray("entries");
@@ -145,7 +149,7 @@
     return page;
   }
 
-  /** A page of jobs with the notifications for those that have ended. */
+  /** A page of jobs, with notifications for ended jobs. */
   public static ObjectNode page(Stream<JsonNode> entries, Collection<Notification> notifications) {
     ObjectNode page = page(entries);
     if (!notifications.isEmpty()) {
@@ -167,7 +171,7 @@
         .add(notification.endedAt().toEpochMilli());
   }
 
-  /** The notifications in a page of jobs; none in a page without any. */
+  /** The notifications in a page of jobs; empty if it has none. */
   public static List<Notification> parseNotifications(JsonNode page)
       throws MalformedMessageException {
     List<Notification> notifications = new ArrayList<>();
@@ -187,7 +191,7 @@
   }
 
   /**
-   * A page's entries, as {@link #placement}, {@link #completions} or {@link #images} wrote them.
+   * The entries of a page, written by {@link #placement}, {@link #completions} or {@link #images}.
    */
   public static List<JsonNode> entries(JsonNode page) throws MalformedMessageException {
     JsonNode list = Fields.of(page).node("entries");
@@ -220,7 +224,7 @@
         .add(attempt.number);
   }
 
-  /** Reads an entry that {@link #placement} wrote. */
+  /** Reads an entry written by {@link #placement}. */
   public static Placement parsePlacement(JsonNode entry) throws MalformedMessageException {
     requireSize(entry, 8);
     return new Placement(
@@ -239,13 +243,13 @@
     return Json.array().add(job).add(chunk).add(ranges(completed, chunk * chunkTasks, chunkTasks));
   }
 
-  /** The same with the number of tasks in a chunk; since cluster version 2. */
+  /** Like {@link #completions}, with the chunk size appended; since cluster version 2. */
   public static JsonNode completionsWithChunkSize(
       String job, BitSet completed, int chunk, int chunkTasks) {
     return ((ArrayNode) completions(job, completed, chunk, chunkTasks)).add(chunkTasks);
   }
 
-  /** Reads an entry of either form of completions. */
+  /** Reads an entry written by {@link #completions} or {@link #completionsWithChunkSize}. */
   public static StoredCompletions parseCompletions(JsonNode entry)
       throws MalformedMessageException {
     boolean hasChunkSize = entry.isArray() && entry.size() == 4;
@@ -267,7 +271,7 @@
     return Json.array().add(machine).add(cached);
   }
 
-  /** Reads an entry that {@link #images} wrote. */
+  /** Reads an entry written by {@link #images}. */
   public static StoredImages parseImages(JsonNode entry) throws MalformedMessageException {
     requireSize(entry, 2);
     Map<String, Double> images = new LinkedHashMap<>();
@@ -292,9 +296,9 @@
     return Json.object().put("state", wireName(state));
   }
 
-  /** Reads the final state in a record of one job or of many. */
+  /** Reads the state from a record written by {@link #finalState} or {@link #finalStates}. */
   public static Job.State parseFinalState(JsonNode value) throws MalformedMessageException {
-    return parseState(Fields.of(value).text("state"));
+    return parseState(Fields.of(value).string("state"));
   }
 
   /** The record that names the current generation. */
@@ -307,7 +311,11 @@
         .put("nonce", generation.writer().nonce());
   }
 
-  /** Reads the record of the current generation; its revision is part of the generation. */
+  /**
+   * Reads the record of the current generation.
+   *
+   * @param revision the record's revision, which is part of the generation
+   */
   public static Generation parseGeneration(JsonNode value, long revision)
       throws MalformedMessageException {
     Fields in = Fields.of(value);
@@ -318,10 +326,10 @@
             ? Generation.Phase.COMPLETE
             : Generation.Phase.REBUILDING,
         value.path("exact").asBoolean(false),
-        new Generation.Writer(in.text("member"), in.text("nonce")));
+        new Generation.Writer(in.string("member"), in.string("nonce")));
   }
 
-  /** The record of many jobs with the same final state. */
+  /** The record of several jobs with the same final state. */
   public static ObjectNode finalStates(Job.State state, List<String> ids) {
     ObjectNode out = finalState(state);
     ArrayNode list = out.putArray("jobs");
@@ -329,9 +337,9 @@
     return out;
   }
 
-  /** The ids of the jobs in a record that {@link #finalStates} wrote. */
+  /** The job ids in a record written by {@link #finalStates}. */
   public static List<String> parseFinalStates(JsonNode value) throws MalformedMessageException {
-    List<String> ids = Fields.of(value).textsOrNull("jobs");
+    List<String> ids = Fields.of(value).stringsOrNull("jobs");
     if (ids == null) {
       throw new MalformedMessageException("no list of jobs");
     }
@@ -349,7 +357,7 @@
   /** Reads the value of the leader key. */
   public static LeaderRecord parseLeader(JsonNode value) throws MalformedMessageException {
     Fields in = Fields.of(value);
-    return new LeaderRecord(in.text("member"), in.text("address"), in.text("nonce"));
+    return new LeaderRecord(in.string("member"), in.string("address"), in.string("nonce"));
   }
 
   /** The record of the machine types that can be rented. */
@@ -363,7 +371,7 @@
     return CloudWire.readTypes(Fields.of(value));
   }
 
-  /** The record of the operator settings, with all of them. */
+  /** The record of all operator settings. */
   public static ObjectNode operatorSettings(OperatorSettings settings) {
     return Json.object()
         .put("initial_backoff_s", JobWire.seconds(settings.initialBackoff()))
@@ -372,10 +380,10 @@
         .put("idle_release_s", JobWire.seconds(settings.idleReleaseAfter()));
   }
 
-  /** Reads operator settings; an absent field keeps its present value. */
-  public static OperatorSettings parseOperatorSettings(JsonNode value, OperatorSettings present)
+  /** Reads operator settings; absent fields keep their current values. */
+  public static OperatorSettings parseOperatorSettings(JsonNode value, OperatorSettings current)
       throws MalformedMessageException {
-    ObjectNode merged = operatorSettings(present);
+    ObjectNode merged = operatorSettings(current);
     if (!(value instanceof ObjectNode object)) {
       throw new MalformedMessageException("not an object");
     }
--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -14,38 +14,38 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads the settings file; one message names all errors in it. */
+/** Reads the settings file and reports all errors in it at once. */
 public final class SettingsReader {
   private static final Pattern IPV4_ADDRESS =
       Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}:([1-9]\\d{0,4}|0)");
   private static final double MAX_NUMBER = 1e9;
 
-  /** Key changes of the largest transaction that cannot be divided (docs/upgrades.md). */
+  /** Operations in the largest transaction that cannot be split (docs/upgrades.md). */
   private static final int MIN_TRANSACTION_OPS = 4;
 
-  /** The default number of sockets where the operating system allows no more. */
+  /** Lower bound of the default number of sockets. */
   private static final int MIN_DEFAULT_SOCKETS = 1000;
 
   /**
-   * The maximum default number of sockets: the classes' reservations leave about 4,470 of them to
-   * heartbeats, which is more than one for each of 4,000 machines.
+   * Upper bound of the default number of sockets. Less the sockets reserved for other traffic
+   * classes, it leaves more than one socket for the heartbeats of each of 4,000 machines.
    */
   static final int MAX_DEFAULT_SOCKETS = 7_000;
 
-  /** File descriptors reserved for other files: class archives, logs, snapshots. */
-  private static final int RESERVED_FILES = 100;
+  /** File descriptors not used for sockets: class archives, logs, snapshots. */
+  private static final int RESERVED_FILE_DESCRIPTORS = 100;
 
   private static final Path PROCESS_LIMITS = Path.of("/proc/self/limits");
-  private static final Pattern OPEN_FILES = Pattern.compile("Max open files +(\\d+) .*");
+  private static final Pattern OPEN_FILES_LIMIT = Pattern.compile("Max open files +(\\d+) .*");
 
-  private final List<String> faults = new ArrayList<>();
+  private final List<String> errors = new ArrayList<>();
 
   private SettingsReader() {}
 
-  /** The settings file is invalid; the message names all errors. */
+  /** Thrown for an invalid settings file; the message lists all errors. */
   public static final class BadSettingsException extends Exception {
-    BadSettingsException(List<String> faults) {
-      super("bad settings: " + String.join("; ", faults));
+    BadSettingsException(List<String> errors) {
+      super("bad settings: " + String.join("; ", errors));
     }
   }
 
@@ -64,38 +64,40 @@
           List.of("not TOML: " + e.getMessage().lines().findFirst().orElse("")));
     }
     SettingsReader reader = new SettingsReader();
-    Settings settings = reader.settings(reader.new Table("", root));
-    if (!reader.faults.isEmpty()) {
-      throw new BadSettingsException(reader.faults);
+    Settings settings = reader.readSettings(reader.new Table("", root));
+    if (!reader.errors.isEmpty()) {
+      throw new BadSettingsException(reader.errors);
     }
     return settings;
   }
 
-  /** Reads all tables; the order of the reads is the order of the errors in the message. */
-  private Settings settings(Table root) {
+  /** Reads all tables; errors are reported in the order of the reads. */
+  private Settings readSettings(Table root) {
     Table external = root.table("external");
     Table deployment = root.table("deployment");
     Table workers = deployment.table("workers");
     Table state = deployment.table("state");
     Table cloud = deployment.table("cloud");
-    String controllerName = root.text("member");
-    String zone = root.text("area");
+    String controllerName = root.string("member");
+    String zone = root.string("area");
     String userAddress = root.address("front");
     String clusterAddress = root.address("cluster_listen");
     if (!userAddress.isEmpty() && userAddress.equals(clusterAddress)) {
-      faults.add("front and cluster_listen are the same");
+      errors.add("front and cluster_listen are the same");
     }
-    List<Settings.Peer> peers = peers(root);
+    List<Settings.Peer> peers = readPeers(root);
     Duration heartbeatInterval = workers.seconds("report_s", 0.01);
     Duration leaseDuration = workers.seconds("lease_s", 0.1);
-    if (workers.has("report_s") && workers.has("lease_s")) {
+    if (workers.contains("report_s") && workers.contains("lease_s")) {
       checkLease(heartbeatInterval, leaseDuration);
     }
-    List<Team> teams = teams(deployment);
-    List<Settings.Objective> objectives = objectives(deployment);
-    Settings.StoreLimits currentLimits = storeLimits(state, null);
+    List<Team> teams = readTeams(deployment);
+    List<Settings.Objective> objectives = readObjectives(deployment);
+    Settings.StoreLimits currentLimits = readStoreLimits(state, null);
     Settings.StoreLimits nextLimits =
-        state.has("next") ? storeLimits(state.table("next"), currentLimits) : currentLimits;
+        state.contains("next")
+            ? readStoreLimits(state.table("next"), currentLimits)
+            : currentLimits;
     return new Settings(
         controllerName,
         zone,
@@ -104,7 +106,7 @@
         peers,
         external.address("cloud"),
         external.address("state"),
-        deployment.texts("zones"),
+        deployment.strings("zones"),
         teams,
         objectives,
         new Settings.WorkerTimes(
@@ -117,36 +119,38 @@
         currentLimits,
         new Settings.CloudLimits(
             cloud.number("rps", 0.01, MAX_NUMBER), cloud.seconds("list_lag_s", 0)),
-        maxSockets(deployment),
-        coreShare(deployment));
+        readMaxSockets(deployment),
+        readCoreShare(deployment));
   }
 
-  private List<Settings.Peer> peers(Table root) {
+  private List<Settings.Peer> readPeers(Table root) {
     List<Settings.Peer> peers = new ArrayList<>();
     for (Table peer : root.tables("seeds")) {
-      peers.add(new Settings.Peer(peer.text("member"), peer.text("area"), peer.address("address")));
+      peers.add(
+          new Settings.Peer(peer.string("member"), peer.string("area"), peer.address("address")));
     }
     if (peers.isEmpty()) {
-      faults.add("seeds names no other controller");
+      errors.add("seeds names no other controller");
     }
     return List.copyOf(peers);
   }
 
   /**
-   * Heartbeats arrive up to a quarter late: with a shorter lease all tasks would end in between.
+   * Rejects a lease that can expire between two heartbeats, which may be late by a quarter of their
+   * interval.
    */
   private void checkLease(Duration heartbeatInterval, Duration leaseDuration) {
     if (leaseDuration.compareTo(heartbeatInterval.plus(heartbeatInterval.dividedBy(4))) <= 0) {
-      faults.add("deployment.workers.lease_s is not longer than a report may take to come");
+      errors.add("deployment.workers.lease_s is not longer than a report may take to come");
     }
   }
 
-  private static List<Team> teams(Table deployment) {
+  private static List<Team> readTeams(Table deployment) {
     List<Team> teams = new ArrayList<>();
     for (Table team : deployment.tables("teams")) {
       teams.add(
           new Team(
-              team.text("name"),
+              team.string("name"),
               Resources.of(
                   team.number("cpus", 0, MAX_NUMBER), team.number("gpus", 0, MAX_NUMBER), 0),
               team.number("cpus_max", 0, MAX_NUMBER),
@@ -155,43 +159,45 @@
     return List.copyOf(teams);
   }
 
-  private static List<Settings.Objective> objectives(Table deployment) {
+  private static List<Settings.Objective> readObjectives(Table deployment) {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (Table item : deployment.tables("objectives")) {
       objectives.add(
           new Settings.Objective(
-              item.text("kind"),
-              item.has("class") ? item.text("class") : null,
-              item.has("within_s") ? item.seconds("within_s", 0) : null,
-              item.has("share") ? item.number("share", 0, 1) : 1,
-              item.has("times") ? item.number("times", 0, MAX_NUMBER) : 1));
+              item.string("kind"),
+              item.contains("class") ? item.string("class") : null,
+              item.contains("within_s") ? item.seconds("within_s", 0) : null,
+              item.contains("share") ? item.number("share", 0, 1) : 1,
+              item.contains("times") ? item.number("times", 0, MAX_NUMBER) : 1));
     }
     return List.copyOf(objectives);
   }
 
-  private static int maxSockets(Table deployment) {
-    return deployment.has("resources")
+  private static int readMaxSockets(Table deployment) {
+    return deployment.contains("resources")
         ? (int) deployment.table("resources").number("max_sockets", 64, MAX_NUMBER)
         : defaultMaxSockets(maxOpenFiles());
   }
 
-  private static double coreShare(Table deployment) {
-    return deployment.has("resources") && deployment.table("resources").has("core_share")
+  private static double readCoreShare(Table deployment) {
+    return deployment.contains("resources") && deployment.table("resources").contains("core_share")
         ? deployment.table("resources").number("core_share", 0.001, MAX_NUMBER)
         : 1;
   }
 
-  /** The number of sockets where the settings name none, by the limit of open files. */
-  static int defaultMaxSockets(long openFiles) {
+  /** The number of sockets if the settings do not specify it, given the limit of open files. */
+  static int defaultMaxSockets(long maxOpenFiles) {
     return (int)
-        Math.max(MIN_DEFAULT_SOCKETS, Math.min(MAX_DEFAULT_SOCKETS, openFiles - RESERVED_FILES));
+        Math.max(
+            MIN_DEFAULT_SOCKETS,
+            Math.min(MAX_DEFAULT_SOCKETS, maxOpenFiles - RESERVED_FILE_DESCRIPTORS));
   }
 
-  /** The operating system's limit of open files for this process; 0 when it is not known. */
+  /** The operating system's limit of open files for this process; 0 if unknown. */
   private static long maxOpenFiles() {
     try {
       for (String line : Files.readAllLines(PROCESS_LIMITS)) {
-        Matcher limit = OPEN_FILES.matcher(line);
+        Matcher limit = OPEN_FILES_LIMIT.matcher(line);
         if (limit.matches()) {
           return Long.parseLong(limit.group(1));
         }
@@ -200,40 +206,40 @@
         }
       }
     } catch (IOException | NumberFormatException e) {
-      // The limit is not known.
+      // The limit is unknown.
     }
     return 0;
   }
 
   /**
-   * The state service's limits.
+   * Reads the limits of the state service.
    *
-   * @param fallback limits for those that the table does not name; null when it must name all
+   * @param defaults limits for absent fields; null if all fields are required
    */
-  private static Settings.StoreLimits storeLimits(Table table, Settings.StoreLimits fallback) {
-    boolean required = fallback == null;
+  private static Settings.StoreLimits readStoreLimits(Table table, Settings.StoreLimits defaults) {
+    boolean required = defaults == null;
     return new Settings.StoreLimits(
-        required || table.has("rps")
+        required || table.contains("rps")
             ? table.number("rps", 1, MAX_NUMBER)
-            : fallback.requestsPerSecond(),
-        required || table.has("write_rps")
+            : defaults.requestsPerSecond(),
+        required || table.contains("write_rps")
             ? table.number("write_rps", 1, MAX_NUMBER)
-            : fallback.writesPerSecond(),
-        required || table.has("value_kb")
+            : defaults.writesPerSecond(),
+        required || table.contains("value_kb")
             ? (int) (table.number("value_kb", 1, 1e5) * 1024)
-            : fallback.valueBytes(),
-        required || table.has("txn_ops")
+            : defaults.valueBytes(),
+        required || table.contains("txn_ops")
             ? (int) table.number("txn_ops", MIN_TRANSACTION_OPS, MAX_NUMBER)
-            : fallback.transactionOps());
+            : defaults.transactionOps());
   }
 
-  /** One table of the file, with its path for messages. */
+  /** A table of the settings file, with its path for error messages. */
   private final class Table {
     private final String path;
     private final JsonNode node;
 
-    Table(String place, JsonNode node) {
-      this.path = place;
+    Table(String path, JsonNode node) {
+      this.path = path;
       this.node = node;
     }
 
@@ -241,100 +247,100 @@
       return path.isEmpty() ? name : path + "." + name;
     }
 
-    boolean has(String name) {
+    boolean contains(String name) {
       return node != null && node.has(name);
     }
 
-    private JsonNode get(String name) {
-      JsonNode found = node == null ? null : node.get(name);
-      if (found == null) {
-        faults.add(pathOf(name) + " is missing");
+    private JsonNode required(String name) {
+      JsonNode value = node == null ? null : node.get(name);
+      if (value == null) {
+        errors.add(pathOf(name) + " is missing");
       }
-      return found;
+      return value;
     }
 
     Table table(String name) {
-      JsonNode found = get(name);
-      if (found != null && !found.isObject()) {
-        faults.add(pathOf(name) + " is not a table");
-        found = null;
+      JsonNode value = required(name);
+      if (value != null && !value.isObject()) {
+        errors.add(pathOf(name) + " is not a table");
+        value = null;
       }
-      return new Table(pathOf(name), found);
+      return new Table(pathOf(name), value);
     }
 
     List<Table> tables(String name) {
       List<Table> tables = new ArrayList<>();
-      JsonNode found = node == null ? null : node.get(name);
-      if (found == null) {
+      JsonNode value = node == null ? null : node.get(name);
+      if (value == null) {
         return tables;
       }
-      if (!found.isArray()) {
-        faults.add(pathOf(name) + " is not a list of tables");
+      if (!value.isArray()) {
+        errors.add(pathOf(name) + " is not a list of tables");
         return tables;
       }
-      for (JsonNode item : found) {
+      for (JsonNode item : value) {
         tables.add(new Table(pathOf(name) + "[" + tables.size() + "]", item));
       }
       return tables;
     }
 
-    String text(String name) {
-      JsonNode found = get(name);
-      if (found == null) {
+    String string(String name) {
+      JsonNode value = required(name);
+      if (value == null) {
         return "";
       }
-      if (!found.isTextual() || found.textValue().isEmpty()) {
-        faults.add(pathOf(name) + " is not a text");
+      if (!value.isTextual() || value.textValue().isEmpty()) {
+        errors.add(pathOf(name) + " is not a text");
         return "";
       }
-      return found.textValue();
+      return value.textValue();
     }
 
     String address(String name) {
-      String found = text(name);
-      if (!found.isEmpty()) {
-        boolean valid = IPV4_ADDRESS.matcher(found).matches();
-        if (!valid || Integer.parseInt(found.substring(found.lastIndexOf(':') + 1)) > 65535) {
-          faults.add(pathOf(name) + " is not an IPv4 address with a port");
+      String address = string(name);
+      if (!address.isEmpty()) {
+        boolean valid = IPV4_ADDRESS.matcher(address).matches();
+        if (!valid || Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)) > 65535) {
+          errors.add(pathOf(name) + " is not an IPv4 address with a port");
         }
       }
-      return found;
+      return address;
     }
 
-    List<String> texts(String name) {
-      List<String> texts = new ArrayList<>();
-      JsonNode found = get(name);
-      if (found == null) {
-        return texts;
+    List<String> strings(String name) {
+      List<String> strings = new ArrayList<>();
+      JsonNode value = required(name);
+      if (value == null) {
+        return strings;
       }
-      if (!found.isArray() || found.isEmpty()) {
-        faults.add(pathOf(name) + " is not a list of texts");
-        return texts;
+      if (!value.isArray() || value.isEmpty()) {
+        errors.add(pathOf(name) + " is not a list of texts");
+        return strings;
       }
-      for (JsonNode item : found) {
+      for (JsonNode item : value) {
         if (!item.isTextual()) {
-          faults.add(pathOf(name) + " holds something that is not a text");
+          errors.add(pathOf(name) + " holds something that is not a text");
         }
-        texts.add(item.asText());
+        strings.add(item.asText());
       }
-      return texts;
+      return strings;
     }
 
     double number(String name, double min, double max) {
-      JsonNode found = get(name);
-      if (found == null) {
+      JsonNode value = required(name);
+      if (value == null) {
         return min;
       }
-      if (!found.isNumber()) {
-        faults.add(pathOf(name) + " is not a number");
+      if (!value.isNumber()) {
+        errors.add(pathOf(name) + " is not a number");
         return min;
       }
-      double value = found.doubleValue();
-      if (!(value >= min && value <= max)) {
-        faults.add(pathOf(name) + " is out of range");
+      double number = value.doubleValue();
+      if (!(number >= min && number <= max)) {
+        errors.add(pathOf(name) + " is out of range");
         return min;
       }
-      return value;
+      return number;
     }
 
     Duration seconds(String name, double min) {
--- a/src/main/java/io/pineladder/wire/StoreWire.java
+++ b/src/main/java/io/pineladder/wire/StoreWire.java
@@ -9,31 +9,31 @@
 
 /** Messages of the state service, the consensus-backed key-value store. */
 public final class StoreWire {
-  /** Keys in a full page of a list. */
+  /** Number of keys in a full page of a list. */
   public static final int PAGE_SIZE = 1000;
 
-  /** The key that names the current generation; the only key without a generation prefix. */
+  /** The key of the current generation; the only key without a generation prefix. */
   public static final String GENERATION_KEY = "generation/current";
 
   private static final long MAX_REVISION = Long.MAX_VALUE;
 
   private StoreWire() {}
 
-  /** A key with its value and the revision of its last change; the value of a deletion is null. */
+  /** A key with its value, null for a deletion, and the revision of its last change. */
   public record Entry(String key, JsonNode value, long revision) {}
 
   /** A page of keys, as of {@code revision}. */
   public record Page(List<Entry> entries, boolean more, long revision) {
-    /** The key after which the next page begins; null when this is the last one. */
+    /** The key after which the next page begins; null if this is the last page. */
     public String nextPageAfter() {
       return more && !entries.isEmpty() ? entries.get(entries.size() - 1).key() : null;
     }
   }
 
-  /** The changes up to {@code revision}, in order; a deletion has a null value. */
+  /** The changes up to {@code revision}, in order. */
   public record Changes(long revision, List<Entry> entries) {}
 
-  /** Builds a compare-and-swap transaction: all changes are applied, or none of them. */
+  /** Builds a compare-and-swap transaction; either all of its changes are applied or none. */
   public static final class Transaction {
     private final String keyPrefix;
     private final ObjectNode out = Json.object();
@@ -43,19 +43,19 @@
     /**
      * Creates an empty transaction.
      *
-     * @param keyPrefix prefix of all its keys in the store
+     * @param keyPrefix prefix of the transaction's keys in the store
      */
     public Transaction(String keyPrefix) {
       this.keyPrefix = keyPrefix;
     }
 
-    /** Adds the condition that a key has this revision; 0 means that it does not exist. */
+    /** Adds the condition that a key has the given revision; 0 means that it does not exist. */
     public Transaction require(String key, long revision) {
       conditions.addObject().put("path", keyPrefix + key).put("stamp", revision);
       return this;
     }
 
-    /** Adds the condition that {@link #GENERATION_KEY} has this revision. */
+    /** Adds the condition that {@link #GENERATION_KEY} has the given revision. */
     public Transaction requireGeneration(long revision) {
       conditions.addObject().put("path", GENERATION_KEY).put("stamp", revision);
       return this;
@@ -73,7 +73,7 @@
       return this;
     }
 
-    /** Sets a key that is deleted when the lease expires. */
+    /** Sets a key and attaches it to a lease, whose expiry deletes the key. */
     public Transaction put(String key, JsonNode value, long leaseId) {
       ObjectNode change = changes.addObject().put("write", keyPrefix + key).put("hold", leaseId);
       change.set("v", value);
@@ -86,13 +86,11 @@
       return this;
     }
 
-    /** The request body. */
     public byte[] bytes() {
       return Json.bytes(out);
     }
   }
 
-  /** The path of one key. */
   public static String keyPath(String key) {
     return "/keys/" + key;
   }
@@ -107,19 +105,19 @@
     return after == null ? path : path + "&since=" + after;
   }
 
-  /** The path that waits for changes after a revision, at most for {@code wait}. */
+  /** The path of a request that waits up to {@code wait} for changes after a revision. */
   public static String watchPath(String prefix, long after, Duration wait) {
     return "/follow?prefix=" + prefix + "&since=" + after + "&wait_ms=" + wait.toMillis();
   }
 
-  /** Reads one key; {@code keyPrefix} is removed from its name. */
+  /** Reads one entry and removes {@code keyPrefix} from its key. */
   public static Entry parseEntry(byte[] body, String keyPrefix) throws MalformedMessageException {
     return entry(new Fields(Json.parseObject(body)), keyPrefix);
   }
 
   private static Entry entry(Fields in, String keyPrefix) throws MalformedMessageException {
     return new Entry(
-        withoutPrefix(in.text("path"), keyPrefix),
+        withoutPrefix(in.string("path"), keyPrefix),
         in.node("v"),
         in.integer("stamp", 0, MAX_REVISION));
   }
@@ -128,7 +126,7 @@
     return key.startsWith(keyPrefix) ? key.substring(keyPrefix.length()) : key;
   }
 
-  /** The id of the lease that a key is attached to; 0 for none. */
+  /** The id of the lease to which a key is attached; 0 for none. */
   public static long parseAttachedLease(byte[] body) throws MalformedMessageException {
     return Json.parseObject(body).path("hold").asLong(0);
   }
@@ -138,7 +136,7 @@
     return new Fields(Json.parseObject(body)).integer("epoch", 0, MAX_REVISION);
   }
 
-  /** Reads a page of keys; {@code keyPrefix} is removed from their names. */
+  /** Reads a page of entries and removes {@code keyPrefix} from their keys. */
   public static Page parsePage(byte[] body, String keyPrefix) throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<Entry> entries = new ArrayList<>();
@@ -148,37 +146,37 @@
     return new Page(entries, in.boolOr("truncated", false), in.integer("epoch", 0, MAX_REVISION));
   }
 
-  /** Reads changes; {@code keyPrefix} is removed from the names of the keys. */
+  /** Reads changes and removes {@code keyPrefix} from their keys. */
   public static Changes parseChanges(byte[] body, String keyPrefix)
       throws MalformedMessageException {
     Fields in = new Fields(Json.parseObject(body));
     List<Entry> entries = new ArrayList<>();
     for (Fields item : in.objects("log")) {
-      String written = item.textOr("write", null);
+      String writtenKey = item.stringOr("write", null);
       entries.add(
-          written != null
+          writtenKey != null
               ? new Entry(
-                  withoutPrefix(written, keyPrefix),
+                  withoutPrefix(writtenKey, keyPrefix),
                   item.node("v"),
                   item.integer("stamp", 0, MAX_REVISION))
               : new Entry(
-                  withoutPrefix(item.text("remove"), keyPrefix),
+                  withoutPrefix(item.string("remove"), keyPrefix),
                   null,
                   item.integer("stamp", 0, MAX_REVISION)));
     }
     return new Changes(in.integer("epoch", 0, MAX_REVISION), entries);
   }
 
-  /** The keys whose conditions did not hold when a transaction was refused. */
+  /** The keys whose conditions did not hold in a rejected transaction. */
   public static List<String> parseFailedConditions(byte[] body, String keyPrefix)
       throws MalformedMessageException {
-    List<String> failed = new Fields(Json.parseObject(body)).textsOrNull("failed");
+    List<String> failed = new Fields(Json.parseObject(body)).stringsOrNull("failed");
     return failed == null
         ? List.of()
         : failed.stream().map(key -> withoutPrefix(key, keyPrefix)).toList();
   }
 
-  /** The request body for a lease of this duration. */
+  /** Encodes a request for a lease of the given duration. */
   public static byte[] leaseRequest(Duration duration) {
     return Json.bytes(Json.object().put("life_ms", duration.toMillis()));
   }
--- a/src/main/java/io/pineladder/wire/WorkerWire.java
+++ b/src/main/java/io/pineladder/wire/WorkerWire.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Heartbeats of workers and orders to them. On the wire a fencing token is a baton, an agent epoch
- * a shift, a machine a host and a task a piece; these words are mapped here and nowhere else.
+ * Heartbeats of workers and orders to workers. On the wire, a fencing token is called {@code
+ * baton}, an agent epoch {@code shift}, a machine {@code host} and a task {@code piece}.
  */
 public final class WorkerWire {
   private static final Map<String, TaskState> TASK_STATES =
@@ -43,22 +43,22 @@
     EXITED
   }
 
-  /** A task of a job. */
+  /** Identifies a task of a job. */
   public record TaskId(String job, int index) {
-    static TaskId parse(String text) throws MalformedMessageException {
-      int slash = text.lastIndexOf('/');
-      if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > 8) {
+    static TaskId parse(String id) throws MalformedMessageException {
+      int slash = id.lastIndexOf('/');
+      if (slash <= 0 || slash == id.length() - 1 || id.length() - slash > 8) {
         throw new MalformedMessageException("piece is not a task");
       }
       int index = 0;
-      for (int i = slash + 1; i < text.length(); i++) {
-        char c = text.charAt(i);
+      for (int i = slash + 1; i < id.length(); i++) {
+        char c = id.charAt(i);
         if (c < '0' || c > '9') {
           throw new MalformedMessageException("piece is not a task");
         }
         index = index * 10 + (c - '0');
       }
-      return new TaskId(text.substring(0, slash), index);
+      return new TaskId(id.substring(0, slash), index);
     }
 
     @Override
@@ -68,15 +68,15 @@
   }
 
   /**
-   * One task in a heartbeat.
+   * The status of one task in a heartbeat.
    *
    * @param endReason null unless the task has exited
-   * @param checkpointSaved whether its checkpoint was saved before it exited
+   * @param checkpointSaved whether a checkpoint was saved before the task exited
    */
   public record TaskStatus(
       TaskId task, long attempt, TaskState state, EndReason endReason, boolean checkpointSaved) {
 
-    /** The key of the attempt in its machine's list of attempts. */
+    /** The attempt's key among the attempts of its machine. */
     public String attemptKey() {
       return Machine.attemptKey(task.job, task.index, attempt);
     }
@@ -86,9 +86,10 @@
    * A heartbeat with the status of a machine.
    *
    * @param agentEpoch changes when the agent restarts
-   * @param sequence numbers the heartbeats of an agent epoch
+   * @param sequence sequence number within the agent epoch
    * @param token the highest fencing token that the worker has seen
-   * @param reclaimNotice time until the cloud reclaims the spot machine; null unless it does
+   * @param reclaimNotice time until the cloud reclaims the spot machine; null if no reclaim is
+   *     announced
    */
   public record Heartbeat(
       String machine,
@@ -107,28 +108,28 @@
     Fields in = new Fields(Json.parseObject(body));
     List<TaskStatus> tasks = new ArrayList<>();
     for (Fields task : in.objects("pieces")) {
-      TaskState state = TASK_STATES.get(task.text("status"));
+      TaskState state = TASK_STATES.get(task.string("status"));
       if (state == null) {
         throw new MalformedMessageException("status is not known");
       }
-      // An end reason that this version does not know counts as a failure of the task.
+      // An unknown end reason counts as a failure of the task.
       EndReason endReason =
           state == TaskState.EXITED
-              ? END_REASONS.getOrDefault(task.textOr("cause", "error"), EndReason.ERROR)
+              ? END_REASONS.getOrDefault(task.stringOr("cause", "error"), EndReason.ERROR)
               : null;
       tasks.add(
           new TaskStatus(
-              TaskId.parse(task.text("piece")),
+              TaskId.parse(task.string("piece")),
               task.integer("try", 0, Long.MAX_VALUE),
               state,
               endReason,
               task.boolOr("stored", false)));
     }
     return new Heartbeat(
-        in.text("host"),
-        in.text("addr"),
-        in.text("hull"),
-        in.text("yard"),
+        in.string("host"),
+        in.string("addr"),
+        in.string("hull"),
+        in.string("yard"),
         in.boolOr("loaners", false),
         in.integer("shift", 0, Long.MAX_VALUE),
         in.integer("tally", 0, Long.MAX_VALUE),
@@ -137,7 +138,7 @@
         tasks);
   }
 
-  /** Orders in the sequence in which the worker is to execute them. */
+  /** Orders to a worker, in the order of execution. */
   public static final class Orders {
     private final ArrayNode list = Json.array();
 
@@ -150,17 +151,16 @@
       add("start", job, index, attempt);
     }
 
-    /** Adds an order to end an attempt, with a grace period for its checkpoint. */
+    /** Adds an order to end an attempt, with a grace period for saving a checkpoint. */
     public void kill(String job, int index, long attempt, Duration grace) {
       add("kill", job, index, attempt).put("wind_down_s", JobWire.seconds(grace));
     }
 
-    /** Adds an order to drop an exited attempt from the heartbeats. */
+    /** Adds an order to omit an exited attempt from further heartbeats. */
     public void forget(String job, int index, long attempt) {
       add("forget", job, index, attempt);
     }
 
-    /** Whether there is no order. */
     public boolean isEmpty() {
       return list.isEmpty();
     }
@@ -173,14 +173,14 @@
     return Json.bytes(out);
   }
 
-  /** Orders that are sent to a worker outside the response to a heartbeat. */
+  /** The body of a request that sends orders to a worker outside of a heartbeat response. */
   public static byte[] command(long token, long agentEpoch, Orders orders) {
     ObjectNode out = Json.object().put("baton", token).put("shift", agentEpoch);
     out.set("orders", orders.list);
     return Json.bytes(out);
   }
 
-  /** Redirects a worker to {@code leader}; null when no leader is known. */
+  /** The body of a response that redirects a worker to {@code leader}; null if none is known. */
   public static byte[] redirect(String leader) {
     ObjectNode out = Json.object();
     if (leader != null) {
--- a/src/main/java/io/pineladder/wire/package-info.java
+++ b/src/main/java/io/pineladder/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The forms of everything that is sent, received, stored or read from the settings file. The words
- * of the protocol and of stored records are mapped to the field's terms here and nowhere else.
+ * Encodings of all messages, stored records and the settings file. Only this package maps the names
+ * used by the protocol and in stored records to the names used in the code.
  */
 package io.pineladder.wire;
--- a/src/test/java/io/pineladder/wire/JobWireTest.java
+++ b/src/test/java/io/pineladder/wire/JobWireTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class JobWireTest {
-  private static final String GOOD =
+  private static final String VALID_JOB =
       """
       {"ref":"req-000412","jobclass":"train","owner":"vision","shape":"group","rank":"urgent",
        "pieces":16,"vcpus":8.5,"cards":1.0,"memory_gb":64.0,"bundle":"img-07","image_gb":6.2,
@@ -27,16 +27,17 @@
   }
 
   @Test
-  void aStoredJobReadsBackUnchanged() throws MalformedMessageException {
-    JobSpec spec = JobWire.parse(utf8(GOOD));
-    BitSet done = new BitSet();
-    done.set(3);
-    done.set(5, 9);
+  void roundTripsStoredJob() throws MalformedMessageException {
+    JobSpec spec = JobWire.parse(utf8(VALID_JOB));
+    BitSet completed = new BitSet();
+    completed.set(3);
+    completed.set(5, 9);
     var stored =
         RecordWire.parseJob(RecordWire.job(spec, Instant.ofEpochMilli(77), Job.State.CANCELLED));
     assertEquals(spec, stored.spec());
-    var completions = RecordWire.parseCompletions(RecordWire.completions("req-1", done, 0, 100));
-    assertEquals(done, completions.completed());
+    var completions =
+        RecordWire.parseCompletions(RecordWire.completions("req-1", completed, 0, 100));
+    assertEquals(completed, completions.completed());
     assertEquals(Job.State.CANCELLED, stored.state());
     assertEquals(Instant.ofEpochMilli(77), stored.acceptedAt());
   }
@@ -62,20 +63,20 @@
         "\"bundle\":\"img-07\"|\"bundle\":\"\"",
         "{\"ref\"|[{\"ref\"",
       })
-  void refusesMalformedJobs(String part, String instead) {
-    String bad = GOOD.replace(part, instead);
-    assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(bad)), bad);
+  void rejectsMalformedJob(String original, String replacement) {
+    String malformed = VALID_JOB.replace(original, replacement);
+    assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(malformed)), malformed);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "7", "null", "[]", "{", "{} x"})
-  void refusesABodyThatIsNoObject(String body) {
+  void rejectsBodyThatIsNotAnObject(String body) {
     assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(body)));
   }
 
   @Test
-  void refusesABodyOver64KiB() {
-    String padded = GOOD.replace("[1]", "\"" + "x".repeat(JobWire.MAX_BODY_BYTES) + "\"");
+  void rejectsBodyOver64KiB() {
+    String padded = VALID_JOB.replace("[1]", "\"" + "x".repeat(JobWire.MAX_BODY_BYTES) + "\"");
     assertThrows(MalformedMessageException.class, () -> JobWire.parse(utf8(padded)));
   }
 }
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -15,9 +15,9 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
-/** Checks which settings are accepted, and the messages for those that are not. */
+/** Accepted settings, and the error messages for rejected ones. */
 public class SettingsReaderTest {
-  /** A deployment of two zones; {@code member} and the addresses are to be filled in. */
+  /** A deployment with two zones; other tests replace {@code member} and the addresses. */
   public static final String GOOD =
       """
       member = "rung-0"
@@ -82,7 +82,7 @@
       """;
 
   @Test
-  void readsThePlatformsSettings() throws SettingsReader.BadSettingsException {
+  void readsSettings() throws SettingsReader.BadSettingsException {
     Settings settings = SettingsReader.parse(GOOD);
     assertEquals("rung-0", settings.controllerName());
     assertEquals(2, settings.peers().size());
@@ -93,8 +93,8 @@
   }
 
   @Test
-  void namesEveryErrorInOneMessage() {
-    String bad =
+  void reportsAllErrorsInOneMessage() {
+    String invalid =
         GOOD.replace("area = \"a\"\nfront", "front")
             .replace("txn_ops = 12", "txn_ops = \"many\"")
             .replace("10.2.0.1:2379", "state.example:99")
@@ -102,8 +102,9 @@
             .replace("max_sockets = 1100", "max_sockets = 3")
             .replace("gpus_max = 8.0", "gpus_max = true");
     var thrown =
-        assertThrows(SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(bad));
-    for (String part :
+        assertThrows(
+            SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(invalid));
+    for (String error :
         new String[] {
           "area is missing",
           "deployment.state.txn_ops is not a number",
@@ -112,31 +113,31 @@
           "deployment.resources.max_sockets is out of range",
           "deployment.teams[0].gpus_max is not a number"
         }) {
-      assertTrue(thrown.getMessage().contains(part), thrown.getMessage());
+      assertTrue(thrown.getMessage().contains(error), thrown.getMessage());
     }
   }
 
-  /** What cannot be served is refused at the start, with the field's name. */
+  /** Settings with which the controller cannot work are rejected with the name of the field. */
   @Test
-  void refusesUnsupportedSettings() {
+  void rejectsUnsupportedSettings() {
     String seeds = GOOD.substring(GOOD.indexOf("[[seeds]]"), GOOD.indexOf("[external]"));
-    Map<String, String> refused =
+    Map<String, String> errorsByToml =
         Map.of(
             GOOD.replace(seeds, ""), "seeds names no other controller",
             GOOD.replace("lease_s = 20.0", "lease_s = 3.5"),
                 "deployment.workers.lease_s is not longer than a report may take to come");
-    refused.forEach(
-        (text, fault) -> {
+    errorsByToml.forEach(
+        (toml, error) -> {
           var thrown =
               assertThrows(
-                  SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(text));
-          assertEquals("bad settings: " + fault, thrown.getMessage());
+                  SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(toml));
+          assertEquals("bad settings: " + error, thrown.getMessage());
         });
   }
 
-  /** Any number of controllers and zones, teams without limits, no objectives, short times. */
+  /** More zones, no objectives, and a cancellation bound shorter than the lease. */
   @Test
-  void acceptsOtherDeployments() throws SettingsReader.BadSettingsException {
+  void acceptsUnusualDeployments() throws SettingsReader.BadSettingsException {
     String objectives =
         GOOD.substring(
             GOOD.indexOf("[[deployment.objectives]]"), GOOD.indexOf("[deployment.workers]"));
@@ -152,9 +153,9 @@
     assertEquals(Duration.ZERO, Election.maxWorkerLeaseExtension(settings.workerTimes()));
   }
 
-  /** Where the platform names no sockets there is a connection for each worker of a large fleet. */
+  /** The default number of sockets allows a connection for each worker of a large fleet. */
   @Test
-  void defaultMaxSocketsFitALargeFleet() throws SettingsReader.BadSettingsException {
+  void defaultMaxSocketsSufficeForLargeFleet() throws SettingsReader.BadSettingsException {
     Instant now = Instant.EPOCH;
     EventLoop eventLoop =
         new EventLoop() {
@@ -187,14 +188,14 @@
     assertEquals(1_000, SettingsReader.defaultMaxSockets(1_024));
     assertEquals(3_996, SettingsReader.defaultMaxSockets(4_096));
     assertEquals(7_000, SettingsReader.defaultMaxSockets(Long.MAX_VALUE));
-    int untold =
+    int defaultSockets =
         SettingsReader.parse(GOOD.substring(0, GOOD.indexOf("[deployment.resources]")))
             .maxSockets();
-    assertTrue(untold >= 1_000 && untold <= 7_000);
+    assertTrue(defaultSockets >= 1_000 && defaultSockets <= 7_000);
   }
 
   @Test
-  void refusesAFileThatIsNotToml() {
+  void rejectsInvalidToml() {
     var thrown =
         assertThrows(
             SettingsReader.BadSettingsException.class, () -> SettingsReader.parse("member = "));
