--- a/src/main/java/io/pineladder/api/AdmissionPolicy.java
+++ b/src/main/java/io/pineladder/api/AdmissionPolicy.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 
 /**
- * Which jobs are accepted. Leader and followers apply the same policy, so that a job gets the same
- * answer from either.
+ * Decides which jobs are accepted. The leader and the followers apply the same policy, so that a
+ * submission gets the same answer from each of them.
  */
 final class AdmissionPolicy {
-  /** Why a job with prerequisites is not accepted before all controllers support them. */
-  static final String NOT_UPGRADED = "not all controllers are upgraded";
+  /** Reason for refusing a job with prerequisites until all controllers support them. */
+  static final String CONTROLLERS_NOT_UPGRADED = "not all controllers are upgraded";
 
   static final String UNKNOWN_PREREQUISITE = "it waits for a job that was never accepted";
 
@@ -25,16 +25,16 @@
     this.node = node;
   }
 
-  /** Why a job can never run, in the words of the response; empty for a job that can. */
+  /** The reason, as sent to the user, why a job can never run; empty if it can run. */
   Optional<String> rejectionReason(JobSpec spec) {
-    // Sent to the store it would be refused as malformed, and the leader with it.
+    // The store would reject the record as malformed, and a leader that gets this reply resigns.
     if (!Records.fits(spec, node.settings().storeLimits().valueBytes())) {
       return Optional.of("the description is too long to be stored");
     }
     Team team = null;
-    for (Team each : node.settings().teams()) {
-      if (each.name().equals(spec.team())) {
-        team = each;
+    for (Team candidate : node.settings().teams()) {
+      if (candidate.name().equals(spec.team())) {
+        team = candidate;
       }
     }
     if (team == null) {
@@ -52,8 +52,8 @@
     if (spec.isMultiTaskGang()
         && spec.spreadAcrossZones()
         && (spec.sameZone() || zones.size() == 1)) {
-      // A gang runs all at once, with at most half of its tasks in one zone: accepted, this job
-      // would stay pending for ever.
+      // All tasks of a gang run at the same time, and spreading allows at most half of them in one
+      // zone, so this job could never be placed.
       return Optional.of("all of its tasks can't be in one zone and spread over several");
     }
     return team.allows(spec.minimumResources())
--- a/src/main/java/io/pineladder/api/ApiPaths.java
+++ b/src/main/java/io/pineladder/api/ApiPaths.java
@@ -1,6 +1,6 @@
 package io.pineladder.api;
 
-/** The paths that users, workers and the load balancer request. */
+/** Paths of the API for users, workers and the load balancer. */
 final class ApiPaths {
   static final String READY = "/ready";
   static final String HEARTBEAT = "/v1/report";
--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -16,22 +16,22 @@
 import java.util.function.Consumer;
 
 /**
- * Evaluates, without a leader, the dependencies of a job. A job is cancelled along with any job
- * that it depends on, directly or not, even while its own record does not say so yet. All reads
- * begin after the request: the index of accepted jobs is refreshed first, and jobs that are not in
+ * Evaluates the dependencies of a job without a leader. Cancelling a job cancels all jobs that
+ * depend on it, directly or indirectly, even if their own records do not show it yet. All reads
+ * start after the request: the index of accepted jobs is refreshed first, and jobs that are not in
  * it are read one by one. Event thread only.
  */
 final class DependencyChainReader {
-  /** Reads of single jobs for one request; a longer chain is uncertain until a leader answers. */
+  /** Maximum reads of single jobs per request; if more are needed, the outcome is uncertain. */
   private static final int MAX_STORE_READS = 8;
 
-  /** What is known of the jobs that a job depends on. */
+  /** The combined state of the jobs that a job depends on. */
   enum Outcome {
-    /** All were accepted, and none is cancelled. */
+    /** All jobs were accepted, and none is cancelled. */
     NONE_CANCELLED,
-    /** One is cancelled. */
+    /** At least one job is cancelled. */
     CANCELLED,
-    /** One was never accepted. */
+    /** At least one job was never accepted. */
     UNKNOWN_JOB,
     /** The outcome cannot be determined now. */
     UNCERTAIN
@@ -43,7 +43,10 @@
     this.node = node;
   }
 
-  /** Evaluates these jobs and all that they depend on; calls {@code onOutcome} once. */
+  /**
+   * Evaluates the given jobs and all jobs that they depend on; calls {@code onOutcome} exactly
+   * once.
+   */
   void evaluate(List<String> prerequisites, Consumer<Outcome> onOutcome) {
     if (prerequisites.isEmpty()) {
       onOutcome.accept(Outcome.NONE_CANCELLED);
@@ -95,7 +98,7 @@
       onOutcome.accept(Outcome.NONE_CANCELLED);
     }
 
-    /** Adds the prerequisites of an active job; false if a cancelled job ends the evaluation. */
+    /** Queues the prerequisites of an active job; false if a cancelled job ends the evaluation. */
     private boolean expand(Job.State state, List<String> prerequisites) {
       if (state == Job.State.CANCELLED) {
         onOutcome.accept(Outcome.CANCELLED);
@@ -113,8 +116,8 @@
     }
 
     /**
-     * Reads a job's own record, then its final state. A job moves from one to the other in one
-     * transaction, so reading in this order finds every job.
+     * Reads a job's own record, then its final state. One transaction replaces the former by the
+     * latter, so reads in this order cannot miss a job.
      */
     private void readJobRecord(String id) {
       if (++storeReads > MAX_STORE_READS) {
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -19,23 +19,23 @@
 import java.util.function.Consumer;
 
 /**
- * Heartbeats of workers at any controller: the leader answers them; another controller redirects
- * the worker to the leader, forwards the heartbeat of a worker that does not reach the leader, or
- * extends the worker's lease itself. Event thread only.
+ * Handles heartbeats of workers. The leader answers them; any other controller redirects the worker
+ * to the leader, forwards the heartbeat if the worker cannot reach the leader, or extends the
+ * worker's lease itself. Event thread only.
  */
 final class HeartbeatHandler {
-  /** A worker that returns this soon after a redirect has not reached the leader. */
+  /** A worker that returns within this time after a redirect could not reach the leader. */
   private static final Duration REDIRECT_RETURN_WINDOW = Duration.ofSeconds(12);
 
   /**
-   * Workers whose redirects and leader searches are recorded: one and a half times the 4,000
-   * machines of the largest fleets. A worker whose record is evicted is redirected to the leader
-   * again, or gets a new random search time.
+   * Maximum number of workers whose redirects and leader searches are recorded, 1.5 times the
+   * largest supported fleet of 4,000 machines. A worker whose entry is evicted is redirected to the
+   * leader again, or gets a new random search time.
    */
   static final int MAX_TRACKED_WORKERS = 6_000;
 
   private final ControllerNode node;
-  private final Forwarding forwarding;
+  private final RequestForwarder requestForwarder;
   private final LeaseExtensionPolicy leaseExtension;
 
   /** When each worker was last redirected to the leader, or its heartbeat forwarded. */
@@ -44,9 +44,9 @@
   /** The leader of the redirects in {@link #lastRedirects}; null before the first. */
   private RecordWire.LeaderRecord redirectTarget;
 
-  /** Forwards requests to other controllers. */
-  interface Forwarding {
-    /** Tries the addresses in order; runs {@code onUndecided} when none has decided. */
+  /** Forwards requests to other controllers; replaced in tests. */
+  interface RequestForwarder {
+    /** Tries the addresses in order; runs {@code onUndecided} if no controller decides. */
     void forward(
         List<String> addresses,
         PeerWire.ForwardedRequest request,
@@ -54,16 +54,16 @@
         Runnable onUndecided);
   }
 
-  HeartbeatHandler(ControllerNode node, Forwarding forwarding) {
+  HeartbeatHandler(ControllerNode node, RequestForwarder requestForwarder) {
     this.node = node;
-    this.forwarding = forwarding;
+    this.requestForwarder = requestForwarder;
     this.leaseExtension = new LeaseExtensionPolicy(node);
   }
 
   /**
    * Answers a heartbeat.
    *
-   * @param forwarded whether a peer forwarded it
+   * @param forwarded whether another controller forwarded the heartbeat
    */
   void handle(byte[] body, boolean forwarded, Consumer<HttpResponse> answer) {
     WorkerWire.Heartbeat heartbeat;
@@ -80,14 +80,14 @@
             .keepAliveToken(
                 heartbeat.token(), Election.maxWorkerLeaseExtension(node.settings().workerTimes()));
     if (rebuildToken >= heartbeat.token() && rebuildToken > 0) {
-      // No controller leads while the records are rebuilt; running tasks must survive that.
+      // No controller leads while the records are rebuilt, but running tasks must survive.
       answer.accept(ok(WorkerWire.heartbeatResponse(rebuildToken, new WorkerWire.Orders())));
       return;
     }
     LeaderTerm heldTerm = node.heldTerm();
     if (heldTerm != null) {
       byte[] response = heldTerm.onHeartbeat(heartbeat, forwarded);
-      // To a worker that has seen a newer token, orders of this term would be fenced off.
+      // A worker that has seen a newer fencing token rejects orders of this term.
       if (response != null && heartbeat.token() <= heldTerm.term()) {
         answer.accept(ok(response));
         return;
@@ -99,7 +99,8 @@
             && !knownLeader.controllerName().equals(node.settings().controllerName());
     long token = leaseExtension.leaseExtensionToken(heartbeat, knownLeader, leaderIsPeer);
     if (token > 0) {
-      // At once: during a network cut a search through the other controllers takes most of a lease.
+      // Answered without forwarding first: in a network partition, trying the other controllers
+      // would take most of the lease.
       node.leaseKeepAlives().onLeaseRenewed(heartbeat.machine(), heartbeat.zone());
       answer.accept(ok(WorkerWire.heartbeatResponse(token, killOrdersForEndedJobs(heartbeat))));
       return;
@@ -111,7 +112,7 @@
     }
   }
 
-  /** Redirects a worker to the leader, or forwards its heartbeat if the last redirect failed. */
+  /** Redirects a worker to the leader, or forwards its heartbeat if its last redirect failed. */
   private void redirectOrForward(
       RecordWire.LeaderRecord leader,
       WorkerWire.Heartbeat heartbeat,
@@ -119,8 +120,8 @@
       Consumer<HttpResponse> answer) {
     Instant now = node.eventLoop().now();
     if (!leader.equals(redirectTarget)) {
-      // A failed redirect to an earlier leader does not count for this one. Otherwise a heartbeat
-      // once forwarded would be forwarded for ever.
+      // A failed redirect to an earlier leader says nothing about the new one. Without this reset,
+      // all heartbeats of a worker would be forwarded once the first was.
       lastRedirects.clear();
       redirectTarget = leader;
     }
@@ -139,15 +140,15 @@
   }
 
   /**
-   * Forwards the heartbeat of a worker that does not reach the leader, and the leader's response
-   * back; a worker accepts a response from any controller.
+   * Forwards the heartbeat of a worker that cannot reach the leader, and returns the leader's
+   * response; a worker accepts responses from any controller.
    */
   private void forwardToLeader(
       RecordWire.LeaderRecord leader,
       WorkerWire.Heartbeat heartbeat,
       byte[] body,
       Consumer<HttpResponse> answer) {
-    forwarding.forward(
+    requestForwarder.forward(
         List.of(leader.address()),
         new PeerWire.ForwardedRequest("POST", ApiPaths.HEARTBEAT, body, 0),
         response -> {
@@ -158,10 +159,10 @@
   }
 
   /**
-   * Orders that end the tasks of ended jobs. These are the only orders that a controller gives in
-   * place of the leader: a final state is stored and never undone, so no leader wants such a task
-   * to run on. With them a worker's lease can be extended for as long as this controller's replica
-   * is in step with the store, since a cancelled job's tasks end without the worker's lease expiry.
+   * Orders to end the tasks of ended jobs, the only orders that a controller other than the leader
+   * may give: a final state is permanent, so no leader needs such a task. They make it safe to
+   * extend a worker's lease for as long as this controller's replica is up to date, since the tasks
+   * of cancelled jobs then end without the expiry of the lease.
    */
   private WorkerWire.Orders killOrdersForEndedJobs(WorkerWire.Heartbeat heartbeat) {
     WorkerWire.Orders orders = new WorkerWire.Orders();
--- a/src/main/java/io/pineladder/api/LeaderApi.java
+++ b/src/main/java/io/pineladder/api/LeaderApi.java
@@ -17,12 +17,15 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** What the leader does for users, operators and forwarded heartbeats. Event thread only. */
+/**
+ * Serves requests of users and operators, and forwarded heartbeats, as the leader. Event thread
+ * only.
+ */
 final class LeaderApi {
-  /** A request that waits for a commit is answered within this time. */
+  /** Time limit for answering a request that waits for a commit. */
   static final Duration COMMIT_TIMEOUT = Duration.ofMillis(2500);
 
-  /** A request that reads a job's status is answered within this time. */
+  /** Time limit for answering a request that reads a job's status. */
   static final Duration READ_TIMEOUT = Duration.ofMillis(1300);
 
   private final ControllerNode node;
@@ -41,7 +44,7 @@
     this.admission = admission;
   }
 
-  /** Serves a request in this controller's term. */
+  /** Serves a request in the given term of this controller. */
   void handle(
       LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (path.startsWith(AdminApi.PREFIX)) {
@@ -52,7 +55,7 @@
       heartbeats.handle(body, true, answer);
       return;
     }
-    Consumer<HttpResponse> counted =
+    Consumer<HttpResponse> countingAnswer =
         response -> {
           if (response.status() < 500) {
             leader.onRequestAnswered();
@@ -61,24 +64,29 @@
         };
     if (ApiPaths.isSubmission(path)) {
       try {
-        submit(leader, JobWire.parse(body), withTimeout(node.eventLoop(), counted, COMMIT_TIMEOUT));
+        submit(
+            leader,
+            JobWire.parse(body),
+            withTimeout(node.eventLoop(), countingAnswer, COMMIT_TIMEOUT));
       } catch (MalformedMessageException e) {
         answer.accept(error(400, e.getMessage()));
       }
       return;
     }
-    String rest = path.substring(ApiPaths.JOB_PREFIX.length());
+    String jobPath = path.substring(ApiPaths.JOB_PREFIX.length());
     if (method.equals("POST")) {
-      String id = rest.substring(0, rest.length() - ApiPaths.CANCEL_SUFFIX.length());
+      String id = jobPath.substring(0, jobPath.length() - ApiPaths.CANCEL_SUFFIX.length());
       if (!node.storeClient().isHealthy()) {
         answer.accept(unavailable("the state service is not available"));
         return;
       }
-      Consumer<HttpResponse> bounded = withTimeout(node.eventLoop(), counted, COMMIT_TIMEOUT);
-      leader.cancel(id, view -> bounded.accept(toResponse(id, view)));
+      Consumer<HttpResponse> timedAnswer =
+          withTimeout(node.eventLoop(), countingAnswer, COMMIT_TIMEOUT);
+      leader.cancel(id, view -> timedAnswer.accept(toResponse(id, view)));
     } else {
-      Consumer<HttpResponse> bounded = withTimeout(node.eventLoop(), counted, READ_TIMEOUT);
-      leader.readStatus(rest, view -> bounded.accept(toResponse(rest, view)));
+      Consumer<HttpResponse> timedAnswer =
+          withTimeout(node.eventLoop(), countingAnswer, READ_TIMEOUT);
+      leader.readStatus(jobPath, view -> timedAnswer.accept(toResponse(jobPath, view)));
     }
   }
 
@@ -116,7 +124,7 @@
       return;
     }
     if (!node.clusterVersion().allowsChainedJobs()) {
-      answer.accept(unavailable(AdmissionPolicy.NOT_UPGRADED));
+      answer.accept(unavailable(AdmissionPolicy.CONTROLLERS_NOT_UPGRADED));
       return;
     }
     leader.verifyPrerequisites(
@@ -132,7 +140,7 @@
         });
   }
 
-  /** Rejects a job, unless it was accepted before: an accepted job is not judged again. */
+  /** Rejects a job unless it was accepted before; a repeated submission is not re-evaluated. */
   private static void reject(
       LeaderTerm leader, JobSpec spec, String reason, Consumer<HttpResponse> answer) {
     leader.readStatus(
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -24,7 +24,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a controller that reaches no leader can do for users: store submissions, and read job
+ * Serves users while this controller cannot reach a leader: stores submissions and reads job
  * states. Event thread only.
  */
 final class LeaderlessApi {
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Accepts a job without a leader: the record is the same that a leader would write, with the same
-   * compare-and-swap conditions, and an entry in the inbox notifies the next leader.
+   * Accepts a job without a leader. It writes the record that a leader would write, under the same
+   * compare-and-swap conditions, and an inbox entry that notifies the next leader.
    */
   void submit(JobSpec spec, Consumer<HttpResponse> answer) {
     if (node.machineTypes().isEmpty() || !node.storeClient().isHealthy()) {
@@ -54,7 +54,7 @@
             && (!node.replicaManager().replica().hasAllFinalStates()
                 || node.replicaManager().replica().base()
                     != node.storeClient().generation().base()))) {
-      // A job that ended before the loss could not be distinguished from a new one.
+      // A job that ended before the data loss could not be distinguished from a new one.
       answer.accept(unavailable("the records are rebuilt"));
       return;
     }
@@ -73,7 +73,7 @@
       return;
     }
     if (!node.clusterVersion().allowsChainedJobs()) {
-      answer.accept(unavailable(AdmissionPolicy.NOT_UPGRADED));
+      answer.accept(unavailable(AdmissionPolicy.CONTROLLERS_NOT_UPGRADED));
       return;
     }
     dependencyChains.evaluate(
@@ -89,16 +89,19 @@
         });
   }
 
-  /** Rejects a job, unless it was accepted before: an accepted job is not judged again. */
+  /** Rejects a job unless it was accepted before; a repeated submission is not re-evaluated. */
   private void reject(String id, String reason, Consumer<HttpResponse> answer) {
-    read(id, false, found -> answer.accept(found.status() == 404 ? error(422, reason) : found));
+    read(
+        id,
+        false,
+        response -> answer.accept(response.status() == 404 ? error(422, reason) : response));
   }
 
   /**
    * Stores a job.
    *
-   * @param status the status in the response: a job with a cancelled prerequisite is accepted and
-   *     cancelled
+   * @param status the status in the response; {@code CANCELLED} for a job with a cancelled
+   *     prerequisite
    */
   private void storeJob(JobSpec spec, JobWire.Status status, Consumer<HttpResponse> answer) {
     String id = spec.id();
@@ -135,7 +138,8 @@
   /**
    * Answers with a job's status from a fresh read of the store.
    *
-   * @param cancel whether the request cancels the job; it succeeds only if the job has ended
+   * @param cancel whether the request cancels the job; without a leader this succeeds only if the
+   *     job has ended
    */
   void read(String id, boolean cancel, Consumer<HttpResponse> answer) {
     if (!node.replicaManager().generations().isTrusted()) {
@@ -147,8 +151,8 @@
       answerWithState(id, cancel, finalState, answer);
       return;
     }
-    // A job moves from its own key or its page to its final state in one transaction, so reading in
-    // this order finds every job.
+    // One transaction replaces a job's record, under its own key or in a page, by its final state,
+    // so reads in this order cannot miss a job.
     node.storeClient()
         .readForUser(
             RecordKeys.UNPAGED_JOB + id,
@@ -211,7 +215,7 @@
     }
   }
 
-  /** A job whose record has no final state may be cancelled through one of its dependencies. */
+  /** Answers for an accepted job; an active one may be cancelled through its dependencies. */
   private void answerFromIndexedJob(
       String id, boolean cancel, AcceptedJobIndex.IndexedJob job, Consumer<HttpResponse> answer) {
     if (job.state() != Job.State.ACTIVE || job.prerequisites().isEmpty()) {
--- a/src/main/java/io/pineladder/api/LeaseExtensionPolicy.java
+++ b/src/main/java/io/pineladder/api/LeaseExtensionPolicy.java
@@ -11,24 +11,25 @@
 import java.util.Map;
 
 /**
- * When this controller extends a worker's lease in place of a leader that the worker cannot reach.
- * Without that a zone cut off from its leader would lose all its tasks. Extending a lease is safe:
- * no leader takes a worker's lease expiry as proof that its tasks have ended. Event thread only.
+ * Decides when this controller extends a worker's lease on behalf of a leader that the worker
+ * cannot reach, so that a zone partitioned from the leader does not lose all its tasks. This is
+ * safe: no leader takes the expiry of a worker's lease as proof that its tasks have ended. Event
+ * thread only.
  */
 final class LeaseExtensionPolicy {
-  /** A zone that is cut off for longer loses the tasks that run in it. */
+  /** Maximum duration of a partition for which the tasks of a partitioned zone are kept running. */
   private static final Duration MAX_ISOLATED_LEASE_EXTENSION = Duration.ofMinutes(30);
 
-  /** Between two attempts of a worker in a cut-off zone to find a leader elsewhere. */
+  /** Interval between a worker's searches for a leader while its zone is partitioned. */
   private static final Duration LEADER_SEARCH_INTERVAL = Duration.ofSeconds(40);
 
-  /** How long a worker waits for a controller that does not respond. */
+  /** Time that a worker waits for a controller that does not respond. */
   private static final Duration UNRESPONSIVE_CONTROLLER_DELAY = Duration.ofSeconds(5);
 
   private final ControllerNode node;
   private final Instant startedAt;
 
-  /** When each worker in a cut-off zone was last sent to the other controllers. */
+  /** When each worker in a partitioned zone was last redirected to the other controllers. */
   private final Map<String, Instant> lastLeaderSearches = new LinkedHashMap<>();
 
   LeaseExtensionPolicy(ControllerNode node) {
@@ -37,9 +38,9 @@
   }
 
   /**
-   * The fencing token with which this controller extends a worker's lease in place of the leader; 0
-   * when it does not. Any controller may answer with a token that the worker has seen, as long as
-   * its only orders end tasks of ended jobs.
+   * The fencing token with which this controller extends a worker's lease on behalf of the leader;
+   * 0 if it does not extend it. Any controller may answer with a token that the worker has seen, as
+   * long as it gives no orders except to end tasks of ended jobs.
    *
    * @param knownLeader may be null
    * @param leaderIsPeer whether the known leader is another controller
@@ -53,31 +54,33 @@
       if (!node.membership().isUnreachable(knownLeader.controllerName())) {
         return 0;
       }
-      boolean replicaInStep =
+      boolean replicaUpToDate =
           heartbeat.token() <= election.knownLeaderTerm()
               && node.replicaManager().follower().isFresh();
-      return replicaInStep || mayExtendForUnreachableLeader(knownLeader, heartbeat)
+      return replicaUpToDate || mayExtendForUnreachableLeader(knownLeader, heartbeat)
           ? newestToken
           : 0;
     }
     if (election.holdsTerm()) {
-      // The leader itself is cut off with the zone: it decides nothing, and running tasks go on. A
-      // delayed command of a later leader may have shown the worker a higher token.
+      // This controller leads but is partitioned along with the zone: it makes no decisions, and
+      // running tasks continue. A delayed command of a later leader may have given the worker a
+      // higher token.
       return !storeHealthy && mayExtendWhileIsolated(heartbeat, election.leaseExpiresAt())
           ? newestToken
           : 0;
     }
-    // A process that started in a zone that is cut off, or in an outage of the state service.
+    // This process started in a partitioned zone or during an outage of the state service.
     boolean noLeaderKnown = knownLeader == null && !storeHealthy && heartbeat.token() > 0;
     return noLeaderKnown && mayExtendWhileIsolated(heartbeat, startedAt) ? heartbeat.token() : 0;
   }
 
   /**
-   * Whether this controller extends a lease in place of a leader that it cannot reach.
+   * Whether this controller extends a lease on behalf of a leader that it cannot reach.
    *
-   * <p>The store need not confirm the term to a controller in the worker's own zone: such a
-   * controller is most likely cut off along with the worker, and neither reaches any other.
-   * Otherwise a cut would cost a zone its tasks depending on where the leader happened to run.
+   * <p>A controller in the worker's own zone does not need the store to confirm the term: it is
+   * most likely partitioned along with the worker, and neither reaches another controller.
+   * Otherwise it would depend on the location of the leader whether a partitioned zone keeps its
+   * tasks.
    */
   private boolean mayExtendForUnreachableLeader(
       RecordWire.LeaderRecord knownLeader, WorkerWire.Heartbeat heartbeat) {
@@ -93,23 +96,26 @@
   }
 
   /**
-   * Whether this controller, which reaches neither leader nor store, extends a worker's lease: for
-   * a worker of its own zone, since both are most likely cut off together, or of any zone while
-   * most controllers report an outage of the store. It may do so for as long as the cut lasts,
-   * since no user gets the answer that a job is cancelled while a task of it may still run.
+   * Whether this controller, which reaches neither the leader nor the store, extends a worker's
+   * lease: for workers of its own zone, since both are most likely partitioned together, or of any
+   * zone while most controllers report an outage of the store. It may do so up to {@link
+   * #MAX_ISOLATED_LEASE_EXTENSION}, since no user is told that a job is cancelled while a task of
+   * it may still run.
    *
-   * <p>This controller may also be the only one that is cut off, while the worker could reach a
-   * leader. So after a while each worker is sent to the other controllers from time to time, and
-   * returns well before its lease expires if none of them answers. This is not done in an outage of
-   * the store for all: workers would go back and forth between a leader that does not extend their
-   * leases and controllers that redirect them to it, until the leases expire.
+   * <p>This controller may also be the only one that is partitioned, while the worker could reach a
+   * leader. So once the regular extension is used up, each worker is redirected to the other
+   * controllers at intervals, and returns well before its lease expires if none of them answers.
+   * During a general outage of the store this is not done: workers would alternate between a leader
+   * that does not extend their leases and controllers that redirect them to it, until the leases
+   * expire.
    *
-   * @param since when the leader was last known to lead; null when it is not known
+   * @param since when the leader was last known to lead; null if unknown
    */
   private boolean mayExtendWhileIsolated(WorkerWire.Heartbeat heartbeat, Instant since) {
     Instant now = node.eventLoop().now();
     if (since == null
-        // A peer that reaches the store has a leader or will: this controller alone is cut off.
+        // A peer reaches the store, so there is or will be a leader, and only this controller is
+        // partitioned.
         || node.membership().isStoreReachableByPeer()
         || now.isAfter(since.plus(MAX_ISOLATED_LEASE_EXTENSION))) {
       return false;
@@ -133,11 +139,11 @@
         && !beginLeaderSearch(heartbeat.machine(), now);
   }
 
-  /** Whether a worker's next search for a leader is due; if so it is recorded as begun. */
+  /** Whether a worker's next search for a leader is due; if so, records its start. */
   private boolean beginLeaderSearch(String machine, Instant now) {
     Instant lastSearch = lastLeaderSearches.get(machine);
     if (lastSearch == null) {
-      // A random offset, so that the workers do not all search at the same time.
+      // Spreads the searches of the workers over the interval.
       long offsetMillis =
           (long) (node.eventLoop().random().nextDouble() * LEADER_SEARCH_INTERVAL.toMillis());
       lastSearch = now.minusMillis(offsetMillis);
--- a/src/main/java/io/pineladder/api/PeerForwarder.java
+++ b/src/main/java/io/pineladder/api/PeerForwarder.java
@@ -15,18 +15,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Forwards requests to other controllers: to the leader, or to any peer that may reach it. Event
- * thread only.
+ * Forwards requests to other controllers: to the leader, or to a peer that may reach the leader.
+ * Event thread only.
  */
-final class PeerForwarder implements HeartbeatHandler.Forwarding {
+final class PeerForwarder implements HeartbeatHandler.RequestForwarder {
   private static final Logger log = LoggerFactory.getLogger(PeerForwarder.class);
 
   private static final Duration FORWARD_TIMEOUT = Duration.ofMillis(1300);
 
-  /** A submission can be stored by this controller itself, so it waits less for the leader. */
+  /** Shorter, because this controller can store a submission itself if the leader is too slow. */
   private static final Duration SUBMISSION_FORWARD_TIMEOUT = Duration.ofMillis(700);
 
-  /** After a failed call nothing is forwarded to the leader for this long. */
+  /** Time after a failed call to the leader during which nothing is forwarded to it. */
   private static final Duration LEADER_RETRY_DELAY = Duration.ofSeconds(1);
 
   private final ControllerNode node;
@@ -37,10 +37,10 @@
   }
 
   /**
-   * Forwards a user's or operator's request to the leader, and to the peers while the state service
-   * is out of reach.
+   * Forwards a request of a user or an operator to the leader, and to other peers as well if the
+   * state service is unreachable.
    *
-   * @param onUndecided runs when no controller has decided the request
+   * @param onUndecided runs if no controller decides the request
    */
   void forwardToLeader(
       String method,
@@ -54,8 +54,7 @@
       addresses.add(knownLeader.address());
     }
     if (!node.storeClient().isHealthy()) {
-      // Without the state service this controller may know an old leader only; its peers may know
-      // a newer one.
+      // Without the state service the known leader may be outdated; a peer may know a newer one.
       for (String peer : node.membership().candidateAddresses()) {
         if (!addresses.contains(peer)) {
           addresses.add(peer);
@@ -65,7 +64,7 @@
     forward(addresses, new PeerWire.ForwardedRequest(method, path, body, 1), answer, onUndecided);
   }
 
-  /** Whether there is a leader other than this controller whose last call did not just fail. */
+  /** Whether another controller leads, is reachable, and no call to it has failed recently. */
   boolean canReachLeader(RecordWire.LeaderRecord knownLeader) {
     boolean leaderIsPeer =
         knownLeader != null
--- a/src/main/java/io/pineladder/api/PeerRequestHandler.java
+++ b/src/main/java/io/pineladder/api/PeerRequestHandler.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Serves requests that other controllers forward to this one. Event thread only. */
+/** Serves requests forwarded by other controllers. Event thread only. */
 final class PeerRequestHandler {
   private final ControllerNode node;
   private final LeaderApi leaderApi;
@@ -33,7 +33,10 @@
     this.forwarder = forwarder;
   }
 
-  /** Serves a forwarded request as the leader, forwards it again, or stores a submission. */
+  /**
+   * Serves a forwarded request as the leader, forwards it again, or stores a submission without a
+   * leader.
+   */
   void handle(byte[] body, Consumer<HttpResponse> answer) {
     PeerWire.ForwardedRequest request;
     try {
@@ -56,8 +59,8 @@
                         new PeerWire.ForwardedResponse(
                             false, unavailable("no leader"), leaderName))));
     boolean submission = ApiPaths.isSubmission(request.path());
-    // A submission that this controller cannot accept may be accepted by the next one, so it counts
-    // as undecided.
+    // Another controller may accept a submission that is unavailable here, so it counts as
+    // undecided.
     Consumer<HttpResponse> onServed =
         submission
             ? response -> {
@@ -87,7 +90,7 @@
         withoutLeader);
   }
 
-  /** Stores a submission on behalf of a peer that reaches neither a leader nor the store. */
+  /** Stores a submission for a peer that reaches neither a leader nor the store. */
   private void submitOnBehalfOfPeer(byte[] body, Consumer<HttpResponse> answer) {
     try {
       leaderlessApi.submit(
--- a/src/main/java/io/pineladder/api/ReadinessCheck.java
+++ b/src/main/java/io/pineladder/api/ReadinessCheck.java
@@ -6,11 +6,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Whether the load balancer should send requests to this controller. Event thread only. */
+/** Readiness of this controller for requests from the load balancer. Event thread only. */
 final class ReadinessCheck {
   private static final Logger log = LoggerFactory.getLogger(ReadinessCheck.class);
 
-  /** A response of the state service or a peer counts as contact for this long. */
+  /** Time for which a response of the state service or a peer counts as contact. */
   private static final Duration CONTACT_TIMEOUT = Duration.ofSeconds(6);
 
   private final ControllerNode node;
@@ -21,9 +21,9 @@
   }
 
   /**
-   * A controller is ready while it reaches the state service, leads, or reaches a peer. In an
-   * outage of the state service no controller serves better than another, and one taken out of
-   * service would come back late.
+   * A controller is ready while it leads, reaches the state service, or reaches a peer. An outage
+   * of the state service does not end readiness: it affects all controllers alike, and the load
+   * balancer would take them back with a delay.
    */
   boolean isReady() {
     boolean readyNow =
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -22,14 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Routes the requests that reach this controller to the part that serves them: {@link LeaderApi}
- * while it leads, otherwise another controller through {@link PeerForwarder}, and {@link
- * LeaderlessApi} when no controller decides. Each request is answered exactly once. Event thread
- * only.
+ * Routes the requests that reach this controller: to {@link LeaderApi} while this controller leads,
+ * otherwise to another controller through {@link PeerForwarder}, and to {@link LeaderlessApi} if no
+ * controller decides. Each request is answered exactly once. Event thread only.
  */
 public final class RequestRouter {
   private static final Logger log = LoggerFactory.getLogger(RequestRouter.class);
-  private static final byte[] EMPTY = new byte[0];
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   private final ControllerNode node;
   private final Metrics metrics;
@@ -41,7 +40,7 @@
   private final PeerRequestHandler peerRequests;
   private final ReadinessCheck readiness;
 
-  /** Creates the router of a controller; nothing is sent before a request arrives. */
+  /** Creates the router of a controller; sends nothing by itself. */
   public RequestRouter(ControllerNode node, Metrics metrics) {
     this.node = node;
     this.metrics = metrics;
@@ -74,17 +73,17 @@
     String pathOnly = path.indexOf('?') < 0 ? path : path.substring(0, path.indexOf('?'));
     switch (pathOnly) {
       case ApiPaths.READY -> {
-        if (allow("GET", method, answer)) {
-          answer.accept(new HttpResponse(readiness.isReady() ? 200 : 503, EMPTY));
+        if (checkMethod("GET", method, answer)) {
+          answer.accept(new HttpResponse(readiness.isReady() ? 200 : 503, EMPTY_BODY));
         }
       }
       case ApiPaths.HEARTBEAT -> {
-        if (allow("POST", method, answer)) {
+        if (checkMethod("POST", method, answer)) {
           heartbeats.handle(body, false, answer);
         }
       }
       case ApiPaths.JOBS -> {
-        if (allow("POST", method, answer)) {
+        if (checkMethod("POST", method, answer)) {
           submit(body, answer);
         }
       }
@@ -98,18 +97,19 @@
       answer.accept(error(404, "no such path"));
       return;
     }
-    String rest = path.substring(ApiPaths.JOB_PREFIX.length());
-    boolean cancel = rest.endsWith(ApiPaths.CANCEL_SUFFIX);
-    String id = cancel ? rest.substring(0, rest.length() - ApiPaths.CANCEL_SUFFIX.length()) : rest;
+    String jobPath = path.substring(ApiPaths.JOB_PREFIX.length());
+    boolean cancel = jobPath.endsWith(ApiPaths.CANCEL_SUFFIX);
+    String id =
+        cancel ? jobPath.substring(0, jobPath.length() - ApiPaths.CANCEL_SUFFIX.length()) : jobPath;
     if (id.indexOf('/') >= 0) {
       answer.accept(error(404, "no such path"));
       return;
     }
-    if (!allow(cancel ? "POST" : "GET", method, answer)) {
+    if (!checkMethod(cancel ? "POST" : "GET", method, answer)) {
       return;
     }
     if (!JobWire.isJobId(id)) {
-      // No job with such an id is ever accepted.
+      // No job with an invalid id is accepted.
       answer.accept(error(404, "no such job"));
       return;
     }
@@ -118,10 +118,12 @@
       answer.accept(new HttpResponse(200, JobWire.view(id, finalStatus)));
       return;
     }
-    serve(method, path, EMPTY, answer, () -> readWithoutLeader(id, cancel, answer));
+    serve(method, path, EMPTY_BODY, answer, () -> readWithoutLeader(id, cancel, answer));
   }
 
-  private static boolean allow(String allowedMethod, String method, Consumer<HttpResponse> answer) {
+  /** Whether the method is the allowed one; otherwise answers with status 405. */
+  private static boolean checkMethod(
+      String allowedMethod, String method, Consumer<HttpResponse> answer) {
     if (allowedMethod.equals(method)) {
       return true;
     }
@@ -130,9 +132,9 @@
   }
 
   /**
-   * Serves a request here if this controller leads, otherwise through another controller.
+   * Serves a request locally if this controller leads, otherwise through another controller.
    *
-   * @param onUndecided runs when no controller has decided the request
+   * @param onUndecided runs if no controller decides the request
    */
   private void serve(
       String method,
@@ -145,7 +147,7 @@
       leaderApi.handle(leader, method, path, body, answer);
       return;
     }
-    // A leader that does not reach the store has peers that may be able to store a submission.
+    // If this controller leads but cannot reach the store, a peer may still store a submission.
     forwarder.forwardToLeader(method, path, body, answer, onUndecided);
   }
 
@@ -164,11 +166,11 @@
     }
     if (!spec.prerequisites().isEmpty() && !node.clusterVersion().allowsChainedJobs()) {
       // A leader of the previous version would accept the job without its prerequisites.
-      answer.accept(unavailable(AdmissionPolicy.NOT_UPGRADED));
+      answer.accept(unavailable(AdmissionPolicy.CONTROLLERS_NOT_UPGRADED));
       return;
     }
     Instant receivedAt = node.eventLoop().now();
-    Consumer<HttpResponse> logged =
+    Consumer<HttpResponse> loggingAnswer =
         response -> {
           Duration elapsed = Duration.between(receivedAt, node.eventLoop().now());
           log.debug(
@@ -182,10 +184,10 @@
         "POST",
         ApiPaths.JOBS,
         body,
-        logged,
+        loggingAnswer,
         () ->
             leaderlessApi.submit(
-                spec, withTimeout(node.eventLoop(), logged, LeaderApi.COMMIT_TIMEOUT)));
+                spec, withTimeout(node.eventLoop(), loggingAnswer, LeaderApi.COMMIT_TIMEOUT)));
   }
 
   private void readWithoutLeader(String id, boolean cancel, Consumer<HttpResponse> answer) {
--- a/src/main/java/io/pineladder/api/package-info.java
+++ b/src/main/java/io/pineladder/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The interface for users, workers and the load balancer, and for requests that controllers forward
- * to one another. Event thread only.
+ * The HTTP API for users, workers and the load balancer, and the handling of requests that
+ * controllers forward to each other. Event thread only.
  */
 package io.pineladder.api;
--- a/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
+++ b/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
@@ -22,13 +22,16 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** Reports to a node that does not lead, of more workers than the largest fleets have. */
+/**
+ * Heartbeats from a fleet above the largest supported size to a controller that does not lead; the
+ * entries of workers must not be evicted while they are needed.
+ */
 class HeartbeatHandlerTest {
   private static final int WORKERS = 4_200;
 
   private Instant now = Instant.EPOCH.plusSeconds(100);
 
-  /** The leader that the state service names; null for a service that does not answer. */
+  /** The leader stored in the state service; null if the service does not respond. */
   private RecordWire.LeaderRecord leader;
 
   private final List<byte[]> forwarded = new ArrayList<>();
@@ -56,7 +59,7 @@
         public void schedule(Duration delay, Runnable action) {}
       };
 
-  private void store(AsyncHttpClient.Request request, Consumer<Reply> onReply) {
+  private void serveLeaderKey(AsyncHttpClient.Request request, Consumer<Reply> onReply) {
     if (leader != null && request.path().equals(StoreWire.keyPath(RecordKeys.LEADER))) {
       onReply.accept(
           Reply.answered(
@@ -69,12 +72,12 @@
     }
   }
 
-  private ControllerNode node() {
+  private ControllerNode createNode() {
     try {
       return new ControllerNode(
           SettingsReader.parse(SettingsReaderTest.GOOD),
           eventLoop,
-          this::store,
+          this::serveLeaderKey,
           "nonce",
           null,
           null,
@@ -84,9 +87,9 @@
     }
   }
 
-  private HeartbeatHandler heartbeatHandler(ControllerNode node) {
+  private HeartbeatHandler createHandler(ControllerNode node) {
     return new HeartbeatHandler(
-        node, (ways, request, answer, alone) -> forwarded.add(request.body()));
+        node, (addresses, request, answer, onUndecided) -> forwarded.add(request.body()));
   }
 
   private static byte[] heartbeat(int worker, long token) {
@@ -98,40 +101,38 @@
     return json.formatted(worker, token).getBytes(StandardCharsets.UTF_8);
   }
 
-  /**
-   * A node cut off with its zone: each worker goes the round through the others once in its time.
-   */
+  /** A controller partitioned with its zone redirects each worker once per search interval. */
   @Test
-  void eachWorkerOfALargeFleetSearchesForALeader() {
-    ControllerNode node = node();
-    HeartbeatHandler heartbeats = heartbeatHandler(node);
+  void redirectsEachWorkerOfLargeFleetAtSearchInterval() {
+    ControllerNode node = createNode();
+    HeartbeatHandler heartbeats = createHandler(node);
     now = now.plusSeconds(60);
     int[] redirects = new int[WORKERS];
     for (int second = 0; second < 90; second += 3) {
       for (int worker = 0; worker < WORKERS; worker++) {
-        int of = worker;
+        int index = worker;
         heartbeats.handle(
-            heartbeat(worker, 1), false, http -> redirects[of] += http.status() == 421 ? 1 : 0);
+            heartbeat(worker, 1), false, http -> redirects[index] += http.status() == 421 ? 1 : 0);
       }
       now = now.plusSeconds(3);
     }
-    int withoutSearch = 0;
-    for (int times : redirects) {
-      // Of 90 seconds with a round in 40 and a report in 3: two or three.
-      withoutSearch += times < 2 ? 1 : 0;
+    int workersWithoutSearch = 0;
+    for (int count : redirects) {
+      // Two or three: 90 seconds, a search interval of 40 seconds, a heartbeat every 3 seconds.
+      workersWithoutSearch += count < 2 ? 1 : 0;
     }
-    assertEquals(0, withoutSearch, "workers that lost their round");
+    assertEquals(0, workersWithoutSearch, "workers redirected less than twice");
   }
 
-  /** Workers that are back soon after they were sent to the leader are not sent there again. */
+  /** Workers that return soon after a redirect are not redirected again. */
   @Test
-  void heartbeatsOfWorkersThatDoNotReachTheLeaderAreForwarded() {
-    leader = new RecordWire.LeaderRecord("rung-1", "10.0.0.2:8081", "theirs");
-    ControllerNode node = node();
+  void forwardsHeartbeatWhenWorkerReturnsSoonAfterRedirect() {
+    leader = new RecordWire.LeaderRecord("rung-1", "10.0.0.2:8081", "leader-nonce");
+    ControllerNode node = createNode();
     node.election().start();
-    HeartbeatHandler heartbeats = heartbeatHandler(node);
+    HeartbeatHandler heartbeats = createHandler(node);
     int[] redirects = new int[1];
-    for (int time = 0; time < 2; time++) {
+    for (int round = 0; round < 2; round++) {
       for (int worker = 0; worker < WORKERS; worker++) {
         heartbeats.handle(
             heartbeat(worker, 0), false, http -> redirects[0] += http.status() == 421 ? 1 : 0);
--- a/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -25,12 +25,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One controller over real HTTP on loopback, with nothing else to talk to. */
+/** A single controller over HTTP on loopback, without reachable peers or state service. */
 class RequestRouterHttpTest {
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
   private static XnioEventLoop eventLoop;
-  private static String front;
-  private static String cluster;
+  private static String userAddress;
+  private static String clusterAddress;
 
   private static String freeAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -42,14 +42,14 @@
 
   @BeforeAll
   static void start() throws IOException, SettingsReader.BadSettingsException {
-    front = freeAddress();
-    cluster = freeAddress();
+    userAddress = freeAddress();
+    clusterAddress = freeAddress();
     String unusedAddress = freeAddress();
     Settings settings =
         SettingsReader.parse(
             SettingsReaderTest.GOOD
-                .replace("10.0.0.1:8080", front)
-                .replace("10.0.0.1:8081", cluster)
+                .replace("10.0.0.1:8080", userAddress)
+                .replace("10.0.0.1:8081", clusterAddress)
                 .replaceAll("10\\.[02]\\.0\\.\\d:\\d+", unusedAddress));
     eventLoop = new XnioEventLoop(MAX_SOCKETS, Duration.ofSeconds(1));
     UndertowHttpClient http =
@@ -60,7 +60,7 @@
     RequestRouter router = new RequestRouter(node, metrics);
     eventLoop.serve(
         new XnioEventLoop.Listener(
-            front,
+            userAddress,
             router::handle,
             ConnectionLimiter.TrafficClass.ARRIVING,
             path ->
@@ -69,7 +69,7 @@
                     : ConnectionLimiter.TrafficClass.USERS));
     eventLoop.serve(
         new XnioEventLoop.Listener(
-            cluster,
+            clusterAddress,
             router::handleCluster,
             ConnectionLimiter.TrafficClass.PEERS,
             path -> ConnectionLimiter.TrafficClass.PEERS));
@@ -109,54 +109,55 @@
         "POST|/v1/jobs/req-1/cancel||503",
         "GET|/ready||503",
       })
-  void answersByTheProtocol(String method, String path, String body, int status)
+  void returnsExpectedStatus(String method, String path, String body, int status)
       throws IOException, InterruptedException {
-    assertEquals(status, send(front, method, path, body).statusCode());
+    assertEquals(status, send(userAddress, method, path, body).statusCode());
   }
 
   @Test
-  void aBodyOver64KiBIsMalformed() throws IOException, InterruptedException {
+  void rejectsBodyOver64KiB() throws IOException, InterruptedException {
     String body = "{\"ref\":\"" + "x".repeat(70_000) + "\"}";
-    assertEquals(400, send(front, "POST", "/v1/jobs", body).statusCode());
+    assertEquals(400, send(userAddress, "POST", "/v1/jobs", body).statusCode());
   }
 
   @Test
-  void aValidJobIsUnavailableAtOnceWithoutTheStore() throws IOException, InterruptedException {
+  void returnsUnavailableWhenStoreIsUnreachable() throws IOException, InterruptedException {
     String job =
         """
         {"ref":"req-1","jobclass":"c","owner":"red","shape":"array","rank":"low","pieces":2,
          "vcpus":1.0,"cards":0.0,"memory_gb":1.0,"together":false,"spread":false,"loaners":true,
          "bundle":"i","image_gb":1.0,"guess_s":1.0,"mark_every_s":0.0,"stow_s":0.0}\
         """;
-    HttpResponse<String> response = send(front, "POST", "/v1/jobs", job);
+    HttpResponse<String> response = send(userAddress, "POST", "/v1/jobs", job);
     assertEquals(503, response.statusCode());
     assertEquals("1", response.headers().firstValue("Retry-After").orElse(""));
   }
 
-  /** Without a term a worker must be sent on, or its lease would run out here. */
+  /** A controller without a term must redirect the worker, or its lease would expire. */
   @Test
-  void aHeartbeatIsRedirectedWithoutATerm() throws IOException, InterruptedException {
-    String report =
+  void redirectsHeartbeatWhenNoLeaderIsKnown() throws IOException, InterruptedException {
+    String heartbeat =
         """
         {"host":"m-1","addr":"10.1.0.1:9000","hull":"g4","yard":"a","loaners":false,"shift":1,
          "tally":1,"baton":0,"recall_s":null,"pieces":[]}\
         """;
-    assertEquals(421, send(front, "POST", "/v1/report", report).statusCode());
+    assertEquals(421, send(userAddress, "POST", "/v1/report", heartbeat).statusCode());
   }
 
   @Test
-  void theAdministrationApiAnswersAndRefuses() throws IOException, InterruptedException {
-    String status = send(cluster, "GET", "/admin/v1/status", null).body();
+  void servesAdminAndPeerRequestsWithoutLeader() throws IOException, InterruptedException {
+    String status = send(clusterAddress, "GET", "/admin/v1/status", null).body();
     assertTrue(status.contains("\"member\":\"rung-0\""), status);
     assertTrue(status.contains("\"peers\":[{\"member\":\"rung-1\",\"state\":"), status);
     assertTrue(status.contains("\"sockets\":{\"arriving\":{\"open\":"), status);
-    assertTrue(send(cluster, "GET", "/admin/v1/takeovers", null).body().contains("\"latest\":[]"));
-    String settings = send(cluster, "GET", "/admin/v1/settings", null).body();
+    assertTrue(
+        send(clusterAddress, "GET", "/admin/v1/takeovers", null).body().contains("\"latest\":[]"));
+    String settings = send(clusterAddress, "GET", "/admin/v1/settings", null).body();
     assertTrue(settings.contains("\"max_backoff_s\":10.0"), settings);
-    assertTrue(send(cluster, "GET", "/admin/v1/metrics", null).body().contains("latency_s"));
-    assertEquals(503, send(cluster, "PUT", "/admin/v1/settings", "{}").statusCode());
-    assertEquals(404, send(cluster, "GET", "/admin/v1/nothing", null).statusCode());
-    assertEquals(400, send(cluster, "POST", "/peer/v1", "junk").statusCode());
-    assertEquals(400, send(cluster, "POST", "/peer/v1/beat", "junk").statusCode());
+    assertTrue(send(clusterAddress, "GET", "/admin/v1/metrics", null).body().contains("latency_s"));
+    assertEquals(503, send(clusterAddress, "PUT", "/admin/v1/settings", "{}").statusCode());
+    assertEquals(404, send(clusterAddress, "GET", "/admin/v1/nothing", null).statusCode());
+    assertEquals(400, send(clusterAddress, "POST", "/peer/v1", "junk").statusCode());
+    assertEquals(400, send(clusterAddress, "POST", "/peer/v1/beat", "junk").statusCode());
   }
 }
