--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -128,7 +128,7 @@
           .readForUser(
               RecordKeys.UNPAGED_JOB + id,
               read -> {
-                if (!read.certain()) {
+                if (!read.succeeded()) {
                   onOutcome.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
                   readFinalState(id);
@@ -150,7 +150,7 @@
           .readForUser(
               RecordKeys.FINAL_STATE + id,
               read -> {
-                if (!read.certain()
+                if (!read.succeeded()
                     || (!read.found() && node.replicaManager().jobMayBeMissing(id))) {
                   onOutcome.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
--- a/src/main/java/io/pineladder/autoscaling/MachineInventory.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineInventory.java
@@ -166,8 +166,8 @@
       machine.firstListedAt = eventLoop.now();
     }
     machine.listedRunning |= listed.status() == CloudWire.MachineStatus.RUNNING;
-    if (listed.status() == CloudWire.MachineStatus.FAILED && !machine.stoppedByItself) {
-      machine.stoppedByItself = true;
+    if (listed.status() == CloudWire.MachineStatus.FAILED && !machine.listedFailed) {
+      machine.listedFailed = true;
       log.info("Machine failed: machine={}", machine);
       releaser.release(machine);
     }
--- a/src/main/java/io/pineladder/delivery/NotificationOutbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -396,8 +396,8 @@
     String owner = job.spec.team();
     String jobClass = job.spec.jobClass();
     boolean wanted =
-        subscriptions.values().stream().anyMatch(s -> s.mayWant(owner, jobClass))
-            || coming.values().stream().anyMatch(s -> s.mayWant(owner, jobClass));
+        subscriptions.values().stream().anyMatch(s -> s.mayMatch(owner, jobClass))
+            || coming.values().stream().anyMatch(s -> s.mayMatch(owner, jobClass));
     return wanted
         ? new Notification(
             ++assigned,
@@ -522,7 +522,7 @@
     Notification found = null;
     while (found == null && cursor.number < committed) {
       Notification next = at(cursor.number + 1);
-      if (subscription.wants(next)) {
+      if (subscription.matches(next)) {
         found = next;
       } else {
         cursor.number++;
@@ -543,7 +543,7 @@
     Notification oldest = allocate(subscription);
     long count = 0;
     for (long n = cursor(subscription).number + 1; oldest != null && n <= committed; n++) {
-      count += subscription.wants(at(n)) ? 1 : 0;
+      count += subscription.matches(at(n)) ? 1 : 0;
     }
     return new Backlog(count, oldest);
   }
@@ -570,7 +570,7 @@
       }
     } else {
       while (cursor.sequence > position && cursor.number >= first()) {
-        cursor.sequence -= subscription.wants(at(cursor.number)) ? 1 : 0;
+        cursor.sequence -= subscription.matches(at(cursor.number)) ? 1 : 0;
         cursor.number--;
       }
       cursor.lostFrom = cursor.sequence > position ? position + 1 : 0;
@@ -606,7 +606,7 @@
       long lost = 0;
       while (subscription.retainsNotifications() && cursor.number + 1 < before) {
         cursor.number++;
-        if (subscription.wants(at(cursor.number))) {
+        if (subscription.matches(at(cursor.number))) {
           lost++;
           cursor.sequence++;
           cursor.lostFrom = cursor.lostFrom == 0 ? cursor.sequence : cursor.lostFrom;
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -171,7 +171,7 @@
             now != null
                     && now.source().equals(of.source())
                     && now.status() == Subscription.Status.ACTIVE
-                ? now.with(status, reason.substring(0, Math.min(reason.length(), MOST_REASON)))
+                ? now.withStatus(status, reason.substring(0, Math.min(reason.length(), MOST_REASON)))
                 : now,
         () -> {});
   }
@@ -442,7 +442,7 @@
     }
     change(
         name,
-        now -> now == null ? null : now.with(Subscription.Status.PAUSED, null),
+        now -> now == null ? null : now.withStatus(Subscription.Status.PAUSED, null),
         within(answer, () -> shown(name)));
   }
 
@@ -471,7 +471,7 @@
     }
     change(
         name,
-        now -> now == null ? null : now.with(Subscription.Status.ACTIVE, null),
+        now -> now == null ? null : now.withStatus(Subscription.Status.ACTIVE, null),
         within(answer, () -> shown(name)));
   }
 
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -320,7 +320,7 @@
         cluster.addJob(low);
         cluster.addAttempt(low, 0, 1, machine, NOW, Attempt.State.PLACEMENT_PENDING);
         Job high = job("req-2", "class", PriorityClass.NORMAL, NOW);
-        high.pending.set(0);
+        high.pendingTasks.set(0);
         cluster.addJob(high);
         Instant now = NOW.plusSeconds(age);
         List<Attempt> stopped = new ArrayList<>();
