--- a/src/main/java/io/pineladder/autoscaling/MachineInventory.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineInventory.java
@@ -98,7 +98,7 @@
     try {
       CloudWire.Page page = CloudWire.parsePage(reply.body());
       page.machines().forEach(this::onListed);
-      boolean more = page.more() && !page.machines().isEmpty();
+      boolean more = page.hasMore() && !page.machines().isEmpty();
       String last = more ? page.machines().get(page.machines().size() - 1).name() : null;
       releaseMissing(page, after, last, sentAt);
       if (more) {
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -381,8 +381,8 @@
                     delivery.box().seal(name, WebhookSignature.secret(secret.textValue()))));
     String incarnation = HexFormat.of().toHexDigits(eventLoop.random().nextInt());
     String url = wanted.get("url").textValue();
-    Set<String> owners = DeliveryWire.texts(wanted.path("owners"));
-    Set<String> classes = DeliveryWire.texts(wanted.path("classes"));
+    Set<String> owners = DeliveryWire.parseStringSet(wanted.path("owners"));
+    Set<String> classes = DeliveryWire.parseStringSet(wanted.path("classes"));
     UnaryOperator<Subscription> change =
         now -> {
           if (now == null && !isNew) {
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -101,7 +101,7 @@
             // Skips the keys of the current generation: '0' is the character after '/'.
             lastKey = "g" + current.base() + "0";
           }
-          boolean more = page.more() || !obsoleteKeys.isEmpty();
+          boolean more = page.hasMore() || !obsoleteKeys.isEmpty();
           deleteAndContinue(obsoleteKeys, lastKey, more);
         });
   }
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -69,7 +69,7 @@
         [deployment.workers]\
         """;
     return new ClusterState(
-        SettingsReader.parse(SettingsReaderTest.GOOD.replace("[deployment.workers]", objective)));
+        SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS.replace("[deployment.workers]", objective)));
   }
 
   private static JobSpec randomSpec(RandomGenerator random, int id) {
@@ -172,7 +172,7 @@
   void placesTasksExactlyWhenReferenceModelDoes(long seed, boolean withPolicy)
       throws SettingsReader.BadSettingsException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
+    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS));
     List<MachineType> types = List.of(type("small", 8, 2), type("large", 24, 4));
     for (int i = 0; i < 9; i++) {
       Machine machine =
@@ -240,7 +240,7 @@
 
   @Test
   void rejectsGangAboveTeamLimit() throws SettingsReader.BadSettingsException {
-    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
+    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS));
     JobSpec spec =
         new JobSpec(
             "req-1",
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -210,7 +210,7 @@
         toml.append("address = \"10.0.0." + (i + 1) + ":8081\"\n");
       }
     }
-    String good = SettingsReaderTest.GOOD;
+    String good = SettingsReaderTest.VALID_SETTINGS;
     int from = good.indexOf("[[seeds]]");
     int to = good.indexOf("[external]");
     try {
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -15,10 +15,10 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 
-/** Checks which settings are accepted, and the messages for those that are not. */
+/** Accepted settings, and the error messages for rejected ones. */
 public class SettingsReaderTest {
-  /** A deployment of two zones; {@code member} and the addresses are to be filled in. */
-  public static final String GOOD =
+  /** A deployment with two zones; other tests replace {@code member} and the addresses. */
+  public static final String VALID_SETTINGS =
       """
       member = "rung-0"
       area = "a"
@@ -82,8 +82,8 @@
       """;
 
   @Test
-  void readsThePlatformsSettings() throws SettingsReader.BadSettingsException {
-    Settings settings = SettingsReader.parse(GOOD);
+  void readsSettings() throws SettingsReader.BadSettingsException {
+    Settings settings = SettingsReader.parse(VALID_SETTINGS);
     assertEquals("rung-0", settings.controllerName());
     assertEquals(2, settings.peers().size());
     assertEquals(Duration.ofSeconds(20), settings.workerTimes().leaseDuration());
@@ -93,17 +93,18 @@
   }
 
   @Test
-  void namesEveryErrorInOneMessage() {
-    String bad =
-        GOOD.replace("area = \"a\"\nfront", "front")
+  void reportsAllErrorsInOneMessage() {
+    String invalid =
+        VALID_SETTINGS.replace("area = \"a\"\nfront", "front")
             .replace("txn_ops = 12", "txn_ops = \"many\"")
             .replace("10.2.0.1:2379", "state.example:99")
             .replace("lease_s = 20.0", "lease_s = -1.0")
             .replace("max_sockets = 1100", "max_sockets = 3")
             .replace("gpus_max = 8.0", "gpus_max = true");
     var thrown =
-        assertThrows(SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(bad));
-    for (String part :
+        assertThrows(
+            SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(invalid));
+    for (String error :
         new String[] {
           "area is missing",
           "deployment.state.txn_ops is not a number",
@@ -112,37 +113,37 @@
           "deployment.resources.max_sockets is out of range",
           "deployment.teams[0].gpus_max is not a number"
         }) {
-      assertTrue(thrown.getMessage().contains(part), thrown.getMessage());
+      assertTrue(thrown.getMessage().contains(error), thrown.getMessage());
     }
   }
 
-  /** What cannot be served is refused at the start, with the field's name. */
+  /** Settings with which the controller cannot work are rejected with the name of the field. */
   @Test
-  void refusesUnsupportedSettings() {
-    String seeds = GOOD.substring(GOOD.indexOf("[[seeds]]"), GOOD.indexOf("[external]"));
-    Map<String, String> refused =
+  void rejectsUnsupportedSettings() {
+    String seeds = VALID_SETTINGS.substring(VALID_SETTINGS.indexOf("[[seeds]]"), VALID_SETTINGS.indexOf("[external]"));
+    Map<String, String> errorsByToml =
         Map.of(
-            GOOD.replace(seeds, ""), "seeds names no other controller",
-            GOOD.replace("lease_s = 20.0", "lease_s = 3.5"),
+            VALID_SETTINGS.replace(seeds, ""), "seeds names no other controller",
+            VALID_SETTINGS.replace("lease_s = 20.0", "lease_s = 3.5"),
                 "deployment.workers.lease_s is not longer than a report may take to come");
-    refused.forEach(
-        (text, fault) -> {
+    errorsByToml.forEach(
+        (toml, error) -> {
           var thrown =
               assertThrows(
-                  SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(text));
-          assertEquals("bad settings: " + fault, thrown.getMessage());
+                  SettingsReader.BadSettingsException.class, () -> SettingsReader.parse(toml));
+          assertEquals("bad settings: " + error, thrown.getMessage());
         });
   }
 
-  /** Any number of controllers and zones, teams without limits, no objectives, short times. */
+  /** More zones, no objectives, and a cancellation bound shorter than the lease. */
   @Test
-  void acceptsOtherDeployments() throws SettingsReader.BadSettingsException {
+  void acceptsUnusualDeployments() throws SettingsReader.BadSettingsException {
     String objectives =
-        GOOD.substring(
-            GOOD.indexOf("[[deployment.objectives]]"), GOOD.indexOf("[deployment.workers]"));
+        VALID_SETTINGS.substring(
+            VALID_SETTINGS.indexOf("[[deployment.objectives]]"), VALID_SETTINGS.indexOf("[deployment.workers]"));
     Settings settings =
         SettingsReader.parse(
-            GOOD.replace(objectives, "")
+            VALID_SETTINGS.replace(objectives, "")
                 .replace("zones = [\"a\", \"b\"]", "zones = [\"a\", \"b\", \"c\", \"d\"]")
                 .replace("report_s = 3.0", "report_s = 1.0")
                 .replace("lease_s = 20.0", "lease_s = 30.0")
@@ -152,9 +153,9 @@
     assertEquals(Duration.ZERO, Election.maxWorkerLeaseExtension(settings.workerTimes()));
   }
 
-  /** Where the platform names no sockets there is a connection for each worker of a large fleet. */
+  /** The default number of sockets allows a connection for each worker of a large fleet. */
   @Test
-  void defaultMaxSocketsFitALargeFleet() throws SettingsReader.BadSettingsException {
+  void defaultMaxSocketsSufficeForLargeFleet() throws SettingsReader.BadSettingsException {
     Instant now = Instant.EPOCH;
     EventLoop eventLoop =
         new EventLoop() {
@@ -187,14 +188,14 @@
     assertEquals(1_000, SettingsReader.defaultMaxSockets(1_024));
     assertEquals(3_996, SettingsReader.defaultMaxSockets(4_096));
     assertEquals(7_000, SettingsReader.defaultMaxSockets(Long.MAX_VALUE));
-    int untold =
-        SettingsReader.parse(GOOD.substring(0, GOOD.indexOf("[deployment.resources]")))
+    int defaultSockets =
+        SettingsReader.parse(VALID_SETTINGS.substring(0, VALID_SETTINGS.indexOf("[deployment.resources]")))
             .maxSockets();
-    assertTrue(untold >= 1_000 && untold <= 7_000);
+    assertTrue(defaultSockets >= 1_000 && defaultSockets <= 7_000);
   }
 
   @Test
-  void refusesAFileThatIsNotToml() {
+  void rejectsInvalidToml() {
     var thrown =
         assertThrows(
             SettingsReader.BadSettingsException.class, () -> SettingsReader.parse("member = "));
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -191,7 +191,7 @@
   LeaderHarness() {
     Settings settings;
     try {
-      settings = SettingsReader.parse(SettingsReaderTest.GOOD);
+      settings = SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS);
     } catch (SettingsReader.BadSettingsException e) {
       throw new AssertionError(e);
     }
