--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -47,7 +47,7 @@
 
   /** Whether a request is to be answered by the leader, whichever node gets it. */
   public boolean isLeadersMatter(String method, String path) {
-    if (isAboutSubscriptions(path)) {
+    if (isSubscriptionPath(path)) {
       return true;
     }
     return switch (path) {
@@ -57,7 +57,7 @@
     };
   }
 
-  private static boolean isAboutSubscriptions(String path) {
+  private static boolean isSubscriptionPath(String path) {
     return path.equals(PREFIX + SubscriptionManager.PATH)
         || path.startsWith(PREFIX + SubscriptionManager.PATH + "/")
         || path.equals(PREFIX + SubscriptionManager.NETWORKS_PATH);
@@ -98,7 +98,7 @@
               switch (path) {
                 case PREFIX + "status" -> status();
                 case PREFIX + "metrics" -> metrics();
-                case PREFIX + "takeovers" -> takeovers();
+                case PREFIX + "takeovers" -> failovers();
                 default -> RecordWire.operatorSettings(node.operatorSettings());
               }));
     }
@@ -165,22 +165,22 @@
   }
 
   private ObjectNode metrics() {
-    ObjectNode out = metrics.read();
+    ObjectNode out = metrics.toJson();
     LeaderTerm leader = node.leadingTerm();
     if (leader != null) {
-      out.set("notices", leader.subscriptions().figures());
+      out.set("notices", leader.subscriptions().statistics());
     }
     return out;
   }
 
   /** How long takeovers took here, by phase, and the latest ones. */
-  private ObjectNode takeovers() {
+  private ObjectNode failovers() {
     ObjectNode out = Json.object();
     ObjectNode phases = out.putObject("phases_s");
     for (FailoverTimings.Phase phase : FailoverTimings.Phase.values()) {
       Histogram histogram = node.failoverTimings().histogram(phase);
       if (histogram != null) {
-        Metrics.percentiles(phases.putObject(phase.label()), histogram, 1e3);
+        Metrics.writePercentiles(phases.putObject(phase.label()), histogram, 1e3);
       }
     }
     ArrayNode latest = out.putArray("latest");
@@ -194,15 +194,15 @@
   /** What only the leader can answer. */
   public void lead(
       LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
-    if (isAboutSubscriptions(path)) {
+    if (isSubscriptionPath(path)) {
       leader.subscriptions().handle(method, path.substring(PREFIX.length()), body, answer);
       return;
     }
     switch (path) {
       case PREFIX + "queue" -> answer.accept(json(200, queue(leader)));
       case PREFIX + "machines" -> answer.accept(json(200, machines(leader)));
-      case PREFIX + "settings" -> change(leader, body, answer);
-      case PREFIX + SNAPSHOT -> handIn(body, answer);
+      case PREFIX + "settings" -> updateSettings(leader, body, answer);
+      case PREFIX + SNAPSHOT -> importSnapshot(body, answer);
       default -> answer.accept(error(404, "no such path"));
     }
   }
@@ -267,7 +267,7 @@
     return out;
   }
 
-  private void handIn(byte[] body, Consumer<HttpResponse> answer) {
+  private void importSnapshot(byte[] body, Consumer<HttpResponse> answer) {
     try {
       answer.accept(
           json(200, Json.object().put("jobs", node.replicaManager().importSnapshot(body))));
@@ -305,7 +305,7 @@
   }
 
   /** Checks new settings, stores them, and answers when they are stored. */
-  private void change(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
+  private void updateSettings(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
     OperatorSettings wanted;
     try {
       wanted = RecordWire.parseOperatorSettings(Json.parseObject(body), node.operatorSettings());
--- a/src/main/java/io/pineladder/admin/Metrics.java
+++ b/src/main/java/io/pineladder/admin/Metrics.java
@@ -18,7 +18,7 @@
 
 /** Counts and latencies of what this controller answers. */
 public final class Metrics {
-  private static final long MOST_MICROS = TimeUnit.MINUTES.toMicros(2);
+  private static final long MAX_LATENCY_MICROS = TimeUnit.MINUTES.toMicros(2);
   private static final double[] PERCENTILES = {50, 90, 99, 100};
 
   /** What is asked of a controller. */
@@ -100,12 +100,12 @@
                         Integer.toString(s)))
         .increment();
     latencies
-        .computeIfAbsent(operation, o -> new Histogram(MOST_MICROS, 2))
-        .recordValue(Math.min(MOST_MICROS, Math.max(0, took.toNanos() / 1000)));
+        .computeIfAbsent(operation, o -> new Histogram(MAX_LATENCY_MICROS, 2))
+        .recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, took.toNanos() / 1000)));
   }
 
   /** All meters by name and tags, and the latencies in seconds by percentile. */
-  ObjectNode read() {
+  ObjectNode toJson() {
     ObjectNode out = Json.object();
     ObjectNode meters = out.putObject("meters");
     for (Meter meter : registry().getMeters()) {
@@ -119,13 +119,14 @@
     ObjectNode all = out.putObject("latency_s");
     latencies.forEach(
         (operation, histogram) -> {
-          percentiles(all.putObject(operation.name().toLowerCase(Locale.ROOT)), histogram, 1e6);
+          writePercentiles(
+              all.putObject(operation.name().toLowerCase(Locale.ROOT)), histogram, 1e6);
         });
     return out;
   }
 
   /** Writes a histogram's count and percentiles, in seconds. */
-  public static void percentiles(ObjectNode out, Histogram histogram, double unitsPerSecond) {
+  public static void writePercentiles(ObjectNode out, Histogram histogram, double unitsPerSecond) {
     out.put("count", histogram.getTotalCount());
     for (double percentile : PERCENTILES) {
       out.put("p" + (int) percentile, histogram.getValueAtPercentile(percentile) / unitsPerSecond);
--- a/src/main/java/io/pineladder/cli/Controller.java
+++ b/src/main/java/io/pineladder/cli/Controller.java
@@ -36,9 +36,9 @@
   private static final int EXIT_FAILURE = 1;
   private static final int EXIT_USAGE = 2;
 
-  static final String DELIVERY = "--delivery";
-  static final String SNAPSHOTS = "--snapshots";
-  private static final Set<String> OPTIONS = Set.of(DELIVERY, SNAPSHOTS);
+  static final String DELIVERY_OPTION = "--delivery";
+  static final String SNAPSHOTS_OPTION = "--snapshots";
+  private static final Set<String> OPTION_NAMES = Set.of(DELIVERY_OPTION, SNAPSHOTS_OPTION);
 
   /**
    * What a controller does beyond what the settings file says.
@@ -47,8 +47,8 @@
    *     delivered
    * @param snapshots the directory for snapshots of the records; null: none are written
    */
-  record Extras(Path deliveryKey, Path snapshots) {
-    static final Extras NONE = new Extras(null, null);
+  record ServeOptions(Path deliveryKey, Path snapshots) {
+    static final ServeOptions NONE = new ServeOptions(null, null);
   }
 
   private Controller() {}
@@ -57,14 +57,17 @@
     configureLogging(System.getenv("LOG_LEVEL"));
     Map<String, Path> options = new HashMap<>();
     int at = 0;
-    for (; at + 1 < args.length && OPTIONS.contains(args[at]); at += 2) {
+    for (; at + 1 < args.length && OPTION_NAMES.contains(args[at]); at += 2) {
       options.put(args[at], Path.of(args[at + 1]));
     }
     if (at + 1 != args.length) {
       System.err.println("usage: Controller [--delivery KEYFILE] [--snapshots DIR] SETTINGS");
       System.exit(EXIT_USAGE);
     }
-    int code = serve(Path.of(args[at]), new Extras(options.get(DELIVERY), options.get(SNAPSHOTS)));
+    int code =
+        serve(
+            Path.of(args[at]),
+            new ServeOptions(options.get(DELIVERY_OPTION), options.get(SNAPSHOTS_OPTION)));
     if (code >= 0) {
       System.exit(code);
     }
@@ -80,7 +83,7 @@
   }
 
   /** Serves with a settings file; a negative result means that the service goes on running. */
-  static int serve(Path file, Extras extras) {
+  static int serve(Path file, ServeOptions extras) {
     Logger log = LoggerFactory.getLogger(Controller.class);
     Settings settings;
     try {
@@ -99,7 +102,7 @@
   }
 
   /** What a connection to the front is for, by the path that is asked for. */
-  private static ConnectionLimiter.TrafficClass frontPart(String path) {
+  private static ConnectionLimiter.TrafficClass apiTrafficClass(String path) {
     return switch (Metrics.Operation.of("POST", path)) {
       case REPORT -> ConnectionLimiter.TrafficClass.REPORTS;
       case READY -> ConnectionLimiter.TrafficClass.ARRIVING;
@@ -108,7 +111,7 @@
   }
 
   /** What a connection to an address is for. */
-  private static ConnectionLimiter.TrafficClass part(Settings settings, String address) {
+  private static ConnectionLimiter.TrafficClass trafficClass(Settings settings, String address) {
     if (address.equals(settings.storeAddress()) || address.equals(settings.cloudAddress())) {
       return ConnectionLimiter.TrafficClass.SERVICES;
     }
@@ -116,8 +119,8 @@
     return peer ? ConnectionLimiter.TrafficClass.PEERS : ConnectionLimiter.TrafficClass.ORDERS;
   }
 
-  private static DeliveryContext delivery(Settings settings, XnioEventLoop runtime, Path key)
-      throws IOException {
+  private static DeliveryContext createDeliveryContext(
+      Settings settings, XnioEventLoop runtime, Path key) throws IOException {
     Set<String> own = new LinkedHashSet<>();
     Stream.concat(
             Stream.of(
@@ -143,11 +146,11 @@
   }
 
   /** Starts a controller; everything happens on the runtime's thread from then on. */
-  static XnioEventLoop start(Settings settings, Extras extras) throws IOException {
+  static XnioEventLoop start(Settings settings, ServeOptions extras) throws IOException {
     XnioEventLoop runtime =
         new XnioEventLoop(settings.maxSockets(), settings.workerTimes().heartbeatInterval());
     AsyncHttpClient httpClient =
-        new UndertowHttpClient(runtime, address -> part(settings, address));
+        new UndertowHttpClient(runtime, address -> trafficClass(settings, address));
     byte[] nonce = new byte[12];
     RandomGenerator.of("SecureRandom").nextBytes(nonce);
     ControllerNode node =
@@ -156,7 +159,9 @@
             runtime,
             httpClient,
             HexFormat.of().formatHex(nonce),
-            extras.deliveryKey == null ? null : delivery(settings, runtime, extras.deliveryKey),
+            extras.deliveryKey == null
+                ? null
+                : createDeliveryContext(settings, runtime, extras.deliveryKey),
             extras.snapshots == null
                 ? null
                 : new SnapshotDirectory(
@@ -170,7 +175,7 @@
             settings.apiAddress(),
             front::handle,
             ConnectionLimiter.TrafficClass.ARRIVING,
-            Controller::frontPart));
+            Controller::apiTrafficClass));
     runtime.serve(
         new XnioEventLoop.Listener(
             settings.clusterAddress(),
--- a/src/main/java/io/pineladder/cli/KeygenCommand.java
+++ b/src/main/java/io/pineladder/cli/KeygenCommand.java
@@ -11,7 +11,7 @@
  * {@code pineladder keygen}: a new key for the controllers, or a signing secret for a subscriber.
  */
 final class KeygenCommand {
-  private static final int BYTES = 32;
+  private static final int KEY_BYTES = 32;
 
   private KeygenCommand() {}
 
@@ -29,7 +29,7 @@
   }
 
   static int run(ParseResult parsed) {
-    byte[] key = new byte[BYTES];
+    byte[] key = new byte[KEY_BYTES];
     new SecureRandom().nextBytes(key);
     System.out.println(
         (parsed.hasMatchedOption("--secret") ? WebhookSignature.SECRET_PREFIX : "")
--- a/src/main/java/io/pineladder/cli/Main.java
+++ b/src/main/java/io/pineladder/cli/Main.java
@@ -52,9 +52,9 @@
       }
       return Controller.serve(
           config,
-          new Controller.Extras(
-              parsed.matchedOptionValue(Controller.DELIVERY, null),
-              parsed.matchedOptionValue(Controller.SNAPSHOTS, null)));
+          new Controller.ServeOptions(
+              parsed.matchedOptionValue(Controller.DELIVERY_OPTION, null),
+              parsed.matchedOptionValue(Controller.SNAPSHOTS_OPTION, null)));
     } catch (CommandLine.ParameterException e) {
       System.err.println(e.getMessage());
       e.getCommandLine().usage(System.err);
--- a/src/main/java/io/pineladder/cli/ReceiveCommand.java
+++ b/src/main/java/io/pineladder/cli/ReceiveCommand.java
@@ -23,8 +23,8 @@
 
 /** {@code pineladder receive}: a receiver that records each notice once, as a JSON line. */
 final class ReceiveCommand {
-  private static final Pattern LISTEN = Pattern.compile("(.+):(\\d{1,5})");
-  private static final long MAX_BODY = 64 * 1024;
+  private static final Pattern LISTEN_ADDRESS = Pattern.compile("(.+):(\\d{1,5})");
+  private static final long MAX_BODY_BYTES = 64 * 1024;
 
   private ReceiveCommand() {}
 
@@ -60,7 +60,7 @@
 
   /** Receives until the process is ended; a negative result means that it goes on. */
   static int run(ParseResult parsed) {
-    var listen = LISTEN.matcher(parsed.matchedOptionValue("--listen", ""));
+    var listen = LISTEN_ADDRESS.matcher(parsed.matchedOptionValue("--listen", ""));
     if (!listen.matches()) {
       System.err.println("--listen is not HOST:PORT");
       return Main.EXIT_USAGE;
@@ -81,7 +81,7 @@
           Undertow.builder()
               .setIoThreads(1)
               .setWorkerThreads(4)
-              .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY)
+              .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
               .addHttpListener(
                   Integer.parseInt(listen.group(2)), listen.group(1), handler(receiver))
               .build();
@@ -103,11 +103,11 @@
       // Forcing a line to the disk blocks, so it is done beside the I/O thread.
       exchange
           .getRequestReceiver()
-          .receiveFullBytes((ex, body) -> ex.dispatch(() -> answer(receiver, ex, body)));
+          .receiveFullBytes((ex, body) -> ex.dispatch(() -> respond(receiver, ex, body)));
     };
   }
 
-  private static void answer(Receiver receiver, HttpServerExchange exchange, byte[] body) {
+  private static void respond(Receiver receiver, HttpServerExchange exchange, byte[] body) {
     Receiver.Reply reply =
         receiver.receive(name -> exchange.getRequestHeaders().getFirst(name), body);
     exchange.setStatusCode(reply.status());
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/Training.java
@@ -24,9 +24,9 @@
  * a job and a report against the barest of surroundings, so that what it uses gets loaded.
  */
 final class Training {
-  private static final Duration TIMEOUT = Duration.ofSeconds(2);
-  private static final Duration RETRY = Duration.ofMillis(200);
-  private static final long MOST_SECONDS = 60;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(200);
+  private static final long MAX_RUN_SECONDS = 60;
 
   private Training() {}
 
@@ -41,15 +41,15 @@
       surroundings.serve(
           new XnioEventLoop.Listener(
               outside,
-              Training::surroundings,
+              Training::serveStubServices,
               ConnectionLimiter.TrafficClass.SERVICES,
               path -> ConnectionLimiter.TrafficClass.SERVICES));
-      Controller.start(settings, Controller.Extras.NONE);
+      Controller.start(settings, Controller.ServeOptions.NONE);
       CountDownLatch over = new CountDownLatch(1);
       UndertowHttpClient caller =
           new UndertowHttpClient(surroundings, a -> ConnectionLimiter.TrafficClass.USERS);
-      surroundings.execute(() -> submit(surroundings, caller, front, over));
-      return over.await(MOST_SECONDS, TimeUnit.SECONDS) ? Main.EXIT_OK : Main.EXIT_FAILURE;
+      surroundings.execute(() -> submitJob(surroundings, caller, front, over));
+      return over.await(MAX_RUN_SECONDS, TimeUnit.SECONDS) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException | SettingsReader.BadSettingsException e) {
       System.err.println("the training run failed: " + e.getMessage());
       return Main.EXIT_FAILURE;
@@ -60,20 +60,20 @@
   }
 
   /** Tries until the controller leads and takes the job. */
-  private static void submit(
+  private static void submitJob(
       XnioEventLoop time, UndertowHttpClient caller, String front, CountDownLatch over) {
     caller.call(
-        Request.post(front, "/v1/jobs", JOB, TIMEOUT),
+        Request.post(front, "/v1/jobs", JOB, REQUEST_TIMEOUT),
         reply -> {
           if (reply.is(201)) {
-            report(caller, front, 1, over);
+            sendHeartbeat(caller, front, 1, over);
           } else {
-            time.schedule(RETRY, () -> submit(time, caller, front, over));
+            time.schedule(RETRY_DELAY, () -> submitJob(time, caller, front, over));
           }
         });
   }
 
-  private static void report(
+  private static void sendHeartbeat(
       UndertowHttpClient caller, String front, int tally, CountDownLatch over) {
     ObjectNode report =
         Json.object()
@@ -87,14 +87,16 @@
             .put("baton", 7);
     report.putArray("pieces");
     caller.call(
-        Request.post(front, "/v1/report", Json.bytes(report), TIMEOUT),
+        Request.post(front, "/v1/report", Json.bytes(report), REQUEST_TIMEOUT),
         reply -> {
           if (tally < 3) {
-            report(caller, front, tally + 1, over);
+            sendHeartbeat(caller, front, tally + 1, over);
           } else {
             caller.call(
-                Request.get(front, "/v1/jobs/req-1", TIMEOUT),
-                view -> caller.call(Request.get(front, "/ready", TIMEOUT), r -> over.countDown()));
+                Request.get(front, "/v1/jobs/req-1", REQUEST_TIMEOUT),
+                view ->
+                    caller.call(
+                        Request.get(front, "/ready", REQUEST_TIMEOUT), r -> over.countDown()));
           }
         });
   }
@@ -111,7 +113,7 @@
   private static final AtomicLong REVISION = new AtomicLong(6);
 
   /** Plays state service and cloud, just well enough to be led and scheduled by. */
-  private static void surroundings(
+  private static void serveStubServices(
       String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     String text;
     int status = 200;
--- a/src/main/java/io/pineladder/delivery/DeliveryContext.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryContext.java
@@ -11,91 +11,98 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a controller needs to deliver notices, whether it leads or not. */
+/** Resources for delivering notifications that a controller holds whether it leads or not. */
 public final class DeliveryContext {
   private static final Logger log = LoggerFactory.getLogger(DeliveryContext.class);
 
-  /** Notices sent in a second by a process that has a whole core. */
-  private static final double PER_CORE = 1_500;
+  /** Limit for a process with one whole core; scaled by its share of a core. */
+  private static final double REQUESTS_PER_SECOND_PER_CORE = 1_500;
 
-  /** So many requests are under way at a time at most. */
-  private static final int MOST_UNDER_WAY = 32;
+  /** Upper bound of concurrent requests, however many sockets there are. */
+  private static final int MAX_IN_FLIGHT = 32;
 
   private final BackgroundExecutor backgroundExecutor;
-  private final SecretCipher box;
-  private final Collection<String> own;
-  private final double perSecond;
-  private final int underWay;
-  private OutboundClient outward;
-  private DestinationPolicy destinations;
+  private final SecretCipher secretCipher;
+  private final Collection<String> clusterAddresses;
+  private final double requestsPerSecond;
+  private final int maxInFlight;
+  private OutboundClient outboundClient;
+  private DestinationPolicy destinationPolicy;
 
   /**
-   * Delivery on one controller.
+   * Creates the context of one controller.
    *
-   * @param own the addresses of the cluster's own parts, without ports
-   * @param coreShare how much of a core the process has
-   * @param sockets how many sockets there are for it
+   * @param clusterAddresses the addresses of the cluster's own components, without ports
+   * @param coreShare the process's share of a CPU core
+   * @param sockets the number of sockets available for notifications
    */
   public DeliveryContext(
       BackgroundExecutor backgroundExecutor,
-      SecretCipher box,
-      Collection<String> own,
+      SecretCipher secretCipher,
+      Collection<String> clusterAddresses,
       double coreShare,
       int sockets) {
-    // The rest is for connections that are being closed, or kept for the next notice.
-    this.underWay = Math.max(1, Math.min(MOST_UNDER_WAY, sockets * 3 / 4));
+    // The rest is for connections being closed or kept alive for the next notification.
+    this.maxInFlight = Math.max(1, Math.min(MAX_IN_FLIGHT, sockets * 3 / 4));
     this.backgroundExecutor = backgroundExecutor;
-    this.box = box;
-    this.own = List.copyOf(own);
-    this.perSecond = Math.max(1, PER_CORE * coreShare);
+    this.secretCipher = secretCipher;
+    this.clusterAddresses = List.copyOf(clusterAddresses);
+    this.requestsPerSecond = Math.max(1, REQUESTS_PER_SECOND_PER_CORE * coreShare);
   }
 
-  /** Has notices sent through this. */
-  public void sendThrough(OutboundClient through) {
-    outward = through;
+  public void sendThrough(OutboundClient outboundClient) {
+    this.outboundClient = outboundClient;
   }
 
-  OutboundClient outward() {
-    return outward;
+  OutboundClient outboundClient() {
+    return outboundClient;
   }
 
-  BackgroundExecutor background() {
+  BackgroundExecutor backgroundExecutor() {
     return backgroundExecutor;
   }
 
-  SecretCipher box() {
-    return box;
+  SecretCipher secretCipher() {
+    return secretCipher;
   }
 
-  int underWay() {
-    return underWay;
+  int maxInFlight() {
+    return maxInFlight;
   }
 
-  double perSecond() {
-    return perSecond;
+  double requestsPerSecond() {
+    return requestsPerSecond;
   }
 
-  /** Whether a notice may be sent to the address. */
+  /** Whether notifications may be sent to the address; false until networks are configured. */
   public boolean allows(InetAddress address) {
-    return destinations != null && destinations.allows(address);
+    return destinationPolicy != null && destinationPolicy.allows(address);
   }
 
-  /** The destinations in these networks; the reason when one is none. */
-  DestinationPolicy destinations(Collection<String> networks) {
-    return new DestinationPolicy(networks, own);
+  /**
+   * Creates a policy that allows these networks.
+   *
+   * @throws IllegalArgumentException naming a network that is not in canonical form
+   */
+  DestinationPolicy destinationPolicy(Collection<String> networks) {
+    return new DestinationPolicy(networks, clusterAddresses);
   }
 
-  List<String> networks() {
-    return destinations == null ? List.of() : destinations.networks();
+  List<String> allowedNetworks() {
+    return destinationPolicy == null ? List.of() : destinationPolicy.networks();
   }
 
-  /** The stored networks were read, or have changed; null when they are gone. */
+  /**
+   * Applies the stored record of allowed networks; null when it does not exist. Without a readable
+   * record no destination is allowed.
+   */
   public void learnNetworks(JsonNode value) {
     try {
-      destinations = value == null ? null : destinations(DeliveryWire.parseNetworks(value));
+      destinationPolicy =
+          value == null ? null : destinationPolicy(DeliveryWire.parseNetworks(value));
     } catch (MalformedMessageException | IllegalArgumentException e) {
-      destinations = null;
-      log.error("the allowed networks cannot be read, so none is: {}", e.getMessage());
+      destinationPolicy = null;
+      log.error("Allowed networks unreadable, deliveries suspended: error={}", e.getMessage());
     }
   }
 }
--- a/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
@@ -14,141 +14,143 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The sending to all subscribers in one term. They take turns, and there is a bound on what is
- * under way and on the rate, so that scheduling goes on beside it; those whose last try failed have
- * only a part of the turns, so that the dead do not delay the others.
+ * Delivers notifications to all subscribers during one term, in turn. The number of requests in
+ * flight and their rate are bounded, so that delivery does not slow down scheduling. Subscribers
+ * whose last attempt failed share a part of the capacity, so that they do not delay the others.
  */
 public final class DeliveryDispatcher {
-  /** The part of the turns that receivers which fail have. */
-  private static final double FAILING_PART = 0.25;
+  /** Bound on the requests to failing receivers, as a fraction of the requests in flight. */
+  private static final double FAILING_SHARE = 0.25;
 
-  /** Stores that a subscription's status has changed. */
-  interface Settling {
-    void settle(Subscription subscription, Subscription.Status status, String reason);
+  /** Stores changes of a subscription's status. */
+  interface StatusStore {
+    void storeStatus(Subscription subscription, Subscription.Status status, String reason);
   }
 
-  private final DeliveryContext delivery;
+  private final DeliveryContext context;
   private final NotificationOutbox outbox;
   private final EventLoop eventLoop;
   private final BooleanSupplier mayAct;
-  private final Settling settling;
-  private final TokenBucket rate;
-  private final int mostUnderWay;
-  private final int mostFailing;
-  private final Map<String, SubscriberDelivery> subscribers = new HashMap<>();
-
-  /** Secrets that have been decrypted, by what they were encrypted to. */
-  private final Map<String, byte[]> opened = new HashMap<>();
-
-  private final ArrayDeque<Turns> ready = new ArrayDeque<>();
-  private final ArrayDeque<Turns> failing = new ArrayDeque<>();
-  private int underWay;
-  private int failingUnderWay;
-  private boolean pumpSet;
-  private long sent;
-  private long failed;
-
-  /** From a job's end to the receiver's answer, in milliseconds. */
-  private final Histogram delays = new Histogram(TimeUnit.DAYS.toMillis(2), 2);
+  private final StatusStore statusStore;
+  private final TokenBucket rateLimiter;
+  private final int maxInFlight;
+  private final int maxFailingInFlight;
+  private final Map<String, SubscriberDelivery> deliveries = new HashMap<>();
+
+  /** Cache of decrypted secrets, by their encrypted form. */
+  private final Map<String, byte[]> decryptedSecrets = new HashMap<>();
+
+  private final ArrayDeque<Slot> readyQueue = new ArrayDeque<>();
+  private final ArrayDeque<Slot> failingQueue = new ArrayDeque<>();
+  private int inFlight;
+  private int failingInFlight;
+  private boolean dispatchScheduled;
+  private long sentCount;
+  private long failedCount;
+
+  /** Time from a job's end to the receiver's confirmation, in milliseconds. */
+  private final Histogram deliveryDelays = new Histogram(TimeUnit.DAYS.toMillis(2), 2);
 
   DeliveryDispatcher(
-      DeliveryContext delivery,
+      DeliveryContext context,
       NotificationOutbox outbox,
       EventLoop eventLoop,
       BooleanSupplier mayAct,
-      Settling settling) {
-    this.delivery = delivery;
+      StatusStore statusStore) {
+    this.context = context;
     this.outbox = outbox;
     this.eventLoop = eventLoop;
     this.mayAct = mayAct;
-    this.settling = settling;
-    this.mostUnderWay = delivery.underWay();
-    this.mostFailing = Math.max(1, (int) (mostUnderWay * FAILING_PART));
-    this.rate = new TokenBucket(delivery.perSecond(), delivery.perSecond(), eventLoop.now());
+    this.statusStore = statusStore;
+    this.maxInFlight = context.maxInFlight();
+    this.maxFailingInFlight = Math.max(1, (int) (maxInFlight * FAILING_SHARE));
+    this.rateLimiter =
+        new TokenBucket(context.requestsPerSecond(), context.requestsPerSecond(), eventLoop.now());
   }
 
-  /** The subscription's record is stored, or was read. */
+  /** Applies a stored subscription, which is new or has changed. */
   void configure(Subscription subscription) {
-    SubscriberDelivery known = subscribers.get(subscription.source());
-    if (known == null) {
-      Turns turns = new Turns();
-      known = new SubscriberDelivery(subscription, outbox, delivery.outward(), eventLoop, turns);
-      turns.subscriber = known;
-      subscribers.put(subscription.source(), known);
+    SubscriberDelivery delivery = deliveries.get(subscription.source());
+    if (delivery == null) {
+      Slot slot = new Slot();
+      delivery =
+          new SubscriberDelivery(subscription, outbox, context.outboundClient(), eventLoop, slot);
+      slot.delivery = delivery;
+      deliveries.put(subscription.source(), delivery);
     }
-    opened.clear();
-    known.configure(subscription);
+    decryptedSecrets.clear();
+    delivery.configure(subscription);
   }
 
   void remove(Subscription subscription) {
-    SubscriberDelivery known = subscribers.remove(subscription.source());
-    if (known != null) {
-      known.close();
+    SubscriberDelivery delivery = deliveries.remove(subscription.source());
+    if (delivery != null) {
+      delivery.close();
     }
   }
 
-  SubscriberDelivery of(Subscription subscription) {
-    return subscribers.get(subscription.source());
+  SubscriberDelivery get(Subscription subscription) {
+    return deliveries.get(subscription.source());
   }
 
-  long sent() {
-    return sent;
+  long sentCount() {
+    return sentCount;
   }
 
-  long failed() {
-    return failed;
+  long failedCount() {
+    return failedCount;
   }
 
-  int underWay() {
-    return underWay;
+  int inFlight() {
+    return inFlight;
   }
 
-  Histogram delays() {
-    return delays;
+  Histogram deliveryDelays() {
+    return deliveryDelays;
   }
 
-  /** Notices were stored, or the lease holds after all. */
-  void kick() {
-    subscribers.values().forEach(SubscriberDelivery::kick);
+  /** Checks for pending notifications after some were stored or the lease was renewed. */
+  void wakeAll() {
+    deliveries.values().forEach(SubscriberDelivery::wake);
   }
 
-  private void pump() {
+  private void dispatch() {
     Instant now = eventLoop.now();
-    while (underWay < mostUnderWay && rate.available(now) >= 1) {
-      Turns next = ready.pollFirst();
-      if (next == null && failingUnderWay < mostFailing) {
-        next = failing.pollFirst();
-        failingUnderWay += next == null ? 0 : 1;
+    while (inFlight < maxInFlight && rateLimiter.available(now) >= 1) {
+      Slot next = readyQueue.pollFirst();
+      if (next == null && failingInFlight < maxFailingInFlight) {
+        next = failingQueue.pollFirst();
+        failingInFlight += next == null ? 0 : 1;
       }
       if (next == null) {
         return;
       }
-      rate.consume(1, now);
-      underWay++;
+      rateLimiter.consume(1, now);
+      inFlight++;
       next.send();
     }
-    if (underWay < mostUnderWay && !pumpSet) {
-      pumpSet = true;
+    if (inFlight < maxInFlight && !dispatchScheduled) {
+      dispatchScheduled = true;
       eventLoop.schedule(
-          rate.delayUntilAvailable(1, now).plusMillis(1),
+          rateLimiter.delayUntilAvailable(1, now).plusMillis(1),
           () -> {
-            pumpSet = false;
-            pump();
+            dispatchScheduled = false;
+            dispatch();
           });
     }
   }
 
-  /** One subscriber's turns; it waits for no more than one. */
-  private final class Turns implements SubscriberDelivery.Owner {
-    private SubscriberDelivery subscriber;
+  /** One subscriber's place in the queues and among the requests in flight. */
+  private final class Slot implements SubscriberDelivery.Callbacks {
+    private SubscriberDelivery delivery;
     private boolean queued;
 
-    /** The turn that it has, or waits for, is one of a receiver that fails. */
-    private boolean asFailing;
+    /** Whether its current turn counts towards the bound on failing receivers. */
+    private boolean countedAsFailing;
 
     void send() {
       queued = false;
-      subscriber.send();
+      delivery.send();
     }
 
     @Override
@@ -157,51 +159,52 @@
     }
 
     @Override
-    public void ready() {
+    public void requestTurn() {
       if (!queued) {
         queued = true;
-        asFailing = subscriber.isFailing();
-        (asFailing ? failing : ready).addLast(this);
-        pump();
+        countedAsFailing = delivery.isFailing();
+        (countedAsFailing ? failingQueue : readyQueue).addLast(this);
+        dispatch();
       }
     }
 
     @Override
-    public void done() {
-      underWay--;
-      failingUnderWay -= asFailing ? 1 : 0;
-      pump();
+    public void endTurn() {
+      inFlight--;
+      failingInFlight -= countedAsFailing ? 1 : 0;
+      dispatch();
     }
 
     @Override
-    public void sent() {
-      sent++;
+    public void onSent() {
+      sentCount++;
     }
 
     @Override
-    public void failed() {
-      failed++;
+    public void onAttemptFailed() {
+      failedCount++;
     }
 
     @Override
-    public void confirmed(Instant endedAt) {
+    public void onConfirmed(Instant endedAt) {
       long millis = Duration.between(endedAt, eventLoop.wallClock()).toMillis();
-      delays.recordValue(Math.min(delays.getHighestTrackableValue(), Math.max(0, millis)));
+      deliveryDelays.recordValue(
+          Math.min(deliveryDelays.getHighestTrackableValue(), Math.max(0, millis)));
     }
 
     @Override
-    public List<byte[]> secrets(Subscription subscription) {
+    public List<byte[]> signingSecrets(Subscription subscription) {
       return subscription.secrets().stream()
           .map(
               encrypted ->
-                  opened.computeIfAbsent(
-                      encrypted, s -> delivery.box().open(subscription.name(), s)))
+                  decryptedSecrets.computeIfAbsent(
+                      encrypted, s -> context.secretCipher().decrypt(subscription.name(), s)))
           .toList();
     }
 
     @Override
-    public void settle(Subscription subscription, Subscription.Status status, String reason) {
-      settling.settle(subscription, status, reason);
+    public void storeStatus(Subscription subscription, Subscription.Status status, String reason) {
+      statusStore.storeStatus(subscription, status, reason);
     }
   }
 }
--- a/src/main/java/io/pineladder/delivery/DestinationPolicy.java
+++ b/src/main/java/io/pineladder/delivery/DestinationPolicy.java
@@ -11,13 +11,13 @@
 import java.util.List;
 
 /**
- * Which addresses notices may be sent to: those of listed networks. Whoever may subscribe could
- * otherwise have a controller send requests to what only controllers reach. So loopback, link-local
- * and the cluster's own addresses are denied even within a wider network that is listed; they must
- * be listed by themselves.
+ * Allowlist of the networks that notifications may be sent to. Guards against server-side request
+ * forgery: a subscription could otherwise make a controller send requests to addresses that only
+ * controllers can reach. Loopback, link-local and the cluster's own addresses are therefore denied
+ * even within a wider network that is listed; they must be listed explicitly.
  */
 public final class DestinationPolicy {
-  private static final IPAddressStringParameters PLAIN =
+  private static final IPAddressStringParameters STRICT_NOTATION =
       new IPAddressStringParameters.Builder()
           .allowWildcardedSeparator(false)
           .allowEmpty(false)
@@ -28,28 +28,28 @@
           .toParams();
 
   private final List<IPAddress> networks;
-  private final List<IPAddress> own = new ArrayList<>();
+  private final List<IPAddress> clusterAddresses = new ArrayList<>();
 
   /**
-   * Destinations in these networks.
+   * Creates a policy that allows these networks.
    *
-   * @param networks each a network in CIDR form, or an address
-   * @param own the cluster's own addresses
-   * @throws IllegalArgumentException naming what is no network in canonical form
+   * @param networks networks in CIDR notation, or single addresses
+   * @param clusterAddresses the cluster's own addresses
+   * @throws IllegalArgumentException naming a network that is not in canonical form
    */
-  public DestinationPolicy(Collection<String> networks, Collection<String> own) {
+  public DestinationPolicy(Collection<String> networks, Collection<String> clusterAddresses) {
     this.networks = networks.stream().map(DestinationPolicy::parse).toList();
-    own.forEach(address -> this.own.add(parse(address)));
+    clusterAddresses.forEach(address -> this.clusterAddresses.add(parse(address)));
   }
 
   private static IPAddress parse(String text) {
     IPAddress network;
     try {
-      network = new IPAddressString(text, PLAIN).toAddress();
+      network = new IPAddressString(text, STRICT_NOTATION).toAddress();
     } catch (AddressStringException | inet.ipaddr.IncompatibleAddressException e) {
       throw new IllegalArgumentException(text + " is no network");
     }
-    // Two ways to write one network hide from a reader what is allowed, 010.0.0.1 for one.
+    // Ambiguous notations such as 010.0.0.1 obscure what is allowed, so only one form is accepted.
     if (network == null || (network.isAnyLocal() && !network.isMultiple())) {
       throw new IllegalArgumentException(text + " is no network");
     }
@@ -63,28 +63,27 @@
     return network;
   }
 
-  /** Whether a notice may be sent to the address. */
+  /** Whether notifications may be sent to the address. */
   public boolean allows(InetAddress to) {
     IPAddress address = new IPAddressGenerator().from(to);
     if (address.isAnyLocal() || address.isMulticast()) {
       return false;
     }
     for (IPAddress network : networks) {
-      if (network.contains(address) && (!isSpecial(address) || isSpecial(network))) {
+      if (network.contains(address) && (!isRestricted(address) || isRestricted(network))) {
         return true;
       }
     }
     return false;
   }
 
-  /** Whether all of it is loopback, link-local, or one of the cluster's own addresses. */
-  private boolean isSpecial(IPAddress what) {
-    return what.isLoopback()
-        || what.isLinkLocal()
-        || own.stream().anyMatch(each -> each.contains(what));
+  /** Whether a network or address is entirely loopback, link-local, or the cluster's own. */
+  private boolean isRestricted(IPAddress network) {
+    return network.isLoopback()
+        || network.isLinkLocal()
+        || clusterAddresses.stream().anyMatch(address -> address.contains(network));
   }
 
-  /** The networks, as they were given. */
   public List<String> networks() {
     return networks.stream().map(IPAddress::toCanonicalString).toList();
   }
--- a/src/main/java/io/pineladder/delivery/NotificationOutbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -27,307 +27,317 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The notices that are stored and not yet confirmed by all who want them, and how far each
- * subscriber is, in one term of leadership.
+ * The log of stored notifications that some subscriber has not confirmed yet, and the delivery
+ * progress of each subscriber, for one term of leadership.
  *
- * <p>All notices are one log, numbered without a gap in the order in which they were committed. A
- * subscriber's own sequence counts those of them that are for it, so it follows from the log and is
- * the same whoever counts; only where a subscriber stands is stored, not a number for each of its
- * notices. What all have confirmed leaves the log once that is stored, or a later leader could not
- * count on from where the record of a subscriber stands.
+ * <p>Notifications are numbered without a gap in commit order. A subscriber's own sequence counts
+ * those that match its filters. It is derived from the log, so every leader derives the same
+ * sequence, and only the last confirmed position of each subscriber is stored. A notification that
+ * all subscribers have confirmed leaves the log only after their progress is stored: a later leader
+ * counts on from the stored positions.
  *
- * <p>A notice stands in its job's page at first. Where many wait they move, the oldest first, to
- * pages of their own: job pages that are full of notices take in no jobs, and a new leader would
- * have to read them all before it begins. It needs the newest only, from which it counts on, and
- * reads the rest once it leads.
+ * <p>A notification is first stored in its job's page. When many are pending, the oldest move to
+ * backlog pages: job pages full of notifications have no room for jobs, and a new leader would have
+ * to read all of them before it can lead. It needs only the newest notification, to continue the
+ * numbering, and reads the backlog once it leads.
  */
 public final class NotificationOutbox implements NotificationLog {
   private static final Logger log = LoggerFactory.getLogger(NotificationOutbox.class);
 
-  /** So many are kept; what a subscriber has not confirmed beyond that is lost to it. */
+  /** Retention limit: older notifications are lost to subscribers that have not confirmed them. */
   public static final int MOST_KEPT = 100_000;
 
-  /** At the bound so large a part of what is kept goes at once. */
-  private static final int PARTS = 64;
+  /** Beyond the retention limit, the limit divided by this is discarded at once. */
+  private static final int DISCARD_DIVISOR = 64;
 
   /**
-   * A page of progress is stored once its subscribers are so many notices further on average, for
-   * each page there is. By the one that is furthest, a hundred who take turns would each have it
-   * stored.
+   * A progress page is written once its subscribers have advanced by this many notifications on
+   * average, multiplied by the number of progress pages. Averaged, since subscribers that advance in
+   * turn would otherwise trigger a write each.
    */
-  private static final int PACE = 50;
+  private static final int PROGRESS_WRITE_INTERVAL = 50;
 
   private static final Comparator<Entry> BY_NUMBER =
       Comparator.comparingLong(entry -> entry.notification.number());
 
-  /** What a page takes beside its notices. */
-  private static final int FRAME_BYTES = 64;
+  /** Size of a backlog page without its notifications. */
+  private static final int PAGE_OVERHEAD_BYTES = 64;
 
-  /** The most bytes of one subscriber's progress in JSON. */
-  private static final int PROGRESS_BYTES = 180;
+  /** Upper bound of the JSON of one subscriber's progress. */
+  private static final int MAX_PROGRESS_BYTES = 180;
 
   /**
-   * So large a part of one value may wait in the pages of jobs. With more the page that takes in
-   * new jobs would fill up, and jobs that end together would be in several pages.
+   * Bound on the notifications in job pages, as a fraction of the size of one stored value. Beyond
+   * it the page for new jobs would fill up, and jobs that end together would lie in several pages.
    */
-  private static final double IN_JOBS = 0.5;
+  private static final double MAX_JOB_PAGE_FRACTION = 0.5;
 
-  /** So many of the newest stay there in any case. */
-  private static final int NEWEST = 8;
+  /** The newest notifications, which always stay in their job pages. */
+  private static final int MIN_IN_JOB_PAGES = 8;
 
   private static final class Entry {
     final Notification notification;
 
-    /** What it takes in its job's page. */
-    final int bytes;
+    /** Size in its job's page. */
+    final int storedBytes;
 
-    /** Takes it out of its job's page; null once that has been asked for. */
-    private Runnable drop;
+    /** Removes it from its job's page; null once called or when it is not in a job's page. */
+    private Runnable removeFromPage;
 
-    Entry(Notification notification, int bytes, Runnable drop) {
+    Entry(Notification notification, int storedBytes, Runnable removeFromPage) {
       this.notification = notification;
-      this.bytes = bytes;
-      this.drop = drop;
+      this.storedBytes = storedBytes;
+      this.removeFromPage = removeFromPage;
     }
   }
 
-  /** Where a subscriber is. */
+  /** The delivery progress of a subscriber. */
   public static final class Cursor {
-    private long number;
-    private long sequence;
-    private long lostFrom;
+    private long lastNumber;
+    private long lastSequence;
+    private long firstLostSequence;
 
-    /** What the store holds. */
-    private DeliveryProgress stored;
+    /** Progress as the store holds it. */
+    private DeliveryProgress storedProgress;
 
-    /** The number up to which its page's advance counts it. */
-    private long counted;
+    /** The number up to which {@link ProgressPage#unstoredAdvance} includes it. */
+    private long countedNumber;
 
     private ProgressPage page;
 
-    private Cursor(DeliveryProgress at) {
-      moveTo(at);
-      stored = at;
-      counted = at.lastNumber();
+    private Cursor(DeliveryProgress progress) {
+      moveTo(progress);
+      storedProgress = progress;
+      countedNumber = progress.lastNumber();
     }
 
-    private void moveTo(DeliveryProgress at) {
-      number = at.lastNumber();
-      sequence = at.lastSequence();
-      lostFrom = at.firstLostSequence();
+    private void moveTo(DeliveryProgress progress) {
+      lastNumber = progress.lastNumber();
+      lastSequence = progress.lastSequence();
+      firstLostSequence = progress.firstLostSequence();
     }
 
-    /** Where it is now. */
-    public DeliveryProgress now() {
-      return new DeliveryProgress(number, sequence, lostFrom);
+    public DeliveryProgress progress() {
+      return new DeliveryProgress(lastNumber, lastSequence, firstLostSequence);
     }
   }
 
-  /** A value with where some subscribers are. */
+  /** A stored value with the progress of several subscribers. */
   private static final class ProgressPage {
     final String key;
     final Map<String, Cursor> cursors = new LinkedHashMap<>();
 
-    /** It is on its way to the store, and is to go there once more. */
-    private boolean writing;
+    private boolean writePending;
 
-    private boolean again;
+    /** The page is to be written again after the pending write. */
+    private boolean rewriteRequested;
 
-    /** By how many notices its subscribers are further, added up, than when it was stored. */
-    private long advance;
+    /** By how many notifications its subscribers, in total, have advanced since the last write. */
+    private long unstoredAdvance;
 
     ProgressPage(String key) {
       this.key = key;
     }
   }
 
-  /** What is known of the log. */
+  /** How much of the log has been read from the store. */
   private enum State {
-    /** The pages of jobs are being read. */
-    READING_JOBS,
-    /** The newest notices are known, so that others can follow; older ones are being read. */
-    READING_BACKLOG,
-    WHOLE
+    LOADING_JOB_PAGES,
+    /** The newest notifications are known, so new ones can be added; older ones are being read. */
+    LOADING_BACKLOG,
+    LOADED
   }
 
-  private final int most;
-  private final int valueBytes;
-  private final int perPage;
+  private final int maxRetained;
+  private final int maxValueBytes;
+  private final int cursorsPerPage;
   private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
-  private final Runnable onStored;
+  private final Runnable wakeDelivery;
 
-  /** The log, without gaps; {@code head} of its entries are dropped and go at times. */
+  /** The log, without gaps; the first {@code head} entries are dropped and removed in batches. */
   private final List<Entry> entries = new ArrayList<>();
 
   private int head;
-  private long committed;
-  private long assigned;
-  private State state = State.READING_JOBS;
+  private long committedNumber;
+  private long allocatedNumber;
+  private State state = State.LOADING_JOB_PAGES;
 
-  /** Pages of notices that wait for long, with the highest number in each. */
+  /** Backlog pages by index, with the highest number in each. */
   private final TreeMap<Long, Long> backlogPages = new TreeMap<>();
 
-  /** Notices up to this one have left the pages of jobs. */
-  private long sealedTo;
+  /** Notifications up to this number have moved out of the job pages. */
+  private long lastBacklogNumber;
 
-  private boolean sealing;
+  private boolean backlogWritePending;
 
-  /** What the notices in the pages of jobs take. */
-  private long bytesInJobs;
+  /** Total size of the notifications in job pages. */
+  private long jobPageBytes;
 
   private final Map<String, Subscription> subscriptions = new LinkedHashMap<>();
 
-  /** Subscriptions being created, and filters being changed, which want notices from here on. */
-  private final Map<String, Subscription> coming = new HashMap<>();
+  /** Subscriptions whose creation or new filters are not stored yet; they match from now on. */
+  private final Map<String, Subscription> pendingSubscriptions = new HashMap<>();
 
   private final Map<String, Cursor> cursors = new HashMap<>();
 
-  private final List<ProgressPage> pages = new ArrayList<>();
+  private final List<ProgressPage> progressPages = new ArrayList<>();
 
-  /** Notices of the transaction that has just committed. */
-  private final List<Entry> fresh = new ArrayList<>();
+  /** Notifications of the transaction whose commit is being processed. */
+  private final List<Entry> transactionEntries = new ArrayList<>();
 
   /**
-   * An empty one.
+   * Creates an empty outbox.
    *
-   * @param most how many notices are kept
-   * @param onStored told of each notice that is stored, and of what may be sent anew
+   * @param maxRetained how many notifications are retained
+   * @param maxValueBytes the size limit of a stored value
+   * @param commit sends a mutation to the store
+   * @param wakeDelivery called when there may be notifications to send
    */
   public NotificationOutbox(
-      int most, int valueBytes, EventLoop eventLoop, Consumer<Mutation> commit, Runnable onStored) {
-    this.most = most;
-    this.valueBytes = valueBytes;
-    this.perPage = Math.max(1, valueBytes / PROGRESS_BYTES);
+      int maxRetained,
+      int maxValueBytes,
+      EventLoop eventLoop,
+      Consumer<Mutation> commit,
+      Runnable wakeDelivery) {
+    this.maxRetained = maxRetained;
+    this.maxValueBytes = maxValueBytes;
+    this.cursorsPerPage = Math.max(1, maxValueBytes / MAX_PROGRESS_BYTES);
     this.eventLoop = eventLoop;
     this.commit = commit;
-    this.onStored = onStored;
+    this.wakeDelivery = wakeDelivery;
   }
 
-  // ---- the start of a term
+  // ---- start of a term
 
-  /** A subscription read at the start of the term. */
+  /** Adds a subscription that was read at the start of the term. */
   public void known(Subscription subscription) {
     subscriptions.put(subscription.name(), subscription);
   }
 
-  /** The pages of jobs have been read, with the newest notices: ends may follow. */
+  /** All job pages and thus the newest notifications were read: new ones may be added. */
   public void loaded() {
-    state = State.READING_BACKLOG;
+    state = State.LOADING_BACKLOG;
     entries.sort(BY_NUMBER);
-    committed = entries.isEmpty() ? 0 : at(entries.size() - 1);
+    committedNumber = entries.isEmpty() ? 0 : numberAt(entries.size() - 1);
     for (Subscription subscription : subscriptions.values()) {
-      committed = Math.max(committed, subscription.createdAfterNumber());
+      committedNumber = Math.max(committedNumber, subscription.createdAfterNumber());
     }
-    assigned = committed;
+    allocatedNumber = committedNumber;
   }
 
   /**
-   * All else has been read: notices that wait for long, and where the subscribers are, each by
-   * their pages' keys.
+   * The backlog and the delivery progress were read: subscribers can be served.
+   *
+   * @param backlog the notifications of each backlog page, by key
+   * @param progress the progress by event source of each progress page, by key
    */
   public void complete(
       Map<String, List<Notification>> backlog,
       Map<String, Map<String, DeliveryProgress>> progress) {
-    // Both copies of one that had moved and whose job's page was not written since.
-    Map<Long, Entry> inJobs = new HashMap<>();
-    entries.forEach(entry -> inJobs.put(entry.notification.number(), entry));
+    // A notification is in both places when its job's page was not written since the move.
+    Map<Long, Entry> inJobPages = new HashMap<>();
+    entries.forEach(entry -> inJobPages.put(entry.notification.number(), entry));
     backlog.forEach(
-        (key, notices) -> {
+        (key, notifications) -> {
           long last = 0;
-          for (Notification notification : notices) {
+          for (Notification notification : notifications) {
             last = Math.max(last, notification.number());
-            Entry twice = inJobs.get(notification.number());
-            if (twice == null) {
+            Entry duplicate = inJobPages.get(notification.number());
+            if (duplicate == null) {
               entries.add(new Entry(notification, 0, null));
             } else {
-              leaveJobs(twice);
+              removeFromJobPage(duplicate);
             }
           }
           backlogPages.put(
               Long.parseLong(key.substring(RecordKeys.NOTIFICATION_BACKLOG.length())), last);
-          sealedTo = Math.max(sealedTo, last);
+          lastBacklogNumber = Math.max(lastBacklogNumber, last);
         });
     entries.sort(BY_NUMBER);
     Set<String> sources = new HashSet<>();
     subscriptions.values().forEach(subscription -> sources.add(subscription.source()));
     progress.forEach(
         (key, page) -> {
-          ProgressPage known =
-              page(Integer.parseInt(key.substring(RecordKeys.DELIVERY_PROGRESS.length())));
+          ProgressPage progressPage =
+              progressPage(Integer.parseInt(key.substring(RecordKeys.DELIVERY_PROGRESS.length())));
           page.forEach(
-              (source, at) -> {
+              (source, position) -> {
                 if (sources.contains(source)) {
-                  cursors.put(source, settle(known, source, at));
+                  cursors.put(source, createCursor(progressPage, source, position));
                 }
               });
         });
-    subscriptions.values().forEach(this::beginTransaction);
-    state = State.WHOLE;
+    subscriptions.values().forEach(this::ensureCursor);
+    state = State.LOADED;
     trim();
-    mend();
-    seal();
+    markMissingAsLost();
+    moveToBacklog();
   }
 
-  /** Whether everything has been read, so that subscribers can be told and administered. */
-  public boolean isWhole() {
-    return state == State.WHOLE;
+  /** Whether everything was read, so that subscribers can be served and administered. */
+  public boolean isLoaded() {
+    return state == State.LOADED;
   }
 
   /**
-   * Only what is stored as needless is ever dropped, so what is kept has no gap. If it has one, and
-   * nothing here makes one, whoever wanted what was there is told that it is lost.
+   * Treats gaps in the stored log as lost notifications. Only notifications that the store knows to
+   * be unneeded are dropped, so a gap indicates missing records.
    */
-  private void mend() {
-    int from = entries.size() - 1;
-    while (from > head && at(from - 1) + 1 == at(from)) {
-      from--;
+  private void markMissingAsLost() {
+    int start = entries.size() - 1;
+    while (start > head && numberAt(start - 1) + 1 == numberAt(start)) {
+      start--;
     }
-    if (from > head) {
-      log.error("notices before {} are not all there", at(from));
-      head = from;
+    if (start > head) {
+      log.error("Gap in notification log: firstKept={}", numberAt(start));
+      head = start;
     }
     for (Subscription subscription : subscriptions.values()) {
       Cursor cursor = cursor(subscription);
-      long missing = first() - 1 - cursor.number;
+      long missing = firstNumber() - 1 - cursor.lastNumber;
       if (subscription.retainsNotifications() && missing > 0) {
-        log.error("{} notices for {} are not there", missing, subscription.name());
-        cursor.lostFrom = cursor.lostFrom == 0 ? cursor.sequence + 1 : cursor.lostFrom;
-        cursor.sequence += missing;
-        cursor.number += missing;
+        log.error("Notifications missing: subscription={} count={}", subscription.name(), missing);
+        cursor.firstLostSequence =
+            cursor.firstLostSequence == 0 ? cursor.lastSequence + 1 : cursor.firstLostSequence;
+        cursor.lastSequence += missing;
+        cursor.lastNumber += missing;
       }
     }
   }
 
-  private long at(int index) {
+  private long numberAt(int index) {
     return entries.get(index).notification.number();
   }
 
-  private Cursor beginTransaction(Subscription subscription) {
+  private Cursor ensureCursor(Subscription subscription) {
     return cursors.computeIfAbsent(
         subscription.source(),
         source -> {
           int index = 0;
-          while (index < pages.size() && pages.get(index).cursors.size() >= perPage) {
+          while (index < progressPages.size()
+              && progressPages.get(index).cursors.size() >= cursorsPerPage) {
             index++;
           }
-          return settle(
-              page(index), source, new DeliveryProgress(subscription.createdAfterNumber(), 0, 0));
+          return createCursor(
+              progressPage(index),
+              source,
+              new DeliveryProgress(subscription.createdAfterNumber(), 0, 0));
         });
   }
 
-  private static Cursor settle(ProgressPage page, String source, DeliveryProgress at) {
-    Cursor cursor = new Cursor(at);
+  private static Cursor createCursor(ProgressPage page, String source, DeliveryProgress progress) {
+    Cursor cursor = new Cursor(progress);
     cursor.page = page;
     page.cursors.put(source, cursor);
     return cursor;
   }
 
-  private ProgressPage page(int index) {
-    while (pages.size() <= index) {
-      pages.add(new ProgressPage(RecordKeys.DELIVERY_PROGRESS + pages.size()));
+  private ProgressPage progressPage(int index) {
+    while (progressPages.size() <= index) {
+      progressPages.add(new ProgressPage(RecordKeys.DELIVERY_PROGRESS + progressPages.size()));
     }
-    return pages.get(index);
+    return progressPages.get(index);
   }
 
   // ---- subscriptions
@@ -336,38 +346,38 @@
     return subscriptions;
   }
 
-  /** It may want notices from here on, if its record comes to be stored. */
-  public void expect(Subscription subscription) {
-    coming.put(subscription.name(), subscription);
+  /** Allocates notifications for a subscription whose record is about to be stored. */
+  public void expectSubscription(Subscription subscription) {
+    pendingSubscriptions.put(subscription.name(), subscription);
   }
 
-  /** The number of the last notice stored, or in the transaction that is being put together. */
-  public long last() {
-    return assigned;
+  /** The number of the last notification that is stored or in the transaction being assembled. */
+  public long lastNumber() {
+    return allocatedNumber;
   }
 
-  /** Its record, as it now stands, is stored. */
-  public void subscribed(Subscription subscription) {
-    coming.remove(subscription.name());
+  /** The record of a new or changed subscription is stored. */
+  public void onSubscriptionStored(Subscription subscription) {
+    pendingSubscriptions.remove(subscription.name());
     subscriptions.put(subscription.name(), subscription);
-    beginTransaction(subscription);
+    ensureCursor(subscription);
     trim();
-    onStored.run();
+    wakeDelivery.run();
   }
 
-  /** Its filters, without those that nothing kept is older than. */
-  public List<Subscription.Filter> filters(Subscription subscription) {
+  /** The filters of a subscription, without those that apply to no retained notification. */
+  public List<Subscription.Filter> neededFilters(Subscription subscription) {
     List<Subscription.Filter> all = subscription.filters();
-    int from = 0;
-    while (from + 1 < all.size() && all.get(from + 1).afterNumber() < first()) {
-      from++;
+    int start = 0;
+    while (start + 1 < all.size() && all.get(start + 1).afterNumber() < firstNumber()) {
+      start++;
     }
-    return all.subList(from, all.size());
+    return all.subList(start, all.size());
   }
 
-  /** Its record is gone. */
-  public void unsubscribed(String name) {
-    coming.remove(name);
+  /** The record of a subscription was deleted. */
+  public void onSubscriptionDeleted(String name) {
+    pendingSubscriptions.remove(name);
     Subscription before = subscriptions.remove(name);
     if (before != null) {
       cursors.remove(before.source()).page.cursors.remove(before.source());
@@ -379,79 +389,77 @@
     return cursors.get(subscription.source());
   }
 
-  // ---- notices
+  // ---- notifications
 
   @Override
   public boolean hasSubscribers() {
-    return !subscriptions.isEmpty() || !coming.isEmpty();
+    return !subscriptions.isEmpty() || !pendingSubscriptions.isEmpty();
   }
 
   @Override
   public void beginTransaction() {
-    assigned = committed;
+    allocatedNumber = committedNumber;
   }
 
   @Override
   public Notification allocate(Job job) {
-    String owner = job.spec.team();
+    String team = job.spec.team();
     String jobClass = job.spec.jobClass();
     boolean wanted =
-        subscriptions.values().stream().anyMatch(s -> s.mayWant(owner, jobClass))
-            || coming.values().stream().anyMatch(s -> s.mayWant(owner, jobClass));
+        subscriptions.values().stream().anyMatch(s -> s.mayWant(team, jobClass))
+            || pendingSubscriptions.values().stream().anyMatch(s -> s.mayWant(team, jobClass));
     return wanted
         ? new Notification(
-            ++assigned,
+            ++allocatedNumber,
             job.spec.id(),
-            owner,
+            team,
             jobClass,
             job.state(),
             job.spec.tasks(),
-            // As it is stored, or a later leader's event would not be the same.
+            // At the stored precision, so that a later leader sends an identical event.
             eventLoop.wallClock().truncatedTo(ChronoUnit.MILLIS))
         : null;
   }
 
   @Override
-  public void onStored(Notification notification, int bytes, Runnable drop) {
-    Entry entry = new Entry(notification, bytes, drop);
-    bytesInJobs += bytes;
-    (state == State.READING_JOBS ? entries : fresh).add(entry);
+  public void onStored(Notification notification, int storedBytes, Runnable removeFromPage) {
+    Entry entry = new Entry(notification, storedBytes, removeFromPage);
+    jobPageBytes += storedBytes;
+    (state == State.LOADING_JOB_PAGES ? entries : transactionEntries).add(entry);
   }
 
   @Override
   public void onTransactionCommitted() {
-    if (fresh.isEmpty()) {
+    if (transactionEntries.isEmpty()) {
       return;
     }
-    // A transaction's notices may stand in several pages.
-    fresh.sort(BY_NUMBER);
-    entries.addAll(fresh);
-    fresh.clear();
-    committed = at(entries.size() - 1);
-    if (state != State.WHOLE) {
+    // The pages of a transaction are processed in any order.
+    transactionEntries.sort(BY_NUMBER);
+    entries.addAll(transactionEntries);
+    transactionEntries.clear();
+    committedNumber = numberAt(entries.size() - 1);
+    if (state != State.LOADED) {
       return;
     }
-    if (kept() > most) {
-      giveUp(committed - most + most / PARTS);
+    if (retainedCount() > maxRetained) {
+      discardBefore(committedNumber - maxRetained + maxRetained / DISCARD_DIVISOR);
     }
-    seal();
-    onStored.run();
+    moveToBacklog();
+    wakeDelivery.run();
   }
 
-  /**
-   * Moves the oldest notices in pages of jobs to a page of their own, where too many wait there.
-   */
-  private void seal() {
-    if (sealing || bytesInJobs <= valueBytes * IN_JOBS) {
+  /** Moves the oldest notifications from job pages to a backlog page when there are too many. */
+  private void moveToBacklog() {
+    if (backlogWritePending || jobPageBytes <= maxValueBytes * MAX_JOB_PAGE_FRACTION) {
       return;
     }
     List<Notification> chunk = new ArrayList<>();
-    int left = valueBytes - FRAME_BYTES;
-    // Never the newest, which a new leader looks for in the pages of jobs.
-    int to = entries.size() - NEWEST;
-    for (int i = head + (int) Math.max(0, sealedTo + 1 - first()); i < to; i++) {
-      left -= entries.get(i).bytes;
-      if (left < 0) {
+    int remainingBytes = maxValueBytes - PAGE_OVERHEAD_BYTES;
+    // The newest stay: a new leader reads them from the job pages to continue the numbering.
+    int end = entries.size() - MIN_IN_JOB_PAGES;
+    for (int i = head + (int) Math.max(0, lastBacklogNumber + 1 - firstNumber()); i < end; i++) {
+      remainingBytes -= entries.get(i).storedBytes;
+      if (remainingBytes < 0) {
         break;
       }
       chunk.add(entries.get(i).notification);
@@ -461,40 +469,41 @@
     }
     long page = backlogPages.isEmpty() ? 0 : backlogPages.lastKey() + 1;
     long last = chunk.get(chunk.size() - 1).number();
-    sealing = true;
+    backlogWritePending = true;
     commit.accept(
         Mutation.of(
-            // Among the ends: put off in a rush it would leave them ever more pages to change.
+            // At the priority of final states: if a burst of those delayed the move, each of their
+            // transactions would have to change more job pages.
             Mutation.Priority.FINAL_STATE,
             List.of(
                 new Mutation.Write(
                     RecordKeys.NOTIFICATION_BACKLOG + page,
                     () -> RecordWire.page(Stream.of(), chunk))),
             () -> {
-              sealing = false;
+              backlogWritePending = false;
               backlogPages.put(page, last);
               for (Notification notification : chunk) {
-                if (notification.number() >= first()) {
-                  leaveJobs(entry(notification.number()));
+                if (notification.number() >= firstNumber()) {
+                  removeFromJobPage(entry(notification.number()));
                 }
               }
-              sealedTo = last;
-              dropPages();
-              seal();
+              lastBacklogNumber = last;
+              deleteUnneededBacklogPages();
+              moveToBacklog();
             }));
   }
 
-  private void leaveJobs(Entry entry) {
-    if (entry.drop != null) {
-      entry.drop.run();
-      entry.drop = null;
-      bytesInJobs -= entry.bytes;
+  private void removeFromJobPage(Entry entry) {
+    if (entry.removeFromPage != null) {
+      entry.removeFromPage.run();
+      entry.removeFromPage = null;
+      jobPageBytes -= entry.storedBytes;
     }
   }
 
-  /** Deletes pages of which nothing is wanted any more. */
-  private void dropPages() {
-    while (!backlogPages.isEmpty() && backlogPages.firstEntry().getValue() < first()) {
+  /** Deletes backlog pages whose notifications all have left the log. */
+  private void deleteUnneededBacklogPages() {
+    while (!backlogPages.isEmpty() && backlogPages.firstEntry().getValue() < firstNumber()) {
       long page = backlogPages.pollFirstEntry().getKey();
       commit.accept(
           Mutation.of(
@@ -504,90 +513,95 @@
     }
   }
 
-  private long first() {
-    return head < entries.size() ? at(head) : committed + 1;
+  private long firstNumber() {
+    return head < entries.size() ? numberAt(head) : committedNumber + 1;
   }
 
   private Entry entry(long number) {
-    return entries.get(head + (int) (number - first()));
+    return entries.get(head + (int) (number - firstNumber()));
   }
 
-  private Notification at(long number) {
+  private Notification notificationAt(long number) {
     return entry(number).notification;
   }
 
-  /** The subscriber's next notice, or null; what is not for it is passed over. */
-  public Notification allocate(Subscription subscription) {
+  /** The next notification that matches the subscription, or null; the cursor skips all others. */
+  public Notification nextFor(Subscription subscription) {
     Cursor cursor = cursor(subscription);
-    Notification found = null;
-    while (found == null && cursor.number < committed) {
-      Notification next = at(cursor.number + 1);
+    Notification match = null;
+    while (match == null && cursor.lastNumber < committedNumber) {
+      Notification next = notificationAt(cursor.lastNumber + 1);
       if (subscription.wants(next)) {
-        found = next;
+        match = next;
       } else {
-        cursor.number++;
+        cursor.lastNumber++;
       }
     }
-    moved(cursor);
-    return found;
+    onCursorAdvanced(cursor);
+    return match;
   }
 
-  /** How many notices the subscriber has before it, and when the oldest of them was made. */
-  public record Backlog(long notices, Notification oldest) {}
+  /** The number of notifications pending for a subscriber, and the oldest of them or null. */
+  public record Backlog(long count, Notification oldest) {}
 
-  /** What waits for the subscriber; counts through the log, for those who ask. */
+  /** Counts the notifications pending for a subscriber; scans the log. */
   public Backlog backlog(Subscription subscription) {
     if (!subscription.retainsNotifications()) {
       return new Backlog(0, null);
     }
-    Notification oldest = allocate(subscription);
+    Notification oldest = nextFor(subscription);
     long count = 0;
-    for (long n = cursor(subscription).number + 1; oldest != null && n <= committed; n++) {
-      count += subscription.wants(at(n)) ? 1 : 0;
+    for (long n = cursor(subscription).lastNumber + 1;
+        oldest != null && n <= committedNumber;
+        n++) {
+      count += subscription.wants(notificationAt(n)) ? 1 : 0;
     }
     return new Backlog(count, oldest);
   }
 
   /**
-   * The subscriber has everything up to a sequence and nothing beyond. It may be ahead of what was
-   * known, when an earlier leader delivered more than it stored, or behind, when it lost something.
+   * Moves a subscriber's cursor to the position that its receiver reports. The position may be
+   * ahead of the cursor when an earlier leader delivered more than it stored, or behind when the
+   * receiver lost data.
    *
-   * @return whether there can be such a receiver: it has nothing that was never sent
+   * @param position the sequence up to which the receiver has everything, and nothing beyond
+   * @return false when the position is beyond the last notification; the cursor is unchanged then
    */
-  public boolean has(Subscription subscription, long position) {
+  public boolean confirm(Subscription subscription, long position) {
     Cursor cursor = cursor(subscription);
-    DeliveryProgress before = cursor.now();
-    if (position >= cursor.sequence) {
-      cursor.lostFrom = 0;
-      while (cursor.sequence < position) {
-        Notification next = allocate(subscription);
+    DeliveryProgress before = cursor.progress();
+    if (position >= cursor.lastSequence) {
+      cursor.firstLostSequence = 0;
+      while (cursor.lastSequence < position) {
+        Notification next = nextFor(subscription);
         if (next == null) {
           cursor.moveTo(before);
           return false;
         }
-        cursor.number = next.number();
-        cursor.sequence++;
+        cursor.lastNumber = next.number();
+        cursor.lastSequence++;
       }
     } else {
-      while (cursor.sequence > position && cursor.number >= first()) {
-        cursor.sequence -= subscription.wants(at(cursor.number)) ? 1 : 0;
-        cursor.number--;
+      while (cursor.lastSequence > position && cursor.lastNumber >= firstNumber()) {
+        cursor.lastSequence -= subscription.wants(notificationAt(cursor.lastNumber)) ? 1 : 0;
+        cursor.lastNumber--;
       }
-      cursor.lostFrom = cursor.sequence > position ? position + 1 : 0;
+      cursor.firstLostSequence = cursor.lastSequence > position ? position + 1 : 0;
     }
-    moved(cursor);
+    onCursorAdvanced(cursor);
     return true;
   }
 
   /**
-   * Goes to a sequence that an operator names: the next notice sent is that one.
+   * Moves a subscriber's cursor so that the next notification sent has the given sequence.
    *
-   * @return false when it is not kept, or was never there; nothing has changed then
+   * @return false when that notification is not retained or never existed; the cursor is unchanged
+   *     then
    */
-  public boolean seek(Subscription subscription, long sequence) {
+  public boolean resumeFrom(Subscription subscription, long sequence) {
     Cursor cursor = cursor(subscription);
-    DeliveryProgress before = cursor.now();
-    if (!has(subscription, sequence - 1) || cursor.lostFrom > 0) {
+    DeliveryProgress before = cursor.progress();
+    if (!confirm(subscription, sequence - 1) || cursor.firstLostSequence > 0) {
       cursor.moveTo(before);
       return false;
     }
@@ -598,104 +612,109 @@
   // ---- progress
 
   /**
-   * The oldest notices are kept no longer: whoever has not confirmed them will be told of a loss.
+   * Marks notifications before a number as lost to the subscribers that have not confirmed them, so
+   * that they can leave the log.
    */
-  private void giveUp(long before) {
+  private void discardBefore(long number) {
     for (Subscription subscription : subscriptions.values()) {
       Cursor cursor = cursor(subscription);
       long lost = 0;
-      while (subscription.retainsNotifications() && cursor.number + 1 < before) {
-        cursor.number++;
-        if (subscription.wants(at(cursor.number))) {
+      while (subscription.retainsNotifications() && cursor.lastNumber + 1 < number) {
+        cursor.lastNumber++;
+        if (subscription.wants(notificationAt(cursor.lastNumber))) {
           lost++;
-          cursor.sequence++;
-          cursor.lostFrom = cursor.lostFrom == 0 ? cursor.sequence : cursor.lostFrom;
+          cursor.lastSequence++;
+          cursor.firstLostSequence =
+              cursor.firstLostSequence == 0 ? cursor.lastSequence : cursor.firstLostSequence;
         }
       }
       if (lost > 0) {
-        log.warn("{} notices are lost to subscription {}", lost, subscription.name());
+        log.warn("Notifications discarded: subscription={} count={}", subscription.name(), lost);
       }
     }
-    pages.forEach(this::storeProgress);
+    progressPages.forEach(this::storeProgress);
   }
 
   /**
-   * Stores how far subscribers are once that is worth a change of the store. What is not stored is
-   * sent again by the next leader, which does no harm; a change for each notice would.
+   * Stores a page of progress once its subscribers have advanced far enough. The next leader sends
+   * again what was confirmed but not stored, which is harmless; a write for each notification would
+   * exceed the write budget.
    */
-  private void moved(Cursor cursor) {
-    long by = cursor.number - cursor.counted;
-    cursor.counted = cursor.number;
-    if (by <= 0) {
+  private void onCursorAdvanced(Cursor cursor) {
+    long advance = cursor.lastNumber - cursor.countedNumber;
+    cursor.countedNumber = cursor.lastNumber;
+    if (advance <= 0) {
       return;
     }
-    cursor.page.advance += by;
-    if (isDue(cursor.page) && !cursor.page.writing) {
+    cursor.page.unstoredAdvance += advance;
+    if (isWriteDue(cursor.page) && !cursor.page.writePending) {
       storeProgress(cursor.page);
     }
   }
 
-  private boolean isDue(ProgressPage page) {
-    return page.advance >= (long) PACE * pages.size() * page.cursors.size();
+  private boolean isWriteDue(ProgressPage page) {
+    return page.unstoredAdvance
+        >= (long) PROGRESS_WRITE_INTERVAL * progressPages.size() * page.cursors.size();
   }
 
-  /** Stores a page of progress, once more if it is on its way already. */
+  /** Writes a page of progress, or requests another write when one is pending. */
   private void storeProgress(ProgressPage page) {
-    if (page.writing) {
-      page.again = true;
+    if (page.writePending) {
+      page.rewriteRequested = true;
       return;
     }
-    page.writing = true;
+    page.writePending = true;
     Map<Cursor, DeliveryProgress> rendered = new HashMap<>();
     commit.accept(
         Mutation.of(
             Mutation.Priority.CLEANUP,
             List.of(new Mutation.Write(page.key, () -> render(page, rendered))),
             () -> {
-              page.writing = false;
-              rendered.forEach((cursor, at) -> cursor.stored = at);
+              page.writePending = false;
+              rendered.forEach((cursor, progress) -> cursor.storedProgress = progress);
               trim();
-              if (page.again || isDue(page)) {
+              if (page.rewriteRequested || isWriteDue(page)) {
                 storeProgress(page);
               }
             }));
   }
 
   private static JsonNode render(ProgressPage page, Map<Cursor, DeliveryProgress> rendered) {
-    page.again = false;
-    page.advance = 0;
+    page.rewriteRequested = false;
+    page.unstoredAdvance = 0;
     rendered.clear();
     Map<String, DeliveryProgress> entries = new LinkedHashMap<>();
     page.cursors.forEach(
         (source, cursor) -> {
-          rendered.put(cursor, cursor.now());
-          entries.put(source, cursor.now());
+          rendered.put(cursor, cursor.progress());
+          entries.put(source, cursor.progress());
         });
     return DeliveryWire.progress(entries);
   }
 
-  /** Lets go of what nobody needs, as far as the store knows that. */
+  /** Drops the notifications that all subscribers have confirmed, according to stored progress. */
   private void trim() {
-    long needless = committed;
+    long confirmedNumber = committedNumber;
     for (Subscription subscription : subscriptions.values()) {
       if (subscription.retainsNotifications()) {
         Cursor cursor = cursor(subscription);
-        needless = Math.min(needless, Math.min(cursor.stored.lastNumber(), cursor.number));
+        confirmedNumber =
+            Math.min(
+                confirmedNumber, Math.min(cursor.storedProgress.lastNumber(), cursor.lastNumber));
       }
     }
-    // The newest stays in any case: the next leader counts on from it.
-    while (head < entries.size() - 1 && at(head) <= needless) {
-      leaveJobs(entries.get(head++));
+    // The newest always stays: the next leader continues the numbering from it.
+    while (head < entries.size() - 1 && numberAt(head) <= confirmedNumber) {
+      removeFromJobPage(entries.get(head++));
     }
     if (head > entries.size() / 2) {
       entries.subList(0, head).clear();
       head = 0;
     }
-    dropPages();
+    deleteUnneededBacklogPages();
   }
 
-  /** How many notices are kept. */
-  public int kept() {
+  public int retainedCount() {
     return entries.size() - head;
   }
 }
--- a/src/main/java/io/pineladder/delivery/SecretCipher.java
+++ b/src/main/java/io/pineladder/delivery/SecretCipher.java
@@ -13,10 +13,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Encrypts signing secrets for the state service: to sign, the secret itself is needed, so a hash
- * of it would not do. AES-256 in GCM mode with a key that only the controllers' machines have; what
- * the secret is for is bound to it, so that a stored secret cannot be moved to another
- * subscription.
+ * Encrypts the signing secrets that are stored in the key-value store. Uses AES-256-GCM with a key
+ * that only the controllers have. The purpose of a secret is authenticated as additional data, so
+ * that an encrypted secret cannot be copied to another subscription.
  */
 public final class SecretCipher {
   private static final int KEY_BYTES = 32;
@@ -26,15 +25,16 @@
   private final SecretKeySpec key;
   private final SecureRandom random = new SecureRandom();
 
-  /** A box with a key of 32 bytes. */
+  /** Creates a cipher with a key of 32 bytes. */
   public SecretCipher(byte[] key) {
     if (key.length != KEY_BYTES) {
-      throw new IllegalArgumentException("the key has not " + KEY_BYTES + " bytes");
+      throw new IllegalArgumentException(
+          "key must have " + KEY_BYTES + " bytes, got " + key.length);
     }
     this.key = new SecretKeySpec(key, "AES");
   }
 
-  /** Reads a file with the key in Base64. */
+  /** Reads the key from a file that holds it in Base64. */
   public static SecretCipher read(Path file) throws IOException {
     try {
       return new SecretCipher(Base64.getDecoder().decode(Files.readString(file).strip()));
@@ -43,29 +43,31 @@
     }
   }
 
-  /** Encrypts for a purpose. */
-  public String seal(String purpose, byte[] secret) {
+  /** Encrypts a secret for a purpose; the result is Base64 of nonce and ciphertext. */
+  public String encrypt(String purpose, byte[] secret) {
     byte[] nonce = new byte[NONCE_BYTES];
     random.nextBytes(nonce);
-    byte[] encrypted = apply(Cipher.ENCRYPT_MODE, nonce, purpose, secret);
-    ByteBuffer both = ByteBuffer.allocate(NONCE_BYTES + encrypted.length).put(nonce).put(encrypted);
-    return Base64.getEncoder().encodeToString(both.array());
+    byte[] ciphertext = apply(Cipher.ENCRYPT_MODE, nonce, purpose, secret);
+    ByteBuffer nonceAndCiphertext =
+        ByteBuffer.allocate(NONCE_BYTES + ciphertext.length).put(nonce).put(ciphertext);
+    return Base64.getEncoder().encodeToString(nonceAndCiphertext.array());
   }
 
   /**
-   * Decrypts.
+   * Decrypts a secret.
    *
    * @throws IllegalArgumentException when it was not encrypted with this key for this purpose
    */
-  public byte[] open(String purpose, String encrypted) {
-    byte[] both = Base64.getDecoder().decode(encrypted);
-    if (both.length < NONCE_BYTES) {
-      throw new IllegalArgumentException("a sealed secret is too short");
+  public byte[] decrypt(String purpose, String encrypted) {
+    byte[] nonceAndCiphertext = Base64.getDecoder().decode(encrypted);
+    if (nonceAndCiphertext.length < NONCE_BYTES) {
+      throw new IllegalArgumentException(
+          "encrypted secret too short: got " + nonceAndCiphertext.length + " bytes");
     }
     byte[] nonce = new byte[NONCE_BYTES];
-    byte[] rest = new byte[both.length - NONCE_BYTES];
-    ByteBuffer.wrap(both).get(nonce).get(rest);
-    return apply(Cipher.DECRYPT_MODE, nonce, purpose, rest);
+    byte[] ciphertext = new byte[nonceAndCiphertext.length - NONCE_BYTES];
+    ByteBuffer.wrap(nonceAndCiphertext).get(nonce).get(ciphertext);
+    return apply(Cipher.DECRYPT_MODE, nonce, purpose, ciphertext);
   }
 
   private byte[] apply(int mode, byte[] nonce, String purpose, byte[] data) {
@@ -75,7 +77,8 @@
       cipher.updateAAD(purpose.getBytes(StandardCharsets.UTF_8));
       return cipher.doFinal(data);
     } catch (GeneralSecurityException e) {
-      throw new IllegalArgumentException("not sealed with this key for this purpose", e);
+      throw new IllegalArgumentException(
+          "secret was not encrypted with this key for this purpose", e);
     }
   }
 }
--- a/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
+++ b/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
@@ -17,98 +17,102 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The sending to one subscriber, in one term: one notice at a time, in order, again and again until
- * the receiver has it.
+ * Delivers notifications to one subscriber during one term: one at a time and in order, each
+ * retried until the receiver has confirmed it.
  */
 final class SubscriberDelivery {
   private static final Logger log = LoggerFactory.getLogger(SubscriberDelivery.class);
 
-  /** A receiver has so long for its whole answer, however it drips. */
+  /** Timeout for a complete request and response. */
   static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-  private static final Duration FIRST_RETRY = Duration.ofSeconds(1);
-  private static final Duration MOST_RETRY = Duration.ofMinutes(5);
+  private static final Duration INITIAL_RETRY_DELAY = Duration.ofSeconds(1);
+  private static final Duration MAX_RETRY_DELAY = Duration.ofMinutes(5);
 
-  /** A receiver may ask for no longer pause than this. */
-  private static final Duration MOST_AFTER = Duration.ofHours(1);
+  /** Upper bound of the delay that a receiver may request by a Retry-After header. */
+  private static final Duration MAX_RETRY_AFTER = Duration.ofHours(1);
 
-  /** Where the sending stands. */
+  /** The state of the delivery. Shown to operators by these names. */
   enum State {
     /** Everything is confirmed. */
     CURRENT,
-    /** Something waits for its turn. */
+    /** A notification is pending and a turn to send it has been requested. */
     READY,
     SENDING,
-    /** The last try failed; the next is due later. */
+    /** The last attempt failed; the next one is scheduled. */
     RETRYING,
     /** Paused, parked or ended: nothing is sent. */
     HELD
   }
 
-  /** What its owner does for it. */
-  interface Owner {
+  /** What the dispatcher does for a delivery. */
+  interface Callbacks {
+    /** Whether this controller leads and its lease is valid. */
     boolean mayAct();
 
-    /** It has something to send. */
-    void ready();
+    /** A notification is pending: {@link #send} is to be called in turn. */
+    void requestTurn();
 
-    /** Its turn is over. */
-    void done();
+    /** The request has ended, or none was made. */
+    void endTurn();
 
-    /** A request goes out. */
-    void sent();
+    void onSent();
 
-    /** A try has failed, and another is made. */
-    void failed();
+    /** An attempt failed and will be retried. */
+    void onAttemptFailed();
 
-    /** The receiver has the notice of a job that ended then. */
-    void confirmed(Instant endedAt);
+    /** The receiver confirmed the notification of a job that ended at this time. */
+    void onConfirmed(Instant endedAt);
 
-    /** The secrets to sign with. */
-    List<byte[]> secrets(Subscription subscription);
+    /**
+     * The decrypted signing secrets.
+     *
+     * @throws IllegalArgumentException when this controller's key does not decrypt them
+     */
+    List<byte[]> signingSecrets(Subscription subscription);
 
-    /** The receiver's refusal is to be stored. */
-    void settle(Subscription subscription, Subscription.Status status, String reason);
+    /** Stores that the delivery stopped because of the receiver, and why. */
+    void storeStatus(Subscription subscription, Subscription.Status status, String reason);
   }
 
   private final NotificationOutbox outbox;
-  private final OutboundClient outward;
+  private final OutboundClient outboundClient;
   private final EventLoop eventLoop;
-  private final Owner owner;
+  private final Callbacks callbacks;
   private final Backoff backoff;
   private Subscription subscription;
   private State state = State.HELD;
 
-  /** Tells a timer or an answer of an earlier state that it comes too late. */
-  private long round;
+  /** Incremented on each transition, so that a timer or result of an earlier state is ignored. */
+  private long stateVersion;
 
-  /** Its last try failed, and none has succeeded since. */
+  /** An attempt failed and none has succeeded since. */
   private boolean failing;
 
   private String lastError;
-  private Instant confirmedAt;
-  private long sent;
+  private Instant lastConfirmedAt;
+  private long sentCount;
 
   SubscriberDelivery(
       Subscription subscription,
       NotificationOutbox outbox,
-      OutboundClient outward,
+      OutboundClient outboundClient,
       EventLoop eventLoop,
-      Owner owner) {
+      Callbacks callbacks) {
     this.subscription = subscription;
     this.outbox = outbox;
-    this.outward = outward;
+    this.outboundClient = outboundClient;
     this.eventLoop = eventLoop;
-    this.owner = owner;
-    this.backoff = new Backoff(eventLoop, FIRST_RETRY, MOST_RETRY);
+    this.callbacks = callbacks;
+    this.backoff = new Backoff(eventLoop, INITIAL_RETRY_DELAY, MAX_RETRY_DELAY);
   }
 
   private void moveTo(State next) {
     if (next == State.RETRYING && !failing) {
       failing = true;
-      log.warn("subscription {} is retried: {}", subscription.name(), lastError);
+      log.warn("Delivery failing: subscription={} error=\"{}\"", subscription.name(), lastError);
     }
-    round++;
+    stateVersion++;
     state = next;
   }
 
@@ -124,77 +128,77 @@
     return lastError;
   }
 
-  Instant confirmedAt() {
-    return confirmedAt;
+  Instant lastConfirmedAt() {
+    return lastConfirmedAt;
   }
 
-  long sent() {
-    return sent;
+  long sentCount() {
+    return sentCount;
   }
 
-  /** Its record has changed, or is known for the first time. */
-  void configure(Subscription now) {
-    subscription = now;
-    if (now.status() != Subscription.Status.ACTIVE) {
-      // An answer under way is still heard: it tells what the receiver has.
+  /** Applies the stored subscription, which is new or has changed. */
+  void configure(Subscription stored) {
+    subscription = stored;
+    if (stored.status() != Subscription.Status.ACTIVE) {
+      // The response to a request in flight is still processed: it reports the receiver's position.
       if (state != State.SENDING) {
         moveTo(State.HELD);
       }
     } else if (state == State.HELD || state == State.RETRYING) {
       backoff.reset();
-      advance();
+      updateState();
     }
   }
 
-  /** The subscription is gone. */
+  /** Stops the delivery: the subscription was deleted. */
   void close() {
     moveTo(State.HELD);
   }
 
-  /** More may be there to send. */
-  void kick() {
+  /** Checks for pending notifications. */
+  void wake() {
     if (state == State.CURRENT) {
-      advance();
+      updateState();
     }
   }
 
-  private void advance() {
+  private void updateState() {
     if (subscription.status() != Subscription.Status.ACTIVE) {
       moveTo(State.HELD);
-    } else if (isWaiting()) {
+    } else if (hasPending()) {
       moveTo(State.READY);
-      owner.ready();
+      callbacks.requestTurn();
     } else {
       moveTo(State.CURRENT);
     }
   }
 
-  private boolean isWaiting() {
-    return outbox.cursor(subscription).now().firstLostSequence() > 0
-        || outbox.allocate(subscription) != null;
+  private boolean hasPending() {
+    return outbox.cursor(subscription).progress().firstLostSequence() > 0
+        || outbox.nextFor(subscription) != null;
   }
 
-  /** It is its turn. */
+  /** Sends the next notification, in the turn that was requested. */
   void send() {
-    if (state != State.READY || !owner.mayAct()) {
+    if (state != State.READY || !callbacks.mayAct()) {
       if (state == State.READY) {
-        // In doubt of the lease; asked again when it holds after all.
+        // The lease is not known to be valid; wake() is called when it is renewed.
         moveTo(State.CURRENT);
       }
-      owner.done();
+      callbacks.endTurn();
       return;
     }
-    DeliveryProgress at = outbox.cursor(subscription).now();
-    Notification next = at.firstLostSequence() > 0 ? null : outbox.allocate(subscription);
-    if (at.firstLostSequence() == 0 && next == null) {
+    DeliveryProgress progress = outbox.cursor(subscription).progress();
+    Notification next = progress.firstLostSequence() > 0 ? null : outbox.nextFor(subscription);
+    if (progress.firstLostSequence() == 0 && next == null) {
       moveTo(State.CURRENT);
-      owner.done();
+      callbacks.endTurn();
       return;
     }
-    long sequence = next == null ? at.lastSequence() : at.lastSequence() + 1;
+    long sequence = next == null ? progress.lastSequence() : progress.lastSequence() + 1;
     byte[] body =
         next == null
-            ? DeliveryWire.lostEvent(subscription, at.firstLostSequence(), sequence)
+            ? DeliveryWire.lostEvent(subscription, progress.firstLostSequence(), sequence)
             : DeliveryWire.event(subscription, sequence, next);
     String id = DeliveryWire.eventId(subscription, sequence);
     Instant now = eventLoop.wallClock();
@@ -204,104 +208,108 @@
           Map.of(
               "content-type",
               DeliveryWire.CONTENT_TYPE,
-              WebhookSignature.ID,
+              WebhookSignature.ID_HEADER,
               id,
-              WebhookSignature.TIMESTAMP,
+              WebhookSignature.TIMESTAMP_HEADER,
               Long.toString(now.getEpochSecond()),
-              WebhookSignature.SIGNATURE,
-              WebhookSignature.sign(owner.secrets(subscription), id, now, body));
+              WebhookSignature.SIGNATURE_HEADER,
+              WebhookSignature.sign(callbacks.signingSecrets(subscription), id, now, body));
     } catch (IllegalArgumentException e) {
-      owner.done();
+      callbacks.endTurn();
       park("its secrets cannot be decrypted with this controller's key");
       return;
     }
     moveTo(State.SENDING);
-    sent++;
-    owner.sent();
-    long mine = round;
-    outward.post(
+    sentCount++;
+    callbacks.onSent();
+    long expectedVersion = stateVersion;
+    outboundClient.post(
         new OutboundClient.Message(URI.create(subscription.url()), headers, body, TIMEOUT),
-        answer -> {
-          owner.done();
-          if (round == mine) {
-            answered(sequence, next, answer);
+        result -> {
+          callbacks.endTurn();
+          if (stateVersion == expectedVersion) {
+            onResult(sequence, next, result);
           }
         });
   }
 
-  private void answered(long sequence, Notification notification, Result answer) {
-    int status = answer.status();
-    long position = DeliveryWire.parsePosition(answer.body());
-    boolean taken = status >= 200 && status < 300;
-    if (answer.outcome() == OutboundClient.Outcome.NOT_ALLOWED) {
-      park(answer.failureReason());
-    } else if (answer.outcome() == OutboundClient.Outcome.FAILED) {
-      retry(answer.failureReason(), null);
-    } else if (taken && position < 0) {
-      // A receiver that keeps no position: what it has taken is all that can be known.
-      has(sequence, notification);
-    } else if ((taken || status == 409) && position >= 0) {
+  private void onResult(long sequence, Notification notification, Result result) {
+    int status = result.status();
+    long position = DeliveryWire.parsePosition(result.body());
+    boolean accepted = status >= 200 && status < 300;
+    if (result.outcome() == OutboundClient.Outcome.NOT_ALLOWED) {
+      park(result.failureReason());
+    } else if (result.outcome() == OutboundClient.Outcome.FAILED) {
+      scheduleRetry(result.failureReason(), null);
+    } else if (accepted && position < 0) {
+      // The receiver reports no position: a successful response confirms this notification only.
+      confirm(sequence, notification);
+    } else if ((accepted || status == 409) && position >= 0) {
       if (position < sequence) {
         lastError = "the receiver has up to " + position + " and not " + sequence;
       }
-      has(position, position >= sequence ? notification : null);
+      confirm(position, position >= sequence ? notification : null);
     } else if (status == 410) {
-      owner.settle(subscription, Subscription.Status.ENDED, "the receiver answered 410");
+      callbacks.storeStatus(subscription, Subscription.Status.ENDED, "the receiver answered 410");
       moveTo(State.HELD);
     } else if (status == 408 || status == 425 || status == 429 || status >= 500) {
-      retry("the receiver answered " + status, answer.retryAfter());
+      scheduleRetry("the receiver answered " + status, result.retryAfter());
     } else {
       park("the receiver answered " + status);
     }
   }
 
-  /** The receiver has told, or shown, up to where it has everything. */
-  private void has(long position, Notification sent) {
-    DeliveryProgress before = outbox.cursor(subscription).now();
-    if (!outbox.has(subscription, position)) {
+  /**
+   * Processes the position that the receiver reported.
+   *
+   * @param sent the notification that this confirms, or null
+   */
+  private void confirm(long position, Notification sent) {
+    DeliveryProgress before = outbox.cursor(subscription).progress();
+    if (!outbox.confirm(subscription, position)) {
       park("the receiver claims sequence " + position + ", which was never sent");
       return;
     }
-    DeliveryProgress now = outbox.cursor(subscription).now();
-    if (now.lastSequence() > before.lastSequence()
-        || now.firstLostSequence() != before.firstLostSequence()) {
-      confirmedAt = eventLoop.now();
+    DeliveryProgress after = outbox.cursor(subscription).progress();
+    if (after.lastSequence() > before.lastSequence()
+        || after.firstLostSequence() != before.firstLostSequence()) {
+      lastConfirmedAt = eventLoop.now();
       if (sent != null) {
-        owner.confirmed(sent.endedAt());
+        callbacks.onConfirmed(sent.endedAt());
       }
       backoff.reset();
       if (failing) {
         failing = false;
-        log.info("subscription {} takes notices again", subscription.name());
+        log.info("Delivery recovered: subscription={}", subscription.name());
       }
-      advance();
+      updateState();
     } else {
-      // It takes notices and does not get on. Without a pause it would be asked for ever.
-      retry("the receiver stays at " + position, null);
+      // The receiver accepts but makes no progress; without a delay this would be a tight loop.
+      scheduleRetry("the receiver stays at " + position, null);
     }
   }
 
-  private void retry(String why, Duration after) {
-    lastError = why;
-    owner.failed();
-    Duration pause = backoff.nextDelay();
-    if (after != null && after.compareTo(pause) > 0) {
-      pause = after.compareTo(MOST_AFTER) < 0 ? after : MOST_AFTER;
+  private void scheduleRetry(String error, Duration retryAfter) {
+    lastError = error;
+    callbacks.onAttemptFailed();
+    Duration delay = backoff.nextDelay();
+    if (retryAfter != null && retryAfter.compareTo(delay) > 0) {
+      delay = retryAfter.compareTo(MAX_RETRY_AFTER) < 0 ? retryAfter : MAX_RETRY_AFTER;
     }
     moveTo(State.RETRYING);
-    long mine = round;
+    long expectedVersion = stateVersion;
     eventLoop.schedule(
-        pause,
+        delay,
         () -> {
-          if (round == mine) {
-            advance();
+          if (stateVersion == expectedVersion) {
+            updateState();
           }
         });
   }
 
-  private void park(String why) {
-    lastError = why;
+  private void park(String reason) {
+    lastError = reason;
     moveTo(State.HELD);
-    owner.settle(subscription, Subscription.Status.PARKED, why);
+    callbacks.storeStatus(subscription, Subscription.Status.PARKED, reason);
   }
 }
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -32,90 +32,97 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Subscriptions in one term: the administration of them, and the sending where it is switched on.
- */
+/** Administers the subscriptions and delivers their notifications during one term. */
 public final class SubscriptionManager {
   private static final Logger log = LoggerFactory.getLogger(SubscriptionManager.class);
 
-  /** Below the administration API's prefix. */
+  /** Path of the subscriptions below the prefix of the administration API. */
   public static final String PATH = "subscriptions";
 
+  /** Path of the allowed destination networks below the same prefix. */
   public static final String NETWORKS_PATH = "networks";
 
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
 
-  /** More would take more room in the store and more of each end's time. */
-  static final int MOST = 256;
+  /** Bounds the stored records, and the time to match a job's final state against all filters. */
+  static final int MAX_SUBSCRIPTIONS = 256;
 
-  private static final int MOST_FILTERS = 16;
+  private static final int MAX_FILTERS = 16;
 
-  /** What a record may still grow by: a status with its reason. */
-  private static final int GROWTH = 512;
+  /** Space left in a record for a later status with its reason. */
+  private static final int STATUS_RESERVE_BYTES = 512;
 
-  private static final int MOST_REASON = 300;
-  private static final int MOST_NETWORKS = 64;
+  private static final int MAX_REASON_CHARS = 300;
+  private static final int MAX_NETWORKS = 64;
   private static final Duration STORE_TIMEOUT = Duration.ofSeconds(3);
 
-  private final DeliveryContext delivery;
+  private final DeliveryContext context;
   private final NotificationOutbox outbox;
   private final EventLoop eventLoop;
   private final Consumer<Mutation> commit;
-  private final int valueBytes;
-  private final DeliveryDispatcher deliveries;
+  private final int maxValueBytes;
+  private final DeliveryDispatcher dispatcher;
 
   /**
-   * The subscriptions of a term.
+   * Creates the manager of a term.
    *
-   * @param delivery null where it is switched off: notices are kept then and not sent
+   * @param context null where delivery is disabled: notifications are retained but not sent
+   * @param maxValueBytes the size limit of a stored value
+   * @param mayAct whether this controller leads and its lease is valid
    */
   public SubscriptionManager(
-      DeliveryContext delivery,
+      DeliveryContext context,
       NotificationOutbox outbox,
       EventLoop eventLoop,
       Consumer<Mutation> commit,
-      int valueBytes,
+      int maxValueBytes,
       BooleanSupplier mayAct) {
-    this.valueBytes = valueBytes;
-    this.delivery = delivery;
+    this.maxValueBytes = maxValueBytes;
+    this.context = context;
     this.outbox = outbox;
     this.eventLoop = eventLoop;
     this.commit = commit;
-    this.deliveries =
-        delivery == null
+    this.dispatcher =
+        context == null
             ? null
-            : new DeliveryDispatcher(delivery, outbox, eventLoop, mayAct, this::settle);
+            : new DeliveryDispatcher(context, outbox, eventLoop, mayAct, this::storeStatus);
   }
 
-  /** Whether subscriptions can be administered and are served here. */
+  /** Whether delivery is enabled on this controller. */
   public boolean isOn() {
-    return delivery != null;
+    return context != null;
   }
 
-  /** Everything has been read and the term has begun. */
+  /** Starts delivering once the backlog and the delivery progress were read. */
   public void start() {
-    if (deliveries != null) {
-      outbox.subscriptions().values().forEach(deliveries::configure);
+    if (dispatcher != null) {
+      outbox.subscriptions().values().forEach(dispatcher::configure);
     }
   }
 
-  /** More may be sent. */
+  /** Checks for notifications to send after some were stored or the lease was renewed. */
   public void kick() {
-    if (deliveries != null) {
-      deliveries.kick();
+    if (dispatcher != null) {
+      dispatcher.wakeAll();
     }
   }
 
-  // ---- changes
+  // ---- records
 
-  /** Changes a record from what it is when the change goes to the store. */
-  private void change(String name, UnaryOperator<Subscription> change, Runnable onStored) {
+  /**
+   * Changes a subscription's record. The change is applied to the record as it is when the
+   * transaction is assembled.
+   *
+   * @param change returns the new record, or null to delete it; gets null when there is none
+   */
+  private void updateRecord(String name, UnaryOperator<Subscription> change, Runnable onStored) {
     Subscription[] rendered = new Subscription[1];
     Subscription expected = change.apply(outbox.subscriptions().get(name));
     if (expected != null) {
-      outbox.expect(expected);
+      outbox.expectSubscription(expected);
     }
-    // With the ends, in their order: an end whose change was begun without a notice goes first.
+    // At the priority of final states, so that both are stored in order: a final state that was
+    // queued earlier without a notification is stored before the subscription.
     commit.accept(
         new Mutation(
             Mutation.Priority.FINAL_STATE,
@@ -133,46 +140,47 @@
                 change.apply(outbox.subscriptions().get(name)) != null
                     || outbox.subscriptions().containsKey(name),
             () -> {
-              stored(name, rendered[0]);
+              onRecordStored(name, rendered[0]);
               onStored.run();
             },
             null));
   }
 
-  private void stored(String name, Subscription now) {
+  private void onRecordStored(String name, Subscription stored) {
     Subscription before = outbox.subscriptions().get(name);
-    if (now == null) {
-      outbox.unsubscribed(name);
+    if (stored == null) {
+      outbox.onSubscriptionDeleted(name);
     } else {
-      outbox.subscribed(now);
+      outbox.onSubscriptionStored(stored);
     }
-    if (before == null || now == null || before.status() != now.status()) {
+    if (before == null || stored == null || before.status() != stored.status()) {
       log.info(
-          "subscription {} is {}{}",
+          "Subscription status changed: subscription={} status={}{}",
           name,
-          now == null ? "deleted" : now.status().name().toLowerCase(Locale.ROOT),
-          now == null || now.reason() == null ? "" : ": " + now.reason());
+          stored == null ? "deleted" : stored.status().name().toLowerCase(Locale.ROOT),
+          stored == null || stored.reason() == null ? "" : " reason=\"" + stored.reason() + "\"");
     }
-    if (deliveries == null) {
+    if (dispatcher == null) {
       return;
     }
-    if (now != null) {
-      deliveries.configure(now);
+    if (stored != null) {
+      dispatcher.configure(stored);
     } else if (before != null) {
-      deliveries.remove(before);
+      dispatcher.remove(before);
     }
   }
 
-  /** A receiver's refusal is stored, or the next leader would try again. */
-  private void settle(Subscription of, Subscription.Status status, String reason) {
-    change(
-        of.name(),
-        now ->
-            now != null
-                    && now.source().equals(of.source())
-                    && now.status() == Subscription.Status.ACTIVE
-                ? now.with(status, reason.substring(0, Math.min(reason.length(), MOST_REASON)))
-                : now,
+  /** Stores that a receiver refuses notifications, so that the next leader does not retry. */
+  private void storeStatus(Subscription refused, Subscription.Status status, String reason) {
+    updateRecord(
+        refused.name(),
+        current ->
+            current != null
+                    && current.source().equals(refused.source())
+                    && current.status() == Subscription.Status.ACTIVE
+                ? current.with(
+                    status, reason.substring(0, Math.min(reason.length(), MAX_REASON_CHARS)))
+                : current,
         () -> {});
   }
 
@@ -182,45 +190,53 @@
     return new HttpResponse(status, Json.bytes(body));
   }
 
-  private static HttpResponse later(String reason) {
+  private static HttpResponse unavailable(String reason) {
     return new HttpResponse(503, Json.bytes(Json.object().put("error", reason)), 2);
   }
 
-  private static HttpResponse faulty(List<SubscriptionSchema.Fault> faults) {
+  private static HttpResponse badRequest(List<SubscriptionSchema.Fault> faults) {
     ObjectNode out = Json.object().put("error", "the request has faults");
     ArrayNode list = out.putArray("faults");
-    faults.forEach(f -> list.addObject().put("pointer", f.pointer()).put("fault", f.what()));
+    faults.forEach(f -> list.addObject().put("pointer", f.pointer()).put("fault", f.message()));
     return json(400, out);
   }
 
-  /** Answers at the first of both: the change is stored, or has taken too long. */
-  private Runnable within(Consumer<HttpResponse> answer, Supplier<HttpResponse> good) {
-    Consumer<HttpResponse> first =
-        HttpResponses.withTimeout(eventLoop, answer, STORE_TIMEOUT, later("not stored yet"));
-    return () -> first.accept(good.get());
+  /**
+   * Returns a callback that responds when a change is stored; without one within the timeout the
+   * response is 503.
+   */
+  private Runnable respondWhenStored(
+      Consumer<HttpResponse> answer, Supplier<HttpResponse> response) {
+    Consumer<HttpResponse> firstResponse =
+        HttpResponses.withTimeout(eventLoop, answer, STORE_TIMEOUT, unavailable("not stored yet"));
+    return () -> firstResponse.accept(response.get());
   }
 
-  /** Answers a request; {@code path} is what follows the administration API's prefix. */
+  /**
+   * Handles a request to the administration API.
+   *
+   * @param path the path without the prefix of the administration API
+   */
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
-    if (delivery == null) {
+    if (context == null) {
       answer.accept(error(404, "delivery of notices is not switched on"));
     } else if (path.equals(NETWORKS_PATH)) {
-      networks(method, body, answer);
-    } else if (!outbox.isWhole()) {
-      answer.accept(later("what subscribers wait for is still being read"));
+      handleNetworks(method, body, answer);
+    } else if (!outbox.isLoaded()) {
+      answer.accept(unavailable("what subscribers wait for is still being read"));
     } else if (path.equals(PATH)) {
-      answer.accept(method.equals("GET") ? list() : error(405, "use GET"));
+      answer.accept(method.equals("GET") ? listSubscriptions() : error(405, "use GET"));
     } else if (path.equals(PATH + "/schema")) {
       answer.accept(
           method.equals("GET")
-              ? new HttpResponse(200, SubscriptionSchema.text().getBytes(StandardCharsets.UTF_8))
+              ? new HttpResponse(200, SubscriptionSchema.json().getBytes(StandardCharsets.UTF_8))
               : error(405, "use GET"));
     } else {
       String[] parts = path.substring(PATH.length() + 1).split("/", -1);
       if (!NAME.matcher(parts[0]).matches() || parts[0].equals("schema")) {
         answer.accept(error(400, "a name has 1 to 63 lower-case letters, digits and hyphens"));
       } else if (parts.length == 1) {
-        one(method, parts[0], body, answer);
+        handleSubscription(method, parts[0], body, answer);
       } else if (parts.length == 2 && (parts[1].equals("pause") || parts[1].equals("resume"))) {
         if (!method.equals("POST")) {
           answer.accept(error(405, "use POST"));
@@ -237,33 +253,36 @@
     }
   }
 
-  private HttpResponse list() {
+  private HttpResponse listSubscriptions() {
     ObjectNode out = Json.object();
     ArrayNode all = out.putArray("subscriptions");
-    outbox.subscriptions().values().forEach(each -> all.add(show(each)));
+    outbox.subscriptions().values().forEach(subscription -> all.add(toJson(subscription)));
     return json(200, out);
   }
 
-  /** What is kept and how sending goes, in figures; those of this term. */
-  public ObjectNode figures() {
+  /** Counters and latencies of this term, for the metrics of the administration API. */
+  public ObjectNode statistics() {
     ObjectNode out =
         Json.object()
             .put("subscriptions", outbox.subscriptions().size())
-            .put("notices_kept", outbox.kept());
-    if (deliveries != null) {
-      out.put("sent", deliveries.sent()).put("confirmed", deliveries.delays().getTotalCount());
-      out.put("failed", deliveries.failed()).put("under_way", deliveries.underWay());
-      Metrics.percentiles(out.putObject("delay_s"), deliveries.delays(), 1e3);
+            .put("notices_kept", outbox.retainedCount());
+    if (dispatcher != null) {
+      out.put("sent", dispatcher.sentCount())
+          .put("confirmed", dispatcher.deliveryDelays().getTotalCount());
+      out.put("failed", dispatcher.failedCount()).put("under_way", dispatcher.inFlight());
+      Metrics.writePercentiles(out.putObject("delay_s"), dispatcher.deliveryDelays(), 1e3);
     }
     return out;
   }
 
-  private HttpResponse shown(String name) {
-    Subscription found = outbox.subscriptions().get(name);
-    return found == null ? error(404, "no such subscription") : json(200, show(found));
+  private HttpResponse subscriptionResponse(String name) {
+    Subscription subscription = outbox.subscriptions().get(name);
+    return subscription == null
+        ? error(404, "no such subscription")
+        : json(200, toJson(subscription));
   }
 
-  private ObjectNode show(Subscription subscription) {
+  private ObjectNode toJson(Subscription subscription) {
     ObjectNode out = Json.object().put("name", subscription.name()).put("url", subscription.url());
     ArrayNode owners = out.putArray("owners");
     subscription.filter().teams().stream().sorted().forEach(owners::add);
@@ -276,41 +295,46 @@
       out.put("reason", subscription.reason());
     }
     NotificationOutbox.Backlog backlog = outbox.backlog(subscription);
-    DeliveryProgress at = outbox.cursor(subscription).now();
+    DeliveryProgress progress = outbox.cursor(subscription).progress();
     out.put(
             "confirmed",
-            at.firstLostSequence() > 0 ? at.firstLostSequence() - 1 : at.lastSequence())
-        .put("backlog", backlog.notices())
+            progress.firstLostSequence() > 0
+                ? progress.firstLostSequence() - 1
+                : progress.lastSequence())
+        .put("backlog", backlog.count())
         .put("oldest", backlog.oldest() == null ? null : backlog.oldest().endedAt().toString());
-    if (at.firstLostSequence() > 0) {
-      out.putObject("lost").put("first", at.firstLostSequence()).put("last", at.lastSequence());
+    if (progress.firstLostSequence() > 0) {
+      out.putObject("lost")
+          .put("first", progress.firstLostSequence())
+          .put("last", progress.lastSequence());
     }
-    SubscriberDelivery sender = deliveries.of(subscription);
-    if (sender != null) {
-      out.put("sending", sender.state().name().toLowerCase(Locale.ROOT))
-          .put("sent", sender.sent())
-          .put("last_error", sender.lastError())
+    SubscriberDelivery delivery = dispatcher.get(subscription);
+    if (delivery != null) {
+      out.put("sending", delivery.state().name().toLowerCase(Locale.ROOT))
+          .put("sent", delivery.sentCount())
+          .put("last_error", delivery.lastError())
           .put(
               "confirmed_ago_s",
-              sender.confirmedAt() == null
+              delivery.lastConfirmedAt() == null
                   ? null
-                  : Duration.between(sender.confirmedAt(), eventLoop.now()).toMillis() / 1e3);
+                  : Duration.between(delivery.lastConfirmedAt(), eventLoop.now()).toMillis() / 1e3);
     }
     return out;
   }
 
-  private void one(String method, String name, byte[] body, Consumer<HttpResponse> answer) {
+  private void handleSubscription(
+      String method, String name, byte[] body, Consumer<HttpResponse> answer) {
     switch (method) {
-      case "GET" -> answer.accept(shown(name));
+      case "GET" -> answer.accept(subscriptionResponse(name));
       case "PUT" -> put(name, body, answer);
       case "DELETE" -> {
         if (!outbox.subscriptions().containsKey(name)) {
           answer.accept(error(404, "no such subscription"));
         } else {
-          change(
+          updateRecord(
               name,
-              now -> null,
-              within(answer, () -> json(200, Json.object().put("deleted", name))));
+              current -> null,
+              respondWhenStored(answer, () -> json(200, Json.object().put("deleted", name))));
         }
       }
       default -> answer.accept(error(405, "use GET, PUT or DELETE"));
@@ -318,51 +342,54 @@
   }
 
   private void put(String name, byte[] body, Consumer<HttpResponse> answer) {
-    ObjectNode wanted;
+    ObjectNode requested;
     try {
-      wanted = Json.parseObject(body);
+      requested = Json.parseObject(body);
     } catch (MalformedMessageException e) {
-      answer.accept(faulty(List.of(new SubscriptionSchema.Fault("", e.getMessage()))));
+      answer.accept(badRequest(List.of(new SubscriptionSchema.Fault("", e.getMessage()))));
       return;
     }
-    // The validator's first use loads hundreds of classes, for which no lease would wait.
-    delivery
-        .background()
+    // The validator's first use loads many classes, which would block the event loop too long.
+    context
+        .backgroundExecutor()
         .run(
-            () -> check(wanted),
+            () -> validate(requested),
             faults -> {
               boolean isNew = !outbox.subscriptions().containsKey(name);
-              if (isNew && !wanted.has("secrets") && faults.isEmpty()) {
+              if (isNew && !requested.has("secrets") && faults.isEmpty()) {
                 faults.add(
                     new SubscriptionSchema.Fault("/secrets", "a new subscription needs one"));
               }
               if (!faults.isEmpty()) {
-                answer.accept(faulty(faults));
-              } else if (isNew && outbox.subscriptions().size() >= MOST) {
-                answer.accept(error(409, "there are " + MOST + " subscriptions already"));
+                answer.accept(badRequest(faults));
+              } else if (isNew && outbox.subscriptions().size() >= MAX_SUBSCRIPTIONS) {
+                answer.accept(
+                    error(409, "there are " + MAX_SUBSCRIPTIONS + " subscriptions already"));
               } else {
-                apply(name, wanted, isNew, answer);
+                storeSubscription(name, requested, isNew, answer);
               }
             });
   }
 
-  /** All faults: the schema's, and those of texts that it cannot see into. */
-  private static List<SubscriptionSchema.Fault> check(ObjectNode wanted) {
-    List<SubscriptionSchema.Fault> faults = new ArrayList<>(SubscriptionSchema.check(wanted));
+  /**
+   * Validates against the schema, then the URL and the secrets, which the schema does not parse.
+   */
+  private static List<SubscriptionSchema.Fault> validate(ObjectNode requested) {
+    List<SubscriptionSchema.Fault> faults = new ArrayList<>(SubscriptionSchema.validate(requested));
     if (!faults.isEmpty()) {
       return faults;
     }
     try {
-      URI url = new URI(wanted.get("url").textValue());
+      URI url = new URI(requested.get("url").textValue());
       if (url.getHost() == null || url.getPort() > 65_535 || url.getPort() == 0) {
         faults.add(new SubscriptionSchema.Fault("/url", "has no host, or no such port"));
       }
     } catch (URISyntaxException e) {
       faults.add(new SubscriptionSchema.Fault("/url", e.getReason()));
     }
-    for (int i = 0; i < wanted.path("secrets").size(); i++) {
+    for (int i = 0; i < requested.path("secrets").size(); i++) {
       try {
-        WebhookSignature.secret(wanted.get("secrets").get(i).textValue());
+        WebhookSignature.secret(requested.get("secrets").get(i).textValue());
       } catch (IllegalArgumentException e) {
         faults.add(new SubscriptionSchema.Fault("/secrets/" + i, e.getMessage()));
       }
@@ -370,68 +397,73 @@
     return faults;
   }
 
-  private void apply(String name, ObjectNode wanted, boolean isNew, Consumer<HttpResponse> answer) {
-    List<String> encrypted = new ArrayList<>();
-    wanted
+  private void storeSubscription(
+      String name, ObjectNode requested, boolean isNew, Consumer<HttpResponse> answer) {
+    List<String> encryptedSecrets = new ArrayList<>();
+    requested
         .path("secrets")
         .forEach(
             secret ->
-                encrypted.add(
-                    delivery.box().seal(name, WebhookSignature.secret(secret.textValue()))));
+                encryptedSecrets.add(
+                    context
+                        .secretCipher()
+                        .encrypt(name, WebhookSignature.secret(secret.textValue()))));
     String incarnation = HexFormat.of().toHexDigits(eventLoop.random().nextInt());
-    String url = wanted.get("url").textValue();
-    Set<String> owners = DeliveryWire.texts(wanted.path("owners"));
-    Set<String> classes = DeliveryWire.texts(wanted.path("classes"));
+    String url = requested.get("url").textValue();
+    Set<String> teams = DeliveryWire.texts(requested.path("owners"));
+    Set<String> classes = DeliveryWire.texts(requested.path("classes"));
     UnaryOperator<Subscription> change =
-        now -> {
-          if (now == null && !isNew) {
+        current -> {
+          if (current == null && !isNew) {
             return null;
           }
-          Subscription.Filter filter = new Subscription.Filter(outbox.last(), owners, classes);
-          if (now == null) {
+          Subscription.Filter filter = new Subscription.Filter(outbox.lastNumber(), teams, classes);
+          if (current == null) {
             return new Subscription(
                 name,
                 incarnation,
                 url,
-                outbox.last(),
+                outbox.lastNumber(),
                 List.of(filter),
-                List.copyOf(encrypted),
+                List.copyOf(encryptedSecrets),
                 Subscription.Status.ACTIVE,
                 null);
           }
-          List<Subscription.Filter> filters = new ArrayList<>(outbox.filters(now));
-          if (!now.filter().teams().equals(owners) || !now.filter().classes().equals(classes)) {
+          List<Subscription.Filter> filters = new ArrayList<>(outbox.neededFilters(current));
+          if (!current.filter().teams().equals(teams)
+              || !current.filter().classes().equals(classes)) {
             filters.add(filter);
           }
           return new Subscription(
               name,
-              now.incarnation(),
+              current.incarnation(),
               url,
-              now.createdAfterNumber(),
+              current.createdAfterNumber(),
               List.copyOf(filters),
-              encrypted.isEmpty() ? now.secrets() : List.copyOf(encrypted),
-              now.status(),
-              now.reason());
+              encryptedSecrets.isEmpty() ? current.secrets() : List.copyOf(encryptedSecrets),
+              current.status(),
+              current.reason());
         };
     Subscription expected = change.apply(outbox.subscriptions().get(name));
-    if (expected.filters().size() > MOST_FILTERS) {
-      answer.accept(later("too many changes wait for the receiver"));
+    if (expected.filters().size() > MAX_FILTERS) {
+      answer.accept(unavailable("too many changes wait for the receiver"));
       return;
     }
-    if (Json.bytes(DeliveryWire.subscription(expected)).length + GROWTH > valueBytes) {
+    if (Json.bytes(DeliveryWire.subscription(expected)).length + STATUS_RESERVE_BYTES
+        > maxValueBytes) {
       answer.accept(error(422, "with what waits for the receiver it is too long to be stored"));
       return;
     }
-    change(
+    updateRecord(
         name,
         change,
-        within(
+        respondWhenStored(
             answer,
             () -> {
               Subscription stored = outbox.subscriptions().get(name);
               return stored == null
                   ? error(404, "it was deleted meanwhile")
-                  : json(isNew ? 201 : 200, show(stored));
+                  : json(isNew ? 201 : 200, toJson(stored));
             }));
   }
 
@@ -440,81 +472,84 @@
       answer.accept(error(409, "it has ended; delete it"));
       return;
     }
-    change(
+    updateRecord(
         name,
-        now -> now == null ? null : now.with(Subscription.Status.PAUSED, null),
-        within(answer, () -> shown(name)));
+        current -> current == null ? null : current.with(Subscription.Status.PAUSED, null),
+        respondWhenStored(answer, () -> subscriptionResponse(name)));
   }
 
   private void resume(String name, byte[] body, Consumer<HttpResponse> answer) {
-    Subscription present = outbox.subscriptions().get(name);
-    if (present.status() == Subscription.Status.ENDED) {
+    Subscription subscription = outbox.subscriptions().get(name);
+    if (subscription.status() == Subscription.Status.ENDED) {
       answer.accept(error(409, "it has ended; delete it and create it anew"));
       return;
     }
     if (body != null && body.length > 0) {
-      long from;
+      long sequence;
       try {
-        ObjectNode wanted = Json.parseObject(body);
-        from = wanted.path("sequence").asLong(0);
-        if (wanted.size() != 1 || from < 1 || !wanted.get("sequence").isIntegralNumber()) {
+        ObjectNode requested = Json.parseObject(body);
+        sequence = requested.path("sequence").asLong(0);
+        if (requested.size() != 1
+            || sequence < 1
+            || !requested.get("sequence").isIntegralNumber()) {
           throw new MalformedMessageException("sequence is not a whole number from 1");
         }
       } catch (MalformedMessageException e) {
-        answer.accept(faulty(List.of(new SubscriptionSchema.Fault("/sequence", e.getMessage()))));
+        answer.accept(
+            badRequest(List.of(new SubscriptionSchema.Fault("/sequence", e.getMessage()))));
         return;
       }
-      if (!outbox.seek(present, from)) {
-        answer.accept(error(409, "sequence " + from + " is not kept, or was never there"));
+      if (!outbox.resumeFrom(subscription, sequence)) {
+        answer.accept(error(409, "sequence " + sequence + " is not kept, or was never there"));
         return;
       }
     }
-    change(
+    updateRecord(
         name,
-        now -> now == null ? null : now.with(Subscription.Status.ACTIVE, null),
-        within(answer, () -> shown(name)));
+        current -> current == null ? null : current.with(Subscription.Status.ACTIVE, null),
+        respondWhenStored(answer, () -> subscriptionResponse(name)));
   }
 
-  private void networks(String method, byte[] body, Consumer<HttpResponse> answer) {
+  private void handleNetworks(String method, byte[] body, Consumer<HttpResponse> answer) {
     if (method.equals("GET")) {
-      answer.accept(json(200, DeliveryWire.networks(delivery.networks())));
+      answer.accept(json(200, DeliveryWire.networks(context.allowedNetworks())));
       return;
     }
     if (!method.equals("PUT")) {
       answer.accept(error(405, "use GET or PUT"));
       return;
     }
-    List<String> wanted;
+    List<String> requested;
     try {
-      wanted = DeliveryWire.parseNetworks(Json.parseObject(body));
+      requested = DeliveryWire.parseNetworks(Json.parseObject(body));
     } catch (MalformedMessageException e) {
-      answer.accept(faulty(List.of(new SubscriptionSchema.Fault("/networks", e.getMessage()))));
+      answer.accept(badRequest(List.of(new SubscriptionSchema.Fault("/networks", e.getMessage()))));
       return;
     }
     List<SubscriptionSchema.Fault> faults = new ArrayList<>();
-    if (wanted.size() > MOST_NETWORKS) {
-      faults.add(new SubscriptionSchema.Fault("/networks", "more than " + MOST_NETWORKS));
+    if (requested.size() > MAX_NETWORKS) {
+      faults.add(new SubscriptionSchema.Fault("/networks", "more than " + MAX_NETWORKS));
     }
-    for (int i = 0; i < wanted.size(); i++) {
+    for (int i = 0; i < requested.size(); i++) {
       try {
-        delivery.destinations(List.of(wanted.get(i)));
+        context.destinationPolicy(List.of(requested.get(i)));
       } catch (IllegalArgumentException e) {
         faults.add(new SubscriptionSchema.Fault("/networks/" + i, e.getMessage()));
       }
     }
     if (!faults.isEmpty()) {
-      answer.accept(faulty(faults));
+      answer.accept(badRequest(faults));
       return;
     }
-    ObjectNode record = DeliveryWire.networks(wanted);
+    ObjectNode record = DeliveryWire.networks(requested);
     commit.accept(
         Mutation.of(
             Mutation.Priority.ACCEPTANCE,
             List.of(new Mutation.Write(RecordKeys.DELIVERY_NETWORKS, () -> record)),
-            within(
+            respondWhenStored(
                 answer,
                 () -> {
-                  delivery.learnNetworks(record);
+                  context.learnNetworks(record);
                   return json(200, record);
                 })));
   }
--- a/src/main/java/io/pineladder/delivery/SubscriptionSchema.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionSchema.java
@@ -13,24 +13,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The published schema of a subscription; read when the first one is checked. */
+/** The published JSON Schema of a subscription. */
 final class SubscriptionSchema {
   private static final String RESOURCE = "subscription.schema.json";
 
-  /** One fault, at its JSON pointer. */
-  record Fault(String pointer, String what) {}
+  /**
+   * A violation of the schema.
+   *
+   * @param pointer JSON pointer to the offending value
+   */
+  record Fault(String pointer, String message) {}
 
-  /** Made when it is first needed: the validator's classes take their time to load. */
-  private static final class Loaded {
+  /** Initialized on first use, because loading the validator's classes takes long. */
+  private static final class Holder {
     static final Schema SCHEMA =
         SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-            .getSchema(text(), InputFormat.JSON);
+            .getSchema(json(), InputFormat.JSON);
   }
 
   private SubscriptionSchema() {}
 
-  /** The schema itself. */
-  static String text() {
+  static String json() {
     try (InputStream in = SubscriptionSchema.class.getResourceAsStream(RESOURCE)) {
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
@@ -38,13 +41,14 @@
     }
   }
 
-  /** Every fault. */
-  static List<Fault> check(JsonNode subscription) {
+  /** Returns all violations. */
+  static List<Fault> validate(JsonNode subscription) {
     List<Fault> faults = new ArrayList<>();
-    for (Error error : Loaded.SCHEMA.validate(subscription)) {
-      String at = error.getInstanceLocation().toString();
-      // A property that is missing or too much is named, not the object that lacks or has it.
-      String pointer = error.getProperty() == null ? at : at + "/" + error.getProperty();
+    for (Error error : Holder.SCHEMA.validate(subscription)) {
+      String location = error.getInstanceLocation().toString();
+      // Point to a missing or additional property itself rather than to its object.
+      String pointer =
+          error.getProperty() == null ? location : location + "/" + error.getProperty();
       faults.add(new Fault(pointer, error.getMessage()));
     }
     return faults;
--- a/src/main/java/io/pineladder/delivery/WebhookSignature.java
+++ b/src/main/java/io/pineladder/delivery/WebhookSignature.java
@@ -9,24 +9,25 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Signatures as Standard Webhooks has them: HMAC-SHA256 of id, time and body. */
+/** Signatures according to Standard Webhooks: HMAC-SHA256 of id, timestamp and body. */
 public final class WebhookSignature {
-  public static final String ID = "webhook-id";
-  public static final String TIMESTAMP = "webhook-timestamp";
-  public static final String SIGNATURE = "webhook-signature";
+  public static final String ID_HEADER = "webhook-id";
+  public static final String TIMESTAMP_HEADER = "webhook-timestamp";
+  public static final String SIGNATURE_HEADER = "webhook-signature";
 
-  /** What a secret's text begins with; the rest is Base64 of 24 to 64 bytes. */
+  /** Prefix of a secret's text; the rest is Base64 of 24 to 64 bytes. */
   public static final String SECRET_PREFIX = "whsec_";
 
   private static final String ALGORITHM = "HmacSHA256";
-  private static final String VERSION = "v1,";
+  private static final String VERSION_PREFIX = "v1,";
 
   private WebhookSignature() {}
 
   /**
-   * A secret's bytes.
+   * Parses a secret.
    *
-   * @throws IllegalArgumentException when the text is no secret; the message does not repeat it
+   * @throws IllegalArgumentException when the text is not a valid secret; the message does not
+   *     contain the text
    */
   public static byte[] secret(String text) {
     if (!text.startsWith(SECRET_PREFIX)) {
@@ -55,37 +56,38 @@
     }
   }
 
-  /** The signature header: one signature for each secret, so that either may be known yet. */
-  public static String sign(List<byte[]> secrets, String id, Instant at, byte[] body) {
-    String seconds = Long.toString(at.getEpochSecond());
+  /**
+   * Returns the signature header. It holds one signature per secret, so that during a rotation a
+   * receiver needs only one of the secrets.
+   */
+  public static String sign(List<byte[]> secrets, String id, Instant signedAt, byte[] body) {
+    String seconds = Long.toString(signedAt.getEpochSecond());
     StringBuilder out = new StringBuilder();
     for (byte[] secret : secrets) {
-      String one = Base64.getEncoder().encodeToString(mac(secret, id, seconds, body));
-      out.append(out.isEmpty() ? "" : " ").append(VERSION).append(one);
+      String signature = Base64.getEncoder().encodeToString(mac(secret, id, seconds, body));
+      out.append(out.isEmpty() ? "" : " ").append(VERSION_PREFIX).append(signature);
     }
     return out.toString();
   }
 
-  /**
-   * Whether one of the signatures in the header is by one of the secrets; in constant time each.
-   */
+  /** Whether any signature in the header matches any secret; each comparison is constant-time. */
   public static boolean verify(
       List<byte[]> secrets, String id, String seconds, byte[] body, String header) {
-    boolean found = false;
-    for (String one : header.split(" ", 0)) {
-      if (!one.startsWith(VERSION)) {
+    boolean valid = false;
+    for (String signature : header.split(" ", 0)) {
+      if (!signature.startsWith(VERSION_PREFIX)) {
         continue;
       }
-      byte[] claimed;
+      byte[] claimedMac;
       try {
-        claimed = Base64.getDecoder().decode(one.substring(VERSION.length()));
+        claimedMac = Base64.getDecoder().decode(signature.substring(VERSION_PREFIX.length()));
       } catch (IllegalArgumentException e) {
         continue;
       }
       for (byte[] secret : secrets) {
-        found |= MessageDigest.isEqual(claimed, mac(secret, id, seconds, body));
+        valid |= MessageDigest.isEqual(claimedMac, mac(secret, id, seconds, body));
       }
     }
-    return found;
+    return valid;
   }
 }
--- a/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
@@ -22,31 +22,31 @@
 import java.util.zip.CRC32C;
 
 /**
- * A file of JSON lines, one for each notice, with a checksum. The line is the effect and, since it
- * holds the event's sequence, the position as well: one write, forced to the disk before it counts.
+ * A store that appends each notification to a file as a JSON line with a checksum. The line is both
+ * the effect and, by the event's sequence, the position; it is forced to disk before it counts.
  */
 public final class NotificationJournal implements NotificationStore {
   private final Path file;
   private final FileChannel channel;
   private final Map<String, Long> positions = new HashMap<>();
-  private boolean broken;
+  private boolean writeFailed;
 
   /**
-   * Opens a journal, or begins one.
+   * Opens a journal, or creates it.
    *
    * @throws IOException when it is in use, or damaged other than by a torn last line; the message
-   *     names the place
+   *     names the line and byte offset
    */
   public NotificationJournal(Path file) throws IOException {
     this.file = file;
     this.channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
       lock();
-      long good = read();
-      // A crash in the middle of a write leaves part of a line, of which nobody was told.
-      channel.truncate(good);
-      channel.position(good);
-      // A line may be there that its writer had no time to force. From here on it counts.
+      long validLength = recover();
+      // A crash during a write leaves a partial line, which was never acknowledged.
+      channel.truncate(validLength);
+      channel.position(validLength);
+      // The last line may not have been forced to disk before the crash.
       channel.force(true);
       forceDirectory();
     } catch (IOException | RuntimeException e) {
@@ -61,21 +61,21 @@
         return;
       }
     } catch (OverlappingFileLockException e) {
-      // As below: it is in use, by this very process.
+      // In use by this process; reported below.
     }
     throw new IOException(file + " is in use by another receiver");
   }
 
   private void forceDirectory() throws IOException {
     Path directory = file.toAbsolutePath().getParent();
-    try (FileChannel folder = FileChannel.open(directory, StandardOpenOption.READ)) {
-      folder.force(true);
+    try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+      directoryChannel.force(true);
     }
   }
 
-  /** Reads all lines; returns where the last good one ends. */
-  private long read() throws IOException {
-    long good = 0;
+  /** Replays all lines; returns the offset at which the last valid one ends. */
+  private long recover() throws IOException {
+    long validLength = 0;
     long lines = 0;
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
       ByteArrayOutputStream line = new ByteArrayOutputStream();
@@ -85,27 +85,33 @@
           continue;
         }
         lines++;
-        String place = file + ", line " + lines + ", byte " + good + ": ";
+        String location = file + ", line " + lines + ", byte " + validLength + ": ";
         try {
-          take(parse(line.toByteArray()), place);
+          replay(parse(line.toByteArray()), location);
         } catch (MalformedMessageException e) {
           if (in.read() < 0) {
-            return good;
+            return validLength;
           }
-          throw new IOException(place + e.getMessage());
+          throw new IOException(location + e.getMessage());
         }
-        good += line.size() + 1;
+        validLength += line.size() + 1;
         line.reset();
       }
     }
-    return good;
+    return validLength;
   }
 
-  private void take(Event event, String place) throws IOException {
+  private void replay(Event event, String location) throws IOException {
     long before = positions.getOrDefault(event.source(), 0L);
     if (event.firstSequence() > before + 1 || event.sequence() <= before) {
       throw new IOException(
-          place + "sequence " + event.sequence() + " of " + event.source() + " follows " + before);
+          location
+              + "sequence "
+              + event.sequence()
+              + " of "
+              + event.source()
+              + " does not follow "
+              + before);
     }
     positions.put(event.source(), event.sequence());
   }
@@ -116,7 +122,7 @@
     return HexFormat.of().toHexDigits((int) crc.getValue());
   }
 
-  private static byte[] line(ObjectNode event) {
+  private static byte[] encode(ObjectNode event) {
     ObjectNode line = Json.object().put("crc32c", checksum(event));
     line.set("event", event);
     byte[] json = Json.bytes(line);
@@ -126,8 +132,11 @@
   private static Event parse(byte[] line) throws MalformedMessageException {
     ObjectNode json = Json.parseObject(line);
     JsonNode event = json.path("event");
-    if (!json.path("crc32c").asText().equals(checksum(event))) {
-      throw new MalformedMessageException("the checksum does not fit");
+    String recorded = json.path("crc32c").asText();
+    String computed = checksum(event);
+    if (!recorded.equals(computed)) {
+      throw new MalformedMessageException(
+          "checksum mismatch: recorded " + recorded + ", computed " + computed);
     }
     return DeliveryWire.parseEvent(Json.bytes(event));
   }
@@ -139,17 +148,17 @@
 
   @Override
   public synchronized void apply(Event event) throws IOException {
-    if (broken) {
-      throw new IOException(file + " cannot be written");
+    if (writeFailed) {
+      throw new IOException(file + " is not written to after an earlier write failure");
     }
-    // After a write or force that failed nobody knows what the disk holds: it must be read anew.
-    broken = true;
-    ByteBuffer line = ByteBuffer.wrap(line(event.json()));
+    // After a failed write or force the contents on disk are unknown until the file is reopened.
+    writeFailed = true;
+    ByteBuffer line = ByteBuffer.wrap(encode(event.json()));
     while (line.hasRemaining()) {
       channel.write(line);
     }
     channel.force(false);
-    broken = false;
+    writeFailed = false;
     positions.put(event.source(), event.sequence());
   }
 
--- a/src/main/java/io/pineladder/delivery/receiver/NotificationStore.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationStore.java
@@ -5,19 +5,18 @@
 import java.io.IOException;
 
 /**
- * Where a receiver keeps what notices cause, together with how far it is. Exactly once rests on
- * both being one step: with an effect that is there without its position, a crash has it repeated,
- * and with a position that is there without its effect, a crash has it left out.
+ * Persists the effects of notifications together with the receiver's position. Exactly-once
+ * processing requires that both are written atomically: after a crash, an effect without its
+ * position would be repeated, and a position without its effect would skip the notification.
  */
 public interface NotificationStore extends Closeable {
-  /** The last sequence of a source whose effect is durable; 0 for none. */
+  /** The last sequence of a source that is durable; 0 for none. */
   long position(String source);
 
   /**
-   * Makes the event's effect and its position durable in one step that is there as a whole or not
-   * at all after a crash.
+   * Makes the event's effect and its position durable atomically, also in the event of a crash.
    *
-   * @throws IOException when it is not known to be durable; nothing more is applied after that
+   * @throws IOException when it may not be durable; the store applies nothing more after that
    */
   void apply(Event event) throws IOException;
 }
--- a/src/main/java/io/pineladder/delivery/receiver/Receiver.java
+++ b/src/main/java/io/pineladder/delivery/receiver/Receiver.java
@@ -13,18 +13,18 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The receiving end: verifies a notice, applies it if it is the next, and answers how far it is. It
- * knows nothing of HTTP servers; whoever embeds it hands over headers and body.
+ * Receives notifications: verifies each, applies it if it is next in sequence, and responds with
+ * the receiver's position. Independent of any HTTP server; the caller passes headers and body.
  */
 public final class Receiver {
-  /** A notice signed so long ago, or so far ahead, is refused. */
-  public static final Duration TOLERANCE = Duration.ofMinutes(5);
+  /** Maximum difference between a notification's timestamp and this receiver's clock. */
+  public static final Duration TIMESTAMP_TOLERANCE = Duration.ofMinutes(5);
 
   private final List<byte[]> secrets;
   private final NotificationStore store;
   private final Clock clock;
 
-  /** What to answer. */
+  /** The HTTP response. */
   public record Reply(int status, byte[] body) {
     static Reply error(int status, String reason) {
       return new Reply(status, Json.bytes(Json.object().put("error", reason)));
@@ -32,9 +32,9 @@
   }
 
   /**
-   * A receiver.
+   * Creates a receiver.
    *
-   * @param secrets the signing secrets, any of which is good
+   * @param secrets the signing secrets, any of which is accepted
    */
   public Receiver(List<byte[]> secrets, NotificationStore store, Clock clock) {
     this.secrets = List.copyOf(secrets);
@@ -43,28 +43,27 @@
   }
 
   /**
-   * Takes in a request.
+   * Handles a request.
    *
-   * @param header the value of a header, whose name is given in lower case; null for none
+   * @param header returns the value of a header by its lower-case name, or null
    */
   public synchronized Reply receive(UnaryOperator<String> header, byte[] body) {
-    String id = header.apply(WebhookSignature.ID);
-    String seconds = header.apply(WebhookSignature.TIMESTAMP);
-    String signature = header.apply(WebhookSignature.SIGNATURE);
+    String id = header.apply(WebhookSignature.ID_HEADER);
+    String seconds = header.apply(WebhookSignature.TIMESTAMP_HEADER);
+    String signature = header.apply(WebhookSignature.SIGNATURE_HEADER);
     if (id == null || seconds == null || signature == null) {
       return Reply.error(400, "a webhook header is missing");
     }
     if (!seconds.matches("[0-9]{1,12}")) {
-      return Reply.error(400, WebhookSignature.TIMESTAMP + " is not in seconds");
+      return Reply.error(400, WebhookSignature.TIMESTAMP_HEADER + " is not in seconds");
     }
     if (!WebhookSignature.verify(secrets, id, seconds, body, signature)) {
       return Reply.error(401, "the signature does not fit");
     }
     Instant signedAt = Instant.ofEpochSecond(Long.parseLong(seconds));
-    if (Duration.between(signedAt, clock.instant()).abs().compareTo(TOLERANCE) > 0) {
-      // Not for good: a packet that was held back is of no use any more, but one of the clocks may
-      // be
-      // wrong, and then what is signed anew is taken once it is right.
+    if (Duration.between(signedAt, clock.instant()).abs().compareTo(TIMESTAMP_TOLERANCE) > 0) {
+      // A status that is retried: if a clock is wrong, a later attempt is signed with a new
+      // timestamp and succeeds once the clock is corrected. A replayed request never does.
       return Reply.error(425, "the notice was signed at another time");
     }
     Event event;
@@ -74,7 +73,7 @@
       return Reply.error(400, e.getMessage());
     }
     if (!event.json().path("id").asText().equals(id)) {
-      return Reply.error(400, WebhookSignature.ID + " is not the event's id");
+      return Reply.error(400, WebhookSignature.ID_HEADER + " is not the event's id");
     }
     long position = store.position(event.source());
     if (event.firstSequence() > position + 1) {
--- a/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
+++ b/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
@@ -19,11 +19,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Signatures, secrets, destinations and the schema. */
+/**
+ * Webhook signatures, encryption of secrets, the destination policy and the subscription schema.
+ */
 class DeliveryPartsTest {
-  /** The example that the implementations of Standard Webhooks are tested with. */
+  /** The test vector of the Standard Webhooks reference implementations. */
   @Test
-  void signaturesAreThoseOfStandardWebhooks() {
+  void signsLikeStandardWebhooks() {
     byte[] secret = WebhookSignature.secret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
     byte[] body = "{\"test\": 2432232314}".getBytes(StandardCharsets.UTF_8);
     String id = "msg_p5jXN8AQM9LWM0D4loKWxJek";
@@ -32,17 +34,17 @@
     assertEquals("v1,g0hM9SsE+OTPJTGt/tmIKtSyZlE3uFJELVlNIOLJ1OE=", signed);
   }
 
-  /** While one secret replaces the other, a receiver that knows either takes the notice. */
+  /** Guards against a secret rotation that breaks receivers which know only one of the secrets. */
   @Test
-  void eitherOfTwoSecretsIsGood() {
+  void verifiesWithEitherSecretDuringRotation() {
     byte[] old = new byte[24];
-    byte[] fresh = new byte[32];
-    fresh[0] = 1;
+    byte[] replacement = new byte[32];
+    replacement[0] = 1;
     byte[] body = {1, 2, 3};
     String signed =
-        WebhookSignature.sign(List.of(old, fresh), "id", Instant.ofEpochSecond(9), body);
+        WebhookSignature.sign(List.of(old, replacement), "id", Instant.ofEpochSecond(9), body);
     assertTrue(WebhookSignature.verify(List.of(old), "id", "9", body, signed));
-    assertTrue(WebhookSignature.verify(List.of(fresh), "id", "9", body, signed));
+    assertTrue(WebhookSignature.verify(List.of(replacement), "id", "9", body, signed));
     assertFalse(
         WebhookSignature.verify(
             List.of("another secret".getBytes(StandardCharsets.UTF_8)), "id", "9", body, signed));
@@ -51,16 +53,16 @@
   }
 
   @Test
-  void aSealedSecretOpensForItsPurposeOnly() {
-    SecretCipher box = new SecretCipher(new byte[32]);
+  void decryptsOnlyForSamePurposeAndKey() {
+    SecretCipher cipher = new SecretCipher(new byte[32]);
     byte[] secret = {1, 2, 3};
-    String encrypted = box.seal("desk", secret);
-    assertArrayEquals(secret, box.open("desk", encrypted));
-    assertThrows(IllegalArgumentException.class, () -> box.open("other", encrypted));
+    String encrypted = cipher.encrypt("desk", secret);
+    assertArrayEquals(secret, cipher.decrypt("desk", encrypted));
+    assertThrows(IllegalArgumentException.class, () -> cipher.decrypt("other", encrypted));
     byte[] key = new byte[32];
     key[31] = 1;
     assertThrows(
-        IllegalArgumentException.class, () -> new SecretCipher(key).open("desk", encrypted));
+        IllegalArgumentException.class, () -> new SecretCipher(key).decrypt("desk", encrypted));
   }
 
   @ParameterizedTest
@@ -82,32 +84,33 @@
         "0.0.0.0",
         "10.0.0.0/33"
       })
-  void whatIsNoNetworkInCanonicalFormIsRefused(String text) {
+  void rejectsNonCanonicalNetwork(String text) {
     assertThrows(
         IllegalArgumentException.class, () -> new DestinationPolicy(List.of(text), Set.of()), text);
   }
 
-  private static boolean allows(DestinationPolicy of, String address) throws UnknownHostException {
-    return of.allows(InetAddress.getByName(address));
+  private static boolean allows(DestinationPolicy policy, String address)
+      throws UnknownHostException {
+    return policy.allows(InetAddress.getByName(address));
   }
 
   @Test
-  void onlyListedNetworksAreSentTo() throws UnknownHostException {
+  void allowsOnlyListedNetworks() throws UnknownHostException {
     DestinationPolicy none = new DestinationPolicy(List.of(), Set.of());
     assertFalse(allows(none, "192.0.2.1"));
-    DestinationPolicy some =
+    DestinationPolicy policy =
         new DestinationPolicy(List.of("192.0.2.0/24", "2001:db8::/32", "198.51.100.7"), Set.of());
-    assertTrue(allows(some, "192.0.2.255"));
-    assertTrue(allows(some, "::ffff:192.0.2.1"));
-    assertTrue(allows(some, "2001:db8::1"));
-    assertTrue(allows(some, "198.51.100.7"));
-    assertFalse(allows(some, "198.51.100.8"));
-    assertFalse(allows(some, "2001:db9::1"));
+    assertTrue(allows(policy, "192.0.2.255"));
+    assertTrue(allows(policy, "::ffff:192.0.2.1"));
+    assertTrue(allows(policy, "2001:db8::1"));
+    assertTrue(allows(policy, "198.51.100.7"));
+    assertFalse(allows(policy, "198.51.100.8"));
+    assertFalse(allows(policy, "2001:db9::1"));
   }
 
-  /** A wide network is no leave to reach what only a controller reaches. */
+  /** Guards against a wide network that exposes addresses which only a controller can reach. */
   @Test
-  void ownAndLocalAddressesMustBeListedByThemselves() throws UnknownHostException {
+  void deniesLocalAndClusterAddressesUnlessListedExplicitly() throws UnknownHostException {
     List<String> all = List.of("0.0.0.0/0", "::/0");
     DestinationPolicy wide = new DestinationPolicy(all, Set.of("10.0.0.1"));
     assertTrue(allows(wide, "10.0.0.2"));
@@ -134,13 +137,13 @@
 
   private static Set<String> faults(String json) throws MalformedMessageException {
     Set<String> pointers = new TreeSet<>();
-    SubscriptionSchema.check(Json.parseObject(json.getBytes(StandardCharsets.UTF_8)))
+    SubscriptionSchema.validate(Json.parseObject(json.getBytes(StandardCharsets.UTF_8)))
         .forEach(fault -> pointers.add(fault.pointer()));
     return pointers;
   }
 
   @Test
-  void everyFaultIsNamedAtItsPointer() throws MalformedMessageException {
+  void reportsEachViolationWithItsPointer() throws MalformedMessageException {
     assertEquals(Set.of(), faults("{\"url\":\"https://example.org/x?y=z\",\"owners\":[\"red\"]}"));
     assertEquals(Set.of("/url"), faults("{}"));
     assertEquals(
--- a/src/test/java/io/pineladder/delivery/NotificationJournalTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationJournalTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A receiver with its journal, ended in the middle of a write and otherwise mistreated. */
+/** The receiver with its journal: ordering, duplicates, torn writes, damage and authentication. */
 class NotificationJournalTest {
   private static final byte[] SECRET = new byte[24];
   private static final Instant NOW = Instant.parse("2026-01-02T03:04:05Z");
@@ -39,7 +39,7 @@
           Subscription.Status.ACTIVE,
           null);
 
-  @TempDir Path folder;
+  @TempDir Path directory;
 
   private static byte[] event(long sequence) {
     return DeliveryWire.event(
@@ -52,9 +52,10 @@
       Receiver receiver, String id, byte[] body, Instant signedAt, byte[] secret) {
     Map<String, String> headers =
         Map.of(
-            WebhookSignature.ID, id,
-            WebhookSignature.TIMESTAMP, Long.toString(signedAt.getEpochSecond()),
-            WebhookSignature.SIGNATURE, WebhookSignature.sign(List.of(secret), id, signedAt, body));
+            WebhookSignature.ID_HEADER, id,
+            WebhookSignature.TIMESTAMP_HEADER, Long.toString(signedAt.getEpochSecond()),
+            WebhookSignature.SIGNATURE_HEADER,
+                WebhookSignature.sign(List.of(secret), id, signedAt, body));
     return receiver.receive(headers::get, body);
   }
 
@@ -67,8 +68,8 @@
   }
 
   @Test
-  void eachNoticeIsTakenOnceAndInOrder() throws IOException {
-    Path file = folder.resolve("journal");
+  void appliesEachNotificationOnceAndInOrder() throws IOException {
+    Path file = directory.resolve("journal");
     try (NotificationJournal journal = new NotificationJournal(file)) {
       Receiver receiver = receiver(journal);
       assertEquals(200, send(receiver, 1).status());
@@ -78,7 +79,7 @@
       Receiver.Reply repeat = send(receiver, 1);
       assertEquals(200, repeat.status());
       assertEquals(2, DeliveryWire.parsePosition(repeat.body()));
-      assertThrows(IOException.class, () -> new NotificationJournal(file), "it is in use");
+      assertThrows(IOException.class, () -> new NotificationJournal(file), "journal is in use");
       byte[] lost = DeliveryWire.lostEvent(DESK, 2, 5);
       assertEquals(200, send(receiver, DeliveryWire.eventId(DESK, 5), lost, NOW, SECRET).status());
     }
@@ -88,12 +89,10 @@
     assertEquals(3, Files.readAllLines(file).size());
   }
 
-  /**
-   * Whatever part of the last line a crash leaves, the lines before it stand and it is sent again.
-   */
+  /** Guards against a torn last line, of any length, that loses the lines before it. */
   @Test
-  void aTornLastLineIsCutOff() throws IOException {
-    Path file = folder.resolve("journal");
+  void truncatesTornLastLine() throws IOException {
+    Path file = directory.resolve("journal");
     try (NotificationJournal journal = new NotificationJournal(file)) {
       Receiver receiver = receiver(journal);
       send(receiver, 1);
@@ -112,8 +111,8 @@
   }
 
   @Test
-  void damageElsewhereIsRefusedWithItsPlace() throws IOException {
-    Path file = folder.resolve("journal");
+  void rejectsDamagedLineWithItsLocation() throws IOException {
+    Path file = directory.resolve("journal");
     try (NotificationJournal journal = new NotificationJournal(file)) {
       Receiver receiver = receiver(journal);
       send(receiver, 1);
@@ -123,26 +122,26 @@
     byte[] whole = Files.readAllBytes(file);
     whole[whole.length / 2] ^= 1;
     Files.write(file, whole);
-    IOException refused = assertThrows(IOException.class, () -> new NotificationJournal(file));
-    assertTrue(refused.getMessage().contains("line 2, byte "), refused.getMessage());
+    IOException failure = assertThrows(IOException.class, () -> new NotificationJournal(file));
+    assertTrue(failure.getMessage().contains("line 2, byte "), failure.getMessage());
   }
 
   @Test
-  void whatIsNotFromTheSenderOrNotOfNowIsRefused() throws IOException {
-    try (NotificationJournal journal = new NotificationJournal(folder.resolve("journal"))) {
+  void rejectsInvalidSignatureTimestampAndId() throws IOException {
+    try (NotificationJournal journal = new NotificationJournal(directory.resolve("journal"))) {
       Receiver receiver = receiver(journal);
       String id = DeliveryWire.eventId(DESK, 1);
       assertEquals(401, send(receiver, id, event(1), NOW, new byte[] {1}).status());
-      Duration bound = Receiver.TOLERANCE;
+      Duration tolerance = Receiver.TIMESTAMP_TOLERANCE;
       assertEquals(
-          425, send(receiver, id, event(1), NOW.plus(bound).plusSeconds(1), SECRET).status());
+          425, send(receiver, id, event(1), NOW.plus(tolerance).plusSeconds(1), SECRET).status());
       assertEquals(
-          425, send(receiver, id, event(1), NOW.minus(bound).minusSeconds(1), SECRET).status());
+          425, send(receiver, id, event(1), NOW.minus(tolerance).minusSeconds(1), SECRET).status());
       assertEquals(400, send(receiver, "another", event(1), NOW, SECRET).status());
       assertEquals(400, receiver.receive(name -> null, event(1)).status());
       assertEquals(0, journal.position(DESK.source()));
-      assertEquals(200, send(receiver, id, event(1), NOW.plus(bound), SECRET).status());
-      assertEquals(200, send(receiver, id, event(1), NOW.minus(bound), SECRET).status());
+      assertEquals(200, send(receiver, id, event(1), NOW.plus(tolerance), SECRET).status());
+      assertEquals(200, send(receiver, id, event(1), NOW.minus(tolerance), SECRET).status());
     }
   }
 }
--- a/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
@@ -34,25 +34,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The outbox against a plain list of all notices ever, through terms that end at any moment. */
+/**
+ * Compares the outbox with a plain list of all notifications, across terms that end at any time.
+ */
 class NotificationOutboxTest {
-  private static final int MOST = 200;
+  private static final int MAX_RETAINED = 200;
 
   private final RandomGenerator random;
   private final EventLoop eventLoop;
 
-  /** What the state service holds: notices in their pages, subscriptions, progress. */
-  private final TreeMap<Long, Notification> storedNotices = new TreeMap<>();
+  /** Contents of the key-value store: notifications in job pages, subscriptions and progress. */
+  private final TreeMap<Long, Notification> storedNotifications = new TreeMap<>();
 
   private final Map<String, Subscription> storedSubscriptions = new TreeMap<>();
   private final Map<String, JsonNode> storedProgress = new TreeMap<>();
   private final Map<String, JsonNode> storedBacklog = new TreeMap<>();
-  private int puts;
+  private int writeCount;
 
-  /** Changes on their way to the store, first come first served. */
-  private final ArrayDeque<Runnable> underWay = new ArrayDeque<>();
+  /** Mutations that are not committed yet, in order. */
+  private final ArrayDeque<Runnable> pendingCommits = new ArrayDeque<>();
 
-  /** Notices that left the log but whose page has not been written since. */
+  /** Notifications that left the log but whose job page has not been written since. */
   private final Set<Long> dropped = new HashSet<>();
 
   private NotificationOutbox outbox;
@@ -79,18 +81,18 @@
           @Override
           public void schedule(Duration delay, Runnable action) {}
         };
-    begin();
+    startTerm();
   }
 
-  /** A new term, which knows what is stored. */
-  private void begin() {
-    underWay.clear();
-    outbox = new NotificationOutbox(MOST, 8192, eventLoop, this::commit, () -> {});
+  /** Starts a new term from the contents of the store. */
+  private void startTerm() {
+    pendingCommits.clear();
+    outbox = new NotificationOutbox(MAX_RETAINED, 8192, eventLoop, this::commit, () -> {});
     storedSubscriptions.values().forEach(outbox::known);
-    List<Notification> notices = new ArrayList<>(storedNotices.values());
-    // Pages come in no order of numbers.
-    while (!notices.isEmpty()) {
-      Notification notification = notices.remove(random.nextInt(notices.size()));
+    List<Notification> notifications = new ArrayList<>(storedNotifications.values());
+    // Pages are read in any order.
+    while (!notifications.isEmpty()) {
+      Notification notification = notifications.remove(random.nextInt(notifications.size()));
       outbox.onStored(
           notification,
           Json.bytes(RecordWire.notification(notification)).length + 1,
@@ -115,38 +117,40 @@
 
   private void commit(Mutation mutation) {
     Mutation.Write write = mutation.writes().get(0);
-    underWay.add(
+    pendingCommits.add(
         () -> {
           JsonNode value = write.value().get();
-          Map<String, JsonNode> to =
+          Map<String, JsonNode> records =
               write.key().startsWith(RecordKeys.NOTIFICATION_BACKLOG)
                   ? storedBacklog
                   : storedProgress;
           if (value == null) {
-            to.remove(write.key());
+            records.remove(write.key());
           } else {
             assertTrue(Json.bytes(value).length <= 8192);
-            to.put(write.key(), value);
+            records.put(write.key(), value);
           }
-          puts++;
+          writeCount++;
           mutation.onCommitted().run();
         });
   }
 
-  private void storeOne() {
-    Runnable first = underWay.poll();
-    if (first != null) {
-      first.run();
+  private void commitNext() {
+    Runnable next = pendingCommits.poll();
+    if (next != null) {
+      next.run();
     }
   }
 
-  private static Subscription subscription(String name, long since, String owner) {
+  private static Subscription subscription(String name, long createdAfter, String team) {
     return new Subscription(
         name,
         "1",
         "http://192.0.2.1/",
-        since,
-        List.of(new Subscription.Filter(since, owner == null ? Set.of() : Set.of(owner), Set.of())),
+        createdAfter,
+        List.of(
+            new Subscription.Filter(
+                createdAfter, team == null ? Set.of() : Set.of(team), Set.of())),
         List.of(),
         Subscription.Status.ACTIVE,
         null);
@@ -154,10 +158,10 @@
 
   private void subscribe(Subscription subscription) {
     storedSubscriptions.put(subscription.name(), subscription);
-    outbox.subscribed(subscription);
+    outbox.onSubscriptionStored(subscription);
   }
 
-  private Notification end(String job, String owner) {
+  private Notification endJob(String job, String team) {
     outbox.beginTransaction();
     Notification notification =
         outbox.allocate(
@@ -165,7 +169,7 @@
                 new io.pineladder.model.JobSpec(
                     job,
                     "work",
-                    owner,
+                    team,
                     null,
                     null,
                     1,
@@ -184,7 +188,7 @@
                 Instant.EPOCH,
                 Job.State.DONE));
     if (notification != null) {
-      storedNotices.put(notification.number(), notification);
+      storedNotifications.put(notification.number(), notification);
       outbox.onStored(
           notification,
           Json.bytes(RecordWire.notification(notification)).length + 1,
@@ -194,115 +198,123 @@
     return notification;
   }
 
-  /** What a receiver makes of one sending; it has a position and keeps it. */
-  private static final class Model {
-    /** The jobs that it is to hear of, in order. */
-    final List<String> wanted = new ArrayList<>();
+  /** The expected and actual state of one receiver. */
+  private static final class ReceiverModel {
+    /** The jobs that match its subscription, in order. */
+    final List<String> expected = new ArrayList<>();
 
-    /** What it was told under each sequence; null where it was told of a loss. */
-    final Map<Long, String> told = new HashMap<>();
+    /** The job received under each sequence; null where it was reported lost. */
+    final Map<Long, String> received = new HashMap<>();
 
     long position;
-    long lost;
+    long lostCount;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-  void itCountsAsAPlainListDoes(int seed) {
+  void matchesPlainListAcrossTerms(int seed) {
     for (int i = 0; i < seed * 1_000; i++) {
       random.nextInt();
     }
-    Map<String, Model> models = new TreeMap<>();
-    List<String> owners = new ArrayList<>(List.of("red", "blue", "green"));
-    for (String owner : owners) {
-      subscribe(subscription(owner, outbox.last(), owner));
-      models.put(owner, new Model());
+    Map<String, ReceiverModel> models = new TreeMap<>();
+    List<String> teams = new ArrayList<>(List.of("red", "blue", "green"));
+    for (String team : teams) {
+      subscribe(subscription(team, outbox.lastNumber(), team));
+      models.put(team, new ReceiverModel());
     }
-    subscribe(subscription("all", outbox.last(), null));
-    models.put("all", new Model());
+    subscribe(subscription("all", outbox.lastNumber(), null));
+    models.put("all", new ReceiverModel());
     int jobs = 0;
     for (int step = 0; step < 6_000; step++) {
-      int kind = random.nextInt(100);
-      if (kind < 40) {
-        String owner = owners.get(random.nextInt(3));
+      int action = random.nextInt(100);
+      if (action < 40) {
+        String team = teams.get(random.nextInt(3));
         String job = "job-" + ++jobs;
-        assertNotNull(end(job, owner));
-        models.get(owner).wanted.add(job);
-        models.get("all").wanted.add(job);
-      } else if (kind < 85) {
+        assertNotNull(endJob(job, team));
+        models.get(team).expected.add(job);
+        models.get("all").expected.add(job);
+      } else if (action < 85) {
         List<String> names = new ArrayList<>(models.keySet());
-        // One of them is away for long.
+        // In every other period of 700 steps one receiver is unreachable.
         String name = names.get(step / 700 % 2 == 0 ? random.nextInt(3) : random.nextInt(4));
         deliver(outbox.subscriptions().get(name), models.get(name));
-      } else if (kind < 97) {
-        storeOne();
-      } else if (kind < 99) {
-        // Some page was written, without what had left the log.
-        storedNotices.keySet().removeAll(dropped);
+      } else if (action < 97) {
+        commitNext();
+      } else if (action < 99) {
+        // A job page was written without the notifications that had left the log.
+        storedNotifications.keySet().removeAll(dropped);
         dropped.clear();
       } else {
-        begin();
+        startTerm();
       }
-      // Nothing is let go that the bound does not ask for, save when a store lags behind it.
-      assertTrue(outbox.kept() <= MOST + 200, outbox.kept() + " are kept");
+      // Pending writes may delay the removal of notifications beyond the retention limit.
+      assertTrue(
+          outbox.retainedCount() <= MAX_RETAINED + 200,
+          outbox.retainedCount() + " notifications retained");
     }
     models.forEach(
         (name, model) -> {
           Subscription subscription = outbox.subscriptions().get(name);
           while (deliver(subscription, model)) {
-            storeOne();
+            commitNext();
           }
-          assertEquals(model.wanted.size(), model.position, name + " hears of all, or of a loss");
+          assertEquals(
+              model.expected.size(), model.position, name + " received all, or reports of losses");
           for (long n = 1; n <= model.position; n++) {
-            String told = model.told.get(n);
-            assertTrue(told == null || told.equals(model.wanted.get((int) n - 1)), name + n);
+            String received = model.received.get(n);
+            assertTrue(
+                received == null || received.equals(model.expected.get((int) n - 1)), name + n);
           }
         });
-    assertTrue(models.get("all").lost > 0 || models.get("red").lost > 0, "the bound was reached");
-    assertTrue(puts < jobs / 4, puts + " puts for " + jobs + " ends");
+    assertTrue(
+        models.get("all").lostCount > 0 || models.get("red").lostCount > 0,
+        "retention limit was reached");
+    assertTrue(writeCount < jobs / 4, writeCount + " writes for " + jobs + " notifications");
   }
 
-  /** Sends what is next and takes in the answer; false when nothing is. */
-  private boolean deliver(Subscription to, Model model) {
-    DeliveryProgress at = outbox.cursor(to).now();
-    if (at.firstLostSequence() > 0) {
+  /** Sends the next notification and processes the response; false when there is none. */
+  private boolean deliver(Subscription subscription, ReceiverModel model) {
+    DeliveryProgress progress = outbox.cursor(subscription).progress();
+    if (progress.firstLostSequence() > 0) {
       assertTrue(
-          at.firstLostSequence() <= model.position + 1, "a loss that begins beyond what it has");
-      for (long n = model.position + 1; n <= at.lastSequence(); n++) {
-        model.lost++;
-        model.told.put(n, null);
+          progress.firstLostSequence() <= model.position + 1,
+          "a reported loss starts within or right after the position");
+      for (long n = model.position + 1; n <= progress.lastSequence(); n++) {
+        model.lostCount++;
+        model.received.put(n, null);
       }
-      model.position = Math.max(model.position, at.lastSequence());
+      model.position = Math.max(model.position, progress.lastSequence());
     } else {
-      Notification next = outbox.allocate(to);
+      Notification next = outbox.nextFor(subscription);
       if (next == null) {
         return false;
       }
-      long sequence = at.lastSequence() + 1;
-      assertEquals(model.wanted.get((int) sequence - 1), next.job(), "by its own count");
+      long sequence = progress.lastSequence() + 1;
+      assertEquals(
+          model.expected.get((int) sequence - 1), next.job(), "numbered by its own sequence");
       if (sequence <= model.position) {
-        String before = model.told.get(sequence);
-        assertTrue(before == null || before.equals(next.job()), "the same on every repeat");
+        String before = model.received.get(sequence);
+        assertTrue(before == null || before.equals(next.job()), "same job on every repetition");
       } else {
-        assertEquals(model.position + 1, sequence, "without a gap");
+        assertEquals(model.position + 1, sequence, "no gap in the sequence");
         model.position = sequence;
-        model.told.put(sequence, next.job());
+        model.received.put(sequence, next.job());
       }
     }
     if (random.nextInt(5) > 0) {
-      assertTrue(outbox.has(to, model.position));
+      assertTrue(outbox.confirm(subscription, model.position));
     }
     return true;
   }
 
   @Test
-  void aFilterHoldsFromItsChangeOn() {
-    subscribe(subscription("desk", outbox.last(), "red"));
-    end("a", "red");
-    end("b", "blue");
+  void appliesChangedFilterToLaterNotificationsOnly() {
+    subscribe(subscription("desk", outbox.lastNumber(), "red"));
+    endJob("a", "red");
+    endJob("b", "blue");
     Subscription before = outbox.subscriptions().get("desk");
-    List<Subscription.Filter> filters = new ArrayList<>(outbox.filters(before));
-    filters.add(new Subscription.Filter(outbox.last(), Set.of("blue"), Set.of()));
+    List<Subscription.Filter> filters = new ArrayList<>(outbox.neededFilters(before));
+    filters.add(new Subscription.Filter(outbox.lastNumber(), Set.of("blue"), Set.of()));
     subscribe(
         new Subscription(
             "desk",
@@ -313,50 +325,48 @@
             List.of(),
             before.status(),
             null));
-    end("c", "red");
-    end("d", "blue");
+    endJob("c", "red");
+    endJob("d", "blue");
     Subscription desk = outbox.subscriptions().get("desk");
-    assertEquals("a", outbox.allocate(desk).job());
-    assertTrue(outbox.has(desk, 1));
-    assertEquals("d", outbox.allocate(desk).job());
-    begin();
-    assertEquals("a", outbox.allocate(desk).job(), "a later leader counts the same");
+    assertEquals("a", outbox.nextFor(desk).job());
+    assertTrue(outbox.confirm(desk, 1));
+    assertEquals("d", outbox.nextFor(desk).job());
+    startTerm();
+    assertEquals("a", outbox.nextFor(desk).job(), "a later leader derives the same sequence");
   }
 
-  /** A receiver that claims what was never sent would pass over all that comes. */
+  /** Guards against a receiver that would skip later notifications by a position never sent. */
   @Test
-  void aPositionBeyondAllNoticesIsNotBelieved() {
-    subscribe(subscription("desk", outbox.last(), null));
-    end("a", "red");
+  void rejectsPositionBeyondLastNotification() {
+    subscribe(subscription("desk", outbox.lastNumber(), null));
+    endJob("a", "red");
     Subscription desk = outbox.subscriptions().get("desk");
-    assertFalse(outbox.has(desk, 2));
-    assertEquals("a", outbox.allocate(desk).job());
+    assertFalse(outbox.confirm(desk, 2));
+    assertEquals("a", outbox.nextFor(desk).job());
   }
 
   @Test
-  void aReceiverThatLostSomethingGetsItAgain() {
-    subscribe(subscription("desk", outbox.last(), null));
+  void resendsAfterPositionMovesBack() {
+    subscribe(subscription("desk", outbox.lastNumber(), null));
     for (int i = 1; i <= 10; i++) {
-      end("job-" + i, "red");
+      endJob("job-" + i, "red");
     }
     Subscription desk = outbox.subscriptions().get("desk");
-    assertTrue(outbox.has(desk, 10));
-    assertNull(outbox.allocate(desk));
-    assertTrue(outbox.has(desk, 4));
-    assertEquals("job-5", outbox.allocate(desk).job());
-    assertTrue(outbox.seek(desk, 2));
-    assertEquals("job-2", outbox.allocate(desk).job());
-    assertFalse(outbox.seek(desk, 12));
-    assertEquals("job-2", outbox.allocate(desk).job());
+    assertTrue(outbox.confirm(desk, 10));
+    assertNull(outbox.nextFor(desk));
+    assertTrue(outbox.confirm(desk, 4));
+    assertEquals("job-5", outbox.nextFor(desk).job());
+    assertTrue(outbox.resumeFrom(desk, 2));
+    assertEquals("job-2", outbox.nextFor(desk).job());
+    assertFalse(outbox.resumeFrom(desk, 12));
+    assertEquals("job-2", outbox.nextFor(desk).job());
   }
 
-  /**
-   * Seen by hand: the leader that stored it told the time to the nanosecond, the next one did not.
-   */
+  /** Guards against a timestamp that loses precision when a later leader reads it. */
   @Test
-  void aLaterLeaderTellsTheSameToTheByte() throws io.pineladder.wire.MalformedMessageException {
-    subscribe(subscription("desk", outbox.last(), null));
-    Notification first = end("a", "red");
+  void sendsIdenticalEventAfterFailover() throws io.pineladder.wire.MalformedMessageException {
+    subscribe(subscription("desk", outbox.lastNumber(), null));
+    Notification first = endJob("a", "red");
     JsonNode page = RecordWire.page(java.util.stream.Stream.of(), List.of(first));
     Notification later = RecordWire.parseNotifications(page).get(0);
     Subscription desk = outbox.subscriptions().get("desk");
@@ -364,13 +374,16 @@
   }
 
   @Test
-  void nothingIsKeptThatNobodyWants() {
-    assertNull(end("a", "red"));
-    subscribe(subscription("desk", outbox.last(), "blue"));
-    assertNull(end("b", "red"));
-    assertNotNull(end("c", "blue"));
-    outbox.unsubscribed("desk");
-    assertNull(end("d", "blue"));
-    assertEquals(1, outbox.kept(), "the newest, from which the next leader counts on");
+  void allocatesOnlyForMatchingSubscriptions() {
+    assertNull(endJob("a", "red"));
+    subscribe(subscription("desk", outbox.lastNumber(), "blue"));
+    assertNull(endJob("b", "red"));
+    assertNotNull(endJob("c", "blue"));
+    outbox.onSubscriptionDeleted("desk");
+    assertNull(endJob("d", "blue"));
+    assertEquals(
+        1,
+        outbox.retainedCount(),
+        "the newest, from which the next leader continues the numbering");
   }
 }
