--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -28,11 +28,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The administration API, on the cluster listener: what a controller knows, and the settings that
- * operators may change. What only the leader knows is asked of the leader.
+ * The administration API, on the cluster listener: the state of a controller, and the settings that
+ * operators may change. Some requests can be handled by the leader only.
  */
 public final class AdminApi {
   private static final String SNAPSHOT = "snapshot";
+
+  /** Prefix of the paths of the administration API. */
   public static final String PREFIX = "/admin/v1/";
 
   private static final Duration STORE_TIMEOUT = Duration.ofSeconds(3);
@@ -45,7 +47,7 @@
     this.metrics = metrics;
   }
 
-  /** Whether a request is to be answered by the leader, whichever node gets it. */
+  /** Whether a request must be handled by the leader, whichever controller receives it. */
   public boolean isLeadersMatter(String method, String path) {
     if (isSubscriptionPath(path)) {
       return true;
@@ -67,9 +69,9 @@
     return new HttpResponse(status, Json.bytes(body));
   }
 
-  /** What any node can answer itself. */
+  /** Handles a request that any controller can answer. */
   public void handle(String method, String path, Consumer<HttpResponse> answer) {
-    boolean known =
+    boolean isKnownPath =
         switch (path) {
           case PREFIX + "status",
               PREFIX + "metrics",
@@ -81,7 +83,7 @@
               true;
           default -> false;
         };
-    if (!known) {
+    if (!isKnownPath) {
       answer.accept(error(404, "no such path"));
     } else if (!method.equals("GET")) {
       answer.accept(error(405, "use GET"));
@@ -105,14 +107,14 @@
   }
 
   private ObjectNode status() {
-    var known = node.election().knownLeader();
-    LeaderTerm leader = node.heldTerm();
+    var knownLeader = node.election().knownLeader();
+    LeaderTerm ownTerm = node.heldTerm();
     ObjectNode out = Json.object();
     out.put("member", node.settings().controllerName())
         .put("zone", node.settings().zone())
         .put("leadership", node.election().state().name().toLowerCase(Locale.ROOT))
-        .put("leader", known == null ? null : known.controllerName())
-        .put("term", leader == null ? node.election().knownLeaderTerm() : leader.term())
+        .put("leader", knownLeader == null ? null : knownLeader.controllerName())
+        .put("term", ownTerm == null ? node.election().knownLeaderTerm() : ownTerm.term())
         .put("store_healthy", node.storeClient().isHealthy())
         .put("machine_types", node.machineTypes().size())
         .put(
@@ -139,26 +141,23 @@
     return out;
   }
 
-  /** Which version of the records is in force, and what this controller supports. */
+  /** The record version in force, and the version that this controller supports. */
   private ObjectNode version() {
     return Json.object()
         .put("in_force", node.clusterVersion().inForce())
         .put("supported", node.clusterVersion().supported());
   }
 
-  /**
-   * The state service's limits that this controller keeps to, and what it asked for in the last
-   * second.
-   */
+  /** The limits of the key-value store that this controller applies, and its use of them. */
   private ObjectNode storeLimits() {
-    Settings.StoreLimits kept = node.storeClient().limits();
+    Settings.StoreLimits applied = node.storeClient().limits();
     Settings.StoreLimits inForce = node.settings().currentStoreLimits();
     return Json.object()
-        .put("requests_per_second", kept.requestsPerSecond())
-        .put("changes_per_second", kept.writesPerSecond())
-        .put("value_bytes", kept.valueBytes())
-        .put("transaction_changes", kept.transactionOps())
-        .put("change_announced", !kept.equals(inForce))
+        .put("requests_per_second", applied.requestsPerSecond())
+        .put("changes_per_second", applied.writesPerSecond())
+        .put("value_bytes", applied.valueBytes())
+        .put("transaction_changes", applied.transactionOps())
+        .put("change_announced", !applied.equals(inForce))
         .put("requests", node.storeClient().requestCount())
         .put("refused_for_rate", node.storeClient().rateLimitedCount())
         .put("changes_left", node.storeClient().writeBudget().available(node.eventLoop().now()));
@@ -173,7 +172,7 @@
     return out;
   }
 
-  /** How long takeovers took here, by phase, and the latest ones. */
+  /** Durations of this controller's failovers by phase, and the most recent ones. */
   private ObjectNode failovers() {
     ObjectNode out = Json.object();
     ObjectNode phases = out.putObject("phases_s");
@@ -184,14 +183,16 @@
       }
     }
     ArrayNode latest = out.putArray("latest");
-    for (FailoverTimings.CompletedFailover taken : node.failoverTimings().latest()) {
-      ObjectNode one = latest.addObject().put("term", taken.term());
-      taken.phases().forEach((phase, took) -> one.put(phase.label(), took.toMillis() / 1e3));
+    for (FailoverTimings.CompletedFailover failover : node.failoverTimings().latest()) {
+      ObjectNode entry = latest.addObject().put("term", failover.term());
+      failover
+          .phases()
+          .forEach((phase, duration) -> entry.put(phase.label(), duration.toMillis() / 1e3));
     }
     return out;
   }
 
-  /** What only the leader can answer. */
+  /** Handles a request that only the leader can answer. */
   public void lead(
       LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (isSubscriptionPath(path)) {
@@ -217,12 +218,12 @@
             .put(
                 "machines_under_suspicion",
                 leader.scheduler().faultAttribution().countQuarantinedMachines());
-    ObjectNode places = out.putObject("entries");
+    ObjectNode entries = out.putObject("entries");
     leader
         .scheduler()
         .queue()
         .sizes()
-        .forEach((place, size) -> places.put(place.name().toLowerCase(Locale.ROOT), size));
+        .forEach((place, size) -> entries.put(place.name().toLowerCase(Locale.ROOT), size));
     ObjectNode parked = out.putObject("parked");
     JobDependencies dependencies = leader.scheduler().dependencies();
     OptionalDouble slack = leader.minChainSlackSeconds();
@@ -276,7 +277,7 @@
     }
   }
 
-  /** Where the records stand, as this node knows it. */
+  /** The state of the stored records and of this controller's replica of them. */
   private ObjectNode records() {
     GenerationManager generations = node.replicaManager().generations();
     RecordReplica replica = node.replicaManager().replica();
@@ -304,19 +305,19 @@
     return out;
   }
 
-  /** Checks new settings, stores them, and answers when they are stored. */
+  /** Validates new settings, stores them and responds once they are stored. */
   private void updateSettings(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
-    OperatorSettings wanted;
+    OperatorSettings requested;
     try {
-      wanted = RecordWire.parseOperatorSettings(Json.parseObject(body), node.operatorSettings());
+      requested = RecordWire.parseOperatorSettings(Json.parseObject(body), node.operatorSettings());
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    Consumer<HttpResponse> first =
+    Consumer<HttpResponse> firstResponse =
         HttpResponses.withTimeout(
             node.eventLoop(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
     leader.storeOperatorSettings(
-        wanted, () -> first.accept(json(200, RecordWire.operatorSettings(wanted))));
+        requested, () -> firstResponse.accept(json(200, RecordWire.operatorSettings(requested))));
   }
 }
--- a/src/main/java/io/pineladder/admin/Metrics.java
+++ b/src/main/java/io/pineladder/admin/Metrics.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** Counts and latencies of what this controller answers. */
+/** Counters and latencies of the requests that this controller answers. */
 public final class Metrics {
   private static final long MAX_LATENCY_MICROS = TimeUnit.MINUTES.toMicros(2);
   private static final double[] PERCENTILES = {50, 90, 99, 100};
 
-  /** What is asked of a controller. */
+  /** The kinds of requests to a controller. Shown to operators by these names. */
   public enum Operation {
     SUBMIT,
     POLL,
@@ -30,7 +30,7 @@
     READY,
     OTHER;
 
-    /** The operation that a method and path ask for. */
+    /** Determines the operation from a request's method and path. */
     public static Operation of(String method, String path) {
       if (path.startsWith("/v1/report")) {
         return REPORT;
@@ -47,13 +47,13 @@
 
   private MeterRegistry registry;
 
-  /** The process's sockets; null where it has no network of its own. */
-  private ConnectionLimiter sockets;
+  /** The process's sockets, or null where no network is used, as in simulations. */
+  private ConnectionLimiter connectionLimiter;
 
   private final Map<Operation, Map<Integer, Counter>> counters = new EnumMap<>(Operation.class);
   private final Map<Operation, Histogram> latencies = new EnumMap<>(Operation.class);
 
-  /** The registry is made when the first answer is counted, so that it does not slow the start. */
+  /** Creates the registry on first use, so that it does not delay the start of the process. */
   private MeterRegistry registry() {
     if (registry == null) {
       registry = new SimpleMeterRegistry();
@@ -61,20 +61,20 @@
     return registry;
   }
 
-  /** Has the sockets shown with the other figures. */
-  public void watch(ConnectionLimiter of) {
-    sockets = of;
+  /** Includes the use of sockets in the metrics. */
+  public void watch(ConnectionLimiter connectionLimiter) {
+    this.connectionLimiter = connectionLimiter;
   }
 
-  /** The sockets by part; empty where there are none to show. */
+  /** The use of sockets by traffic class; empty where no network is used. */
   ObjectNode sockets() {
     ObjectNode out = Json.object();
-    if (sockets != null) {
-      sockets
+    if (connectionLimiter != null) {
+      connectionLimiter
           .usage()
           .forEach(
-              (part, usage) ->
-                  out.putObject(part.name().toLowerCase(Locale.ROOT))
+              (trafficClass, usage) ->
+                  out.putObject(trafficClass.name().toLowerCase(Locale.ROOT))
                       .put("open", usage.open())
                       .put("idle", usage.idle())
                       .put("peak", usage.peak())
@@ -84,8 +84,8 @@
     return out;
   }
 
-  /** One request was answered. */
-  public void answered(Operation operation, int status, Duration took) {
+  /** Counts an answered request and records its latency. */
+  public void answered(Operation operation, int status, Duration latency) {
     counters
         .computeIfAbsent(operation, o -> new TreeMap<>())
         .computeIfAbsent(
@@ -101,10 +101,10 @@
         .increment();
     latencies
         .computeIfAbsent(operation, o -> new Histogram(MAX_LATENCY_MICROS, 2))
-        .recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, took.toNanos() / 1000)));
+        .recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, latency.toNanos() / 1000)));
   }
 
-  /** All meters by name and tags, and the latencies in seconds by percentile. */
+  /** All counters by name and tags, and percentiles of the latencies in seconds. */
   ObjectNode toJson() {
     ObjectNode out = Json.object();
     ObjectNode meters = out.putObject("meters");
@@ -113,7 +113,7 @@
       for (Tag tag : meter.getId().getTags()) {
         name.append(' ').append(tag.getKey()).append('=').append(tag.getValue());
       }
-      meter.measure().forEach(measured -> meters.put(name.toString(), measured.getValue()));
+      meter.measure().forEach(measurement -> meters.put(name.toString(), measurement.getValue()));
     }
     out.set("sockets", sockets());
     ObjectNode all = out.putObject("latency_s");
@@ -125,7 +125,7 @@
     return out;
   }
 
-  /** Writes a histogram's count and percentiles, in seconds. */
+  /** Writes a histogram's count, and its percentiles in seconds. */
   public static void writePercentiles(ObjectNode out, Histogram histogram, double unitsPerSecond) {
     out.put("count", histogram.getTotalCount());
     for (double percentile : PERCENTILES) {
--- a/src/main/java/io/pineladder/cli/AdminCommand.java
+++ b/src/main/java/io/pineladder/cli/AdminCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Model.PositionalParamSpec;
 import picocli.CommandLine.ParseResult;
 
-/** {@code pineladder admin}: one call of a controller's administration API. */
+/** {@code pineladder admin}: makes one request to a controller's administration API. */
 final class AdminCommand {
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
   private static final Set<String> TOPICS =
@@ -54,7 +54,7 @@
                     .paramLabel("NAME=SECONDS")
                     .type(Map.class)
                     .auxiliaryTypes(String.class, Double.class)
-                    .description("with settings: change one; may be repeated")
+                    .description("with settings: change a setting; may be repeated")
                     .build())
             .addOption(
                 OptionSpec.builder("--file")
@@ -62,13 +62,13 @@
                     .type(Path.class)
                     .description(
                         "with subscriptions put: the subscription in JSON; with snapshot: the file"
-                            + " to fetch to or to hand in")
+                            + " to write (fetch) or to read (handin)")
                     .build())
             .addOption(
                 OptionSpec.builder("--from")
                     .paramLabel("SEQUENCE")
                     .type(Long.class)
-                    .description("with subscriptions resume: the first notice to send")
+                    .description("with subscriptions resume: the first notification to send")
                     .build())
             .addPositional(
                 PositionalParamSpec.builder()
@@ -88,12 +88,13 @@
                     .auxiliaryTypes(String.class)
                     .arity("0..*")
                     .description(
-                        "with subscriptions: nothing for all, schema, or show, put, pause, resume"
-                            + " or delete with a name; with networks: nothing to show them, none,"
-                            + " or all that notices may be sent to; with snapshot: fetch or handin")
+                        "with subscriptions: schema, or show, put, pause, resume or delete and a"
+                            + " name; omit to list all; with networks: none, or all networks that"
+                            + " notifications may be sent to; omit to show them; with snapshot:"
+                            + " fetch or handin")
                     .build());
     spec.usageMessage()
-        .description("Asks a controller, or changes the operators' settings and subscriptions.");
+        .description("Queries a controller, or changes the cluster's settings and subscriptions.");
     return spec;
   }
 
@@ -104,7 +105,7 @@
     return new Call("PUT", "networks", Json.bytes(DeliveryWire.networks(networks)));
   }
 
-  /** The call that the words ask for, or null when they ask for none. */
+  /** The request for the given words, or null when they are not valid. */
   private static Call subscriptions(List<String> words, Path file, Long from) throws IOException {
     String path = "subscriptions";
     if (words.isEmpty()) {
@@ -117,16 +118,16 @@
     if (words.size() > 2 || (file == null) == action.equals("put")) {
       return null;
     }
-    String one = path + "/" + words.get(1);
+    String subscription = path + "/" + words.get(1);
     return switch (action) {
-      case "show" -> new Call("GET", one, null);
-      case "put" -> new Call("PUT", one, Files.readAllBytes(file));
-      case "delete" -> new Call("DELETE", one, null);
-      case "pause" -> new Call("POST", one + "/pause", null);
+      case "show" -> new Call("GET", subscription, null);
+      case "put" -> new Call("PUT", subscription, Files.readAllBytes(file));
+      case "delete" -> new Call("DELETE", subscription, null);
+      case "pause" -> new Call("POST", subscription + "/pause", null);
       case "resume" ->
           new Call(
               "POST",
-              one + "/resume",
+              subscription + "/resume",
               from == null ? null : Json.bytes(Json.object().put("sequence", from)));
       default -> null;
     };
@@ -188,13 +189,13 @@
               .build();
       HttpResponse<byte[]> response =
           HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofByteArray());
-      boolean good = response.statusCode() == 200 || response.statusCode() == 201;
-      if (good && topic.equals("snapshot") && call.method.equals("GET")) {
+      boolean isOk = response.statusCode() == 200 || response.statusCode() == 201;
+      if (isOk && topic.equals("snapshot") && call.method.equals("GET")) {
         Files.write(parsed.matchedOptionValue("--file", Path.of("")), response.body());
         return Main.EXIT_OK;
       }
-      (good ? System.out : System.err).println(new String(response.body(), StandardCharsets.UTF_8));
-      return good ? Main.EXIT_OK : Main.EXIT_FAILURE;
+      (isOk ? System.out : System.err).println(new String(response.body(), StandardCharsets.UTF_8));
+      return isOk ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException | IllegalArgumentException e) {
       System.err.println(address + ": " + e.getMessage());
       return Main.EXIT_FAILURE;
--- a/src/main/java/io/pineladder/cli/Controller.java
+++ b/src/main/java/io/pineladder/cli/Controller.java
@@ -27,10 +27,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves as a controller; its only argument is the settings file. The platform starts this class
- * and not {@link Main}: reading a command line takes a fifth of a start's processor time, because
- * picocli's classes are of a format that no class-data archive takes, and small nodes have a
- * seventh of a core.
+ * Entry point of a controller process: options, then the settings file. Deployments start this
+ * class rather than {@link Main}: the CDS archive cannot hold picocli's classes because of their
+ * class-file version, and loading them would take a large part of the start-up time on nodes with a
+ * fraction of a core.
  */
 public final class Controller {
   private static final int EXIT_FAILURE = 1;
@@ -41,11 +41,11 @@
   private static final Set<String> OPTION_NAMES = Set.of(DELIVERY_OPTION, SNAPSHOTS_OPTION);
 
   /**
-   * What a controller does beyond what the settings file says.
+   * Options of a controller that are not in the settings file.
    *
-   * @param deliveryKey the file with the key for subscribers' secrets; null: notices are not
-   *     delivered
-   * @param snapshots the directory for snapshots of the records; null: none are written
+   * @param deliveryKey the file with the key that encrypts signing secrets; null disables the
+   *     delivery of notifications
+   * @param snapshots the directory for snapshots of the records; null disables snapshots
    */
   record ServeOptions(Path deliveryKey, Path snapshots) {
     static final ServeOptions NONE = new ServeOptions(null, null);
@@ -53,20 +53,25 @@
 
   private Controller() {}
 
+  /**
+   * Starts a controller; exits with a nonzero code if that fails, and keeps running otherwise.
+   *
+   * @param args {@code [--delivery KEYFILE] [--snapshots DIR] SETTINGS}
+   */
   public static void main(String[] args) {
     configureLogging(System.getenv("LOG_LEVEL"));
     Map<String, Path> options = new HashMap<>();
-    int at = 0;
-    for (; at + 1 < args.length && OPTION_NAMES.contains(args[at]); at += 2) {
-      options.put(args[at], Path.of(args[at + 1]));
+    int index = 0;
+    for (; index + 1 < args.length && OPTION_NAMES.contains(args[index]); index += 2) {
+      options.put(args[index], Path.of(args[index + 1]));
     }
-    if (at + 1 != args.length) {
+    if (index + 1 != args.length) {
       System.err.println("usage: Controller [--delivery KEYFILE] [--snapshots DIR] SETTINGS");
       System.exit(EXIT_USAGE);
     }
     int code =
         serve(
-            Path.of(args[at]),
+            Path.of(args[index]),
             new ServeOptions(options.get(DELIVERY_OPTION), options.get(SNAPSHOTS_OPTION)));
     if (code >= 0) {
       System.exit(code);
@@ -74,34 +79,38 @@
   }
 
   static void configureLogging(String level) {
-    String chosen = level == null || level.isBlank() ? "info" : level.toLowerCase(Locale.ROOT);
+    String logLevel = level == null || level.isBlank() ? "info" : level.toLowerCase(Locale.ROOT);
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
-    System.setProperty("org.slf4j.simpleLogger.log.io.pineladder", chosen);
+    System.setProperty("org.slf4j.simpleLogger.log.io.pineladder", logLevel);
     System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
     System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
     System.setProperty("org.jboss.logging.provider", "slf4j");
   }
 
-  /** Serves with a settings file; a negative result means that the service goes on running. */
-  static int serve(Path file, ServeOptions extras) {
+  /**
+   * Starts a controller with a settings file.
+   *
+   * @return the exit code, or a negative value when the controller is running
+   */
+  static int serve(Path file, ServeOptions options) {
     Logger log = LoggerFactory.getLogger(Controller.class);
     Settings settings;
     try {
       settings = SettingsReader.read(file);
     } catch (IOException | SettingsReader.BadSettingsException e) {
-      log.error("{}: {}", file, e.getMessage());
+      log.error("Settings not read: file={} error=\"{}\"", file, e.getMessage());
       return EXIT_USAGE;
     }
     try {
-      start(settings, extras);
+      start(settings, options);
       return -1;
     } catch (IOException | RuntimeException e) {
-      log.error("cannot serve: {}", e.getMessage(), e);
+      log.error("Start failed: error=\"{}\"", e.getMessage(), e);
       return EXIT_FAILURE;
     }
   }
 
-  /** What a connection to the front is for, by the path that is asked for. */
+  /** The traffic class of a connection to the user-facing API, by the requested path. */
   private static ConnectionLimiter.TrafficClass apiTrafficClass(String path) {
     return switch (Metrics.Operation.of("POST", path)) {
       case REPORT -> ConnectionLimiter.TrafficClass.REPORTS;
@@ -110,18 +119,18 @@
     };
   }
 
-  /** What a connection to an address is for. */
+  /** The traffic class of an outgoing connection, by its address. */
   private static ConnectionLimiter.TrafficClass trafficClass(Settings settings, String address) {
     if (address.equals(settings.storeAddress()) || address.equals(settings.cloudAddress())) {
       return ConnectionLimiter.TrafficClass.SERVICES;
     }
-    boolean peer = settings.peers().stream().anyMatch(p -> p.address().equals(address));
-    return peer ? ConnectionLimiter.TrafficClass.PEERS : ConnectionLimiter.TrafficClass.ORDERS;
+    boolean isPeer = settings.peers().stream().anyMatch(p -> p.address().equals(address));
+    return isPeer ? ConnectionLimiter.TrafficClass.PEERS : ConnectionLimiter.TrafficClass.ORDERS;
   }
 
   private static DeliveryContext createDeliveryContext(
-      Settings settings, XnioEventLoop runtime, Path key) throws IOException {
-    Set<String> own = new LinkedHashSet<>();
+      Settings settings, XnioEventLoop eventLoop, Path keyFile) throws IOException {
+    Set<String> clusterHosts = new LinkedHashSet<>();
     Stream.concat(
             Stream.of(
                 settings.apiAddress(),
@@ -129,60 +138,60 @@
                 settings.storeAddress(),
                 settings.cloudAddress()),
             settings.peers().stream().map(Settings.Peer::address))
-        .forEach(address -> own.add(address.substring(0, address.lastIndexOf(':'))));
+        .forEach(address -> clusterHosts.add(address.substring(0, address.lastIndexOf(':'))));
     DeliveryContext delivery =
         new DeliveryContext(
-            runtime,
-            SecretCipher.read(key),
-            own,
+            eventLoop,
+            SecretCipher.read(keyFile),
+            clusterHosts,
             settings.coreShare(),
-            runtime
+            eventLoop
                 .connectionLimiter()
                 .usage()
                 .get(ConnectionLimiter.TrafficClass.NOTICES)
                 .maxOpen());
-    delivery.sendThrough(new OutboundHttpClient(runtime, delivery::allows));
+    delivery.sendThrough(new OutboundHttpClient(eventLoop, delivery::allows));
     return delivery;
   }
 
-  /** Starts a controller; everything happens on the runtime's thread from then on. */
-  static XnioEventLoop start(Settings settings, ServeOptions extras) throws IOException {
-    XnioEventLoop runtime =
+  /** Starts a controller, which runs on the returned event loop's thread from then on. */
+  static XnioEventLoop start(Settings settings, ServeOptions options) throws IOException {
+    XnioEventLoop eventLoop =
         new XnioEventLoop(settings.maxSockets(), settings.workerTimes().heartbeatInterval());
     AsyncHttpClient httpClient =
-        new UndertowHttpClient(runtime, address -> trafficClass(settings, address));
+        new UndertowHttpClient(eventLoop, address -> trafficClass(settings, address));
     byte[] nonce = new byte[12];
     RandomGenerator.of("SecureRandom").nextBytes(nonce);
     ControllerNode node =
         new ControllerNode(
             settings,
-            runtime,
+            eventLoop,
             httpClient,
             HexFormat.of().formatHex(nonce),
-            extras.deliveryKey == null
+            options.deliveryKey == null
                 ? null
-                : createDeliveryContext(settings, runtime, extras.deliveryKey),
-            extras.snapshots == null
+                : createDeliveryContext(settings, eventLoop, options.deliveryKey),
+            options.snapshots == null
                 ? null
                 : new SnapshotDirectory(
-                    extras.snapshots.resolve(settings.controllerName()), runtime),
-            runtime);
+                    options.snapshots.resolve(settings.controllerName()), eventLoop),
+            eventLoop);
     Metrics metrics = new Metrics();
-    metrics.watch(runtime.connectionLimiter());
-    RequestRouter front = new RequestRouter(node, metrics);
-    runtime.serve(
+    metrics.watch(eventLoop.connectionLimiter());
+    RequestRouter router = new RequestRouter(node, metrics);
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             settings.apiAddress(),
-            front::handle,
+            router::handle,
             ConnectionLimiter.TrafficClass.ARRIVING,
             Controller::apiTrafficClass));
-    runtime.serve(
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             settings.clusterAddress(),
-            front::handleCluster,
+            router::handleCluster,
             ConnectionLimiter.TrafficClass.PEERS,
             path -> ConnectionLimiter.TrafficClass.PEERS));
-    runtime.execute(node::start);
-    return runtime;
+    eventLoop.execute(node::start);
+    return eventLoop;
   }
 }
--- a/src/main/java/io/pineladder/cli/KeygenCommand.java
+++ b/src/main/java/io/pineladder/cli/KeygenCommand.java
@@ -7,9 +7,7 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.ParseResult;
 
-/**
- * {@code pineladder keygen}: a new key for the controllers, or a signing secret for a subscriber.
- */
+/** {@code pineladder keygen}: prints a new key for the controllers, or a new signing secret. */
 final class KeygenCommand {
   private static final int KEY_BYTES = 32;
 
@@ -22,7 +20,8 @@
             .mixinStandardHelpOptions(true)
             .addOption(
                 OptionSpec.builder("--secret")
-                    .description("a subscriber's signing secret instead of the controllers' key")
+                    .description(
+                        "print a subscriber's signing secret instead of the controllers' key")
                     .build());
     spec.usageMessage().description("Prints a new key of 32 random bytes in Base64.");
     return spec;
--- a/src/main/java/io/pineladder/cli/Main.java
+++ b/src/main/java/io/pineladder/cli/Main.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.PositionalParamSpec;
 import picocli.CommandLine.ParseResult;
 
-/** The program: serves, checks a settings file, or talks to a controller's administration API. */
+/** The command line of pineladder: runs a controller, and the commands around it. */
 public final class Main {
   static final int EXIT_OK = 0;
   static final int EXIT_FAILURE = 1;
@@ -17,6 +17,7 @@
 
   private Main() {}
 
+  /** Runs the command line and exits with its code, unless it started a service. */
   public static void main(String[] args) {
     int code = run(args);
     if (code >= 0) {
@@ -24,7 +25,11 @@
     }
   }
 
-  /** Runs a command; a negative result means that the service goes on running. */
+  /**
+   * Runs a command.
+   *
+   * @return the exit code, or a negative value when a service is running
+   */
   static int run(String[] args) {
     Controller.configureLogging(System.getenv("LOG_LEVEL"));
     CommandLine commandLine = new CommandLine(spec());
@@ -34,13 +39,13 @@
         return EXIT_OK;
       }
       if (parsed.hasSubcommand()) {
-        ParseResult sub = parsed.subcommand();
-        return switch (sub.commandSpec().name()) {
-          case "check" -> check(sub.matchedPositionalValue(0, Path.of("")));
-          case "admin" -> AdminCommand.run(sub);
+        ParseResult command = parsed.subcommand();
+        return switch (command.commandSpec().name()) {
+          case "check" -> check(command.matchedPositionalValue(0, Path.of("")));
+          case "admin" -> AdminCommand.run(command);
           case "train" -> Training.run();
-          case "receive" -> ReceiveCommand.run(sub);
-          case "keygen" -> KeygenCommand.run(sub);
+          case "receive" -> ReceiveCommand.run(command);
+          case "keygen" -> KeygenCommand.run(command);
           default -> EXIT_USAGE;
         };
       }
@@ -72,9 +77,9 @@
                     .paramLabel("FILE")
                     .type(Path.class)
                     .arity("1")
-                    .description("settings file to check")
+                    .description("the settings file to check")
                     .build());
-    check.usageMessage().description("Checks a settings file and names all its faults.");
+    check.usageMessage().description("Validates a settings file and reports all errors.");
     CommandSpec admin = AdminCommand.spec();
     CommandSpec train = CommandSpec.create().name("train");
     train.usageMessage().hidden(true);
@@ -87,26 +92,28 @@
                 OptionSpec.builder("--config")
                     .paramLabel("FILE")
                     .type(Path.class)
-                    .description("serve with this settings file")
+                    .description("run a controller with this settings file")
                     .build())
             .addOption(
                 OptionSpec.builder("--delivery")
                     .paramLabel("KEYFILE")
                     .type(Path.class)
-                    .description("deliver final answers; the file has a key of 32 bytes in Base64")
+                    .description(
+                        "deliver webhook notifications; the file holds a 32-byte key in Base64")
                     .build())
             .addOption(
                 OptionSpec.builder("--snapshots")
                     .paramLabel("DIR")
                     .type(Path.class)
-                    .description("keep snapshots of the records in a folder of this one")
+                    .description(
+                        "write snapshots of the records to a subdirectory of this directory")
                     .build())
             .addSubcommand("check", check)
             .addSubcommand("admin", admin)
             .addSubcommand("receive", ReceiveCommand.spec())
             .addSubcommand("keygen", KeygenCommand.spec())
             .addSubcommand("train", train);
-    root.usageMessage().description("A cluster scheduler. With --config it serves.");
+    root.usageMessage().description("A cluster scheduler. Runs a controller with --config.");
     return root;
   }
 
--- a/src/main/java/io/pineladder/cli/ReceiveCommand.java
+++ b/src/main/java/io/pineladder/cli/ReceiveCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Model.OptionSpec;
 import picocli.CommandLine.ParseResult;
 
-/** {@code pineladder receive}: a receiver that records each notice once, as a JSON line. */
+/** {@code pineladder receive}: records each received notification once, as a JSON line. */
 final class ReceiveCommand {
   private static final Pattern LISTEN_ADDRESS = Pattern.compile("(.+):(\\d{1,5})");
   private static final long MAX_BODY_BYTES = 64 * 1024;
@@ -38,30 +38,36 @@
                     .paramLabel("HOST:PORT")
                     .type(String.class)
                     .required(true)
-                    .description("where notices are posted to; port 0 for any")
+                    .description(
+                        "the address to listen on for notifications; port 0 selects a free port")
                     .build())
             .addOption(
                 OptionSpec.builder("--journal")
                     .paramLabel("FILE")
                     .type(Path.class)
                     .required(true)
-                    .description("what the notices are recorded in")
+                    .description("the journal file that notifications are recorded in")
                     .build())
             .addOption(
                 OptionSpec.builder("--secrets")
                     .paramLabel("FILE")
                     .type(Path.class)
                     .required(true)
-                    .description("the signing secrets, one on each line")
+                    .description("a file with the signing secrets, one per line")
                     .build());
-    spec.usageMessage().description("Receives notices and records each of them once.");
+    spec.usageMessage()
+        .description("Receives webhook notifications and records each of them once.");
     return spec;
   }
 
-  /** Receives until the process is ended; a negative result means that it goes on. */
+  /**
+   * Starts the receiver.
+   *
+   * @return the exit code, or a negative value when the receiver is running
+   */
   static int run(ParseResult parsed) {
-    var listen = LISTEN_ADDRESS.matcher(parsed.matchedOptionValue("--listen", ""));
-    if (!listen.matches()) {
+    var listenAddress = LISTEN_ADDRESS.matcher(parsed.matchedOptionValue("--listen", ""));
+    if (!listenAddress.matches()) {
       System.err.println("--listen is not HOST:PORT");
       return Main.EXIT_USAGE;
     }
@@ -83,7 +89,9 @@
               .setWorkerThreads(4)
               .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
               .addHttpListener(
-                  Integer.parseInt(listen.group(2)), listen.group(1), handler(receiver))
+                  Integer.parseInt(listenAddress.group(2)),
+                  listenAddress.group(1),
+                  handler(receiver))
               .build();
       server.start();
       System.out.println("receiving on " + server.getListenerInfo().get(0).getAddress());
@@ -100,7 +108,7 @@
         exchange.setStatusCode(405).endExchange();
         return;
       }
-      // Forcing a line to the disk blocks, so it is done beside the I/O thread.
+      // Forcing the journal to disk blocks, so it is done on a worker thread.
       exchange
           .getRequestReceiver()
           .receiveFullBytes((ex, body) -> ex.dispatch(() -> respond(receiver, ex, body)));
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/Training.java
@@ -20,8 +20,9 @@
 import java.util.function.Consumer;
 
 /**
- * The run from which the build makes the class-data archive: a controller on loopback leads, takes
- * a job and a report against the barest of surroundings, so that what it uses gets loaded.
+ * The training run from which the build creates the class-data sharing (CDS) archive. A controller
+ * on loopback becomes leader and receives a job and heartbeats, with stubs of the key-value store
+ * and the cloud, so that the classes it uses are loaded.
  */
 final class Training {
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
@@ -32,24 +33,24 @@
 
   static int run() {
     try {
-      String front = freeAddress();
-      String cluster = freeAddress();
-      String outside = freeAddress();
-      Settings settings = SettingsReader.parse(toml(front, cluster, outside));
-      XnioEventLoop surroundings =
+      String apiAddress = freeAddress();
+      String clusterAddress = freeAddress();
+      String serviceAddress = freeAddress();
+      Settings settings = SettingsReader.parse(toml(apiAddress, clusterAddress, serviceAddress));
+      XnioEventLoop eventLoop =
           new XnioEventLoop(settings.maxSockets(), settings.workerTimes().heartbeatInterval());
-      surroundings.serve(
+      eventLoop.serve(
           new XnioEventLoop.Listener(
-              outside,
+              serviceAddress,
               Training::serveStubServices,
               ConnectionLimiter.TrafficClass.SERVICES,
               path -> ConnectionLimiter.TrafficClass.SERVICES));
       Controller.start(settings, Controller.ServeOptions.NONE);
-      CountDownLatch over = new CountDownLatch(1);
-      UndertowHttpClient caller =
-          new UndertowHttpClient(surroundings, a -> ConnectionLimiter.TrafficClass.USERS);
-      surroundings.execute(() -> submitJob(surroundings, caller, front, over));
-      return over.await(MAX_RUN_SECONDS, TimeUnit.SECONDS) ? Main.EXIT_OK : Main.EXIT_FAILURE;
+      CountDownLatch done = new CountDownLatch(1);
+      UndertowHttpClient client =
+          new UndertowHttpClient(eventLoop, address -> ConnectionLimiter.TrafficClass.USERS);
+      eventLoop.execute(() -> submitJob(eventLoop, client, apiAddress, done));
+      return done.await(MAX_RUN_SECONDS, TimeUnit.SECONDS) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException | SettingsReader.BadSettingsException e) {
       System.err.println("the training run failed: " + e.getMessage());
       return Main.EXIT_FAILURE;
@@ -59,23 +60,23 @@
     }
   }
 
-  /** Tries until the controller leads and takes the job. */
+  /** Submits a job, retrying until the controller leads and accepts it. */
   private static void submitJob(
-      XnioEventLoop time, UndertowHttpClient caller, String front, CountDownLatch over) {
-    caller.call(
-        Request.post(front, "/v1/jobs", JOB, REQUEST_TIMEOUT),
+      XnioEventLoop eventLoop, UndertowHttpClient client, String apiAddress, CountDownLatch done) {
+    client.call(
+        Request.post(apiAddress, "/v1/jobs", JOB, REQUEST_TIMEOUT),
         reply -> {
           if (reply.is(201)) {
-            sendHeartbeat(caller, front, 1, over);
+            sendHeartbeat(client, apiAddress, 1, done);
           } else {
-            time.schedule(RETRY_DELAY, () -> submitJob(time, caller, front, over));
+            eventLoop.schedule(RETRY_DELAY, () -> submitJob(eventLoop, client, apiAddress, done));
           }
         });
   }
 
   private static void sendHeartbeat(
-      UndertowHttpClient caller, String front, int tally, CountDownLatch over) {
-    ObjectNode report =
+      UndertowHttpClient client, String apiAddress, int sequence, CountDownLatch done) {
+    ObjectNode heartbeat =
         Json.object()
             .put("host", "m-1")
             .put("addr", "127.0.0.1:1")
@@ -83,20 +84,21 @@
             .put("yard", "z")
             .put("loaners", false)
             .put("shift", 1)
-            .put("tally", tally)
+            .put("tally", sequence)
             .put("baton", 7);
-    report.putArray("pieces");
-    caller.call(
-        Request.post(front, "/v1/report", Json.bytes(report), REQUEST_TIMEOUT),
+    heartbeat.putArray("pieces");
+    client.call(
+        Request.post(apiAddress, "/v1/report", Json.bytes(heartbeat), REQUEST_TIMEOUT),
         reply -> {
-          if (tally < 3) {
-            sendHeartbeat(caller, front, tally + 1, over);
+          if (sequence < 3) {
+            sendHeartbeat(client, apiAddress, sequence + 1, done);
           } else {
-            caller.call(
-                Request.get(front, "/v1/jobs/req-1", REQUEST_TIMEOUT),
-                view ->
-                    caller.call(
-                        Request.get(front, "/ready", REQUEST_TIMEOUT), r -> over.countDown()));
+            client.call(
+                Request.get(apiAddress, "/v1/jobs/req-1", REQUEST_TIMEOUT),
+                status ->
+                    client.call(
+                        Request.get(apiAddress, "/ready", REQUEST_TIMEOUT),
+                        ready -> done.countDown()));
           }
         });
   }
@@ -109,10 +111,10 @@
 """
           .getBytes(StandardCharsets.UTF_8);
 
-  /** The state service's revision; a first leader's key has the next one. */
+  /** The revision of the key-value store stub. */
   private static final AtomicLong REVISION = new AtomicLong(6);
 
-  /** Plays state service and cloud, just well enough to be led and scheduled by. */
+  /** Stub of the key-value store and the cloud API, sufficient to elect a leader and schedule. */
   private static void serveStubServices(
       String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     String text;
@@ -148,7 +150,7 @@
     }
   }
 
-  private static String toml(String front, String cluster, String outside) {
+  private static String toml(String apiAddress, String clusterAddress, String serviceAddress) {
     return """
     member = "n"
     area = "z"
@@ -189,6 +191,6 @@
     rps = 5.0
     list_lag_s = 1.0
     """
-        .formatted(front, cluster, outside, outside);
+        .formatted(apiAddress, clusterAddress, serviceAddress, serviceAddress);
   }
 }
--- a/src/main/java/io/pineladder/delivery/NotificationOutbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -52,8 +52,8 @@
 
   /**
    * A progress page is written once its subscribers have advanced by this many notifications on
-   * average, multiplied by the number of progress pages. Averaged, since subscribers that advance in
-   * turn would otherwise trigger a write each.
+   * average, multiplied by the number of progress pages. Averaged, since subscribers that advance
+   * in turn would otherwise trigger a write each.
    */
   private static final int PROGRESS_WRITE_INTERVAL = 50;
 
