--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -108,7 +108,7 @@
 
   private ObjectNode status() {
     var knownLeader = node.election().knownLeader();
-    LeaderTerm ownTerm = node.heldTerm();
+    LeaderTerm ownTerm = node.termAcceptingHeartbeats();
     ObjectNode out = Json.object();
     out.put("member", node.settings().controllerName())
         .put("zone", node.settings().zone())
@@ -119,7 +119,7 @@
         .put("machine_types", node.machineTypes().size())
         .put(
             "doubts_itself",
-            node.membership().selfAssessment() == Membership.SelfAssessment.DOUBTFUL);
+            node.membership().localHealth() == Membership.LocalHealth.DEGRADED);
     ArrayNode peers = out.putArray("peers");
     for (Membership.PeerStatus peer : node.membership().peerStatuses()) {
       peers
@@ -183,7 +183,7 @@
       }
     }
     ArrayNode latest = out.putArray("latest");
-    for (FailoverTimings.CompletedFailover failover : node.failoverTimings().latest()) {
+    for (FailoverTimings.FailoverSummary failover : node.failoverTimings().recentFailovers()) {
       ObjectNode entry = latest.addObject().put("term", failover.term());
       failover
           .phases()
@@ -247,7 +247,7 @@
           .addObject()
           .put("name", zone.name())
           .put("state", zone.state().toLowerCase(Locale.ROOT))
-          .put("losses", zone.losses())
+          .put("losses", zone.outageCount())
           .put("gone_s", zone.outageDuration().toMillis() / 1e3);
     }
     ArrayNode list = out.putArray("machines");
--- a/src/main/java/io/pineladder/delivery/NotificationOutbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -406,8 +406,8 @@
     String team = job.spec.team();
     String jobClass = job.spec.jobClass();
     boolean wanted =
-        subscriptions.values().stream().anyMatch(s -> s.mayWant(team, jobClass))
-            || pendingSubscriptions.values().stream().anyMatch(s -> s.mayWant(team, jobClass));
+        subscriptions.values().stream().anyMatch(s -> s.mayMatch(team, jobClass))
+            || pendingSubscriptions.values().stream().anyMatch(s -> s.mayMatch(team, jobClass));
     return wanted
         ? new Notification(
             ++allocatedNumber,
@@ -531,7 +531,7 @@
     Notification match = null;
     while (match == null && cursor.lastNumber < committedNumber) {
       Notification next = notificationAt(cursor.lastNumber + 1);
-      if (subscription.wants(next)) {
+      if (subscription.matches(next)) {
         match = next;
       } else {
         cursor.lastNumber++;
@@ -554,7 +554,7 @@
     for (long n = cursor(subscription).lastNumber + 1;
         oldest != null && n <= committedNumber;
         n++) {
-      count += subscription.wants(notificationAt(n)) ? 1 : 0;
+      count += subscription.matches(notificationAt(n)) ? 1 : 0;
     }
     return new Backlog(count, oldest);
   }
@@ -583,7 +583,7 @@
       }
     } else {
       while (cursor.lastSequence > position && cursor.lastNumber >= firstNumber()) {
-        cursor.lastSequence -= subscription.wants(notificationAt(cursor.lastNumber)) ? 1 : 0;
+        cursor.lastSequence -= subscription.matches(notificationAt(cursor.lastNumber)) ? 1 : 0;
         cursor.lastNumber--;
       }
       cursor.firstLostSequence = cursor.lastSequence > position ? position + 1 : 0;
@@ -621,7 +621,7 @@
       long lost = 0;
       while (subscription.retainsNotifications() && cursor.lastNumber + 1 < number) {
         cursor.lastNumber++;
-        if (subscription.wants(notificationAt(cursor.lastNumber))) {
+        if (subscription.matches(notificationAt(cursor.lastNumber))) {
           lost++;
           cursor.lastSequence++;
           cursor.firstLostSequence =
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -178,7 +178,7 @@
             current != null
                     && current.source().equals(refused.source())
                     && current.status() == Subscription.Status.ACTIVE
-                ? current.with(
+                ? current.withStatus(
                     status, reason.substring(0, Math.min(reason.length(), MAX_REASON_CHARS)))
                 : current,
         () -> {});
@@ -410,8 +410,8 @@
                         .encrypt(name, WebhookSignature.secret(secret.textValue()))));
     String incarnation = HexFormat.of().toHexDigits(eventLoop.random().nextInt());
     String url = requested.get("url").textValue();
-    Set<String> teams = DeliveryWire.texts(requested.path("owners"));
-    Set<String> classes = DeliveryWire.texts(requested.path("classes"));
+    Set<String> teams = DeliveryWire.parseStringSet(requested.path("owners"));
+    Set<String> classes = DeliveryWire.parseStringSet(requested.path("classes"));
     UnaryOperator<Subscription> change =
         current -> {
           if (current == null && !isNew) {
@@ -474,7 +474,7 @@
     }
     updateRecord(
         name,
-        current -> current == null ? null : current.with(Subscription.Status.PAUSED, null),
+        current -> current == null ? null : current.withStatus(Subscription.Status.PAUSED, null),
         respondWhenStored(answer, () -> subscriptionResponse(name)));
   }
 
@@ -506,7 +506,7 @@
     }
     updateRecord(
         name,
-        current -> current == null ? null : current.with(Subscription.Status.ACTIVE, null),
+        current -> current == null ? null : current.withStatus(Subscription.Status.ACTIVE, null),
         respondWhenStored(answer, () -> subscriptionResponse(name)));
   }
 
--- a/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -47,7 +47,7 @@
     String unusedAddress = freeAddress();
     Settings settings =
         SettingsReader.parse(
-            SettingsReaderTest.GOOD
+            SettingsReaderTest.VALID_SETTINGS
                 .replace("10.0.0.1:8080", front)
                 .replace("10.0.0.1:8081", cluster)
                 .replaceAll("10\\.[02]\\.0\\.\\d:\\d+", unusedAddress));
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -98,7 +98,7 @@
   }
 
   private String settings(int index) {
-    String good = SettingsReaderTest.GOOD;
+    String good = SettingsReaderTest.VALID_SETTINGS;
     int seeds = good.indexOf("[[seeds]]");
     StringBuilder text =
         new StringBuilder(good.substring(0, seeds))
