--- a/src/main/java/io/pineladder/ClusterConfiguration.java
+++ b/src/main/java/io/pineladder/ClusterConfiguration.java
@@ -129,7 +129,7 @@
 
   private void applyEntry(StoreWire.Entry entry) {
     if (entry.key().equals(RecordKeys.DELIVERY_NETWORKS) && delivery != null) {
-      delivery.learnNetworks(entry.value());
+      delivery.setAllowedNetworks(entry.value());
     }
     if (entry.value() == null) {
       return;
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -139,7 +139,7 @@
 
   private NotificationOutbox newOutbox() {
     return new NotificationOutbox(
-        NotificationOutbox.MOST_KEPT,
+        NotificationOutbox.MAX_RETAINED,
         maxValueBytes(),
         eventLoop,
         committer::submit,
@@ -282,7 +282,7 @@
     new GenerationGarbageCollector(
             storeClient, eventLoop, elected.leaderKeyRevision(), lifecycle::mayAct)
         .start();
-    if (subscriptions.isOn() || outbox.hasSubscribers()) {
+    if (subscriptions.isEnabled() || outbox.hasSubscribers()) {
       loader.loadBacklog(lifecycle::isLeading, subscriptions::start);
     }
     scheduler.requestRun();
@@ -299,7 +299,7 @@
   /** The lease was in doubt and has been confirmed as valid. */
   void onLeaseConfirmed() {
     scheduler.requestRun();
-    subscriptions.kick();
+    subscriptions.wake();
   }
 
   // ---- configuration
@@ -457,7 +457,7 @@
   }
 
   private void onNotificationsStored() {
-    subscriptions.kick();
+    subscriptions.wake();
   }
 
   /** Adds a job; one with prerequisites counts as an arrival only once it is ready to start. */
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -28,11 +28,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The administration API, on the cluster listener: what a controller knows, and the settings that
- * operators may change. What only the leader knows is asked of the leader.
+ * The administration API, on the cluster listener: the state of a controller, and the settings that
+ * operators may change. Some requests can be handled by the leader only.
  */
 public final class AdminApi {
   private static final String SNAPSHOT = "snapshot";
+
+  /** Prefix of the paths of the administration API. */
   public static final String PREFIX = "/admin/v1/";
 
   private static final Duration STORE_TIMEOUT = Duration.ofSeconds(3);
@@ -45,9 +47,9 @@
     this.metrics = metrics;
   }
 
-  /** Whether a request is to be answered by the leader, whichever node gets it. */
-  public boolean isLeadersMatter(String method, String path) {
-    if (isAboutSubscriptions(path)) {
+  /** Whether a request must be handled by the leader, whichever controller receives it. */
+  public boolean requiresLeader(String method, String path) {
+    if (isSubscriptionPath(path)) {
       return true;
     }
     return switch (path) {
@@ -57,7 +59,7 @@
     };
   }
 
-  private static boolean isAboutSubscriptions(String path) {
+  private static boolean isSubscriptionPath(String path) {
     return path.equals(PREFIX + SubscriptionManager.PATH)
         || path.startsWith(PREFIX + SubscriptionManager.PATH + "/")
         || path.equals(PREFIX + SubscriptionManager.NETWORKS_PATH);
@@ -67,9 +69,9 @@
     return new HttpResponse(status, Json.bytes(body));
   }
 
-  /** What any node can answer itself. */
+  /** Handles a request that any controller can answer. */
   public void handle(String method, String path, Consumer<HttpResponse> answer) {
-    boolean known =
+    boolean isKnownPath =
         switch (path) {
           case PREFIX + "status",
               PREFIX + "metrics",
@@ -81,7 +83,7 @@
               true;
           default -> false;
         };
-    if (!known) {
+    if (!isKnownPath) {
       answer.accept(error(404, "no such path"));
     } else if (!method.equals("GET")) {
       answer.accept(error(405, "use GET"));
@@ -98,21 +100,21 @@
               switch (path) {
                 case PREFIX + "status" -> status();
                 case PREFIX + "metrics" -> metrics();
-                case PREFIX + "takeovers" -> takeovers();
+                case PREFIX + "takeovers" -> failovers();
                 default -> RecordWire.operatorSettings(node.operatorSettings());
               }));
     }
   }
 
   private ObjectNode status() {
-    var known = node.election().knownLeader();
-    LeaderTerm leader = node.termAcceptingHeartbeats();
+    var knownLeader = node.election().knownLeader();
+    LeaderTerm ownTerm = node.termAcceptingHeartbeats();
     ObjectNode out = Json.object();
     out.put("member", node.settings().controllerName())
         .put("zone", node.settings().zone())
         .put("leadership", node.election().state().name().toLowerCase(Locale.ROOT))
-        .put("leader", known == null ? null : known.controllerName())
-        .put("term", leader == null ? node.election().knownLeaderTerm() : leader.term())
+        .put("leader", knownLeader == null ? null : knownLeader.controllerName())
+        .put("term", ownTerm == null ? node.election().knownLeaderTerm() : ownTerm.term())
         .put("store_healthy", node.storeClient().isHealthy())
         .put("machine_types", node.machineTypes().size())
         .put("doubts_itself", node.membership().localHealth() == Membership.LocalHealth.DEGRADED);
@@ -137,70 +139,69 @@
     return out;
   }
 
-  /** Which version of the records is in force, and what this controller supports. */
+  /** The record version in force, and the version that this controller supports. */
   private ObjectNode version() {
     return Json.object()
         .put("in_force", node.clusterVersion().inForce())
         .put("supported", node.clusterVersion().supported());
   }
 
-  /**
-   * The state service's limits that this controller keeps to, and what it asked for in the last
-   * second.
-   */
+  /** The limits of the key-value store that this controller applies, and its use of them. */
   private ObjectNode storeLimits() {
-    Settings.StoreLimits kept = node.storeClient().limits();
+    Settings.StoreLimits applied = node.storeClient().limits();
     Settings.StoreLimits inForce = node.settings().currentStoreLimits();
     return Json.object()
-        .put("requests_per_second", kept.requestsPerSecond())
-        .put("changes_per_second", kept.writesPerSecond())
-        .put("value_bytes", kept.valueBytes())
-        .put("transaction_changes", kept.transactionOps())
-        .put("change_announced", !kept.equals(inForce))
+        .put("requests_per_second", applied.requestsPerSecond())
+        .put("changes_per_second", applied.writesPerSecond())
+        .put("value_bytes", applied.valueBytes())
+        .put("transaction_changes", applied.transactionOps())
+        .put("change_announced", !applied.equals(inForce))
         .put("requests", node.storeClient().requestCount())
         .put("refused_for_rate", node.storeClient().rateLimitedCount())
         .put("changes_left", node.storeClient().writeBudget().available(node.eventLoop().now()));
   }
 
   private ObjectNode metrics() {
-    ObjectNode out = metrics.read();
+    ObjectNode out = metrics.toJson();
     LeaderTerm leader = node.leadingTerm();
     if (leader != null) {
-      out.set("notices", leader.subscriptions().figures());
+      out.set("notices", leader.subscriptions().statistics());
     }
     return out;
   }
 
-  /** How long takeovers took here, by phase, and the latest ones. */
-  private ObjectNode takeovers() {
+  /** Durations of this controller's failovers by phase, and the most recent ones. */
+  private ObjectNode failovers() {
     ObjectNode out = Json.object();
     ObjectNode phases = out.putObject("phases_s");
     for (FailoverTimings.Phase phase : FailoverTimings.Phase.values()) {
       Histogram histogram = node.failoverTimings().histogram(phase);
       if (histogram != null) {
-        Metrics.percentiles(phases.putObject(phase.label()), histogram, 1e3);
+        Metrics.writePercentiles(phases.putObject(phase.label()), histogram, 1e3);
       }
     }
     ArrayNode latest = out.putArray("latest");
-    for (FailoverTimings.FailoverSummary taken : node.failoverTimings().recentFailovers()) {
-      ObjectNode one = latest.addObject().put("term", taken.term());
-      taken.phases().forEach((phase, took) -> one.put(phase.label(), took.toMillis() / 1e3));
+    for (FailoverTimings.FailoverSummary failover : node.failoverTimings().recentFailovers()) {
+      ObjectNode entry = latest.addObject().put("term", failover.term());
+      failover
+          .phases()
+          .forEach((phase, duration) -> entry.put(phase.label(), duration.toMillis() / 1e3));
     }
     return out;
   }
 
-  /** What only the leader can answer. */
-  public void lead(
+  /** Handles a request that only the leader can answer. */
+  public void handleAsLeader(
       LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
-    if (isAboutSubscriptions(path)) {
+    if (isSubscriptionPath(path)) {
       leader.subscriptions().handle(method, path.substring(PREFIX.length()), body, answer);
       return;
     }
     switch (path) {
       case PREFIX + "queue" -> answer.accept(json(200, queue(leader)));
       case PREFIX + "machines" -> answer.accept(json(200, machines(leader)));
-      case PREFIX + "settings" -> change(leader, body, answer);
-      case PREFIX + SNAPSHOT -> handIn(body, answer);
+      case PREFIX + "settings" -> updateSettings(leader, body, answer);
+      case PREFIX + SNAPSHOT -> importSnapshot(body, answer);
       default -> answer.accept(error(404, "no such path"));
     }
   }
@@ -215,12 +216,12 @@
             .put(
                 "machines_under_suspicion",
                 leader.scheduler().faultAttribution().countQuarantinedMachines());
-    ObjectNode places = out.putObject("entries");
+    ObjectNode entries = out.putObject("entries");
     leader
         .scheduler()
         .queue()
         .sizes()
-        .forEach((place, size) -> places.put(place.name().toLowerCase(Locale.ROOT), size));
+        .forEach((place, size) -> entries.put(place.name().toLowerCase(Locale.ROOT), size));
     ObjectNode parked = out.putObject("parked");
     JobDependencies dependencies = leader.scheduler().dependencies();
     OptionalDouble slack = leader.minChainSlackSeconds();
@@ -265,7 +266,7 @@
     return out;
   }
 
-  private void handIn(byte[] body, Consumer<HttpResponse> answer) {
+  private void importSnapshot(byte[] body, Consumer<HttpResponse> answer) {
     try {
       answer.accept(
           json(200, Json.object().put("jobs", node.replicaManager().importSnapshot(body))));
@@ -274,7 +275,7 @@
     }
   }
 
-  /** Where the records stand, as this node knows it. */
+  /** The state of the stored records and of this controller's replica of them. */
   private ObjectNode records() {
     GenerationManager generations = node.replicaManager().generations();
     RecordReplica replica = node.replicaManager().replica();
@@ -302,19 +303,19 @@
     return out;
   }
 
-  /** Checks new settings, stores them, and answers when they are stored. */
-  private void change(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
-    OperatorSettings wanted;
+  /** Validates new settings, stores them and responds once they are stored. */
+  private void updateSettings(LeaderTerm leader, byte[] body, Consumer<HttpResponse> answer) {
+    OperatorSettings requested;
     try {
-      wanted = RecordWire.parseOperatorSettings(Json.parseObject(body), node.operatorSettings());
+      requested = RecordWire.parseOperatorSettings(Json.parseObject(body), node.operatorSettings());
     } catch (MalformedMessageException e) {
       answer.accept(error(400, e.getMessage()));
       return;
     }
-    Consumer<HttpResponse> first =
+    Consumer<HttpResponse> firstResponse =
         HttpResponses.withTimeout(
             node.eventLoop(), answer, STORE_TIMEOUT, error(503, "not stored yet"));
     leader.storeOperatorSettings(
-        wanted, () -> first.accept(json(200, RecordWire.operatorSettings(wanted))));
+        requested, () -> firstResponse.accept(json(200, RecordWire.operatorSettings(requested))));
   }
 }
--- a/src/main/java/io/pineladder/api/LeaderApi.java
+++ b/src/main/java/io/pineladder/api/LeaderApi.java
@@ -48,7 +48,7 @@
   void handle(
       LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (path.startsWith(AdminApi.PREFIX)) {
-      adminApi.lead(leader, method, path, body, answer);
+      adminApi.handleAsLeader(leader, method, path, body, answer);
       return;
     }
     if (path.equals(ApiPaths.HEARTBEAT)) {
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/Training.java
@@ -20,36 +20,37 @@
 import java.util.function.Consumer;
 
 /**
- * The run from which the build makes the class-data archive: a controller on loopback leads, takes
- * a job and a report against the barest of surroundings, so that what it uses gets loaded.
+ * The training run from which the build creates the class-data sharing (CDS) archive. A controller
+ * on loopback becomes leader and receives a job and heartbeats, with stubs of the key-value store
+ * and the cloud, so that the classes it uses are loaded.
  */
 final class Training {
-  private static final Duration TIMEOUT = Duration.ofSeconds(2);
-  private static final Duration RETRY = Duration.ofMillis(200);
-  private static final long MOST_SECONDS = 60;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(200);
+  private static final long MAX_RUN_SECONDS = 60;
 
   private Training() {}
 
   static int run() {
     try {
-      String front = freeAddress();
-      String cluster = freeAddress();
-      String outside = freeAddress();
-      Settings settings = SettingsReader.parse(toml(front, cluster, outside));
-      XnioEventLoop surroundings =
+      String apiAddress = freeAddress();
+      String clusterAddress = freeAddress();
+      String serviceAddress = freeAddress();
+      Settings settings = SettingsReader.parse(toml(apiAddress, clusterAddress, serviceAddress));
+      XnioEventLoop eventLoop =
           new XnioEventLoop(settings.maxSockets(), settings.workerTimes().heartbeatInterval());
-      surroundings.serve(
+      eventLoop.serve(
           new XnioEventLoop.Listener(
-              outside,
-              Training::surroundings,
+              serviceAddress,
+              Training::serveStubServices,
               ConnectionLimiter.TrafficClass.SERVICES,
               path -> ConnectionLimiter.TrafficClass.SERVICES));
-      Controller.start(settings, Controller.Extras.NONE);
-      CountDownLatch over = new CountDownLatch(1);
-      UndertowHttpClient caller =
-          new UndertowHttpClient(surroundings, a -> ConnectionLimiter.TrafficClass.USERS);
-      surroundings.execute(() -> submit(surroundings, caller, front, over));
-      return over.await(MOST_SECONDS, TimeUnit.SECONDS) ? Main.EXIT_OK : Main.EXIT_FAILURE;
+      Controller.start(settings, Controller.ServeOptions.NONE);
+      CountDownLatch done = new CountDownLatch(1);
+      UndertowHttpClient client =
+          new UndertowHttpClient(eventLoop, address -> ConnectionLimiter.TrafficClass.USERS);
+      eventLoop.execute(() -> submitJob(eventLoop, client, apiAddress, done));
+      return done.await(MAX_RUN_SECONDS, TimeUnit.SECONDS) ? Main.EXIT_OK : Main.EXIT_FAILURE;
     } catch (IOException | SettingsReader.BadSettingsException e) {
       System.err.println("the training run failed: " + e.getMessage());
       return Main.EXIT_FAILURE;
@@ -59,23 +60,23 @@
     }
   }
 
-  /** Tries until the controller leads and takes the job. */
-  private static void submit(
-      XnioEventLoop time, UndertowHttpClient caller, String front, CountDownLatch over) {
-    caller.call(
-        Request.post(front, "/v1/jobs", JOB, TIMEOUT),
+  /** Submits a job, retrying until the controller leads and accepts it. */
+  private static void submitJob(
+      XnioEventLoop eventLoop, UndertowHttpClient client, String apiAddress, CountDownLatch done) {
+    client.call(
+        Request.post(apiAddress, "/v1/jobs", JOB, REQUEST_TIMEOUT),
         reply -> {
           if (reply.is(201)) {
-            report(caller, front, 1, over);
+            sendHeartbeat(client, apiAddress, 1, done);
           } else {
-            time.schedule(RETRY, () -> submit(time, caller, front, over));
+            eventLoop.schedule(RETRY_DELAY, () -> submitJob(eventLoop, client, apiAddress, done));
           }
         });
   }
 
-  private static void report(
-      UndertowHttpClient caller, String front, int tally, CountDownLatch over) {
-    ObjectNode report =
+  private static void sendHeartbeat(
+      UndertowHttpClient client, String apiAddress, int sequence, CountDownLatch done) {
+    ObjectNode heartbeat =
         Json.object()
             .put("host", "m-1")
             .put("addr", "127.0.0.1:1")
@@ -83,18 +84,21 @@
             .put("yard", "z")
             .put("loaners", false)
             .put("shift", 1)
-            .put("tally", tally)
+            .put("tally", sequence)
             .put("baton", 7);
-    report.putArray("pieces");
-    caller.call(
-        Request.post(front, "/v1/report", Json.bytes(report), TIMEOUT),
+    heartbeat.putArray("pieces");
+    client.call(
+        Request.post(apiAddress, "/v1/report", Json.bytes(heartbeat), REQUEST_TIMEOUT),
         reply -> {
-          if (tally < 3) {
-            report(caller, front, tally + 1, over);
+          if (sequence < 3) {
+            sendHeartbeat(client, apiAddress, sequence + 1, done);
           } else {
-            caller.call(
-                Request.get(front, "/v1/jobs/req-1", TIMEOUT),
-                view -> caller.call(Request.get(front, "/ready", TIMEOUT), r -> over.countDown()));
+            client.call(
+                Request.get(apiAddress, "/v1/jobs/req-1", REQUEST_TIMEOUT),
+                status ->
+                    client.call(
+                        Request.get(apiAddress, "/ready", REQUEST_TIMEOUT),
+                        ready -> done.countDown()));
           }
         });
   }
@@ -107,11 +111,11 @@
 """
           .getBytes(StandardCharsets.UTF_8);
 
-  /** The state service's revision; a first leader's key has the next one. */
+  /** The revision of the key-value store stub. */
   private static final AtomicLong REVISION = new AtomicLong(6);
 
-  /** Plays state service and cloud, just well enough to be led and scheduled by. */
-  private static void surroundings(
+  /** Stub of the key-value store and the cloud API, sufficient to elect a leader and schedule. */
+  private static void serveStubServices(
       String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     String text;
     int status = 200;
@@ -146,7 +150,7 @@
     }
   }
 
-  private static String toml(String front, String cluster, String outside) {
+  private static String toml(String apiAddress, String clusterAddress, String serviceAddress) {
     return """
     member = "n"
     area = "z"
@@ -187,6 +191,6 @@
     rps = 5.0
     list_lag_s = 1.0
     """
-        .formatted(front, cluster, outside, outside);
+        .formatted(apiAddress, clusterAddress, serviceAddress, serviceAddress);
   }
 }
--- a/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
+++ b/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
@@ -117,7 +117,7 @@
         records.restoreNotification(page.key(), notification);
       }
     }
-    outbox.loaded();
+    outbox.onJobPagesLoaded();
     Set<String> pages = new HashSet<>();
     listing.entries().forEach(page -> pages.add(page.key()));
     for (PageEntry<JsonNode> record : readPages(listing, entry -> entry)) {
--- a/src/main/java/io/pineladder/failover/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -135,7 +135,7 @@
     for (StoreWire.Entry entry : configuration) {
       if (entry.key().startsWith(RecordKeys.SUBSCRIPTION)) {
         try {
-          outbox.known(DeliveryWire.parseSubscription(entry.value()));
+          outbox.onSubscriptionLoaded(DeliveryWire.parseSubscription(entry.value()));
         } catch (MalformedMessageException e) {
           // One unreadable subscription must not prevent the term from starting.
           log.error(
@@ -212,7 +212,7 @@
         committer.restoreRevision(page.key(), page.revision());
         progress.put(page.key(), DeliveryWire.parseProgress(page.value()));
       }
-      outbox.complete(notifications, progress);
+      outbox.onBacklogLoaded(notifications, progress);
       onDone.run();
     } catch (MalformedMessageException e) {
       // Scheduling continues; notifications are retained but not delivered.
--- a/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -56,7 +56,7 @@
         new UndertowHttpClient(eventLoop, address -> ConnectionLimiter.TrafficClass.SERVICES);
     ControllerNode node = new ControllerNode(settings, eventLoop, http, "nonce", null, null, null);
     Metrics metrics = new Metrics();
-    metrics.watch(eventLoop.connectionLimiter());
+    metrics.setConnectionLimiter(eventLoop.connectionLimiter());
     RequestRouter router = new RequestRouter(node, metrics);
     eventLoop.serve(
         new XnioEventLoop.Listener(
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -95,7 +95,8 @@
   @Test
   void reportsAllErrorsInOneMessage() {
     String invalid =
-        VALID_SETTINGS.replace("area = \"a\"\nfront", "front")
+        VALID_SETTINGS
+            .replace("area = \"a\"\nfront", "front")
             .replace("txn_ops = 12", "txn_ops = \"many\"")
             .replace("10.2.0.1:2379", "state.example:99")
             .replace("lease_s = 20.0", "lease_s = -1.0")
@@ -120,7 +121,9 @@
   /** Settings with which the controller cannot work are rejected with the name of the field. */
   @Test
   void rejectsUnsupportedSettings() {
-    String seeds = VALID_SETTINGS.substring(VALID_SETTINGS.indexOf("[[seeds]]"), VALID_SETTINGS.indexOf("[external]"));
+    String seeds =
+        VALID_SETTINGS.substring(
+            VALID_SETTINGS.indexOf("[[seeds]]"), VALID_SETTINGS.indexOf("[external]"));
     Map<String, String> errorsByToml =
         Map.of(
             VALID_SETTINGS.replace(seeds, ""), "seeds names no other controller",
@@ -140,10 +143,12 @@
   void acceptsUnusualDeployments() throws SettingsReader.BadSettingsException {
     String objectives =
         VALID_SETTINGS.substring(
-            VALID_SETTINGS.indexOf("[[deployment.objectives]]"), VALID_SETTINGS.indexOf("[deployment.workers]"));
+            VALID_SETTINGS.indexOf("[[deployment.objectives]]"),
+            VALID_SETTINGS.indexOf("[deployment.workers]"));
     Settings settings =
         SettingsReader.parse(
-            VALID_SETTINGS.replace(objectives, "")
+            VALID_SETTINGS
+                .replace(objectives, "")
                 .replace("zones = [\"a\", \"b\"]", "zones = [\"a\", \"b\", \"c\", \"d\"]")
                 .replace("report_s = 3.0", "report_s = 1.0")
                 .replace("lease_s = 20.0", "lease_s = 30.0")
@@ -189,7 +194,8 @@
     assertEquals(3_996, SettingsReader.defaultMaxSockets(4_096));
     assertEquals(7_000, SettingsReader.defaultMaxSockets(Long.MAX_VALUE));
     int defaultSockets =
-        SettingsReader.parse(VALID_SETTINGS.substring(0, VALID_SETTINGS.indexOf("[deployment.resources]")))
+        SettingsReader.parse(
+                VALID_SETTINGS.substring(0, VALID_SETTINGS.indexOf("[deployment.resources]")))
             .maxSockets();
     assertTrue(defaultSockets >= 1_000 && defaultSockets <= 7_000);
   }
