--- a/src/test/java/io/pineladder/sim/BehaviourDigest.java
+++ b/src/test/java/io/pineladder/sim/BehaviourDigest.java
@@ -46,30 +46,31 @@
  */
 final class BehaviourDigest {
   /** Addresses of controllers, and of nothing else, begin so. */
-  private static final String CONTROLLERS = "10.0.0.";
+  private static final String CONTROLLER_ADDRESS_PREFIX = "10.0.0.";
 
   /** What a scenario does with its cluster. */
-  private interface Play<C extends SimulatedCluster> {
-    void on(C cluster) throws Exception;
+  private interface ScenarioBody<C extends SimulatedCluster> {
+    void run(C cluster) throws Exception;
   }
 
   /** A scenario that can be played once, watched by the observer. */
-  private record Scenario(String name, Player player) {
-    private interface Player {
-      void play(TrafficObserver observer) throws Exception;
+  private record Scenario(String name, Runner runner) {
+    private interface Runner {
+      void run(TrafficObserver observer) throws Exception;
     }
   }
 
   private final List<Scenario> scenarios = new ArrayList<>();
 
-  private <C extends SimulatedCluster> void add(String name, Supplier<C> begin, Play<C> play) {
+  private <C extends SimulatedCluster> void add(
+      String name, Supplier<C> begin, ScenarioBody<C> play) {
     scenarios.add(
         new Scenario(
             name,
             observer -> {
               C cluster = begin.get();
-              cluster.traffic = observer;
-              play.on(cluster);
+              cluster.trafficObserver = observer;
+              play.run(cluster);
             }));
   }
 
@@ -239,8 +240,8 @@
     }
 
     @Override
-    public void sent(Instant time, String from, AsyncHttpClient.Request request) {
-      if (from.startsWith(CONTROLLERS)) {
+    public void onRequest(Instant time, String from, AsyncHttpClient.Request request) {
+      if (from.startsWith(CONTROLLER_ADDRESS_PREFIX)) {
         requests++;
         String timeout = Long.toString(request.timeout().toMillis());
         record("request", time, from, request, timeout, request.body());
@@ -248,8 +249,8 @@
     }
 
     @Override
-    public void answered(Instant time, AsyncHttpClient.Request request, HttpResponse answer) {
-      if (request.address().startsWith(CONTROLLERS)) {
+    public void onAnswer(Instant time, AsyncHttpClient.Request request, HttpResponse answer) {
+      if (request.address().startsWith(CONTROLLER_ADDRESS_PREFIX)) {
         answers++;
         String status = answer.status() + " " + answer.retryAfterSeconds();
         record("answer", time, "", request, status, answer.body());
@@ -302,7 +303,7 @@
   public static final class SeededRandom extends SecureRandomSpi {
     private static SplittableRandom random = new SplittableRandom(1);
 
-    static void beginAnew() {
+    static void reset() {
       random = new SplittableRandom(1);
     }
 
@@ -349,7 +350,7 @@
     for (Scenario scenario : new BehaviourDigest().scenarios) {
       if (selected.isEmpty() || selected.stream().anyMatch(scenario.name()::startsWith)) {
         played++;
-        String line = play(scenario, directory);
+        String line = run(scenario, directory);
         failed += line.endsWith("failed") ? 1 : 0;
         System.out.println(line);
         total.update((line + "\n").getBytes(StandardCharsets.UTF_8));
@@ -360,8 +361,8 @@
     System.exit(failed == 0 && played > 0 ? 0 : 1);
   }
 
-  private static String play(Scenario scenario, Path directory) throws IOException {
-    SeededRandom.beginAnew();
+  private static String run(Scenario scenario, Path directory) throws IOException {
+    SeededRandom.reset();
     long begun = System.nanoTime();
     String end = "";
     Recorder recorder;
@@ -372,7 +373,7 @@
                 Files.newBufferedWriter(directory.resolve(scenario.name() + ".txt")))) {
       recorder = new Recorder(lines);
       try {
-        scenario.player().play(recorder);
+        scenario.runner().run(recorder);
       } catch (Exception | AssertionError e) {
         e.printStackTrace();
         end = " failed";
--- a/src/test/java/io/pineladder/sim/ConfigurableCluster.java
+++ b/src/test/java/io/pineladder/sim/ConfigurableCluster.java
@@ -60,7 +60,7 @@
         of.cloudAddress(),
         of.storeAddress(),
         layout.zones,
-        fast ? of.teams().stream().map(ConfigurableCluster::inCpus).toList() : of.teams(),
+        fast ? of.teams().stream().map(ConfigurableCluster::withCpuLimit).toList() : of.teams(),
         of.objectives(),
         fast
             ? new Settings.WorkerTimes(
@@ -83,7 +83,7 @@
   }
 
   /** The team with its limit in processors, where there are no cards: as many tasks of two. */
-  private static Team inCpus(Team team) {
+  private static Team withCpuLimit(Team team) {
     return new Team(team.name(), Resources.ZERO, 2 * team.maxGpus(), 0);
   }
 
--- a/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
+++ b/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
@@ -96,7 +96,7 @@
         cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, wanted);
       }
       Map<String, Integer> before = cluster.read(() -> Map.copyOf(cluster.store.changes));
-      Duration processor = processor(cluster);
+      Duration processor = cpuTime(cluster);
       Instant begun = Instant.now();
       AtomicInteger next = new AtomicInteger();
       ExecutorService users = Executors.newFixedThreadPool(16);
@@ -114,7 +114,7 @@
       users.awaitTermination(1, java.util.concurrent.TimeUnit.HOURS);
       report("ended", ends, begun, processor, cluster);
       Instant drain = Instant.now();
-      Duration processorThen = processor(cluster);
+      Duration processorThen = cpuTime(cluster);
       if (late) {
         open[0] = true;
         for (int i = 0; i < subscribers; i++) {
@@ -146,14 +146,14 @@
     }
   }
 
-  private static Duration processor(LoopbackCluster cluster) {
+  private static Duration cpuTime(LoopbackCluster cluster) {
     return cluster.controller(0).info().totalCpuDuration().orElse(Duration.ZERO);
   }
 
   private static void report(
       String what, long count, Instant since, Duration processor, LoopbackCluster cluster) {
     double seconds = Duration.between(since, Instant.now()).toMillis() / 1e3;
-    double used = processor(cluster).minus(processor).toMillis() / 1e3;
+    double used = cpuTime(cluster).minus(processor).toMillis() / 1e3;
     System.out.printf(
         "%s: %d in %.1f s, %.0f a second; processor %.1f s, %.3f ms each%n",
         what, count, seconds, count / seconds, used, used * 1e3 / count);
--- a/src/test/java/io/pineladder/sim/FakeFleet.java
+++ b/src/test/java/io/pineladder/sim/FakeFleet.java
@@ -21,22 +21,22 @@
 /** The cloud and the workers on its machines, from their protocols, watched by the rules. */
 final class FakeFleet implements AsyncHttpHandler {
   static final String ADDRESS = "10.2.0.2:8443";
-  private static final int CAPACITY = 12;
-  private static final int PAGE = 500;
+  private static final int DEFAULT_ZONE_CAPACITY = 12;
+  private static final int PAGE_SIZE = 500;
 
   /** A worker drops responses that take longer. */
-  private static final long RESPONSE_MILLIS = 4_000;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 4_000;
 
   private final SimulatedWorld world;
-  private final TaskWatcher rules;
+  private final TaskWatcher taskWatcher;
   private final List<String> controllers;
-  private final Map<String, ObjectNode> answered = new HashMap<>();
+  private final Map<String, ObjectNode> rentalAnswers = new HashMap<>();
   final TreeMap<String, Worker> machines = new TreeMap<>();
-  private int names;
+  private int lastMachineNumber;
   boolean outage;
 
   /** Machines of one zone at most. */
-  int capacity = CAPACITY;
+  int capacity = DEFAULT_ZONE_CAPACITY;
 
   /** How long a worker's lease lasts, and about how long it is between two of its reports. */
   long leaseMillis = 20_000;
@@ -58,7 +58,7 @@
   List<Type> types = List.of(new Type("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
 
   /** What a machine of this type has. */
-  Resources size(String type) {
+  Resources machineResources(String type) {
     Type of = types.stream().filter(t -> t.name.equals(type)).findFirst().orElseThrow();
     return Resources.of(of.cpus, of.gpus, of.gb);
   }
@@ -72,7 +72,7 @@
   /** Copies of such reports are kept until {@link #deliverKept}. */
   boolean keepsCopies;
 
-  private final List<byte[]> kept = new ArrayList<>();
+  private final List<byte[]> retainedReports = new ArrayList<>();
 
   /** Machines are up within two seconds. */
   boolean quickBoots;
@@ -96,11 +96,11 @@
   Launcher launcher;
 
   /** Half of the machines come up late or never. */
-  boolean badBoots;
+  boolean unreliableBoots;
 
   FakeFleet(SimulatedWorld world, TaskWatcher rules, List<String> controllers) {
     this.world = world;
-    this.rules = rules;
+    this.taskWatcher = rules;
     this.controllers = controllers;
   }
 
@@ -124,7 +124,7 @@
         }
         answer.accept(ok(Json.object()));
       } else {
-        answer.accept(ok(list(path)));
+        answer.accept(ok(listMachines(path)));
       }
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
@@ -159,8 +159,8 @@
 
   private HttpResponse rent(ObjectNode request) {
     String id = request.get("charter").asText();
-    if (answered.containsKey(id)) {
-      return ok(answered.get(id));
+    if (rentalAnswers.containsKey(id)) {
+      return ok(rentalAnswers.get(id));
     }
     String zone = request.get("yard").asText();
     boolean spot = request.get("loaners").asBoolean();
@@ -172,22 +172,22 @@
     ObjectNode out = Json.object();
     ArrayNode names = out.putArray("hosts");
     for (int i = 0; i < count; i++) {
-      names.add(create(request.get("hull").asText(), zone, spot));
+      names.add(createMachine(request.get("hull").asText(), zone, spot));
     }
-    answered.put(id, out);
+    rentalAnswers.put(id, out);
     return ok(out);
   }
 
-  private String create(String type, String zone, boolean spot) {
-    String name = String.format("m-%06d", ++names);
-    Worker worker = new Worker(name, address(), type, zone, spot);
+  private String createMachine(String type, String zone, boolean spot) {
+    String name = String.format("m-%06d", ++lastMachineNumber);
+    Worker worker = new Worker(name, nextAddress(), type, zone, spot);
     machines.put(name, worker);
     // Some come up at once, some take several times as long, and a few never come.
     if (quickBoots) {
       world.after(world.random.nextInt(2_000), worker::boot);
       return name;
     }
-    int luck = world.random.nextInt(badBoots ? 4 : 20);
+    int luck = world.random.nextInt(unreliableBoots ? 4 : 20);
     long late = luck == 0 ? 40_000 : luck == 1 ? 0 : 5_000;
     if (luck != 2) {
       world.after(late + world.random.nextInt(10_000), worker::boot);
@@ -195,8 +195,10 @@
     return name;
   }
 
-  private String address() {
-    return launcher == null ? "10.1.0." + names + ":9000" : launcher.address(names);
+  private String nextAddress() {
+    return launcher == null
+        ? "10.1.0." + lastMachineNumber + ":9000"
+        : launcher.address(lastMachineNumber);
   }
 
   /** A worker that another process rents out and this one runs. */
@@ -210,21 +212,21 @@
   void addUp(int count) {
     List<String> zones = types.get(0).zones;
     for (int i = 0; i < count; i++) {
-      String name = String.format("m-%06d", ++names);
+      String name = String.format("m-%06d", ++lastMachineNumber);
       Worker worker =
-          new Worker(name, address(), types.get(0).name, zones.get(i % zones.size()), false);
+          new Worker(name, nextAddress(), types.get(0).name, zones.get(i % zones.size()), false);
       machines.put(name, worker);
       world.after(world.random.nextInt(3_000), worker::boot);
     }
   }
 
-  private ObjectNode list(String path) {
+  private ObjectNode listMachines(String path) {
     int at = path.indexOf("since=");
     String since = at < 0 ? "" : path.substring(at + "since=".length());
     ObjectNode out = Json.object();
     ArrayNode hosts = out.putArray("hosts");
     for (Worker worker : machines.tailMap(since, false).values()) {
-      if (hosts.size() == PAGE) {
+      if (hosts.size() == PAGE_SIZE) {
         break;
       }
       hosts
@@ -237,7 +239,7 @@
           .put("status", worker.up ? "running" : "booting")
           .put("age_s", 20.0);
     }
-    boolean more = hosts.size() == PAGE;
+    boolean more = hosts.size() == PAGE_SIZE;
     return out.put("truncated", more);
   }
 
@@ -246,7 +248,7 @@
     final String piece;
     final long attempt;
     String status = "fetching";
-    String cause;
+    String exitCause;
     boolean there;
 
     Task(String piece, long attempt) {
@@ -273,14 +275,14 @@
     final LinkedHashMap<String, Task> tasks = new LinkedHashMap<>();
     boolean up;
     boolean ended;
-    private long session = 1;
-    private long sequence;
-    private long token;
-    private int at;
-    private long answeredSentMillis;
-    private long reportRound;
-    private boolean reportUnderWay;
-    private boolean changeSent;
+    private long epoch = 1;
+    private long reportSequence;
+    private long fencingToken;
+    private int controllerIndex;
+    private long leaseRenewedAtMillis;
+    private long reportNumber;
+    private boolean reportInFlight;
+    private boolean exitReportScheduled;
 
     Worker(String name, String address, String type, String zone, boolean spot) {
       this.name = name;
@@ -300,10 +302,10 @@
         return;
       }
       world.serve(address, this);
-      answeredSentMillis = world.now().toEpochMilli();
-      at = world.random.nextInt(controllers.size());
-      send();
-      watchLease();
+      leaseRenewedAtMillis = world.now().toEpochMilli();
+      controllerIndex = world.random.nextInt(controllers.size());
+      sendReport();
+      checkLease();
     }
 
     /** The machine is gone, and everything on it. */
@@ -315,34 +317,34 @@
         return;
       }
       world.stop(address);
-      List.copyOf(tasks.values()).forEach(this::leave);
+      List.copyOf(tasks.values()).forEach(this::notifyLeft);
       tasks.clear();
     }
 
-    private void leave(Task task) {
+    private void notifyLeft(Task task) {
       if (task.there) {
         task.there = false;
-        rules.left(task, this);
+        taskWatcher.left(task, this);
       }
     }
 
-    private void watchLease() {
+    private void checkLease() {
       if (ended) {
         return;
       }
-      if (world.now().toEpochMilli() - answeredSentMillis > leaseMillis) {
+      if (world.now().toEpochMilli() - leaseRenewedAtMillis > leaseMillis) {
         endedByLease +=
             (int) tasks.values().stream().filter(t -> !t.status.equals("ended")).count();
-        List.copyOf(tasks.values()).forEach(this::leave);
+        List.copyOf(tasks.values()).forEach(this::notifyLeft);
         tasks.clear();
-        session++;
-        sequence = 0;
-        answeredSentMillis = world.now().toEpochMilli();
+        epoch++;
+        reportSequence = 0;
+        leaseRenewedAtMillis = world.now().toEpochMilli();
       }
-      world.after(100, this::watchLease);
+      world.after(100, this::checkLease);
     }
 
-    private ObjectNode report() {
+    private ObjectNode buildReport() {
       ObjectNode out =
           Json.object()
               .put("host", name)
@@ -350,9 +352,9 @@
               .put("hull", type)
               .put("yard", zone)
               .put("loaners", spot)
-              .put("shift", session)
-              .put("tally", ++sequence)
-              .put("baton", token);
+              .put("shift", epoch)
+              .put("tally", ++reportSequence)
+              .put("baton", fencingToken);
       ArrayNode pieces = out.putArray("pieces");
       for (Task task : tasks.values()) {
         ObjectNode piece =
@@ -361,37 +363,37 @@
                 .put("piece", task.piece)
                 .put("try", task.attempt)
                 .put("status", task.status);
-        if (task.cause != null) {
-          piece.put("cause", task.cause);
+        if (task.exitCause != null) {
+          piece.put("cause", task.exitCause);
         }
       }
       return out;
     }
 
-    private void send() {
+    private void sendReport() {
       if (ended) {
         return;
       }
-      long round = ++reportRound;
-      reportUnderWay = true;
-      long sentSession = session;
+      long round = ++reportNumber;
+      reportInFlight = true;
+      long sentSession = epoch;
       long sentMillis = world.now().toEpochMilli();
-      byte[] body = Json.bytes(report());
+      byte[] body = Json.bytes(buildReport());
       if (keepsCopies && world.random.nextDouble() < copies) {
-        kept.add(body);
+        retainedReports.add(body);
       } else if (copies > 0 && world.random.nextDouble() < copies) {
         String where = controllers.get(world.random.nextInt(controllers.size()));
-        world.deliverCopy(
+        world.deliverDuplicate(
             AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
             1_000 + world.random.nextLong(3 * leaseMillis));
       }
       AsyncHttpClient caller = world.caller(SimulatedWorld.host(address), () -> !ended);
       caller.call(
           AsyncHttpClient.Request.post(
-              controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
+              controllers.get(controllerIndex), "/v1/report", body, Duration.ofSeconds(4)),
           reply -> {
-            if (round == reportRound) {
-              reportUnderWay = false;
+            if (round == reportNumber) {
+              reportInFlight = false;
               onReply(reply, sentSession, sentMillis);
             }
           });
@@ -402,38 +404,38 @@
         if (reply.is(200)) {
           ObjectNode response = Json.parseObject(reply.body());
           long given = response.get("baton").asLong();
-          boolean higher = given > token;
-          boolean late = world.now().toEpochMilli() - sentMillis > RESPONSE_MILLIS;
-          if (given >= token && sentSession == session && !late) {
-            token = given;
-            answeredSentMillis = sentMillis;
+          boolean higher = given > fencingToken;
+          boolean late = world.now().toEpochMilli() - sentMillis > RESPONSE_TIMEOUT_MILLIS;
+          if (given >= fencingToken && sentSession == epoch && !late) {
+            fencingToken = given;
+            leaseRenewedAtMillis = sentMillis;
             execute(response.get("orders"));
           }
-          sendAfter(
+          scheduleReport(
               higher ? 500 : reportMillis * 3 / 4 + world.random.nextInt((int) reportMillis / 2));
           return;
         }
         JsonNode leader = reply.is(421) ? Json.parseObject(reply.body()).get("foreman") : null;
         if (leader != null) {
-          at = Integer.parseInt(leader.asText().substring("rung-".length()));
-          sendAfter(world.random.nextInt(500));
+          controllerIndex = Integer.parseInt(leader.asText().substring("rung-".length()));
+          scheduleReport(world.random.nextInt(500));
           return;
         }
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
-      at = (at + 1) % controllers.size();
-      sendAfter(1_000);
+      controllerIndex = (controllerIndex + 1) % controllers.size();
+      scheduleReport(1_000);
     }
 
     /** Sends the next report, unless another one has been sent by then. */
-    private void sendAfter(long millis) {
-      long round = reportRound;
+    private void scheduleReport(long millis) {
+      long round = reportNumber;
       world.after(
           millis,
           () -> {
-            if (round == reportRound) {
-              send();
+            if (round == reportNumber) {
+              sendReport();
             }
           });
     }
@@ -447,7 +449,7 @@
         switch (order.get("verb").asText()) {
           case "start" -> {
             if (task == null) {
-              begin(key, new Task(piece, attempt));
+              startFetch(key, new Task(piece, attempt));
             }
           }
           case "kill" -> {
@@ -464,19 +466,19 @@
       }
     }
 
-    private void begin(String key, Task task) {
+    private void startFetch(String key, Task task) {
       tasks.put(key, task);
-      rules.commanded(task, this);
-      world.after(500 + world.random.nextInt(3_000), () -> arrive(key, task));
+      taskWatcher.commanded(task, this);
+      world.after(500 + world.random.nextInt(3_000), () -> onImageFetched(key, task));
     }
 
-    private void arrive(String key, Task task) {
+    private void onImageFetched(String key, Task task) {
       if (ended || tasks.get(key) != task || !task.status.equals("fetching")) {
         return;
       }
       task.there = true;
-      rules.started(task, this);
-      if (rules.isGang(task)) {
+      taskWatcher.started(task, this);
+      if (taskWatcher.isGang(task)) {
         task.status = "gathering";
         world.after(
             15_000,
@@ -485,7 +487,7 @@
                 exit(task, "incomplete");
               }
             });
-        rules.gather(task);
+        taskWatcher.gather(task);
       } else {
         run(key, task);
       }
@@ -493,19 +495,19 @@
 
     void run(String key, Task task) {
       task.status = "running";
-      long millis = rules.runMillis(task);
+      long millis = taskWatcher.runMillis(task);
       if (millis > 0) {
         world.after(
             millis,
             () -> {
               if (!ended && tasks.get(key) == task && task.status.equals("running")) {
                 boolean fails =
-                    rules.isBroken(task)
+                    taskWatcher.isBroken(task)
                         || (failsOneOf > 0
                             && world.random.nextInt(failsOneOf) == 0
-                            && !rules.isGang(task));
+                            && !taskWatcher.isGang(task));
                 if (!fails) {
-                  rules.completed(task);
+                  taskWatcher.completed(task);
                 }
                 exit(task, fails ? "error" : "done");
               }
@@ -515,22 +517,22 @@
 
     private void exit(Task task, String cause) {
       task.status = "ended";
-      task.cause = cause;
-      leave(task);
-      if (reportsChanges && !changeSent) {
+      task.exitCause = cause;
+      notifyLeft(task);
+      if (reportsChanges && !exitReportScheduled) {
         // A change is told at once, though not more often than every half second.
-        changeSent = true;
-        long last = answeredSentMillis;
+        exitReportScheduled = true;
+        long last = leaseRenewedAtMillis;
         long wait = Math.max(0, last + 500 - world.now().toEpochMilli());
-        world.after(wait, this::tellChange);
+        world.after(wait, this::sendExitReport);
       }
     }
 
-    private void tellChange() {
-      changeSent = false;
-      if (!ended && !reportUnderWay) {
-        reportRound++;
-        send();
+    private void sendExitReport() {
+      exitReportScheduled = false;
+      if (!ended && !reportInFlight) {
+        reportNumber++;
+        sendReport();
       }
     }
 
@@ -539,12 +541,12 @@
       try {
         ObjectNode request = Json.parseObject(body);
         long given = request.get("baton").asLong();
-        boolean good = given >= token && request.get("shift").asLong() == session;
+        boolean good = given >= fencingToken && request.get("shift").asLong() == epoch;
         if (good) {
-          token = given;
+          fencingToken = given;
           execute(request.get("orders"));
         }
-        answer.accept(new HttpResponse(good ? 200 : 409, Json.bytes(report())));
+        answer.accept(new HttpResponse(good ? 200 : 409, Json.bytes(buildReport())));
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
@@ -564,14 +566,14 @@
 
   /** What was kept arrives at every controller, each copy some time within two leases from now. */
   void deliverKept() {
-    for (byte[] body : kept) {
+    for (byte[] body : retainedReports) {
       for (String where : controllers) {
-        world.deliverCopy(
+        world.deliverDuplicate(
             AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
             world.random.nextInt(2) == 0 ? 0 : world.random.nextLong(2 * leaseMillis));
       }
     }
-    kept.clear();
+    retainedReports.clear();
   }
 
   /** A machine dies, and everything on it. */
--- a/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
+++ b/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
@@ -22,11 +22,11 @@
 
 /** The state service, from its protocol: keys, transactions, leases, watches, outages. */
 final class FakeKeyValueStore implements AsyncHttpHandler {
-  private record Value(JsonNode value, long version, long lease) {}
+  private record Value(JsonNode value, long version, long leaseId) {}
 
   private static final class Lease {
-    Instant until;
-    long life;
+    Instant expiresAt;
+    long ttlMillis;
   }
 
   private static final class Watch {
@@ -34,33 +34,33 @@
     final Consumer<HttpResponse> answer;
 
     /** The first entry of the log that it has not been looked at for. */
-    int from;
+    int nextLogIndex;
 
-    boolean over;
+    boolean answered;
 
     Watch(String prefix, int from, Consumer<HttpResponse> answer) {
       this.prefix = prefix;
-      this.from = from;
+      this.nextLogIndex = from;
       this.answer = answer;
     }
   }
 
   private final SimulatedWorld world;
-  private int txnOps;
-  private int valueBytes;
+  private int maxTxnOps;
+  private int maxValueBytes;
 
   /** The limits were lowered, and nobody was told when. */
-  private boolean lowered;
+  private boolean limitsLowered;
 
   /** Transactions refused because they hold more than the lowered limits allow. */
   int tooLarge;
 
   private final TreeMap<String, Value> keys = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
-  private final List<ObjectNode> log = new ArrayList<>();
+  private final List<ObjectNode> changeLog = new ArrayList<>();
   private final List<Watch> watches = new ArrayList<>();
   private long revision;
-  private long leaseIds;
+  private long lastLeaseId;
   boolean outage;
 
   /** The part of transactions that get no answer and are carried out 2 to 12 s later. */
@@ -101,7 +101,7 @@
   int mostLogged = Integer.MAX_VALUE;
 
   /** The revision up to which changes are no longer kept. */
-  private long forgotten;
+  private long compactedRevision;
 
   /** Answers take up to so long. */
   int slowMillis;
@@ -114,16 +114,16 @@
 
   FakeKeyValueStore(SimulatedWorld world, int txnOps, int valueBytes) {
     this.world = world;
-    this.txnOps = txnOps;
-    this.valueBytes = valueBytes;
-    expire();
+    this.maxTxnOps = txnOps;
+    this.maxValueBytes = valueBytes;
+    expireLeases();
   }
 
   /** From here on less is allowed; what is stored stays. */
   void lower(int nextTxnOps, int nextValueBytes, double changesPerSecond) {
-    lowered = true;
-    txnOps = nextTxnOps;
-    valueBytes = nextValueBytes;
+    limitsLowered = true;
+    maxTxnOps = nextTxnOps;
+    maxValueBytes = nextValueBytes;
     requestLimit = new TokenBucket(100, 100, world.now());
     changeLimit = new TokenBucket(changesPerSecond, changesPerSecond, world.now());
   }
@@ -131,7 +131,7 @@
   /** The keys of values that are larger than they may be now. */
   List<String> largeValues() {
     return keys.entrySet().stream()
-        .filter(each -> Json.bytes(each.getValue().value).length > valueBytes)
+        .filter(each -> Json.bytes(each.getValue().value).length > maxValueBytes)
         .map(Map.Entry::getKey)
         .toList();
   }
@@ -176,7 +176,7 @@
   /** Backups that were made of the keys, by their time, the latest last. */
   private final List<Backup> backups = new ArrayList<>();
 
-  private record Backup(Instant at, TreeMap<String, Value> keys, long revision) {}
+  private record Backup(Instant takenAt, TreeMap<String, Value> keys, long revision) {}
 
   /** Makes a backup now and every second from now on. */
   void backUp() {
@@ -188,10 +188,10 @@
   void loseEverything() {
     keys.clear();
     leases.clear();
-    log.clear();
-    watches.forEach(w -> w.from = 0);
+    changeLog.clear();
+    watches.forEach(w -> w.nextLogIndex = 0);
     revision = 0;
-    leaseIds = 0;
+    lastLeaseId = 0;
   }
 
   /** A backup takes the place of what is stored; leases are gone with their keys, or come back. */
@@ -199,19 +199,19 @@
     Instant wanted = world.now().minus(age);
     Backup found = backups.get(0);
     for (Backup each : backups) {
-      found = each.at.isAfter(wanted) ? found : each;
+      found = each.takenAt.isAfter(wanted) ? found : each;
     }
     keys.clear();
     keys.putAll(found.keys);
     revision = found.revision;
     long restored = revision;
-    log.removeIf(event -> event.get("stamp").asLong() > restored);
-    watches.forEach(w -> w.from = log.size());
+    changeLog.removeIf(event -> event.get("stamp").asLong() > restored);
+    watches.forEach(w -> w.nextLogIndex = changeLog.size());
     if (withLeases) {
-      leases.values().forEach(l -> l.until = world.now().plusMillis(l.life));
+      leases.values().forEach(l -> l.expiresAt = world.now().plusMillis(l.ttlMillis));
     } else {
       leases.clear();
-      keys.values().removeIf(value -> value.lease != 0);
+      keys.values().removeIf(value -> value.leaseId != 0);
     }
   }
 
@@ -228,7 +228,7 @@
     if (!there.isEmpty()) {
       String key = there.get(world.random.nextInt(there.size()));
       Value old = keys.get(key);
-      keys.put(key, new Value(Json.object().put("entries", "?"), old.version, old.lease));
+      keys.put(key, new Value(Json.object().put("entries", "?"), old.version, old.leaseId));
     }
   }
 
@@ -238,7 +238,7 @@
     String space = space();
     keys.forEach(
         (whole, value) -> {
-          String key = inside(whole, space);
+          String key = withoutPrefix(whole, space);
           if (key.startsWith("end/")) {
             found.put(key.substring("end/".length()), value.value.toString());
           }
@@ -252,7 +252,7 @@
     String space = space();
     keys.forEach(
         (whole, value) -> {
-          String key = inside(whole, space);
+          String key = withoutPrefix(whole, space);
           if (key.startsWith("job/")) {
             found.add(key.substring("job/".length()));
           } else if (key.startsWith("accepted/")) {
@@ -262,43 +262,43 @@
     return found;
   }
 
-  private static String inside(String key, String space) {
+  private static String withoutPrefix(String key, String space) {
     return key.startsWith(space) ? key.substring(space.length()) : "";
   }
 
   /** After an outage every lease has its full time again. */
   void endOutage() {
     outage = false;
-    leases.values().forEach(l -> l.until = world.now().plusMillis(l.life));
-    wake();
+    leases.values().forEach(l -> l.expiresAt = world.now().plusMillis(l.ttlMillis));
+    answerWatches();
   }
 
-  private void expire() {
+  private void expireLeases() {
     if (!outage) {
       List.copyOf(leases.entrySet()).stream()
-          .filter(e -> e.getValue().until.isBefore(world.now()))
-          .forEach(e -> end(e.getKey()));
+          .filter(e -> e.getValue().expiresAt.isBefore(world.now()))
+          .forEach(e -> endLease(e.getKey()));
     }
-    world.after(50, this::expire);
+    world.after(50, this::expireLeases);
   }
 
-  private void end(long lease) {
+  private void endLease(long lease) {
     leases.remove(lease);
     List<String> attached =
         keys.entrySet().stream()
-            .filter(e -> e.getValue().lease == lease)
+            .filter(e -> e.getValue().leaseId == lease)
             .map(Map.Entry::getKey)
             .toList();
     if (!attached.isEmpty()) {
       revision++;
       attached.forEach(this::remove);
-      wake();
+      answerWatches();
     }
   }
 
   private void remove(String key) {
     if (keys.remove(key) != null) {
-      log.add(Json.object().put("remove", key).put("stamp", revision));
+      changeLog.add(Json.object().put("remove", key).put("stamp", revision));
     }
   }
 
@@ -306,7 +306,7 @@
     return new HttpResponse(status, Json.bytes(body));
   }
 
-  private static Map<String, String> query(String path) {
+  private static Map<String, String> queryParameters(String path) {
     Map<String, String> found = new HashMap<>();
     for (String part : path.substring(path.indexOf('?') + 1).split("&", 0)) {
       int is = part.indexOf('=');
@@ -329,24 +329,24 @@
     }
     try {
       if (path.startsWith("/follow?")) {
-        follow(query(path), answer);
+        openWatch(queryParameters(path), answer);
       } else if (lateWrites > 0
           && path.equals("/multi")
           && world.random.nextDouble() < lateWrites) {
         ObjectNode txn = Json.parseObject(body);
-        late(() -> multi(txn));
+        runDelayed(() -> executeTransaction(txn));
       } else if (unanswered > 0
           && path.equals("/multi")
           && world.random.nextDouble() < unanswered) {
         ObjectNode txn = Json.parseObject(body);
-        if (multi(txn).status() == 200) {
-          kinds(txn).forEach(kind -> unansweredKinds.merge(kind, 1, Integer::sum));
+        if (executeTransaction(txn).status() == 200) {
+          changedPrefixes(txn).forEach(kind -> unansweredKinds.merge(kind, 1, Integer::sum));
         }
       } else if (slowMillis > 0) {
-        HttpResponse given = now(method, path, body);
+        HttpResponse given = execute(method, path, body);
         world.after(world.random.nextInt(slowMillis), () -> answer.accept(given));
       } else {
-        answer.accept(now(method, path, body));
+        answer.accept(execute(method, path, body));
       }
     } catch (MalformedMessageException e) {
       throw new AssertionError("the store was sent " + new String(body, StandardCharsets.UTF_8), e);
@@ -373,31 +373,31 @@
   }
 
   /** Carries something out 2 to 12 s later, once the service works. */
-  private void late(Runnable action) {
-    world.after(2_000 + world.random.nextInt(10_000), () -> onceUp(action));
+  private void runDelayed(Runnable action) {
+    world.after(2_000 + world.random.nextInt(10_000), () -> runWhenAvailable(action));
   }
 
-  private void onceUp(Runnable action) {
+  private void runWhenAvailable(Runnable action) {
     if (outage) {
-      world.after(1_000, () -> onceUp(action));
+      world.after(1_000, () -> runWhenAvailable(action));
     } else {
       action.run();
     }
   }
 
-  private Set<String> kinds(ObjectNode txn) {
+  private Set<String> changedPrefixes(ObjectNode txn) {
     TreeSet<String> kinds = new TreeSet<>();
     for (JsonNode change : txn.get("apply")) {
       boolean remove = change.has("remove");
-      String key = inside(change.get(remove ? "remove" : "write").asText(), space());
+      String key = withoutPrefix(change.get(remove ? "remove" : "write").asText(), space());
       kinds.add((remove ? "-" : "") + key.substring(0, key.indexOf('/') + 1));
     }
     return kinds;
   }
 
-  private void repeat(ObjectNode txn) {
-    boolean effect = multi(txn).status() == 200;
-    for (String kind : kinds(txn)) {
+  private void replay(ObjectNode txn) {
+    boolean effect = executeTransaction(txn).status() == 200;
+    for (String kind : changedPrefixes(txn)) {
       repeated.merge(kind, 1, Integer::sum);
       if (effect) {
         repeatedWithEffect.merge(kind, 1, Integer::sum);
@@ -405,10 +405,10 @@
     }
   }
 
-  private HttpResponse now(String method, String path, byte[] body)
+  private HttpResponse execute(String method, String path, byte[] body)
       throws MalformedMessageException {
     if (path.startsWith("/keys?")) {
-      return list(query(path));
+      return list(queryParameters(path));
     }
     if (path.startsWith("/keys/")) {
       String key = path.substring("/keys/".length());
@@ -420,18 +420,18 @@
     }
     if (path.equals("/multi")) {
       ObjectNode txn = Json.parseObject(body);
-      HttpResponse given = multi(txn);
+      HttpResponse given = executeTransaction(txn);
       if (repeats && given.status() == 200 && !txn.get("apply").isEmpty()) {
-        late(() -> repeat(txn));
+        runDelayed(() -> replay(txn));
       }
       return given;
     }
     if (path.equals("/holds")) {
       Lease lease = new Lease();
-      lease.life = Json.parseObject(body).get("life_ms").asLong();
-      lease.until = world.now().plusMillis(lease.life);
-      leases.put(++leaseIds, lease);
-      return answer(200, Json.object().put("hold", leaseIds));
+      lease.ttlMillis = Json.parseObject(body).get("life_ms").asLong();
+      lease.expiresAt = world.now().plusMillis(lease.ttlMillis);
+      leases.put(++lastLeaseId, lease);
+      return answer(200, Json.object().put("hold", lastLeaseId));
     }
     long id = Long.parseLong(path.split("/", 0)[2]);
     Lease lease = leases.get(id);
@@ -439,17 +439,17 @@
       return answer(404, Json.object());
     }
     if (method.equals("DELETE")) {
-      end(id);
+      endLease(id);
     } else {
-      lease.until = world.now().plusMillis(lease.life);
+      lease.expiresAt = world.now().plusMillis(lease.ttlMillis);
     }
     return answer(200, Json.object());
   }
 
   private static ObjectNode entry(String key, Value value) {
     ObjectNode out = Json.object().put("path", key).put("stamp", value.version);
-    if (value.lease != 0) {
-      out.put("hold", value.lease);
+    if (value.leaseId != 0) {
+      out.put("hold", value.leaseId);
     }
     out.set("v", value.value);
     return out;
@@ -476,14 +476,14 @@
     return answer(200, out.put("truncated", more));
   }
 
-  private HttpResponse multi(ObjectNode txn) {
+  private HttpResponse executeTransaction(ObjectNode txn) {
     JsonNode changes = txn.get("apply");
-    if (changes.size() > txnOps || txn.get("if").size() > 4 * txnOps) {
+    if (changes.size() > maxTxnOps || txn.get("if").size() > 4 * maxTxnOps) {
       throw new AssertionError("a transaction is too large: " + txn);
     }
     for (JsonNode change : changes) {
-      if (change.has("v") && Json.bytes(change.get("v")).length > valueBytes) {
-        if (!lowered) {
+      if (change.has("v") && Json.bytes(change.get("v")).length > maxValueBytes) {
+        if (!limitsLowered) {
           throw new AssertionError("the value of " + change.get("write") + " is too large");
         }
         tooLarge++;
@@ -521,64 +521,64 @@
       JsonNode value = change.get("v");
       long lease = change.has("hold") ? change.get("hold").asLong() : 0;
       keys.put(key, new Value(value, revision, lease));
-      log.add(entryEvent(key, value));
+      changeLog.add(writeEvent(key, value));
     }
-    wake();
+    answerWatches();
     return answer(200, Json.object().put("epoch", revision));
   }
 
-  private ObjectNode entryEvent(String key, JsonNode value) {
+  private ObjectNode writeEvent(String key, JsonNode value) {
     ObjectNode event = Json.object().put("write", key).put("stamp", revision);
     event.set("v", value);
     return event;
   }
 
-  private void follow(Map<String, String> query, Consumer<HttpResponse> answer) {
+  private void openWatch(Map<String, String> query, Consumer<HttpResponse> answer) {
     long wait = Long.parseLong(query.get("wait_ms"));
     long since = Long.parseLong(query.get("since"));
-    if (since < forgotten) {
+    if (since < compactedRevision) {
       answer.accept(answer(410, Json.object().put("epoch", revision)));
       return;
     }
-    int from = log.size();
-    while (from > 0 && log.get(from - 1).get("stamp").asLong() > since) {
+    int from = changeLog.size();
+    while (from > 0 && changeLog.get(from - 1).get("stamp").asLong() > since) {
       from--;
     }
     Watch watch = new Watch(query.get("prefix"), from, answer);
     watches.add(watch);
-    tryAnswer(watch, false);
-    world.after(wait, () -> tryAnswer(watch, true));
+    answerIfReady(watch, false);
+    world.after(wait, () -> answerIfReady(watch, true));
   }
 
-  private void trimLog() {
-    if (log.size() > 2L * mostLogged) {
-      int over = log.size() - mostLogged;
-      forgotten = log.get(over - 1).get("stamp").asLong();
-      log.subList(0, over).clear();
-      watches.forEach(watch -> watch.from = Math.max(0, watch.from - over));
+  private void compactLog() {
+    if (changeLog.size() > 2L * mostLogged) {
+      int over = changeLog.size() - mostLogged;
+      compactedRevision = changeLog.get(over - 1).get("stamp").asLong();
+      changeLog.subList(0, over).clear();
+      watches.forEach(watch -> watch.nextLogIndex = Math.max(0, watch.nextLogIndex - over));
     }
   }
 
-  private void wake() {
-    trimLog();
-    List.copyOf(watches).forEach(w -> tryAnswer(w, false));
+  private void answerWatches() {
+    compactLog();
+    List.copyOf(watches).forEach(w -> answerIfReady(w, false));
   }
 
-  private void tryAnswer(Watch watch, boolean last) {
-    if (watch.over || (outage && !last)) {
+  private void answerIfReady(Watch watch, boolean last) {
+    if (watch.answered || (outage && !last)) {
       return;
     }
     ObjectNode out = Json.object().put("epoch", revision);
     ArrayNode events = out.putArray("log");
-    for (; watch.from < log.size(); watch.from++) {
-      ObjectNode event = log.get(watch.from);
+    for (; watch.nextLogIndex < changeLog.size(); watch.nextLogIndex++) {
+      ObjectNode event = changeLog.get(watch.nextLogIndex);
       JsonNode key = event.has("write") ? event.get("write") : event.get("remove");
       if (key.asText().startsWith(watch.prefix)) {
         events.add(event);
       }
     }
     if (last || !events.isEmpty()) {
-      watch.over = true;
+      watch.answered = true;
       watches.remove(watch);
       watch.answer.accept(answer(200, out));
     }
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -41,10 +41,10 @@
   double trouble;
 
   /** When a killed one is back. */
-  private Instant backAt = Instant.EPOCH;
+  private Instant restartAt = Instant.EPOCH;
 
   /** It is killed after its next effect and before its answer. */
-  private boolean dying;
+  private boolean killBeforeAnswer;
 
   int requests;
 
@@ -106,7 +106,7 @@
   @Override
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     requests++;
-    if (world.now().isBefore(backAt)) {
+    if (world.now().isBefore(restartAt)) {
       return;
     }
     double chance = world.random.nextDouble();
@@ -118,14 +118,14 @@
       answer.accept(new HttpResponse(world.random.nextBoolean() ? 503 : 429, new byte[0], 1));
       return;
     }
-    dying = chance < trouble * 3 / 4;
+    killBeforeAnswer = chance < trouble * 3 / 4;
     try {
       ObjectNode envelope = Json.parseObject(body);
       Receiver.Reply reply =
           receiver.receive(
               name -> envelope.path("headers").path(name).asText(null),
               Base64.getDecoder().decode(envelope.get("body").asText()));
-      if (dying) {
+      if (killBeforeAnswer) {
         kill();
         return;
       }
@@ -136,7 +136,7 @@
   }
 
   private void kill() {
-    backAt = world.now().plusMillis(500 + world.random.nextInt(20_000));
+    restartAt = world.now().plusMillis(500 + world.random.nextInt(20_000));
   }
 
   /** What a controller on a host sends through: the simulated network, with its late packets. */
--- a/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
+++ b/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
@@ -12,10 +12,10 @@
  */
 abstract class FaultInjectionCluster extends ConfigurableCluster {
   /** The part of the open jobs that are cancelled, a step. */
-  private static final double CANCELS = 0.08;
+  private static final double CANCEL_PROBABILITY = 0.08;
 
   /** Between two of the questions that follow one another closely, in milliseconds. */
-  private static final long[] CLOSELY = {0, 2, 7, 20, 60, 200, 800};
+  private static final long[] BURST_DELAYS_MILLIS = {0, 2, 7, 20, 60, 200, 800};
 
   /** Users ask at all nodes, again and again, right after an answer that says something new. */
   boolean looksClosely;
@@ -37,8 +37,8 @@
 
   void refuseLeader(long millis) {
     String refused = leading();
-    world.answerRefused(refused, "10.2.0.1", true);
-    at(millis, () -> world.answerRefused(refused, "10.2.0.1", false));
+    world.setRejected(refused, "10.2.0.1", true);
+    at(millis, () -> world.setRejected(refused, "10.2.0.1", false));
   }
 
   void outage(long millis) {
@@ -72,9 +72,9 @@
       spec.put("owner", "blue");
     }
     submit(spec);
-    oddRequests();
+    sendUnusualRequests();
     for (SafetyRules.Known job : new ArrayList<>(rules.jobs.values())) {
-      perhapsCancel(job, CANCELS);
+      maybeCancel(job, CANCEL_PROBABILITY);
       if (world.random.nextInt(10) == 0) {
         ask(job);
       }
@@ -83,20 +83,20 @@
   }
 
   /** So likely cancels a job whose user may think of it. */
-  private void perhapsCancel(SafetyRules.Known job, double likely) {
+  private void maybeCancel(SafetyRules.Known job, double likely) {
     if (job.accepted && !job.cancelAsked && !job.isOver() && world.random.nextDouble() < likely) {
       cancel(job);
     }
   }
 
   void cancelSome(double part) {
-    List.copyOf(rules.jobs.values()).forEach(job -> perhapsCancel(job, part));
+    List.copyOf(rules.jobs.values()).forEach(job -> maybeCancel(job, part));
   }
 
   @Override
-  void onNews(SafetyRules.Known job) {
+  void onStateAdvanced(SafetyRules.Known job) {
     if (looksClosely) {
-      lookClosely(job);
+      sendRequestBurst(job);
     }
   }
 
@@ -104,11 +104,11 @@
    * Asks at every node within milliseconds, submits again, and cancels some that were just
    * accepted.
    */
-  void lookClosely(SafetyRules.Known job) {
+  void sendRequestBurst(SafetyRules.Known job) {
     boolean cancels =
         job.told() == SafetyRules.Told.ACCEPTED && !job.cancelAsked && world.random.nextInt(4) == 0;
     for (String node : fronts) {
-      for (long millis : CLOSELY) {
+      for (long millis : BURST_DELAYS_MILLIS) {
         at(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, good -> {}));
       }
       at(some(0, 50), () -> send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {}));
@@ -123,10 +123,10 @@
    * moment.
    */
   void meetEnds() {
-    rules.onLastDone =
+    rules.onLastTaskCompleted =
         job -> {
           if (world.random.nextDouble() < cancelledAtEnd) {
-            at(some(0, 1_000), () -> lookClosely(job));
+            at(some(0, 1_000), () -> sendRequestBurst(job));
             job.cancelAsked = true;
             for (int i = 0; i < 2; i++) {
               String path = "/v1/jobs/" + job.id + "/cancel";
@@ -140,7 +140,7 @@
    * What users should not send: jobs that can't run or lack a field, repeats of jobs, cancels of
    * those done.
    */
-  void oddRequests() {
+  void sendUnusualRequests() {
     ObjectNode spec = work("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
     switch (world.random.nextInt(8)) {
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -24,20 +24,20 @@
  * Controllers as processes of their own on loopback, with the stand-ins in real time in this one.
  */
 final class LoopbackCluster implements AutoCloseable {
-  private static final Duration TICK = Duration.ofMillis(2);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(2);
 
   private final Path folder;
-  private final XnioEventLoop runtime;
+  private final XnioEventLoop eventLoop;
   private final SimulatedWorld world = new SimulatedWorld(1);
   final FakeKeyValueStore store = new FakeKeyValueStore(world, 12, 8192);
   private final List<Process> processes = new ArrayList<>();
   private final String storeAddress = free();
   private final String cloudAddress = free();
-  private final List<String> fronts = new ArrayList<>();
+  private final List<String> apiAddresses = new ArrayList<>();
   private final List<String> clusters = new ArrayList<>();
-  private final List<String> options;
+  private final List<String> controllerOptions;
   private final double coreShare;
-  private final HttpClient http =
+  private final HttpClient httpClient =
       HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
   private volatile boolean closed;
 
@@ -51,24 +51,24 @@
       throws IOException {
     this.folder = folder;
     this.coreShare = coreShare;
-    this.options = options;
-    runtime = new XnioEventLoop(4_000, Duration.ofSeconds(3));
+    this.controllerOptions = options;
+    eventLoop = new XnioEventLoop(4_000, Duration.ofSeconds(3));
     FakeFleet fleet = new FakeFleet(world, new SafetyRules(world, List.of()), List.of());
     fleet.capacity = 0;
-    runtime.serve(
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             storeAddress,
             store,
             ConnectionLimiter.TrafficClass.USERS,
             path -> ConnectionLimiter.TrafficClass.USERS));
-    runtime.serve(
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             cloudAddress,
             fleet,
             ConnectionLimiter.TrafficClass.USERS,
             path -> ConnectionLimiter.TrafficClass.USERS));
     for (int i = 0; i < controllers; i++) {
-      fronts.add(free());
+      apiAddresses.add(free());
       clusters.add(free());
     }
     for (int i = 0; i < controllers; i++) {
@@ -76,15 +76,15 @@
       processes.add(null);
       startController(i);
     }
-    runtime.execute(this::tick);
+    eventLoop.execute(this::tick);
   }
 
   /** Lets virtual time follow the clock. */
   private void tick() {
     if (!closed) {
-      Duration behind = Duration.between(world.now().minusSeconds(1_000), runtime.now());
+      Duration behind = Duration.between(world.now().minusSeconds(1_000), eventLoop.now());
       world.runFor(behind);
-      runtime.schedule(TICK, this::tick);
+      eventLoop.schedule(TICK_INTERVAL, this::tick);
     }
   }
 
@@ -104,7 +104,7 @@
         new StringBuilder(good.substring(0, seeds))
             .append(
                 "[external]\ncloud = \"" + cloudAddress + "\"\nstate = \"" + storeAddress + "\"\n");
-    for (int i = 0; i < fronts.size(); i++) {
+    for (int i = 0; i < apiAddresses.size(); i++) {
       if (i != index) {
         text.append("[[seeds]]\nmember = \"rung-" + i + "\"\narea = \"a\"\naddress = \"")
             .append(clusters.get(i))
@@ -116,7 +116,7 @@
         .replace(
             "member = \"rung-0\"\narea = \"a\"\nfront",
             "member = \"rung-" + index + "\"\narea = \"a\"\nfront")
-        .replace("10.0.0.1:8080", fronts.get(index))
+        .replace("10.0.0.1:8080", apiAddresses.get(index))
         .replace("10.0.0.1:8081", clusters.get(index))
         .replace("write_rps = 60.0", "write_rps = 2000.0")
         .replace("rps = 100.0", "rps = 5000.0")
@@ -147,7 +147,7 @@
   }
 
   void startController(int index) {
-    List<String> arguments = new ArrayList<>(options);
+    List<String> arguments = new ArrayList<>(controllerOptions);
     arguments.add(folder.resolve("settings-" + index + ".toml").toString());
     processes.set(index, start("controller-" + index, "io.pineladder.cli.Controller", arguments));
   }
@@ -165,15 +165,15 @@
   /** Reads something of the stand-ins, on their thread. */
   <T> T read(Supplier<T> what) throws Exception {
     java.util.concurrent.CompletableFuture<T> got = new java.util.concurrent.CompletableFuture<>();
-    runtime.execute(() -> got.complete(what.get()));
+    eventLoop.execute(() -> got.complete(what.get()));
     return got.get();
   }
 
   /** One request; null when there was no answer. */
-  private HttpResponse<String> ask(String address, String method, String path, ObjectNode body)
-      throws InterruptedException {
+  private HttpResponse<String> sendRequest(
+      String address, String method, String path, ObjectNode body) throws InterruptedException {
     try {
-      return http.send(
+      return httpClient.send(
           HttpRequest.newBuilder(URI.create("http://" + address + path))
               .timeout(Duration.ofSeconds(5))
               .method(
@@ -190,7 +190,7 @@
 
   /** One request to one controller's users' address; null when there was no answer. */
   HttpResponse<String> askOnce(int index, String method, String path) throws InterruptedException {
-    return ask(fronts.get(index), method, path, null);
+    return sendRequest(apiAddresses.get(index), method, path, null);
   }
 
   /** The controllers' addresses for administrators. */
@@ -206,7 +206,7 @@
   /** Asks one controller after the other until one answers with 200 or 201. */
   ObjectNode insist(boolean admin, String method, String path, ObjectNode body)
       throws InterruptedException {
-    return insist(admin ? clusters : fronts, method, path, body);
+    return insist(admin ? clusters : apiAddresses, method, path, body);
   }
 
   private ObjectNode insist(List<String> addresses, String method, String path, ObjectNode body)
@@ -215,7 +215,7 @@
     String last = "no answer";
     for (int tries = 0; tries < 2_000; tries++) {
       HttpResponse<String> got =
-          ask(addresses.get((first + tries) % addresses.size()), method, path, body);
+          sendRequest(addresses.get((first + tries) % addresses.size()), method, path, body);
       if (got != null && got.statusCode() / 100 == 2) {
         try {
           return Json.parseObject(got.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
@@ -233,6 +233,6 @@
   public void close() {
     closed = true;
     processes.forEach(Process::destroyForcibly);
-    runtime.stop();
+    eventLoop.stop();
   }
 }
--- a/src/test/java/io/pineladder/sim/SafetyRules.java
+++ b/src/test/java/io/pineladder/sim/SafetyRules.java
@@ -34,9 +34,9 @@
     OVER
   }
 
-  private static final Duration CANCEL = Duration.ofSeconds(40);
-  private static final Duration KNOWN = Duration.ofSeconds(75);
-  private static final Duration BEGINS = Duration.ofMinutes(4);
+  private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(40);
+  private static final Duration MAX_UNANSWERED_TIME = Duration.ofSeconds(75);
+  private static final Duration MAX_START_DELAY = Duration.ofMinutes(4);
 
   /** A submitted job as its user knows it. */
   static final class Known {
@@ -51,7 +51,7 @@
     boolean unfit;
 
     /** The last of what was told of it that was new. */
-    Told news = Told.NOTHING;
+    Told lastAdvancedState = Told.NOTHING;
 
     /** Its user asks for it every few seconds. */
     boolean polled;
@@ -72,7 +72,7 @@
     boolean cancelAsked;
     Instant cancelled;
     boolean done;
-    final Set<Integer> completed = new HashSet<>();
+    final Set<Integer> completedTasks = new HashSet<>();
 
     Known(String id, ObjectNode spec) {
       this.id = id;
@@ -105,17 +105,17 @@
   final Map<String, Known> jobs = new LinkedHashMap<>();
 
   /** Where each task is. */
-  private final Map<String, Worker> places = new HashMap<>();
+  private final Map<String, Worker> workerByTask = new HashMap<>();
 
   /** What the tasks of each team use, and how many of each job's are in each zone. */
-  private final Map<String, Resources> usage = new HashMap<>();
+  private final Map<String, Resources> usageByTeam = new HashMap<>();
 
-  private final Map<String, Map<String, Integer>> zonesOf = new HashMap<>();
+  private final Map<String, Map<String, Integer>> taskCountsByZone = new HashMap<>();
 
   /** Told of each job whose last task has just completed. */
-  Consumer<Known> onLastDone = job -> {};
+  Consumer<Known> onLastTaskCompleted = job -> {};
 
-  private final Map<String, Map<String, Worker>> gathered = new HashMap<>();
+  private final Map<String, Map<String, Worker>> readyGangTasks = new HashMap<>();
   int starts;
 
   /** Since when all troubles are over, or null. */
@@ -129,7 +129,7 @@
   Function<String, List<String>> holding;
 
   /** Asks the store for the placement of a start. */
-  interface Placed {
+  interface PlacementLookup {
     boolean isStored(String machine, String piece, long attempt);
   }
 
@@ -137,14 +137,14 @@
    * A start is to be executed only while its placement is stored: one that comes when its attempt
    * is taken for gone has been given up without proof. Null where the store may lose data.
    */
-  Placed placed;
+  PlacementLookup placed;
 
   SafetyRules(SimulatedWorld world, List<Team> teams) {
     this.world = world;
     this.teams = teams;
   }
 
-  private AssertionError broken(String rule, Object what) {
+  private AssertionError violation(String rule, Object what) {
     return new AssertionError(rule + " at " + world.now() + ": " + what);
   }
 
@@ -171,13 +171,13 @@
   public void commanded(Task task, Worker on) {
     Known job = jobs.get(task.job());
     if (job == null) {
-      throw broken("unknown job started", task.piece);
+      throw violation("unknown job started", task.piece);
     }
     if (placed != null && !placed.isStored(on.name, task.piece, task.attempt)) {
-      throw broken("not_stored", task.piece + "#" + task.attempt + " starts on " + on.name);
+      throw violation("not_stored", task.piece + "#" + task.attempt + " starts on " + on.name);
     }
     if (holding != null && job.cancelled != null) {
-      throw broken(
+      throw violation(
           "told_too_soon", task.piece + " is sent to " + on.name + ", its job told cancelled");
     }
   }
@@ -190,57 +190,60 @@
     job.everStarted.add(task.piece);
     job.begins++;
     if (job.cancelled != null) {
-      throw broken(
+      throw violation(
           "started_cancelled", task.piece + " starts on " + on.name + " after its user was told");
     }
-    Worker other = places.get(task.piece);
+    Worker other = workerByTask.get(task.piece);
     if (other != null && other != on) {
-      throw broken("ran_twice", task.piece + " on " + other.name + " and " + on.name);
+      throw violation("ran_twice", task.piece + " on " + other.name + " and " + on.name);
     }
-    places.put(task.piece, on);
+    workerByTask.put(task.piece, on);
     for (String id : job.prerequisites()) {
       Known needed = jobs.get(id);
-      if (needed.completed.size() < needed.tasks()) {
-        throw broken("too_early", task.piece + " starts before " + id + " is done");
+      if (needed.completedTasks.size() < needed.tasks()) {
+        throw violation("too_early", task.piece + " starts before " + id + " is done");
       }
     }
     ObjectNode spec = job.spec;
     if (on.spot && !spec.get("loaners").asBoolean()) {
-      throw broken("wrong_place", task.piece + " on a spot machine");
+      throw violation("wrong_place", task.piece + " on a spot machine");
     }
     if (spec.hasNonNull("yard") && !spec.get("yard").asText().equals(on.zone)) {
-      throw broken("wrong_place", task.piece + " in zone " + on.zone);
+      throw violation("wrong_place", task.piece + " in zone " + on.zone);
     }
-    Resources each = StarvationCheck.each(spec);
+    Resources each = StarvationCheck.resourcesPerTask(spec);
     String owner = spec.get("owner").asText();
-    Map<String, Integer> zones = zonesOf.computeIfAbsent(job.id, id -> new TreeMap<>());
+    Map<String, Integer> zones = taskCountsByZone.computeIfAbsent(job.id, id -> new TreeMap<>());
     if (other == null) {
-      usage.merge(owner, each, Resources::plus);
+      usageByTeam.merge(owner, each, Resources::plus);
       zones.merge(on.zone, 1, Integer::sum);
     }
-    Resources used = usage.get(owner);
+    Resources used = usageByTeam.get(owner);
     int inZone = zones.get(on.zone);
     if (spec.get("together").asBoolean() && zones.size() > 1) {
-      throw broken("wrong_place", task.piece + " apart from the others");
+      throw violation("wrong_place", task.piece + " apart from the others");
     }
     if (spec.get("spread").asBoolean() && inZone > (job.tasks() + 1) / 2) {
-      throw broken("wrong_place", task.piece + " is one too many in zone " + on.zone);
+      throw violation("wrong_place", task.piece + " is one too many in zone " + on.zone);
     }
     for (Team team : teams) {
       if (team.name().equals(owner) && !team.allows(used)) {
-        throw broken("quota", used + " used at the start of " + task.piece);
+        throw violation("quota", used + " used at the start of " + task.piece);
       }
     }
   }
 
   @Override
   public void left(Task task, Worker from) {
-    if (places.remove(task.piece, from)) {
+    if (workerByTask.remove(task.piece, from)) {
       ObjectNode spec = jobs.get(task.job()).spec;
-      usage.merge(spec.get("owner").asText(), StarvationCheck.each(spec), Resources::minus);
-      zonesOf.get(task.job()).computeIfPresent(from.zone, (zone, n) -> n == 1 ? null : n - 1);
+      usageByTeam.merge(
+          spec.get("owner").asText(), StarvationCheck.resourcesPerTask(spec), Resources::minus);
+      taskCountsByZone
+          .get(task.job())
+          .computeIfPresent(from.zone, (zone, n) -> n == 1 ? null : n - 1);
     }
-    Map<String, Worker> of = gathered.get(task.job() + "#" + task.attempt);
+    Map<String, Worker> of = readyGangTasks.get(task.job() + "#" + task.attempt);
     if (of != null) {
       of.remove(task.piece);
     }
@@ -250,8 +253,8 @@
   @Override
   public void gather(Task task) {
     String key = task.job() + "#" + task.attempt;
-    Map<String, Worker> of = gathered.computeIfAbsent(key, k -> new HashMap<>());
-    of.put(task.piece, places.get(task.piece));
+    Map<String, Worker> of = readyGangTasks.computeIfAbsent(key, k -> new HashMap<>());
+    of.put(task.piece, workerByTask.get(task.piece));
     if (of.size() == jobs.get(task.job()).tasks()) {
       for (var each : of.entrySet()) {
         String at = each.getKey() + "#" + task.attempt;
@@ -263,23 +266,23 @@
   @Override
   public void completed(Task task) {
     Known job = jobs.get(task.job());
-    job.completed.add(task.index());
+    job.completedTasks.add(task.index());
     if (isGang(task)) {
       for (int i = 0; i < job.tasks(); i++) {
-        job.completed.add(i);
+        job.completedTasks.add(i);
       }
     }
-    if (job.completed.size() == job.tasks()) {
-      onLastDone.accept(job);
+    if (job.completedTasks.size() == job.tasks()) {
+      onLastTaskCompleted.accept(job);
     }
   }
 
   /** Tasks of cancelled jobs must be gone in time; asked again and again. */
   void watchCancelled() {
-    for (var place : places.entrySet()) {
+    for (var place : workerByTask.entrySet()) {
       Known job = jobs.get(place.getKey().substring(0, place.getKey().indexOf('/')));
-      if (job.cancelled != null && job.cancelled.plus(CANCEL).isBefore(world.now())) {
-        throw broken("ran_cancelled", place.getKey() + " is still on " + place.getValue().name);
+      if (job.cancelled != null && job.cancelled.plus(CANCEL_TIMEOUT).isBefore(world.now())) {
+        throw violation("ran_cancelled", place.getKey() + " is still on " + place.getValue().name);
       }
     }
   }
@@ -288,15 +291,15 @@
    * An accepted job that was not cancelled stays known: once all troubles are over some question
    * about it is answered every 75 s, however others fare. Its user asks more often than that.
    */
-  void watchKnown() {
+  void checkAcceptedJobs() {
     if (calmSince == null) {
       return;
     }
     for (Known job : jobs.values()) {
       if (job.accepted && !job.cancelAsked) {
         Instant last = job.answered.isAfter(calmSince) ? job.answered : calmSince;
-        if (last.plus(KNOWN).isBefore(world.now())) {
-          throw broken("forgotten", job.id + " had no answer since " + job.answered);
+        if (last.plus(MAX_UNANSWERED_TIME).isBefore(world.now())) {
+          throw violation("forgotten", job.id + " had no answer since " + job.answered);
         }
       }
     }
@@ -314,26 +317,26 @@
         groups.computeIfAbsent("class " + of, g -> new ArrayList<>()).add(job);
       }
     }
-    groups.forEach(this::checkShare);
+    groups.forEach(this::checkServedShare);
     groups.forEach(
         (name, group) -> {
           if (name.startsWith("class ")) {
             group.sort(Comparator.comparingInt(Known::tasks).reversed());
             List<Known> largest = group.subList(0, (group.size() + 3) / 4);
-            checkShare("largest of " + name, largest);
+            checkServedShare("largest of " + name, largest);
             for (Known job : largest) {
-              if (job.begun == null || job.begun.isAfter(job.submitted.plus(BEGINS))) {
-                throw broken("largest began late", job.id + " of " + name + " at " + job.begun);
+              if (job.begun == null || job.begun.isAfter(job.submitted.plus(MAX_START_DELAY))) {
+                throw violation("largest began late", job.id + " of " + name + " at " + job.begun);
               }
             }
           }
         });
   }
 
-  private void checkShare(String name, List<Known> group) {
+  private void checkServedShare(String name, List<Known> group) {
     long served = group.stream().filter(SafetyRules::isServed).count();
     if (2 * served < group.size()) {
-      throw broken("less than half served", name + ": " + served + " of " + group.size());
+      throw violation("less than half served", name + ": " + served + " of " + group.size());
     }
   }
 
@@ -343,7 +346,7 @@
   }
 
   private boolean isLongCancelled(Known job) {
-    return job.cancelled != null && job.cancelled.plus(CANCEL).isBefore(world.now());
+    return job.cancelled != null && job.cancelled.plus(CANCEL_TIMEOUT).isBefore(world.now());
   }
 
   /** Whether the condition holds for a job that this one needs, directly or through others. */
@@ -367,21 +370,21 @@
   /** A user was told a state. */
   void told(Known job, String status) {
     job.answered = world.now();
-    if (status.equals("done") && job.completed.size() < job.tasks()) {
-      throw broken("not_done", job.id);
+    if (status.equals("done") && job.completedTasks.size() < job.tasks()) {
+      throw violation("not_done", job.id);
     }
     if (job.done && !status.equals("done")) {
-      throw broken("went_back", job.id + " was done and is called " + status);
+      throw violation("went_back", job.id + " was done and is called " + status);
     }
     if (job.cancelled != null && !status.equals("aborted")) {
-      throw broken("went_back", job.id + " was cancelled and is called " + status);
+      throw violation("went_back", job.id + " was cancelled and is called " + status);
     }
     if (status.equals("aborted") && !job.cancelAsked && !anyBefore(job, each -> each.cancelAsked)) {
-      throw broken("went_back", job.id + " is called cancelled by no wish of its user");
+      throw violation("went_back", job.id + " is called cancelled by no wish of its user");
     }
     boolean isOver = status.equals("done") || status.equals("aborted");
     if (!isOver && anyBefore(job, SafetyRules.this::isLongCancelled)) {
-      throw broken(
+      throw violation(
           "orphaned", job.id + " is called " + status + " after one before it was cancelled");
     }
     if (status.equals("done")) {
@@ -390,7 +393,7 @@
       job.cancelled = world.now();
       List<String> on = holding == null ? List.of() : holding.apply(job.id);
       if (!on.isEmpty()) {
-        throw broken("told_too_soon", job.id + " is called cancelled and is on " + on);
+        throw violation("told_too_soon", job.id + " is called cancelled and is on " + on);
       }
     }
   }
@@ -405,11 +408,11 @@
   void answered(Known job, Told before, int status, String state) {
     if (status == 404 || status == 400 || status == 422) {
       if (before != Told.NOTHING) {
-        throw broken("forgotten", job.id + " got " + status + " asked when told " + before);
+        throw violation("forgotten", job.id + " got " + status + " asked when told " + before);
       }
     } else if (state != null) {
       if (job.unfit) {
-        throw broken("accepted_unfit", job.id + " is called " + state);
+        throw violation("accepted_unfit", job.id + " is called " + state);
       }
       boolean over = state.equals("done") || state.equals("aborted");
       // What was asked before the job was over may be answered as it was then.
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -30,8 +30,9 @@
 
 /** Several controllers in virtual time among stand-ins that crash, cut, delay and deliver late. */
 abstract class SimulatedCluster {
-  static final List<String> FRONTS = List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
-  static final String STORE = "10.2.0.1:2379";
+  static final List<String> API_ADDRESSES =
+      List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
+  static final String STORE_ADDRESS = "10.2.0.1:2379";
 
   /** One controller, from one start to the next. */
   static final class Controller {
@@ -47,21 +48,21 @@
   final List<Controller> controllers = new ArrayList<>();
 
   /** Where the controllers are reached; as many as there are. */
-  List<String> fronts = FRONTS;
+  List<String> fronts = API_ADDRESSES;
 
   SimulatedWorld world;
   FakeKeyValueStore store;
   FakeFleet fleet;
   SafetyRules rules;
   StarvationCheck starvation;
-  int jobs;
+  int lastJobNumber;
   int unanswered;
 
   /** The store may lose data on this day; on any other nobody may think that it has. */
   boolean losesData;
 
   /** Told of all traffic of the simulated network; set it before the simulation begins. */
-  TrafficObserver traffic = TrafficObserver.NONE;
+  TrafficObserver trafficObserver = TrafficObserver.NONE;
 
   /** What controllers keep snapshots on, by their number; none unless a test sets them up. */
   final Map<Integer, SnapshotStore> shelves = new HashMap<>();
@@ -109,7 +110,7 @@
 
   void begin(long seed) {
     world = new SimulatedWorld(seed);
-    world.traffic = traffic;
+    world.trafficObserver = trafficObserver;
     rules = new SafetyRules(world, settings(0).teams());
     store = new FakeKeyValueStore(world, 12, 8192);
     fleet = new FakeFleet(world, rules, fronts);
@@ -119,7 +120,7 @@
       rules.holding = fleet::holding;
       rules.placed = store::hasPlacement;
     }
-    world.serve(STORE, store);
+    world.serve(STORE_ADDRESS, store);
     world.serve(FakeFleet.ADDRESS, fleet);
     for (int i = 0; i < fronts.size(); i++) {
       controllers.add(new Controller(i));
@@ -130,7 +131,7 @@
 
   void watch() {
     rules.watchCancelled();
-    rules.watchKnown();
+    rules.checkAcceptedJobs();
     starvation.watch();
     world.after(500, this::watch);
   }
@@ -204,7 +205,7 @@
   void onStored(String key) {}
 
   /** A user was told something that nobody had been told of the job before. */
-  void onNews(SafetyRules.Known job) {}
+  void onStateAdvanced(SafetyRules.Known job) {}
 
   /** What the host delivers notices with; null for none. */
   DeliveryContext delivery(String host) {
@@ -226,21 +227,23 @@
   ObjectNode job(String shape, int tasks, String owner) {
     ObjectNode spec =
         Json.object()
-            .put("ref", String.format("req-%06d", ++jobs))
+            .put("ref", String.format("req-%06d", ++lastJobNumber))
             .put("jobclass", shape.equals("service") ? "serve" : "work")
             .put("owner", owner)
             .put("shape", shape)
-            .put("rank", shape.equals("service") ? "prod" : jobs % 3 == 0 ? "low" : "standard")
+            .put(
+                "rank",
+                shape.equals("service") ? "prod" : lastJobNumber % 3 == 0 ? "low" : "standard")
             .put("pieces", tasks)
             .put("vcpus", 2.0)
             .put("cards", 1.0)
             .put("memory_gb", 4.0)
-            .put("bundle", "img-" + jobs % 3)
+            .put("bundle", "img-" + lastJobNumber % 3)
             .put("image_gb", 2.0)
-            .put("together", jobs % 5 == 0)
-            .put("spread", jobs % 5 == 1)
-            .put("loaners", !shape.equals("service") && jobs % 2 == 0)
-            .put("guess_s", shape.equals("service") ? 0 : 5 + jobs % 20)
+            .put("together", lastJobNumber % 5 == 0)
+            .put("spread", lastJobNumber % 5 == 1)
+            .put("loaners", !shape.equals("service") && lastJobNumber % 2 == 0)
+            .put("guess_s", shape.equals("service") ? 0 : 5 + lastJobNumber % 20)
             .put("mark_every_s", 0.0)
             .put("stow_s", 0.0);
     return spec;
@@ -311,9 +314,9 @@
               } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
-              if (job.told().compareTo(before) > 0 && job.told() != job.news) {
-                job.news = job.told();
-                onNews(job);
+              if (job.told().compareTo(before) > 0 && job.told() != job.lastAdvancedState) {
+                job.lastAdvancedState = job.told();
+                onStateAdvanced(job);
               }
               unanswered += good ? 0 : 1;
               then.accept(good);
@@ -340,7 +343,8 @@
     for (SafetyRules.Known job : rules.jobs.values()) {
       boolean service = job.spec.get("shape").asText().equals("service");
       assertTrue(job.accepted, job.id + " was not accepted");
-      assertTrue(service || job.broken || job.isOver(), job.id + " did not end: " + job.completed);
+      assertTrue(
+          service || job.broken || job.isOver(), job.id + " did not end: " + job.completedTasks);
     }
     assertTrue(rules.starts > 0);
     assertTrue(losesData || store.space().isEmpty(), "a loss was seen where there was none");
@@ -408,8 +412,8 @@
       }
       case 8, 9 -> world.freeze(host, millis);
       case 10 -> {
-        fleet.badBoots = true;
-        world.after(millis, () -> fleet.badBoots = false);
+        fleet.unreliableBoots = true;
+        world.after(millis, () -> fleet.unreliableBoots = false);
       }
       case 11 -> {
         // Everybody asks about everything, again and again.
--- a/src/test/java/io/pineladder/sim/SimulatedWorld.java
+++ b/src/test/java/io/pineladder/sim/SimulatedWorld.java
@@ -18,30 +18,31 @@
 
 /** Virtual time and a network that cuts, delays and delivers late; everything follows one seed. */
 final class SimulatedWorld {
-  private record Timer(long at, long order, Runnable action) implements Comparable<Timer> {
+  private record Timer(long dueMillis, long sequence, Runnable action)
+      implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
-      int byTime = Long.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      int byTime = Long.compare(dueMillis, other.dueMillis);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
   final RandomGenerator random;
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Map<String, AsyncHttpHandler> servers = new HashMap<>();
-  private final Set<String> cuts = new HashSet<>();
-  private long order;
+  private final Set<String> cutRoutes = new HashSet<>();
+  private long nextTimerSequence;
   private long nowMillis = 1_000_000;
 
   /** Hosts whose process stands still, and until when; their clocks go on. */
-  private final Map<String, Long> frozen = new HashMap<>();
+  private final Map<String, Long> frozenUntilMillis = new HashMap<>();
 
   /** Hosts that send and that nothing reaches: neither requests nor answers to theirs. */
   final Set<String> deaf = new HashSet<>();
 
   /** Whether anything can reach the host from somewhere, and its process moves. */
-  boolean hears(String host) {
-    return !deaf.contains(host) && frozen.getOrDefault(host, 0L) <= nowMillis;
+  boolean isReachable(String host) {
+    return !deaf.contains(host) && frozenUntilMillis.getOrDefault(host, 0L) <= nowMillis;
   }
 
   /** The part of messages whose reply is lost, and which may then be executed late. */
@@ -50,10 +51,10 @@
   /** The part of messages that are held up for seconds, on the way there or on the way back. */
   double held;
 
-  private static final int LONGEST_HELD = 7_000;
+  private static final int MAX_DELAY_MILLIS = 7_000;
 
   /** What refuses whom: the first host's requests are answered 503 by the second. */
-  private final Set<String> refusals = new HashSet<>();
+  private final Set<String> rejectedRoutes = new HashSet<>();
 
   SimulatedWorld(long seed) {
     random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
@@ -64,14 +65,14 @@
   }
 
   void after(long millis, Runnable action) {
-    timers.add(new Timer(nowMillis + Math.max(0, millis), order++, action));
+    timers.add(new Timer(nowMillis + Math.max(0, millis), nextTimerSequence++, action));
   }
 
   void runFor(Duration duration) {
     long end = nowMillis + duration.toMillis();
-    while (!timers.isEmpty() && timers.peek().at <= end) {
+    while (!timers.isEmpty() && timers.peek().dueMillis <= end) {
       Timer next = timers.poll();
-      nowMillis = next.at;
+      nowMillis = next.dueMillis;
       next.action.run();
     }
     nowMillis = end;
@@ -89,7 +90,7 @@
   Outside outside;
 
   /** Told of what is sent and answered here; not of what goes through {@link #outside}. */
-  TrafficObserver traffic = TrafficObserver.NONE;
+  TrafficObserver trafficObserver = TrafficObserver.NONE;
 
   void serve(String address, AsyncHttpHandler handler) {
     servers.put(address, handler);
@@ -107,30 +108,30 @@
 
   /** Cuts two hosts from one another; packets on the way are lost or come late. */
   void cut(String one, String other) {
-    cuts.add(one + " " + other);
-    cuts.add(other + " " + one);
+    cutRoutes.add(one + " " + other);
+    cutRoutes.add(other + " " + one);
   }
 
   /**
    * Keeps {@code one} from reaching the other, as a packet filter does; not the other way round.
    */
   void refuse(String one, String other) {
-    cuts.add(one + " " + other);
+    cutRoutes.add(one + " " + other);
   }
 
   /** The second host answers the first's requests with 503; watches that are open then wait. */
-  void answerRefused(String one, String other, boolean refused) {
+  void setRejected(String one, String other, boolean refused) {
     if (refused) {
-      refusals.add(one + " " + other);
+      rejectedRoutes.add(one + " " + other);
     } else {
-      refusals.remove(one + " " + other);
+      rejectedRoutes.remove(one + " " + other);
     }
   }
 
   /** Hands an answer on once its host is no longer refused. */
-  private void unlessRefused(String way, Runnable action) {
-    if (refusals.contains(way)) {
-      after(500, () -> unlessRefused(way, action));
+  private void runWhenNotRejected(String way, Runnable action) {
+    if (rejectedRoutes.contains(way)) {
+      after(500, () -> runWhenNotRejected(way, action));
     } else {
       action.run();
     }
@@ -138,22 +139,22 @@
 
   /** The host's process stands still; what comes for it meanwhile waits, timers too. */
   void freeze(String host, long millis) {
-    frozen.merge(host, nowMillis + millis, Math::max);
+    frozenUntilMillis.merge(host, nowMillis + millis, Math::max);
   }
 
   /** Runs the action on the host, once its process moves again. */
-  private void on(String host, Runnable action) {
-    long until = frozen.getOrDefault(host, 0L);
+  private void runWhenUnfrozen(String host, Runnable action) {
+    long until = frozenUntilMillis.getOrDefault(host, 0L);
     if (until > nowMillis) {
-      timers.add(new Timer(until, order++, () -> on(host, action)));
+      timers.add(new Timer(until, nextTimerSequence++, () -> runWhenUnfrozen(host, action)));
     } else {
       action.run();
     }
   }
 
   void heal(String one, String other) {
-    cuts.remove(one + " " + other);
-    cuts.remove(other + " " + one);
+    cutRoutes.remove(one + " " + other);
+    cutRoutes.remove(other + " " + one);
   }
 
   static String host(String address) {
@@ -185,7 +186,7 @@
         SimulatedWorld.this.after(
             (long) Math.ceil(delay.toNanos() / 1e6 / rate),
             () ->
-                on(
+                runWhenUnfrozen(
                     host,
                     () -> {
                       if (alive.getAsBoolean()) {
@@ -211,11 +212,11 @@
                   });
     }
     return (request, onReply) -> {
-      traffic.sent(now(), from, request);
+      trafficObserver.onRequest(now(), from, request);
       boolean[] over = new boolean[1];
       Consumer<AsyncHttpClient.Reply> once =
           reply ->
-              on(
+              runWhenUnfrozen(
                   from,
                   () -> {
                     if (!over[0] && alive.getAsBoolean()) {
@@ -229,7 +230,7 @@
         after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
         return;
       }
-      if (cuts.contains(way)) {
+      if (cutRoutes.contains(way)) {
         // A connection that stood before the cut carries the request late; a new one never does.
         boolean late = random.nextInt(3) == 0;
         after(
@@ -245,7 +246,7 @@
         after(1, () -> once.accept(AsyncHttpClient.Reply.NOT_SENT));
         return;
       }
-      if (refusals.contains(way)) {
+      if (rejectedRoutes.contains(way)) {
         after(5, () -> once.accept(AsyncHttpClient.Reply.answered(503, new byte[0])));
         return;
       }
@@ -253,21 +254,21 @@
       boolean late = lost && random.nextBoolean();
       boolean holds = held > 0 && random.nextDouble() < held;
       boolean there = holds && random.nextBoolean();
-      int back = holds && !there ? random.nextInt(LONGEST_HELD) : 0;
+      int back = holds && !there ? random.nextInt(MAX_DELAY_MILLIS) : 0;
       after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
       after(
           late
               ? random.nextInt(40_000)
-              : 1 + random.nextInt(8) + (there ? random.nextInt(LONGEST_HELD) : 0),
+              : 1 + random.nextInt(8) + (there ? random.nextInt(MAX_DELAY_MILLIS) : 0),
           () ->
               deliver(
                   request,
                   answer -> {
-                    if (!lost && !cuts.contains(way) && !deaf.contains(from)) {
+                    if (!lost && !cutRoutes.contains(way) && !deaf.contains(from)) {
                       after(
                           1 + random.nextInt(5) + back,
                           () ->
-                              unlessRefused(
+                              runWhenNotRejected(
                                   way,
                                   () ->
                                       once.accept(
@@ -281,7 +282,7 @@
   /**
    * Delivers a copy of a request later, to whoever is there by then; nobody waits for its answer.
    */
-  void deliverCopy(AsyncHttpClient.Request request, long millis) {
+  void deliverDuplicate(AsyncHttpClient.Request request, long millis) {
     after(millis, () -> deliver(request, answer -> {}));
   }
 
@@ -289,7 +290,7 @@
     AsyncHttpHandler server = servers.get(request.address());
     if (server != null) {
       byte[] body = request.body() == null ? new byte[0] : request.body();
-      on(
+      runWhenUnfrozen(
           host(request.address()),
           () -> {
             if (servers.get(request.address()) == server) {
@@ -298,7 +299,7 @@
                   request.path(),
                   body,
                   answer -> {
-                    traffic.answered(now(), request, answer);
+                    trafficObserver.onAnswer(now(), request, answer);
                     onAnswer.accept(answer);
                   });
             }
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -31,15 +31,15 @@
    * Since when each job has waited although it could run, and how many of its tasks were under way
    * then.
    */
-  private final Map<String, Instant> since = new HashMap<>();
+  private final Map<String, Instant> waitingSince = new HashMap<>();
 
-  private final Map<String, Integer> underWay = new HashMap<>();
+  private final Map<String, Integer> activeOrCompletedTasks = new HashMap<>();
 
   /** Where the tasks of a job are that have not exited, by their number. */
-  private final Map<String, Map<Integer, Worker>> places = new HashMap<>();
+  private final Map<String, Map<Integer, Worker>> workersByJob = new HashMap<>();
 
-  private final Map<Worker, Resources> free = new HashMap<>();
-  private final Map<String, Resources> usage = new HashMap<>();
+  private final Map<Worker, Resources> freeResources = new HashMap<>();
+  private final Map<String, Resources> usageByTeam = new HashMap<>();
 
   StarvationCheck(SimulatedWorld world, SafetyRules rules, FakeFleet fleet, List<Team> teams) {
     this.world = world;
@@ -52,16 +52,16 @@
     if (rules.calmSince == null) {
       return;
     }
-    look();
+    readFleet();
     for (SafetyRules.Known job : rules.jobs.values()) {
-      int now = job.completed.size() + places.getOrDefault(job.id, Map.of()).size();
-      boolean moves = underWay.getOrDefault(job.id, 0) < now;
-      underWay.put(job.id, now);
-      if (moves || !waits(job) || !couldRun(job)) {
-        since.remove(job.id);
+      int now = job.completedTasks.size() + workersByJob.getOrDefault(job.id, Map.of()).size();
+      boolean moves = activeOrCompletedTasks.getOrDefault(job.id, 0) < now;
+      activeOrCompletedTasks.put(job.id, now);
+      if (moves || !isWaiting(job) || !couldRun(job)) {
+        waitingSince.remove(job.id);
         continue;
       }
-      Instant first = since.computeIfAbsent(job.id, id -> world.now());
+      Instant first = waitingSince.computeIfAbsent(job.id, id -> world.now());
       if (first.plus(MOST).isBefore(world.now())) {
         throw new AssertionError(
             "starved at " + world.now() + ": " + job.id + " waits since " + first + " " + job.spec);
@@ -69,28 +69,28 @@
     }
   }
 
-  private void look() {
-    places.clear();
-    free.clear();
-    usage.clear();
+  private void readFleet() {
+    workersByJob.clear();
+    freeResources.clear();
+    usageByTeam.clear();
     for (Worker worker : fleet.machines.values()) {
-      Resources left = fleet.size(worker.type);
+      Resources left = fleet.machineResources(worker.type);
       for (Task task : worker.tasks.values()) {
         if (task.status.equals("ended")) {
           continue;
         }
         JsonNode spec = rules.jobs.get(task.job()).spec;
-        left = left.minus(each(spec));
-        usage.merge(spec.get("owner").asText(), each(spec), Resources::plus);
-        places.computeIfAbsent(task.job(), j -> new HashMap<>()).put(task.index(), worker);
+        left = left.minus(resourcesPerTask(spec));
+        usageByTeam.merge(spec.get("owner").asText(), resourcesPerTask(spec), Resources::plus);
+        workersByJob.computeIfAbsent(task.job(), j -> new HashMap<>()).put(task.index(), worker);
       }
-      if (worker.up && world.hears(SimulatedWorld.host(worker.address))) {
-        free.put(worker, left);
+      if (worker.up && world.isReachable(SimulatedWorld.host(worker.address))) {
+        freeResources.put(worker, left);
       }
     }
   }
 
-  static Resources each(JsonNode spec) {
+  static Resources resourcesPerTask(JsonNode spec) {
     return Resources.of(
         spec.get("vcpus").asDouble(),
         spec.get("cards").asDouble(),
@@ -101,15 +101,15 @@
    * It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a
    * machine.
    */
-  private boolean waits(SafetyRules.Known job) {
+  private boolean isWaiting(SafetyRules.Known job) {
     boolean wanted = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
     for (String id : job.prerequisites()) {
       SafetyRules.Known needed = rules.jobs.get(id);
       // A completion is seen, stored and told before what needs it can start.
       wanted &= needed.done;
     }
-    Map<Integer, Worker> there = places.getOrDefault(job.id, Map.of());
-    Set<Integer> known = new HashSet<>(job.completed);
+    Map<Integer, Worker> there = workersByJob.getOrDefault(job.id, Map.of());
+    Set<Integer> known = new HashSet<>(job.completedTasks);
     known.addAll(there.keySet());
     boolean gang = job.spec.get("shape").asText().equals("group");
     // What is left of a gang must be gone before it can start anew.
@@ -120,22 +120,22 @@
     JsonNode spec = job.spec;
     boolean gang = spec.get("shape").asText().equals("group");
     int wanted = gang ? job.tasks() : 1;
-    Resources each = each(spec);
+    Resources each = resourcesPerTask(spec);
     String owner = spec.get("owner").asText();
     Team team = teams.stream().filter(t -> t.name().equals(owner)).findFirst().orElseThrow();
-    Resources used = usage.getOrDefault(owner, Resources.ZERO);
+    Resources used = usageByTeam.getOrDefault(owner, Resources.ZERO);
     if (!team.allows(used.plus(each.times(wanted)))) {
       return false;
     }
     boolean together = spec.get("together").asBoolean();
     int most = spec.get("spread").asBoolean() ? (job.tasks() + 1) / 2 : Integer.MAX_VALUE;
     Map<String, Integer> inZone = new HashMap<>();
-    places
+    workersByJob
         .getOrDefault(job.id, Map.of())
         .values()
         .forEach(w -> inZone.merge(w.zone, 1, Integer::sum));
     Map<String, Long> room = new HashMap<>();
-    free.forEach(
+    freeResources.forEach(
         (worker, left) -> {
           boolean allowed =
               (!worker.spot || spec.get("loaners").asBoolean())
--- a/src/test/java/io/pineladder/sim/TrafficObserver.java
+++ b/src/test/java/io/pineladder/sim/TrafficObserver.java
@@ -13,15 +13,15 @@
   TrafficObserver NONE =
       new TrafficObserver() {
         @Override
-        public void sent(Instant time, String from, AsyncHttpClient.Request request) {}
+        public void onRequest(Instant time, String from, AsyncHttpClient.Request request) {}
 
         @Override
-        public void answered(Instant time, AsyncHttpClient.Request request, HttpResponse answer) {}
+        public void onAnswer(Instant time, AsyncHttpClient.Request request, HttpResponse answer) {}
       };
 
   /** A host sends a request, whether it arrives or not. */
-  void sent(Instant time, String from, AsyncHttpClient.Request request);
+  void onRequest(Instant time, String from, AsyncHttpClient.Request request);
 
   /** The handler at the request's address answers it, whether the answer arrives or not. */
-  void answered(Instant time, AsyncHttpClient.Request request, HttpResponse answer);
+  void onAnswer(Instant time, AsyncHttpClient.Request request, HttpResponse answer);
 }
