--- a/src/test/java/io/pineladder/sim/BehaviourDigest.java
+++ b/src/test/java/io/pineladder/sim/BehaviourDigest.java
@@ -27,33 +27,32 @@
 import java.util.function.Supplier;
 
 /**
- * Plays a fixed set of simulated scenarios and prints, for each, a SHA-256 of all that the
- * controllers send: each request (time, host, address, method, path, timeout, body) and each answer
- * (time, address, method, path, status, {@code Retry-After}, body), in order, and at the end one
- * over all scenarios. A change that is meant to leave the behaviour as it is must leave the digests
- * as they are. No class names, log lines or metrics are part of them.
+ * Runs a fixed set of simulated scenarios and prints for each a SHA-256 digest of all messages that
+ * the controllers send: each request (time, host, address, method, path, timeout, body) and each
+ * answer (time, address, method, path, status, {@code Retry-After}, body), in order. The last line
+ * is a digest over all scenarios. A change that is meant to preserve behaviour must not change the
+ * digests. Class names, log lines and metrics are not part of them.
  *
  * <p>Arguments: {@code --record DIR} writes the traffic of each scenario as text to a file in that
  * directory, so that two versions can be compared line by line; any other argument selects the
- * scenarios whose name begins with it. The scenarios check what the tests check that they are taken
- * from; the program ends with status 1 if one fails.
+ * scenarios whose name starts with it. The scenarios are test methods and include their assertions;
+ * the program exits with status 1 if one fails.
  *
- * <p>Random bytes of {@link java.security.SecureRandom}, which the encryption of subscribers'
- * secrets draws, are replaced by ones that follow a fixed seed; so all bodies can be part of the
- * digests. The iteration order of hash tables of enum constants differs between versions of the
- * program, and that of {@code Set.of} between processes. No digest was seen to depend on either:
- * runs with {@code -XX:hashCode=2} print the same as runs without.
+ * <p>{@link java.security.SecureRandom}, which the encryption of subscribers' secrets uses, is
+ * replaced by a generator with a fixed seed, so that all bodies are reproducible. The digests must
+ * not depend on the iteration order of hash tables, which can differ between versions and between
+ * processes; a run with {@code -XX:hashCode=2} must print the same.
  */
 final class BehaviourDigest {
-  /** Addresses of controllers, and of nothing else, begin so. */
+  /** Only addresses of controllers start with this. */
   private static final String CONTROLLER_ADDRESS_PREFIX = "10.0.0.";
 
-  /** What a scenario does with its cluster. */
+  /** Runs a scenario on a cluster. */
   private interface ScenarioBody<C extends SimulatedCluster> {
     void run(C cluster) throws Exception;
   }
 
-  /** A scenario that can be played once, watched by the observer. */
+  /** A named scenario; its traffic goes to the observer. */
   private record Scenario(String name, Runner runner) {
     private interface Runner {
       void run(TrafficObserver observer) throws Exception;
@@ -63,14 +62,14 @@
   private final List<Scenario> scenarios = new ArrayList<>();
 
   private <C extends SimulatedCluster> void add(
-      String name, Supplier<C> begin, ScenarioBody<C> play) {
+      String name, Supplier<C> newCluster, ScenarioBody<C> body) {
     scenarios.add(
         new Scenario(
             name,
             observer -> {
-              C cluster = begin.get();
+              C cluster = newCluster.get();
               cluster.trafficObserver = observer;
-              play.run(cluster);
+              body.run(cluster);
             }));
   }
 
@@ -226,7 +225,7 @@
         CascadingFaultsSimulationTest::aFleetComesThroughFaultsThatPileUp);
   }
 
-  /** Hashes what controllers send, and writes it down if it is given a writer. */
+  /** Hashes what controllers send, and also writes it as text if there is a writer. */
   private static final class Recorder implements TrafficObserver {
     private final MessageDigest digest = sha256();
     private final DataOutputStream out =
@@ -262,7 +261,7 @@
         Instant time,
         String from,
         AsyncHttpClient.Request request,
-        String more,
+        String detail,
         byte[] body) {
       byte[] bytes = body == null ? new byte[0] : body;
       String head =
@@ -274,7 +273,7 @@
               request.address(),
               request.method(),
               request.path(),
-              more);
+              detail);
       try {
         byte[] headBytes = head.getBytes(StandardCharsets.UTF_8);
         out.writeInt(headBytes.length);
@@ -299,7 +298,7 @@
     }
   }
 
-  /** Random bytes that follow a fixed seed, begun anew with each scenario. */
+  /** Random bytes from a fixed seed, which is reset before each scenario. */
   public static final class SeededRandom extends SecureRandomSpi {
     private static SplittableRandom random = new SplittableRandom(1);
 
@@ -323,7 +322,7 @@
     }
   }
 
-  /** Provides {@link SeededRandom} wherever a random generator of this process is secure. */
+  /** Makes {@link SeededRandom} the default implementation of secure random generators. */
   private static final class SeededProvider extends Provider {
     private static final long serialVersionUID = 1;
 
@@ -333,7 +332,7 @@
     }
   }
 
-  /** Plays the scenarios that the arguments select, all by default, and prints their digests. */
+  /** Runs the selected scenarios, all by default, and prints their digests. */
   public static void main(String[] arguments) throws IOException {
     Security.insertProviderAt(new SeededProvider(), 1);
     List<String> selected = new ArrayList<>(Arrays.asList(arguments));
@@ -343,28 +342,28 @@
       selected.remove(option);
       directory = Files.createDirectories(Path.of(selected.remove(option)));
     }
-    long begun = System.nanoTime();
+    long startNanos = System.nanoTime();
     MessageDigest total = sha256();
-    int played = 0;
+    int count = 0;
     int failed = 0;
     for (Scenario scenario : new BehaviourDigest().scenarios) {
       if (selected.isEmpty() || selected.stream().anyMatch(scenario.name()::startsWith)) {
-        played++;
+        count++;
         String line = run(scenario, directory);
         failed += line.endsWith("failed") ? 1 : 0;
         System.out.println(line);
         total.update((line + "\n").getBytes(StandardCharsets.UTF_8));
       }
     }
-    System.out.println(HexFormat.of().formatHex(total.digest()) + "  total of " + played);
-    System.err.println(Duration.ofNanos(System.nanoTime() - begun).toSeconds() + " s");
-    System.exit(failed == 0 && played > 0 ? 0 : 1);
+    System.out.println(HexFormat.of().formatHex(total.digest()) + "  total of " + count);
+    System.err.println(Duration.ofNanos(System.nanoTime() - startNanos).toSeconds() + " s");
+    System.exit(failed == 0 && count > 0 ? 0 : 1);
   }
 
   private static String run(Scenario scenario, Path directory) throws IOException {
     SeededRandom.reset();
-    long begun = System.nanoTime();
-    String end = "";
+    long startNanos = System.nanoTime();
+    String suffix = "";
     Recorder recorder;
     try (PrintWriter lines =
         directory == null
@@ -376,16 +375,17 @@
         scenario.runner().run(recorder);
       } catch (Exception | AssertionError e) {
         e.printStackTrace();
-        end = " failed";
+        suffix = " failed";
       }
     }
-    System.err.println(scenario.name() + " " + (System.nanoTime() - begun) / 1_000_000 + " ms");
+    System.err.println(
+        scenario.name() + " " + (System.nanoTime() - startNanos) / 1_000_000 + " ms");
     return String.format(
         "%s  %s  %d requests, %d answers%s",
         HexFormat.of().formatHex(recorder.digest.digest()),
         scenario.name(),
         recorder.requests,
         recorder.answers,
-        end);
+        suffix);
   }
 }
--- a/src/test/java/io/pineladder/sim/ConfigurableCluster.java
+++ b/src/test/java/io/pineladder/sim/ConfigurableCluster.java
@@ -9,21 +9,25 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** A simulated cluster in one of several shapes that deployments have. */
+/** A simulated cluster with one of several deployment layouts. */
 abstract class ConfigurableCluster extends SimulatedCluster {
-  /** What a deployment is like. */
+  /** The number of controllers, the zones and the timings of a deployment. */
   enum Layout {
+    /** Two controllers in two zones; otherwise like {@link #FLEET}. */
     PAIR(2, List.of("a", "b")),
-    /** As FLEET, all controllers in one zone. */
+    /** Like {@link #FLEET}, but in a single zone. */
     ONE_ZONE(3, List.of("a")),
-    /** Cards, reports every 3 s, leases of 20 s. */
+    /** Machines with GPUs, reports every 3 s, leases of 20 s. */
     FLEET(3, List.of("a", "b")),
-    /** No cards, two types of which one is not everywhere, reports every second, leases of 11 s. */
+    /**
+     * Two machine types without GPUs, one of which is missing in zone c; reports every second and
+     * leases of 11 s.
+     */
     SHORT(5, List.of("a", "b", "c"));
 
     final int nodes;
 
-    /** Made by {@link List#of}, so it never changes. */
+    /** Immutable. */
     @SuppressWarnings("ImmutableEnumChecker")
     final List<String> zones;
 
@@ -41,10 +45,10 @@
 
   @Override
   Settings settings(int index) {
-    Settings of = super.settings(0);
+    Settings defaults = super.settings(0);
     boolean fast = layout == Layout.SHORT;
-    Settings.StoreLimits inForce =
-        fast ? new Settings.StoreLimits(80, 30, 8192, 12) : of.currentStoreLimits();
+    Settings.StoreLimits storeLimits =
+        fast ? new Settings.StoreLimits(80, 30, 8192, 12) : defaults.currentStoreLimits();
     List<Settings.Peer> peers = new ArrayList<>();
     for (int i = 0; i < layout.nodes; i++) {
       if (i != index) {
@@ -57,11 +61,13 @@
         fronts.get(index),
         host(index) + ":8081",
         peers,
-        of.cloudAddress(),
-        of.storeAddress(),
+        defaults.cloudAddress(),
+        defaults.storeAddress(),
         layout.zones,
-        fast ? of.teams().stream().map(ConfigurableCluster::withCpuLimit).toList() : of.teams(),
-        of.objectives(),
+        fast
+            ? defaults.teams().stream().map(ConfigurableCluster::withCpuLimit).toList()
+            : defaults.teams(),
+        defaults.objectives(),
         fast
             ? new Settings.WorkerTimes(
                 Duration.ofSeconds(1),
@@ -69,20 +75,20 @@
                 Duration.ofSeconds(30),
                 Duration.ofSeconds(6),
                 Duration.ofSeconds(41))
-            : of.workerTimes(),
-        store(index, inForce),
-        inForce,
-        fast ? new Settings.CloudLimits(1.5, Duration.ofSeconds(8)) : of.cloudLimits(),
-        of.maxSockets(),
-        of.coreShare());
+            : defaults.workerTimes(),
+        store(index, storeLimits),
+        storeLimits,
+        fast ? new Settings.CloudLimits(1.5, Duration.ofSeconds(8)) : defaults.cloudLimits(),
+        defaults.maxSockets(),
+        defaults.coreShare());
   }
 
-  /** The limits of the state service that a controller keeps to. */
-  Settings.StoreLimits store(int index, Settings.StoreLimits inForce) {
-    return inForce;
+  /** The store limits in the settings of a controller. */
+  Settings.StoreLimits store(int index, Settings.StoreLimits current) {
+    return current;
   }
 
-  /** The team with its limit in processors, where there are no cards: as many tasks of two. */
+  /** The team with a CPU limit in place of its GPU limit: two CPUs for each GPU. */
   private static Team withCpuLimit(Team team) {
     return new Team(team.name(), Resources.ZERO, 2 * team.maxGpus(), 0);
   }
@@ -91,14 +97,14 @@
     return "10.0.0." + (node + 1);
   }
 
-  void begin(Layout of, long seed) {
-    layout = of;
-    fronts = IntStream.range(0, of.nodes).mapToObj(i -> host(i) + ":8080").toList();
+  void begin(Layout selected, long seed) {
+    layout = selected;
+    fronts = IntStream.range(0, selected.nodes).mapToObj(i -> host(i) + ":8080").toList();
     begin(seed);
-    if (of == Layout.SHORT) {
+    if (selected == Layout.SHORT) {
       fleet.types =
           List.of(
-              new FakeFleet.Type("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, of.zones),
+              new FakeFleet.Type("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, selected.zones),
               new FakeFleet.Type("large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
       fleet.leaseMillis = 11_000;
       fleet.reportMillis = 1_000;
@@ -111,29 +117,27 @@
     return layout == Layout.SHORT ? spec.put("cards", 0.0) : spec;
   }
 
-  /** The host that leads, or some other while none does. */
+  /** The host of the leader, or a random controller host while there is none. */
   String leading() {
     return store.value("lead/holder") == null
         ? host(world.random.nextInt(layout.nodes))
         : host(leader());
   }
 
-  /**
-   * Cuts the leader from the state service and the other controllers, not from workers or users.
-   */
+  /** Cuts the leader off from the store and the other controllers, not from workers or users. */
   void aloneFor(long millis) {
-    String alone = leading();
+    String isolated = leading();
     List<String> others = new ArrayList<>(List.of("10.2.0.1"));
-    nodes().stream().filter(node -> !node.equals(alone)).forEach(others::add);
-    cutFor(List.of(alone), others, millis);
+    nodes().stream().filter(node -> !node.equals(isolated)).forEach(others::add);
+    cutFor(List.of(isolated), others, millis);
   }
 
-  /** Neither side reaches the other, in both directions. */
-  void cutFor(List<String> some, List<String> others, long millis) {
-    for (String one : some) {
-      for (String other : others) {
-        world.cut(one, other);
-        world.after(millis, () -> world.heal(one, other));
+  /** Cuts all connections between two groups of hosts for some time. */
+  void cutFor(List<String> hosts, List<String> peers, long millis) {
+    for (String host : hosts) {
+      for (String peer : peers) {
+        world.cut(host, peer);
+        world.after(millis, () -> world.heal(host, peer));
       }
     }
   }
--- a/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
+++ b/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
@@ -24,8 +24,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Measures delivery through one controller process on loopback; not part of the tests. Arguments:
- * the subscribers, the ends, whether receivers are there from the start or only after all ends.
+ * Measures notification delivery by one controller process on the loopback interface; not part of
+ * the tests. Arguments: the number of subscriptions, the number of jobs that end, and {@code late}
+ * if the receiver should reject notifications until all jobs have ended.
  */
 final class DeliveryMeasurement {
   private static final String SECRET =
@@ -33,14 +34,15 @@
 
   private DeliveryMeasurement() {}
 
+  /** Runs the measurement and prints its results. */
   public static void main(String[] args) throws Exception {
     int subscribers = Integer.parseInt(args[0]);
-    int ends = Integer.parseInt(args[1]);
+    int endedJobs = Integer.parseInt(args[1]);
     boolean late = args[2].equals("late");
     Path folder = Files.createTempDirectory("measure");
     Files.writeString(folder.resolve("key"), Base64.getEncoder().encodeToString(new byte[32]));
-    AtomicLong taken = new AtomicLong();
-    boolean[] open = {!late};
+    AtomicLong received = new AtomicLong();
+    boolean[] accepting = {!late};
     Receiver receiver =
         new Receiver(
             List.of(WebhookSignature.secret(SECRET)),
@@ -55,7 +57,7 @@
               @Override
               public void apply(Event event) {
                 positions.put(event.source(), event.sequence());
-                taken.incrementAndGet();
+                received.incrementAndGet();
               }
 
               @Override
@@ -71,7 +73,7 @@
                         .getRequestReceiver()
                         .receiveFullBytes(
                             (ex, body) -> {
-                              if (!open[0]) {
+                              if (!accepting[0]) {
                                 ex.setStatusCode(503).endExchange();
                                 return;
                               }
@@ -91,20 +93,20 @@
       networks.putArray("networks").add("127.0.0.1");
       cluster.insist(true, "PUT", "/admin/v1/networks", networks);
       for (int i = 0; i < subscribers; i++) {
-        ObjectNode wanted = Json.object().put("url", "http://127.0.0.1:" + port + "/" + i);
-        wanted.putArray("secrets").add(SECRET);
-        cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, wanted);
+        ObjectNode subscription = Json.object().put("url", "http://127.0.0.1:" + port + "/" + i);
+        subscription.putArray("secrets").add(SECRET);
+        cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, subscription);
       }
       Map<String, Integer> before = cluster.read(() -> Map.copyOf(cluster.store.changes));
-      Duration processor = cpuTime(cluster);
-      Instant begun = Instant.now();
+      Duration startCpuTime = cpuTime(cluster);
+      Instant startedAt = Instant.now();
       AtomicInteger next = new AtomicInteger();
       ExecutorService users = Executors.newFixedThreadPool(16);
       for (int i = 0; i < 16; i++) {
         var unused =
             users.submit(
                 () -> {
-                  for (int n = next.getAndIncrement(); n < ends; n = next.getAndIncrement()) {
+                  for (int n = next.getAndIncrement(); n < endedJobs; n = next.getAndIncrement()) {
                     DeliveryProcessTest.end(cluster, n);
                   }
                   return null;
@@ -112,25 +114,30 @@
       }
       users.shutdown();
       users.awaitTermination(1, java.util.concurrent.TimeUnit.HOURS);
-      report("ended", ends, begun, processor, cluster);
-      Instant drain = Instant.now();
-      Duration processorThen = cpuTime(cluster);
+      report("ended", endedJobs, startedAt, startCpuTime, cluster);
+      Instant drainStartedAt = Instant.now();
+      Duration drainStartCpuTime = cpuTime(cluster);
       if (late) {
-        open[0] = true;
+        accepting[0] = true;
         for (int i = 0; i < subscribers; i++) {
-          String one = "/admin/v1/subscriptions/desk-" + i;
-          cluster.insist(true, "POST", one + "/pause", null);
-          cluster.insist(true, "POST", one + "/resume", null);
+          String path = "/admin/v1/subscriptions/desk-" + i;
+          cluster.insist(true, "POST", path + "/pause", null);
+          cluster.insist(true, "POST", path + "/resume", null);
         }
       }
-      long wanted = (long) ends * subscribers;
-      while (taken.get() < wanted) {
+      long expected = (long) endedJobs * subscribers;
+      while (received.get() < expected) {
         Thread.sleep(20);
       }
-      report("delivered after that", late ? wanted : ends, drain, processorThen, cluster);
-      report("all", late ? wanted : ends, begun, processor, cluster);
+      report(
+          "delivered after all jobs ended",
+          late ? expected : endedJobs,
+          drainStartedAt,
+          drainStartCpuTime,
+          cluster);
+      report("total", late ? expected : endedJobs, startedAt, startCpuTime, cluster);
       Map<String, Integer> after = cluster.read(() -> Map.copyOf(cluster.store.changes));
-      System.out.println("changes before " + before + ", after " + after);
+      System.out.println("store changes by prefix before " + before + ", after " + after);
       System.out.println(cluster.insist(true, "GET", "/admin/v1/metrics", null).get("notices"));
       System.out.println(
           "last errors: "
@@ -140,7 +147,7 @@
                   .stream()
                   .distinct()
                   .toList());
-      System.out.println("pages of jobs: " + cluster.read(() -> cluster.store.count("accepted/")));
+      System.out.println("job pages: " + cluster.read(() -> cluster.store.count("accepted/")));
     } finally {
       server.stop();
     }
@@ -151,11 +158,11 @@
   }
 
   private static void report(
-      String what, long count, Instant since, Duration processor, LoopbackCluster cluster) {
+      String phase, long count, Instant since, Duration startCpuTime, LoopbackCluster cluster) {
     double seconds = Duration.between(since, Instant.now()).toMillis() / 1e3;
-    double used = cpuTime(cluster).minus(processor).toMillis() / 1e3;
+    double used = cpuTime(cluster).minus(startCpuTime).toMillis() / 1e3;
     System.out.printf(
-        "%s: %d in %.1f s, %.0f a second; processor %.1f s, %.3f ms each%n",
-        what, count, seconds, count / seconds, used, used * 1e3 / count);
+        "%s: %d in %.1f s, %.0f per second; CPU time %.1f s, %.3f ms each%n",
+        phase, count, seconds, count / seconds, used, used * 1e3 / count);
   }
 }
--- a/src/test/java/io/pineladder/sim/FakeFleet.java
+++ b/src/test/java/io/pineladder/sim/FakeFleet.java
@@ -18,13 +18,13 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The cloud and the workers on its machines, from their protocols, watched by the rules. */
+/** A fake cloud provider and the workers on its machines; task events go to a watcher. */
 final class FakeFleet implements AsyncHttpHandler {
   static final String ADDRESS = "10.2.0.2:8443";
   private static final int DEFAULT_ZONE_CAPACITY = 12;
   private static final int PAGE_SIZE = 500;
 
-  /** A worker drops responses that take longer. */
+  /** Workers ignore answers to reports that take longer than this. */
   private static final long RESPONSE_TIMEOUT_MILLIS = 4_000;
 
   private final SimulatedWorld world;
@@ -35,15 +35,15 @@
   private int lastMachineNumber;
   boolean outage;
 
-  /** Machines of one zone at most. */
+  /** The maximum number of machines in each zone. */
   int capacity = DEFAULT_ZONE_CAPACITY;
 
-  /** How long a worker's lease lasts, and about how long it is between two of its reports. */
   long leaseMillis = 20_000;
 
+  /** The mean interval between two reports of a worker. */
   long reportMillis = 3_000;
 
-  /** A machine's type. */
+  /** A machine type with its prices, image download rate and typical boot time. */
   record Type(
       String name,
       double cpus,
@@ -57,35 +57,35 @@
 
   List<Type> types = List.of(new Type("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
 
-  /** What a machine of this type has. */
+  /** The total resources of a machine of this type. */
   Resources machineResources(String type) {
-    Type of = types.stream().filter(t -> t.name.equals(type)).findFirst().orElseThrow();
-    return Resources.of(of.cpus, of.gpus, of.gb);
+    Type found = types.stream().filter(t -> t.name.equals(type)).findFirst().orElseThrow();
+    return Resources.of(found.cpus, found.gpus, found.gb);
   }
 
-  /** The part of reports of which a copy comes late, up to three leases, at any controller. */
+  /** The fraction of reports of which a random controller gets a copy, up to three leases late. */
   double copies;
 
-  /** Reports are sent as soon as a task has exited too, and not only from time to time. */
+  /** Whether a worker also sends a report as soon as a task has exited. */
   boolean reportsChanges;
 
-  /** Copies of such reports are kept until {@link #deliverKept}. */
+  /** Whether duplicated reports are held back until {@link #deliverKept}. */
   boolean keepsCopies;
 
   private final List<byte[]> retainedReports = new ArrayList<>();
 
-  /** Machines are up within two seconds. */
+  /** Whether machines boot within two seconds. */
   boolean quickBoots;
 
-  /** Tasks that ended with their worker's lease. */
+  /** How many tasks ended because their worker's lease expired. */
   int endedByLease;
 
-  /** One of so many tasks that are no gang's fails; 0 for none. */
+  /** One in this many tasks outside of gangs fails; 0 for none. */
   int failsOneOf = 40;
 
-  /** Where workers run that this stand-in rents out and does not run itself; null for none. */
+  /** Runs the workers of rented machines elsewhere, such as in processes of their own. */
   interface Launcher {
-    /** Where a worker with this number is reached. */
+    /** The address of the worker with this number. */
     String address(int number);
 
     void boot(Worker worker);
@@ -93,9 +93,10 @@
     void end(Worker worker);
   }
 
+  /** Runs the workers; if null, they run in this process. */
   Launcher launcher;
 
-  /** Half of the machines come up late or never. */
+  /** Whether half of the machines boot late or never. */
   boolean unreliableBoots;
 
   FakeFleet(SimulatedWorld world, TaskWatcher rules, List<String> controllers) {
@@ -164,8 +165,8 @@
     }
     String zone = request.get("yard").asText();
     boolean spot = request.get("loaners").asBoolean();
-    long there = machines.values().stream().filter(w -> w.zone.equals(zone)).count();
-    int count = (int) Math.min(request.get("count").asInt(), capacity - there);
+    long inZone = machines.values().stream().filter(w -> w.zone.equals(zone)).count();
+    int count = (int) Math.min(request.get("count").asInt(), capacity - inZone);
     if (count <= 0) {
       return new HttpResponse(503, Json.bytes(Json.object().put("error", "no capacity")));
     }
@@ -182,15 +183,15 @@
     String name = String.format("m-%06d", ++lastMachineNumber);
     Worker worker = new Worker(name, nextAddress(), type, zone, spot);
     machines.put(name, worker);
-    // Some come up at once, some take several times as long, and a few never come.
     if (quickBoots) {
       world.after(world.random.nextInt(2_000), worker::boot);
       return name;
     }
-    int luck = world.random.nextInt(unreliableBoots ? 4 : 20);
-    long late = luck == 0 ? 40_000 : luck == 1 ? 0 : 5_000;
-    if (luck != 2) {
-      world.after(late + world.random.nextInt(10_000), worker::boot);
+    // Some machines boot early, some late, and some never.
+    int outcome = world.random.nextInt(unreliableBoots ? 4 : 20);
+    long delayMillis = outcome == 0 ? 40_000 : outcome == 1 ? 0 : 5_000;
+    if (outcome != 2) {
+      world.after(delayMillis + world.random.nextInt(10_000), worker::boot);
     }
     return name;
   }
@@ -201,14 +202,14 @@
         : launcher.address(lastMachineNumber);
   }
 
-  /** A worker that another process rents out and this one runs. */
+  /** Runs the worker of a machine that another process has rented out. */
   void run(String name, String address, String type, String zone, boolean spot) {
     Worker worker = new Worker(name, address, type, zone, spot);
     machines.put(name, worker);
     worker.boot();
   }
 
-  /** Ordinary machines that are up from the start. */
+  /** Adds on-demand machines that boot within three seconds. */
   void addUp(int count) {
     List<String> zones = types.get(0).zones;
     for (int i = 0; i < count; i++) {
@@ -221,8 +222,8 @@
   }
 
   private ObjectNode listMachines(String path) {
-    int at = path.indexOf("since=");
-    String since = at < 0 ? "" : path.substring(at + "since=".length());
+    int start = path.indexOf("since=");
+    String since = start < 0 ? "" : path.substring(start + "since=".length());
     ObjectNode out = Json.object();
     ArrayNode hosts = out.putArray("hosts");
     for (Worker worker : machines.tailMap(since, false).values()) {
@@ -239,16 +240,18 @@
           .put("status", worker.up ? "running" : "booting")
           .put("age_s", 20.0);
     }
-    boolean more = hosts.size() == PAGE_SIZE;
-    return out.put("truncated", more);
+    boolean truncated = hosts.size() == PAGE_SIZE;
+    return out.put("truncated", truncated);
   }
 
-  /** One task on a worker. */
+  /** An attempt of a task on a worker. */
   static final class Task {
     final String piece;
     final long attempt;
     String status = "fetching";
     String exitCause;
+
+    /** Whether the image has been fetched and the task has not exited. */
     boolean there;
 
     Task(String piece, long attempt) {
@@ -265,7 +268,7 @@
     }
   }
 
-  /** A machine with its worker. */
+  /** A machine and the worker on it. */
   final class Worker implements AsyncHttpHandler {
     final String name;
     final String address;
@@ -308,7 +311,7 @@
       checkLease();
     }
 
-    /** The machine is gone, and everything on it. */
+    /** Terminates the machine and all tasks on it. */
     void end() {
       ended = true;
       up = false;
@@ -374,17 +377,17 @@
       if (ended) {
         return;
       }
-      long round = ++reportNumber;
+      long number = ++reportNumber;
       reportInFlight = true;
-      long sentSession = epoch;
+      long sentEpoch = epoch;
       long sentMillis = world.now().toEpochMilli();
       byte[] body = Json.bytes(buildReport());
       if (keepsCopies && world.random.nextDouble() < copies) {
         retainedReports.add(body);
       } else if (copies > 0 && world.random.nextDouble() < copies) {
-        String where = controllers.get(world.random.nextInt(controllers.size()));
+        String target = controllers.get(world.random.nextInt(controllers.size()));
         world.deliverDuplicate(
-            AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
+            AsyncHttpClient.Request.post(target, "/v1/report", body, Duration.ofSeconds(4)),
             1_000 + world.random.nextLong(3 * leaseMillis));
       }
       AsyncHttpClient caller = world.caller(SimulatedWorld.host(address), () -> !ended);
@@ -392,22 +395,22 @@
           AsyncHttpClient.Request.post(
               controllers.get(controllerIndex), "/v1/report", body, Duration.ofSeconds(4)),
           reply -> {
-            if (round == reportNumber) {
+            if (number == reportNumber) {
               reportInFlight = false;
-              onReply(reply, sentSession, sentMillis);
+              onReply(reply, sentEpoch, sentMillis);
             }
           });
     }
 
-    private void onReply(AsyncHttpClient.Reply reply, long sentSession, long sentMillis) {
+    private void onReply(AsyncHttpClient.Reply reply, long sentEpoch, long sentMillis) {
       try {
         if (reply.is(200)) {
           ObjectNode response = Json.parseObject(reply.body());
-          long given = response.get("baton").asLong();
-          boolean higher = given > fencingToken;
+          long receivedToken = response.get("baton").asLong();
+          boolean higher = receivedToken > fencingToken;
           boolean late = world.now().toEpochMilli() - sentMillis > RESPONSE_TIMEOUT_MILLIS;
-          if (given >= fencingToken && sentSession == epoch && !late) {
-            fencingToken = given;
+          if (receivedToken >= fencingToken && sentEpoch == epoch && !late) {
+            fencingToken = receivedToken;
             leaseRenewedAtMillis = sentMillis;
             execute(response.get("orders"));
           }
@@ -428,13 +431,13 @@
       scheduleReport(1_000);
     }
 
-    /** Sends the next report, unless another one has been sent by then. */
+    /** Sends a report after the delay, unless another one was sent in the meantime. */
     private void scheduleReport(long millis) {
-      long round = reportNumber;
+      long number = reportNumber;
       world.after(
           millis,
           () -> {
-            if (round == reportNumber) {
+            if (number == reportNumber) {
               sendReport();
             }
           });
@@ -442,14 +445,14 @@
 
     private void execute(JsonNode orders) {
       for (JsonNode order : orders) {
-        String piece = order.get("piece").asText();
+        String taskId = order.get("piece").asText();
         long attempt = order.get("try").asLong();
-        String key = piece + "#" + attempt;
+        String key = taskId + "#" + attempt;
         Task task = tasks.get(key);
         switch (order.get("verb").asText()) {
           case "start" -> {
             if (task == null) {
-              startFetch(key, new Task(piece, attempt));
+              startFetch(key, new Task(taskId, attempt));
             }
           }
           case "kill" -> {
@@ -520,10 +523,10 @@
       task.exitCause = cause;
       notifyLeft(task);
       if (reportsChanges && !exitReportScheduled) {
-        // A change is told at once, though not more often than every half second.
+        // Reports the exit at once, but at least 500 ms after the last answered report was sent.
         exitReportScheduled = true;
-        long last = leaseRenewedAtMillis;
-        long wait = Math.max(0, last + 500 - world.now().toEpochMilli());
+        long lastReportMillis = leaseRenewedAtMillis;
+        long wait = Math.max(0, lastReportMillis + 500 - world.now().toEpochMilli());
         world.after(wait, this::sendExitReport);
       }
     }
@@ -540,20 +543,20 @@
     public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
       try {
         ObjectNode request = Json.parseObject(body);
-        long given = request.get("baton").asLong();
-        boolean good = given >= fencingToken && request.get("shift").asLong() == epoch;
-        if (good) {
-          fencingToken = given;
+        long receivedToken = request.get("baton").asLong();
+        boolean accepted = receivedToken >= fencingToken && request.get("shift").asLong() == epoch;
+        if (accepted) {
+          fencingToken = receivedToken;
           execute(request.get("orders"));
         }
-        answer.accept(new HttpResponse(good ? 200 : 409, Json.bytes(buildReport())));
+        answer.accept(new HttpResponse(accepted ? 200 : 409, Json.bytes(buildReport())));
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
   }
 
-  /** The machines that have anything of a job that has not exited, wherever its image is. */
+  /** The names of machines with a task of the job that has not exited, even one still fetching. */
   List<String> holding(String job) {
     return machines.values().stream()
         .filter(
@@ -564,19 +567,19 @@
         .toList();
   }
 
-  /** What was kept arrives at every controller, each copy some time within two leases from now. */
+  /** Delivers the retained reports to every controller, at random times within two leases. */
   void deliverKept() {
     for (byte[] body : retainedReports) {
-      for (String where : controllers) {
+      for (String controller : controllers) {
         world.deliverDuplicate(
-            AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
+            AsyncHttpClient.Request.post(controller, "/v1/report", body, Duration.ofSeconds(4)),
             world.random.nextInt(2) == 0 ? 0 : world.random.nextLong(2 * leaseMillis));
       }
     }
     retainedReports.clear();
   }
 
-  /** A machine dies, and everything on it. */
+  /** Removes the machine without notice to any controller. */
   void die(Worker worker) {
     machines.remove(worker.name);
     worker.end();
--- a/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
+++ b/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
@@ -20,7 +20,7 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
-/** The state service, from its protocol: keys, transactions, leases, watches, outages. */
+/** An in-memory key-value store with transactions, leases, watches and injected faults. */
 final class FakeKeyValueStore implements AsyncHttpHandler {
   private record Value(JsonNode value, long version, long leaseId) {}
 
@@ -33,7 +33,6 @@
     final String prefix;
     final Consumer<HttpResponse> answer;
 
-    /** The first entry of the log that it has not been looked at for. */
     int nextLogIndex;
 
     boolean answered;
@@ -49,10 +48,12 @@
   private int maxTxnOps;
   private int maxValueBytes;
 
-  /** The limits were lowered, and nobody was told when. */
+  /**
+   * Whether limits were lowered; oversized values are then rejected instead of failing the test.
+   */
   private boolean limitsLowered;
 
-  /** Transactions refused because they hold more than the lowered limits allow. */
+  /** Transactions rejected because a value exceeds the lowered limit. */
   int tooLarge;
 
   private final TreeMap<String, Value> keys = new TreeMap<>();
@@ -63,53 +64,52 @@
   private long lastLeaseId;
   boolean outage;
 
-  /** The part of transactions that get no answer and are carried out 2 to 12 s later. */
+  /** The fraction of transactions that get no answer and are executed 2 to 12 s late. */
   double lateWrites;
 
-  /** The part of transactions that are carried out at once and get no answer. */
+  /** The fraction of transactions that are executed at once but get no answer. */
   double unanswered;
 
-  /** So carried out, by the kinds of keys they change. */
+  /** Successful transactions without an answer, by the key prefixes they change. */
   final Map<String, Integer> unansweredKinds = new TreeMap<>();
 
-  /** Told of each key that has changed. */
+  /** Called with each key that a transaction has changed. */
   Consumer<String> onChange = key -> {};
 
-  /** Of each transaction a copy is carried out 2 to 12 s later, if it still can be. */
+  /** Whether each successful transaction is executed a second time 2 to 12 s later. */
   boolean repeats;
 
-  /** Copies carried out, by the kinds of keys they change; and those of them that had effect. */
+  /** Transactions executed a second time, by the key prefixes they change. */
   final Map<String, Integer> repeated = new TreeMap<>();
 
+  /** Those of them that succeeded the second time. */
   final Map<String, Integer> repeatedWithEffect = new TreeMap<>();
 
-  /**
-   * Requests and changes a second that are served, with bursts of a second's worth; the rest gets
-   * 429.
-   */
+  /** Limits the rate of requests, if set; requests over a limit are answered with 429. */
   TokenBucket requestLimit;
 
+  /** Limits the rate of changes in transactions; set together with the limit on requests. */
   TokenBucket changeLimit;
 
-  /** Requests that were over a limit. */
+  /** Requests answered with 429. */
   int overLimit;
 
-  /** Entries of a listing in one answer: few, so that reading on is part of every test. */
+  /** Maximum entries in one page of a listing; small, so that every test reads several pages. */
   int pageEntries = 20;
 
-  /** Changes that are kept for those who follow; by the protocol 10,000. */
+  /** How many changes are kept for watches when the log is compacted; 10,000 in the protocol. */
   int mostLogged = Integer.MAX_VALUE;
 
-  /** The revision up to which changes are no longer kept. */
+  /** The revision up to which the log was compacted. */
   private long compactedRevision;
 
-  /** Answers take up to so long. */
+  /** Answers are delayed at random by less than this; 0 for no delay. */
   int slowMillis;
 
-  /** Puts and deletes so far, by the first part of their keys. */
+  /** Puts and deletes so far, by key prefix. */
   final Map<String, Integer> changes = new HashMap<>();
 
-  /** Requests so far, refused ones included. */
+  /** Requests so far, including rejected ones. */
   int requests;
 
   FakeKeyValueStore(SimulatedWorld world, int txnOps, int valueBytes) {
@@ -119,7 +119,7 @@
     expireLeases();
   }
 
-  /** From here on less is allowed; what is stored stays. */
+  /** Lowers the limits from now on; stored values are kept. */
   void lower(int nextTxnOps, int nextValueBytes, double changesPerSecond) {
     limitsLowered = true;
     maxTxnOps = nextTxnOps;
@@ -128,18 +128,18 @@
     changeLimit = new TokenBucket(changesPerSecond, changesPerSecond, world.now());
   }
 
-  /** The keys of values that are larger than they may be now. */
+  /** The keys of stored values that exceed the current size limit. */
   List<String> largeValues() {
     return keys.entrySet().stream()
-        .filter(each -> Json.bytes(each.getValue().value).length > maxValueBytes)
+        .filter(entry -> Json.bytes(entry.getValue().value).length > maxValueBytes)
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  /** What stands before the keys of the generation that counts. */
+  /** The key prefix of the current generation. */
   String space() {
-    Value named = keys.get("generation/current");
-    return named == null ? "" : "g" + named.value.get("base").asLong() + "/";
+    Value current = keys.get("generation/current");
+    return current == null ? "" : "g" + current.value.get("base").asLong() + "/";
   }
 
   JsonNode value(String key) {
@@ -148,14 +148,14 @@
   }
 
   int count(String prefix) {
-    String within = space() + prefix;
-    return (int) keys.keySet().stream().filter(k -> k.startsWith(within)).count();
+    String fullPrefix = space() + prefix;
+    return (int) keys.keySet().stream().filter(k -> k.startsWith(fullPrefix)).count();
   }
 
-  /** Whether a placement of this start is stored. */
+  /** Whether the placement of this task attempt on this machine is stored. */
   boolean hasPlacement(String machine, String piece, long attempt) {
-    String within = space() + "placed/";
-    for (Value page : keys.subMap(within, within + Character.MAX_VALUE).values()) {
+    String pagePrefix = space() + "placed/";
+    for (Value page : keys.subMap(pagePrefix, pagePrefix + Character.MAX_VALUE).values()) {
       for (JsonNode entry : page.value.path("entries")) {
         if (entry.get(0).asText().equals(machine)
             && (entry.get(5).asText() + "/" + entry.get(6).asText()).equals(piece)
@@ -167,24 +167,24 @@
     return false;
   }
 
-  /** How many keys are none of the generation that counts. */
+  /** How many keys do not belong to the current generation. */
   int outside() {
-    String space = space();
-    return (int) keys.keySet().stream().filter(k -> !k.startsWith(space)).count();
+    String prefix = space();
+    return (int) keys.keySet().stream().filter(k -> !k.startsWith(prefix)).count();
   }
 
-  /** Backups that were made of the keys, by their time, the latest last. */
+  /** Backups, oldest first. */
   private final List<Backup> backups = new ArrayList<>();
 
   private record Backup(Instant takenAt, TreeMap<String, Value> keys, long revision) {}
 
-  /** Makes a backup now and every second from now on. */
+  /** Takes a backup now and every second from now on. */
   void backUp() {
     backups.add(new Backup(world.now(), new TreeMap<>(keys), revision));
     world.after(1_000, this::backUp);
   }
 
-  /** As if set up anew: nothing is left, and revisions and leases are numbered from the start. */
+  /** Deletes all data and restarts revisions and lease numbers, as in a new installation. */
   void loseEverything() {
     keys.clear();
     leases.clear();
@@ -194,12 +194,16 @@
     lastLeaseId = 0;
   }
 
-  /** A backup takes the place of what is stored; leases are gone with their keys, or come back. */
+  /**
+   * Replaces all data by the newest backup of at least this age.
+   *
+   * @param withLeases whether leases are renewed; otherwise they are dropped with their keys
+   */
   void restore(Duration age, boolean withLeases) {
-    Instant wanted = world.now().minus(age);
+    Instant latest = world.now().minus(age);
     Backup found = backups.get(0);
     for (Backup each : backups) {
-      found = each.takenAt.isAfter(wanted) ? found : each;
+      found = each.takenAt.isAfter(latest) ? found : each;
     }
     keys.clear();
     keys.putAll(found.keys);
@@ -215,30 +219,30 @@
     }
   }
 
-  /** Keys with this prefix are gone, and nothing tells of it. */
+  /** Deletes all keys with this prefix without any change event. */
   void losePrefix(String prefix) {
-    String within = space() + prefix;
-    keys.keySet().removeIf(key -> key.startsWith(within));
+    String fullPrefix = space() + prefix;
+    keys.keySet().removeIf(key -> key.startsWith(fullPrefix));
   }
 
-  /** One value with this prefix cannot be read any more; its revision is as before. */
+  /** Makes one random value with this prefix unreadable without changing its revision. */
   void damage(String prefix) {
-    String within = space() + prefix;
-    List<String> there = keys.keySet().stream().filter(k -> k.startsWith(within)).toList();
-    if (!there.isEmpty()) {
-      String key = there.get(world.random.nextInt(there.size()));
+    String fullPrefix = space() + prefix;
+    List<String> candidates = keys.keySet().stream().filter(k -> k.startsWith(fullPrefix)).toList();
+    if (!candidates.isEmpty()) {
+      String key = candidates.get(world.random.nextInt(candidates.size()));
       Value old = keys.get(key);
       keys.put(key, new Value(Json.object().put("entries", "?"), old.version, old.leaseId));
     }
   }
 
-  /** The final states that are stored, by job. */
+  /** The stored final states by job ID. */
   Map<String, String> ends() {
     Map<String, String> found = new TreeMap<>();
-    String space = space();
+    String prefix = space();
     keys.forEach(
-        (whole, value) -> {
-          String key = withoutPrefix(whole, space);
+        (fullKey, value) -> {
+          String key = withoutPrefix(fullKey, prefix);
           if (key.startsWith("end/")) {
             found.put(key.substring("end/".length()), value.value.toString());
           }
@@ -246,13 +250,13 @@
     return found;
   }
 
-  /** The ids of all jobs that a leader would take up, in pages or with a record of their own. */
+  /** The IDs of all jobs that a new leader would load, from pages and from single records. */
   Set<String> jobs() {
     Set<String> found = new TreeSet<>();
-    String space = space();
+    String prefix = space();
     keys.forEach(
-        (whole, value) -> {
-          String key = withoutPrefix(whole, space);
+        (fullKey, value) -> {
+          String key = withoutPrefix(fullKey, prefix);
           if (key.startsWith("job/")) {
             found.add(key.substring("job/".length()));
           } else if (key.startsWith("accepted/")) {
@@ -262,11 +266,12 @@
     return found;
   }
 
-  private static String withoutPrefix(String key, String space) {
-    return key.startsWith(space) ? key.substring(space.length()) : "";
+  /** The key without the prefix, or empty if it does not start with it. */
+  private static String withoutPrefix(String key, String prefix) {
+    return key.startsWith(prefix) ? key.substring(prefix.length()) : "";
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Ends an outage and renews all leases. */
   void endOutage() {
     outage = false;
     leases.values().forEach(l -> l.expiresAt = world.now().plusMillis(l.ttlMillis));
@@ -308,9 +313,9 @@
 
   private static Map<String, String> queryParameters(String path) {
     Map<String, String> found = new HashMap<>();
-    for (String part : path.substring(path.indexOf('?') + 1).split("&", 0)) {
-      int is = part.indexOf('=');
-      found.put(part.substring(0, is), part.substring(is + 1));
+    for (String parameter : path.substring(path.indexOf('?') + 1).split("&", 0)) {
+      int separator = parameter.indexOf('=');
+      found.put(parameter.substring(0, separator), parameter.substring(separator + 1));
     }
     return found;
   }
@@ -340,16 +345,17 @@
           && world.random.nextDouble() < unanswered) {
         ObjectNode txn = Json.parseObject(body);
         if (executeTransaction(txn).status() == 200) {
-          changedPrefixes(txn).forEach(kind -> unansweredKinds.merge(kind, 1, Integer::sum));
+          changedPrefixes(txn).forEach(prefix -> unansweredKinds.merge(prefix, 1, Integer::sum));
         }
       } else if (slowMillis > 0) {
-        HttpResponse given = execute(method, path, body);
-        world.after(world.random.nextInt(slowMillis), () -> answer.accept(given));
+        HttpResponse response = execute(method, path, body);
+        world.after(world.random.nextInt(slowMillis), () -> answer.accept(response));
       } else {
         answer.accept(execute(method, path, body));
       }
     } catch (MalformedMessageException e) {
-      throw new AssertionError("the store was sent " + new String(body, StandardCharsets.UTF_8), e);
+      throw new AssertionError(
+          "malformed request to the store: " + new String(body, StandardCharsets.UTF_8), e);
     }
   }
 
@@ -358,21 +364,21 @@
       return false;
     }
     Instant now = world.now();
-    int changing = 0;
+    int changeCount = 0;
     try {
-      changing = path.equals("/multi") ? Json.parseObject(body).get("apply").size() : 0;
+      changeCount = path.equals("/multi") ? Json.parseObject(body).get("apply").size() : 0;
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
-    if (requestLimit.available(now) < 1 || changeLimit.available(now) < changing) {
+    if (requestLimit.available(now) < 1 || changeLimit.available(now) < changeCount) {
       return true;
     }
     requestLimit.consume(1, now);
-    changeLimit.consume(changing, now);
+    changeLimit.consume(changeCount, now);
     return false;
   }
 
-  /** Carries something out 2 to 12 s later, once the service works. */
+  /** Runs the action 2 to 12 s later, and not during an outage. */
   private void runDelayed(Runnable action) {
     world.after(2_000 + world.random.nextInt(10_000), () -> runWhenAvailable(action));
   }
@@ -386,21 +392,21 @@
   }
 
   private Set<String> changedPrefixes(ObjectNode txn) {
-    TreeSet<String> kinds = new TreeSet<>();
+    TreeSet<String> prefixes = new TreeSet<>();
     for (JsonNode change : txn.get("apply")) {
       boolean remove = change.has("remove");
       String key = withoutPrefix(change.get(remove ? "remove" : "write").asText(), space());
-      kinds.add((remove ? "-" : "") + key.substring(0, key.indexOf('/') + 1));
+      prefixes.add((remove ? "-" : "") + key.substring(0, key.indexOf('/') + 1));
     }
-    return kinds;
+    return prefixes;
   }
 
   private void replay(ObjectNode txn) {
-    boolean effect = executeTransaction(txn).status() == 200;
-    for (String kind : changedPrefixes(txn)) {
-      repeated.merge(kind, 1, Integer::sum);
-      if (effect) {
-        repeatedWithEffect.merge(kind, 1, Integer::sum);
+    boolean succeeded = executeTransaction(txn).status() == 200;
+    for (String prefix : changedPrefixes(txn)) {
+      repeated.merge(prefix, 1, Integer::sum);
+      if (succeeded) {
+        repeatedWithEffect.merge(prefix, 1, Integer::sum);
       }
     }
   }
@@ -420,11 +426,11 @@
     }
     if (path.equals("/multi")) {
       ObjectNode txn = Json.parseObject(body);
-      HttpResponse given = executeTransaction(txn);
-      if (repeats && given.status() == 200 && !txn.get("apply").isEmpty()) {
+      HttpResponse response = executeTransaction(txn);
+      if (repeats && response.status() == 200 && !txn.get("apply").isEmpty()) {
         runDelayed(() -> replay(txn));
       }
-      return given;
+      return response;
     }
     if (path.equals("/holds")) {
       Lease lease = new Lease();
@@ -458,33 +464,33 @@
   private HttpResponse list(Map<String, String> query) {
     ObjectNode out = Json.object().put("epoch", revision);
     ArrayNode entries = out.putArray("entries");
-    boolean more = false;
+    boolean truncated = false;
     String prefix = query.get("prefix");
     String since = query.getOrDefault("since", "");
-    // Keys are in order, so those with the prefix stand together.
-    boolean inside = since.compareTo(prefix) > 0;
-    for (var found : keys.tailMap(inside ? since : prefix, !inside).entrySet()) {
+    // The map is sorted, so keys with the same prefix are adjacent.
+    boolean startsInside = since.compareTo(prefix) > 0;
+    for (var found : keys.tailMap(startsInside ? since : prefix, !startsInside).entrySet()) {
       if (!found.getKey().startsWith(prefix)) {
         break;
       }
       if (entries.size() == pageEntries) {
-        more = true;
+        truncated = true;
         break;
       }
       entries.add(entry(found.getKey(), found.getValue()));
     }
-    return answer(200, out.put("truncated", more));
+    return answer(200, out.put("truncated", truncated));
   }
 
   private HttpResponse executeTransaction(ObjectNode txn) {
     JsonNode changes = txn.get("apply");
     if (changes.size() > maxTxnOps || txn.get("if").size() > 4 * maxTxnOps) {
-      throw new AssertionError("a transaction is too large: " + txn);
+      throw new AssertionError("transaction has too many operations or conditions: " + txn);
     }
     for (JsonNode change : changes) {
       if (change.has("v") && Json.bytes(change.get("v")).length > maxValueBytes) {
         if (!limitsLowered) {
-          throw new AssertionError("the value of " + change.get("write") + " is too large");
+          throw new AssertionError("value of " + change.get("write") + " exceeds the size limit");
         }
         tooLarge++;
         return answer(400, Json.object().put("error", "too large"));
@@ -552,10 +558,10 @@
 
   private void compactLog() {
     if (changeLog.size() > 2L * mostLogged) {
-      int over = changeLog.size() - mostLogged;
-      compactedRevision = changeLog.get(over - 1).get("stamp").asLong();
-      changeLog.subList(0, over).clear();
-      watches.forEach(watch -> watch.nextLogIndex = Math.max(0, watch.nextLogIndex - over));
+      int excess = changeLog.size() - mostLogged;
+      compactedRevision = changeLog.get(excess - 1).get("stamp").asLong();
+      changeLog.subList(0, excess).clear();
+      watches.forEach(watch -> watch.nextLogIndex = Math.max(0, watch.nextLogIndex - excess));
     }
   }
 
@@ -564,8 +570,8 @@
     List.copyOf(watches).forEach(w -> answerIfReady(w, false));
   }
 
-  private void answerIfReady(Watch watch, boolean last) {
-    if (watch.answered || (outage && !last)) {
+  private void answerIfReady(Watch watch, boolean timedOut) {
+    if (watch.answered || (outage && !timedOut)) {
       return;
     }
     ObjectNode out = Json.object().put("epoch", revision);
@@ -577,7 +583,7 @@
         events.add(event);
       }
     }
-    if (last || !events.isEmpty()) {
+    if (timedOut || !events.isEmpty()) {
       watch.answered = true;
       watches.remove(watch);
       watch.answer.accept(answer(200, out));
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -25,25 +25,25 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/**
- * A receiver in virtual time that is killed at random points and keeps what it has made durable.
- */
+/** A notification receiver in virtual time that crashes at random and keeps its durable state. */
 class FakeReceiver implements AsyncHttpHandler, NotificationStore {
   private final SimulatedWorld world;
   private Receiver receiver;
 
-  /** What happened here, in order: the effect. */
+  /** The events that were applied, in order. */
   final List<Event> effects = new ArrayList<>();
 
   private final Map<String, Long> positions = new HashMap<>();
 
-  /** The part of requests at which it is killed, or answers with trouble. */
+  /**
+   * Scales the fault probabilities. Each of these has a quarter of it: a crash before the event is
+   * applied, an answer of 429 or 503, a crash before the answer, and an error while storing.
+   */
   double trouble;
 
-  /** When a killed one is back. */
   private Instant restartAt = Instant.EPOCH;
 
-  /** It is killed after its next effect and before its answer. */
+  /** Whether to crash after the current event is applied and before the answer. */
   private boolean killBeforeAnswer;
 
   int requests;
@@ -53,7 +53,7 @@
     replace(secret);
   }
 
-  /** It knows another secret from here on. */
+  /** Replaces the secret that signatures are checked with. */
   final void replace(byte[] secret) {
     receiver =
         new Receiver(
@@ -94,7 +94,7 @@
   @Override
   public void close() {}
 
-  /** It loses its latest effects, as after a return to a copy. */
+  /** Forgets all but the first events, as after a restore from a backup. */
   void restore(int keep) {
     while (effects.size() > keep) {
       effects.remove(effects.size() - 1);
@@ -139,7 +139,7 @@
     restartAt = world.now().plusMillis(500 + world.random.nextInt(20_000));
   }
 
-  /** What a controller on a host sends through: the simulated network, with its late packets. */
+  /** A client that sends notifications from a host through the simulated network. */
   static OutboundClient from(SimulatedWorld world, String host, BooleanSupplier alive) {
     AsyncHttpClient httpClient = world.caller(host, alive);
     return (message, onAnswer) -> {
--- a/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
+++ b/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
@@ -6,39 +6,37 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * A laid out cluster with the troubles that are not one controller's, and users who go on
- * meanwhile.
- */
+/** A configurable cluster with more kinds of faults, and a user workload that runs meanwhile. */
 abstract class FaultInjectionCluster extends ConfigurableCluster {
-  /** The part of the open jobs that are cancelled, a step. */
+  /** The probability that an open job is cancelled in one step. */
   private static final double CANCEL_PROBABILITY = 0.08;
 
-  /** Between two of the questions that follow one another closely, in milliseconds. */
+  /** When the requests of a burst are sent, relative to its start. */
   private static final long[] BURST_DELAYS_MILLIS = {0, 2, 7, 20, 60, 200, 800};
 
-  /** Users ask at all nodes, again and again, right after an answer that says something new. */
+  /** Whether users query all nodes in a burst after an answer that shows a new job state. */
   boolean looksClosely;
 
-  /** The part of the jobs that end by themselves which are cancelled at that moment. */
+  /** The fraction of jobs that are cancelled at the moment of their completion. */
   double cancelledAtEnd;
 
-  long some(long least, long most) {
-    return least + world.random.nextLong(most - least);
+  /** A random number from {@code min}, inclusive, to {@code max}, exclusive. */
+  long some(long min, long max) {
+    return min + world.random.nextLong(max - min);
   }
 
   void at(long millis, Runnable action) {
     world.after(millis, action);
   }
 
-  void killLeader(long backMillis) {
-    kill(controllers.get(leading().charAt(leading().length() - 1) - '1'), backMillis);
+  void killLeader(long downtimeMillis) {
+    kill(controllers.get(leading().charAt(leading().length() - 1) - '1'), downtimeMillis);
   }
 
   void refuseLeader(long millis) {
-    String refused = leading();
-    world.setRejected(refused, "10.2.0.1", true);
-    at(millis, () -> world.setRejected(refused, "10.2.0.1", false));
+    String rejected = leading();
+    world.setRejected(rejected, "10.2.0.1", true);
+    at(millis, () -> world.setRejected(rejected, "10.2.0.1", false));
   }
 
   void outage(long millis) {
@@ -46,10 +44,11 @@
     at(millis, store::endOutage);
   }
 
-  List<String> someMachines(int oneOf) {
+  /** The hosts of running workers, each selected with a probability of 1 in {@code oneIn}. */
+  List<String> someMachines(int oneIn) {
     return fleet.up().stream()
         .map(w -> SimulatedWorld.host(w.address))
-        .filter(h -> world.random.nextInt(oneOf) == 0)
+        .filter(h -> world.random.nextInt(oneIn) == 0)
         .toList();
   }
 
@@ -64,11 +63,11 @@
     boolean together = shape.equals("group") && number % 2 == 0;
     spec.put("together", together).put("spread", !together && number % 7 == 0);
     if (number % 2 == 0 && !shape.equals("service")) {
-      // Long enough to be there from before the troubles until after them.
+      // Long enough to run from before the faults until after them.
       spec.put("guess_s", some(30, 110));
     }
     if (number % 3 == 0 && !shape.equals("service")) {
-      // Services run on, and would fill this team's limit for good.
+      // Services never finish and would permanently use up the quota of this team.
       spec.put("owner", "blue");
     }
     submit(spec);
@@ -82,15 +81,18 @@
     world.runFor(Duration.ofSeconds(2));
   }
 
-  /** So likely cancels a job whose user may think of it. */
-  private void maybeCancel(SafetyRules.Known job, double likely) {
-    if (job.accepted && !job.cancelAsked && !job.isOver() && world.random.nextDouble() < likely) {
+  /** Cancels an accepted, unfinished job with the given probability. */
+  private void maybeCancel(SafetyRules.Known job, double probability) {
+    if (job.accepted
+        && !job.cancelAsked
+        && !job.isOver()
+        && world.random.nextDouble() < probability) {
       cancel(job);
     }
   }
 
-  void cancelSome(double part) {
-    List.copyOf(rules.jobs.values()).forEach(job -> maybeCancel(job, part));
+  void cancelSome(double probability) {
+    List.copyOf(rules.jobs.values()).forEach(job -> maybeCancel(job, probability));
   }
 
   @Override
@@ -101,27 +103,26 @@
   }
 
   /**
-   * Asks at every node within milliseconds, submits again, and cancels some that were just
-   * accepted.
+   * Queries the job at every node within a second and submits it again; may cancel a job that was
+   * just accepted.
    */
   void sendRequestBurst(SafetyRules.Known job) {
-    boolean cancels =
+    boolean cancel =
         job.told() == SafetyRules.Told.ACCEPTED && !job.cancelAsked && world.random.nextInt(4) == 0;
     for (String node : fronts) {
       for (long millis : BURST_DELAYS_MILLIS) {
-        at(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, good -> {}));
+        at(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, succeeded -> {}));
       }
-      at(some(0, 50), () -> send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {}));
+      at(
+          some(0, 50),
+          () -> send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), succeeded -> {}));
     }
-    if (cancels) {
+    if (cancel) {
       at(some(0, 30), () -> cancel(job));
     }
   }
 
-  /**
-   * Each of the jobs that end may be cancelled, asked for and submitted again within that very
-   * moment.
-   */
+  /** Makes random jobs be cancelled, queried and submitted again around their completion. */
   void meetEnds() {
     rules.onLastTaskCompleted =
         job -> {
@@ -137,8 +138,8 @@
   }
 
   /**
-   * What users should not send: jobs that can't run or lack a field, repeats of jobs, cancels of
-   * those done.
+   * Sends requests that a client should not send: invalid or incomplete jobs, repeated submissions,
+   * and cancellations of completed jobs.
    */
   void sendUnusualRequests() {
     ObjectNode spec = work("array", 2);
@@ -157,21 +158,23 @@
         spec.remove(required.get(world.random.nextInt(required.size())));
       }
     }
-    SafetyRules.Known unfit = new SafetyRules.Known(spec.get("ref").asText(), spec);
-    unfit.unfit = true;
-    send(unfit, "POST", "/v1/jobs", Json.bytes(spec));
+    SafetyRules.Known invalid = new SafetyRules.Known(spec.get("ref").asText(), spec);
+    invalid.unfit = true;
+    send(invalid, "POST", "/v1/jobs", Json.bytes(spec));
     for (SafetyRules.Known job : List.copyOf(rules.jobs.values())) {
       if (job.accepted && world.random.nextInt(10) == 0) {
         String node = fronts.get(world.random.nextInt(fronts.size()));
-        send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {});
+        send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), succeeded -> {});
         if (job.done) {
-          send(job, node, "POST", "/v1/jobs/" + job.id + "/cancel", null, good -> {});
+          send(job, node, "POST", "/v1/jobs/" + job.id + "/cancel", null, succeeded -> {});
         }
       }
     }
   }
 
-  /** These machines can open connections to no controller; direct commands reach them. */
+  /**
+   * Blocks requests from these machines to all controllers; those from controllers still arrive.
+   */
   void muteFor(List<String> machines, long millis) {
     for (String machine : machines) {
       for (String node : nodes()) {
@@ -181,9 +184,7 @@
     }
   }
 
-  /**
-   * A zone's workers and controllers are cut off from all others and from the regional services.
-   */
+  /** Cuts a zone's workers and controllers off from other zones, regional services and users. */
   void cutZone(String zone, long millis) {
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "user"));
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -21,7 +21,8 @@
 import java.util.function.Supplier;
 
 /**
- * Controllers as processes of their own on loopback, with the stand-ins in real time in this one.
+ * Controllers that run as separate processes on the loopback interface. The fake store and cloud
+ * run in this process in real time.
  */
 final class LoopbackCluster implements AutoCloseable {
   private static final Duration TICK_INTERVAL = Duration.ofMillis(2);
@@ -42,10 +43,10 @@
   private volatile boolean closed;
 
   /**
-   * A cluster.
+   * Starts the cluster.
    *
-   * @param coreShare how much of a core their settings say that each has
-   * @param options the controllers' arguments before the settings file
+   * @param coreShare the share of a core that the settings give to each controller
+   * @param options arguments of the controllers before the settings file
    */
   LoopbackCluster(Path folder, int controllers, double coreShare, List<String> options)
       throws IOException {
@@ -79,7 +80,7 @@
     eventLoop.execute(this::tick);
   }
 
-  /** Lets virtual time follow the clock. */
+  /** Advances virtual time to real time. */
   private void tick() {
     if (!closed) {
       Duration behind = Duration.between(world.now().minusSeconds(1_000), eventLoop.now());
@@ -98,10 +99,10 @@
   }
 
   private String settings(int index) {
-    String good = SettingsReaderTest.GOOD;
-    int seeds = good.indexOf("[[seeds]]");
+    String template = SettingsReaderTest.GOOD;
+    int seeds = template.indexOf("[[seeds]]");
     StringBuilder text =
-        new StringBuilder(good.substring(0, seeds))
+        new StringBuilder(template.substring(0, seeds))
             .append(
                 "[external]\ncloud = \"" + cloudAddress + "\"\nstate = \"" + storeAddress + "\"\n");
     for (int i = 0; i < apiAddresses.size(); i++) {
@@ -111,7 +112,7 @@
             .append("\"\n");
       }
     }
-    text.append(good.substring(good.indexOf("[deployment]")));
+    text.append(template.substring(template.indexOf("[deployment]")));
     return text.toString()
         .replace(
             "member = \"rung-0\"\narea = \"a\"\nfront",
@@ -123,14 +124,14 @@
         .replace("core_share = 0.2", "core_share = " + coreShare);
   }
 
-  /** A process of this program's classes, ended with this one. */
-  Process start(String name, String main, List<String> arguments) {
+  /** Starts a JVM with the class path of this process; it is killed when this process exits. */
+  Process start(String name, String mainClass, List<String> arguments) {
     List<String> command = new ArrayList<>();
     command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
     command.addAll(List.of("-Xmx128m", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp"));
     command.add(
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")));
-    command.add(main);
+    command.add(mainClass);
     command.addAll(arguments);
     try {
       Process process =
@@ -152,7 +153,7 @@
     processes.set(index, start("controller-" + index, "io.pineladder.cli.Controller", arguments));
   }
 
-  /** Ends a controller without a word and starts it again. */
+  /** Kills the process of a controller and starts it again. */
   void killController(int index) throws InterruptedException {
     processes.get(index).destroyForcibly().waitFor();
     startController(index);
@@ -162,14 +163,15 @@
     return processes.get(index);
   }
 
-  /** Reads something of the stand-ins, on their thread. */
-  <T> T read(Supplier<T> what) throws Exception {
-    java.util.concurrent.CompletableFuture<T> got = new java.util.concurrent.CompletableFuture<>();
-    eventLoop.execute(() -> got.complete(what.get()));
-    return got.get();
+  /** Reads from the fake services on their event loop. */
+  <T> T read(Supplier<T> supplier) throws Exception {
+    java.util.concurrent.CompletableFuture<T> result =
+        new java.util.concurrent.CompletableFuture<>();
+    eventLoop.execute(() -> result.complete(supplier.get()));
+    return result.get();
   }
 
-  /** One request; null when there was no answer. */
+  /** Sends one request; returns null if there is no answer. */
   private HttpResponse<String> sendRequest(
       String address, String method, String path, ObjectNode body) throws InterruptedException {
     try {
@@ -188,22 +190,22 @@
     }
   }
 
-  /** One request to one controller's users' address; null when there was no answer. */
+  /** Sends one request to the API address of a controller; returns null if there is no answer. */
   HttpResponse<String> askOnce(int index, String method, String path) throws InterruptedException {
     return sendRequest(apiAddresses.get(index), method, path, null);
   }
 
-  /** The controllers' addresses for administrators. */
+  /** The cluster addresses of the controllers, which also serve the admin API. */
   List<String> clusters() {
     return clusters;
   }
 
-  /** Asks one address until it answers with 200 or 201. */
+  /** Repeats a request to one address until it succeeds; fails after 2,000 attempts. */
   ObjectNode insistOf(String address, String method, String path) throws InterruptedException {
     return insist(List.of(address), method, path, null);
   }
 
-  /** Asks one controller after the other until one answers with 200 or 201. */
+  /** Repeats a request to the controllers in turn until it succeeds; fails after 2,000 attempts. */
   ObjectNode insist(boolean admin, String method, String path, ObjectNode body)
       throws InterruptedException {
     return insist(admin ? clusters : apiAddresses, method, path, body);
@@ -211,22 +213,23 @@
 
   private ObjectNode insist(List<String> addresses, String method, String path, ObjectNode body)
       throws InterruptedException {
-    int first = Math.floorMod(path.hashCode(), addresses.size());
-    String last = "no answer";
-    for (int tries = 0; tries < 2_000; tries++) {
-      HttpResponse<String> got =
-          sendRequest(addresses.get((first + tries) % addresses.size()), method, path, body);
-      if (got != null && got.statusCode() / 100 == 2) {
+    int firstIndex = Math.floorMod(path.hashCode(), addresses.size());
+    String lastAnswer = "no answer";
+    for (int attempt = 0; attempt < 2_000; attempt++) {
+      HttpResponse<String> response =
+          sendRequest(addresses.get((firstIndex + attempt) % addresses.size()), method, path, body);
+      if (response != null && response.statusCode() / 100 == 2) {
         try {
-          return Json.parseObject(got.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+          return Json.parseObject(
+              response.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         } catch (io.pineladder.wire.MalformedMessageException e) {
-          throw new AssertionError(got.body(), e);
+          throw new AssertionError("malformed answer: " + response.body(), e);
         }
       }
-      last = got == null ? last : got.statusCode() + " " + got.body();
+      lastAnswer = response == null ? lastAnswer : response.statusCode() + " " + response.body();
       Thread.sleep(50);
     }
-    throw new AssertionError(method + " " + path + ": " + last);
+    throw new AssertionError(method + " " + path + " did not succeed: " + lastAnswer);
   }
 
   @Override
--- a/src/test/java/io/pineladder/sim/SafetyRules.java
+++ b/src/test/java/io/pineladder/sim/SafetyRules.java
@@ -22,11 +22,11 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** The rules at the end of the protocol, checked at every start, exit and answer. */
+/** The safety rules of the protocol, checked at every start, exit and answer in a simulation. */
 final class SafetyRules implements TaskWatcher {
   /**
-   * What some user of a job has been told: of two answers the higher may not come before the lower
-   * is asked for.
+   * The latest state of a job that any answer has shown, in ascending order. A request sent after
+   * an answer must not be answered with a lower state.
    */
   enum Told {
     NOTHING,
@@ -38,40 +38,41 @@
   private static final Duration MAX_UNANSWERED_TIME = Duration.ofSeconds(75);
   private static final Duration MAX_START_DELAY = Duration.ofMinutes(4);
 
-  /** A submitted job as its user knows it. */
+  /** A submitted job with the answers its user got and the events of its tasks. */
   static final class Known {
     final String id;
     final ObjectNode spec;
     boolean accepted;
 
-    /** Submitted with a mistake: every task of it fails. */
+    /** Whether every attempt of its tasks fails. */
     boolean broken;
 
-    /** It can't run or lacks a field: no node may accept it. */
+    /** Whether the specification is invalid, so that no node may accept the job. */
     boolean unfit;
 
-    /** The last of what was told of it that was new. */
+    /** The last state that was passed to {@link SimulatedCluster#onStateAdvanced}. */
     Told lastAdvancedState = Told.NOTHING;
 
-    /** Its user asks for it every few seconds. */
+    /** Whether its user polls it every few seconds. */
     boolean polled;
 
-    /**
-     * When its user first asked for it, a task of it first began, and a question was answered last.
-     */
     Instant submitted;
-
     Instant begun;
     Instant answered;
 
-    /** How often a task of it began. */
+    /** How many task attempts have started. */
     int begins;
 
     final Set<String> everStarted = new HashSet<>();
 
     boolean cancelAsked;
+
+    /** When an answer first showed that the job was cancelled. */
     Instant cancelled;
+
+    /** Whether an answer has shown that the job is done. */
     boolean done;
+
     final Set<Integer> completedTasks = new HashSet<>();
 
     Known(String id, ObjectNode spec) {
@@ -83,7 +84,7 @@
       return spec.get("pieces").asInt();
     }
 
-    /** The jobs that have to be done before any task of this one starts. */
+    /** The IDs of the jobs that must be done before any task of this one starts. */
     List<String> prerequisites() {
       List<String> ids = new ArrayList<>();
       spec.path("waits_on").forEach(id -> ids.add(id.asText()));
@@ -94,7 +95,7 @@
       return done || cancelled != null;
     }
 
-    /** What has been told of it by any node so far. */
+    /** The latest state that any node has answered so far. */
     Told told() {
       return isOver() ? Told.OVER : accepted ? Told.ACCEPTED : Told.NOTHING;
     }
@@ -104,38 +105,40 @@
   private final List<Team> teams;
   final Map<String, Known> jobs = new LinkedHashMap<>();
 
-  /** Where each task is. */
+  /** The worker on which each task occupies resources. */
   private final Map<String, Worker> workerByTask = new HashMap<>();
 
-  /** What the tasks of each team use, and how many of each job's are in each zone. */
+  /** The resources in use by the tasks of each team. */
   private final Map<String, Resources> usageByTeam = new HashMap<>();
 
+  /** How many tasks of each job are in each zone. */
   private final Map<String, Map<String, Integer>> taskCountsByZone = new HashMap<>();
 
-  /** Told of each job whose last task has just completed. */
+  /** Called with each job whose last task has just completed. */
   Consumer<Known> onLastTaskCompleted = job -> {};
 
+  /** The tasks of each gang attempt that are ready, with their workers. */
   private final Map<String, Map<String, Worker>> readyGangTasks = new HashMap<>();
+
   int starts;
 
-  /** Since when all troubles are over, or null. */
+  /** When all faults ended, or null while there are any. Liveness is checked from then on. */
   Instant calmSince;
 
   /**
-   * Which machines hold anything of a job; null where nobody promises that a cancellation is told
-   * only once none does. Leases may be kept without limit because of that promise, so breaking it
-   * is as bad as a task that runs on, which shows only when nobody can be reached.
+   * Finds the machines with unfinished tasks of a job; null skips the check. A job may be reported
+   * cancelled only once there are none, because leases can be renewed without limit.
    */
   Function<String, List<String>> holding;
 
-  /** Asks the store for the placement of a start. */
+  /** Looks up in the store whether the placement of a task attempt is stored. */
   interface PlacementLookup {
     boolean isStored(String machine, String piece, long attempt);
   }
 
   /**
-   * A start is to be executed only while its placement is stored: one that comes when its attempt
-   * is taken for gone has been given up without proof. Null where the store may lose data.
+   * A start may be executed only while its placement is stored; null skips the check. A violation
+   * means that an attempt was abandoned before it was proven to be gone.
    */
   PlacementLookup placed;
 
@@ -144,8 +147,8 @@
     this.teams = teams;
   }
 
-  private AssertionError violation(String rule, Object what) {
-    return new AssertionError(rule + " at " + world.now() + ": " + what);
+  private AssertionError violation(String rule, Object details) {
+    return new AssertionError(rule + " at " + world.now() + ": " + details);
   }
 
   @Override
@@ -161,29 +164,30 @@
   @Override
   public long runMillis(Task task) {
     ObjectNode spec = jobs.get(task.job()).spec;
-    long apart = task.index() * spec.path("apart_ms").asLong();
+    long staggerMillis = task.index() * spec.path("apart_ms").asLong();
     return spec.get("shape").asText().equals("service")
         ? 0
-        : (long) (spec.get("guess_s").asDouble() * 1000) + apart;
+        : (long) (spec.get("guess_s").asDouble() * 1000) + staggerMillis;
   }
 
   @Override
-  public void commanded(Task task, Worker on) {
+  public void commanded(Task task, Worker worker) {
     Known job = jobs.get(task.job());
     if (job == null) {
       throw violation("unknown job started", task.piece);
     }
-    if (placed != null && !placed.isStored(on.name, task.piece, task.attempt)) {
-      throw violation("not_stored", task.piece + "#" + task.attempt + " starts on " + on.name);
+    if (placed != null && !placed.isStored(worker.name, task.piece, task.attempt)) {
+      throw violation("not_stored", task.piece + "#" + task.attempt + " starts on " + worker.name);
     }
     if (holding != null && job.cancelled != null) {
       throw violation(
-          "told_too_soon", task.piece + " is sent to " + on.name + ", its job told cancelled");
+          "told_too_soon",
+          task.piece + " started on " + worker.name + " after its job was reported cancelled");
     }
   }
 
   @Override
-  public void started(Task task, Worker on) {
+  public void started(Task task, Worker worker) {
     starts++;
     Known job = jobs.get(task.job());
     job.begun = job.begun == null ? world.now() : job.begun;
@@ -191,74 +195,77 @@
     job.begins++;
     if (job.cancelled != null) {
       throw violation(
-          "started_cancelled", task.piece + " starts on " + on.name + " after its user was told");
+          "started_cancelled",
+          task.piece + " starts on " + worker.name + " after its job was reported cancelled");
     }
-    Worker other = workerByTask.get(task.piece);
-    if (other != null && other != on) {
-      throw violation("ran_twice", task.piece + " on " + other.name + " and " + on.name);
+    Worker previous = workerByTask.get(task.piece);
+    if (previous != null && previous != worker) {
+      throw violation("ran_twice", task.piece + " on " + previous.name + " and " + worker.name);
     }
-    workerByTask.put(task.piece, on);
+    workerByTask.put(task.piece, worker);
     for (String id : job.prerequisites()) {
-      Known needed = jobs.get(id);
-      if (needed.completedTasks.size() < needed.tasks()) {
+      Known prerequisite = jobs.get(id);
+      if (prerequisite.completedTasks.size() < prerequisite.tasks()) {
         throw violation("too_early", task.piece + " starts before " + id + " is done");
       }
     }
     ObjectNode spec = job.spec;
-    if (on.spot && !spec.get("loaners").asBoolean()) {
-      throw violation("wrong_place", task.piece + " on a spot machine");
+    if (worker.spot && !spec.get("loaners").asBoolean()) {
+      throw violation("wrong_place", task.piece + " runs on a spot machine");
     }
-    if (spec.hasNonNull("yard") && !spec.get("yard").asText().equals(on.zone)) {
-      throw violation("wrong_place", task.piece + " in zone " + on.zone);
+    if (spec.hasNonNull("yard") && !spec.get("yard").asText().equals(worker.zone)) {
+      throw violation("wrong_place", task.piece + " runs in zone " + worker.zone);
     }
-    Resources each = StarvationCheck.resourcesPerTask(spec);
+    Resources perTask = StarvationCheck.resourcesPerTask(spec);
     String owner = spec.get("owner").asText();
     Map<String, Integer> zones = taskCountsByZone.computeIfAbsent(job.id, id -> new TreeMap<>());
-    if (other == null) {
-      usageByTeam.merge(owner, each, Resources::plus);
-      zones.merge(on.zone, 1, Integer::sum);
+    if (previous == null) {
+      usageByTeam.merge(owner, perTask, Resources::plus);
+      zones.merge(worker.zone, 1, Integer::sum);
     }
     Resources used = usageByTeam.get(owner);
-    int inZone = zones.get(on.zone);
+    int inZone = zones.get(worker.zone);
     if (spec.get("together").asBoolean() && zones.size() > 1) {
-      throw violation("wrong_place", task.piece + " apart from the others");
+      throw violation("wrong_place", task.piece + " is not in the zone of the other tasks");
     }
     if (spec.get("spread").asBoolean() && inZone > (job.tasks() + 1) / 2) {
-      throw violation("wrong_place", task.piece + " is one too many in zone " + on.zone);
+      throw violation(
+          "wrong_place", task.piece + " exceeds the task limit of its job in zone " + worker.zone);
     }
     for (Team team : teams) {
       if (team.name().equals(owner) && !team.allows(used)) {
-        throw violation("quota", used + " used at the start of " + task.piece);
+        throw violation(
+            "quota", "team " + owner + " uses " + used + " after the start of " + task.piece);
       }
     }
   }
 
   @Override
-  public void left(Task task, Worker from) {
-    if (workerByTask.remove(task.piece, from)) {
+  public void left(Task task, Worker worker) {
+    if (workerByTask.remove(task.piece, worker)) {
       ObjectNode spec = jobs.get(task.job()).spec;
       usageByTeam.merge(
           spec.get("owner").asText(), StarvationCheck.resourcesPerTask(spec), Resources::minus);
       taskCountsByZone
           .get(task.job())
-          .computeIfPresent(from.zone, (zone, n) -> n == 1 ? null : n - 1);
+          .computeIfPresent(worker.zone, (zone, n) -> n == 1 ? null : n - 1);
     }
-    Map<String, Worker> of = readyGangTasks.get(task.job() + "#" + task.attempt);
-    if (of != null) {
-      of.remove(task.piece);
+    Map<String, Worker> ready = readyGangTasks.get(task.job() + "#" + task.attempt);
+    if (ready != null) {
+      ready.remove(task.piece);
     }
   }
 
-  /** A gang's tasks start together once all of one attempt are there. */
+  /** Starts the tasks of a gang together once all tasks of one attempt are ready. */
   @Override
   public void gather(Task task) {
     String key = task.job() + "#" + task.attempt;
-    Map<String, Worker> of = readyGangTasks.computeIfAbsent(key, k -> new HashMap<>());
-    of.put(task.piece, workerByTask.get(task.piece));
-    if (of.size() == jobs.get(task.job()).tasks()) {
-      for (var each : of.entrySet()) {
-        String at = each.getKey() + "#" + task.attempt;
-        each.getValue().run(at, each.getValue().tasks.get(at));
+    Map<String, Worker> ready = readyGangTasks.computeIfAbsent(key, k -> new HashMap<>());
+    ready.put(task.piece, workerByTask.get(task.piece));
+    if (ready.size() == jobs.get(task.job()).tasks()) {
+      for (var entry : ready.entrySet()) {
+        String taskKey = entry.getKey() + "#" + task.attempt;
+        entry.getValue().run(taskKey, entry.getValue().tasks.get(taskKey));
       }
     }
   }
@@ -277,19 +284,20 @@
     }
   }
 
-  /** Tasks of cancelled jobs must be gone in time; asked again and again. */
+  /** Checks that tasks of cancelled jobs stop in time; called periodically. */
   void watchCancelled() {
     for (var place : workerByTask.entrySet()) {
       Known job = jobs.get(place.getKey().substring(0, place.getKey().indexOf('/')));
       if (job.cancelled != null && job.cancelled.plus(CANCEL_TIMEOUT).isBefore(world.now())) {
-        throw violation("ran_cancelled", place.getKey() + " is still on " + place.getValue().name);
+        throw violation(
+            "ran_cancelled", place.getKey() + " still runs on " + place.getValue().name);
       }
     }
   }
 
   /**
-   * An accepted job that was not cancelled stays known: once all troubles are over some question
-   * about it is answered every 75 s, however others fare. Its user asks more often than that.
+   * Checks that once all faults have ended, some request about each accepted job is answered at
+   * least every 75 s, unless its user has cancelled it. Its user polls more often than that.
    */
   void checkAcceptedJobs() {
     if (calmSince == null) {
@@ -299,22 +307,25 @@
       if (job.accepted && !job.cancelAsked) {
         Instant last = job.answered.isAfter(calmSince) ? job.answered : calmSince;
         if (last.plus(MAX_UNANSWERED_TIME).isBefore(world.now())) {
-          throw violation("forgotten", job.id + " had no answer since " + job.answered);
+          throw violation("forgotten", job.id + " got no answer since " + job.answered);
         }
       }
     }
   }
 
-  /** Of a class, of a team, and of the largest quarter of a class's jobs half must be served. */
+  /**
+   * Checks that at least half of the jobs are served in each team, in each job class, and among the
+   * largest quarter of each class, and that the latter start in time.
+   */
   void checkShares() {
     Map<String, List<Known>> groups = new TreeMap<>();
     for (Known job : jobs.values()) {
-      // What waits for others is served when those are done, and may be cancelled with one.
+      // Dependent jobs are left out: they wait for their prerequisites and are cancelled with them.
       if (!job.cancelAsked && !job.broken && job.prerequisites().isEmpty()) {
         String owner = job.spec.get("owner").asText();
         groups.computeIfAbsent("team " + owner, g -> new ArrayList<>()).add(job);
-        String of = job.spec.get("jobclass").asText();
-        groups.computeIfAbsent("class " + of, g -> new ArrayList<>()).add(job);
+        String jobClass = job.spec.get("jobclass").asText();
+        groups.computeIfAbsent("class " + jobClass, g -> new ArrayList<>()).add(job);
       }
     }
     groups.forEach(this::checkServedShare);
@@ -349,74 +360,78 @@
     return job.cancelled != null && job.cancelled.plus(CANCEL_TIMEOUT).isBefore(world.now());
   }
 
-  /** Whether the condition holds for a job that this one needs, directly or through others. */
+  /** Whether the condition holds for any direct or transitive prerequisite of the job. */
   boolean anyBefore(Known job, Predicate<Known> condition) {
-    Deque<Known> left = new ArrayDeque<>(List.of(job));
+    Deque<Known> pending = new ArrayDeque<>(List.of(job));
     Set<Known> seen = new HashSet<>();
-    while (!left.isEmpty()) {
-      for (String id : left.poll().prerequisites()) {
-        Known needed = jobs.get(id);
-        if (condition.test(needed)) {
+    while (!pending.isEmpty()) {
+      for (String id : pending.poll().prerequisites()) {
+        Known prerequisite = jobs.get(id);
+        if (condition.test(prerequisite)) {
           return true;
         }
-        if (seen.add(needed)) {
-          left.add(needed);
+        if (seen.add(prerequisite)) {
+          pending.add(prerequisite);
         }
       }
     }
     return false;
   }
 
-  /** A user was told a state. */
+  /** Checks a job state that an answer shows, and records it. */
   void told(Known job, String status) {
     job.answered = world.now();
     if (status.equals("done") && job.completedTasks.size() < job.tasks()) {
-      throw violation("not_done", job.id);
+      throw violation("not_done", job.id + " is reported done before all tasks completed");
     }
     if (job.done && !status.equals("done")) {
-      throw violation("went_back", job.id + " was done and is called " + status);
+      throw violation("went_back", job.id + " was reported done and now " + status);
     }
     if (job.cancelled != null && !status.equals("aborted")) {
-      throw violation("went_back", job.id + " was cancelled and is called " + status);
+      throw violation("went_back", job.id + " was reported cancelled and now " + status);
     }
     if (status.equals("aborted") && !job.cancelAsked && !anyBefore(job, each -> each.cancelAsked)) {
-      throw violation("went_back", job.id + " is called cancelled by no wish of its user");
+      throw violation(
+          "went_back",
+          job.id + " is reported cancelled without a request to cancel it or a prerequisite");
     }
     boolean isOver = status.equals("done") || status.equals("aborted");
     if (!isOver && anyBefore(job, SafetyRules.this::isLongCancelled)) {
       throw violation(
-          "orphaned", job.id + " is called " + status + " after one before it was cancelled");
+          "orphaned", job.id + " is reported " + status + " after a prerequisite was cancelled");
     }
     if (status.equals("done")) {
       job.done = true;
     } else if (status.equals("aborted") && job.cancelled == null) {
       job.cancelled = world.now();
-      List<String> on = holding == null ? List.of() : holding.apply(job.id);
-      if (!on.isEmpty()) {
-        throw violation("told_too_soon", job.id + " is called cancelled and is on " + on);
+      List<String> machines = holding == null ? List.of() : holding.apply(job.id);
+      if (!machines.isEmpty()) {
+        throw violation(
+            "told_too_soon", job.id + " is reported cancelled but has tasks on " + machines);
       }
     }
   }
 
   /**
-   * An answer of any node: read-your-writes and monotonic reads over all of them, as one history of
-   * the job.
+   * Checks an answer of any node for read-your-writes and monotonic reads over all nodes.
    *
-   * @param before what had been told of the job, by whichever node, when the question was sent
-   * @param state the state that the answer names, or null
+   * @param before the latest state that any node had answered when the request was sent
+   * @param state the job state in the answer, or null
    */
   void answered(Known job, Told before, int status, String state) {
     if (status == 404 || status == 400 || status == 422) {
       if (before != Told.NOTHING) {
-        throw violation("forgotten", job.id + " got " + status + " asked when told " + before);
+        throw violation(
+            "forgotten",
+            job.id + " got " + status + " for a request sent after it was reported " + before);
       }
     } else if (state != null) {
       if (job.unfit) {
-        throw violation("accepted_unfit", job.id + " is called " + state);
+        throw violation("accepted_unfit", job.id + " is invalid and reported " + state);
       }
-      boolean over = state.equals("done") || state.equals("aborted");
-      // What was asked before the job was over may be answered as it was then.
-      if (over || before == Told.OVER || !job.isOver()) {
+      boolean finished = state.equals("done") || state.equals("aborted");
+      // A request sent before the job finished may get an older state as its answer.
+      if (finished || before == Told.OVER || !job.isOver()) {
         told(job, state);
       } else {
         job.answered = world.now();
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -28,13 +28,16 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Several controllers in virtual time among stand-ins that crash, cut, delay and deliver late. */
+/**
+ * Several controllers in virtual time with a fake key-value store and a fake fleet, on a network
+ * that can drop, delay and duplicate messages.
+ */
 abstract class SimulatedCluster {
   static final List<String> API_ADDRESSES =
       List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
   static final String STORE_ADDRESS = "10.2.0.1:2379";
 
-  /** One controller, from one start to the next. */
+  /** A controller slot; each restart creates a new node in it. */
   static final class Controller {
     final int index;
     boolean[] alive = new boolean[1];
@@ -47,7 +50,7 @@
 
   final List<Controller> controllers = new ArrayList<>();
 
-  /** Where the controllers are reached; as many as there are. */
+  /** The API address of each controller. */
   List<String> fronts = API_ADDRESSES;
 
   SimulatedWorld world;
@@ -58,13 +61,16 @@
   int lastJobNumber;
   int unanswered;
 
-  /** The store may lose data on this day; on any other nobody may think that it has. */
+  /**
+   * Whether the store may lose data in this simulation. If not, a controller that starts a rebuild
+   * fails the test.
+   */
   boolean losesData;
 
-  /** Told of all traffic of the simulated network; set it before the simulation begins. */
+  /** Observes all traffic of the simulated network; must be set before the simulation begins. */
   TrafficObserver trafficObserver = TrafficObserver.NONE;
 
-  /** What controllers keep snapshots on, by their number; none unless a test sets them up. */
+  /** Snapshot stores by controller index; empty unless a test adds some. */
   final Map<Integer, SnapshotStore> shelves = new HashMap<>();
 
   static final BackgroundExecutor IMMEDIATE =
@@ -75,7 +81,7 @@
         }
       };
 
-  /** A shelf that outlives its controller's processes. */
+  /** An in-memory snapshot store that survives restarts of its controller. */
   static final class MemoryShelf implements SnapshotStore {
     final Map<String, byte[]> files = new TreeMap<>();
 
@@ -91,10 +97,10 @@
 
     @Override
     public void append(String name, byte[] bytes) {
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
-      all.writeBytes(files.getOrDefault(name, new byte[0]));
-      all.writeBytes(bytes);
-      files.put(name, all.toByteArray());
+      ByteArrayOutputStream contents = new ByteArrayOutputStream();
+      contents.writeBytes(files.getOrDefault(name, new byte[0]));
+      contents.writeBytes(bytes);
+      files.put(name, contents.toByteArray());
     }
 
     @Override
@@ -143,10 +149,10 @@
             .replace("member = \"rung-0\"\narea", "member = \"rung-" + index + "\"\narea")
             .replace("front = \"10.0.0.1:", "front = \"" + host + ":")
             .replace("cluster_listen = \"10.0.0.1:", "cluster_listen = \"" + host + ":");
-    int other = 0;
+    int peer = 0;
     for (int i = 1; i <= 2; i++) {
-      if (other == index) {
-        other++;
+      if (peer == index) {
+        peer++;
       }
       text =
           text.replace(
@@ -158,11 +164,11 @@
                   + (i + 1)
                   + ":8081\"",
               "member = \"RUNG-"
-                  + other
+                  + peer
                   + "\"\narea = \"a\"\naddress = \"10.0.0."
-                  + (other + 1)
+                  + (peer + 1)
                   + ":8081\"");
-      other++;
+      peer++;
     }
     try {
       return SettingsReader.parse(text.replace("RUNG-", "rung-"));
@@ -190,39 +196,39 @@
             IMMEDIATE,
             version(controller.index));
     controller.node = node;
-    RequestRouter front = new RequestRouter(node, new Metrics());
-    world.serve(settings.apiAddress(), front::handle);
-    world.serve(settings.clusterAddress(), front::handleCluster);
+    RequestRouter router = new RequestRouter(node, new Metrics());
+    world.serve(settings.apiAddress(), router::handle);
+    world.serve(settings.clusterAddress(), router::handleCluster);
     node.start();
   }
 
-  /** What the controller's software supports. */
+  /** The cluster version that the controller's software supports. */
   ClusterVersion version(int index) {
     return new ClusterVersion();
   }
 
-  /** A key of the state service has changed. */
+  /** Called after a key in the key-value store has changed. */
   void onStored(String key) {}
 
-  /** A user was told something that nobody had been told of the job before. */
+  /** Called when an answer shows a later state of the job than any answer before it. */
   void onStateAdvanced(SafetyRules.Known job) {}
 
-  /** What the host delivers notices with; null for none. */
+  /** The delivery context of the host, or null if it delivers no notifications. */
   DeliveryContext delivery(String host) {
     return null;
   }
 
-  void kill(Controller controller, long backMillis) {
+  void kill(Controller controller, long downtimeMillis) {
     if (!controller.alive[0]) {
       return;
     }
     controller.alive[0] = false;
     world.stop(fronts.get(controller.index));
     world.stop("10.0.0." + (controller.index + 1) + ":8081");
-    world.after(backMillis, () -> start(controller));
+    world.after(downtimeMillis, () -> start(controller));
   }
 
-  // ---- users
+  // Users.
 
   ObjectNode job(String shape, int tasks, String owner) {
     ObjectNode spec =
@@ -249,7 +255,7 @@
     return spec;
   }
 
-  /** A job that its user knows of from here on. */
+  /** Registers a job with the checks as submitted now. */
   SafetyRules.Known known(ObjectNode spec) {
     SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
@@ -278,10 +284,10 @@
         method,
         path,
         body,
-        good -> {
-          if (!good && !poll && !job.unfit) {
+        succeeded -> {
+          if (!succeeded && !poll && !job.unfit) {
             world.after(1_000, () -> send(job, method, path, body));
-          } else if (submission && good && !job.polled) {
+          } else if (submission && succeeded && !job.polled) {
             job.polled = true;
             world.after(2_000, () -> poll(job));
           }
@@ -289,7 +295,8 @@
   }
 
   /**
-   * One request about a job at one node; {@code then} is told whether it was answered as wanted.
+   * Sends one request about a job to one node; {@code then} receives whether it was answered with
+   * 200 or 201.
    */
   void send(
       SafetyRules.Known job,
@@ -299,15 +306,16 @@
       byte[] body,
       Consumer<Boolean> then) {
     SafetyRules.Told before = job.told();
-    Duration patience = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
+    Duration timeout = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
     world
         .caller("user", () -> true)
         .call(
-            new AsyncHttpClient.Request(node, method, path, body, patience),
+            new AsyncHttpClient.Request(node, method, path, body, timeout),
             reply -> {
-              boolean good = reply.is(200) || reply.is(201);
+              boolean succeeded = reply.is(200) || reply.is(201);
               try {
-                String state = good ? Json.parseObject(reply.body()).get("status").asText() : null;
+                String state =
+                    succeeded ? Json.parseObject(reply.body()).get("status").asText() : null;
                 if (reply.isAnswered()) {
                   rules.answered(job, before, reply.status(), state);
                 }
@@ -318,8 +326,8 @@
                 job.lastAdvancedState = job.told();
                 onStateAdvanced(job);
               }
-              unanswered += good ? 0 : 1;
-              then.accept(good);
+              unanswered += succeeded ? 0 : 1;
+              then.accept(succeeded);
             });
   }
 
@@ -336,18 +344,20 @@
     };
   }
 
-  /** Gives everything time to settle, then asks that all work is done and nothing is left over. */
+  /** Runs without message loss for the given time, then checks that all work has finished. */
   void settle(Duration time) {
     world.lossy = 0;
     world.runFor(time);
     for (SafetyRules.Known job : rules.jobs.values()) {
       boolean service = job.spec.get("shape").asText().equals("service");
-      assertTrue(job.accepted, job.id + " was not accepted");
+      assertTrue(job.accepted, job.id + " was never accepted");
       assertTrue(
-          service || job.broken || job.isOver(), job.id + " did not end: " + job.completedTasks);
+          service || job.broken || job.isOver(),
+          job.id + " did not finish; completed tasks: " + job.completedTasks);
     }
     assertTrue(rules.starts > 0);
-    assertTrue(losesData || store.space().isEmpty(), "a loss was seen where there was none");
+    assertTrue(
+        losesData || store.space().isEmpty(), "a rebuild took place although no data was lost");
     assertEquals(0, store.count("inbox/"));
     List<String> open =
         rules.jobs.values().stream().filter(j -> !j.isOver()).map(j -> j.id).sorted().toList();
@@ -360,11 +370,11 @@
   }
 
   void trouble(int kind) {
-    Controller some = controllers.get(world.random.nextInt(3));
-    String host = "10.0.0." + (some.index + 1);
+    Controller target = controllers.get(world.random.nextInt(3));
+    String host = "10.0.0." + (target.index + 1);
     long millis = 2_000L + world.random.nextInt(30_000);
     switch (kind) {
-      case 0 -> kill(some, 6_000);
+      case 0 -> kill(target, 6_000);
       case 1 -> {
         world.cut(host, "10.2.0.1");
         world.after(millis, () -> world.heal(host, "10.2.0.1"));
@@ -378,12 +388,12 @@
         world.after(millis, () -> fleet.outage = false);
       }
       case 4 -> {
-        // One zone's workers are cut from one controller.
+        // Cuts the workers of one zone from one controller.
         for (FakeFleet.Worker worker : fleet.up()) {
           if (worker.zone.equals("a")) {
-            String there = SimulatedWorld.host(worker.address);
-            world.cut(host, there);
-            world.after(millis, () -> world.heal(host, there));
+            String workerHost = SimulatedWorld.host(worker.address);
+            world.cut(host, workerHost);
+            world.after(millis, () -> world.heal(host, workerHost));
           }
         }
       }
@@ -392,16 +402,16 @@
           if (world.random.nextInt(4) == 0) {
             for (int i = 1; i <= 3; i++) {
               String node = "10.0.0." + i;
-              String there = SimulatedWorld.host(worker.address);
-              world.cut(node, there);
-              world.after(millis, () -> world.heal(node, there));
+              String workerHost = SimulatedWorld.host(worker.address);
+              world.cut(node, workerHost);
+              world.after(millis, () -> world.heal(node, workerHost));
             }
           }
         }
       }
       case 6 -> {
-        for (Controller each : controllers) {
-          kill(each, 6_000 + each.index * 500L);
+        for (Controller controller : controllers) {
+          kill(controller, 6_000 + controller.index * 500L);
         }
       }
       case 7 -> {
@@ -416,7 +426,7 @@
         world.after(millis, () -> fleet.unreliableBoots = false);
       }
       case 11 -> {
-        // Everybody asks about everything, again and again.
+        // Polls every job repeatedly.
         for (int i = 0; i < 8; i++) {
           world.after(i * 500L, () -> rules.jobs.values().stream().toList().forEach(this::ask));
         }
--- a/src/test/java/io/pineladder/sim/SimulatedWorld.java
+++ b/src/test/java/io/pineladder/sim/SimulatedWorld.java
@@ -16,7 +16,10 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Virtual time and a network that cuts, delays and delivers late; everything follows one seed. */
+/**
+ * Virtual time and a simulated network that loses, delays and duplicates messages. All random
+ * choices follow from one seed.
+ */
 final class SimulatedWorld {
   private record Timer(long dueMillis, long sequence, Runnable action)
       implements Comparable<Timer> {
@@ -34,26 +37,26 @@
   private long nextTimerSequence;
   private long nowMillis = 1_000_000;
 
-  /** Hosts whose process stands still, and until when; their clocks go on. */
+  /** Until when the processes of hosts are frozen. Their clocks go on meanwhile. */
   private final Map<String, Long> frozenUntilMillis = new HashMap<>();
 
-  /** Hosts that send and that nothing reaches: neither requests nor answers to theirs. */
+  /** Hosts that can send but receive neither requests nor answers. */
   final Set<String> deaf = new HashSet<>();
 
-  /** Whether anything can reach the host from somewhere, and its process moves. */
+  /** Whether the host receives messages and its process is not frozen. */
   boolean isReachable(String host) {
     return !deaf.contains(host) && frozenUntilMillis.getOrDefault(host, 0L) <= nowMillis;
   }
 
-  /** The part of messages whose reply is lost, and which may then be executed late. */
+  /** The fraction of requests whose answer is lost; half of those are delivered late. */
   double lossy;
 
-  /** The part of messages that are held up for seconds, on the way there or on the way back. */
+  /** The fraction of requests that are delayed by seconds, either on the way or on the way back. */
   double held;
 
   private static final int MAX_DELAY_MILLIS = 7_000;
 
-  /** What refuses whom: the first host's requests are answered 503 by the second. */
+  /** Pairs of hosts; requests from the first to the second are answered with 503. */
   private final Set<String> rejectedRoutes = new HashSet<>();
 
   SimulatedWorld(long seed) {
@@ -78,7 +81,7 @@
     nowMillis = end;
   }
 
-  /** The network outside, where this world is run beside real processes; null in a simulation. */
+  /** A real network, for a world that runs along with real processes. */
   interface Outside {
     void serve(String address, AsyncHttpHandler handler);
 
@@ -87,9 +90,10 @@
     AsyncHttpClient caller();
   }
 
+  /** The real network in use; null in a simulation. */
   Outside outside;
 
-  /** Told of what is sent and answered here; not of what goes through {@link #outside}. */
+  /** Observes simulated traffic only, not what goes through {@link #outside}. */
   TrafficObserver trafficObserver = TrafficObserver.NONE;
 
   void serve(String address, AsyncHttpHandler handler) {
@@ -106,43 +110,42 @@
     }
   }
 
-  /** Cuts two hosts from one another; packets on the way are lost or come late. */
-  void cut(String one, String other) {
-    cutRoutes.add(one + " " + other);
-    cutRoutes.add(other + " " + one);
+  /** Cuts two hosts off from each other; requests sent meanwhile are lost or arrive late. */
+  void cut(String host, String peer) {
+    cutRoutes.add(host + " " + peer);
+    cutRoutes.add(peer + " " + host);
   }
 
-  /**
-   * Keeps {@code one} from reaching the other, as a packet filter does; not the other way round.
-   */
-  void refuse(String one, String other) {
-    cutRoutes.add(one + " " + other);
+  /** Blocks requests in one direction only, as a packet filter does. */
+  void refuse(String from, String to) {
+    cutRoutes.add(from + " " + to);
   }
 
-  /** The second host answers the first's requests with 503; watches that are open then wait. */
-  void setRejected(String one, String other, boolean refused) {
-    if (refused) {
-      rejectedRoutes.add(one + " " + other);
+  /**
+   * Sets whether requests from one host to another are answered with 503. Answers to earlier
+   * requests, such as open watches, wait until this ends.
+   */
+  void setRejected(String from, String to, boolean rejected) {
+    if (rejected) {
+      rejectedRoutes.add(from + " " + to);
     } else {
-      rejectedRoutes.remove(one + " " + other);
+      rejectedRoutes.remove(from + " " + to);
     }
   }
 
-  /** Hands an answer on once its host is no longer refused. */
-  private void runWhenNotRejected(String way, Runnable action) {
-    if (rejectedRoutes.contains(way)) {
-      after(500, () -> runWhenNotRejected(way, action));
+  private void runWhenNotRejected(String route, Runnable action) {
+    if (rejectedRoutes.contains(route)) {
+      after(500, () -> runWhenNotRejected(route, action));
     } else {
       action.run();
     }
   }
 
-  /** The host's process stands still; what comes for it meanwhile waits, timers too. */
+  /** Freezes the host's process; its timers and incoming messages wait until it resumes. */
   void freeze(String host, long millis) {
     frozenUntilMillis.merge(host, nowMillis + millis, Math::max);
   }
 
-  /** Runs the action on the host, once its process moves again. */
   private void runWhenUnfrozen(String host, Runnable action) {
     long until = frozenUntilMillis.getOrDefault(host, 0L);
     if (until > nowMillis) {
@@ -152,23 +155,28 @@
     }
   }
 
-  void heal(String one, String other) {
-    cutRoutes.remove(one + " " + other);
-    cutRoutes.remove(other + " " + one);
+  void heal(String host, String peer) {
+    cutRoutes.remove(host + " " + peer);
+    cutRoutes.remove(peer + " " + host);
   }
 
   static String host(String address) {
     return address.substring(0, address.indexOf(':'));
   }
 
-  /** A clock of a process that ends when {@code alive} says so. */
+  /**
+   * The event loop of a process on a host.
+   *
+   * @param alive false once the process has ended; its timers no longer run then
+   * @param rate how fast the clock of the process runs, relative to virtual time
+   */
   EventLoop timeline(String host, BooleanSupplier alive, double rate) {
-    Instant begun = now();
+    Instant startedAt = now();
     return new EventLoop() {
       @Override
       public Instant now() {
-        long real = Duration.between(begun, SimulatedWorld.this.now()).toNanos();
-        return begun.plusNanos((long) (real * rate));
+        long elapsed = Duration.between(startedAt, SimulatedWorld.this.now()).toNanos();
+        return startedAt.plusNanos((long) (elapsed * rate));
       }
 
       @Override
@@ -197,7 +205,7 @@
     };
   }
 
-  /** The network as one process on {@code from} uses it. */
+  /** An HTTP client for a process on the host {@code from}; answers are dropped once it ended. */
   AsyncHttpClient caller(String from, BooleanSupplier alive) {
     if (outside != null) {
       return (request, onReply) ->
@@ -213,31 +221,34 @@
     }
     return (request, onReply) -> {
       trafficObserver.onRequest(now(), from, request);
-      boolean[] over = new boolean[1];
+      boolean[] completed = new boolean[1];
       Consumer<AsyncHttpClient.Reply> once =
           reply ->
               runWhenUnfrozen(
                   from,
                   () -> {
-                    if (!over[0] && alive.getAsBoolean()) {
-                      over[0] = true;
+                    if (!completed[0] && alive.getAsBoolean()) {
+                      completed[0] = true;
                       onReply.accept(reply);
                     }
                   });
       long timeout = request.timeout().toMillis();
-      String way = from + " " + host(request.address());
+      String route = from + " " + host(request.address());
       if (deaf.contains(host(request.address()))) {
         after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
         return;
       }
-      if (cutRoutes.contains(way)) {
-        // A connection that stood before the cut carries the request late; a new one never does.
-        boolean late = random.nextInt(3) == 0;
+      if (cutRoutes.contains(route)) {
+        // A connection opened before the cut may deliver the request late; a new one cannot.
+        boolean deliveredLate = random.nextInt(3) == 0;
         after(
             timeout,
             () ->
-                once.accept(late ? AsyncHttpClient.Reply.UNKNOWN : AsyncHttpClient.Reply.NOT_SENT));
-        if (late) {
+                once.accept(
+                    deliveredLate
+                        ? AsyncHttpClient.Reply.UNKNOWN
+                        : AsyncHttpClient.Reply.NOT_SENT));
+        if (deliveredLate) {
           after(timeout + random.nextInt(60_000), () -> deliver(request, answer -> {}));
         }
         return;
@@ -246,30 +257,30 @@
         after(1, () -> once.accept(AsyncHttpClient.Reply.NOT_SENT));
         return;
       }
-      if (rejectedRoutes.contains(way)) {
+      if (rejectedRoutes.contains(route)) {
         after(5, () -> once.accept(AsyncHttpClient.Reply.answered(503, new byte[0])));
         return;
       }
       boolean lost = random.nextDouble() < lossy;
-      boolean late = lost && random.nextBoolean();
-      boolean holds = held > 0 && random.nextDouble() < held;
-      boolean there = holds && random.nextBoolean();
-      int back = holds && !there ? random.nextInt(MAX_DELAY_MILLIS) : 0;
+      boolean deliveredLate = lost && random.nextBoolean();
+      boolean delayed = held > 0 && random.nextDouble() < held;
+      boolean delayedThere = delayed && random.nextBoolean();
+      int answerDelay = delayed && !delayedThere ? random.nextInt(MAX_DELAY_MILLIS) : 0;
       after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
       after(
-          late
+          deliveredLate
               ? random.nextInt(40_000)
-              : 1 + random.nextInt(8) + (there ? random.nextInt(MAX_DELAY_MILLIS) : 0),
+              : 1 + random.nextInt(8) + (delayedThere ? random.nextInt(MAX_DELAY_MILLIS) : 0),
           () ->
               deliver(
                   request,
                   answer -> {
-                    if (!lost && !cutRoutes.contains(way) && !deaf.contains(from)) {
+                    if (!lost && !cutRoutes.contains(route) && !deaf.contains(from)) {
                       after(
-                          1 + random.nextInt(5) + back,
+                          1 + random.nextInt(5) + answerDelay,
                           () ->
                               runWhenNotRejected(
-                                  way,
+                                  route,
                                   () ->
                                       once.accept(
                                           AsyncHttpClient.Reply.answered(
@@ -279,9 +290,7 @@
     };
   }
 
-  /**
-   * Delivers a copy of a request later, to whoever is there by then; nobody waits for its answer.
-   */
+  /** Delivers a copy of a request after a delay and ignores the answer. */
   void deliverDuplicate(AsyncHttpClient.Request request, long millis) {
     after(millis, () -> deliver(request, answer -> {}));
   }
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -15,9 +15,9 @@
 import java.util.Set;
 
 /**
- * The users' starvation bound: once all troubles are over no job waits for 90 s while a machine
- * that fits has room and its team is under its limit. Asked of what is on the machines, plainly and
- * of all of them.
+ * Checks that no job starves: once all faults have ended, no job waits for more than 90 s while
+ * machines have room for it and its team is below its quota. The check compares the jobs with the
+ * actual state of all machines.
  */
 final class StarvationCheck {
   static final Duration MOST = Duration.ofSeconds(90);
@@ -27,15 +27,13 @@
   private final FakeFleet fleet;
   private final List<Team> teams;
 
-  /**
-   * Since when each job has waited although it could run, and how many of its tasks were under way
-   * then.
-   */
+  /** Since when each job has waited although it could run. */
   private final Map<String, Instant> waitingSince = new HashMap<>();
 
+  /** How many tasks of each job were on a machine or completed at the last check. */
   private final Map<String, Integer> activeOrCompletedTasks = new HashMap<>();
 
-  /** Where the tasks of a job are that have not exited, by their number. */
+  /** The workers of the tasks that have not exited, by job and task index. */
   private final Map<String, Map<Integer, Worker>> workersByJob = new HashMap<>();
 
   private final Map<Worker, Resources> freeResources = new HashMap<>();
@@ -54,17 +52,24 @@
     }
     readFleet();
     for (SafetyRules.Known job : rules.jobs.values()) {
-      int now = job.completedTasks.size() + workersByJob.getOrDefault(job.id, Map.of()).size();
-      boolean moves = activeOrCompletedTasks.getOrDefault(job.id, 0) < now;
-      activeOrCompletedTasks.put(job.id, now);
-      if (moves || !isWaiting(job) || !couldRun(job)) {
+      int current = job.completedTasks.size() + workersByJob.getOrDefault(job.id, Map.of()).size();
+      boolean progressed = activeOrCompletedTasks.getOrDefault(job.id, 0) < current;
+      activeOrCompletedTasks.put(job.id, current);
+      if (progressed || !isWaiting(job) || !couldRun(job)) {
         waitingSince.remove(job.id);
         continue;
       }
-      Instant first = waitingSince.computeIfAbsent(job.id, id -> world.now());
-      if (first.plus(MOST).isBefore(world.now())) {
+      Instant start = waitingSince.computeIfAbsent(job.id, id -> world.now());
+      if (start.plus(MOST).isBefore(world.now())) {
         throw new AssertionError(
-            "starved at " + world.now() + ": " + job.id + " waits since " + first + " " + job.spec);
+            "starved at "
+                + world.now()
+                + ": "
+                + job.id
+                + " waits since "
+                + start
+                + " although it could run: "
+                + job.spec);
       }
     }
   }
@@ -74,18 +79,18 @@
     freeResources.clear();
     usageByTeam.clear();
     for (Worker worker : fleet.machines.values()) {
-      Resources left = fleet.machineResources(worker.type);
+      Resources available = fleet.machineResources(worker.type);
       for (Task task : worker.tasks.values()) {
         if (task.status.equals("ended")) {
           continue;
         }
         JsonNode spec = rules.jobs.get(task.job()).spec;
-        left = left.minus(resourcesPerTask(spec));
+        available = available.minus(resourcesPerTask(spec));
         usageByTeam.merge(spec.get("owner").asText(), resourcesPerTask(spec), Resources::plus);
         workersByJob.computeIfAbsent(task.job(), j -> new HashMap<>()).put(task.index(), worker);
       }
       if (worker.up && world.isReachable(SimulatedWorld.host(worker.address))) {
-        freeResources.put(worker, left);
+        freeResources.put(worker, available);
       }
     }
   }
@@ -97,38 +102,35 @@
         spec.get("memory_gb").asDouble());
   }
 
-  /**
-   * It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a
-   * machine.
-   */
+  /** Whether the job should run and has tasks that are neither complete nor on a machine. */
   private boolean isWaiting(SafetyRules.Known job) {
-    boolean wanted = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
+    boolean runnable = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
     for (String id : job.prerequisites()) {
-      SafetyRules.Known needed = rules.jobs.get(id);
-      // A completion is seen, stored and told before what needs it can start.
-      wanted &= needed.done;
+      SafetyRules.Known prerequisite = rules.jobs.get(id);
+      // Counts only once the completion was answered: it has been reported and stored by then.
+      runnable &= prerequisite.done;
     }
-    Map<Integer, Worker> there = workersByJob.getOrDefault(job.id, Map.of());
-    Set<Integer> known = new HashSet<>(job.completedTasks);
-    known.addAll(there.keySet());
+    Map<Integer, Worker> placed = workersByJob.getOrDefault(job.id, Map.of());
+    Set<Integer> started = new HashSet<>(job.completedTasks);
+    started.addAll(placed.keySet());
     boolean gang = job.spec.get("shape").asText().equals("group");
-    // What is left of a gang must be gone before it can start anew.
-    return wanted && known.size() < job.tasks() && !(gang && !there.isEmpty());
+    // A gang can restart only once all tasks of its last attempt are gone.
+    return runnable && started.size() < job.tasks() && !(gang && !placed.isEmpty());
   }
 
   private boolean couldRun(SafetyRules.Known job) {
     JsonNode spec = job.spec;
     boolean gang = spec.get("shape").asText().equals("group");
-    int wanted = gang ? job.tasks() : 1;
-    Resources each = resourcesPerTask(spec);
+    int taskCount = gang ? job.tasks() : 1;
+    Resources perTask = resourcesPerTask(spec);
     String owner = spec.get("owner").asText();
     Team team = teams.stream().filter(t -> t.name().equals(owner)).findFirst().orElseThrow();
     Resources used = usageByTeam.getOrDefault(owner, Resources.ZERO);
-    if (!team.allows(used.plus(each.times(wanted)))) {
+    if (!team.allows(used.plus(perTask.times(taskCount)))) {
       return false;
     }
     boolean together = spec.get("together").asBoolean();
-    int most = spec.get("spread").asBoolean() ? (job.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    int maxPerZone = spec.get("spread").asBoolean() ? (job.tasks() + 1) / 2 : Integer.MAX_VALUE;
     Map<String, Integer> inZone = new HashMap<>();
     workersByJob
         .getOrDefault(job.id, Map.of())
@@ -136,20 +138,20 @@
         .forEach(w -> inZone.merge(w.zone, 1, Integer::sum));
     Map<String, Long> room = new HashMap<>();
     freeResources.forEach(
-        (worker, left) -> {
+        (worker, available) -> {
           boolean allowed =
               (!worker.spot || spec.get("loaners").asBoolean())
                   && (!spec.hasNonNull("yard") || spec.get("yard").asText().equals(worker.zone))
                   && (!spec.hasNonNull("hulls") || names(spec.get("hulls")).contains(worker.type));
-          boolean apart = together && !inZone.isEmpty() && !inZone.containsKey(worker.zone);
-          if (allowed && !apart) {
-            room.merge(worker.zone, each.timesFittingIn(left), Long::sum);
+          boolean inOtherZone = together && !inZone.isEmpty() && !inZone.containsKey(worker.zone);
+          if (allowed && !inOtherZone) {
+            room.merge(worker.zone, perTask.timesFittingIn(available), Long::sum);
           }
         });
-    room.replaceAll((zone, count) -> Math.min(count, most - inZone.getOrDefault(zone, 0)));
+    room.replaceAll((zone, count) -> Math.min(count, maxPerZone - inZone.getOrDefault(zone, 0)));
     return together
-        ? room.values().stream().anyMatch(count -> count >= wanted)
-        : room.values().stream().mapToLong(count -> Math.max(0, count)).sum() >= wanted;
+        ? room.values().stream().anyMatch(count -> count >= taskCount)
+        : room.values().stream().mapToLong(count -> Math.max(0, count)).sum() >= taskCount;
   }
 
   private static List<String> names(JsonNode list) {
--- a/src/test/java/io/pineladder/sim/TaskWatcher.java
+++ b/src/test/java/io/pineladder/sim/TaskWatcher.java
@@ -3,26 +3,26 @@
 import io.pineladder.sim.FakeFleet.Task;
 import io.pineladder.sim.FakeFleet.Worker;
 
-/** Follows what becomes of tasks on workers, and knows what kind of task each is. */
+/** Receives the events of tasks on workers and describes how each task behaves. */
 interface TaskWatcher {
-  /** Every attempt of the task fails. */
+  /** Whether every attempt of the task fails. */
   boolean isBroken(Task task);
 
   boolean isGang(Task task);
 
-  /** How long the task runs; 0 until it is stopped. */
+  /** The run time of the task in milliseconds; 0 if it runs until it is stopped. */
   long runMillis(Task task);
 
-  /** A start was executed. */
-  void commanded(Task task, Worker on);
+  /** A worker has executed a start order for the task. */
+  void commanded(Task task, Worker worker);
 
-  /** The task is on its machine with its image. */
-  void started(Task task, Worker on);
+  /** The image of the task is on its machine, and the task occupies its resources. */
+  void started(Task task, Worker worker);
 
-  /** The task is on its machine no more. */
-  void left(Task task, Worker from);
+  /** The task no longer occupies its machine. */
+  void left(Task task, Worker worker);
 
-  /** A task of a gang waits for the others. */
+  /** A gang task is ready and waits for the other tasks of its gang. */
   void gather(Task task);
 
   void completed(Task task);
--- a/src/test/java/io/pineladder/sim/TrafficObserver.java
+++ b/src/test/java/io/pineladder/sim/TrafficObserver.java
@@ -5,11 +5,10 @@
 import java.time.Instant;
 
 /**
- * Is told of each request that a host of the simulated network sends and of each answer that a
- * handler gives, in order. It must neither change what it is given nor draw random numbers.
+ * Observes each request that a host of the simulated network sends and each answer that a handler
+ * gives, in order. Implementations must not change their arguments or draw random numbers.
  */
 interface TrafficObserver {
-  /** Does nothing. */
   TrafficObserver NONE =
       new TrafficObserver() {
         @Override
@@ -19,9 +18,9 @@
         public void onAnswer(Instant time, AsyncHttpClient.Request request, HttpResponse answer) {}
       };
 
-  /** A host sends a request, whether it arrives or not. */
+  /** A host sends a request, which may get lost. */
   void onRequest(Instant time, String from, AsyncHttpClient.Request request);
 
-  /** The handler at the request's address answers it, whether the answer arrives or not. */
+  /** The handler at the request's address gives an answer, which may get lost. */
   void onAnswer(Instant time, AsyncHttpClient.Request request, HttpResponse answer);
 }
