--- a/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.failover.FailoverTimings.CompletedFailover;
+import io.pineladder.failover.FailoverTimings.FailoverSummary;
 import io.pineladder.failover.FailoverTimings.Phase;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -27,11 +27,11 @@
     }
   }
 
-  private CompletedFailover latestTakeover() {
-    return controllers.get(leader()).node.failoverTimings().latest().get(0);
+  private FailoverSummary latestTakeover() {
+    return controllers.get(leader()).node.failoverTimings().recentFailovers().get(0);
   }
 
-  private void assertWithin(CompletedFailover taken, Phase phase, Duration most) {
+  private void assertWithin(FailoverSummary taken, Phase phase, Duration most) {
     Duration took = taken.phases().get(phase);
     assertTrue(took != null && took.compareTo(most) <= 0, phase + " took " + took);
   }
@@ -85,7 +85,7 @@
     int requests = store.requests - before;
     assertTrue(requests <= 350, requests + " requests in the first 5 s after the outage");
     world.runFor(Duration.ofSeconds(15));
-    CompletedFailover first = latestTakeover();
+    FailoverSummary first = latestTakeover();
     assertWithin(first, Phase.STORE_READ, Duration.ofSeconds(2));
     assertWithin(first, Phase.FIRST_REPORT, Duration.ofSeconds(3));
     assertWithin(first, Phase.FLEET_HEARD, Duration.ofSeconds(8));
--- a/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
+++ b/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
@@ -45,12 +45,12 @@
     boolean[] accepting = {!late};
     Receiver receiver =
         new Receiver(
-            List.of(WebhookSignature.secret(SECRET)),
+            List.of(WebhookSignature.parseSecret(SECRET)),
             new NotificationStore() {
               private final Map<String, Long> positions = new ConcurrentHashMap<>();
 
               @Override
-              public long position(String source) {
+              public long lastSequence(String source) {
                 return positions.getOrDefault(source, 0L);
               }
 
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -49,7 +49,7 @@
   DeliveryContext delivery(String host) {
     DeliveryContext delivery =
         new DeliveryContext(DIRECT, new SecretCipher(new byte[32]), List.of(), 1, 32);
-    delivery.sendThrough(FakeReceiver.from(world, host, () -> true));
+    delivery.setOutboundClient(FakeReceiver.from(world, host, () -> true));
     return delivery;
   }
 
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -78,7 +78,7 @@
   }
 
   @Override
-  public long position(String source) {
+  public long lastSequence(String source) {
     return positions.getOrDefault(source, 0L);
   }
 
--- a/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
+++ b/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
@@ -71,7 +71,7 @@
 
   @Test
   void lateClaimOfEarlierRoundDoesNotElect() throws Exception {
-    Settings settings = SettingsReader.parse(SettingsReaderTest.GOOD);
+    Settings settings = SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS);
     EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
     StoreClient client =
         new StoreClient(
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -99,7 +99,7 @@
   }
 
   private String settings(int index) {
-    String template = SettingsReaderTest.GOOD;
+    String template = SettingsReaderTest.VALID_SETTINGS;
     int seeds = template.indexOf("[[seeds]]");
     StringBuilder text =
         new StringBuilder(template.substring(0, seeds))
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.membership.Membership;
-import io.pineladder.membership.Membership.SelfAssessment;
+import io.pineladder.membership.Membership.LocalHealth;
 import io.pineladder.membership.Membership.State;
 import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Settings;
@@ -210,7 +210,7 @@
         toml.append("address = \"10.0.0." + (i + 1) + ":8081\"\n");
       }
     }
-    String good = SettingsReaderTest.GOOD;
+    String good = SettingsReaderTest.VALID_SETTINGS;
     int from = good.indexOf("[[seeds]]");
     int to = good.indexOf("[external]");
     try {
@@ -282,7 +282,7 @@
       for (int b = 0; b < NODES; b++) {
         assertEquals(a == b ? State.UNKNOWN : State.UP, state(a, b));
       }
-      assertEquals(SelfAssessment.SURE, nodes.get(a).membership.selfAssessment());
+      assertEquals(LocalHealth.HEALTHY, nodes.get(a).membership.localHealth());
     }
   }
 
@@ -329,10 +329,10 @@
     world.cut("10.0.0.1", "10.0.0.2");
     world.cut("10.0.0.1", "10.0.0.3");
     world.runFor(Duration.ofSeconds(20));
-    assertEquals(SelfAssessment.DOUBTFUL, nodes.get(0).membership.selfAssessment());
+    assertEquals(LocalHealth.DEGRADED, nodes.get(0).membership.localHealth());
     assertNotEquals(State.DOWN, state(0, 1));
     assertEquals(State.DOWN, state(1, 0));
-    assertEquals(SelfAssessment.SURE, nodes.get(1).membership.selfAssessment());
+    assertEquals(LocalHealth.HEALTHY, nodes.get(1).membership.localHealth());
   }
 
   @Test
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -145,7 +145,7 @@
   Settings settings(int index) {
     String host = "10.0.0." + (index + 1);
     String text =
-        SettingsReaderTest.GOOD
+        SettingsReaderTest.VALID_SETTINGS
             .replace("member = \"rung-0\"\narea", "member = \"rung-" + index + "\"\narea")
             .replace("front = \"10.0.0.1:", "front = \"" + host + ":")
             .replace("cluster_listen = \"10.0.0.1:", "cluster_listen = \"" + host + ":");
