--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -181,7 +181,7 @@
   private void apply(ScaleCluster cluster) {
     try {
       cluster.history().apply();
-      cluster.rules().watchCancelled();
+      cluster.rules().checkCancelledJobs();
     } catch (AssertionError e) {
       fail(e);
       return;
@@ -218,7 +218,7 @@
     real.runtime()
         .execute(
             () ->
-                real.caller()
+                real.httpClient()
                     .call(AsyncHttpClient.Request.get(address, path, PATIENCE), got::complete));
     return got.join();
   }
@@ -330,8 +330,8 @@
         () -> {
           cluster.workerTraffic().clear();
           cluster.storeTraffic().clear();
-          requestsBefore = cluster.store().requests;
-          changesBefore = Map.copyOf(cluster.store().changes);
+          requestsBefore = cluster.store().requestCount;
+          changesBefore = Map.copyOf(cluster.store().changesByPrefix);
           cluster.history().measure(true);
         });
   }
@@ -361,12 +361,13 @@
           out.put("tasks_running", history.meanRunning());
           out.put("jobs_submitted", load.submitted());
           out.put("answers_missing", load.unanswered());
-          out.put("store_requests_a_second", (cluster.store().requests - requestsBefore) / seconds);
+          out.put(
+              "store_requests_a_second", (cluster.store().requestCount - requestsBefore) / seconds);
           ObjectNode changes = out.putObject("store_changes_a_second");
           double[] all = new double[1];
           cluster
               .store()
-              .changes
+              .changesByPrefix
               .forEach(
                   (kind, count) -> {
                     double rate = (count - changesBefore.getOrDefault(kind, 0)) / seconds;
--- a/src/scale/java/io/pineladder/sim/SettingsChanges.java
+++ b/src/scale/java/io/pineladder/sim/SettingsChanges.java
@@ -35,7 +35,7 @@
 
   SettingsChanges(RealTimeWorld real, List<String> clusters) {
     this.world = real.world();
-    this.httpClient = real.caller();
+    this.httpClient = real.httpClient();
     this.clusters = clusters;
   }
 
--- a/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -28,7 +28,7 @@
   }
 
   private FailoverSummary latestTakeover() {
-    return controllers.get(leader()).node.failoverTimings().recentFailovers().get(0);
+    return controllers.get(leaderIndex()).node.failoverTimings().recentFailovers().get(0);
   }
 
   private void assertWithin(FailoverSummary taken, Phase phase, Duration most) {
@@ -38,13 +38,13 @@
 
   private int running() {
     return fleet.machines.values().stream()
-        .mapToInt(w -> (int) w.tasks.values().stream().filter(t -> t.there).count())
+        .mapToInt(w -> (int) w.tasks.values().stream().filter(t -> t.onMachine).count())
         .sum();
   }
 
   private List<FakeFleet.Worker> busy(int count) {
     List<FakeFleet.Worker> busy = new ArrayList<>();
-    for (FakeFleet.Worker worker : fleet.up()) {
+    for (FakeFleet.Worker worker : fleet.runningWorkers()) {
       if (!worker.tasks.isEmpty() && busy.size() < count) {
         busy.add(worker);
       }
@@ -59,11 +59,11 @@
   @Test
   void aFleetComesThroughFaultsThatPileUp() {
     begin(41);
-    fleet.capacity = MACHINES;
-    fleet.addUp(MACHINES);
+    fleet.zoneCapacity = MACHINES;
+    fleet.addRunningMachines(MACHINES);
     world.runFor(Duration.ofSeconds(10));
     for (int i = 0; i < JOBS; i++) {
-      submit(job("service", TASKS_EACH, "red").put("spread", false).put("together", false));
+      submit(jobSpec("service", TASKS_EACH, "red").put("spread", false).put("together", false));
     }
     int wanted = JOBS * TASKS_EACH;
     world.runFor(Duration.ofSeconds(60));
@@ -80,9 +80,9 @@
     controllers.forEach(each -> kill(each, 3_000));
     world.runFor(Duration.ofSeconds(6));
     store.endOutage();
-    int before = store.requests;
+    int before = store.requestCount;
     world.runFor(Duration.ofSeconds(5));
-    int requests = store.requests - before;
+    int requests = store.requestCount - before;
     assertTrue(requests <= 350, requests + " requests in the first 5 s after the outage");
     world.runFor(Duration.ofSeconds(15));
     FailoverSummary first = latestTakeover();
@@ -97,10 +97,10 @@
 
     busy(250).forEach(worker -> cutFromAll(worker, 70_000));
     world.runFor(Duration.ofSeconds(5));
-    int frozen = leader();
+    int frozen = leaderIndex();
     world.freeze("10.0.0." + (frozen + 1), 30_000);
     world.runFor(Duration.ofSeconds(20));
-    assertTrue(leader() != frozen, "another leads");
+    assertTrue(leaderIndex() != frozen, "another leads");
     assertWithin(latestTakeover(), Phase.FIRST_PLACEMENT, Duration.ofSeconds(14));
     world.runFor(Duration.ofSeconds(90));
     assertEquals(wanted, running(), "what was cut off runs elsewhere");
--- a/src/test/java/io/pineladder/sim/FakeFleet.java
+++ b/src/test/java/io/pineladder/sim/FakeFleet.java
@@ -18,74 +18,75 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The cloud and the workers on its machines, from their protocols, watched by the rules. */
+/** A fake cloud provider and the workers on its machines; task events go to a watcher. */
 final class FakeFleet implements AsyncHttpHandler {
   static final String ADDRESS = "10.2.0.2:8443";
-  private static final int CAPACITY = 12;
-  private static final int PAGE = 500;
+  private static final int DEFAULT_ZONE_CAPACITY = 12;
+  private static final int PAGE_SIZE = 500;
 
-  /** A worker drops responses that take longer. */
-  private static final long RESPONSE_MILLIS = 4_000;
+  /** Workers ignore answers to reports that take longer than this. */
+  private static final long RESPONSE_TIMEOUT_MILLIS = 4_000;
 
   private final SimulatedWorld world;
-  private final TaskWatcher rules;
+  private final TaskWatcher taskWatcher;
   private final List<String> controllers;
-  private final Map<String, ObjectNode> answered = new HashMap<>();
+  private final Map<String, ObjectNode> rentalAnswers = new HashMap<>();
   final TreeMap<String, Worker> machines = new TreeMap<>();
-  private int names;
+  private int lastMachineNumber;
   boolean outage;
 
-  /** Machines of one zone at most. */
-  int capacity = CAPACITY;
+  /** The maximum number of machines in each zone. */
+  int zoneCapacity = DEFAULT_ZONE_CAPACITY;
 
-  /** How long a worker's lease lasts, and about how long it is between two of its reports. */
   long leaseMillis = 20_000;
 
+  /** The mean interval between two reports of a worker. */
   long reportMillis = 3_000;
 
-  /** A machine's type. */
-  record Type(
+  /** A machine type with its prices, image download rate and typical boot time. */
+  record MachineType(
       String name,
       double cpus,
       double gpus,
-      double gb,
-      double pull,
-      double price,
-      double spot,
-      double boot,
+      double memoryGb,
+      double pullGbPerSecond,
+      double hourlyPrice,
+      double hourlySpotPrice,
+      double bootSeconds,
       List<String> zones) {}
 
-  List<Type> types = List.of(new Type("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
+  List<MachineType> types =
+      List.of(new MachineType("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
 
-  /** What a machine of this type has. */
-  Resources size(String type) {
-    Type of = types.stream().filter(t -> t.name.equals(type)).findFirst().orElseThrow();
-    return Resources.of(of.cpus, of.gpus, of.gb);
+  /** The total resources of a machine of this type. */
+  Resources machineResources(String type) {
+    MachineType found = types.stream().filter(t -> t.name.equals(type)).findFirst().orElseThrow();
+    return Resources.of(found.cpus, found.gpus, found.memoryGb);
   }
 
-  /** The part of reports of which a copy comes late, up to three leases, at any controller. */
-  double copies;
+  /** The fraction of reports of which a random controller gets a copy, up to three leases late. */
+  double duplicateReportRate;
 
-  /** Reports are sent as soon as a task has exited too, and not only from time to time. */
-  boolean reportsChanges;
+  /** Whether a worker also sends a report as soon as a task has exited. */
+  boolean reportsTaskExits;
 
-  /** Copies of such reports are kept until {@link #deliverKept}. */
-  boolean keepsCopies;
+  /** Whether duplicated reports are held back until {@link #deliverRetainedReports}. */
+  boolean retainsReportCopies;
 
-  private final List<byte[]> kept = new ArrayList<>();
+  private final List<byte[]> retainedReports = new ArrayList<>();
 
-  /** Machines are up within two seconds. */
-  boolean quickBoots;
+  /** Whether machines boot within two seconds. */
+  boolean fastBoots;
 
-  /** Tasks that ended with their worker's lease. */
-  int endedByLease;
+  /** How many tasks ended because their worker's lease expired. */
+  int tasksEndedByLeaseExpiry;
 
-  /** One of so many tasks that are no gang's fails; 0 for none. */
-  int failsOneOf = 40;
+  /** One in this many tasks outside of gangs fails; 0 for none. */
+  int failsOneIn = 40;
 
-  /** Where workers run that this stand-in rents out and does not run itself; null for none. */
+  /** Runs the workers of rented machines elsewhere, such as in processes of their own. */
   interface Launcher {
-    /** Where a worker with this number is reached. */
+    /** The address of the worker with this number. */
     String address(int number);
 
     void boot(Worker worker);
@@ -93,14 +94,15 @@
     void end(Worker worker);
   }
 
+  /** Runs the workers; if null, they run in this process. */
   Launcher launcher;
 
-  /** Half of the machines come up late or never. */
-  boolean badBoots;
+  /** Whether half of the machines boot late or never. */
+  boolean unreliableBoots;
 
   FakeFleet(SimulatedWorld world, TaskWatcher rules, List<String> controllers) {
     this.world = world;
-    this.rules = rules;
+    this.taskWatcher = rules;
     this.controllers = controllers;
   }
 
@@ -124,7 +126,7 @@
         }
         answer.accept(ok(Json.object()));
       } else {
-        answer.accept(ok(list(path)));
+        answer.accept(ok(listMachines(path)));
       }
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
@@ -138,19 +140,19 @@
   private ObjectNode flavors() {
     ObjectNode out = Json.object();
     ArrayNode hulls = out.putArray("hulls");
-    for (Type type : types) {
+    for (MachineType type : types) {
       ArrayNode yards =
           hulls
               .addObject()
               .put("sku", type.name)
               .put("vcpus", type.cpus)
               .put("cards", type.gpus)
-              .put("memory_gb", type.gb)
+              .put("memory_gb", type.memoryGb)
               .put("local_gb", 50.0)
-              .put("pull_gb_per_s", type.pull)
-              .put("hourly", type.price)
-              .put("spot_price", type.spot)
-              .put("boot_s", type.boot)
+              .put("pull_gb_per_s", type.pullGbPerSecond)
+              .put("hourly", type.hourlyPrice)
+              .put("spot_price", type.hourlySpotPrice)
+              .put("boot_s", type.bootSeconds)
               .putArray("yards");
       type.zones.forEach(yards::add);
     }
@@ -159,72 +161,74 @@
 
   private HttpResponse rent(ObjectNode request) {
     String id = request.get("charter").asText();
-    if (answered.containsKey(id)) {
-      return ok(answered.get(id));
+    if (rentalAnswers.containsKey(id)) {
+      return ok(rentalAnswers.get(id));
     }
     String zone = request.get("yard").asText();
     boolean spot = request.get("loaners").asBoolean();
-    long there = machines.values().stream().filter(w -> w.zone.equals(zone)).count();
-    int count = (int) Math.min(request.get("count").asInt(), capacity - there);
+    long inZone = machines.values().stream().filter(w -> w.zone.equals(zone)).count();
+    int count = (int) Math.min(request.get("count").asInt(), zoneCapacity - inZone);
     if (count <= 0) {
       return new HttpResponse(503, Json.bytes(Json.object().put("error", "no capacity")));
     }
     ObjectNode out = Json.object();
     ArrayNode names = out.putArray("hosts");
     for (int i = 0; i < count; i++) {
-      names.add(create(request.get("hull").asText(), zone, spot));
+      names.add(createMachine(request.get("hull").asText(), zone, spot));
     }
-    answered.put(id, out);
+    rentalAnswers.put(id, out);
     return ok(out);
   }
 
-  private String create(String type, String zone, boolean spot) {
-    String name = String.format("m-%06d", ++names);
-    Worker worker = new Worker(name, address(), type, zone, spot);
+  private String createMachine(String type, String zone, boolean spot) {
+    String name = String.format("m-%06d", ++lastMachineNumber);
+    Worker worker = new Worker(name, nextAddress(), type, zone, spot);
     machines.put(name, worker);
-    // Some come up at once, some take several times as long, and a few never come.
-    if (quickBoots) {
+    if (fastBoots) {
       world.after(world.random.nextInt(2_000), worker::boot);
       return name;
     }
-    int luck = world.random.nextInt(badBoots ? 4 : 20);
-    long late = luck == 0 ? 40_000 : luck == 1 ? 0 : 5_000;
-    if (luck != 2) {
-      world.after(late + world.random.nextInt(10_000), worker::boot);
+    // Some machines boot early, some late, and some never.
+    int outcome = world.random.nextInt(unreliableBoots ? 4 : 20);
+    long delayMillis = outcome == 0 ? 40_000 : outcome == 1 ? 0 : 5_000;
+    if (outcome != 2) {
+      world.after(delayMillis + world.random.nextInt(10_000), worker::boot);
     }
     return name;
   }
 
-  private String address() {
-    return launcher == null ? "10.1.0." + names + ":9000" : launcher.address(names);
+  private String nextAddress() {
+    return launcher == null
+        ? "10.1.0." + lastMachineNumber + ":9000"
+        : launcher.address(lastMachineNumber);
   }
 
-  /** A worker that another process rents out and this one runs. */
-  void run(String name, String address, String type, String zone, boolean spot) {
+  /** Runs the worker of a machine that another process has rented out. */
+  void runWorker(String name, String address, String type, String zone, boolean spot) {
     Worker worker = new Worker(name, address, type, zone, spot);
     machines.put(name, worker);
     worker.boot();
   }
 
-  /** Ordinary machines that are up from the start. */
-  void addUp(int count) {
+  /** Adds on-demand machines that boot within three seconds. */
+  void addRunningMachines(int count) {
     List<String> zones = types.get(0).zones;
     for (int i = 0; i < count; i++) {
-      String name = String.format("m-%06d", ++names);
+      String name = String.format("m-%06d", ++lastMachineNumber);
       Worker worker =
-          new Worker(name, address(), types.get(0).name, zones.get(i % zones.size()), false);
+          new Worker(name, nextAddress(), types.get(0).name, zones.get(i % zones.size()), false);
       machines.put(name, worker);
       world.after(world.random.nextInt(3_000), worker::boot);
     }
   }
 
-  private ObjectNode list(String path) {
-    int at = path.indexOf("since=");
-    String since = at < 0 ? "" : path.substring(at + "since=".length());
+  private ObjectNode listMachines(String path) {
+    int start = path.indexOf("since=");
+    String since = start < 0 ? "" : path.substring(start + "since=".length());
     ObjectNode out = Json.object();
     ArrayNode hosts = out.putArray("hosts");
     for (Worker worker : machines.tailMap(since, false).values()) {
-      if (hosts.size() == PAGE) {
+      if (hosts.size() == PAGE_SIZE) {
         break;
       }
       hosts
@@ -237,33 +241,35 @@
           .put("status", worker.up ? "running" : "booting")
           .put("age_s", 20.0);
     }
-    boolean more = hosts.size() == PAGE;
-    return out.put("truncated", more);
+    boolean truncated = hosts.size() == PAGE_SIZE;
+    return out.put("truncated", truncated);
   }
 
-  /** One task on a worker. */
+  /** An attempt of a task on a worker. */
   static final class Task {
-    final String piece;
+    final String id;
     final long attempt;
     String status = "fetching";
-    String cause;
-    boolean there;
+    String exitCause;
+
+    /** Whether the image has been fetched and the task has not exited. */
+    boolean onMachine;
 
     Task(String piece, long attempt) {
-      this.piece = piece;
+      this.id = piece;
       this.attempt = attempt;
     }
 
-    String job() {
-      return piece.substring(0, piece.indexOf('/'));
+    String jobId() {
+      return id.substring(0, id.indexOf('/'));
     }
 
     int index() {
-      return Integer.parseInt(piece.substring(piece.indexOf('/') + 1));
+      return Integer.parseInt(id.substring(id.indexOf('/') + 1));
     }
   }
 
-  /** A machine with its worker. */
+  /** A machine and the worker on it. */
   final class Worker implements AsyncHttpHandler {
     final String name;
     final String address;
@@ -273,14 +279,14 @@
     final LinkedHashMap<String, Task> tasks = new LinkedHashMap<>();
     boolean up;
     boolean ended;
-    private long session = 1;
-    private long sequence;
-    private long token;
-    private int at;
-    private long answeredSentMillis;
-    private long reportRound;
-    private boolean reportUnderWay;
-    private boolean changeSent;
+    private long epoch = 1;
+    private long reportSequence;
+    private long fencingToken;
+    private int controllerIndex;
+    private long leaseRenewedAtMillis;
+    private long reportNumber;
+    private boolean reportInFlight;
+    private boolean exitReportScheduled;
 
     Worker(String name, String address, String type, String zone, boolean spot) {
       this.name = name;
@@ -300,13 +306,13 @@
         return;
       }
       world.serve(address, this);
-      answeredSentMillis = world.now().toEpochMilli();
-      at = world.random.nextInt(controllers.size());
-      send();
-      watchLease();
+      leaseRenewedAtMillis = world.now().toEpochMilli();
+      controllerIndex = world.random.nextInt(controllers.size());
+      sendReport();
+      checkLease();
     }
 
-    /** The machine is gone, and everything on it. */
+    /** Terminates the machine and all tasks on it. */
     void end() {
       ended = true;
       up = false;
@@ -315,34 +321,34 @@
         return;
       }
       world.stop(address);
-      List.copyOf(tasks.values()).forEach(this::leave);
+      List.copyOf(tasks.values()).forEach(this::notifyLeft);
       tasks.clear();
     }
 
-    private void leave(Task task) {
-      if (task.there) {
-        task.there = false;
-        rules.left(task, this);
+    private void notifyLeft(Task task) {
+      if (task.onMachine) {
+        task.onMachine = false;
+        taskWatcher.onLeft(task, this);
       }
     }
 
-    private void watchLease() {
+    private void checkLease() {
       if (ended) {
         return;
       }
-      if (world.now().toEpochMilli() - answeredSentMillis > leaseMillis) {
-        endedByLease +=
+      if (world.now().toEpochMilli() - leaseRenewedAtMillis > leaseMillis) {
+        tasksEndedByLeaseExpiry +=
             (int) tasks.values().stream().filter(t -> !t.status.equals("ended")).count();
-        List.copyOf(tasks.values()).forEach(this::leave);
+        List.copyOf(tasks.values()).forEach(this::notifyLeft);
         tasks.clear();
-        session++;
-        sequence = 0;
-        answeredSentMillis = world.now().toEpochMilli();
+        epoch++;
+        reportSequence = 0;
+        leaseRenewedAtMillis = world.now().toEpochMilli();
       }
-      world.after(100, this::watchLease);
+      world.after(100, this::checkLease);
     }
 
-    private ObjectNode report() {
+    private ObjectNode buildReport() {
       ObjectNode out =
           Json.object()
               .put("host", name)
@@ -350,104 +356,104 @@
               .put("hull", type)
               .put("yard", zone)
               .put("loaners", spot)
-              .put("shift", session)
-              .put("tally", ++sequence)
-              .put("baton", token);
+              .put("shift", epoch)
+              .put("tally", ++reportSequence)
+              .put("baton", fencingToken);
       ArrayNode pieces = out.putArray("pieces");
       for (Task task : tasks.values()) {
         ObjectNode piece =
             pieces
                 .addObject()
-                .put("piece", task.piece)
+                .put("piece", task.id)
                 .put("try", task.attempt)
                 .put("status", task.status);
-        if (task.cause != null) {
-          piece.put("cause", task.cause);
+        if (task.exitCause != null) {
+          piece.put("cause", task.exitCause);
         }
       }
       return out;
     }
 
-    private void send() {
+    private void sendReport() {
       if (ended) {
         return;
       }
-      long round = ++reportRound;
-      reportUnderWay = true;
-      long sentSession = session;
+      long number = ++reportNumber;
+      reportInFlight = true;
+      long sentEpoch = epoch;
       long sentMillis = world.now().toEpochMilli();
-      byte[] body = Json.bytes(report());
-      if (keepsCopies && world.random.nextDouble() < copies) {
-        kept.add(body);
-      } else if (copies > 0 && world.random.nextDouble() < copies) {
-        String where = controllers.get(world.random.nextInt(controllers.size()));
-        world.deliverCopy(
-            AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
+      byte[] body = Json.bytes(buildReport());
+      if (retainsReportCopies && world.random.nextDouble() < duplicateReportRate) {
+        retainedReports.add(body);
+      } else if (duplicateReportRate > 0 && world.random.nextDouble() < duplicateReportRate) {
+        String target = controllers.get(world.random.nextInt(controllers.size()));
+        world.deliverDuplicate(
+            AsyncHttpClient.Request.post(target, "/v1/report", body, Duration.ofSeconds(4)),
             1_000 + world.random.nextLong(3 * leaseMillis));
       }
-      AsyncHttpClient caller = world.caller(SimulatedWorld.host(address), () -> !ended);
+      AsyncHttpClient caller = world.httpClient(SimulatedWorld.host(address), () -> !ended);
       caller.call(
           AsyncHttpClient.Request.post(
-              controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
+              controllers.get(controllerIndex), "/v1/report", body, Duration.ofSeconds(4)),
           reply -> {
-            if (round == reportRound) {
-              reportUnderWay = false;
-              onReply(reply, sentSession, sentMillis);
+            if (number == reportNumber) {
+              reportInFlight = false;
+              onReply(reply, sentEpoch, sentMillis);
             }
           });
     }
 
-    private void onReply(AsyncHttpClient.Reply reply, long sentSession, long sentMillis) {
+    private void onReply(AsyncHttpClient.Reply reply, long sentEpoch, long sentMillis) {
       try {
         if (reply.is(200)) {
           ObjectNode response = Json.parseObject(reply.body());
-          long given = response.get("baton").asLong();
-          boolean higher = given > token;
-          boolean late = world.now().toEpochMilli() - sentMillis > RESPONSE_MILLIS;
-          if (given >= token && sentSession == session && !late) {
-            token = given;
-            answeredSentMillis = sentMillis;
+          long receivedToken = response.get("baton").asLong();
+          boolean higher = receivedToken > fencingToken;
+          boolean late = world.now().toEpochMilli() - sentMillis > RESPONSE_TIMEOUT_MILLIS;
+          if (receivedToken >= fencingToken && sentEpoch == epoch && !late) {
+            fencingToken = receivedToken;
+            leaseRenewedAtMillis = sentMillis;
             execute(response.get("orders"));
           }
-          sendAfter(
+          scheduleReport(
               higher ? 500 : reportMillis * 3 / 4 + world.random.nextInt((int) reportMillis / 2));
           return;
         }
         JsonNode leader = reply.is(421) ? Json.parseObject(reply.body()).get("foreman") : null;
         if (leader != null) {
-          at = Integer.parseInt(leader.asText().substring("rung-".length()));
-          sendAfter(world.random.nextInt(500));
+          controllerIndex = Integer.parseInt(leader.asText().substring("rung-".length()));
+          scheduleReport(world.random.nextInt(500));
           return;
         }
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
-      at = (at + 1) % controllers.size();
-      sendAfter(1_000);
+      controllerIndex = (controllerIndex + 1) % controllers.size();
+      scheduleReport(1_000);
     }
 
-    /** Sends the next report, unless another one has been sent by then. */
-    private void sendAfter(long millis) {
-      long round = reportRound;
+    /** Sends a report after the delay, unless another one was sent in the meantime. */
+    private void scheduleReport(long millis) {
+      long number = reportNumber;
       world.after(
           millis,
           () -> {
-            if (round == reportRound) {
-              send();
+            if (number == reportNumber) {
+              sendReport();
             }
           });
     }
 
     private void execute(JsonNode orders) {
       for (JsonNode order : orders) {
-        String piece = order.get("piece").asText();
+        String taskId = order.get("piece").asText();
         long attempt = order.get("try").asLong();
-        String key = piece + "#" + attempt;
+        String key = taskId + "#" + attempt;
         Task task = tasks.get(key);
         switch (order.get("verb").asText()) {
           case "start" -> {
             if (task == null) {
-              begin(key, new Task(piece, attempt));
+              startFetch(key, new Task(taskId, attempt));
             }
           }
           case "kill" -> {
@@ -464,19 +470,19 @@
       }
     }
 
-    private void begin(String key, Task task) {
+    private void startFetch(String key, Task task) {
       tasks.put(key, task);
-      rules.commanded(task, this);
-      world.after(500 + world.random.nextInt(3_000), () -> arrive(key, task));
+      taskWatcher.onStartCommand(task, this);
+      world.after(500 + world.random.nextInt(3_000), () -> onImageFetched(key, task));
     }
 
-    private void arrive(String key, Task task) {
+    private void onImageFetched(String key, Task task) {
       if (ended || tasks.get(key) != task || !task.status.equals("fetching")) {
         return;
       }
-      task.there = true;
-      rules.started(task, this);
-      if (rules.isGang(task)) {
+      task.onMachine = true;
+      taskWatcher.onStarted(task, this);
+      if (taskWatcher.isGang(task)) {
         task.status = "gathering";
         world.after(
             15_000,
@@ -485,27 +491,27 @@
                 exit(task, "incomplete");
               }
             });
-        rules.gather(task);
+        taskWatcher.onGangTaskReady(task);
       } else {
-        run(key, task);
+        runTask(key, task);
       }
     }
 
-    void run(String key, Task task) {
+    void runTask(String key, Task task) {
       task.status = "running";
-      long millis = rules.runMillis(task);
+      long millis = taskWatcher.runMillis(task);
       if (millis > 0) {
         world.after(
             millis,
             () -> {
               if (!ended && tasks.get(key) == task && task.status.equals("running")) {
                 boolean fails =
-                    rules.isBroken(task)
-                        || (failsOneOf > 0
-                            && world.random.nextInt(failsOneOf) == 0
-                            && !rules.isGang(task));
+                    taskWatcher.alwaysFails(task)
+                        || (failsOneIn > 0
+                            && world.random.nextInt(failsOneIn) == 0
+                            && !taskWatcher.isGang(task));
                 if (!fails) {
-                  rules.completed(task);
+                  taskWatcher.onCompleted(task);
                 }
                 exit(task, fails ? "error" : "done");
               }
@@ -515,22 +521,22 @@
 
     private void exit(Task task, String cause) {
       task.status = "ended";
-      task.cause = cause;
-      leave(task);
-      if (reportsChanges && !changeSent) {
-        // A change is told at once, though not more often than every half second.
-        changeSent = true;
-        long last = answeredSentMillis;
-        long wait = Math.max(0, last + 500 - world.now().toEpochMilli());
-        world.after(wait, this::tellChange);
+      task.exitCause = cause;
+      notifyLeft(task);
+      if (reportsTaskExits && !exitReportScheduled) {
+        // Reports the exit at once, but at least 500 ms after the last answered report was sent.
+        exitReportScheduled = true;
+        long lastReportMillis = leaseRenewedAtMillis;
+        long wait = Math.max(0, lastReportMillis + 500 - world.now().toEpochMilli());
+        world.after(wait, this::sendExitReport);
       }
     }
 
-    private void tellChange() {
-      changeSent = false;
-      if (!ended && !reportUnderWay) {
-        reportRound++;
-        send();
+    private void sendExitReport() {
+      exitReportScheduled = false;
+      if (!ended && !reportInFlight) {
+        reportNumber++;
+        sendReport();
       }
     }
 
@@ -538,49 +544,49 @@
     public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
       try {
         ObjectNode request = Json.parseObject(body);
-        long given = request.get("baton").asLong();
-        boolean good = given >= token && request.get("shift").asLong() == session;
-        if (good) {
-          token = given;
+        long receivedToken = request.get("baton").asLong();
+        boolean accepted = receivedToken >= fencingToken && request.get("shift").asLong() == epoch;
+        if (accepted) {
+          fencingToken = receivedToken;
           execute(request.get("orders"));
         }
-        answer.accept(new HttpResponse(good ? 200 : 409, Json.bytes(report())));
+        answer.accept(new HttpResponse(accepted ? 200 : 409, Json.bytes(buildReport())));
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
   }
 
-  /** The machines that have anything of a job that has not exited, wherever its image is. */
-  List<String> holding(String job) {
+  /** The names of machines with a task of the job that has not exited, even one still fetching. */
+  List<String> machinesHolding(String job) {
     return machines.values().stream()
         .filter(
             w ->
                 w.tasks.values().stream()
-                    .anyMatch(t -> t.job().equals(job) && !t.status.equals("ended")))
+                    .anyMatch(t -> t.jobId().equals(job) && !t.status.equals("ended")))
         .map(w -> w.name)
         .toList();
   }
 
-  /** What was kept arrives at every controller, each copy some time within two leases from now. */
-  void deliverKept() {
-    for (byte[] body : kept) {
-      for (String where : controllers) {
-        world.deliverCopy(
-            AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
+  /** Delivers the retained reports to every controller, at random times within two leases. */
+  void deliverRetainedReports() {
+    for (byte[] body : retainedReports) {
+      for (String controller : controllers) {
+        world.deliverDuplicate(
+            AsyncHttpClient.Request.post(controller, "/v1/report", body, Duration.ofSeconds(4)),
             world.random.nextInt(2) == 0 ? 0 : world.random.nextLong(2 * leaseMillis));
       }
     }
-    kept.clear();
+    retainedReports.clear();
   }
 
-  /** A machine dies, and everything on it. */
-  void die(Worker worker) {
+  /** Removes the machine without notice to any controller. */
+  void failMachine(Worker worker) {
     machines.remove(worker.name);
     worker.end();
   }
 
-  List<Worker> up() {
+  List<Worker> runningWorkers() {
     return new ArrayList<>(machines.values().stream().filter(w -> w.up).toList());
   }
 }
--- a/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
+++ b/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
@@ -20,142 +20,142 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
-/** The state service, from its protocol: keys, transactions, leases, watches, outages. */
+/** An in-memory key-value store with transactions, leases, watches and injected faults. */
 final class FakeKeyValueStore implements AsyncHttpHandler {
-  private record Value(JsonNode value, long version, long lease) {}
+  private record Value(JsonNode value, long version, long leaseId) {}
 
   private static final class Lease {
-    Instant until;
-    long life;
+    Instant expiresAt;
+    long ttlMillis;
   }
 
   private static final class Watch {
     final String prefix;
     final Consumer<HttpResponse> answer;
 
-    /** The first entry of the log that it has not been looked at for. */
-    int from;
+    int nextLogIndex;
 
-    boolean over;
+    boolean answered;
 
     Watch(String prefix, int from, Consumer<HttpResponse> answer) {
       this.prefix = prefix;
-      this.from = from;
+      this.nextLogIndex = from;
       this.answer = answer;
     }
   }
 
   private final SimulatedWorld world;
-  private int txnOps;
-  private int valueBytes;
+  private int maxTxnOps;
+  private int maxValueBytes;
 
-  /** The limits were lowered, and nobody was told when. */
-  private boolean lowered;
+  /**
+   * Whether limits were lowered; oversized values are then rejected instead of failing the test.
+   */
+  private boolean limitsLowered;
 
-  /** Transactions refused because they hold more than the lowered limits allow. */
-  int tooLarge;
+  /** Transactions rejected because a value exceeds the lowered limit. */
+  int oversizedTransactions;
 
   private final TreeMap<String, Value> keys = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
-  private final List<ObjectNode> log = new ArrayList<>();
+  private final List<ObjectNode> changeLog = new ArrayList<>();
   private final List<Watch> watches = new ArrayList<>();
   private long revision;
-  private long leaseIds;
+  private long lastLeaseId;
   boolean outage;
 
-  /** The part of transactions that get no answer and are carried out 2 to 12 s later. */
-  double lateWrites;
+  /** The fraction of transactions that get no answer and are executed 2 to 12 s late. */
+  double delayedTransactionRate;
 
-  /** The part of transactions that are carried out at once and get no answer. */
-  double unanswered;
+  /** The fraction of transactions that are executed at once but get no answer. */
+  double lostAnswerRate;
 
-  /** So carried out, by the kinds of keys they change. */
-  final Map<String, Integer> unansweredKinds = new TreeMap<>();
+  /** Successful transactions without an answer, by the key prefixes they change. */
+  final Map<String, Integer> lostAnswersByPrefix = new TreeMap<>();
 
-  /** Told of each key that has changed. */
+  /** Called with each key that a transaction has changed. */
   Consumer<String> onChange = key -> {};
 
-  /** Of each transaction a copy is carried out 2 to 12 s later, if it still can be. */
-  boolean repeats;
+  /** Whether each successful transaction is executed a second time 2 to 12 s later. */
+  boolean replaysTransactions;
 
-  /** Copies carried out, by the kinds of keys they change; and those of them that had effect. */
-  final Map<String, Integer> repeated = new TreeMap<>();
+  /** Transactions executed a second time, by the key prefixes they change. */
+  final Map<String, Integer> replaysByPrefix = new TreeMap<>();
 
-  final Map<String, Integer> repeatedWithEffect = new TreeMap<>();
+  /** Those of them that succeeded the second time. */
+  final Map<String, Integer> effectiveReplaysByPrefix = new TreeMap<>();
 
-  /**
-   * Requests and changes a second that are served, with bursts of a second's worth; the rest gets
-   * 429.
-   */
+  /** Limits the rate of requests, if set; requests over a limit are answered with 429. */
   TokenBucket requestLimit;
 
+  /** Limits the rate of changes in transactions; set together with the limit on requests. */
   TokenBucket changeLimit;
 
-  /** Requests that were over a limit. */
-  int overLimit;
+  /** Requests answered with 429. */
+  int rateLimitedRequests;
 
-  /** Entries of a listing in one answer: few, so that reading on is part of every test. */
-  int pageEntries = 20;
+  /** Maximum entries in one page of a listing; small, so that every test reads several pages. */
+  int pageSize = 20;
 
-  /** Changes that are kept for those who follow; by the protocol 10,000. */
-  int mostLogged = Integer.MAX_VALUE;
+  /** How many changes are kept for watches when the log is compacted; 10,000 in the protocol. */
+  int retainedChanges = Integer.MAX_VALUE;
 
-  /** The revision up to which changes are no longer kept. */
-  private long forgotten;
+  /** The revision up to which the log was compacted. */
+  private long compactedRevision;
 
-  /** Answers take up to so long. */
-  int slowMillis;
+  /** Answers are delayed at random by less than this; 0 for no delay. */
+  int maxAnswerDelayMillis;
 
-  /** Puts and deletes so far, by the first part of their keys. */
-  final Map<String, Integer> changes = new HashMap<>();
+  /** Puts and deletes so far, by key prefix. */
+  final Map<String, Integer> changesByPrefix = new HashMap<>();
 
-  /** Requests so far, refused ones included. */
-  int requests;
+  /** Requests so far, including rejected ones. */
+  int requestCount;
 
   FakeKeyValueStore(SimulatedWorld world, int txnOps, int valueBytes) {
     this.world = world;
-    this.txnOps = txnOps;
-    this.valueBytes = valueBytes;
-    expire();
+    this.maxTxnOps = txnOps;
+    this.maxValueBytes = valueBytes;
+    expireLeases();
   }
 
-  /** From here on less is allowed; what is stored stays. */
-  void lower(int nextTxnOps, int nextValueBytes, double changesPerSecond) {
-    lowered = true;
-    txnOps = nextTxnOps;
-    valueBytes = nextValueBytes;
+  /** Lowers the limits from now on; stored values are kept. */
+  void lowerLimits(int nextTxnOps, int nextValueBytes, double changesPerSecond) {
+    limitsLowered = true;
+    maxTxnOps = nextTxnOps;
+    maxValueBytes = nextValueBytes;
     requestLimit = new TokenBucket(100, 100, world.now());
     changeLimit = new TokenBucket(changesPerSecond, changesPerSecond, world.now());
   }
 
-  /** The keys of values that are larger than they may be now. */
-  List<String> largeValues() {
+  /** The keys of stored values that exceed the current size limit. */
+  List<String> oversizedKeys() {
     return keys.entrySet().stream()
-        .filter(each -> Json.bytes(each.getValue().value).length > valueBytes)
+        .filter(entry -> Json.bytes(entry.getValue().value).length > maxValueBytes)
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  /** What stands before the keys of the generation that counts. */
-  String space() {
-    Value named = keys.get("generation/current");
-    return named == null ? "" : "g" + named.value.get("base").asLong() + "/";
+  /** The key prefix of the current generation. */
+  String generationPrefix() {
+    Value current = keys.get("generation/current");
+    return current == null ? "" : "g" + current.value.get("base").asLong() + "/";
   }
 
   JsonNode value(String key) {
-    Value found = keys.get(space() + key);
+    Value found = keys.get(generationPrefix() + key);
     return found == null ? null : found.value;
   }
 
-  int count(String prefix) {
-    String within = space() + prefix;
-    return (int) keys.keySet().stream().filter(k -> k.startsWith(within)).count();
+  int countKeys(String prefix) {
+    String fullPrefix = generationPrefix() + prefix;
+    return (int) keys.keySet().stream().filter(k -> k.startsWith(fullPrefix)).count();
   }
 
-  /** Whether a placement of this start is stored. */
+  /** Whether the placement of this task attempt on this machine is stored. */
   boolean hasPlacement(String machine, String piece, long attempt) {
-    String within = space() + "placed/";
-    for (Value page : keys.subMap(within, within + Character.MAX_VALUE).values()) {
+    String pagePrefix = generationPrefix() + "placed/";
+    for (Value page : keys.subMap(pagePrefix, pagePrefix + Character.MAX_VALUE).values()) {
       for (JsonNode entry : page.value.path("entries")) {
         if (entry.get(0).asText().equals(machine)
             && (entry.get(5).asText() + "/" + entry.get(6).asText()).equals(piece)
@@ -167,78 +167,82 @@
     return false;
   }
 
-  /** How many keys are none of the generation that counts. */
-  int outside() {
-    String space = space();
-    return (int) keys.keySet().stream().filter(k -> !k.startsWith(space)).count();
+  /** How many keys do not belong to the current generation. */
+  int countKeysOutsideGeneration() {
+    String prefix = generationPrefix();
+    return (int) keys.keySet().stream().filter(k -> !k.startsWith(prefix)).count();
   }
 
-  /** Backups that were made of the keys, by their time, the latest last. */
+  /** Backups, oldest first. */
   private final List<Backup> backups = new ArrayList<>();
 
-  private record Backup(Instant at, TreeMap<String, Value> keys, long revision) {}
+  private record Backup(Instant takenAt, TreeMap<String, Value> keys, long revision) {}
 
-  /** Makes a backup now and every second from now on. */
-  void backUp() {
+  /** Takes a backup now and every second from now on. */
+  void startBackups() {
     backups.add(new Backup(world.now(), new TreeMap<>(keys), revision));
-    world.after(1_000, this::backUp);
+    world.after(1_000, this::startBackups);
   }
 
-  /** As if set up anew: nothing is left, and revisions and leases are numbered from the start. */
+  /** Deletes all data and restarts revisions and lease numbers, as in a new installation. */
   void loseEverything() {
     keys.clear();
     leases.clear();
-    log.clear();
-    watches.forEach(w -> w.from = 0);
+    changeLog.clear();
+    watches.forEach(w -> w.nextLogIndex = 0);
     revision = 0;
-    leaseIds = 0;
+    lastLeaseId = 0;
   }
 
-  /** A backup takes the place of what is stored; leases are gone with their keys, or come back. */
-  void restore(Duration age, boolean withLeases) {
-    Instant wanted = world.now().minus(age);
+  /**
+   * Replaces all data by the newest backup of at least this age.
+   *
+   * @param withLeases whether leases are renewed; otherwise they are dropped with their keys
+   */
+  void restoreBackup(Duration age, boolean withLeases) {
+    Instant latest = world.now().minus(age);
     Backup found = backups.get(0);
     for (Backup each : backups) {
-      found = each.at.isAfter(wanted) ? found : each;
+      found = each.takenAt.isAfter(latest) ? found : each;
     }
     keys.clear();
     keys.putAll(found.keys);
     revision = found.revision;
     long restored = revision;
-    log.removeIf(event -> event.get("stamp").asLong() > restored);
-    watches.forEach(w -> w.from = log.size());
+    changeLog.removeIf(event -> event.get("stamp").asLong() > restored);
+    watches.forEach(w -> w.nextLogIndex = changeLog.size());
     if (withLeases) {
-      leases.values().forEach(l -> l.until = world.now().plusMillis(l.life));
+      leases.values().forEach(l -> l.expiresAt = world.now().plusMillis(l.ttlMillis));
     } else {
       leases.clear();
-      keys.values().removeIf(value -> value.lease != 0);
+      keys.values().removeIf(value -> value.leaseId != 0);
     }
   }
 
-  /** Keys with this prefix are gone, and nothing tells of it. */
+  /** Deletes all keys with this prefix without any change event. */
   void losePrefix(String prefix) {
-    String within = space() + prefix;
-    keys.keySet().removeIf(key -> key.startsWith(within));
+    String fullPrefix = generationPrefix() + prefix;
+    keys.keySet().removeIf(key -> key.startsWith(fullPrefix));
   }
 
-  /** One value with this prefix cannot be read any more; its revision is as before. */
-  void damage(String prefix) {
-    String within = space() + prefix;
-    List<String> there = keys.keySet().stream().filter(k -> k.startsWith(within)).toList();
-    if (!there.isEmpty()) {
-      String key = there.get(world.random.nextInt(there.size()));
+  /** Makes one random value with this prefix unreadable without changing its revision. */
+  void corruptValue(String prefix) {
+    String fullPrefix = generationPrefix() + prefix;
+    List<String> candidates = keys.keySet().stream().filter(k -> k.startsWith(fullPrefix)).toList();
+    if (!candidates.isEmpty()) {
+      String key = candidates.get(world.random.nextInt(candidates.size()));
       Value old = keys.get(key);
-      keys.put(key, new Value(Json.object().put("entries", "?"), old.version, old.lease));
+      keys.put(key, new Value(Json.object().put("entries", "?"), old.version, old.leaseId));
     }
   }
 
-  /** The final states that are stored, by job. */
-  Map<String, String> ends() {
+  /** The stored final states by job ID. */
+  Map<String, String> finalStates() {
     Map<String, String> found = new TreeMap<>();
-    String space = space();
+    String prefix = generationPrefix();
     keys.forEach(
-        (whole, value) -> {
-          String key = inside(whole, space);
+        (fullKey, value) -> {
+          String key = withoutPrefix(fullKey, prefix);
           if (key.startsWith("end/")) {
             found.put(key.substring("end/".length()), value.value.toString());
           }
@@ -246,13 +250,13 @@
     return found;
   }
 
-  /** The ids of all jobs that a leader would take up, in pages or with a record of their own. */
-  Set<String> jobs() {
+  /** The IDs of all jobs that a new leader would load, from pages and from single records. */
+  Set<String> jobIds() {
     Set<String> found = new TreeSet<>();
-    String space = space();
+    String prefix = generationPrefix();
     keys.forEach(
-        (whole, value) -> {
-          String key = inside(whole, space);
+        (fullKey, value) -> {
+          String key = withoutPrefix(fullKey, prefix);
           if (key.startsWith("job/")) {
             found.add(key.substring("job/".length()));
           } else if (key.startsWith("accepted/")) {
@@ -262,43 +266,44 @@
     return found;
   }
 
-  private static String inside(String key, String space) {
-    return key.startsWith(space) ? key.substring(space.length()) : "";
+  /** The key without the prefix, or empty if it does not start with it. */
+  private static String withoutPrefix(String key, String prefix) {
+    return key.startsWith(prefix) ? key.substring(prefix.length()) : "";
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Ends an outage and renews all leases. */
   void endOutage() {
     outage = false;
-    leases.values().forEach(l -> l.until = world.now().plusMillis(l.life));
-    wake();
+    leases.values().forEach(l -> l.expiresAt = world.now().plusMillis(l.ttlMillis));
+    answerWatches();
   }
 
-  private void expire() {
+  private void expireLeases() {
     if (!outage) {
       List.copyOf(leases.entrySet()).stream()
-          .filter(e -> e.getValue().until.isBefore(world.now()))
-          .forEach(e -> end(e.getKey()));
+          .filter(e -> e.getValue().expiresAt.isBefore(world.now()))
+          .forEach(e -> endLease(e.getKey()));
     }
-    world.after(50, this::expire);
+    world.after(50, this::expireLeases);
   }
 
-  private void end(long lease) {
+  private void endLease(long lease) {
     leases.remove(lease);
     List<String> attached =
         keys.entrySet().stream()
-            .filter(e -> e.getValue().lease == lease)
+            .filter(e -> e.getValue().leaseId == lease)
             .map(Map.Entry::getKey)
             .toList();
     if (!attached.isEmpty()) {
       revision++;
       attached.forEach(this::remove);
-      wake();
+      answerWatches();
     }
   }
 
   private void remove(String key) {
     if (keys.remove(key) != null) {
-      log.add(Json.object().put("remove", key).put("stamp", revision));
+      changeLog.add(Json.object().put("remove", key).put("stamp", revision));
     }
   }
 
@@ -306,20 +311,20 @@
     return new HttpResponse(status, Json.bytes(body));
   }
 
-  private static Map<String, String> query(String path) {
+  private static Map<String, String> queryParameters(String path) {
     Map<String, String> found = new HashMap<>();
-    for (String part : path.substring(path.indexOf('?') + 1).split("&", 0)) {
-      int is = part.indexOf('=');
-      found.put(part.substring(0, is), part.substring(is + 1));
+    for (String parameter : path.substring(path.indexOf('?') + 1).split("&", 0)) {
+      int separator = parameter.indexOf('=');
+      found.put(parameter.substring(0, separator), parameter.substring(separator + 1));
     }
     return found;
   }
 
   @Override
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
-    requests++;
+    requestCount++;
     if (isOverLimit(path, body)) {
-      overLimit++;
+      rateLimitedRequests++;
       answer.accept(answer(429, Json.object().put("error", "over the limit")));
       return;
     }
@@ -329,27 +334,29 @@
     }
     try {
       if (path.startsWith("/follow?")) {
-        follow(query(path), answer);
-      } else if (lateWrites > 0
+        openWatch(queryParameters(path), answer);
+      } else if (delayedTransactionRate > 0
           && path.equals("/multi")
-          && world.random.nextDouble() < lateWrites) {
+          && world.random.nextDouble() < delayedTransactionRate) {
         ObjectNode txn = Json.parseObject(body);
-        late(() -> multi(txn));
-      } else if (unanswered > 0
+        runDelayed(() -> executeTransaction(txn));
+      } else if (lostAnswerRate > 0
           && path.equals("/multi")
-          && world.random.nextDouble() < unanswered) {
+          && world.random.nextDouble() < lostAnswerRate) {
         ObjectNode txn = Json.parseObject(body);
-        if (multi(txn).status() == 200) {
-          kinds(txn).forEach(kind -> unansweredKinds.merge(kind, 1, Integer::sum));
+        if (executeTransaction(txn).status() == 200) {
+          changedPrefixes(txn)
+              .forEach(prefix -> lostAnswersByPrefix.merge(prefix, 1, Integer::sum));
         }
-      } else if (slowMillis > 0) {
-        HttpResponse given = now(method, path, body);
-        world.after(world.random.nextInt(slowMillis), () -> answer.accept(given));
+      } else if (maxAnswerDelayMillis > 0) {
+        HttpResponse response = execute(method, path, body);
+        world.after(world.random.nextInt(maxAnswerDelayMillis), () -> answer.accept(response));
       } else {
-        answer.accept(now(method, path, body));
+        answer.accept(execute(method, path, body));
       }
     } catch (MalformedMessageException e) {
-      throw new AssertionError("the store was sent " + new String(body, StandardCharsets.UTF_8), e);
+      throw new AssertionError(
+          "malformed request to the store: " + new String(body, StandardCharsets.UTF_8), e);
     }
   }
 
@@ -358,57 +365,58 @@
       return false;
     }
     Instant now = world.now();
-    int changing = 0;
+    int changeCount = 0;
     try {
-      changing = path.equals("/multi") ? Json.parseObject(body).get("apply").size() : 0;
+      changeCount = path.equals("/multi") ? Json.parseObject(body).get("apply").size() : 0;
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
-    if (requestLimit.available(now) < 1 || changeLimit.available(now) < changing) {
+    if (requestLimit.available(now) < 1 || changeLimit.available(now) < changeCount) {
       return true;
     }
     requestLimit.consume(1, now);
-    changeLimit.consume(changing, now);
+    changeLimit.consume(changeCount, now);
     return false;
   }
 
-  /** Carries something out 2 to 12 s later, once the service works. */
-  private void late(Runnable action) {
-    world.after(2_000 + world.random.nextInt(10_000), () -> onceUp(action));
+  /** Runs the action 2 to 12 s later, and not during an outage. */
+  private void runDelayed(Runnable action) {
+    world.after(2_000 + world.random.nextInt(10_000), () -> runWhenAvailable(action));
   }
 
-  private void onceUp(Runnable action) {
+  private void runWhenAvailable(Runnable action) {
     if (outage) {
-      world.after(1_000, () -> onceUp(action));
+      world.after(1_000, () -> runWhenAvailable(action));
     } else {
       action.run();
     }
   }
 
-  private Set<String> kinds(ObjectNode txn) {
-    TreeSet<String> kinds = new TreeSet<>();
+  private Set<String> changedPrefixes(ObjectNode txn) {
+    TreeSet<String> prefixes = new TreeSet<>();
     for (JsonNode change : txn.get("apply")) {
       boolean remove = change.has("remove");
-      String key = inside(change.get(remove ? "remove" : "write").asText(), space());
-      kinds.add((remove ? "-" : "") + key.substring(0, key.indexOf('/') + 1));
+      String key =
+          withoutPrefix(change.get(remove ? "remove" : "write").asText(), generationPrefix());
+      prefixes.add((remove ? "-" : "") + key.substring(0, key.indexOf('/') + 1));
     }
-    return kinds;
+    return prefixes;
   }
 
-  private void repeat(ObjectNode txn) {
-    boolean effect = multi(txn).status() == 200;
-    for (String kind : kinds(txn)) {
-      repeated.merge(kind, 1, Integer::sum);
-      if (effect) {
-        repeatedWithEffect.merge(kind, 1, Integer::sum);
+  private void replay(ObjectNode txn) {
+    boolean succeeded = executeTransaction(txn).status() == 200;
+    for (String prefix : changedPrefixes(txn)) {
+      replaysByPrefix.merge(prefix, 1, Integer::sum);
+      if (succeeded) {
+        effectiveReplaysByPrefix.merge(prefix, 1, Integer::sum);
       }
     }
   }
 
-  private HttpResponse now(String method, String path, byte[] body)
+  private HttpResponse execute(String method, String path, byte[] body)
       throws MalformedMessageException {
     if (path.startsWith("/keys?")) {
-      return list(query(path));
+      return list(queryParameters(path));
     }
     if (path.startsWith("/keys/")) {
       String key = path.substring("/keys/".length());
@@ -420,18 +428,18 @@
     }
     if (path.equals("/multi")) {
       ObjectNode txn = Json.parseObject(body);
-      HttpResponse given = multi(txn);
-      if (repeats && given.status() == 200 && !txn.get("apply").isEmpty()) {
-        late(() -> repeat(txn));
+      HttpResponse response = executeTransaction(txn);
+      if (replaysTransactions && response.status() == 200 && !txn.get("apply").isEmpty()) {
+        runDelayed(() -> replay(txn));
       }
-      return given;
+      return response;
     }
     if (path.equals("/holds")) {
       Lease lease = new Lease();
-      lease.life = Json.parseObject(body).get("life_ms").asLong();
-      lease.until = world.now().plusMillis(lease.life);
-      leases.put(++leaseIds, lease);
-      return answer(200, Json.object().put("hold", leaseIds));
+      lease.ttlMillis = Json.parseObject(body).get("life_ms").asLong();
+      lease.expiresAt = world.now().plusMillis(lease.ttlMillis);
+      leases.put(++lastLeaseId, lease);
+      return answer(200, Json.object().put("hold", lastLeaseId));
     }
     long id = Long.parseLong(path.split("/", 0)[2]);
     Lease lease = leases.get(id);
@@ -439,17 +447,17 @@
       return answer(404, Json.object());
     }
     if (method.equals("DELETE")) {
-      end(id);
+      endLease(id);
     } else {
-      lease.until = world.now().plusMillis(lease.life);
+      lease.expiresAt = world.now().plusMillis(lease.ttlMillis);
     }
     return answer(200, Json.object());
   }
 
   private static ObjectNode entry(String key, Value value) {
     ObjectNode out = Json.object().put("path", key).put("stamp", value.version);
-    if (value.lease != 0) {
-      out.put("hold", value.lease);
+    if (value.leaseId != 0) {
+      out.put("hold", value.leaseId);
     }
     out.set("v", value.value);
     return out;
@@ -458,35 +466,35 @@
   private HttpResponse list(Map<String, String> query) {
     ObjectNode out = Json.object().put("epoch", revision);
     ArrayNode entries = out.putArray("entries");
-    boolean more = false;
+    boolean truncated = false;
     String prefix = query.get("prefix");
     String since = query.getOrDefault("since", "");
-    // Keys are in order, so those with the prefix stand together.
-    boolean inside = since.compareTo(prefix) > 0;
-    for (var found : keys.tailMap(inside ? since : prefix, !inside).entrySet()) {
+    // The map is sorted, so keys with the same prefix are adjacent.
+    boolean startsInside = since.compareTo(prefix) > 0;
+    for (var found : keys.tailMap(startsInside ? since : prefix, !startsInside).entrySet()) {
       if (!found.getKey().startsWith(prefix)) {
         break;
       }
-      if (entries.size() == pageEntries) {
-        more = true;
+      if (entries.size() == pageSize) {
+        truncated = true;
         break;
       }
       entries.add(entry(found.getKey(), found.getValue()));
     }
-    return answer(200, out.put("truncated", more));
+    return answer(200, out.put("truncated", truncated));
   }
 
-  private HttpResponse multi(ObjectNode txn) {
+  private HttpResponse executeTransaction(ObjectNode txn) {
     JsonNode changes = txn.get("apply");
-    if (changes.size() > txnOps || txn.get("if").size() > 4 * txnOps) {
-      throw new AssertionError("a transaction is too large: " + txn);
+    if (changes.size() > maxTxnOps || txn.get("if").size() > 4 * maxTxnOps) {
+      throw new AssertionError("transaction has too many operations or conditions: " + txn);
     }
     for (JsonNode change : changes) {
-      if (change.has("v") && Json.bytes(change.get("v")).length > valueBytes) {
-        if (!lowered) {
-          throw new AssertionError("the value of " + change.get("write") + " is too large");
+      if (change.has("v") && Json.bytes(change.get("v")).length > maxValueBytes) {
+        if (!limitsLowered) {
+          throw new AssertionError("value of " + change.get("write") + " exceeds the size limit");
         }
-        tooLarge++;
+        oversizedTransactions++;
         return answer(400, Json.object().put("error", "too large"));
       }
     }
@@ -511,7 +519,7 @@
     revision++;
     for (JsonNode change : changes) {
       String changed = change.path("write").asText() + change.path("remove").asText();
-      this.changes.merge(changed.substring(0, changed.indexOf('/') + 1), 1, Integer::sum);
+      this.changesByPrefix.merge(changed.substring(0, changed.indexOf('/') + 1), 1, Integer::sum);
       world.after(0, () -> onChange.accept(changed));
       if (change.has("remove")) {
         remove(change.get("remove").asText());
@@ -521,64 +529,64 @@
       JsonNode value = change.get("v");
       long lease = change.has("hold") ? change.get("hold").asLong() : 0;
       keys.put(key, new Value(value, revision, lease));
-      log.add(entryEvent(key, value));
+      changeLog.add(writeEvent(key, value));
     }
-    wake();
+    answerWatches();
     return answer(200, Json.object().put("epoch", revision));
   }
 
-  private ObjectNode entryEvent(String key, JsonNode value) {
+  private ObjectNode writeEvent(String key, JsonNode value) {
     ObjectNode event = Json.object().put("write", key).put("stamp", revision);
     event.set("v", value);
     return event;
   }
 
-  private void follow(Map<String, String> query, Consumer<HttpResponse> answer) {
+  private void openWatch(Map<String, String> query, Consumer<HttpResponse> answer) {
     long wait = Long.parseLong(query.get("wait_ms"));
     long since = Long.parseLong(query.get("since"));
-    if (since < forgotten) {
+    if (since < compactedRevision) {
       answer.accept(answer(410, Json.object().put("epoch", revision)));
       return;
     }
-    int from = log.size();
-    while (from > 0 && log.get(from - 1).get("stamp").asLong() > since) {
+    int from = changeLog.size();
+    while (from > 0 && changeLog.get(from - 1).get("stamp").asLong() > since) {
       from--;
     }
     Watch watch = new Watch(query.get("prefix"), from, answer);
     watches.add(watch);
-    tryAnswer(watch, false);
-    world.after(wait, () -> tryAnswer(watch, true));
+    answerIfReady(watch, false);
+    world.after(wait, () -> answerIfReady(watch, true));
   }
 
-  private void trimLog() {
-    if (log.size() > 2L * mostLogged) {
-      int over = log.size() - mostLogged;
-      forgotten = log.get(over - 1).get("stamp").asLong();
-      log.subList(0, over).clear();
-      watches.forEach(watch -> watch.from = Math.max(0, watch.from - over));
+  private void compactLog() {
+    if (changeLog.size() > 2L * retainedChanges) {
+      int excess = changeLog.size() - retainedChanges;
+      compactedRevision = changeLog.get(excess - 1).get("stamp").asLong();
+      changeLog.subList(0, excess).clear();
+      watches.forEach(watch -> watch.nextLogIndex = Math.max(0, watch.nextLogIndex - excess));
     }
   }
 
-  private void wake() {
-    trimLog();
-    List.copyOf(watches).forEach(w -> tryAnswer(w, false));
+  private void answerWatches() {
+    compactLog();
+    List.copyOf(watches).forEach(w -> answerIfReady(w, false));
   }
 
-  private void tryAnswer(Watch watch, boolean last) {
-    if (watch.over || (outage && !last)) {
+  private void answerIfReady(Watch watch, boolean timedOut) {
+    if (watch.answered || (outage && !timedOut)) {
       return;
     }
     ObjectNode out = Json.object().put("epoch", revision);
     ArrayNode events = out.putArray("log");
-    for (; watch.from < log.size(); watch.from++) {
-      ObjectNode event = log.get(watch.from);
+    for (; watch.nextLogIndex < changeLog.size(); watch.nextLogIndex++) {
+      ObjectNode event = changeLog.get(watch.nextLogIndex);
       JsonNode key = event.has("write") ? event.get("write") : event.get("remove");
       if (key.asText().startsWith(watch.prefix)) {
         events.add(event);
       }
     }
-    if (last || !events.isEmpty()) {
-      watch.over = true;
+    if (timedOut || !events.isEmpty()) {
+      watch.answered = true;
       watches.remove(watch);
       watch.answer.accept(answer(200, out));
     }
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -25,36 +25,36 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/**
- * A receiver in virtual time that is killed at random points and keeps what it has made durable.
- */
+/** A notification receiver in virtual time that crashes at random and keeps its durable state. */
 class FakeReceiver implements AsyncHttpHandler, NotificationStore {
   private final SimulatedWorld world;
   private Receiver receiver;
 
-  /** What happened here, in order: the effect. */
-  final List<Event> effects = new ArrayList<>();
+  /** The events that were applied, in order. */
+  final List<Event> appliedEvents = new ArrayList<>();
 
   private final Map<String, Long> positions = new HashMap<>();
 
-  /** The part of requests at which it is killed, or answers with trouble. */
-  double trouble;
+  /**
+   * Scales the fault probabilities. Each of these has a quarter of it: a crash before the event is
+   * applied, an answer of 429 or 503, a crash before the answer, and an error while storing.
+   */
+  double faultRate;
 
-  /** When a killed one is back. */
-  private Instant backAt = Instant.EPOCH;
+  private Instant restartAt = Instant.EPOCH;
 
-  /** It is killed after its next effect and before its answer. */
-  private boolean dying;
+  /** Whether to crash after the current event is applied and before the answer. */
+  private boolean killBeforeAnswer;
 
-  int requests;
+  int requestCount;
 
   FakeReceiver(SimulatedWorld world, byte[] secret) {
     this.world = world;
-    replace(secret);
+    replaceSecret(secret);
   }
 
-  /** It knows another secret from here on. */
-  final void replace(byte[] secret) {
+  /** Replaces the secret that signatures are checked with. */
+  final void replaceSecret(byte[] secret) {
     receiver =
         new Receiver(
             List.of(secret),
@@ -84,48 +84,48 @@
 
   @Override
   public void apply(Event event) throws IOException {
-    if (world.random.nextDouble() < trouble / 4) {
+    if (world.random.nextDouble() < faultRate / 4) {
       throw new IOException("the disk is full");
     }
-    effects.add(event);
+    appliedEvents.add(event);
     positions.put(event.source(), event.sequence());
   }
 
   @Override
   public void close() {}
 
-  /** It loses its latest effects, as after a return to a copy. */
-  void restore(int keep) {
-    while (effects.size() > keep) {
-      effects.remove(effects.size() - 1);
+  /** Forgets all but the first events, as after a restore from a backup. */
+  void restoreBackup(int keep) {
+    while (appliedEvents.size() > keep) {
+      appliedEvents.remove(appliedEvents.size() - 1);
     }
     positions.clear();
-    effects.forEach(event -> positions.put(event.source(), event.sequence()));
+    appliedEvents.forEach(event -> positions.put(event.source(), event.sequence()));
   }
 
   @Override
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
-    requests++;
-    if (world.now().isBefore(backAt)) {
+    requestCount++;
+    if (world.now().isBefore(restartAt)) {
       return;
     }
     double chance = world.random.nextDouble();
-    if (chance < trouble / 4) {
+    if (chance < faultRate / 4) {
       kill();
       return;
     }
-    if (chance < trouble / 2) {
+    if (chance < faultRate / 2) {
       answer.accept(new HttpResponse(world.random.nextBoolean() ? 503 : 429, new byte[0], 1));
       return;
     }
-    dying = chance < trouble * 3 / 4;
+    killBeforeAnswer = chance < faultRate * 3 / 4;
     try {
       ObjectNode envelope = Json.parseObject(body);
       Receiver.Reply reply =
           receiver.receive(
               name -> envelope.path("headers").path(name).asText(null),
               Base64.getDecoder().decode(envelope.get("body").asText()));
-      if (dying) {
+      if (killBeforeAnswer) {
         kill();
         return;
       }
@@ -136,12 +136,12 @@
   }
 
   private void kill() {
-    backAt = world.now().plusMillis(500 + world.random.nextInt(20_000));
+    restartAt = world.now().plusMillis(500 + world.random.nextInt(20_000));
   }
 
-  /** What a controller on a host sends through: the simulated network, with its late packets. */
-  static OutboundClient from(SimulatedWorld world, String host, BooleanSupplier alive) {
-    AsyncHttpClient httpClient = world.caller(host, alive);
+  /** A client that sends notifications from a host through the simulated network. */
+  static OutboundClient outboundClient(SimulatedWorld world, String host, BooleanSupplier alive) {
+    AsyncHttpClient httpClient = world.httpClient(host, alive);
     return (message, onAnswer) -> {
       ObjectNode envelope = Json.object();
       ObjectNode headers = envelope.putObject("headers");
--- a/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
+++ b/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
@@ -6,142 +6,145 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/**
- * A laid out cluster with the troubles that are not one controller's, and users who go on
- * meanwhile.
- */
+/** A configurable cluster with more kinds of faults, and a user workload that runs meanwhile. */
 abstract class FaultInjectionCluster extends ConfigurableCluster {
-  /** The part of the open jobs that are cancelled, a step. */
-  private static final double CANCELS = 0.08;
+  /** The probability that an open job is cancelled in one step. */
+  private static final double CANCEL_PROBABILITY = 0.08;
 
-  /** Between two of the questions that follow one another closely, in milliseconds. */
-  private static final long[] CLOSELY = {0, 2, 7, 20, 60, 200, 800};
+  /** When the requests of a burst are sent, relative to its start. */
+  private static final long[] BURST_DELAYS_MILLIS = {0, 2, 7, 20, 60, 200, 800};
 
-  /** Users ask at all nodes, again and again, right after an answer that says something new. */
-  boolean looksClosely;
+  /** Whether users query all nodes in a burst after an answer that shows a new job state. */
+  boolean sendsRequestBursts;
 
-  /** The part of the jobs that end by themselves which are cancelled at that moment. */
-  double cancelledAtEnd;
+  /** The fraction of jobs that are cancelled at the moment of their completion. */
+  double cancelAtEndRate;
 
-  long some(long least, long most) {
-    return least + world.random.nextLong(most - least);
+  /** A random number from {@code min}, inclusive, to {@code max}, exclusive. */
+  long randomBetween(long min, long max) {
+    return min + world.random.nextLong(max - min);
   }
 
-  void at(long millis, Runnable action) {
+  void schedule(long millis, Runnable action) {
     world.after(millis, action);
   }
 
-  void killLeader(long backMillis) {
-    kill(controllers.get(leading().charAt(leading().length() - 1) - '1'), backMillis);
+  void killLeader(long downtimeMillis) {
+    kill(controllers.get(leaderHost().charAt(leaderHost().length() - 1) - '1'), downtimeMillis);
   }
 
-  void refuseLeader(long millis) {
-    String refused = leading();
-    world.answerRefused(refused, "10.2.0.1", true);
-    at(millis, () -> world.answerRefused(refused, "10.2.0.1", false));
+  void rejectLeaderAtStore(long millis) {
+    String rejected = leaderHost();
+    world.setRejected(rejected, "10.2.0.1", true);
+    schedule(millis, () -> world.setRejected(rejected, "10.2.0.1", false));
   }
 
-  void outage(long millis) {
+  void storeOutage(long millis) {
     store.outage = true;
-    at(millis, store::endOutage);
+    schedule(millis, store::endOutage);
   }
 
-  List<String> someMachines(int oneOf) {
-    return fleet.up().stream()
+  /** The hosts of running workers, each selected with a probability of 1 in {@code oneIn}. */
+  List<String> randomMachines(int oneIn) {
+    return fleet.runningWorkers().stream()
         .map(w -> SimulatedWorld.host(w.address))
-        .filter(h -> world.random.nextInt(oneOf) == 0)
+        .filter(h -> world.random.nextInt(oneIn) == 0)
         .toList();
   }
 
-  void deafen(List<String> hosts, long millis) {
-    world.deaf.addAll(hosts);
-    at(millis, () -> hosts.forEach(world.deaf::remove));
+  void makeUnreachable(List<String> hosts, long millis) {
+    world.unreachableHosts.addAll(hosts);
+    schedule(millis, () -> hosts.forEach(world.unreachableHosts::remove));
   }
 
-  void step(int number) {
+  void runStep(int number) {
     String shape = number % 5 == 0 ? "service" : number % 5 == 3 ? "group" : "array";
-    ObjectNode spec = work(shape, 1 + world.random.nextInt(shape.equals("group") ? 3 : 5));
+    ObjectNode spec = simpleJobSpec(shape, 1 + world.random.nextInt(shape.equals("group") ? 3 : 5));
     boolean together = shape.equals("group") && number % 2 == 0;
     spec.put("together", together).put("spread", !together && number % 7 == 0);
     if (number % 2 == 0 && !shape.equals("service")) {
-      // Long enough to be there from before the troubles until after them.
-      spec.put("guess_s", some(30, 110));
+      // Long enough to run from before the faults until after them.
+      spec.put("guess_s", randomBetween(30, 110));
     }
     if (number % 3 == 0 && !shape.equals("service")) {
-      // Services run on, and would fill this team's limit for good.
+      // Services never finish and would permanently use up the quota of this team.
       spec.put("owner", "blue");
     }
     submit(spec);
-    oddRequests();
-    for (SafetyRules.Known job : new ArrayList<>(rules.jobs.values())) {
-      perhapsCancel(job, CANCELS);
+    sendUnusualRequests();
+    for (SafetyRules.TrackedJob job : new ArrayList<>(rules.jobs.values())) {
+      maybeCancel(job, CANCEL_PROBABILITY);
       if (world.random.nextInt(10) == 0) {
-        ask(job);
+        queryStatus(job);
       }
     }
     world.runFor(Duration.ofSeconds(2));
   }
 
-  /** So likely cancels a job whose user may think of it. */
-  private void perhapsCancel(SafetyRules.Known job, double likely) {
-    if (job.accepted && !job.cancelAsked && !job.isOver() && world.random.nextDouble() < likely) {
+  /** Cancels an accepted, unfinished job with the given probability. */
+  private void maybeCancel(SafetyRules.TrackedJob job, double probability) {
+    if (job.accepted
+        && !job.cancelRequested
+        && !job.isFinished()
+        && world.random.nextDouble() < probability) {
       cancel(job);
     }
   }
 
-  void cancelSome(double part) {
-    List.copyOf(rules.jobs.values()).forEach(job -> perhapsCancel(job, part));
+  void cancelRandomJobs(double probability) {
+    List.copyOf(rules.jobs.values()).forEach(job -> maybeCancel(job, probability));
   }
 
   @Override
-  void onNews(SafetyRules.Known job) {
-    if (looksClosely) {
-      lookClosely(job);
+  void onStateAdvanced(SafetyRules.TrackedJob job) {
+    if (sendsRequestBursts) {
+      sendRequestBurst(job);
     }
   }
 
   /**
-   * Asks at every node within milliseconds, submits again, and cancels some that were just
-   * accepted.
+   * Queries the job at every node within a second and submits it again; may cancel a job that was
+   * just accepted.
    */
-  void lookClosely(SafetyRules.Known job) {
-    boolean cancels =
-        job.told() == SafetyRules.Told.ACCEPTED && !job.cancelAsked && world.random.nextInt(4) == 0;
-    for (String node : fronts) {
-      for (long millis : CLOSELY) {
-        at(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, good -> {}));
+  void sendRequestBurst(SafetyRules.TrackedJob job) {
+    boolean cancel =
+        job.reportedState() == SafetyRules.ReportedState.ACCEPTED
+            && !job.cancelRequested
+            && world.random.nextInt(4) == 0;
+    for (String node : apiAddresses) {
+      for (long millis : BURST_DELAYS_MILLIS) {
+        schedule(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, succeeded -> {}));
       }
-      at(some(0, 50), () -> send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {}));
+      schedule(
+          randomBetween(0, 50),
+          () -> send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), succeeded -> {}));
     }
-    if (cancels) {
-      at(some(0, 30), () -> cancel(job));
+    if (cancel) {
+      schedule(randomBetween(0, 30), () -> cancel(job));
     }
   }
 
-  /**
-   * Each of the jobs that end may be cancelled, asked for and submitted again within that very
-   * moment.
-   */
-  void meetEnds() {
-    rules.onLastDone =
+  /** Makes random jobs be cancelled, queried and submitted again around their completion. */
+  void cancelJobsAtEnd() {
+    rules.onLastTaskCompleted =
         job -> {
-          if (world.random.nextDouble() < cancelledAtEnd) {
-            at(some(0, 1_000), () -> lookClosely(job));
-            job.cancelAsked = true;
+          if (world.random.nextDouble() < cancelAtEndRate) {
+            schedule(randomBetween(0, 1_000), () -> sendRequestBurst(job));
+            job.cancelRequested = true;
             for (int i = 0; i < 2; i++) {
               String path = "/v1/jobs/" + job.id + "/cancel";
-              at(some(0, 700), () -> send(job, "POST", path, null));
+              schedule(randomBetween(0, 700), () -> send(job, "POST", path, null));
             }
           }
         };
   }
 
   /**
-   * What users should not send: jobs that can't run or lack a field, repeats of jobs, cancels of
-   * those done.
+   * Sends requests that a client should not send: invalid or incomplete jobs, repeated submissions,
+   * and cancellations of completed jobs.
    */
-  void oddRequests() {
-    ObjectNode spec = work("array", 2);
+  void sendUnusualRequests() {
+    ObjectNode spec = simpleJobSpec("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
     switch (world.random.nextInt(8)) {
       case 0 -> spec.put("owner", "nobody");
@@ -157,42 +160,42 @@
         spec.remove(required.get(world.random.nextInt(required.size())));
       }
     }
-    SafetyRules.Known unfit = new SafetyRules.Known(spec.get("ref").asText(), spec);
-    unfit.unfit = true;
-    send(unfit, "POST", "/v1/jobs", Json.bytes(spec));
-    for (SafetyRules.Known job : List.copyOf(rules.jobs.values())) {
+    SafetyRules.TrackedJob invalid = new SafetyRules.TrackedJob(spec.get("ref").asText(), spec);
+    invalid.invalid = true;
+    send(invalid, "POST", "/v1/jobs", Json.bytes(spec));
+    for (SafetyRules.TrackedJob job : List.copyOf(rules.jobs.values())) {
       if (job.accepted && world.random.nextInt(10) == 0) {
-        String node = fronts.get(world.random.nextInt(fronts.size()));
-        send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {});
+        String node = apiAddresses.get(world.random.nextInt(apiAddresses.size()));
+        send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), succeeded -> {});
         if (job.done) {
-          send(job, node, "POST", "/v1/jobs/" + job.id + "/cancel", null, good -> {});
+          send(job, node, "POST", "/v1/jobs/" + job.id + "/cancel", null, succeeded -> {});
         }
       }
     }
   }
 
-  /** These machines can open connections to no controller; direct commands reach them. */
-  void muteFor(List<String> machines, long millis) {
+  /**
+   * Blocks requests from these machines to all controllers; those from controllers still arrive.
+   */
+  void blockOutgoing(List<String> machines, long millis) {
     for (String machine : machines) {
-      for (String node : nodes()) {
-        world.refuse(machine, node);
-        at(millis, () -> world.heal(machine, node));
+      for (String node : controllerHosts()) {
+        world.cutOneWay(machine, node);
+        schedule(millis, () -> world.heal(machine, node));
       }
     }
   }
 
-  /**
-   * A zone's workers and controllers are cut off from all others and from the regional services.
-   */
+  /** Cuts a zone's workers and controllers off from other zones, regional services and users. */
   void cutZone(String zone, long millis) {
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "user"));
     for (int i = 0; i < layout.nodes; i++) {
       (zoneOf(i).equals(zone) ? inside : outside).add(host(i));
     }
-    for (FakeFleet.Worker worker : fleet.up()) {
+    for (FakeFleet.Worker worker : fleet.runningWorkers()) {
       (worker.zone.equals(zone) ? inside : outside).add(SimulatedWorld.host(worker.address));
     }
-    cutFor(inside, outside, millis);
+    cutTemporarily(inside, outside, millis);
   }
 }
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -21,74 +21,75 @@
 import java.util.function.Supplier;
 
 /**
- * Controllers as processes of their own on loopback, with the stand-ins in real time in this one.
+ * Controllers that run as separate processes on the loopback interface. The fake store and cloud
+ * run in this process in real time.
  */
 final class LoopbackCluster implements AutoCloseable {
-  private static final Duration TICK = Duration.ofMillis(2);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(2);
 
   private final Path folder;
-  private final XnioEventLoop runtime;
+  private final XnioEventLoop eventLoop;
   private final SimulatedWorld world = new SimulatedWorld(1);
   final FakeKeyValueStore store = new FakeKeyValueStore(world, 12, 8192);
   private final List<Process> processes = new ArrayList<>();
-  private final String storeAddress = free();
-  private final String cloudAddress = free();
-  private final List<String> fronts = new ArrayList<>();
-  private final List<String> clusters = new ArrayList<>();
-  private final List<String> options;
+  private final String storeAddress = freeAddress();
+  private final String cloudAddress = freeAddress();
+  private final List<String> apiAddresses = new ArrayList<>();
+  private final List<String> adminAddresses = new ArrayList<>();
+  private final List<String> controllerOptions;
   private final double coreShare;
-  private final HttpClient http =
+  private final HttpClient httpClient =
       HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
   private volatile boolean closed;
 
   /**
-   * A cluster.
+   * Starts the cluster.
    *
-   * @param coreShare how much of a core their settings say that each has
-   * @param options the controllers' arguments before the settings file
+   * @param coreShare the share of a core that the settings give to each controller
+   * @param options arguments of the controllers before the settings file
    */
   LoopbackCluster(Path folder, int controllers, double coreShare, List<String> options)
       throws IOException {
     this.folder = folder;
     this.coreShare = coreShare;
-    this.options = options;
-    runtime = new XnioEventLoop(4_000, Duration.ofSeconds(3));
+    this.controllerOptions = options;
+    eventLoop = new XnioEventLoop(4_000, Duration.ofSeconds(3));
     FakeFleet fleet = new FakeFleet(world, new SafetyRules(world, List.of()), List.of());
-    fleet.capacity = 0;
-    runtime.serve(
+    fleet.zoneCapacity = 0;
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             storeAddress,
             store,
             ConnectionLimiter.TrafficClass.USERS,
             path -> ConnectionLimiter.TrafficClass.USERS));
-    runtime.serve(
+    eventLoop.serve(
         new XnioEventLoop.Listener(
             cloudAddress,
             fleet,
             ConnectionLimiter.TrafficClass.USERS,
             path -> ConnectionLimiter.TrafficClass.USERS));
     for (int i = 0; i < controllers; i++) {
-      fronts.add(free());
-      clusters.add(free());
+      apiAddresses.add(freeAddress());
+      adminAddresses.add(freeAddress());
     }
     for (int i = 0; i < controllers; i++) {
       Files.writeString(folder.resolve("settings-" + i + ".toml"), settings(i));
       processes.add(null);
       startController(i);
     }
-    runtime.execute(this::tick);
+    eventLoop.execute(this::tick);
   }
 
-  /** Lets virtual time follow the clock. */
+  /** Advances virtual time to real time. */
   private void tick() {
     if (!closed) {
-      Duration behind = Duration.between(world.now().minusSeconds(1_000), runtime.now());
+      Duration behind = Duration.between(world.now().minusSeconds(1_000), eventLoop.now());
       world.runFor(behind);
-      runtime.schedule(TICK, this::tick);
+      eventLoop.schedule(TICK_INTERVAL, this::tick);
     }
   }
 
-  static String free() {
+  static String freeAddress() {
     try (ServerSocket socket =
         new ServerSocket(0, 1, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
       return "127.0.0.1:" + socket.getLocalPort();
@@ -98,39 +99,39 @@
   }
 
   private String settings(int index) {
-    String good = SettingsReaderTest.VALID_SETTINGS;
-    int seeds = good.indexOf("[[seeds]]");
+    String template = SettingsReaderTest.VALID_SETTINGS;
+    int seeds = template.indexOf("[[seeds]]");
     StringBuilder text =
-        new StringBuilder(good.substring(0, seeds))
+        new StringBuilder(template.substring(0, seeds))
             .append(
                 "[external]\ncloud = \"" + cloudAddress + "\"\nstate = \"" + storeAddress + "\"\n");
-    for (int i = 0; i < fronts.size(); i++) {
+    for (int i = 0; i < apiAddresses.size(); i++) {
       if (i != index) {
         text.append("[[seeds]]\nmember = \"rung-" + i + "\"\narea = \"a\"\naddress = \"")
-            .append(clusters.get(i))
+            .append(adminAddresses.get(i))
             .append("\"\n");
       }
     }
-    text.append(good.substring(good.indexOf("[deployment]")));
+    text.append(template.substring(template.indexOf("[deployment]")));
     return text.toString()
         .replace(
             "member = \"rung-0\"\narea = \"a\"\nfront",
             "member = \"rung-" + index + "\"\narea = \"a\"\nfront")
-        .replace("10.0.0.1:8080", fronts.get(index))
-        .replace("10.0.0.1:8081", clusters.get(index))
+        .replace("10.0.0.1:8080", apiAddresses.get(index))
+        .replace("10.0.0.1:8081", adminAddresses.get(index))
         .replace("write_rps = 60.0", "write_rps = 2000.0")
         .replace("rps = 100.0", "rps = 5000.0")
         .replace("core_share = 0.2", "core_share = " + coreShare);
   }
 
-  /** A process of this program's classes, ended with this one. */
-  Process start(String name, String main, List<String> arguments) {
+  /** Starts a JVM with the class path of this process; it is killed when this process exits. */
+  Process start(String name, String mainClass, List<String> arguments) {
     List<String> command = new ArrayList<>();
     command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
     command.addAll(List.of("-Xmx128m", "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp"));
     command.add(
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")));
-    command.add(main);
+    command.add(mainClass);
     command.addAll(arguments);
     try {
       Process process =
@@ -147,12 +148,12 @@
   }
 
   void startController(int index) {
-    List<String> arguments = new ArrayList<>(options);
+    List<String> arguments = new ArrayList<>(controllerOptions);
     arguments.add(folder.resolve("settings-" + index + ".toml").toString());
     processes.set(index, start("controller-" + index, "io.pineladder.cli.Controller", arguments));
   }
 
-  /** Ends a controller without a word and starts it again. */
+  /** Kills the process of a controller and starts it again. */
   void killController(int index) throws InterruptedException {
     processes.get(index).destroyForcibly().waitFor();
     startController(index);
@@ -162,18 +163,19 @@
     return processes.get(index);
   }
 
-  /** Reads something of the stand-ins, on their thread. */
-  <T> T read(Supplier<T> what) throws Exception {
-    java.util.concurrent.CompletableFuture<T> got = new java.util.concurrent.CompletableFuture<>();
-    runtime.execute(() -> got.complete(what.get()));
-    return got.get();
+  /** Reads from the fake services on their event loop. */
+  <T> T readOnEventLoop(Supplier<T> supplier) throws Exception {
+    java.util.concurrent.CompletableFuture<T> result =
+        new java.util.concurrent.CompletableFuture<>();
+    eventLoop.execute(() -> result.complete(supplier.get()));
+    return result.get();
   }
 
-  /** One request; null when there was no answer. */
-  private HttpResponse<String> ask(String address, String method, String path, ObjectNode body)
-      throws InterruptedException {
+  /** Sends one request; returns null if there is no answer. */
+  private HttpResponse<String> sendRequest(
+      String address, String method, String path, ObjectNode body) throws InterruptedException {
     try {
-      return http.send(
+      return httpClient.send(
           HttpRequest.newBuilder(URI.create("http://" + address + path))
               .timeout(Duration.ofSeconds(5))
               .method(
@@ -188,51 +190,55 @@
     }
   }
 
-  /** One request to one controller's users' address; null when there was no answer. */
-  HttpResponse<String> askOnce(int index, String method, String path) throws InterruptedException {
-    return ask(fronts.get(index), method, path, null);
+  /** Sends one request to the API address of a controller; returns null if there is no answer. */
+  HttpResponse<String> requestOnce(int index, String method, String path)
+      throws InterruptedException {
+    return sendRequest(apiAddresses.get(index), method, path, null);
   }
 
-  /** The controllers' addresses for administrators. */
-  List<String> clusters() {
-    return clusters;
+  /** The cluster addresses of the controllers, which also serve the admin API. */
+  List<String> adminAddresses() {
+    return adminAddresses;
   }
 
-  /** Asks one address until it answers with 200 or 201. */
-  ObjectNode insistOf(String address, String method, String path) throws InterruptedException {
-    return insist(List.of(address), method, path, null);
+  /** Repeats a request to one address until it succeeds; fails after 2,000 attempts. */
+  ObjectNode requestAddressUntilSuccess(String address, String method, String path)
+      throws InterruptedException {
+    return requestUntilSuccess(List.of(address), method, path, null);
   }
 
-  /** Asks one controller after the other until one answers with 200 or 201. */
-  ObjectNode insist(boolean admin, String method, String path, ObjectNode body)
+  /** Repeats a request to the controllers in turn until it succeeds; fails after 2,000 attempts. */
+  ObjectNode requestUntilSuccess(boolean admin, String method, String path, ObjectNode body)
       throws InterruptedException {
-    return insist(admin ? clusters : fronts, method, path, body);
+    return requestUntilSuccess(admin ? adminAddresses : apiAddresses, method, path, body);
   }
 
-  private ObjectNode insist(List<String> addresses, String method, String path, ObjectNode body)
+  private ObjectNode requestUntilSuccess(
+      List<String> addresses, String method, String path, ObjectNode body)
       throws InterruptedException {
-    int first = Math.floorMod(path.hashCode(), addresses.size());
-    String last = "no answer";
-    for (int tries = 0; tries < 2_000; tries++) {
-      HttpResponse<String> got =
-          ask(addresses.get((first + tries) % addresses.size()), method, path, body);
-      if (got != null && got.statusCode() / 100 == 2) {
+    int firstIndex = Math.floorMod(path.hashCode(), addresses.size());
+    String lastAnswer = "no answer";
+    for (int attempt = 0; attempt < 2_000; attempt++) {
+      HttpResponse<String> response =
+          sendRequest(addresses.get((firstIndex + attempt) % addresses.size()), method, path, body);
+      if (response != null && response.statusCode() / 100 == 2) {
         try {
-          return Json.parseObject(got.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+          return Json.parseObject(
+              response.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         } catch (io.pineladder.wire.MalformedMessageException e) {
-          throw new AssertionError(got.body(), e);
+          throw new AssertionError("malformed answer: " + response.body(), e);
         }
       }
-      last = got == null ? last : got.statusCode() + " " + got.body();
+      lastAnswer = response == null ? lastAnswer : response.statusCode() + " " + response.body();
       Thread.sleep(50);
     }
-    throw new AssertionError(method + " " + path + ": " + last);
+    throw new AssertionError(method + " " + path + " did not succeed: " + lastAnswer);
   }
 
   @Override
   public void close() {
     closed = true;
     processes.forEach(Process::destroyForcibly);
-    runtime.stop();
+    eventLoop.stop();
   }
 }
--- a/src/test/java/io/pineladder/sim/SafetyRules.java
+++ b/src/test/java/io/pineladder/sim/SafetyRules.java
@@ -22,401 +22,426 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** The rules at the end of the protocol, checked at every start, exit and answer. */
+/** The safety rules of the protocol, checked at every start, exit and answer in a simulation. */
 final class SafetyRules implements TaskWatcher {
   /**
-   * What some user of a job has been told: of two answers the higher may not come before the lower
-   * is asked for.
+   * The latest state of a job that any answer has shown, in ascending order. A request sent after
+   * an answer must not be answered with a lower state.
    */
-  enum Told {
-    NOTHING,
+  enum ReportedState {
+    UNKNOWN,
     ACCEPTED,
-    OVER
+    FINISHED
   }
 
-  private static final Duration CANCEL = Duration.ofSeconds(40);
-  private static final Duration KNOWN = Duration.ofSeconds(75);
-  private static final Duration BEGINS = Duration.ofMinutes(4);
+  private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(40);
+  private static final Duration MAX_UNANSWERED_TIME = Duration.ofSeconds(75);
+  private static final Duration MAX_START_DELAY = Duration.ofMinutes(4);
 
-  /** A submitted job as its user knows it. */
-  static final class Known {
+  /** A submitted job with the answers its user got and the events of its tasks. */
+  static final class TrackedJob {
     final String id;
     final ObjectNode spec;
     boolean accepted;
 
-    /** Submitted with a mistake: every task of it fails. */
-    boolean broken;
+    /** Whether every attempt of its tasks fails. */
+    boolean alwaysFails;
 
-    /** It can't run or lacks a field: no node may accept it. */
-    boolean unfit;
+    /** Whether the specification is invalid, so that no node may accept the job. */
+    boolean invalid;
 
-    /** The last of what was told of it that was new. */
-    Told news = Told.NOTHING;
+    /** The last state that was passed to {@link SimulatedCluster#onStateAdvanced}. */
+    ReportedState lastAdvancedState = ReportedState.UNKNOWN;
 
-    /** Its user asks for it every few seconds. */
+    /** Whether its user polls it every few seconds. */
     boolean polled;
 
-    /**
-     * When its user first asked for it, a task of it first began, and a question was answered last.
-     */
-    Instant submitted;
+    Instant submittedAt;
+    Instant firstStartedAt;
+    Instant lastAnsweredAt;
 
-    Instant begun;
-    Instant answered;
+    /** How many task attempts have started. */
+    int startCount;
 
-    /** How often a task of it began. */
-    int begins;
+    final Set<String> startedTasks = new HashSet<>();
 
-    final Set<String> everStarted = new HashSet<>();
+    boolean cancelRequested;
 
-    boolean cancelAsked;
-    Instant cancelled;
+    /** When an answer first showed that the job was cancelled. */
+    Instant cancelledAt;
+
+    /** Whether an answer has shown that the job is done. */
     boolean done;
-    final Set<Integer> completed = new HashSet<>();
 
-    Known(String id, ObjectNode spec) {
+    final Set<Integer> completedTasks = new HashSet<>();
+
+    TrackedJob(String id, ObjectNode spec) {
       this.id = id;
       this.spec = spec;
     }
 
-    int tasks() {
+    int taskCount() {
       return spec.get("pieces").asInt();
     }
 
-    /** The jobs that have to be done before any task of this one starts. */
+    /** The IDs of the jobs that must be done before any task of this one starts. */
     List<String> prerequisites() {
       List<String> ids = new ArrayList<>();
       spec.path("waits_on").forEach(id -> ids.add(id.asText()));
       return ids;
     }
 
-    boolean isOver() {
-      return done || cancelled != null;
+    boolean isFinished() {
+      return done || cancelledAt != null;
     }
 
-    /** What has been told of it by any node so far. */
-    Told told() {
-      return isOver() ? Told.OVER : accepted ? Told.ACCEPTED : Told.NOTHING;
+    /** The latest state that any node has answered so far. */
+    ReportedState reportedState() {
+      return isFinished()
+          ? ReportedState.FINISHED
+          : accepted ? ReportedState.ACCEPTED : ReportedState.UNKNOWN;
     }
   }
 
   private final SimulatedWorld world;
   private final List<Team> teams;
-  final Map<String, Known> jobs = new LinkedHashMap<>();
+  final Map<String, TrackedJob> jobs = new LinkedHashMap<>();
+
+  /** The worker on which each task occupies resources. */
+  private final Map<String, Worker> workerByTask = new HashMap<>();
 
-  /** Where each task is. */
-  private final Map<String, Worker> places = new HashMap<>();
+  /** The resources in use by the tasks of each team. */
+  private final Map<String, Resources> usageByTeam = new HashMap<>();
 
-  /** What the tasks of each team use, and how many of each job's are in each zone. */
-  private final Map<String, Resources> usage = new HashMap<>();
+  /** How many tasks of each job are in each zone. */
+  private final Map<String, Map<String, Integer>> taskCountsByZone = new HashMap<>();
 
-  private final Map<String, Map<String, Integer>> zonesOf = new HashMap<>();
+  /** Called with each job whose last task has just completed. */
+  Consumer<TrackedJob> onLastTaskCompleted = job -> {};
 
-  /** Told of each job whose last task has just completed. */
-  Consumer<Known> onLastDone = job -> {};
+  /** The tasks of each gang attempt that are ready, with their workers. */
+  private final Map<String, Map<String, Worker>> readyGangTasks = new HashMap<>();
 
-  private final Map<String, Map<String, Worker>> gathered = new HashMap<>();
   int starts;
 
-  /** Since when all troubles are over, or null. */
-  Instant calmSince;
+  /** When all faults ended, or null while there are any. Liveness is checked from then on. */
+  Instant faultsEndedAt;
 
   /**
-   * Which machines hold anything of a job; null where nobody promises that a cancellation is told
-   * only once none does. Leases may be kept without limit because of that promise, so breaking it
-   * is as bad as a task that runs on, which shows only when nobody can be reached.
+   * Finds the machines with unfinished tasks of a job; null skips the check. A job may be reported
+   * cancelled only once there are none, because leases can be renewed without limit.
    */
-  Function<String, List<String>> holding;
+  Function<String, List<String>> machinesHolding;
 
-  /** Asks the store for the placement of a start. */
-  interface Placed {
+  /** Looks up in the store whether the placement of a task attempt is stored. */
+  interface PlacementLookup {
     boolean isStored(String machine, String piece, long attempt);
   }
 
   /**
-   * A start is to be executed only while its placement is stored: one that comes when its attempt
-   * is taken for gone has been given up without proof. Null where the store may lose data.
+   * A start may be executed only while its placement is stored; null skips the check. A violation
+   * means that an attempt was abandoned before it was proven to be gone.
    */
-  Placed placed;
+  PlacementLookup placementLookup;
 
   SafetyRules(SimulatedWorld world, List<Team> teams) {
     this.world = world;
     this.teams = teams;
   }
 
-  private AssertionError broken(String rule, Object what) {
-    return new AssertionError(rule + " at " + world.now() + ": " + what);
+  private AssertionError violation(String rule, Object details) {
+    return new AssertionError(rule + " at " + world.now() + ": " + details);
   }
 
   @Override
-  public boolean isBroken(Task task) {
-    return jobs.get(task.job()).broken;
+  public boolean alwaysFails(Task task) {
+    return jobs.get(task.jobId()).alwaysFails;
   }
 
   @Override
   public boolean isGang(Task task) {
-    return jobs.get(task.job()).spec.get("shape").asText().equals("group");
+    return jobs.get(task.jobId()).spec.get("shape").asText().equals("group");
   }
 
   @Override
   public long runMillis(Task task) {
-    ObjectNode spec = jobs.get(task.job()).spec;
-    long apart = task.index() * spec.path("apart_ms").asLong();
+    ObjectNode spec = jobs.get(task.jobId()).spec;
+    long staggerMillis = task.index() * spec.path("apart_ms").asLong();
     return spec.get("shape").asText().equals("service")
         ? 0
-        : (long) (spec.get("guess_s").asDouble() * 1000) + apart;
+        : (long) (spec.get("guess_s").asDouble() * 1000) + staggerMillis;
   }
 
   @Override
-  public void commanded(Task task, Worker on) {
-    Known job = jobs.get(task.job());
+  public void onStartCommand(Task task, Worker worker) {
+    TrackedJob job = jobs.get(task.jobId());
     if (job == null) {
-      throw broken("unknown job started", task.piece);
+      throw violation("unknown job started", task.id);
     }
-    if (placed != null && !placed.isStored(on.name, task.piece, task.attempt)) {
-      throw broken("not_stored", task.piece + "#" + task.attempt + " starts on " + on.name);
+    if (placementLookup != null && !placementLookup.isStored(worker.name, task.id, task.attempt)) {
+      throw violation("not_stored", task.id + "#" + task.attempt + " starts on " + worker.name);
     }
-    if (holding != null && job.cancelled != null) {
-      throw broken(
-          "told_too_soon", task.piece + " is sent to " + on.name + ", its job told cancelled");
+    if (machinesHolding != null && job.cancelledAt != null) {
+      throw violation(
+          "told_too_soon",
+          task.id + " started on " + worker.name + " after its job was reported cancelled");
     }
   }
 
   @Override
-  public void started(Task task, Worker on) {
+  public void onStarted(Task task, Worker worker) {
     starts++;
-    Known job = jobs.get(task.job());
-    job.begun = job.begun == null ? world.now() : job.begun;
-    job.everStarted.add(task.piece);
-    job.begins++;
-    if (job.cancelled != null) {
-      throw broken(
-          "started_cancelled", task.piece + " starts on " + on.name + " after its user was told");
-    }
-    Worker other = places.get(task.piece);
-    if (other != null && other != on) {
-      throw broken("ran_twice", task.piece + " on " + other.name + " and " + on.name);
-    }
-    places.put(task.piece, on);
+    TrackedJob job = jobs.get(task.jobId());
+    job.firstStartedAt = job.firstStartedAt == null ? world.now() : job.firstStartedAt;
+    job.startedTasks.add(task.id);
+    job.startCount++;
+    if (job.cancelledAt != null) {
+      throw violation(
+          "started_cancelled",
+          task.id + " starts on " + worker.name + " after its job was reported cancelled");
+    }
+    Worker previous = workerByTask.get(task.id);
+    if (previous != null && previous != worker) {
+      throw violation("ran_twice", task.id + " on " + previous.name + " and " + worker.name);
+    }
+    workerByTask.put(task.id, worker);
     for (String id : job.prerequisites()) {
-      Known needed = jobs.get(id);
-      if (needed.completed.size() < needed.tasks()) {
-        throw broken("too_early", task.piece + " starts before " + id + " is done");
+      TrackedJob prerequisite = jobs.get(id);
+      if (prerequisite.completedTasks.size() < prerequisite.taskCount()) {
+        throw violation("too_early", task.id + " starts before " + id + " is done");
       }
     }
     ObjectNode spec = job.spec;
-    if (on.spot && !spec.get("loaners").asBoolean()) {
-      throw broken("wrong_place", task.piece + " on a spot machine");
+    if (worker.spot && !spec.get("loaners").asBoolean()) {
+      throw violation("wrong_place", task.id + " runs on a spot machine");
     }
-    if (spec.hasNonNull("yard") && !spec.get("yard").asText().equals(on.zone)) {
-      throw broken("wrong_place", task.piece + " in zone " + on.zone);
+    if (spec.hasNonNull("yard") && !spec.get("yard").asText().equals(worker.zone)) {
+      throw violation("wrong_place", task.id + " runs in zone " + worker.zone);
     }
-    Resources each = StarvationCheck.each(spec);
+    Resources perTask = StarvationCheck.resourcesPerTask(spec);
     String owner = spec.get("owner").asText();
-    Map<String, Integer> zones = zonesOf.computeIfAbsent(job.id, id -> new TreeMap<>());
-    if (other == null) {
-      usage.merge(owner, each, Resources::plus);
-      zones.merge(on.zone, 1, Integer::sum);
+    Map<String, Integer> zones = taskCountsByZone.computeIfAbsent(job.id, id -> new TreeMap<>());
+    if (previous == null) {
+      usageByTeam.merge(owner, perTask, Resources::plus);
+      zones.merge(worker.zone, 1, Integer::sum);
     }
-    Resources used = usage.get(owner);
-    int inZone = zones.get(on.zone);
+    Resources used = usageByTeam.get(owner);
+    int inZone = zones.get(worker.zone);
     if (spec.get("together").asBoolean() && zones.size() > 1) {
-      throw broken("wrong_place", task.piece + " apart from the others");
+      throw violation("wrong_place", task.id + " is not in the zone of the other tasks");
     }
-    if (spec.get("spread").asBoolean() && inZone > (job.tasks() + 1) / 2) {
-      throw broken("wrong_place", task.piece + " is one too many in zone " + on.zone);
+    if (spec.get("spread").asBoolean() && inZone > (job.taskCount() + 1) / 2) {
+      throw violation(
+          "wrong_place", task.id + " exceeds the task limit of its job in zone " + worker.zone);
     }
     for (Team team : teams) {
       if (team.name().equals(owner) && !team.allows(used)) {
-        throw broken("quota", used + " used at the start of " + task.piece);
+        throw violation(
+            "quota", "team " + owner + " uses " + used + " after the start of " + task.id);
       }
     }
   }
 
   @Override
-  public void left(Task task, Worker from) {
-    if (places.remove(task.piece, from)) {
-      ObjectNode spec = jobs.get(task.job()).spec;
-      usage.merge(spec.get("owner").asText(), StarvationCheck.each(spec), Resources::minus);
-      zonesOf.get(task.job()).computeIfPresent(from.zone, (zone, n) -> n == 1 ? null : n - 1);
-    }
-    Map<String, Worker> of = gathered.get(task.job() + "#" + task.attempt);
-    if (of != null) {
-      of.remove(task.piece);
+  public void onLeft(Task task, Worker worker) {
+    if (workerByTask.remove(task.id, worker)) {
+      ObjectNode spec = jobs.get(task.jobId()).spec;
+      usageByTeam.merge(
+          spec.get("owner").asText(), StarvationCheck.resourcesPerTask(spec), Resources::minus);
+      taskCountsByZone
+          .get(task.jobId())
+          .computeIfPresent(worker.zone, (zone, n) -> n == 1 ? null : n - 1);
+    }
+    Map<String, Worker> ready = readyGangTasks.get(task.jobId() + "#" + task.attempt);
+    if (ready != null) {
+      ready.remove(task.id);
     }
   }
 
-  /** A gang's tasks start together once all of one attempt are there. */
+  /** Starts the tasks of a gang together once all tasks of one attempt are ready. */
   @Override
-  public void gather(Task task) {
-    String key = task.job() + "#" + task.attempt;
-    Map<String, Worker> of = gathered.computeIfAbsent(key, k -> new HashMap<>());
-    of.put(task.piece, places.get(task.piece));
-    if (of.size() == jobs.get(task.job()).tasks()) {
-      for (var each : of.entrySet()) {
-        String at = each.getKey() + "#" + task.attempt;
-        each.getValue().run(at, each.getValue().tasks.get(at));
+  public void onGangTaskReady(Task task) {
+    String key = task.jobId() + "#" + task.attempt;
+    Map<String, Worker> ready = readyGangTasks.computeIfAbsent(key, k -> new HashMap<>());
+    ready.put(task.id, workerByTask.get(task.id));
+    if (ready.size() == jobs.get(task.jobId()).taskCount()) {
+      for (var entry : ready.entrySet()) {
+        String taskKey = entry.getKey() + "#" + task.attempt;
+        entry.getValue().runTask(taskKey, entry.getValue().tasks.get(taskKey));
       }
     }
   }
 
   @Override
-  public void completed(Task task) {
-    Known job = jobs.get(task.job());
-    job.completed.add(task.index());
+  public void onCompleted(Task task) {
+    TrackedJob job = jobs.get(task.jobId());
+    job.completedTasks.add(task.index());
     if (isGang(task)) {
-      for (int i = 0; i < job.tasks(); i++) {
-        job.completed.add(i);
+      for (int i = 0; i < job.taskCount(); i++) {
+        job.completedTasks.add(i);
       }
     }
-    if (job.completed.size() == job.tasks()) {
-      onLastDone.accept(job);
+    if (job.completedTasks.size() == job.taskCount()) {
+      onLastTaskCompleted.accept(job);
     }
   }
 
-  /** Tasks of cancelled jobs must be gone in time; asked again and again. */
-  void watchCancelled() {
-    for (var place : places.entrySet()) {
-      Known job = jobs.get(place.getKey().substring(0, place.getKey().indexOf('/')));
-      if (job.cancelled != null && job.cancelled.plus(CANCEL).isBefore(world.now())) {
-        throw broken("ran_cancelled", place.getKey() + " is still on " + place.getValue().name);
+  /** Checks that tasks of cancelled jobs stop in time; called periodically. */
+  void checkCancelledJobs() {
+    for (var place : workerByTask.entrySet()) {
+      TrackedJob job = jobs.get(place.getKey().substring(0, place.getKey().indexOf('/')));
+      if (job.cancelledAt != null && job.cancelledAt.plus(CANCEL_TIMEOUT).isBefore(world.now())) {
+        throw violation(
+            "ran_cancelled", place.getKey() + " still runs on " + place.getValue().name);
       }
     }
   }
 
   /**
-   * An accepted job that was not cancelled stays known: once all troubles are over some question
-   * about it is answered every 75 s, however others fare. Its user asks more often than that.
+   * Checks that once all faults have ended, some request about each accepted job is answered at
+   * least every 75 s, unless its user has cancelled it. Its user polls more often than that.
    */
-  void watchKnown() {
-    if (calmSince == null) {
+  void checkAcceptedJobs() {
+    if (faultsEndedAt == null) {
       return;
     }
-    for (Known job : jobs.values()) {
-      if (job.accepted && !job.cancelAsked) {
-        Instant last = job.answered.isAfter(calmSince) ? job.answered : calmSince;
-        if (last.plus(KNOWN).isBefore(world.now())) {
-          throw broken("forgotten", job.id + " had no answer since " + job.answered);
+    for (TrackedJob job : jobs.values()) {
+      if (job.accepted && !job.cancelRequested) {
+        Instant last =
+            job.lastAnsweredAt.isAfter(faultsEndedAt) ? job.lastAnsweredAt : faultsEndedAt;
+        if (last.plus(MAX_UNANSWERED_TIME).isBefore(world.now())) {
+          throw violation("forgotten", job.id + " got no answer since " + job.lastAnsweredAt);
         }
       }
     }
   }
 
-  /** Of a class, of a team, and of the largest quarter of a class's jobs half must be served. */
-  void checkShares() {
-    Map<String, List<Known>> groups = new TreeMap<>();
-    for (Known job : jobs.values()) {
-      // What waits for others is served when those are done, and may be cancelled with one.
-      if (!job.cancelAsked && !job.broken && job.prerequisites().isEmpty()) {
+  /**
+   * Checks that at least half of the jobs are served in each team, in each job class, and among the
+   * largest quarter of each class, and that the latter start in time.
+   */
+  void checkServedShares() {
+    Map<String, List<TrackedJob>> groups = new TreeMap<>();
+    for (TrackedJob job : jobs.values()) {
+      // Dependent jobs are left out: they wait for their prerequisites and are cancelled with them.
+      if (!job.cancelRequested && !job.alwaysFails && job.prerequisites().isEmpty()) {
         String owner = job.spec.get("owner").asText();
         groups.computeIfAbsent("team " + owner, g -> new ArrayList<>()).add(job);
-        String of = job.spec.get("jobclass").asText();
-        groups.computeIfAbsent("class " + of, g -> new ArrayList<>()).add(job);
+        String jobClass = job.spec.get("jobclass").asText();
+        groups.computeIfAbsent("class " + jobClass, g -> new ArrayList<>()).add(job);
       }
     }
-    groups.forEach(this::checkShare);
+    groups.forEach(this::checkServedShare);
     groups.forEach(
         (name, group) -> {
           if (name.startsWith("class ")) {
-            group.sort(Comparator.comparingInt(Known::tasks).reversed());
-            List<Known> largest = group.subList(0, (group.size() + 3) / 4);
-            checkShare("largest of " + name, largest);
-            for (Known job : largest) {
-              if (job.begun == null || job.begun.isAfter(job.submitted.plus(BEGINS))) {
-                throw broken("largest began late", job.id + " of " + name + " at " + job.begun);
+            group.sort(Comparator.comparingInt(TrackedJob::taskCount).reversed());
+            List<TrackedJob> largest = group.subList(0, (group.size() + 3) / 4);
+            checkServedShare("largest of " + name, largest);
+            for (TrackedJob job : largest) {
+              if (job.firstStartedAt == null
+                  || job.firstStartedAt.isAfter(job.submittedAt.plus(MAX_START_DELAY))) {
+                throw violation(
+                    "largest began late", job.id + " of " + name + " at " + job.firstStartedAt);
               }
             }
           }
         });
   }
 
-  private void checkShare(String name, List<Known> group) {
+  private void checkServedShare(String name, List<TrackedJob> group) {
     long served = group.stream().filter(SafetyRules::isServed).count();
     if (2 * served < group.size()) {
-      throw broken("less than half served", name + ": " + served + " of " + group.size());
+      throw violation("less than half served", name + ": " + served + " of " + group.size());
     }
   }
 
-  private static boolean isServed(Known job) {
+  private static boolean isServed(TrackedJob job) {
     boolean service = job.spec.get("shape").asText().equals("service");
-    return service ? job.everStarted.size() == job.tasks() : job.done;
+    return service ? job.startedTasks.size() == job.taskCount() : job.done;
   }
 
-  private boolean isLongCancelled(Known job) {
-    return job.cancelled != null && job.cancelled.plus(CANCEL).isBefore(world.now());
+  private boolean isLongCancelled(TrackedJob job) {
+    return job.cancelledAt != null && job.cancelledAt.plus(CANCEL_TIMEOUT).isBefore(world.now());
   }
 
-  /** Whether the condition holds for a job that this one needs, directly or through others. */
-  boolean anyBefore(Known job, Predicate<Known> condition) {
-    Deque<Known> left = new ArrayDeque<>(List.of(job));
-    Set<Known> seen = new HashSet<>();
-    while (!left.isEmpty()) {
-      for (String id : left.poll().prerequisites()) {
-        Known needed = jobs.get(id);
-        if (condition.test(needed)) {
+  /** Whether the condition holds for any direct or transitive prerequisite of the job. */
+  boolean anyPrerequisite(TrackedJob job, Predicate<TrackedJob> condition) {
+    Deque<TrackedJob> pending = new ArrayDeque<>(List.of(job));
+    Set<TrackedJob> seen = new HashSet<>();
+    while (!pending.isEmpty()) {
+      for (String id : pending.poll().prerequisites()) {
+        TrackedJob prerequisite = jobs.get(id);
+        if (condition.test(prerequisite)) {
           return true;
         }
-        if (seen.add(needed)) {
-          left.add(needed);
+        if (seen.add(prerequisite)) {
+          pending.add(prerequisite);
         }
       }
     }
     return false;
   }
 
-  /** A user was told a state. */
-  void told(Known job, String status) {
-    job.answered = world.now();
-    if (status.equals("done") && job.completed.size() < job.tasks()) {
-      throw broken("not_done", job.id);
+  /** Checks a job state that an answer shows, and records it. */
+  void checkReportedState(TrackedJob job, String status) {
+    job.lastAnsweredAt = world.now();
+    if (status.equals("done") && job.completedTasks.size() < job.taskCount()) {
+      throw violation("not_done", job.id + " is reported done before all tasks completed");
     }
     if (job.done && !status.equals("done")) {
-      throw broken("went_back", job.id + " was done and is called " + status);
+      throw violation("went_back", job.id + " was reported done and now " + status);
     }
-    if (job.cancelled != null && !status.equals("aborted")) {
-      throw broken("went_back", job.id + " was cancelled and is called " + status);
+    if (job.cancelledAt != null && !status.equals("aborted")) {
+      throw violation("went_back", job.id + " was reported cancelled and now " + status);
     }
-    if (status.equals("aborted") && !job.cancelAsked && !anyBefore(job, each -> each.cancelAsked)) {
-      throw broken("went_back", job.id + " is called cancelled by no wish of its user");
+    if (status.equals("aborted")
+        && !job.cancelRequested
+        && !anyPrerequisite(job, each -> each.cancelRequested)) {
+      throw violation(
+          "went_back",
+          job.id + " is reported cancelled without a request to cancel it or a prerequisite");
     }
     boolean isOver = status.equals("done") || status.equals("aborted");
-    if (!isOver && anyBefore(job, SafetyRules.this::isLongCancelled)) {
-      throw broken(
-          "orphaned", job.id + " is called " + status + " after one before it was cancelled");
+    if (!isOver && anyPrerequisite(job, SafetyRules.this::isLongCancelled)) {
+      throw violation(
+          "orphaned", job.id + " is reported " + status + " after a prerequisite was cancelled");
     }
     if (status.equals("done")) {
       job.done = true;
-    } else if (status.equals("aborted") && job.cancelled == null) {
-      job.cancelled = world.now();
-      List<String> on = holding == null ? List.of() : holding.apply(job.id);
-      if (!on.isEmpty()) {
-        throw broken("told_too_soon", job.id + " is called cancelled and is on " + on);
+    } else if (status.equals("aborted") && job.cancelledAt == null) {
+      job.cancelledAt = world.now();
+      List<String> machines = machinesHolding == null ? List.of() : machinesHolding.apply(job.id);
+      if (!machines.isEmpty()) {
+        throw violation(
+            "told_too_soon", job.id + " is reported cancelled but has tasks on " + machines);
       }
     }
   }
 
   /**
-   * An answer of any node: read-your-writes and monotonic reads over all of them, as one history of
-   * the job.
+   * Checks an answer of any node for read-your-writes and monotonic reads over all nodes.
    *
-   * @param before what had been told of the job, by whichever node, when the question was sent
-   * @param state the state that the answer names, or null
+   * @param before the latest state that any node had answered when the request was sent
+   * @param state the job state in the answer, or null
    */
-  void answered(Known job, Told before, int status, String state) {
+  void checkAnswer(TrackedJob job, ReportedState before, int status, String state) {
     if (status == 404 || status == 400 || status == 422) {
-      if (before != Told.NOTHING) {
-        throw broken("forgotten", job.id + " got " + status + " asked when told " + before);
+      if (before != ReportedState.UNKNOWN) {
+        throw violation(
+            "forgotten",
+            job.id + " got " + status + " for a request sent after it was reported " + before);
       }
     } else if (state != null) {
-      if (job.unfit) {
-        throw broken("accepted_unfit", job.id + " is called " + state);
+      if (job.invalid) {
+        throw violation("accepted_unfit", job.id + " is invalid and reported " + state);
       }
-      boolean over = state.equals("done") || state.equals("aborted");
-      // What was asked before the job was over may be answered as it was then.
-      if (over || before == Told.OVER || !job.isOver()) {
-        told(job, state);
+      boolean finished = state.equals("done") || state.equals("aborted");
+      // A request sent before the job finished may get an older state as its answer.
+      if (finished || before == ReportedState.FINISHED || !job.isFinished()) {
+        checkReportedState(job, state);
       } else {
-        job.answered = world.now();
+        job.lastAnsweredAt = world.now();
       }
       job.accepted = true;
     }
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -28,12 +28,16 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Several controllers in virtual time among stand-ins that crash, cut, delay and deliver late. */
+/**
+ * Several controllers in virtual time with a fake key-value store and a fake fleet, on a network
+ * that can drop, delay and duplicate messages.
+ */
 abstract class SimulatedCluster {
-  static final List<String> FRONTS = List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
-  static final String STORE = "10.2.0.1:2379";
+  static final List<String> API_ADDRESSES =
+      List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
+  static final String STORE_ADDRESS = "10.2.0.1:2379";
 
-  /** One controller, from one start to the next. */
+  /** A controller slot; each restart creates a new node in it. */
   static final class Controller {
     final int index;
     boolean[] alive = new boolean[1];
@@ -46,25 +50,28 @@
 
   final List<Controller> controllers = new ArrayList<>();
 
-  /** Where the controllers are reached; as many as there are. */
-  List<String> fronts = FRONTS;
+  /** The API address of each controller. */
+  List<String> apiAddresses = API_ADDRESSES;
 
   SimulatedWorld world;
   FakeKeyValueStore store;
   FakeFleet fleet;
   SafetyRules rules;
   StarvationCheck starvation;
-  int jobs;
-  int unanswered;
+  int lastJobNumber;
+  int failedRequests;
 
-  /** The store may lose data on this day; on any other nobody may think that it has. */
-  boolean losesData;
+  /**
+   * Whether the store may lose data in this simulation. If not, a controller that starts a rebuild
+   * fails the test.
+   */
+  boolean allowsDataLoss;
 
-  /** Told of all traffic of the simulated network; set it before the simulation begins. */
-  TrafficObserver traffic = TrafficObserver.NONE;
+  /** Observes all traffic of the simulated network; must be set before the simulation begins. */
+  TrafficObserver trafficObserver = TrafficObserver.NONE;
 
-  /** What controllers keep snapshots on, by their number; none unless a test sets them up. */
-  final Map<Integer, SnapshotStore> shelves = new HashMap<>();
+  /** Snapshot stores by controller index; empty unless a test adds some. */
+  final Map<Integer, SnapshotStore> snapshotStores = new HashMap<>();
 
   static final BackgroundExecutor IMMEDIATE =
       new BackgroundExecutor() {
@@ -74,8 +81,8 @@
         }
       };
 
-  /** A shelf that outlives its controller's processes. */
-  static final class MemoryShelf implements SnapshotStore {
+  /** An in-memory snapshot store that survives restarts of its controller. */
+  static final class InMemorySnapshotStore implements SnapshotStore {
     final Map<String, byte[]> files = new TreeMap<>();
 
     @Override
@@ -90,10 +97,10 @@
 
     @Override
     public void append(String name, byte[] bytes) {
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
-      all.writeBytes(files.getOrDefault(name, new byte[0]));
-      all.writeBytes(bytes);
-      files.put(name, all.toByteArray());
+      ByteArrayOutputStream contents = new ByteArrayOutputStream();
+      contents.writeBytes(files.getOrDefault(name, new byte[0]));
+      contents.writeBytes(bytes);
+      files.put(name, contents.toByteArray());
     }
 
     @Override
@@ -109,30 +116,30 @@
 
   void begin(long seed) {
     world = new SimulatedWorld(seed);
-    world.traffic = traffic;
+    world.trafficObserver = trafficObserver;
     rules = new SafetyRules(world, settings(0).teams());
     store = new FakeKeyValueStore(world, 12, 8192);
-    fleet = new FakeFleet(world, rules, fronts);
+    fleet = new FakeFleet(world, rules, apiAddresses);
     starvation = new StarvationCheck(world, rules, fleet, settings(0).teams());
-    store.onChange = this::onStored;
-    if (!losesData) {
-      rules.holding = fleet::holding;
-      rules.placed = store::hasPlacement;
+    store.onChange = this::onStoreChange;
+    if (!allowsDataLoss) {
+      rules.machinesHolding = fleet::machinesHolding;
+      rules.placementLookup = store::hasPlacement;
     }
-    world.serve(STORE, store);
+    world.serve(STORE_ADDRESS, store);
     world.serve(FakeFleet.ADDRESS, fleet);
-    for (int i = 0; i < fronts.size(); i++) {
+    for (int i = 0; i < apiAddresses.size(); i++) {
       controllers.add(new Controller(i));
       start(controllers.get(i));
     }
-    watch();
+    runChecks();
   }
 
-  void watch() {
-    rules.watchCancelled();
-    rules.watchKnown();
-    starvation.watch();
-    world.after(500, this::watch);
+  void runChecks() {
+    rules.checkCancelledJobs();
+    rules.checkAcceptedJobs();
+    starvation.check();
+    world.after(500, this::runChecks);
   }
 
   Settings settings(int index) {
@@ -142,10 +149,10 @@
             .replace("member = \"rung-0\"\narea", "member = \"rung-" + index + "\"\narea")
             .replace("front = \"10.0.0.1:", "front = \"" + host + ":")
             .replace("cluster_listen = \"10.0.0.1:", "cluster_listen = \"" + host + ":");
-    int other = 0;
+    int peer = 0;
     for (int i = 1; i <= 2; i++) {
-      if (other == index) {
-        other++;
+      if (peer == index) {
+        peer++;
       }
       text =
           text.replace(
@@ -157,11 +164,11 @@
                   + (i + 1)
                   + ":8081\"",
               "member = \"RUNG-"
-                  + other
+                  + peer
                   + "\"\narea = \"a\"\naddress = \"10.0.0."
-                  + (other + 1)
+                  + (peer + 1)
                   + ":8081\"");
-      other++;
+      peer++;
     }
     try {
       return SettingsReader.parse(text.replace("RUNG-", "rung-"));
@@ -176,97 +183,99 @@
     Settings settings = settings(controller.index);
     double rate = 1 + (world.random.nextDouble() - 0.5) * 0.001;
     String host = "10.0.0." + (controller.index + 1);
-    EventLoop eventLoop = world.timeline(host, () -> alive[0], rate);
-    AsyncHttpClient httpClient = world.caller(host, () -> alive[0]);
+    EventLoop eventLoop = world.eventLoop(host, () -> alive[0], rate);
+    AsyncHttpClient httpClient = world.httpClient(host, () -> alive[0]);
     ControllerNode node =
         new ControllerNode(
             settings,
             eventLoop,
             httpClient,
             "nonce-" + world.random.nextLong(),
-            delivery(host),
-            shelves.get(controller.index),
+            deliveryContext(host),
+            snapshotStores.get(controller.index),
             IMMEDIATE,
             version(controller.index));
     controller.node = node;
-    RequestRouter front = new RequestRouter(node, new Metrics());
-    world.serve(settings.apiAddress(), front::handle);
-    world.serve(settings.clusterAddress(), front::handleCluster);
+    RequestRouter router = new RequestRouter(node, new Metrics());
+    world.serve(settings.apiAddress(), router::handle);
+    world.serve(settings.clusterAddress(), router::handleCluster);
     node.start();
   }
 
-  /** What the controller's software supports. */
+  /** The cluster version that the controller's software supports. */
   ClusterVersion version(int index) {
     return new ClusterVersion();
   }
 
-  /** A key of the state service has changed. */
-  void onStored(String key) {}
+  /** Called after a key in the key-value store has changed. */
+  void onStoreChange(String key) {}
 
-  /** A user was told something that nobody had been told of the job before. */
-  void onNews(SafetyRules.Known job) {}
+  /** Called when an answer shows a later state of the job than any answer before it. */
+  void onStateAdvanced(SafetyRules.TrackedJob job) {}
 
-  /** What the host delivers notices with; null for none. */
-  DeliveryContext delivery(String host) {
+  /** The delivery context of the host, or null if it delivers no notifications. */
+  DeliveryContext deliveryContext(String host) {
     return null;
   }
 
-  void kill(Controller controller, long backMillis) {
+  void kill(Controller controller, long downtimeMillis) {
     if (!controller.alive[0]) {
       return;
     }
     controller.alive[0] = false;
-    world.stop(fronts.get(controller.index));
+    world.stop(apiAddresses.get(controller.index));
     world.stop("10.0.0." + (controller.index + 1) + ":8081");
-    world.after(backMillis, () -> start(controller));
+    world.after(downtimeMillis, () -> start(controller));
   }
 
-  // ---- users
+  // Users.
 
-  ObjectNode job(String shape, int tasks, String owner) {
+  ObjectNode jobSpec(String shape, int tasks, String owner) {
     ObjectNode spec =
         Json.object()
-            .put("ref", String.format("req-%06d", ++jobs))
+            .put("ref", String.format("req-%06d", ++lastJobNumber))
             .put("jobclass", shape.equals("service") ? "serve" : "work")
             .put("owner", owner)
             .put("shape", shape)
-            .put("rank", shape.equals("service") ? "prod" : jobs % 3 == 0 ? "low" : "standard")
+            .put(
+                "rank",
+                shape.equals("service") ? "prod" : lastJobNumber % 3 == 0 ? "low" : "standard")
             .put("pieces", tasks)
             .put("vcpus", 2.0)
             .put("cards", 1.0)
             .put("memory_gb", 4.0)
-            .put("bundle", "img-" + jobs % 3)
+            .put("bundle", "img-" + lastJobNumber % 3)
             .put("image_gb", 2.0)
-            .put("together", jobs % 5 == 0)
-            .put("spread", jobs % 5 == 1)
-            .put("loaners", !shape.equals("service") && jobs % 2 == 0)
-            .put("guess_s", shape.equals("service") ? 0 : 5 + jobs % 20)
+            .put("together", lastJobNumber % 5 == 0)
+            .put("spread", lastJobNumber % 5 == 1)
+            .put("loaners", !shape.equals("service") && lastJobNumber % 2 == 0)
+            .put("guess_s", shape.equals("service") ? 0 : 5 + lastJobNumber % 20)
             .put("mark_every_s", 0.0)
             .put("stow_s", 0.0);
     return spec;
   }
 
-  /** A job that its user knows of from here on. */
-  SafetyRules.Known known(ObjectNode spec) {
-    SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
+  /** Registers a job with the checks as submitted now. */
+  SafetyRules.TrackedJob trackJob(ObjectNode spec) {
+    SafetyRules.TrackedJob job = new SafetyRules.TrackedJob(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
-    job.submitted = world.now();
+    job.submittedAt = world.now();
     return job;
   }
 
-  SafetyRules.Known submit(ObjectNode spec) {
-    SafetyRules.Known job = known(spec);
+  SafetyRules.TrackedJob submit(ObjectNode spec) {
+    SafetyRules.TrackedJob job = trackJob(spec);
     send(job, "POST", "/v1/jobs", Json.bytes(spec));
     return job;
   }
 
-  void cancel(SafetyRules.Known job) {
-    job.cancelAsked = true;
+  void cancel(SafetyRules.TrackedJob job) {
+    job.cancelRequested = true;
     send(job, "POST", "/v1/jobs/" + job.id + "/cancel", null);
   }
 
-  void send(SafetyRules.Known job, String method, String path, byte[] body) {
-    String node = fronts.get(world.random.nextInt(fronts.size()));
+  void send(SafetyRules.TrackedJob job, String method, String path, byte[] body) {
+    String node = apiAddresses.get(world.random.nextInt(apiAddresses.size()));
     boolean poll = method.equals("GET");
     boolean submission = path.equals("/v1/jobs");
     send(
@@ -275,10 +284,10 @@
         method,
         path,
         body,
-        good -> {
-          if (!good && !poll && !job.unfit) {
+        succeeded -> {
+          if (!succeeded && !poll && !job.invalid) {
             world.after(1_000, () -> send(job, method, path, body));
-          } else if (submission && good && !job.polled) {
+          } else if (submission && succeeded && !job.polled) {
             job.polled = true;
             world.after(2_000, () -> poll(job));
           }
@@ -286,81 +295,88 @@
   }
 
   /**
-   * One request about a job at one node; {@code then} is told whether it was answered as wanted.
+   * Sends one request about a job to one node; {@code then} receives whether it was answered with
+   * 200 or 201.
    */
   void send(
-      SafetyRules.Known job,
+      SafetyRules.TrackedJob job,
       String node,
       String method,
       String path,
       byte[] body,
       Consumer<Boolean> then) {
-    SafetyRules.Told before = job.told();
-    Duration patience = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
+    SafetyRules.ReportedState before = job.reportedState();
+    Duration timeout = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
     world
-        .caller("user", () -> true)
+        .httpClient("user", () -> true)
         .call(
-            new AsyncHttpClient.Request(node, method, path, body, patience),
+            new AsyncHttpClient.Request(node, method, path, body, timeout),
             reply -> {
-              boolean good = reply.is(200) || reply.is(201);
+              boolean succeeded = reply.is(200) || reply.is(201);
               try {
-                String state = good ? Json.parseObject(reply.body()).get("status").asText() : null;
+                String state =
+                    succeeded ? Json.parseObject(reply.body()).get("status").asText() : null;
                 if (reply.isAnswered()) {
-                  rules.answered(job, before, reply.status(), state);
+                  rules.checkAnswer(job, before, reply.status(), state);
                 }
               } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
-              if (job.told().compareTo(before) > 0 && job.told() != job.news) {
-                job.news = job.told();
-                onNews(job);
+              if (job.reportedState().compareTo(before) > 0
+                  && job.reportedState() != job.lastAdvancedState) {
+                job.lastAdvancedState = job.reportedState();
+                onStateAdvanced(job);
               }
-              unanswered += good ? 0 : 1;
-              then.accept(good);
+              failedRequests += succeeded ? 0 : 1;
+              then.accept(succeeded);
             });
   }
 
-  void poll(SafetyRules.Known job) {
+  void poll(SafetyRules.TrackedJob job) {
     send(job, "GET", "/v1/jobs/" + job.id, null);
-    world.after(job.isOver() ? 20_000 : 5_000, () -> poll(job));
+    world.after(job.isFinished() ? 20_000 : 5_000, () -> poll(job));
   }
 
-  ObjectNode randomJob() {
+  ObjectNode randomJobSpec() {
     return switch (world.random.nextInt(4)) {
-      case 0 -> job("service", 1 + world.random.nextInt(2), "red");
-      case 1 -> job("group", 2 + world.random.nextInt(3), "red");
-      default -> job("array", 1 + world.random.nextInt(6), "blue");
+      case 0 -> jobSpec("service", 1 + world.random.nextInt(2), "red");
+      case 1 -> jobSpec("group", 2 + world.random.nextInt(3), "red");
+      default -> jobSpec("array", 1 + world.random.nextInt(6), "blue");
     };
   }
 
-  /** Gives everything time to settle, then asks that all work is done and nothing is left over. */
+  /** Runs without message loss for the given time, then checks that all work has finished. */
   void settle(Duration time) {
-    world.lossy = 0;
+    world.lossRate = 0;
     world.runFor(time);
-    for (SafetyRules.Known job : rules.jobs.values()) {
+    for (SafetyRules.TrackedJob job : rules.jobs.values()) {
       boolean service = job.spec.get("shape").asText().equals("service");
-      assertTrue(job.accepted, job.id + " was not accepted");
-      assertTrue(service || job.broken || job.isOver(), job.id + " did not end: " + job.completed);
+      assertTrue(job.accepted, job.id + " was never accepted");
+      assertTrue(
+          service || job.alwaysFails || job.isFinished(),
+          job.id + " did not finish; completed tasks: " + job.completedTasks);
     }
     assertTrue(rules.starts > 0);
-    assertTrue(losesData || store.space().isEmpty(), "a loss was seen where there was none");
-    assertEquals(0, store.count("inbox/"));
+    assertTrue(
+        allowsDataLoss || store.generationPrefix().isEmpty(),
+        "a rebuild took place although no data was lost");
+    assertEquals(0, store.countKeys("inbox/"));
     List<String> open =
-        rules.jobs.values().stream().filter(j -> !j.isOver()).map(j -> j.id).sorted().toList();
-    assertEquals(open, List.copyOf(store.jobs()));
+        rules.jobs.values().stream().filter(j -> !j.isFinished()).map(j -> j.id).sorted().toList();
+    assertEquals(open, List.copyOf(store.jobIds()));
   }
 
-  int leader() {
+  int leaderIndex() {
     String member = store.value("lead/holder").get("member").asText();
     return Integer.parseInt(member.substring(member.length() - 1));
   }
 
-  void trouble(int kind) {
-    Controller some = controllers.get(world.random.nextInt(3));
-    String host = "10.0.0." + (some.index + 1);
+  void injectFault(int kind) {
+    Controller target = controllers.get(world.random.nextInt(3));
+    String host = "10.0.0." + (target.index + 1);
     long millis = 2_000L + world.random.nextInt(30_000);
     switch (kind) {
-      case 0 -> kill(some, 6_000);
+      case 0 -> kill(target, 6_000);
       case 1 -> {
         world.cut(host, "10.2.0.1");
         world.after(millis, () -> world.heal(host, "10.2.0.1"));
@@ -374,54 +390,55 @@
         world.after(millis, () -> fleet.outage = false);
       }
       case 4 -> {
-        // One zone's workers are cut from one controller.
-        for (FakeFleet.Worker worker : fleet.up()) {
+        // Cuts the workers of one zone from one controller.
+        for (FakeFleet.Worker worker : fleet.runningWorkers()) {
           if (worker.zone.equals("a")) {
-            String there = SimulatedWorld.host(worker.address);
-            world.cut(host, there);
-            world.after(millis, () -> world.heal(host, there));
+            String workerHost = SimulatedWorld.host(worker.address);
+            world.cut(host, workerHost);
+            world.after(millis, () -> world.heal(host, workerHost));
           }
         }
       }
       case 5 -> {
-        for (FakeFleet.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.runningWorkers()) {
           if (world.random.nextInt(4) == 0) {
             for (int i = 1; i <= 3; i++) {
               String node = "10.0.0." + i;
-              String there = SimulatedWorld.host(worker.address);
-              world.cut(node, there);
-              world.after(millis, () -> world.heal(node, there));
+              String workerHost = SimulatedWorld.host(worker.address);
+              world.cut(node, workerHost);
+              world.after(millis, () -> world.heal(node, workerHost));
             }
           }
         }
       }
       case 6 -> {
-        for (Controller each : controllers) {
-          kill(each, 6_000 + each.index * 500L);
+        for (Controller controller : controllers) {
+          kill(controller, 6_000 + controller.index * 500L);
         }
       }
       case 7 -> {
-        List<FakeFleet.Worker> up = fleet.up();
+        List<FakeFleet.Worker> up = fleet.runningWorkers();
         if (!up.isEmpty()) {
-          fleet.die(up.get(world.random.nextInt(up.size())));
+          fleet.failMachine(up.get(world.random.nextInt(up.size())));
         }
       }
       case 8, 9 -> world.freeze(host, millis);
       case 10 -> {
-        fleet.badBoots = true;
-        world.after(millis, () -> fleet.badBoots = false);
+        fleet.unreliableBoots = true;
+        world.after(millis, () -> fleet.unreliableBoots = false);
       }
       case 11 -> {
-        // Everybody asks about everything, again and again.
+        // Polls every job repeatedly.
         for (int i = 0; i < 8; i++) {
-          world.after(i * 500L, () -> rules.jobs.values().stream().toList().forEach(this::ask));
+          world.after(
+              i * 500L, () -> rules.jobs.values().stream().toList().forEach(this::queryStatus));
         }
       }
       default -> {}
     }
   }
 
-  void ask(SafetyRules.Known job) {
+  void queryStatus(SafetyRules.TrackedJob job) {
     if (job.accepted) {
       send(job, "GET", "/v1/jobs/" + job.id, null);
     }
--- a/src/test/java/io/pineladder/sim/SimulatedWorld.java
+++ b/src/test/java/io/pineladder/sim/SimulatedWorld.java
@@ -16,44 +16,49 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Virtual time and a network that cuts, delays and delivers late; everything follows one seed. */
+/**
+ * Virtual time and a simulated network that loses, delays and duplicates messages. All random
+ * choices follow from one seed.
+ */
 final class SimulatedWorld {
-  private record Timer(long at, long order, Runnable action) implements Comparable<Timer> {
+  private record Timer(long dueMillis, long sequence, Runnable action)
+      implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
-      int byTime = Long.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      int byTime = Long.compare(dueMillis, other.dueMillis);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
   final RandomGenerator random;
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final Map<String, AsyncHttpHandler> servers = new HashMap<>();
-  private final Set<String> cuts = new HashSet<>();
-  private long order;
+  private final Set<String> cutRoutes = new HashSet<>();
+  private long nextTimerSequence;
   private long nowMillis = 1_000_000;
 
-  /** Hosts whose process stands still, and until when; their clocks go on. */
-  private final Map<String, Long> frozen = new HashMap<>();
+  /** Until when the processes of hosts are frozen. Their clocks go on meanwhile. */
+  private final Map<String, Long> frozenUntilMillis = new HashMap<>();
 
-  /** Hosts that send and that nothing reaches: neither requests nor answers to theirs. */
-  final Set<String> deaf = new HashSet<>();
+  /** Hosts that can send but receive neither requests nor answers. */
+  final Set<String> unreachableHosts = new HashSet<>();
 
-  /** Whether anything can reach the host from somewhere, and its process moves. */
-  boolean hears(String host) {
-    return !deaf.contains(host) && frozen.getOrDefault(host, 0L) <= nowMillis;
+  /** Whether the host receives messages and its process is not frozen. */
+  boolean isReachable(String host) {
+    return !unreachableHosts.contains(host)
+        && frozenUntilMillis.getOrDefault(host, 0L) <= nowMillis;
   }
 
-  /** The part of messages whose reply is lost, and which may then be executed late. */
-  double lossy;
+  /** The fraction of requests whose answer is lost; half of those are delivered late. */
+  double lossRate;
 
-  /** The part of messages that are held up for seconds, on the way there or on the way back. */
-  double held;
+  /** The fraction of requests that are delayed by seconds, either on the way or on the way back. */
+  double delayRate;
 
-  private static final int LONGEST_HELD = 7_000;
+  private static final int MAX_DELAY_MILLIS = 7_000;
 
-  /** What refuses whom: the first host's requests are answered 503 by the second. */
-  private final Set<String> refusals = new HashSet<>();
+  /** Pairs of hosts; requests from the first to the second are answered with 503. */
+  private final Set<String> rejectedRoutes = new HashSet<>();
 
   SimulatedWorld(long seed) {
     random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
@@ -64,110 +69,115 @@
   }
 
   void after(long millis, Runnable action) {
-    timers.add(new Timer(nowMillis + Math.max(0, millis), order++, action));
+    timers.add(new Timer(nowMillis + Math.max(0, millis), nextTimerSequence++, action));
   }
 
   void runFor(Duration duration) {
     long end = nowMillis + duration.toMillis();
-    while (!timers.isEmpty() && timers.peek().at <= end) {
+    while (!timers.isEmpty() && timers.peek().dueMillis <= end) {
       Timer next = timers.poll();
-      nowMillis = next.at;
+      nowMillis = next.dueMillis;
       next.action.run();
     }
     nowMillis = end;
   }
 
-  /** The network outside, where this world is run beside real processes; null in a simulation. */
-  interface Outside {
+  /** A real network, for a world that runs along with real processes. */
+  interface ExternalNetwork {
     void serve(String address, AsyncHttpHandler handler);
 
     void stop(String address);
 
-    AsyncHttpClient caller();
+    AsyncHttpClient httpClient();
   }
 
-  Outside outside;
+  /** The real network in use; null in a simulation. */
+  ExternalNetwork externalNetwork;
 
-  /** Told of what is sent and answered here; not of what goes through {@link #outside}. */
-  TrafficObserver traffic = TrafficObserver.NONE;
+  /** Observes simulated traffic only, not what goes through {@link #externalNetwork}. */
+  TrafficObserver trafficObserver = TrafficObserver.NONE;
 
   void serve(String address, AsyncHttpHandler handler) {
     servers.put(address, handler);
-    if (outside != null) {
-      outside.serve(address, handler);
+    if (externalNetwork != null) {
+      externalNetwork.serve(address, handler);
     }
   }
 
   void stop(String address) {
     servers.remove(address);
-    if (outside != null) {
-      outside.stop(address);
+    if (externalNetwork != null) {
+      externalNetwork.stop(address);
     }
   }
 
-  /** Cuts two hosts from one another; packets on the way are lost or come late. */
-  void cut(String one, String other) {
-    cuts.add(one + " " + other);
-    cuts.add(other + " " + one);
+  /** Cuts two hosts off from each other; requests sent meanwhile are lost or arrive late. */
+  void cut(String host, String peer) {
+    cutRoutes.add(host + " " + peer);
+    cutRoutes.add(peer + " " + host);
   }
 
-  /**
-   * Keeps {@code one} from reaching the other, as a packet filter does; not the other way round.
-   */
-  void refuse(String one, String other) {
-    cuts.add(one + " " + other);
+  /** Blocks requests in one direction only, as a packet filter does. */
+  void cutOneWay(String from, String to) {
+    cutRoutes.add(from + " " + to);
   }
 
-  /** The second host answers the first's requests with 503; watches that are open then wait. */
-  void answerRefused(String one, String other, boolean refused) {
-    if (refused) {
-      refusals.add(one + " " + other);
+  /**
+   * Sets whether requests from one host to another are answered with 503. Answers to earlier
+   * requests, such as open watches, wait until this ends.
+   */
+  void setRejected(String from, String to, boolean rejected) {
+    if (rejected) {
+      rejectedRoutes.add(from + " " + to);
     } else {
-      refusals.remove(one + " " + other);
+      rejectedRoutes.remove(from + " " + to);
     }
   }
 
-  /** Hands an answer on once its host is no longer refused. */
-  private void unlessRefused(String way, Runnable action) {
-    if (refusals.contains(way)) {
-      after(500, () -> unlessRefused(way, action));
+  private void runWhenNotRejected(String route, Runnable action) {
+    if (rejectedRoutes.contains(route)) {
+      after(500, () -> runWhenNotRejected(route, action));
     } else {
       action.run();
     }
   }
 
-  /** The host's process stands still; what comes for it meanwhile waits, timers too. */
+  /** Freezes the host's process; its timers and incoming messages wait until it resumes. */
   void freeze(String host, long millis) {
-    frozen.merge(host, nowMillis + millis, Math::max);
+    frozenUntilMillis.merge(host, nowMillis + millis, Math::max);
   }
 
-  /** Runs the action on the host, once its process moves again. */
-  private void on(String host, Runnable action) {
-    long until = frozen.getOrDefault(host, 0L);
+  private void runWhenUnfrozen(String host, Runnable action) {
+    long until = frozenUntilMillis.getOrDefault(host, 0L);
     if (until > nowMillis) {
-      timers.add(new Timer(until, order++, () -> on(host, action)));
+      timers.add(new Timer(until, nextTimerSequence++, () -> runWhenUnfrozen(host, action)));
     } else {
       action.run();
     }
   }
 
-  void heal(String one, String other) {
-    cuts.remove(one + " " + other);
-    cuts.remove(other + " " + one);
+  void heal(String host, String peer) {
+    cutRoutes.remove(host + " " + peer);
+    cutRoutes.remove(peer + " " + host);
   }
 
   static String host(String address) {
     return address.substring(0, address.indexOf(':'));
   }
 
-  /** A clock of a process that ends when {@code alive} says so. */
-  EventLoop timeline(String host, BooleanSupplier alive, double rate) {
-    Instant begun = now();
+  /**
+   * The event loop of a process on a host.
+   *
+   * @param alive false once the process has ended; its timers no longer run then
+   * @param rate how fast the clock of the process runs, relative to virtual time
+   */
+  EventLoop eventLoop(String host, BooleanSupplier alive, double rate) {
+    Instant startedAt = now();
     return new EventLoop() {
       @Override
       public Instant now() {
-        long real = Duration.between(begun, SimulatedWorld.this.now()).toNanos();
-        return begun.plusNanos((long) (real * rate));
+        long elapsed = Duration.between(startedAt, SimulatedWorld.this.now()).toNanos();
+        return startedAt.plusNanos((long) (elapsed * rate));
       }
 
       @Override
@@ -185,7 +195,7 @@
         SimulatedWorld.this.after(
             (long) Math.ceil(delay.toNanos() / 1e6 / rate),
             () ->
-                on(
+                runWhenUnfrozen(
                     host,
                     () -> {
                       if (alive.getAsBoolean()) {
@@ -196,12 +206,12 @@
     };
   }
 
-  /** The network as one process on {@code from} uses it. */
-  AsyncHttpClient caller(String from, BooleanSupplier alive) {
-    if (outside != null) {
+  /** An HTTP client for a process on the host {@code from}; answers are dropped once it ended. */
+  AsyncHttpClient httpClient(String from, BooleanSupplier alive) {
+    if (externalNetwork != null) {
       return (request, onReply) ->
-          outside
-              .caller()
+          externalNetwork
+              .httpClient()
               .call(
                   request,
                   reply -> {
@@ -211,32 +221,35 @@
                   });
     }
     return (request, onReply) -> {
-      traffic.sent(now(), from, request);
-      boolean[] over = new boolean[1];
+      trafficObserver.onRequest(now(), from, request);
+      boolean[] completed = new boolean[1];
       Consumer<AsyncHttpClient.Reply> once =
           reply ->
-              on(
+              runWhenUnfrozen(
                   from,
                   () -> {
-                    if (!over[0] && alive.getAsBoolean()) {
-                      over[0] = true;
+                    if (!completed[0] && alive.getAsBoolean()) {
+                      completed[0] = true;
                       onReply.accept(reply);
                     }
                   });
       long timeout = request.timeout().toMillis();
-      String way = from + " " + host(request.address());
-      if (deaf.contains(host(request.address()))) {
+      String route = from + " " + host(request.address());
+      if (unreachableHosts.contains(host(request.address()))) {
         after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
         return;
       }
-      if (cuts.contains(way)) {
-        // A connection that stood before the cut carries the request late; a new one never does.
-        boolean late = random.nextInt(3) == 0;
+      if (cutRoutes.contains(route)) {
+        // A connection opened before the cut may deliver the request late; a new one cannot.
+        boolean deliveredLate = random.nextInt(3) == 0;
         after(
             timeout,
             () ->
-                once.accept(late ? AsyncHttpClient.Reply.UNKNOWN : AsyncHttpClient.Reply.NOT_SENT));
-        if (late) {
+                once.accept(
+                    deliveredLate
+                        ? AsyncHttpClient.Reply.UNKNOWN
+                        : AsyncHttpClient.Reply.NOT_SENT));
+        if (deliveredLate) {
           after(timeout + random.nextInt(60_000), () -> deliver(request, answer -> {}));
         }
         return;
@@ -245,30 +258,30 @@
         after(1, () -> once.accept(AsyncHttpClient.Reply.NOT_SENT));
         return;
       }
-      if (refusals.contains(way)) {
+      if (rejectedRoutes.contains(route)) {
         after(5, () -> once.accept(AsyncHttpClient.Reply.answered(503, new byte[0])));
         return;
       }
-      boolean lost = random.nextDouble() < lossy;
-      boolean late = lost && random.nextBoolean();
-      boolean holds = held > 0 && random.nextDouble() < held;
-      boolean there = holds && random.nextBoolean();
-      int back = holds && !there ? random.nextInt(LONGEST_HELD) : 0;
+      boolean lost = random.nextDouble() < lossRate;
+      boolean deliveredLate = lost && random.nextBoolean();
+      boolean delayed = delayRate > 0 && random.nextDouble() < delayRate;
+      boolean delayedThere = delayed && random.nextBoolean();
+      int answerDelay = delayed && !delayedThere ? random.nextInt(MAX_DELAY_MILLIS) : 0;
       after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
       after(
-          late
+          deliveredLate
               ? random.nextInt(40_000)
-              : 1 + random.nextInt(8) + (there ? random.nextInt(LONGEST_HELD) : 0),
+              : 1 + random.nextInt(8) + (delayedThere ? random.nextInt(MAX_DELAY_MILLIS) : 0),
           () ->
               deliver(
                   request,
                   answer -> {
-                    if (!lost && !cuts.contains(way) && !deaf.contains(from)) {
+                    if (!lost && !cutRoutes.contains(route) && !unreachableHosts.contains(from)) {
                       after(
-                          1 + random.nextInt(5) + back,
+                          1 + random.nextInt(5) + answerDelay,
                           () ->
-                              unlessRefused(
-                                  way,
+                              runWhenNotRejected(
+                                  route,
                                   () ->
                                       once.accept(
                                           AsyncHttpClient.Reply.answered(
@@ -278,10 +291,8 @@
     };
   }
 
-  /**
-   * Delivers a copy of a request later, to whoever is there by then; nobody waits for its answer.
-   */
-  void deliverCopy(AsyncHttpClient.Request request, long millis) {
+  /** Delivers a copy of a request after a delay and ignores the answer. */
+  void deliverDuplicate(AsyncHttpClient.Request request, long millis) {
     after(millis, () -> deliver(request, answer -> {}));
   }
 
@@ -289,7 +300,7 @@
     AsyncHttpHandler server = servers.get(request.address());
     if (server != null) {
       byte[] body = request.body() == null ? new byte[0] : request.body();
-      on(
+      runWhenUnfrozen(
           host(request.address()),
           () -> {
             if (servers.get(request.address()) == server) {
@@ -298,7 +309,7 @@
                   request.path(),
                   body,
                   answer -> {
-                    traffic.answered(now(), request, answer);
+                    trafficObserver.onAnswer(now(), request, answer);
                     onAnswer.accept(answer);
                   });
             }
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -15,31 +15,29 @@
 import java.util.Set;
 
 /**
- * The users' starvation bound: once all troubles are over no job waits for 90 s while a machine
- * that fits has room and its team is under its limit. Asked of what is on the machines, plainly and
- * of all of them.
+ * Checks that no job starves: once all faults have ended, no job waits for more than 90 s while
+ * machines have room for it and its team is below its quota. The check compares the jobs with the
+ * actual state of all machines.
  */
 final class StarvationCheck {
-  static final Duration MOST = Duration.ofSeconds(90);
+  static final Duration MAX_WAIT = Duration.ofSeconds(90);
 
   private final SimulatedWorld world;
   private final SafetyRules rules;
   private final FakeFleet fleet;
   private final List<Team> teams;
 
-  /**
-   * Since when each job has waited although it could run, and how many of its tasks were under way
-   * then.
-   */
-  private final Map<String, Instant> since = new HashMap<>();
+  /** Since when each job has waited although it could run. */
+  private final Map<String, Instant> waitingSince = new HashMap<>();
 
-  private final Map<String, Integer> underWay = new HashMap<>();
+  /** How many tasks of each job were on a machine or completed at the last check. */
+  private final Map<String, Integer> activeOrCompletedTasks = new HashMap<>();
 
-  /** Where the tasks of a job are that have not exited, by their number. */
-  private final Map<String, Map<Integer, Worker>> places = new HashMap<>();
+  /** The workers of the tasks that have not exited, by job and task index. */
+  private final Map<String, Map<Integer, Worker>> workersByJob = new HashMap<>();
 
-  private final Map<Worker, Resources> free = new HashMap<>();
-  private final Map<String, Resources> usage = new HashMap<>();
+  private final Map<Worker, Resources> freeResources = new HashMap<>();
+  private final Map<String, Resources> usageByTeam = new HashMap<>();
 
   StarvationCheck(SimulatedWorld world, SafetyRules rules, FakeFleet fleet, List<Team> teams) {
     this.world = world;
@@ -48,108 +46,113 @@
     this.teams = teams;
   }
 
-  void watch() {
-    if (rules.calmSince == null) {
+  void check() {
+    if (rules.faultsEndedAt == null) {
       return;
     }
-    look();
-    for (SafetyRules.Known job : rules.jobs.values()) {
-      int now = job.completed.size() + places.getOrDefault(job.id, Map.of()).size();
-      boolean moves = underWay.getOrDefault(job.id, 0) < now;
-      underWay.put(job.id, now);
-      if (moves || !waits(job) || !couldRun(job)) {
-        since.remove(job.id);
+    readFleet();
+    for (SafetyRules.TrackedJob job : rules.jobs.values()) {
+      int current = job.completedTasks.size() + workersByJob.getOrDefault(job.id, Map.of()).size();
+      boolean progressed = activeOrCompletedTasks.getOrDefault(job.id, 0) < current;
+      activeOrCompletedTasks.put(job.id, current);
+      if (progressed || !isWaiting(job) || !couldRun(job)) {
+        waitingSince.remove(job.id);
         continue;
       }
-      Instant first = since.computeIfAbsent(job.id, id -> world.now());
-      if (first.plus(MOST).isBefore(world.now())) {
+      Instant start = waitingSince.computeIfAbsent(job.id, id -> world.now());
+      if (start.plus(MAX_WAIT).isBefore(world.now())) {
         throw new AssertionError(
-            "starved at " + world.now() + ": " + job.id + " waits since " + first + " " + job.spec);
+            "starved at "
+                + world.now()
+                + ": "
+                + job.id
+                + " waits since "
+                + start
+                + " although it could run: "
+                + job.spec);
       }
     }
   }
 
-  private void look() {
-    places.clear();
-    free.clear();
-    usage.clear();
+  private void readFleet() {
+    workersByJob.clear();
+    freeResources.clear();
+    usageByTeam.clear();
     for (Worker worker : fleet.machines.values()) {
-      Resources left = fleet.size(worker.type);
+      Resources available = fleet.machineResources(worker.type);
       for (Task task : worker.tasks.values()) {
         if (task.status.equals("ended")) {
           continue;
         }
-        JsonNode spec = rules.jobs.get(task.job()).spec;
-        left = left.minus(each(spec));
-        usage.merge(spec.get("owner").asText(), each(spec), Resources::plus);
-        places.computeIfAbsent(task.job(), j -> new HashMap<>()).put(task.index(), worker);
+        JsonNode spec = rules.jobs.get(task.jobId()).spec;
+        available = available.minus(resourcesPerTask(spec));
+        usageByTeam.merge(spec.get("owner").asText(), resourcesPerTask(spec), Resources::plus);
+        workersByJob.computeIfAbsent(task.jobId(), j -> new HashMap<>()).put(task.index(), worker);
       }
-      if (worker.up && world.hears(SimulatedWorld.host(worker.address))) {
-        free.put(worker, left);
+      if (worker.up && world.isReachable(SimulatedWorld.host(worker.address))) {
+        freeResources.put(worker, available);
       }
     }
   }
 
-  static Resources each(JsonNode spec) {
+  static Resources resourcesPerTask(JsonNode spec) {
     return Resources.of(
         spec.get("vcpus").asDouble(),
         spec.get("cards").asDouble(),
         spec.get("memory_gb").asDouble());
   }
 
-  /**
-   * It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a
-   * machine.
-   */
-  private boolean waits(SafetyRules.Known job) {
-    boolean wanted = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
+  /** Whether the job should run and has tasks that are neither complete nor on a machine. */
+  private boolean isWaiting(SafetyRules.TrackedJob job) {
+    boolean runnable =
+        job.accepted && !job.cancelRequested && !job.isFinished() && !job.alwaysFails;
     for (String id : job.prerequisites()) {
-      SafetyRules.Known needed = rules.jobs.get(id);
-      // A completion is seen, stored and told before what needs it can start.
-      wanted &= needed.done;
+      SafetyRules.TrackedJob prerequisite = rules.jobs.get(id);
+      // Counts only once the completion was answered: it has been reported and stored by then.
+      runnable &= prerequisite.done;
     }
-    Map<Integer, Worker> there = places.getOrDefault(job.id, Map.of());
-    Set<Integer> known = new HashSet<>(job.completed);
-    known.addAll(there.keySet());
+    Map<Integer, Worker> placed = workersByJob.getOrDefault(job.id, Map.of());
+    Set<Integer> started = new HashSet<>(job.completedTasks);
+    started.addAll(placed.keySet());
     boolean gang = job.spec.get("shape").asText().equals("group");
-    // What is left of a gang must be gone before it can start anew.
-    return wanted && known.size() < job.tasks() && !(gang && !there.isEmpty());
+    // A gang can restart only once all tasks of its last attempt are gone.
+    return runnable && started.size() < job.taskCount() && !(gang && !placed.isEmpty());
   }
 
-  private boolean couldRun(SafetyRules.Known job) {
+  private boolean couldRun(SafetyRules.TrackedJob job) {
     JsonNode spec = job.spec;
     boolean gang = spec.get("shape").asText().equals("group");
-    int wanted = gang ? job.tasks() : 1;
-    Resources each = each(spec);
+    int taskCount = gang ? job.taskCount() : 1;
+    Resources perTask = resourcesPerTask(spec);
     String owner = spec.get("owner").asText();
     Team team = teams.stream().filter(t -> t.name().equals(owner)).findFirst().orElseThrow();
-    Resources used = usage.getOrDefault(owner, Resources.ZERO);
-    if (!team.allows(used.plus(each.times(wanted)))) {
+    Resources used = usageByTeam.getOrDefault(owner, Resources.ZERO);
+    if (!team.allows(used.plus(perTask.times(taskCount)))) {
       return false;
     }
     boolean together = spec.get("together").asBoolean();
-    int most = spec.get("spread").asBoolean() ? (job.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    int maxPerZone = spec.get("spread").asBoolean() ? (job.taskCount() + 1) / 2 : Integer.MAX_VALUE;
     Map<String, Integer> inZone = new HashMap<>();
-    places
+    workersByJob
         .getOrDefault(job.id, Map.of())
         .values()
         .forEach(w -> inZone.merge(w.zone, 1, Integer::sum));
     Map<String, Long> room = new HashMap<>();
-    free.forEach(
-        (worker, left) -> {
+    freeResources.forEach(
+        (worker, available) -> {
           boolean allowed =
               (!worker.spot || spec.get("loaners").asBoolean())
                   && (!spec.hasNonNull("yard") || spec.get("yard").asText().equals(worker.zone))
                   && (!spec.hasNonNull("hulls") || names(spec.get("hulls")).contains(worker.type));
-          boolean apart = together && !inZone.isEmpty() && !inZone.containsKey(worker.zone);
-          if (allowed && !apart) {
-            room.merge(worker.zone, each.timesFittingIn(left), Long::sum);
+          boolean inOtherZone = together && !inZone.isEmpty() && !inZone.containsKey(worker.zone);
+          if (allowed && !inOtherZone) {
+            room.merge(worker.zone, perTask.timesFittingIn(available), Long::sum);
           }
         });
-    room.replaceAll((zone, count) -> Math.min(count, most - inZone.getOrDefault(zone, 0)));
+    room.replaceAll((zone, count) -> Math.min(count, maxPerZone - inZone.getOrDefault(zone, 0)));
     return together
-        ? room.values().stream().anyMatch(count -> count >= wanted)
-        : room.values().stream().mapToLong(count -> Math.max(0, count)).sum() >= wanted;
+        ? room.values().stream().anyMatch(count -> count >= taskCount)
+        : room.values().stream().mapToLong(count -> Math.max(0, count)).sum() >= taskCount;
   }
 
   private static List<String> names(JsonNode list) {
