--- a/src/main/java/io/pineladder/net/AsyncHttpClient.java
+++ b/src/main/java/io/pineladder/net/AsyncHttpClient.java
@@ -5,55 +5,55 @@
 import java.util.function.Consumer;
 
 /**
- * Sends HTTP requests to known addresses without blocking; the reply arrives on the event thread,
- * exactly once.
+ * Sends HTTP requests to known addresses without blocking. Each request gets exactly one reply, on
+ * the event thread.
  */
 public interface AsyncHttpClient {
-  /** Sends a request; {@code onReply} is called once, within the request's timeout. */
+  /** Sends a request; {@code onReply} is called exactly once, within the request's timeout. */
   void call(Request request, Consumer<Reply> onReply);
 
   /**
-   * One request.
+   * An HTTP request.
    *
    * @param address IPv4 address and port
-   * @param body may be null
+   * @param body the body, or null for none
    */
   record Request(String address, String method, String path, byte[] body, Duration timeout) {
-    /** A GET without a body. */
+    /** Creates a GET request without a body. */
     public static Request get(String address, String path, Duration timeout) {
       return new Request(address, "GET", path, null, timeout);
     }
 
-    /** A POST with a JSON or MessagePack body. */
+    /** Creates a POST request with a JSON or MessagePack body. */
     public static Request post(String address, String path, byte[] body, Duration timeout) {
       return new Request(address, "POST", path, body, timeout);
     }
   }
 
-  /** What is known of the end of a request. */
+  /** How a request ended. */
   enum Outcome {
     /** A response arrived. */
     ANSWERED,
-    /** The connection could not be made, so the request was never sent and never will be. */
+    /** No connection was established: the request was not sent and will not be. */
     NOT_SENT,
-    /** No response: the request may have been executed, or may yet be. */
+    /** No response arrived: the request may or may not have been executed, or may be later. */
     UNKNOWN
   }
 
-  /** The end of one request; {@code status} and {@code body} are valid only when answered. */
+  /** The result of a request; {@code status} and {@code body} are valid only when answered. */
   record Reply(Outcome outcome, int status, byte[] body) {
     private static final byte[] EMPTY = new byte[0];
     public static final Reply NOT_SENT = new Reply(Outcome.NOT_SENT, 0, EMPTY);
     public static final Reply UNKNOWN = new Reply(Outcome.UNKNOWN, 0, EMPTY);
 
-    /** A response that arrived. */
+    /** Creates the reply for a response that arrived. */
     public static Reply answered(int status, byte[] body) {
       return new Reply(Outcome.ANSWERED, status, body);
     }
 
     /** Whether a response with this status arrived. */
-    public boolean is(int wanted) {
-      return outcome == Outcome.ANSWERED && status == wanted;
+    public boolean is(int expected) {
+      return outcome == Outcome.ANSWERED && status == expected;
     }
 
     /** Whether a response arrived, with any status. */
--- a/src/main/java/io/pineladder/net/CancellableConnector.java
+++ b/src/main/java/io/pineladder/net/CancellableConnector.java
@@ -20,9 +20,9 @@
 
 /**
  * Opens connections that can be cancelled. Undertow's client does not expose a connection attempt
- * that is under way, and the operating system retries for minutes: attempts to machines that are
- * cut off used up all sockets of the process. So the client gets this decorator of the I/O thread,
- * which records the future of each attempt. Event thread only.
+ * in progress, and the operating system retries for minutes, so attempts to unreachable hosts could
+ * exhaust the sockets of the process. This decorator of the I/O thread records the future of each
+ * attempt, so that the caller can cancel it. Event thread only.
  */
 final class CancellableConnector extends XnioIoThread {
   private final XnioIoThread delegate;
@@ -33,7 +33,10 @@
     this.delegate = delegate;
   }
 
-  /** Opens a connection; cancelling the future closes it until {@code onConnected} is called. */
+  /**
+   * Opens a connection. Until {@code onConnected} is called, cancelling the future aborts the
+   * attempt.
+   */
   IoFuture<StreamConnection> connect(
       URI address, ByteBufferPool buffers, ClientCallback<ClientConnection> onConnected) {
     pendingConnection = null;
@@ -42,10 +45,10 @@
   }
 
   /**
-   * Opens a TLS connection, as {@link #connect}.
+   * Opens a TLS connection; otherwise like the method without TLS.
    *
-   * @param address with a literal IP address, so that no name is looked up
-   * @param host name that the certificate of the other side must contain
+   * @param address a URL with a literal IP address, so that no name is resolved
+   * @param host the host name that the server's certificate must contain
    */
   IoFuture<StreamConnection> connect(
       URI address,
@@ -85,7 +88,7 @@
     return pendingConnection;
   }
 
-  /** The connection of a future that has succeeded. */
+  /** Returns the connection of a future that has completed successfully. */
   static StreamConnection completedConnection(IoFuture<StreamConnection> connecting) {
     try {
       return connecting.get();
--- a/src/main/java/io/pineladder/net/ConnectionLimiter.java
+++ b/src/main/java/io/pineladder/net/ConnectionLimiter.java
@@ -12,43 +12,44 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Limits the sockets of the process. A process at its limit would refuse any further connection, be
- * it a probe, a user or the state service. So each traffic class has a number of sockets reserved
- * for it and a maximum; the rest is available on a first come, first served basis. Invariant: the
- * open sockets and the unused reserved ones together never exceed the limit.
+ * Limits the open sockets of the process. At the file descriptor limit of the operating system no
+ * connection of any kind could be opened, including health probes and requests to the state
+ * service. Each traffic class therefore has a number of reserved sockets and a maximum; the
+ * remaining sockets are available first come, first served. Invariant: the open sockets plus the
+ * unused reserved sockets never exceed the limit.
  *
- * <p>A class at its maximum closes the longest idle of its own sockets if that one is stale, which
- * means that its peer has most likely disappeared without closing it. If none is stale, an accepted
- * connection gets one response and is closed, and an outgoing call waits for a socket of its class.
- * Event thread only.
+ * <p>A class without capacity closes its longest idle socket if that socket is stale, which means
+ * that the peer has probably disappeared without closing the connection. If none is stale, an
+ * accepted connection is closed after one response, and an outgoing call waits for a socket of its
+ * class. Event thread only.
  */
 public final class ConnectionLimiter {
   private static final Logger log = LoggerFactory.getLogger(ConnectionLimiter.class);
 
-  /** File descriptors of the runtime: listeners, selectors, standard streams. */
+  /** File descriptors used by listeners, selectors and standard streams. */
   private static final int RUNTIME_SOCKETS = 16;
 
-  /** What a socket is used for; the administration API shows these names. */
+  /** What a socket is used for. The administration API exposes these names. */
   public enum TrafficClass {
-    /** Accepted connections without a request yet. */
+    /** Accepted connections that have not sent a request yet. */
     ARRIVING(0.06, 0.2, Duration.ofSeconds(5)),
-    /** Users' requests. */
+    /** Requests of users. */
     USERS(0.12, 0.4, Duration.ofSeconds(20)),
-    /** Workers' heartbeats. */
+    /** Heartbeats of workers. */
     REPORTS(0.2, 0.75, null),
-    /** To and from other controllers, and administrators. */
+    /** Connections to and from other controllers, and requests of administrators. */
     PEERS(0.06, 0.15, Duration.ofSeconds(30)),
-    /** To the state service and the cloud. */
+    /** Connections to the state service and the cloud API. */
     SERVICES(0.04, 0.12, Duration.ofSeconds(20)),
     /** Commands to workers. */
     ORDERS(0.08, 0.15, Duration.ofSeconds(20)),
-    /** To subscribers; the lowest priority, so no socket is reserved for them. */
+    /** Notifications to subscribers: the lowest priority, so no socket is reserved. */
     NOTICES(0, 0.03, Duration.ofSeconds(20));
 
     private final double reservedRatio;
     private final double maxRatio;
 
-    /** An idle socket is stale after this; null: after two heartbeat intervals. */
+    /** Idle time after which a socket is stale; null means just over two heartbeat intervals. */
     private final Duration staleAfter;
 
     TrafficClass(double reservedRatio, double maxRatio, Duration staleAfter) {
@@ -59,17 +60,17 @@
   }
 
   /**
-   * Sockets of one traffic class.
+   * Socket counts of one traffic class.
    *
-   * @param open open now
-   * @param idle open without a request under way
-   * @param peak the most that were open at once
-   * @param maxOpen the maximum
-   * @param refused how many could not be opened or reclassified
+   * @param open open sockets
+   * @param idle open sockets without a request in progress
+   * @param peak highest number of sockets open at once
+   * @param maxOpen maximum number of open sockets
+   * @param refused number of attempts to open or reclassify a socket that lacked capacity
    */
   public record Usage(int open, int idle, int peak, int maxOpen, long refused) {}
 
-  /** The bounds and counts of one traffic class. */
+  /** The limits and counts of one traffic class. */
   private static final class SocketQuota {
     final int reserved;
     final int maxOpen;
@@ -92,10 +93,11 @@
   private final Map<TrafficClass, SocketQuota> quotas = new EnumMap<>(TrafficClass.class);
 
   /**
-   * Creates the limiter of a process.
+   * Creates the connection limiter of a process.
    *
-   * @param maxSockets how many sockets the process may have, at least 64
-   * @param heartbeatInterval of the workers; after two of them an idle worker connection is stale
+   * @param maxSockets how many sockets the process may have open, at least 64
+   * @param heartbeatInterval heartbeat interval of the workers; an idle worker connection is stale
+   *     after two intervals plus 2 s
    */
   public ConnectionLimiter(int maxSockets, Duration heartbeatInterval, EventLoop eventLoop) {
     this.eventLoop = eventLoop;
@@ -117,7 +119,7 @@
     }
   }
 
-  /** One socket, counted from before it is opened until it is closed. */
+  /** A socket, counted from before it is opened until it is closed. */
   public final class Socket {
     private final Runnable close;
     private TrafficClass trafficClass;
@@ -128,15 +130,15 @@
       this.close = close;
     }
 
-    /** The class that the socket counts for now. */
+    /** Returns the class that the socket currently counts for. */
     public TrafficClass trafficClass() {
       return trafficClass;
     }
 
     /**
-     * Counts the socket for another class, once its use is known.
+     * Moves the socket to another class, once its use is known.
      *
-     * @return false when that class has no capacity; the socket then keeps its class
+     * @return false if that class has no capacity; the socket then keeps its class
      */
     public boolean reclassify(TrafficClass next) {
       if (next == trafficClass || !open) {
@@ -152,12 +154,12 @@
       return true;
     }
 
-    /** A request is under way on the socket. */
+    /** Records that a request is in progress on the socket. */
     public void markBusy() {
       quotas.get(trafficClass).idleSince.remove(this);
     }
 
-    /** No request is under way on the socket. */
+    /** Records that no request is in progress on the socket. */
     public void markIdle() {
       if (open) {
         SocketQuota quota = quotas.get(trafficClass);
@@ -166,7 +168,7 @@
       }
     }
 
-    /** The socket is closed; further calls have no effect. */
+    /** Records that the socket is closed; further calls have no effect. */
     public void markClosed() {
       if (open) {
         open = false;
@@ -177,10 +179,10 @@
   }
 
   /**
-   * Reserves a socket that is about to be opened.
+   * Counts a socket that is about to be opened.
    *
    * @param close closes the socket; may call {@link Socket#markClosed}
-   * @return null when the class has no capacity
+   * @return the socket, or null if the class has no capacity
    */
   public Socket tryOpen(TrafficClass trafficClass, Runnable close) {
     if (!ensureCapacity(trafficClass)) {
@@ -190,7 +192,7 @@
     return new Socket(trafficClass, close);
   }
 
-  /** Whether the class may have one more socket; closes a stale one if necessary. */
+  /** Returns whether the class may open another socket; closes a stale one if necessary. */
   private boolean ensureCapacity(TrafficClass trafficClass) {
     SocketQuota quota = quotas.get(trafficClass);
     if (hasCapacity(quota) || (closeLongestIdleIfStale(trafficClass) && hasCapacity(quota))) {
@@ -199,7 +201,7 @@
     quota.refused++;
     if (!quota.atLimit) {
       quota.atLimit = true;
-      log.warn("Socket limit reached: trafficClass={} open={}", trafficClass, describe());
+      log.warn("Socket limit reached: trafficClass={} open={}", trafficClass, describeOpenCounts());
     }
     return false;
   }
@@ -218,7 +220,7 @@
     return committed < maxSockets;
   }
 
-  /** Closes the longest idle socket of the class if it is stale; returns whether it was. */
+  /** Closes the longest idle socket of the class if it is stale; returns whether it did. */
   private boolean closeLongestIdleIfStale(TrafficClass trafficClass) {
     SocketQuota quota = quotas.get(trafficClass);
     Iterator<Map.Entry<Socket, Instant>> idle = quota.idleSince.entrySet().iterator();
@@ -235,11 +237,11 @@
     return true;
   }
 
-  /** Closes all stale sockets; called at a regular interval, so that they do not accumulate. */
+  /** Closes all stale sockets. Called periodically, so that they do not accumulate. */
   public void closeStaleSockets() {
     for (TrafficClass trafficClass : TrafficClass.values()) {
       while (closeLongestIdleIfStale(trafficClass)) {
-        // The next one may be stale as well.
+        // The next socket may be stale as well.
       }
     }
   }
@@ -248,14 +250,17 @@
     SocketQuota quota = quotas.get(trafficClass);
     quota.open += delta;
     quota.peakOpen = Math.max(quota.peakOpen, quota.open);
-    // Hysteresis: a single socket that closes and opens does not log both lines each time.
+    // Hysteresis: one socket that is closed and opened again must not log both lines each time.
     if (quota.atLimit && quota.open * 10 < quota.maxOpen * 9 && hasCapacity(quota)) {
       quota.atLimit = false;
-      log.info("Socket limit no longer reached: trafficClass={} open={}", trafficClass, describe());
+      log.info(
+          "Socket limit no longer reached: trafficClass={} open={}",
+          trafficClass,
+          describeOpenCounts());
     }
   }
 
-  /** The present usage of each class. */
+  /** Returns the current usage of each class. */
   public Map<TrafficClass, Usage> usage() {
     Map<TrafficClass, Usage> usage = new EnumMap<>(TrafficClass.class);
     quotas.forEach(
@@ -271,7 +276,7 @@
     return usage;
   }
 
-  private String describe() {
+  private String describeOpenCounts() {
     List<String> openCounts = new ArrayList<>();
     quotas.forEach((trafficClass, quota) -> openCounts.add(trafficClass + " " + quota.open));
     return String.join(", ", openCounts) + " of " + maxSockets;
--- a/src/main/java/io/pineladder/net/EventLoop.java
+++ b/src/main/java/io/pineladder/net/EventLoop.java
@@ -4,15 +4,15 @@
 import java.time.Instant;
 import java.util.random.RandomGenerator;
 
-/** Clocks, timers and random numbers for the rest of the program; simulated in the tests. */
+/** Clocks, timers and random numbers; simulated in the tests. */
 public interface EventLoop {
-  /** The monotonic clock. Its origin is arbitrary; only differences are meaningful. */
+  /** Reads the monotonic clock. Its origin is arbitrary; only differences are meaningful. */
   Instant now();
 
-  /** The time of day, which may jump when the system clock is adjusted. */
+  /** Reads the time of day, which may jump when the system clock is adjusted. */
   Instant wallClock();
 
-  /** Random numbers, for delays that must not coincide; seeded in the tests. */
+  /** Returns the source of random numbers, for example for jitter; seeded in the tests. */
   RandomGenerator random();
 
   /** Runs {@code action} on the event thread after {@code delay}. */
--- a/src/main/java/io/pineladder/net/HttpExchange.java
+++ b/src/main/java/io/pineladder/net/HttpExchange.java
@@ -12,14 +12,14 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** One request and its response on one connection. Event thread only. */
+/** Sends one request on a connection and reads its response. Event thread only. */
 final class HttpExchange {
-  /** Gets the end of the exchange; exactly one method is called, once. */
+  /** Receives the result of the exchange: exactly one of the methods is called, once. */
   interface Listener {
-    /** The whole response has arrived. */
+    /** Called when the whole response has arrived. */
     void onResponse(ClientResponse response, byte[] body);
 
-    /** The exchange failed; whether the request was executed is not known. */
+    /** Called when the exchange failed; the request may or may not have been executed. */
     void onFailure(String reason);
   }
 
@@ -35,8 +35,8 @@
   /**
    * Sends a request.
    *
-   * @param body may be null
-   * @param maxResponseBytes a response with a longer body is a failure
+   * @param body the body, or null for none
+   * @param maxResponseBytes the exchange fails if the response body is longer
    */
   static void send(
       ClientConnection connection,
@@ -48,9 +48,9 @@
     try {
       connection.sendRequest(request, exchange.requestCallback(body));
     } catch (RuntimeException e) {
-      // The client throws when the peer has just closed the connection. Whether any of the request
-      // was sent is not known; ending the process for it would cost far more than a retry.
-      exchange.fail("the connection was closed");
+      // The client throws if the peer has just closed the connection. Part of the request may have
+      // been sent. This is an expected network failure, so it must not reach runOrHalt.
+      exchange.fail("connection closed by the peer");
     }
   }
 
@@ -72,8 +72,8 @@
         exchange.setResponseListener(
             new ClientCallback<>() {
               @Override
-              public void completed(ClientExchange answered) {
-                XnioEventLoop.runOrHalt(() -> readResponse(answered));
+              public void completed(ClientExchange responding) {
+                XnioEventLoop.runOrHalt(() -> readResponse(responding));
               }
 
               @Override
@@ -148,7 +148,7 @@
     source.resumeReads();
   }
 
-  /** Reads the available bytes; true once the exchange has ended. */
+  /** Reads the available bytes; returns true once the exchange has ended. */
   private boolean readAvailable(
       StreamSourceChannel source, ByteArrayOutputStream into, ClientResponse response) {
     ByteBuffer buffer = ByteBuffer.allocate(8 * 1024);
@@ -164,7 +164,7 @@
           return true;
         }
         if (into.size() + read > maxResponseBytes) {
-          fail("the answer is longer than " + maxResponseBytes + " bytes");
+          fail("response body exceeds " + maxResponseBytes + " bytes");
           return true;
         }
         into.write(buffer.array(), 0, read);
--- a/src/main/java/io/pineladder/net/HttpResponse.java
+++ b/src/main/java/io/pineladder/net/HttpResponse.java
@@ -1,12 +1,12 @@
 package io.pineladder.net;
 
 /**
- * A response of this program to a request.
+ * A response of this process to an HTTP request.
  *
- * @param retryAfterSeconds value of the Retry-After header; 0 for none
+ * @param retryAfterSeconds value of the Retry-After header; 0 omits the header
  */
 public record HttpResponse(int status, byte[] body, int retryAfterSeconds) {
-  /** A response without a Retry-After header. */
+  /** Creates a response without a Retry-After header. */
   public HttpResponse(int status, byte[] body) {
     this(status, body, 0);
   }
--- a/src/main/java/io/pineladder/net/HttpResponses.java
+++ b/src/main/java/io/pineladder/net/HttpResponses.java
@@ -4,28 +4,28 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Common responses. */
+/** Factory methods for common HTTP responses. */
 public final class HttpResponses {
   private HttpResponses() {}
 
-  /** Status 200 with a body. */
+  /** Creates a response with status 200. */
   public static HttpResponse ok(byte[] body) {
     return new HttpResponse(200, body);
   }
 
-  /** An error status with a reason for the user. */
+  /** Creates an error response that states a reason to the user. */
   public static HttpResponse error(int status, String reason) {
     return new HttpResponse(status, JobWire.error(reason));
   }
 
-  /** Status 503: the request cannot be decided now and may be retried after a second. */
+  /** Creates a response with status 503 that allows a retry after one second. */
   public static HttpResponse unavailable(String reason) {
     return new HttpResponse(503, JobWire.error(reason), 1);
   }
 
   /**
-   * Limits how long a request waits: after {@code timeout} it is answered with {@link
-   * #unavailable}, and a response that arrives later is dropped.
+   * Limits how long a request waits: after {@code timeout} it gets an {@link #unavailable}
+   * response, and a later response is dropped.
    */
   public static Consumer<HttpResponse> withTimeout(
       EventLoop eventLoop, Consumer<HttpResponse> answer, Duration timeout) {
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Limits how long a request waits: after {@code timeout} it is answered with {@code onTimeout},
-   * and a response that arrives later is dropped.
+   * Limits how long a request waits: after {@code timeout} it gets the response {@code onTimeout},
+   * and a later response is dropped.
    */
   public static Consumer<HttpResponse> withTimeout(
       EventLoop eventLoop,
@@ -43,10 +43,10 @@
       HttpResponse onTimeout) {
     boolean[] answered = new boolean[1];
     Consumer<HttpResponse> firstAnswer =
-        http -> {
+        response -> {
           if (!answered[0]) {
             answered[0] = true;
-            answer.accept(http);
+            answer.accept(response);
           }
         };
     eventLoop.schedule(timeout, () -> firstAnswer.accept(onTimeout));
--- a/src/main/java/io/pineladder/net/OutboundClient.java
+++ b/src/main/java/io/pineladder/net/OutboundClient.java
@@ -7,41 +7,41 @@
 
 /** Sends POST requests to receivers outside the cluster without blocking. */
 public interface OutboundClient {
-  /** Sends a request; {@code onResult} is called once, on the event thread. */
+  /** Sends a request; {@code onResult} is called exactly once, on the event thread. */
   void post(Message message, Consumer<Result> onResult);
 
-  /** One request. */
+  /** A POST request. */
   record Message(URI url, Map<String, String> headers, byte[] body, Duration timeout) {}
 
   /** How a request ended. */
   enum Outcome {
     /** A response arrived, with any status. */
     ANSWERED,
-    /** No response: the request may have arrived, or may yet. */
+    /** No complete response arrived: the receiver may or may not have processed the request. */
     FAILED,
-    /** No address of the destination is allowed. */
+    /** Not sent: the host name resolved to no allowed address. */
     NOT_ALLOWED
   }
 
   /**
-   * The end of one request.
+   * The result of a request.
    *
-   * @param retryAfter delay that the receiver asks for, or null
-   * @param failureReason why there is no response, or null
+   * @param retryAfter the delay requested by the receiver, or null
+   * @param failureReason why there is no response, or null if there is one
    */
   record Result(
       Outcome outcome, int status, Duration retryAfter, byte[] body, String failureReason) {
-    /** A response that arrived. */
+    /** Creates the result for a response that arrived. */
     public static Result answered(int status, Duration retryAfter, byte[] body) {
       return new Result(Outcome.ANSWERED, status, retryAfter, body, null);
     }
 
-    /** A request without a response. */
+    /** Creates the result of a request without a response. */
     public static Result failed(String reason) {
       return new Result(Outcome.FAILED, 0, null, new byte[0], reason);
     }
 
-    /** A request that was not sent because of its destination. */
+    /** Creates the result of a request that was not sent because its destination is forbidden. */
     public static Result notAllowed(String reason) {
       return new Result(Outcome.NOT_ALLOWED, 0, null, new byte[0], reason);
     }
--- a/src/main/java/io/pineladder/net/OutboundHttpClient.java
+++ b/src/main/java/io/pineladder/net/OutboundHttpClient.java
@@ -35,13 +35,13 @@
 import org.xnio.ssl.XnioSsl;
 
 /**
- * Sends POST requests to receivers outside the cluster. The host name is looked up for each
- * connection, the address is checked, and the connection is opened to that same address, so that a
- * name that changes in between cannot bypass the check. Redirects are not followed. Event thread
- * only, apart from the name lookups.
+ * Sends POST requests to receivers outside the cluster. For each connection the host name is
+ * resolved, the address is checked, and the connection is opened to that same address, so that DNS
+ * rebinding cannot bypass the check. Redirects are not followed. Event thread only, except for name
+ * resolution.
  */
 public final class OutboundHttpClient implements OutboundClient {
-  /** Receivers respond with a few words; a longer response is a failure, to save memory. */
+  /** Bounds the memory for a response; a longer response is a failure. */
   private static final int MAX_RESPONSE_BYTES = 4 * 1024;
 
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(15);
@@ -52,7 +52,9 @@
   private final CancellableConnector connector;
   private final ByteBufferPool buffers = new DefaultByteBufferPool(false, 8 * 1024);
 
-  /** Name lookups block; one that is slow must not delay the others, so each has a thread. */
+  /**
+   * Name resolution blocks; each lookup has its own thread, so a slow one does not delay others.
+   */
   private final ExecutorService lookupExecutor =
       Executors.newCachedThreadPool(
           task -> {
@@ -61,7 +63,7 @@
             return thread;
           });
 
-  /** At most one idle connection for each origin, the longest idle first. */
+  /** At most one idle connection per origin, the longest idle first. */
   private final Map<String, IdleConnection> idleByOrigin = new LinkedHashMap<>();
 
   private XnioSsl ssl;
@@ -77,13 +79,13 @@
   /**
    * Creates a client that trusts the certificate authorities of the Java runtime.
    *
-   * @param addressAllowed whether a connection to an address is allowed
+   * @param addressAllowed tests whether a connection to an address is allowed
    */
   public OutboundHttpClient(XnioEventLoop eventLoop, Predicate<InetAddress> addressAllowed) {
     this(eventLoop, addressAllowed, null);
   }
 
-  /** Creates a client with a TLS context; null for that of the Java runtime. */
+  /** Creates a client with a TLS context; null selects the default of the Java runtime. */
   OutboundHttpClient(
       XnioEventLoop eventLoop, Predicate<InetAddress> addressAllowed, SSLContext sslContext) {
     this.eventLoop = eventLoop;
@@ -108,7 +110,7 @@
     return ssl;
   }
 
-  /** Scheme, host and port, which requests on one connection have in common. */
+  /** Returns the scheme, host and port of a URL, which all requests on a connection share. */
   private static String origin(URI url) {
     return url.getScheme() + "://" + url.getRawAuthority();
   }
@@ -118,7 +120,7 @@
     if (idleConnection == null) {
       return null;
     }
-    // The address may no longer be allowed.
+    // The allowed networks may have changed since the connection was opened.
     if (idleConnection.open.connection.isOpen()
         && idleConnection.since.plus(IDLE_TIMEOUT).isAfter(eventLoop.now())
         && addressAllowed.test(idleConnection.open.address)) {
@@ -141,7 +143,7 @@
     }
   }
 
-  /** Closes the longest idle connection for another one; false when none is idle. */
+  /** Closes the longest idle connection to free its socket; returns false if none is idle. */
   private boolean closeLongestIdle() {
     Iterator<IdleConnection> oldestFirst = idleByOrigin.values().iterator();
     if (!oldestFirst.hasNext()) {
@@ -154,7 +156,7 @@
     return true;
   }
 
-  /** One request under way. */
+  /** A request in progress. */
   private final class Call {
     private final Message message;
     private final Consumer<Result> onResult;
@@ -176,7 +178,9 @@
           eventLoop
               .thread()
               .executeAfter(
-                  () -> XnioEventLoop.runOrHalt(() -> finish(Result.failed("no answer in time"))),
+                  () ->
+                      XnioEventLoop.runOrHalt(
+                          () -> finish(Result.failed("no response within the timeout"))),
                   Math.max(1, message.timeout().toMillis()),
                   TimeUnit.MILLISECONDS);
       OpenConnection idleConnection = takeIdleConnection(origin);
@@ -203,7 +207,7 @@
         return;
       }
       if (addresses.length == 0) {
-        finish(Result.failed("the name " + host + " is not known"));
+        finish(Result.failed("cannot resolve host name " + host));
         return;
       }
       InetAddress allowedAddress = null;
@@ -231,13 +235,13 @@
                 .tryOpen(ConnectionLimiter.TrafficClass.NOTICES, this::close);
       }
       if (socket == null) {
-        finish(Result.failed("no socket is free for notices"));
+        finish(Result.failed("no free socket for notifications"));
         return;
       }
       URI url = message.url();
       String literal = allowedAddress.getHostAddress();
       if (allowedAddress instanceof Inet6Address) {
-        // A URL cannot contain a scope; addresses that need one are link-local.
+        // A URL cannot contain a scope; only link-local addresses need one.
         int scope = literal.indexOf('%');
         literal = "[" + (scope < 0 ? literal : literal.substring(0, scope)) + "]";
       }
@@ -252,7 +256,7 @@
                 : connector.connect(address, buffers, connectionCallback(allowedAddress));
       } catch (GeneralSecurityException e) {
         socket.markClosed();
-        finish(Result.failed("no TLS: " + e.getMessage()));
+        finish(Result.failed("cannot initialize TLS: " + e.getMessage()));
       }
     }
 
@@ -260,14 +264,14 @@
       return new ClientCallback<>() {
         @Override
         public void completed(ClientConnection connection) {
-          OpenConnection now =
+          OpenConnection opened =
               new OpenConnection(
                   connection,
                   socket,
                   CancellableConnector.completedConnection(connecting),
                   remoteAddress);
-          connection.addCloseListener(closed -> now.socket.markClosed());
-          XnioEventLoop.runOrHalt(() -> send(now));
+          connection.addCloseListener(closed -> opened.socket.markClosed());
+          XnioEventLoop.runOrHalt(() -> send(opened));
         }
 
         @Override
@@ -278,7 +282,7 @@
       };
     }
 
-    /** Called by the connection limiter to close the socket. */
+    /** Closes the socket on behalf of the connection limiter. */
     private void close() {
       IoUtils.safeClose(openConnection == null ? null : openConnection.channel);
     }
@@ -336,14 +340,14 @@
             }
 
             @Override
-            public void onFailure(String why) {
-              finish(Result.failed(why));
+            public void onFailure(String reason) {
+              finish(Result.failed(reason));
             }
           });
     }
   }
 
-  /** A Retry-After header in seconds; null for a date, or any other value. */
+  /** Parses a Retry-After header in seconds; returns null for a date or any other value. */
   private static Duration parseRetryAfter(String header) {
     return header != null && header.matches("[0-9]{1,9}")
         ? Duration.ofSeconds(Long.parseLong(header))
--- a/src/main/java/io/pineladder/net/UndertowHttpClient.java
+++ b/src/main/java/io/pineladder/net/UndertowHttpClient.java
@@ -28,13 +28,13 @@
 import org.xnio.XnioExecutor;
 
 /**
- * HTTP client with a pool of idle connections, one request at a time on each. A call that finds no
- * free socket of its traffic class waits for one until its timeout. Event thread only.
+ * HTTP client with a pool of idle connections and one request at a time per connection. A call
+ * without a free socket in its traffic class waits for one until its timeout. Event thread only.
  */
 public final class UndertowHttpClient implements AsyncHttpClient {
   private static final int MAX_IDLE_PER_ADDRESS = 3;
 
-  /** An idle connection for each machine of a large fleet would use up the process's sockets. */
+  /** Keeps the idle connections to a large fleet from exhausting the sockets of the process. */
   private static final int MAX_IDLE_CONNECTIONS = 200;
 
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(20);
@@ -48,12 +48,13 @@
   /** All idle connections, the longest idle first. */
   private final Set<IdleConnection> idleByAge = new LinkedHashSet<>();
 
-  /** Calls that wait for a socket, by traffic class, the first to be served first. */
+  /** Calls that wait for a socket, by traffic class, in FIFO order. */
   private final Map<ConnectionLimiter.TrafficClass, Deque<Call>> waitingCalls =
       new EnumMap<>(ConnectionLimiter.TrafficClass.class);
 
   /**
-   * A connection; closing {@code channel} closes it at once, while the client waits for its peer.
+   * An open connection. Closing {@code channel} closes it immediately; closing {@code connection}
+   * may wait for the peer.
    */
   private record OpenConnection(
       ClientConnection connection, ConnectionLimiter.Socket socket, StreamConnection channel) {}
@@ -63,7 +64,7 @@
   /**
    * Creates a client.
    *
-   * @param trafficClassOf the traffic class of connections to an address
+   * @param trafficClassOf maps an address to the traffic class of connections to it
    */
   public UndertowHttpClient(
       XnioEventLoop eventLoop, Function<String, ConnectionLimiter.TrafficClass> trafficClassOf) {
@@ -126,7 +127,7 @@
     IoUtils.safeClose(idleConnection.open.connection);
   }
 
-  /** Gives the capacity of a closed socket to the call of its class that has waited longest. */
+  /** Passes the capacity of a closed socket to the longest waiting call of its class. */
   private void onSocketClosed(ConnectionLimiter.Socket socket) {
     socket.markClosed();
     Deque<Call> queue = waitingCalls.get(socket.trafficClass());
@@ -143,11 +144,11 @@
     }
   }
 
-  /** One request under way. */
+  /** A request in progress. */
   private final class Call {
-    /** The states of a call; {@code DONE} is final and reached once. */
+    /** The states of a call; {@code DONE} is final and is entered exactly once. */
     private enum State {
-      /** No socket is free. */
+      /** Waiting for a free socket. */
       WAITING,
       CONNECTING,
       SENT,
@@ -187,7 +188,7 @@
       }
     }
 
-    /** Opens a connection; false when the traffic class has no free socket. */
+    /** Opens a connection; returns false if the traffic class has no free socket. */
     boolean tryConnect() {
       socket =
           eventLoop
@@ -204,11 +205,11 @@
               new ClientCallback<>() {
                 @Override
                 public void completed(ClientConnection connection) {
-                  OpenConnection now =
+                  OpenConnection opened =
                       new OpenConnection(
                           connection, socket, CancellableConnector.completedConnection(connecting));
-                  connection.addCloseListener(closed -> onSocketClosed(now.socket));
-                  XnioEventLoop.runOrHalt(() -> send(now));
+                  connection.addCloseListener(closed -> onSocketClosed(opened.socket));
+                  XnioEventLoop.runOrHalt(() -> send(opened));
                 }
 
                 @Override
@@ -220,7 +221,7 @@
       return true;
     }
 
-    /** Called by the connection limiter to close the socket. */
+    /** Closes the socket on behalf of the connection limiter. */
     private void close() {
       IoUtils.safeClose(openConnection == null ? null : openConnection.connection);
     }
@@ -239,7 +240,7 @@
         timer.remove();
       }
       if (openConnection != null && reply.outcome() != Outcome.ANSWERED) {
-        // The client's own close continues to read for 10 s, and a peer that hangs sends nothing.
+        // Closing the client connection would wait up to 10 s for data from an unresponsive peer.
         IoUtils.safeClose(openConnection.channel);
       } else if (openConnection == null
           && connecting != null
@@ -252,7 +253,7 @@
 
     private void send(OpenConnection target) {
       if (state == State.DONE) {
-        // Nothing was sent: the call ended while the connection was being opened.
+        // The call ended while the connection was being opened, so nothing was sent.
         IoUtils.safeClose(target.connection);
         return;
       }
@@ -275,15 +276,14 @@
             @Override
             public void onResponse(ClientResponse response, byte[] answer) {
               if (state != State.DONE) {
-                // The client finishes its own part of the exchange before the connection is
-                // reused.
+                // Undertow finishes its own part of the exchange before the connection is reused.
                 eventLoop.execute(() -> release(request.address(), openConnection));
               }
               finish(Reply.answered(response.getResponseCode(), answer));
             }
 
             @Override
-            public void onFailure(String why) {
+            public void onFailure(String reason) {
               finish(Reply.UNKNOWN);
             }
           });
--- a/src/main/java/io/pineladder/net/XnioEventLoop.java
+++ b/src/main/java/io/pineladder/net/XnioEventLoop.java
@@ -37,16 +37,16 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The event loop on a single XNIO thread, on which everything runs: listeners, clients, timers and
- * the core. A second thread runs background work.
+ * Event loop on a single XNIO thread that runs listeners, clients, timers and the scheduler core. A
+ * second thread runs background work.
  */
 public final class XnioEventLoop implements EventLoop, BackgroundExecutor {
   private static final Logger log = LoggerFactory.getLogger(XnioEventLoop.class);
 
-  /** Above the longest body of a user; heartbeats of full machines stay below it. */
+  /** Larger than any valid request body: user requests, and heartbeats of fully used machines. */
   private static final int MAX_BODY_BYTES = 1 << 20;
 
-  /** The exit code for an internal software error (EX_SOFTWARE in sysexits.h). */
+  /** Exit code for an internal software error (EX_SOFTWARE in sysexits.h). */
   private static final int EXIT_CODE_FAULT = 70;
 
   private static final Duration SOCKET_SWEEP_INTERVAL = Duration.ofSeconds(1);
@@ -63,10 +63,10 @@
   private final List<AcceptingChannel<StreamConnection>> servers = new ArrayList<>();
 
   /**
-   * Starts the threads.
+   * Starts the event thread and the background thread.
    *
-   * @param maxSockets how many sockets the process may have
-   * @param heartbeatInterval of the workers
+   * @param maxSockets how many sockets the process may have open
+   * @param heartbeatInterval heartbeat interval of the workers
    */
   public XnioEventLoop(int maxSockets, Duration heartbeatInterval) throws IOException {
     connectionLimiter = new ConnectionLimiter(maxSockets, heartbeatInterval, this);
@@ -88,7 +88,7 @@
     schedule(SOCKET_SWEEP_INTERVAL, this::sweepSockets);
   }
 
-  /** The limiter of all sockets of the process. */
+  /** Returns the limiter of all sockets of the process. */
   public ConnectionLimiter connectionLimiter() {
     return connectionLimiter;
   }
@@ -139,12 +139,12 @@
   }
 
   /**
-   * Runs an action and halts the process if it throws. The event thread must not end, yet after an
-   * unexpected exception the state in memory cannot be trusted: the process ends with exit code 70,
-   * and its successor starts from the stored state.
+   * Runs an action and halts the process with exit code 70 if it throws. After an unexpected
+   * exception the state in memory may be inconsistent; the restarted process recovers from the
+   * stored state.
    *
-   * <p>An event loop that another thread stops may still be running an action, whose next timer it
-   * then rejects. That does not halt the process.
+   * <p>If another thread stops the event loop while an action runs, the loop rejects timers that
+   * the action schedules. This does not halt the process.
    */
   static void runOrHalt(Runnable action) {
     try {
@@ -169,11 +169,11 @@
   }
 
   /**
-   * An HTTP listener.
+   * The configuration of an HTTP listener.
    *
    * @param address IPv4 address and port
-   * @param acceptedClass the traffic class of a connection until its first request
-   * @param trafficClassOf the traffic class of a connection by the path of its request
+   * @param acceptedClass the traffic class of a connection before its first request
+   * @param trafficClassOf maps a request path to the traffic class of its connection
    */
   public record Listener(
       String address,
@@ -222,7 +222,7 @@
     }
     socket.markIdle();
     acceptedSockets.put(connection, socket);
-    // The first request may be handled within this call, so the socket must be registered before.
+    // This call may already handle the first request, so the socket is registered before it.
     http.handleEvent(connection);
     ChannelListener<? super StreamConnection> undertowListener = connection.getCloseListener();
     connection.setCloseListener(
@@ -256,7 +256,7 @@
           .receiveFullBytes(
               (ex, body) -> runOrHalt(() -> dispatch(listener.handler, ex, body)),
               (ex, failure) -> {
-                // A body over the limit is not read to its end, so the connection cannot be reused.
+                // A body over the limit is not read completely, so the connection cannot be reused.
                 ex.setPersistent(false);
                 send(ex, new HttpResponse(400, new byte[0]));
               });
@@ -264,8 +264,8 @@
   }
 
   /**
-   * Counts the connection for its traffic class; one without capacity there gets its response and
-   * is closed.
+   * Moves the connection to the traffic class of its request. If that class has no capacity, the
+   * connection is closed after the response.
    */
   private void classify(Listener listener, HttpServerExchange exchange) {
     StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
--- a/src/main/java/io/pineladder/net/package-info.java
+++ b/src/main/java/io/pineladder/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The event loop, HTTP servers and clients, and the limits on the sockets of the process. Apart
- * from background work everything runs on the event thread, and nothing blocks it.
+ * The event loop, HTTP servers and clients, and the limits on open sockets. All code except
+ * background tasks runs on the event thread and must not block it.
  */
 package io.pineladder.net;
--- a/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
+++ b/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
@@ -23,10 +23,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The socket budget against a plain list of sockets, and on real ones. */
+/** Compares the connection limiter with a reference model, and tests it with real sockets. */
 class ConnectionLimiterTest {
-  private static final int LIMIT = 216;
-  private static final int USABLE = 200;
+  private static final int MAX_SOCKETS = 216;
+  private static final int USABLE_SOCKETS = 200;
   private static final Map<TrafficClass, Integer> RESERVED =
       new EnumMap<>(
           Map.of(
@@ -79,7 +79,7 @@
               TrafficClass.NOTICES,
               20));
 
-  private static final class Clock implements EventLoop {
+  private static final class ManualClock implements EventLoop {
     Instant now = Instant.EPOCH;
 
     @Override
@@ -103,38 +103,38 @@
     public void schedule(Duration delay, Runnable action) {}
   }
 
-  /** What the plain model knows of a socket. */
+  /** A socket in the reference model. */
   private static final class ModelSocket {
     TrafficClass trafficClass;
     Instant idleSince;
 
-    /** Of those idle since the same moment the first goes first. */
+    /** Orders sockets that became idle at the same time. */
     int idleOrder;
 
-    ConnectionLimiter.Socket real;
+    ConnectionLimiter.Socket socket;
     boolean closed;
   }
 
-  private final Clock clock = new Clock();
+  private final ManualClock clock = new ManualClock();
   private final List<ModelSocket> model = new ArrayList<>();
 
-  private long open(TrafficClass trafficClass) {
+  private long openCount(TrafficClass trafficClass) {
     return model.stream().filter(m -> m.trafficClass == trafficClass).count();
   }
 
   private boolean hasCapacity(TrafficClass trafficClass) {
-    if (open(trafficClass) >= MAX_OPEN.get(trafficClass)) {
+    if (openCount(trafficClass) >= MAX_OPEN.get(trafficClass)) {
       return false;
     }
     long committed = 0;
     for (TrafficClass each : TrafficClass.values()) {
-      committed += Math.max(open(each), RESERVED.get(each));
+      committed += Math.max(openCount(each), RESERVED.get(each));
     }
-    return open(trafficClass) < RESERVED.get(trafficClass) || committed < USABLE;
+    return openCount(trafficClass) < RESERVED.get(trafficClass) || committed < USABLE_SOCKETS;
   }
 
-  /** Takes the longest idle one out of the model if it is stale. */
-  private ModelSocket removeStale(TrafficClass trafficClass) {
+  /** Removes the longest idle socket of the class from the model and returns it if it is stale. */
+  private ModelSocket removeLongestIdleIfStale(TrafficClass trafficClass) {
     ModelSocket longest = null;
     for (ModelSocket each : model) {
       if (each.trafficClass == trafficClass
@@ -157,7 +157,7 @@
     if (hasCapacity(trafficClass)) {
       return true;
     }
-    ModelSocket stale = removeStale(trafficClass);
+    ModelSocket stale = removeLongestIdleIfStale(trafficClass);
     if (stale != null) {
       expectClosed.add(stale);
     }
@@ -166,9 +166,9 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void itMatchesTheReferenceModel(long seed) {
+  void matchesReferenceModel(long seed) {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    ConnectionLimiter limiter = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
+    ConnectionLimiter limiter = new ConnectionLimiter(MAX_SOCKETS, Duration.ofSeconds(5), clock);
     int refused = 0;
     int stale = 0;
     for (int step = 0; step < 20_000; step++) {
@@ -181,8 +181,8 @@
           boolean expected = ensureCapacity(trafficClass, expectClosed);
           ModelSocket opened = new ModelSocket();
           opened.trafficClass = trafficClass;
-          opened.real = limiter.tryOpen(trafficClass, () -> opened.closed = true);
-          assertEquals(expected, opened.real != null, "step " + step);
+          opened.socket = limiter.tryOpen(trafficClass, () -> opened.closed = true);
+          assertEquals(expected, opened.socket != null, "step " + step);
           if (expected) {
             model.add(opened);
           } else {
@@ -192,22 +192,22 @@
         case 4 -> {
           if (existing != null && existing.trafficClass != trafficClass) {
             boolean expected = ensureCapacity(trafficClass, expectClosed);
-            // The one that moves may itself have been the stale one.
+            // The socket to be reclassified may itself be the stale one that was closed.
             if (!expectClosed.contains(existing)) {
-              assertEquals(expected, existing.real.reclassify(trafficClass));
+              assertEquals(expected, existing.socket.reclassify(trafficClass));
               existing.trafficClass = expected ? trafficClass : existing.trafficClass;
               existing.idleSince = expected ? null : existing.idleSince;
               if (expected) {
-                existing.real.markBusy();
+                existing.socket.markBusy();
               }
             } else {
-              existing.real.reclassify(trafficClass);
+              existing.socket.reclassify(trafficClass);
             }
           }
         }
         case 5, 6 -> {
           if (existing != null) {
-            existing.real.markIdle();
+            existing.socket.markIdle();
             existing.idleSince = clock.now;
             existing.idleOrder = step;
           }
@@ -215,10 +215,10 @@
         case 7 -> {
           if (existing != null) {
             if (random.nextBoolean()) {
-              existing.real.markBusy();
+              existing.socket.markBusy();
               existing.idleSince = null;
             } else {
-              existing.real.markClosed();
+              existing.socket.markClosed();
               model.remove(existing);
             }
           }
@@ -228,55 +228,56 @@
       stale += expectClosed.size();
       for (ModelSocket each : expectClosed) {
         assertTrue(
-            each.closed, "step " + step + ": a stale one of " + each.trafficClass + " stays");
+            each.closed, "step " + step + ": stale " + each.trafficClass + " socket is still open");
       }
       for (TrafficClass each : TrafficClass.values()) {
-        assertEquals(open(each), limiter.usage().get(each).open(), "step " + step + ": " + each);
+        assertEquals(
+            openCount(each), limiter.usage().get(each).open(), "step " + step + ": " + each);
       }
-      assertTrue(model.size() <= USABLE);
+      assertTrue(model.size() <= USABLE_SOCKETS);
     }
     assertTrue(refused > 100 && stale > 100, refused + " refused, " + stale + " stale");
   }
 
-  /** Whatever the others take, a part gets what is kept for it. */
+  /** Each traffic class can open its reserved sockets even if other classes take all they can. */
   @Test
-  void noTrafficClassTakesTheReservedSocketsOfAnother() {
-    ConnectionLimiter limiter = new ConnectionLimiter(LIMIT, Duration.ofSeconds(5), clock);
-    for (TrafficClass greedy :
+  void keepsReservedSocketsOfEachTrafficClass() {
+    ConnectionLimiter limiter = new ConnectionLimiter(MAX_SOCKETS, Duration.ofSeconds(5), clock);
+    for (TrafficClass trafficClass :
         List.of(TrafficClass.REPORTS, TrafficClass.USERS, TrafficClass.ARRIVING)) {
       int count = 0;
-      while (limiter.tryOpen(greedy, () -> {}) != null) {
+      while (limiter.tryOpen(trafficClass, () -> {}) != null) {
         count++;
       }
-      assertTrue(count >= RESERVED.get(greedy));
+      assertTrue(count >= RESERVED.get(trafficClass));
     }
     for (TrafficClass each :
         List.of(TrafficClass.PEERS, TrafficClass.SERVICES, TrafficClass.ORDERS)) {
       for (int i = 0; i < RESERVED.get(each); i++) {
-        assertNotNull(limiter.tryOpen(each, () -> {}), each + " got " + i);
+        assertNotNull(limiter.tryOpen(each, () -> {}), each + " opened only " + i);
       }
     }
   }
 
-  private static <T> T onThread(XnioEventLoop eventLoop, java.util.function.Supplier<T> read)
-      throws Exception {
-    CompletableFuture<T> got = new CompletableFuture<>();
-    eventLoop.execute(() -> got.complete(read.get()));
-    return got.get(10, TimeUnit.SECONDS);
+  private static <T> T getOnEventThread(
+      XnioEventLoop eventLoop, java.util.function.Supplier<T> read) throws Exception {
+    CompletableFuture<T> received = new CompletableFuture<>();
+    eventLoop.execute(() -> received.complete(read.get()));
+    return received.get(10, TimeUnit.SECONDS);
   }
 
   /**
-   * Seen on laval-fleet: each call to a machine that was cut off left a socket behind on which the
-   * system went on connecting for minutes, until the process was at its limit.
+   * Guards against leaking the sockets of calls to unreachable hosts, on which the operating system
+   * would continue to connect for minutes.
    */
   @Test
-  void aCancelledCallReleasesItsSocket() throws Exception {
+  void releasesSocketWhenConnectTimesOut() throws Exception {
     XnioEventLoop eventLoop = new XnioEventLoop(100, Duration.ofSeconds(1));
-    List<Socket> queue = new ArrayList<>();
+    List<Socket> backlog = new ArrayList<>();
     try (ServerSocket unresponsive = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      // Once the queue of a listener that accepts nothing is full, connects to it hang.
+      // Connections hang once the backlog of a listener that accepts nothing is full.
       for (int i = 0; i < 2; i++) {
-        queue.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
+        backlog.add(new Socket(unresponsive.getInetAddress(), unresponsive.getLocalPort()));
       }
       UndertowHttpClient httpClient =
           new UndertowHttpClient(eventLoop, address -> TrafficClass.ORDERS);
@@ -284,7 +285,7 @@
       int calls = 40;
       List<AsyncHttpClient.Reply> replies = new ArrayList<>();
       CompletableFuture<Boolean> all = new CompletableFuture<>();
-      onThread(
+      getOnEventThread(
           eventLoop,
           () -> {
             for (int i = 0; i < calls; i++) {
@@ -302,43 +303,44 @@
       all.get(10, TimeUnit.SECONDS);
       assertTrue(replies.stream().noneMatch(AsyncHttpClient.Reply::isAnswered));
       ConnectionLimiter.Usage usage =
-          onThread(eventLoop, () -> eventLoop.connectionLimiter().usage().get(TrafficClass.ORDERS));
+          getOnEventThread(
+              eventLoop, () -> eventLoop.connectionLimiter().usage().get(TrafficClass.ORDERS));
       assertTrue(usage.peak() <= usage.maxOpen() && usage.refused() > 0, usage.toString());
       for (int i = 0; i < 100 && usage.open() > 0; i++) {
         Thread.sleep(20);
         usage =
-            onThread(
+            getOnEventThread(
                 eventLoop, () -> eventLoop.connectionLimiter().usage().get(TrafficClass.ORDERS));
       }
       assertEquals(0, usage.open());
     } finally {
-      for (Socket each : queue) {
+      for (Socket each : backlog) {
         each.close();
       }
       eventLoop.stop();
     }
   }
 
-  /** A peer that hangs with our request must not hold our socket for longer than the call lasts. */
+  /** Guards against holding the socket of a call to an unresponsive peer after its timeout. */
   @Test
-  void aRequestWithoutAResponseReleasesItsSocket() throws Exception {
+  void releasesSocketWhenResponseTimesOut() throws Exception {
     XnioEventLoop eventLoop = new XnioEventLoop(100, Duration.ofSeconds(1));
     try (ServerSocket hanging = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       UndertowHttpClient httpClient =
           new UndertowHttpClient(eventLoop, address -> TrafficClass.ORDERS);
-      CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
+      CompletableFuture<AsyncHttpClient.Reply> received = new CompletableFuture<>();
       eventLoop.execute(
           () ->
               httpClient.call(
                   AsyncHttpClient.Request.get(
                       "127.0.0.1:" + hanging.getLocalPort(), "/", Duration.ofMillis(300)),
-                  got::complete));
-      assertEquals(AsyncHttpClient.Reply.UNKNOWN, got.get(10, TimeUnit.SECONDS));
+                  received::complete));
+      assertEquals(AsyncHttpClient.Reply.UNKNOWN, received.get(10, TimeUnit.SECONDS));
       int open = 1;
       for (int i = 0; i < 50 && open > 0; i++) {
         Thread.sleep(20);
         open =
-            onThread(
+            getOnEventThread(
                 eventLoop,
                 () -> eventLoop.connectionLimiter().usage().get(TrafficClass.ORDERS).open());
       }
@@ -355,10 +357,11 @@
   }
 
   /**
-   * Connections that send nothing use up their own part; other controllers are served all the same.
+   * Connections that send no request exhaust only the sockets of their own traffic class; requests
+   * of other controllers are still served.
    */
   @Test
-  void silentConnectionsDoNotExhaustTheSocketsOfPeers() throws Exception {
+  void servesPeersWhileSilentConnectionsReachTheirLimit() throws Exception {
     XnioEventLoop eventLoop = new XnioEventLoop(100, Duration.ofSeconds(1));
     String front = freeAddress();
     String cluster = freeAddress();
@@ -378,15 +381,15 @@
       }
       UndertowHttpClient httpClient =
           new UndertowHttpClient(eventLoop, to -> TrafficClass.SERVICES);
-      CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
+      CompletableFuture<AsyncHttpClient.Reply> received = new CompletableFuture<>();
       eventLoop.execute(
           () ->
               httpClient.call(
                   AsyncHttpClient.Request.get(cluster, "/peer", Duration.ofSeconds(5)),
-                  got::complete));
-      assertEquals(200, got.get(10, TimeUnit.SECONDS).status());
+                  received::complete));
+      assertEquals(200, received.get(10, TimeUnit.SECONDS).status());
       Map<TrafficClass, ConnectionLimiter.Usage> usage =
-          onThread(eventLoop, () -> eventLoop.connectionLimiter().usage());
+          getOnEventThread(eventLoop, () -> eventLoop.connectionLimiter().usage());
       ConnectionLimiter.Usage arriving = usage.get(TrafficClass.ARRIVING);
       assertTrue(
           arriving.open() <= arriving.maxOpen() && arriving.refused() > 0, arriving.toString());
--- a/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
+++ b/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
@@ -33,11 +33,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Receivers on loopback that refuse, redirect, drip, never answer, or are not who they say. */
+/**
+ * Posts to loopback receivers that redirect, stall, send slow or oversized responses, are not
+ * allowed as a destination, or present a wrong certificate.
+ */
 class OutboundHttpClientTest {
   private static final char[] PASSWORD = "changeit".toCharArray();
 
-  @TempDir Path folder;
+  @TempDir Path directory;
   private XnioEventLoop eventLoop;
 
   private static boolean anyAddress(InetAddress address) {
@@ -45,12 +48,12 @@
   }
 
   @BeforeEach
-  void start() throws Exception {
+  void startEventLoop() throws Exception {
     eventLoop = new XnioEventLoop(1_000, Duration.ofSeconds(3));
   }
 
   @AfterEach
-  void stop() {
+  void stopEventLoop() {
     eventLoop.stop();
   }
 
@@ -72,7 +75,7 @@
   }
 
   @Test
-  void redirectsAreNotFollowedAndConnectionsAreReused() throws Exception {
+  void reusesConnectionAndDoesNotFollowRedirects() throws Exception {
     AtomicInteger requests = new AtomicInteger();
     AtomicInteger connections = new AtomicInteger();
     Undertow server =
@@ -107,9 +110,9 @@
     }
   }
 
-  /** The address that was checked is the one connected to; one that is not allowed sees nothing. */
+  /** Guards against connecting to a disallowed address; also covers an unresolvable host name. */
   @Test
-  void noConnectionIsOpenedToAnAddressThatIsNotAllowed() throws Exception {
+  void doesNotConnectToDisallowedAddress() throws Exception {
     try (ServerSocket server =
         new ServerSocket(0, 5, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
       Result result = post(address -> false, "http://localhost:" + server.getLocalPort() + "/");
@@ -128,8 +131,8 @@
     assertEquals(Outcome.FAILED, unknown.outcome());
   }
 
-  /** Serves one connection with bytes that come one by one, and then no end. */
-  private Thread drip(ServerSocket server, String head, Duration pause, int count) {
+  /** Accepts one connection, sends {@code head} and {@code count} single bytes, then stalls. */
+  private Thread sendByteByByte(ServerSocket server, String head, Duration pause, int count) {
     Thread thread =
         new Thread(
             () -> {
@@ -144,7 +147,7 @@
                 }
                 Thread.sleep(20_000);
               } catch (java.io.IOException | InterruptedException e) {
-                // The other side has closed, as it should.
+                // Expected: the client closes the connection.
               }
             });
     thread.setDaemon(true);
@@ -153,39 +156,39 @@
   }
 
   @Test
-  void slowEndlessAndTooLongResponsesAreCancelled() throws Exception {
+  void cancelsSlowEndlessAndOversizedResponses() throws Exception {
     OutboundHttpClient client =
         new OutboundHttpClient(eventLoop, OutboundHttpClientTest::anyAddress);
     String head = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n";
     for (int kind = 0; kind < 3; kind++) {
       try (ServerSocket server =
           new ServerSocket(0, 5, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
-        drip(
+        sendByteByByte(
             server,
             kind == 0 ? "" : head,
             Duration.ofMillis(kind == 2 ? 0 : 50),
             kind == 2 ? 50_000 : kind * 1_000);
-        Instant begun = Instant.now();
+        Instant start = Instant.now();
         Result result =
             post(
                 client,
                 "http://127.0.0.1:" + server.getLocalPort() + "/",
                 Duration.ofMillis(kind == 2 ? 15_000 : 800));
         assertEquals(Outcome.FAILED, result.outcome());
-        assertTrue(Duration.between(begun, Instant.now()).toSeconds() < 8, result.failureReason());
+        assertTrue(Duration.between(start, Instant.now()).toSeconds() < 8, result.failureReason());
         assertEquals(
-            kind == 2 ? "the answer is longer than 4096 bytes" : "no answer in time",
+            kind == 2 ? "response body exceeds 4096 bytes" : "no response within the timeout",
             result.failureReason());
       }
     }
-    // The sockets are given up with the calls.
-    for (int i = 0; i < 50 && open() > 0; i++) {
+    // Cancelled calls must release their sockets.
+    for (int i = 0; i < 50 && openSocketCount() > 0; i++) {
       Thread.sleep(20);
     }
-    assertEquals(0, open());
+    assertEquals(0, openSocketCount());
   }
 
-  private int open() throws Exception {
+  private int openSocketCount() throws Exception {
     CompletableFuture<Integer> received = new CompletableFuture<>();
     eventLoop.execute(
         () ->
@@ -198,9 +201,9 @@
     return received.get(5, TimeUnit.SECONDS);
   }
 
-  /** A certificate for the name {@code localhost}, signed by itself. */
-  private SSLContext context() throws Exception {
-    Path file = folder.resolve("keys.p12");
+  /** Creates a TLS context with a self-signed certificate for {@code localhost}. */
+  private SSLContext selfSignedContext() throws Exception {
+    Path file = directory.resolve("keys.p12");
     Process keytool =
         new ProcessBuilder(
                 System.getProperty("java.home") + File.separator + "bin/keytool",
@@ -240,8 +243,8 @@
   }
 
   @Test
-  void tlsVerifiesTrustAndHostName() throws Exception {
-    SSLContext context = context();
+  void verifiesTlsTrustAndHostName() throws Exception {
+    SSLContext context = selfSignedContext();
     Undertow server =
         Undertow.builder()
             .addHttpsListener(0, "127.0.0.1", context)
@@ -258,7 +261,10 @@
       assertEquals(Outcome.FAILED, wrongName.outcome(), "the certificate is for localhost");
       Result untrusted =
           post(OutboundHttpClientTest::anyAddress, "https://localhost:" + port + "/");
-      assertEquals(Outcome.FAILED, untrusted.outcome(), "nobody vouches for the certificate");
+      assertEquals(
+          Outcome.FAILED,
+          untrusted.outcome(),
+          "the certificate is not signed by a trusted authority");
     } finally {
       server.stop();
     }
--- a/src/test/java/io/pineladder/net/XnioEventLoopTest.java
+++ b/src/test/java/io/pineladder/net/XnioEventLoopTest.java
@@ -13,16 +13,16 @@
 
 class XnioEventLoopTest {
   /**
-   * Seen in a test run on a busy machine: the event loop of a cluster on loopback was stopped while
-   * its sweep of idle sockets ran, the sweep's next timer was refused, and that ended the process.
+   * Guards against halting the process when the loop is stopped while an action, such as the socket
+   * sweep, schedules its next timer.
    */
   @Test
   @Timeout(30)
-  void anActionThatRunsWhileTheLoopIsStoppedDoesNotEndTheProcess() throws Exception {
+  void doesNotHaltWhenTimerIsRejectedDuringStop() throws Exception {
     XnioEventLoop eventLoop = new XnioEventLoop(100, Duration.ofSeconds(1));
     CountDownLatch running = new CountDownLatch(1);
     CountDownLatch stopped = new CountDownLatch(1);
-    CompletableFuture<RejectedExecutionException> refusal = new CompletableFuture<>();
+    CompletableFuture<RejectedExecutionException> rejection = new CompletableFuture<>();
     eventLoop.execute(
         () -> {
           running.countDown();
@@ -31,15 +31,15 @@
               assertThrows(
                   RejectedExecutionException.class,
                   () -> eventLoop.schedule(Duration.ofSeconds(1), () -> {}));
-          refusal.complete(rejected);
+          rejection.complete(rejected);
           throw rejected;
         });
-    assertTrue(running.await(10, TimeUnit.SECONDS), "the action runs");
+    assertTrue(running.await(10, TimeUnit.SECONDS), "the action should be running");
     eventLoop.stop();
     stopped.countDown();
-    refusal.get(10, TimeUnit.SECONDS);
+    rejection.get(10, TimeUnit.SECONDS);
     eventLoop.thread().join(10_000);
-    assertTrue(!eventLoop.thread().isAlive(), "the event thread ends by itself");
+    assertTrue(!eventLoop.thread().isAlive(), "the event thread should end");
   }
 
   private static void awaitUninterruptibly(CountDownLatch latch) {
