--- a/src/scale/java/io/pineladder/sim/HollowWorkers.java
+++ b/src/scale/java/io/pineladder/sim/HollowWorkers.java
@@ -12,52 +12,56 @@
 import java.util.function.Consumer;
 
 /**
- * A process of hollow workers: each speaks the protocol of a worker with a session, a lease and
- * tasks of its own, and runs nothing. One event thread and timers serve all of them.
+ * A process that simulates many workers. Each hollow worker speaks the worker protocol with its own
+ * agent epoch, lease and tasks, but executes nothing. All workers share one event thread.
  */
 public final class HollowWorkers {
-  private static final Duration PATIENCE = Duration.ofSeconds(4);
-  private static final long FLUSH_MILLIS = 50;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
+  private static final long FLUSH_INTERVAL_MILLIS = 50;
 
-  /**
-   * Without an answer for so long the process that rents the workers is gone, and this one ends.
-   */
-  private static final long ORPHANED_MILLIS = 15_000;
+  /** Without a response from the parent process for this long, this process exits. */
+  private static final long ORPHAN_TIMEOUT_MILLIS = 15_000;
 
-  private final RealTimeWorld real;
-  private final Traffic traffic = new Traffic();
-  private final HollowTasks tasks = new HollowTasks();
+  private final RealTimeWorld realTimeWorld;
+  private final TrafficCounters traffic = new TrafficCounters();
+  private final HollowTaskRecorder recorder = new HollowTaskRecorder();
   private final FakeFleet fleet;
-  private final String control;
-  private final String own;
-  private boolean underWay;
-  private long answeredMillis;
+  private final String parentAddress;
+  private final String ownAddress;
+  private boolean flushInProgress;
+  private long lastResponseMillis;
 
   private HollowWorkers(
-      String control, String own, List<String> controllers, long reportMillis, long leaseMillis)
+      String parentAddress,
+      String ownAddress,
+      List<String> controllers,
+      long reportMillis,
+      long leaseMillis)
       throws IOException {
-    this.control = control;
-    this.own = own;
-    this.real = new RealTimeWorld(own.hashCode(), 100_000, traffic);
-    this.fleet = new FakeFleet(real.world(), tasks, controllers);
+    this.parentAddress = parentAddress;
+    this.ownAddress = ownAddress;
+    this.realTimeWorld = new RealTimeWorld(ownAddress.hashCode(), 100_000, traffic);
+    this.fleet = new FakeFleet(realTimeWorld.world(), recorder, controllers);
     fleet.reportMillis = reportMillis;
     fleet.leaseMillis = leaseMillis;
     fleet.failsOneOf = 0;
     fleet.reportsChanges = true;
-    real.runtime()
+    realTimeWorld
+        .eventLoop()
         .execute(
             () -> {
-              answeredMillis = real.world().now().toEpochMilli();
-              real.serve(own, this::handle);
+              lastResponseMillis = realTimeWorld.world().now().toEpochMilli();
+              realTimeWorld.serve(ownAddress, this::handle);
               flush();
             });
   }
 
   /**
-   * Runs hollow workers until the process that rents them is gone.
+   * Runs hollow workers until the parent process exits.
    *
-   * @param args the address of that process, this one's, the controllers', and how often workers
-   *     report and how long their leases last, in milliseconds
+   * @param args the address of the parent process, the address of this process, the addresses of
+   *     the controllers (comma-separated), the heartbeat interval and the lease duration of the
+   *     workers, both in milliseconds
    */
   public static void main(String[] args) throws IOException {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
@@ -107,38 +111,41 @@
   }
 
   private void flush() {
-    real.world().after(FLUSH_MILLIS, this::flush);
-    long now = real.world().now().toEpochMilli();
-    if (now - answeredMillis > ORPHANED_MILLIS) {
+    realTimeWorld.world().after(FLUSH_INTERVAL_MILLIS, this::flush);
+    long now = realTimeWorld.world().now().toEpochMilli();
+    if (now - lastResponseMillis > ORPHAN_TIMEOUT_MILLIS) {
       Runtime.getRuntime().halt(1);
     }
-    if (underWay) {
+    if (flushInProgress) {
       return;
     }
-    underWay = true;
-    ObjectNode batch = tasks.take().put("process", own).put("workers", fleet.machines.size());
+    flushInProgress = true;
+    ObjectNode batch =
+        recorder.drainBatch().put("process", ownAddress).put("workers", fleet.machines.size());
     batch.set("traffic", traffic.json());
     traffic.clear();
-    real.caller()
+    realTimeWorld
+        .caller()
         .call(
-            AsyncHttpClient.Request.post(control, "/events", Json.bytes(batch), PATIENCE),
+            AsyncHttpClient.Request.post(
+                parentAddress, "/events", Json.bytes(batch), REQUEST_TIMEOUT),
             reply -> {
-              underWay = false;
+              flushInProgress = false;
               if (reply.is(200)) {
-                answeredMillis = real.world().now().toEpochMilli();
-                take(reply.body());
+                lastResponseMillis = realTimeWorld.world().now().toEpochMilli();
+                handleResponse(reply.body());
               } else {
-                // What was in the batch is lost, and with it what the rules are checked by.
-                System.err.println("events could not be handed over: " + reply);
+                // The events of the batch are lost, so the safety rules cannot be checked any more.
+                System.err.println("cannot send task events to " + parentAddress + ": " + reply);
                 Runtime.getRuntime().halt(1);
               }
             });
   }
 
-  private void take(byte[] body) {
+  private void handleResponse(byte[] body) {
     try {
       ObjectNode reply = Json.parseObject(body);
-      tasks.learn(reply.get("jobs"));
+      recorder.addDescriptions(reply.get("jobs"));
       reply
           .get("run")
           .forEach(
--- a/src/scale/java/io/pineladder/sim/LoadGenerator.java
+++ b/src/scale/java/io/pineladder/sim/LoadGenerator.java
@@ -13,15 +13,16 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 
-/** Users who submit jobs at a steady rate, ask about each until it is over, and cancel some. */
+/** Submits jobs at a constant average rate, polls each until it has ended, and cancels some. */
 final class LoadGenerator {
-  private static final long POLL_MILLIS = 5_000;
-  private static final long RETRY_MILLIS = 1_000;
-  private static final int SERVICE_TASKS = 12;
+  private static final long POLL_INTERVAL_MILLIS = 5_000;
+  private static final long RETRY_DELAY_MILLIS = 1_000;
+  private static final int TASKS_PER_SERVICE = 12;
 
-  /** A service's or a placeholder's first job comes so soon after the one before. */
-  private static final long INITIAL_MILLIS = 20;
+  /** Interval between the submissions of the jobs that make up the initial load. */
+  private static final long INITIAL_SUBMIT_INTERVAL_MILLIS = 20;
 
+  /** Run time of a job that outlasts every run. */
   private static final double ENDLESS_SECONDS = 1e6;
 
   private final ScaleOptions options;
@@ -29,63 +30,70 @@
   private final AsyncHttpClient httpClient;
   private final SafetyRules rules;
   private final TaskHistory history;
-  private final List<String> fronts;
-  private final Histogram accepted = new Histogram(120_000_000L, 3);
-  private final Deque<ObjectNode> initial = new ArrayDeque<>();
-
-  /** What any user was told of each job so far; the rules see it a moment later, in order. */
-  private final Map<String, SafetyRules.Told> told = new HashMap<>();
-
-  private int ids;
-  private int refused;
+  private final List<String> controllerAddresses;
+  private final Histogram acceptanceTimes = new Histogram(120_000_000L, 3);
+  private final Deque<ObjectNode> initialJobs = new ArrayDeque<>();
+
+  /**
+   * The latest state of each job reported to any user. The safety rules see it later, in the order
+   * of the task history.
+   */
+  private final Map<String, SafetyRules.Told> reportedStates = new HashMap<>();
+
+  private int lastJobNumber;
+  private int failedRequests;
   private boolean stopped;
 
   LoadGenerator(
       ScaleOptions options,
-      RealTimeWorld real,
+      RealTimeWorld realTimeWorld,
       SafetyRules rules,
       TaskHistory history,
-      List<String> fronts) {
+      List<String> controllerAddresses) {
     this.options = options;
-    this.world = real.world();
-    this.httpClient = real.caller();
+    this.world = realTimeWorld.world();
+    this.httpClient = realTimeWorld.caller();
     this.rules = rules;
     this.history = history;
-    this.fronts = fronts;
+    this.controllerAddresses = controllerAddresses;
   }
 
-  /** From the first try to the answer that a submission is accepted, in microseconds. */
-  Histogram accepted() {
-    return accepted;
+  /**
+   * Returns the times from the first attempt of a submission to its acceptance, in microseconds.
+   */
+  Histogram acceptanceTimes() {
+    return acceptanceTimes;
   }
 
-  int submitted() {
-    return ids;
+  int submittedJobs() {
+    return lastJobNumber;
   }
 
-  /** Answers to users that were none: 503, or none in time. */
-  int unanswered() {
-    return refused;
+  /** Returns the number of requests without a successful response within the timeout. */
+  int failedRequests() {
+    return failedRequests;
   }
 
   void start() {
-    for (int left = options.replicas(); left > 0; left -= SERVICE_TASKS) {
-      initial.add(job("service", "serve", "prod", Math.min(left, SERVICE_TASKS), 0));
+    for (int remaining = options.serviceTasks(); remaining > 0; remaining -= TASKS_PER_SERVICE) {
+      initialJobs.add(
+          jobSpec("service", "serve", "prod", Math.min(remaining, TASKS_PER_SERVICE), 0));
     }
     if (options.kept > 0) {
-      ObjectNode endless = job("array", "batch", "low", 1, ENDLESS_SECONDS);
-      initial.add(endless);
+      ObjectNode endless = jobSpec("array", "batch", "low", 1, ENDLESS_SECONDS);
+      initialJobs.add(endless);
       for (int i = 0; i < options.kept; i++) {
-        ObjectNode waits = job("array", "batch", "low", options.tasks, options.runSeconds);
-        waits.putArray("waits_on").add(endless.get("ref").asText());
-        initial.add(waits);
+        ObjectNode dependent = jobSpec("array", "batch", "low", options.tasks, options.runSeconds);
+        dependent.putArray("waits_on").add(endless.get("ref").asText());
+        initialJobs.add(dependent);
       }
     }
     submitInitial();
-    double ofArrays = options.starts * (options.gang == 0 ? 1 : 1 - options.gangShare);
-    repeat((long) (1000 * options.tasks / ofArrays), this::array);
+    double arrayStarts = options.starts * (options.gang == 0 ? 1 : 1 - options.gangShare);
+    runRepeatedly((long) (1000 * options.tasks / arrayStarts), this::submitArray);
     if (options.gang > 0 && options.gangShare > 0) {
-      repeat((long) (1000 * options.gang / (options.starts * options.gangShare)), this::gang);
+      runRepeatedly(
+          (long) (1000 * options.gang / (options.starts * options.gangShare)), this::submitGang);
     }
   }
 
@@ -94,35 +102,36 @@
   }
 
   private void submitInitial() {
-    if (!initial.isEmpty() && !stopped) {
-      submit(initial.poll());
-      world.after(INITIAL_MILLIS, this::submitInitial);
+    if (!initialJobs.isEmpty() && !stopped) {
+      submit(initialJobs.poll());
+      world.after(INITIAL_SUBMIT_INTERVAL_MILLIS, this::submitInitial);
     }
   }
 
-  /** Does it at this interval, give or take a half. */
-  private void repeat(long everyMillis, Runnable action) {
-    long every = Math.max(1, everyMillis);
+  /** Runs an action repeatedly at this mean interval, with a jitter of up to 50%. */
+  private void runRepeatedly(long meanMillis, Runnable action) {
+    long intervalMillis = Math.max(1, meanMillis);
     if (!stopped) {
       action.run();
-      long wait = every / 2 + world.random.nextLong(every + 1);
-      world.after(wait, () -> repeat(every, action));
+      long delayMillis = intervalMillis / 2 + world.random.nextLong(intervalMillis + 1);
+      world.after(delayMillis, () -> runRepeatedly(intervalMillis, action));
     }
   }
 
-  private void array() {
-    int luck = world.random.nextInt(10);
-    String rank = luck == 0 ? "urgent" : luck < 7 ? "standard" : "low";
+  private void submitArray() {
+    int roll = world.random.nextInt(10);
+    String rank = roll == 0 ? "urgent" : roll < 7 ? "standard" : "low";
     String jobClass = rank.equals("urgent") ? "urgent" : "batch";
-    submit(job("array", jobClass, rank, options.tasks, options.runSeconds));
+    submit(jobSpec("array", jobClass, rank, options.tasks, options.runSeconds));
   }
 
-  private void gang() {
-    submit(job("group", "gang", "standard", options.gang, options.runSeconds));
+  private void submitGang() {
+    submit(jobSpec("group", "gang", "standard", options.gang, options.runSeconds));
   }
 
-  private ObjectNode job(String shape, String jobClass, String rank, int tasks, double seconds) {
-    int number = ++ids;
+  private ObjectNode jobSpec(
+      String shape, String jobClass, String rank, int tasks, double seconds) {
+    int number = ++lastJobNumber;
     return Json.object()
         .put("ref", String.format("req-%06d", number))
         .put("jobclass", jobClass)
@@ -147,15 +156,15 @@
     SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
     job.submitted = world.now();
-    history.submitted(job.id);
-    long begun = System.nanoTime();
-    insist(
+    history.recordSubmission(job.id);
+    long startNanos = System.nanoTime();
+    callUntilAccepted(
         job,
         "/v1/jobs",
         Json.bytes(spec),
         () -> {
-          accepted.recordValue((System.nanoTime() - begun) / 1_000);
-          world.after(world.random.nextLong(POLL_MILLIS), () -> poll(job));
+          acceptanceTimes.recordValue((System.nanoTime() - startNanos) / 1_000);
+          world.after(world.random.nextLong(POLL_INTERVAL_MILLIS), () -> poll(job));
           if (world.random.nextDouble() < options.cancelled && !spec.has("waits_on")) {
             world.after(
                 world.random.nextLong((long) (options.runSeconds * 1000)), () -> cancel(job));
@@ -164,32 +173,33 @@
   }
 
   private void cancel(SafetyRules.Known job) {
-    if (told(job) != SafetyRules.Told.OVER) {
+    if (lastReportedState(job) != SafetyRules.Told.OVER) {
       job.cancelAsked = true;
-      insist(job, "/v1/jobs/" + job.id + "/cancel", new byte[0], () -> {});
+      callUntilAccepted(job, "/v1/jobs/" + job.id + "/cancel", new byte[0], () -> {});
     }
   }
 
-  private void insist(SafetyRules.Known job, String path, byte[] body, Runnable then) {
+  private void callUntilAccepted(
+      SafetyRules.Known job, String path, byte[] body, Runnable onAccepted) {
     call(
         job,
         "POST",
         path,
         body,
         Duration.ofSeconds(5),
-        good -> {
-          if (good) {
-            then.run();
+        success -> {
+          if (success) {
+            onAccepted.run();
           } else {
-            world.after(RETRY_MILLIS, () -> insist(job, path, body, then));
+            world.after(RETRY_DELAY_MILLIS, () -> callUntilAccepted(job, path, body, onAccepted));
           }
         });
   }
 
   private void poll(SafetyRules.Known job) {
-    if (told(job) != SafetyRules.Told.OVER) {
-      call(job, "GET", "/v1/jobs/" + job.id, null, Duration.ofSeconds(2), good -> {});
-      world.after(POLL_MILLIS, () -> poll(job));
+    if (lastReportedState(job) != SafetyRules.Told.OVER) {
+      call(job, "GET", "/v1/jobs/" + job.id, null, Duration.ofSeconds(2), success -> {});
+      world.after(POLL_INTERVAL_MILLIS, () -> poll(job));
     }
   }
 
@@ -198,27 +208,27 @@
       String method,
       String path,
       byte[] body,
-      Duration patience,
-      Consumer<Boolean> then) {
-    SafetyRules.Told before = told(job);
-    String front = fronts.get(world.random.nextInt(fronts.size()));
+      Duration timeout,
+      Consumer<Boolean> onResult) {
+    SafetyRules.Told before = lastReportedState(job);
+    String address = controllerAddresses.get(world.random.nextInt(controllerAddresses.size()));
     httpClient.call(
-        new AsyncHttpClient.Request(front, method, path, body, patience),
+        new AsyncHttpClient.Request(address, method, path, body, timeout),
         reply -> {
-          boolean good = reply.is(200) || reply.is(201);
+          boolean success = reply.is(200) || reply.is(201);
           if (reply.isAnswered()) {
-            String state = good ? state(reply.body()) : null;
+            String state = success ? state(reply.body()) : null;
             if (state != null) {
-              boolean over = state.equals("done") || state.equals("aborted");
-              told.merge(
+              boolean ended = state.equals("done") || state.equals("aborted");
+              reportedStates.merge(
                   job.id,
-                  over ? SafetyRules.Told.OVER : SafetyRules.Told.ACCEPTED,
-                  LoadGenerator::later);
+                  ended ? SafetyRules.Told.OVER : SafetyRules.Told.ACCEPTED,
+                  LoadGenerator::max);
             }
-            history.now(() -> rules.answered(job, before, reply.status(), state));
+            history.recordAction(() -> rules.answered(job, before, reply.status(), state));
           }
-          refused += good ? 0 : 1;
-          then.accept(good);
+          failedRequests += success ? 0 : 1;
+          onResult.accept(success);
         });
   }
 
@@ -230,11 +240,11 @@
     }
   }
 
-  private static SafetyRules.Told later(SafetyRules.Told one, SafetyRules.Told other) {
+  private static SafetyRules.Told max(SafetyRules.Told one, SafetyRules.Told other) {
     return one.compareTo(other) > 0 ? one : other;
   }
 
-  private SafetyRules.Told told(SafetyRules.Known job) {
-    return told.getOrDefault(job.id, SafetyRules.Told.NOTHING);
+  private SafetyRules.Told lastReportedState(SafetyRules.Known job) {
+    return reportedStates.getOrDefault(job.id, SafetyRules.Told.NOTHING);
   }
 }
--- a/src/scale/java/io/pineladder/sim/RealTimeWorld.java
+++ b/src/scale/java/io/pineladder/sim/RealTimeWorld.java
@@ -18,79 +18,84 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** The stand-ins' world with the real clock and the loopback network, on one event thread. */
+/**
+ * Runs a {@link SimulatedWorld} in real time on one event thread and connects its addresses to the
+ * loopback network.
+ */
 final class RealTimeWorld implements SimulatedWorld.Outside {
-  private static final Duration TICK = Duration.ofMillis(2);
-  private static final Duration CLOSE = Duration.ofSeconds(2);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(2);
+  private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
   private final SimulatedWorld world;
-  private final XnioEventLoop runtime;
-  private final AsyncHttpClient caller;
-  private final Traffic traffic;
+  private final XnioEventLoop eventLoop;
+  private final AsyncHttpClient httpClient;
+  private final TrafficCounters traffic;
   private final Map<String, AsyncHttpHandler> handlers = new HashMap<>();
-  private final Set<String> listening = new HashSet<>();
-  private final Instant worldBegun;
-  private final Instant begun;
+  private final Set<String> listeningAddresses = new HashSet<>();
+  private final Instant worldStart;
+  private final Instant realStart;
   private boolean closed;
 
   /**
-   * A world.
+   * Creates the world and starts its event thread.
    *
-   * @param maxSockets how many sockets the process may have
-   * @param traffic counts what is sent and received
+   * @param maxSockets how many sockets the process may have open
+   * @param traffic counts the messages sent and received
    */
-  RealTimeWorld(long seed, int maxSockets, Traffic traffic) throws IOException {
+  RealTimeWorld(long seed, int maxSockets, TrafficCounters traffic) throws IOException {
     this.world = new SimulatedWorld(seed);
     this.traffic = traffic;
-    this.runtime = new XnioEventLoop(maxSockets, Duration.ofSeconds(5));
-    this.caller = new UndertowHttpClient(runtime, address -> ConnectionLimiter.TrafficClass.ORDERS);
-    this.worldBegun = world.now();
-    this.begun = runtime.now();
+    this.eventLoop = new XnioEventLoop(maxSockets, Duration.ofSeconds(5));
+    this.httpClient =
+        new UndertowHttpClient(eventLoop, address -> ConnectionLimiter.TrafficClass.ORDERS);
+    this.worldStart = world.now();
+    this.realStart = eventLoop.now();
     world.outside = this;
-    runtime.execute(this::tick);
+    eventLoop.execute(this::tick);
   }
 
-  /** Ends the world: nothing of it happens after this. */
+  /** Stops the world; no timer or request of it is executed afterwards. */
   void close() {
-    CountDownLatch over = new CountDownLatch(1);
-    runtime.execute(
+    CountDownLatch closing = new CountDownLatch(1);
+    eventLoop.execute(
         () -> {
           closed = true;
-          over.countDown();
+          closing.countDown();
         });
     try {
-      over.await(CLOSE.toMillis(), TimeUnit.MILLISECONDS);
+      closing.await(CLOSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    runtime.stop();
+    eventLoop.stop();
   }
 
   private void tick() {
     if (closed) {
       return;
     }
-    Duration behind =
-        Duration.between(begun, runtime.now()).minus(Duration.between(worldBegun, world.now()));
-    world.runFor(behind);
-    runtime.schedule(TICK, this::tick);
+    Duration elapsed =
+        Duration.between(realStart, eventLoop.now())
+            .minus(Duration.between(worldStart, world.now()));
+    world.runFor(elapsed);
+    eventLoop.schedule(TICK_INTERVAL, this::tick);
   }
 
   SimulatedWorld world() {
     return world;
   }
 
-  XnioEventLoop runtime() {
-    return runtime;
+  XnioEventLoop eventLoop() {
+    return eventLoop;
   }
 
-  /** Answers at an address; a handler that was there before is replaced. */
+  /** Serves requests to an address; replaces a previous handler. */
   @Override
   public void serve(String address, AsyncHttpHandler handler) {
     handlers.put(address, handler);
-    if (listening.add(address)) {
+    if (listeningAddresses.add(address)) {
       try {
-        runtime.serve(
+        eventLoop.serve(
             new XnioEventLoop.Listener(
                 address,
                 (method, path, body, answer) -> handle(address, method, path, body, answer),
@@ -106,17 +111,17 @@
       String address, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     AsyncHttpHandler handler = closed ? null : handlers.get(address);
     if (handler == null) {
-      // Nobody is there any more: the caller waits in vain.
+      // No response, as from a host that is down: the caller's request times out.
       return;
     }
-    traffic.received(path, body.length);
+    traffic.requestReceived(path, body.length);
     handler.handle(
         method,
         path,
         body,
-        given -> {
-          traffic.answered(path, given.body().length);
-          answer.accept(given);
+        response -> {
+          traffic.responseSent(path, response.body().length);
+          answer.accept(response);
         });
   }
 
@@ -131,14 +136,14 @@
       if (closed) {
         return;
       }
-      traffic.sent(request.path(), request.body() == null ? 0 : request.body().length);
-      caller.call(
+      traffic.requestSent(request.path(), request.body() == null ? 0 : request.body().length);
+      httpClient.call(
           request,
           reply -> {
             if (closed) {
               return;
             }
-            traffic.replied(request.path(), reply.body().length);
+            traffic.responseReceived(request.path(), reply.body().length);
             onReply.accept(reply);
           });
     };
--- a/src/scale/java/io/pineladder/sim/ScaleCluster.java
+++ b/src/scale/java/io/pineladder/sim/ScaleCluster.java
@@ -22,59 +22,67 @@
 import java.util.stream.IntStream;
 
 /**
- * The processes of a scale run: controllers, hollow workers, and in this one state service and
- * cloud. All listen on loopback addresses, and all are ended with this object.
+ * The processes of a scale run: controllers, hollow workers, and this process with the simulated
+ * state service and cloud. All listen on loopback addresses; {@link #close} stops all of them.
  */
 final class ScaleCluster implements AutoCloseable, FakeFleet.Launcher {
-  private static final Duration PATIENCE = Duration.ofSeconds(4);
-  private static final long BOOT_MILLIS = 50;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
+  private static final long BOOT_INTERVAL_MILLIS = 50;
 
-  /** Workers' addresses are 127.A.B.C, each with the port that comes so much before the others. */
-  private static final int WORKER_PORTS_BEFORE = 1_000;
+  /**
+   * Each worker has its own address 127.A.B.C; all use the port that is this far below {@code
+   * --port}.
+   */
+  private static final int WORKER_PORT_OFFSET = 1_000;
 
   private final ScaleOptions options;
-  private final Path folder;
-  private final RealTimeWorld real;
-  private final Traffic storeTraffic = new Traffic();
-  private final Traffic workerTraffic = new Traffic();
+  private final Path directory;
+  private final RealTimeWorld realTimeWorld;
+  private final TrafficCounters storeTraffic = new TrafficCounters();
+  private final TrafficCounters workerTraffic = new TrafficCounters();
   private final FakeKeyValueStore store;
   private final FakeFleet cloud;
   private final SafetyRules rules;
   private final TaskHistory history;
   private final Map<String, FakeFleet.Worker> workers = new HashMap<>();
-  private final List<String> fronts = new ArrayList<>();
-  private final List<String> clusters = new ArrayList<>();
-  private final String control;
-  private final Map<String, ArrayNode> toBoot = new LinkedHashMap<>();
-  private final Map<String, Integer> reported = new HashMap<>();
-  private final List<Process> controllers = new ArrayList<>();
-  private final List<Process> hollow = new ArrayList<>();
+  private final List<String> userAddresses = new ArrayList<>();
+  private final List<String> peerAddresses = new ArrayList<>();
+  private final String controlAddress;
+  private final Map<String, ArrayNode> pendingBoots = new LinkedHashMap<>();
+  private final Map<String, Integer> workersByProcess = new HashMap<>();
+  private final List<Process> controllerProcesses = new ArrayList<>();
+  private final List<Process> workerProcesses = new ArrayList<>();
   private final Consumer<Throwable> onFailure;
 
   /**
-   * The processes, of which none is started yet.
+   * Creates the cluster without starting any process.
    *
-   * @param onFailure told of what ends the run
+   * @param onFailure receives the error that ends the run
    */
   ScaleCluster(
-      ScaleOptions options, Path folder, RealTimeWorld real, Consumer<Throwable> onFailure) {
+      ScaleOptions options,
+      Path directory,
+      RealTimeWorld realTimeWorld,
+      Consumer<Throwable> onFailure) {
     this.options = options;
-    this.control = local(2);
-    this.folder = folder;
-    this.real = real;
+    this.controlAddress = loopbackAddress(2);
+    this.directory = directory;
+    this.realTimeWorld = realTimeWorld;
     this.onFailure = onFailure;
-    SimulatedWorld world = real.world();
+    SimulatedWorld world = realTimeWorld.world();
     this.rules = new SafetyRules(world, ScaleSettings.teams(options));
     this.history =
         new TaskHistory(
             rules,
             workers,
-            IntStream.range(0, options.processes()).mapToObj(this::hollowControl).toList());
+            IntStream.range(0, options.workerProcesses())
+                .mapToObj(this::workerProcessAddress)
+                .toList());
     this.store = new FakeKeyValueStore(world, options.txnOps, (int) (options.valueKb * 1024));
     store.pageEntries = 1_000;
     store.mostLogged = 10_000;
     this.cloud = new FakeFleet(world, rules, List.of());
-    FakeFleet.Type type = ScaleSettings.TYPE;
+    FakeFleet.Type type = ScaleSettings.MACHINE_TYPE;
     cloud.types =
         List.of(
             new FakeFleet.Type(
@@ -87,21 +95,21 @@
                 type.spot(),
                 type.boot(),
                 ScaleSettings.zones(options.zones)));
-    // All machines are up from the start, and no more are to be had.
+    // All machines are up from the start, and no more can be rented.
     cloud.capacity = 0;
     cloud.launcher = this;
     for (int i = 0; i < options.controllers; i++) {
-      fronts.add(local(10 + 2 * i));
-      clusters.add(local(11 + 2 * i));
+      userAddresses.add(loopbackAddress(10 + 2 * i));
+      peerAddresses.add(loopbackAddress(11 + 2 * i));
     }
   }
 
-  private String local(int offset) {
+  private String loopbackAddress(int offset) {
     return "127.0.0.1:" + (options.port + offset);
   }
 
-  RealTimeWorld real() {
-    return real;
+  RealTimeWorld realTimeWorld() {
+    return realTimeWorld;
   }
 
   SafetyRules rules() {
@@ -116,79 +124,82 @@
     return store;
   }
 
-  Traffic storeTraffic() {
+  TrafficCounters storeTraffic() {
     return storeTraffic;
   }
 
-  Traffic workerTraffic() {
+  TrafficCounters workerTraffic() {
     return workerTraffic;
   }
 
-  List<String> fronts() {
-    return fronts;
+  List<String> userAddresses() {
+    return userAddresses;
   }
 
-  List<String> clusters() {
-    return clusters;
+  List<String> peerAddresses() {
+    return peerAddresses;
   }
 
-  /** How many workers run. */
-  int workersUp() {
-    return reported.values().stream().mapToInt(Integer::intValue).sum();
+  /** Returns the number of running workers. */
+  int runningWorkers() {
+    return workersByProcess.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** The processes' ids by role. */
+  /** Returns the process ids by role. */
   Map<String, List<Long>> pids() {
-    Map<String, List<Long>> found = new LinkedHashMap<>();
-    found.put("controller", controllers.stream().map(Process::pid).toList());
-    found.put(
+    Map<String, List<Long>> pids = new LinkedHashMap<>();
+    pids.put("controller", controllerProcesses.stream().map(Process::pid).toList());
+    pids.put(
         "hollow",
-        hollow.subList(options.single, hollow.size()).stream().map(Process::pid).toList());
-    found.put("single", hollow.subList(0, options.single).stream().map(Process::pid).toList());
-    found.put("services", List.of(ProcessHandle.current().pid()));
-    return found;
+        workerProcesses.subList(options.single, workerProcesses.size()).stream()
+            .map(Process::pid)
+            .toList());
+    pids.put(
+        "single", workerProcesses.subList(0, options.single).stream().map(Process::pid).toList());
+    pids.put("services", List.of(ProcessHandle.current().pid()));
+    return pids;
   }
 
-  // ---- start and end
-
-  /** Starts everything but the workers; called on the event thread. */
+  /** Starts the simulated state service and cloud; called on the event thread. */
   void startServices() {
-    serve(local(0), store);
-    serve(local(1), cloud);
-    real.serve(control, this::handleControl);
+    serve(loopbackAddress(0), store);
+    serve(loopbackAddress(1), cloud);
+    realTimeWorld.serve(controlAddress, this::handleEventBatch);
   }
 
   private void serve(String address, AsyncHttpHandler handler) {
-    real.serve(
+    realTimeWorld.serve(
         address,
         (method, path, body, answer) -> {
-          storeTraffic.received(path, body.length);
+          storeTraffic.requestReceived(path, body.length);
           handler.handle(
               method,
               path,
               body,
-              given -> {
-                storeTraffic.answered(path, given.body().length);
-                answer.accept(given);
+              response -> {
+                storeTraffic.responseSent(path, response.body().length);
+                answer.accept(response);
               });
         });
   }
 
   void startControllers() throws IOException {
-    ScaleSettings settings = new ScaleSettings(options, local(0), local(1), fronts, clusters);
+    ScaleSettings settings =
+        new ScaleSettings(
+            options, loopbackAddress(0), loopbackAddress(1), userAddresses, peerAddresses);
     for (int i = 0; i < options.controllers; i++) {
-      Files.writeString(settingsOf(i), settings.toml(i));
-      controllers.add(startController(i));
+      Files.writeString(settingsFile(i), settings.toml(i));
+      controllerProcesses.add(startController(i));
     }
   }
 
-  private Path settingsOf(int index) {
-    return folder.resolve("controller-" + index + ".toml");
+  private Path settingsFile(int index) {
+    return directory.resolve("controller-" + index + ".toml");
   }
 
   private Process startController(int index) throws IOException {
     String classes = options.jar == null ? classPath() : options.jar.toString();
-    return start(
+    return startProcess(
         "controller-" + index,
         List.of(
             "-XX:TieredStopAtLevel=1",
@@ -200,18 +211,19 @@
             "-cp",
             classes,
             "io.pineladder.cli.Controller",
-            settingsOf(index).toString()));
+            settingsFile(index).toString()));
   }
 
-  /** Kills a controller without a word and starts it again after the pause. */
-  void killController(int index, long backMillis) {
-    controllers.get(index).destroyForcibly();
-    real.world()
+  /** Kills a controller without a graceful shutdown and restarts it after a delay. */
+  void killController(int index, long restartDelayMillis) {
+    controllerProcesses.get(index).destroyForcibly();
+    realTimeWorld
+        .world()
         .after(
-            backMillis,
+            restartDelayMillis,
             () -> {
               try {
-                controllers.set(index, startController(index));
+                controllerProcesses.set(index, startController(index));
               } catch (IOException e) {
                 onFailure.accept(e);
               }
@@ -219,9 +231,9 @@
   }
 
   void startHollowWorkers() throws IOException {
-    for (int i = 0; i < options.processes(); i++) {
-      hollow.add(
-          start(
+    for (int i = 0; i < options.workerProcesses(); i++) {
+      workerProcesses.add(
+          startProcess(
               "hollow-" + i,
               List.of(
                   "-XX:TieredStopAtLevel=1",
@@ -230,23 +242,23 @@
                   "-cp",
                   classPath(),
                   HollowWorkers.class.getName(),
-                  control,
-                  hollowControl(i),
-                  String.join(",", fronts),
+                  controlAddress,
+                  workerProcessAddress(i),
+                  String.join(",", userAddresses),
                   Long.toString((long) (options.reportSeconds * 1000)),
                   Long.toString((long) (options.leaseSeconds * 1000)))));
     }
   }
 
-  private String hollowControl(int process) {
-    return local(100 + process);
+  private String workerProcessAddress(int process) {
+    return loopbackAddress(100 + process);
   }
 
   private static String classPath() {
     return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
   }
 
-  private Process start(String name, List<String> arguments) throws IOException {
+  private Process startProcess(String name, List<String> arguments) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
     command.addAll(arguments);
@@ -255,58 +267,56 @@
     Process process =
         builder
             .redirectOutput(
-                ProcessBuilder.Redirect.appendTo(folder.resolve(name + ".log").toFile()))
+                ProcessBuilder.Redirect.appendTo(directory.resolve(name + ".log").toFile()))
             .start();
     Runtime.getRuntime().addShutdownHook(new Thread(process::destroyForcibly));
     return process;
   }
 
-  /** Whether a process has ended that nobody ended. */
-  String endedByItself() {
-    for (int i = 0; i < hollow.size(); i++) {
-      if (!hollow.get(i).isAlive()) {
+  /** Returns the name of a hollow worker process that has exited, or null if all are running. */
+  String exitedWorkerProcess() {
+    for (int i = 0; i < workerProcesses.size(); i++) {
+      if (!workerProcesses.get(i).isAlive()) {
         return "hollow-" + i;
       }
     }
     return null;
   }
 
-  // ---- hollow workers
-
-  /** Has all workers boot. */
+  /** Boots all workers. */
   void bootWorkers() {
     cloud.addUp(options.workers);
-    sendBoots();
+    sendPendingBoots();
   }
 
-  private int processOf(int number) {
+  private int processIndex(int number) {
     return number <= options.single
         ? number - 1
         : options.single + (number - 1 - options.single) / options.perProcess;
   }
 
-  private static int number(FakeFleet.Worker worker) {
+  private static int workerNumber(FakeFleet.Worker worker) {
     return Integer.parseInt(worker.name.substring("m-".length()));
   }
 
   @Override
   public String address(int number) {
     return "127."
-        + (10 + processOf(number))
+        + (10 + processIndex(number))
         + "."
         + number / 250
         + "."
         + (1 + number % 250)
         + ":"
-        + (options.port - WORKER_PORTS_BEFORE);
+        + (options.port - WORKER_PORT_OFFSET);
   }
 
   @Override
   public void boot(FakeFleet.Worker worker) {
     workers.put(worker.name, worker);
-    String process = hollowControl(processOf(number(worker)));
-    history.runsIn(worker.name, process);
-    toBoot
+    String process = workerProcessAddress(processIndex(workerNumber(worker)));
+    history.assignProcess(worker.name, process);
+    pendingBoots
         .computeIfAbsent(process, p -> Json.array())
         .addObject()
         .put("ref", worker.name)
@@ -320,24 +330,25 @@
   public void end(FakeFleet.Worker worker) {
     ObjectNode request = Json.object();
     request.putArray("hosts").add(worker.name);
-    post(hollowControl(processOf(number(worker))), "/end", request);
+    post(workerProcessAddress(processIndex(workerNumber(worker))), "/end", request);
   }
 
-  private void sendBoots() {
-    toBoot.forEach(
+  private void sendPendingBoots() {
+    pendingBoots.forEach(
         (process, hosts) -> {
           ObjectNode request = Json.object();
           request.set("hosts", hosts);
           post(process, "/boot", request);
         });
-    toBoot.clear();
-    real.world().after(BOOT_MILLIS, this::sendBoots);
+    pendingBoots.clear();
+    realTimeWorld.world().after(BOOT_INTERVAL_MILLIS, this::sendPendingBoots);
   }
 
   private void post(String address, String path, ObjectNode body) {
-    real.caller()
+    realTimeWorld
+        .caller()
         .call(
-            AsyncHttpClient.Request.post(address, path, Json.bytes(body), PATIENCE),
+            AsyncHttpClient.Request.post(address, path, Json.bytes(body), REQUEST_TIMEOUT),
             reply -> {
               if (!reply.is(200)) {
                 onFailure.accept(new AssertionError(address + path + ": " + reply));
@@ -345,14 +356,14 @@
             });
   }
 
-  private void handleControl(
+  private void handleEventBatch(
       String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     try {
       JsonNode batch = Json.parseObject(body);
       String process = batch.get("process").asText();
-      reported.put(process, batch.get("workers").asInt());
+      workersByProcess.put(process, batch.get("workers").asInt());
       workerTraffic.add((ObjectNode) batch.get("traffic"));
-      ObjectNode reply = history.take(process, batch);
+      ObjectNode reply = history.addBatch(process, batch);
       answer.accept(new HttpResponse(200, Json.bytes(reply)));
     } catch (MalformedMessageException | AssertionError e) {
       onFailure.accept(e);
@@ -362,8 +373,8 @@
 
   @Override
   public void close() {
-    hollow.forEach(Process::destroyForcibly);
-    controllers.forEach(Process::destroyForcibly);
-    real.close();
+    workerProcesses.forEach(Process::destroyForcibly);
+    controllerProcesses.forEach(Process::destroyForcibly);
+    realTimeWorld.close();
   }
 }
--- a/src/scale/java/io/pineladder/sim/ScaleReport.java
+++ b/src/scale/java/io/pineladder/sim/ScaleReport.java
@@ -16,24 +16,24 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** What a scale run has measured: as JSON, as a Markdown table and as a plot. */
+/** The results of a scale run as JSON, as a Markdown table and as a plot. */
 final class ScaleReport {
   private static final double[] PERCENTILES = {50, 90, 99, 100};
 
   private final ObjectNode json = Json.object();
-  private final Map<String, List<Double>> series = new TreeMap<>();
+  private final Map<String, List<Double>> seriesByName = new TreeMap<>();
 
   ObjectNode json() {
     return json;
   }
 
-  /** A figure that changes in the run, once a second. */
-  void series(String name, List<Double> values) {
-    series.put(name, values);
+  /** Adds a time series with one value per second to the plot. */
+  void addSeries(String name, List<Double> values) {
+    seriesByName.put(name, values);
   }
 
-  /** Writes a histogram of microseconds as seconds. */
-  static ObjectNode seconds(Histogram histogram) {
+  /** Converts a histogram in microseconds to percentiles in seconds. */
+  static ObjectNode percentilesInSeconds(Histogram histogram) {
     ObjectNode out = Json.object().put("count", histogram.getTotalCount());
     for (double percentile : PERCENTILES) {
       out.put("p" + (int) percentile, histogram.getValueAtPercentile(percentile) / 1e6);
@@ -41,19 +41,19 @@
     return out;
   }
 
-  /** Every figure on a line of its own, by its path. */
+  /** Returns a table with one row per value, named by its path in the JSON report. */
   String markdown() {
     StringBuilder table = new StringBuilder("| figure | value |\n| --- | --- |\n");
-    rows("", json, table);
+    appendRows("", json, table);
     return table.toString();
   }
 
-  private static void rows(String path, JsonNode node, StringBuilder table) {
+  private static void appendRows(String path, JsonNode node, StringBuilder table) {
     if (node.isObject()) {
       node.properties()
           .forEach(
               each ->
-                  rows(
+                  appendRows(
                       path.isEmpty() ? each.getKey() : path + "." + each.getKey(),
                       each.getValue(),
                       table));
@@ -63,21 +63,21 @@
     }
   }
 
-  void write(Path folder) throws IOException {
-    Files.createDirectories(folder);
+  void write(Path directory) throws IOException {
+    Files.createDirectories(directory);
     new ObjectMapper()
         .writerWithDefaultPrettyPrinter()
-        .writeValue(folder.resolve("scale.json").toFile(), json);
-    Files.writeString(folder.resolve("scale.md"), markdown());
+        .writeValue(directory.resolve("scale.json").toFile(), json);
+    Files.writeString(directory.resolve("scale.md"), markdown());
     XYChart chart =
         new XYChartBuilder().title("Scale run").xAxisTitle("s").yAxisTitle("each second").build();
-    series.forEach(
+    seriesByName.forEach(
         (name, values) -> {
           if (!values.isEmpty()) {
             chart.addSeries(name, values);
           }
         });
     VectorGraphicsEncoder.saveVectorGraphic(
-        chart, folder.resolve("scale").toString(), VectorGraphicsFormat.SVG);
+        chart, directory.resolve("scale").toString(), VectorGraphicsFormat.SVG);
   }
 }
--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -28,61 +28,62 @@
 import picocli.CommandLine.Mixin;
 
 /**
- * Real controllers beside hollow workers, stand-ins of state service and cloud and a load of jobs,
- * all on loopback: measured by role, and judged by the rules over the whole history.
+ * Runs real controllers with hollow workers, a simulated state service and cloud, and generated
+ * load, all on loopback. Reports resource usage by role, and checks the safety rules over the whole
+ * task history.
  */
 @Command(
     name = "scale-run",
     mixinStandardHelpOptions = true,
     description =
-        "Runs controllers with hollow workers and a load of jobs on this machine, and reports what"
-            + " each role takes. Exit codes: 0 good, 1 a rule broken or a failure, 2 a bad"
-            + " argument.")
+        "Runs controllers with hollow workers and generated load on this machine, and reports the"
+            + " resource usage of each role. Exit codes: 0 success, 1 a broken safety rule or"
+            + " another failure, 2 an invalid argument.")
 public final class ScaleRun implements Callable<Integer> {
   private static final int EXIT_OK = 0;
   private static final int EXIT_FAILURE = 1;
   private static final int EXIT_USAGE = 2;
-  private static final Duration START = Duration.ofSeconds(90);
-  private static final Duration PATIENCE = Duration.ofSeconds(4);
+  private static final Duration START_TIMEOUT = Duration.ofSeconds(90);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
   private static final int DRAIN_SECONDS = 4;
-  private static final int MOST_PROCESSES = 200;
-  private static final int MOST_SOCKETS = 18_000;
-  private static final long BACK_MILLIS = 6_000;
+  private static final int MAX_PROCESSES = 200;
+  private static final int MAX_SOCKETS = 18_000;
+  private static final long RESTART_DELAY_MILLIS = 6_000;
 
   @Mixin private ScaleOptions options = new ScaleOptions();
 
   private final AtomicReference<Throwable> failure = new AtomicReference<>();
-  private final Traffic ownTraffic = new Traffic();
+  private final TrafficCounters ownTraffic = new TrafficCounters();
   private final ScaleReport report = new ScaleReport();
-  private final List<Double> startsEachSecond = new ArrayList<>();
-  private final List<Double> runningEachSecond = new ArrayList<>();
-  private final Map<Long, ProcessFigures> before = new LinkedHashMap<>();
-  private final Map<Long, Long> mostResident = new LinkedHashMap<>();
-  private long mostTogether;
-  private long startsBefore;
-  private long begunNanos;
-  private int requestsBefore;
-  private Map<String, Integer> changesBefore = Map.of();
+  private final List<Double> startsPerSecond = new ArrayList<>();
+  private final List<Double> runningTasksPerSecond = new ArrayList<>();
+  private final Map<Long, ProcessStats> initialStats = new LinkedHashMap<>();
+  private final Map<Long, Long> peakResidentBytes = new LinkedHashMap<>();
+  private long peakTotalResidentBytes;
+  private long previousStartCount;
+  private long measurementStartNanos;
+  private int initialStoreRequests;
+  private Map<String, Integer> initialStoreChanges = Map.of();
 
-  /** Runs it. */
+  /** Runs the command and exits with its exit code. */
   public static void main(String[] args) {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
     System.setProperty("org.jboss.logging.provider", "slf4j");
     CommandLine commandLine = new CommandLine(new ScaleRun());
     commandLine.setParameterExceptionHandler(
-        (fault, given) -> {
-          System.err.println(fault.getMessage());
+        (exception, commandArguments) -> {
+          System.err.println(exception.getMessage());
           return EXIT_USAGE;
         });
     System.exit(commandLine.execute(args));
   }
 
-  /** What was measured, after {@link #call}. */
+  /** Returns the results after {@link #call}. */
   ObjectNode figures() {
     return report.json();
   }
 
-  /** What ended the run, or null. */
+  /** Returns the error that ended the run, or null. */
   Throwable failure() {
     return failure.get();
   }
@@ -93,17 +94,17 @@
 
   @Override
   public Integer call() throws IOException {
-    String fault = options.fault();
-    if (fault == null && options.processes() + options.controllers + 1 > MOST_PROCESSES) {
-      fault = "--per-process: more than " + MOST_PROCESSES + " processes";
+    String error = options.fault();
+    if (error == null && options.workerProcesses() + options.controllers + 1 > MAX_PROCESSES) {
+      error = "--per-process: the run needs more than " + MAX_PROCESSES + " processes";
     }
-    if (fault != null) {
-      System.err.println(fault);
+    if (error != null) {
+      System.err.println(error);
       return EXIT_USAGE;
     }
-    Path folder = Files.createTempDirectory("scale-run");
-    RealTimeWorld real = new RealTimeWorld(1, MOST_SOCKETS, ownTraffic);
-    ScaleCluster cluster = new ScaleCluster(options, folder, real, this::fail);
+    Path directory = Files.createTempDirectory("scale-run");
+    RealTimeWorld realTimeWorld = new RealTimeWorld(1, MAX_SOCKETS, ownTraffic);
+    ScaleCluster cluster = new ScaleCluster(options, directory, realTimeWorld, this::fail);
     try (cluster) {
       run(cluster);
     } catch (InterruptedException e) {
@@ -113,10 +114,10 @@
       fail(e);
     }
     if (failure.get() == null) {
-      remove(folder);
+      deleteRecursively(directory);
     } else {
-      say("logs of the processes: " + folder);
-      say("FAILED: " + failure.get());
+      printStatus("Logs of the processes: " + directory);
+      printStatus("FAILED: " + failure.get());
     }
     report.json().put("rules_broken", failure.get() == null ? 0 : 1);
     if (options.out != null) {
@@ -126,16 +127,16 @@
     return failure.get() == null ? EXIT_OK : EXIT_FAILURE;
   }
 
-  private void fail(Throwable with) {
-    failure.compareAndSet(null, with);
+  private void fail(Throwable cause) {
+    failure.compareAndSet(null, cause);
   }
 
-  private static void say(String text) {
+  private static void printStatus(String text) {
     System.err.println(text);
   }
 
-  private static void remove(Path folder) throws IOException {
-    try (Stream<Path> all = Files.walk(folder)) {
+  private static void deleteRecursively(Path directory) throws IOException {
+    try (Stream<Path> all = Files.walk(directory)) {
       for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(each);
       }
@@ -144,88 +145,97 @@
 
   private void run(ScaleCluster cluster)
       throws IOException, InterruptedException, ExecutionException, TimeoutException {
-    RealTimeWorld real = cluster.real();
-    on(real, () -> cluster.startServices());
+    RealTimeWorld realTimeWorld = cluster.realTimeWorld();
+    runOnEventThread(realTimeWorld, () -> cluster.startServices());
     cluster.startControllers();
     cluster.startHollowWorkers();
     waitFor(cluster, "controllers", () -> isReady(cluster));
-    on(real, () -> cluster.bootWorkers());
-    waitFor(cluster, "workers", () -> get(real, cluster::workersUp) == options.workers);
-    Thread.sleep(2 * options.report().toMillis());
-    say(options.workers + " workers report");
-    SettingsChanges settings = new SettingsChanges(real, cluster.clusters());
+    runOnEventThread(realTimeWorld, () -> cluster.bootWorkers());
+    waitFor(
+        cluster,
+        "workers",
+        () -> getOnEventThread(realTimeWorld, cluster::runningWorkers) == options.workers);
+    Thread.sleep(2 * options.reportInterval().toMillis());
+    printStatus(options.workers + " workers send heartbeats");
+    SettingsChangeGenerator settings =
+        new SettingsChangeGenerator(realTimeWorld, cluster.peerAddresses());
     LoadGenerator load =
-        new LoadGenerator(options, real, cluster.rules(), cluster.history(), cluster.fronts());
-    on(real, () -> apply(cluster));
-    on(real, () -> settings.start(options.settingsPerMinute));
-    on(real, load::start);
-    pass(cluster, options.warmUp, false);
-    begin(cluster);
+        new LoadGenerator(
+            options, realTimeWorld, cluster.rules(), cluster.history(), cluster.userAddresses());
+    runOnEventThread(realTimeWorld, () -> applyHistory(cluster));
+    runOnEventThread(realTimeWorld, () -> settings.start(options.settingsPerMinute));
+    runOnEventThread(realTimeWorld, load::start);
+    runPhase(cluster, options.warmUp, false);
+    startMeasurement(cluster);
     if (options.killLeader > 0) {
-      pass(cluster, Math.min(options.killLeader, options.seconds), true);
-      int leader = leader(cluster);
-      say("controller " + leader + " leads and is killed");
-      on(real, () -> cluster.killController(leader, BACK_MILLIS));
-      pass(cluster, Math.max(0, options.seconds - options.killLeader), true);
+      runPhase(cluster, Math.min(options.killLeader, options.seconds), true);
+      int leader = leaderIndex(cluster);
+      printStatus("Killing controller " + leader + ", the leader");
+      runOnEventThread(realTimeWorld, () -> cluster.killController(leader, RESTART_DELAY_MILLIS));
+      runPhase(cluster, Math.max(0, options.seconds - options.killLeader), true);
     } else {
-      pass(cluster, options.seconds, true);
+      runPhase(cluster, options.seconds, true);
     }
-    collect(cluster, load, settings);
-    on(real, load::stop);
-    on(real, settings::stop);
-    pass(cluster, DRAIN_SECONDS, false);
-    on(real, () -> cluster.history().apply());
+    collectResults(cluster, load, settings);
+    runOnEventThread(realTimeWorld, load::stop);
+    runOnEventThread(realTimeWorld, settings::stop);
+    runPhase(cluster, DRAIN_SECONDS, false);
+    runOnEventThread(realTimeWorld, () -> cluster.history().applyCompleteEvents());
   }
 
-  /** Has the rules see what has its place in the order, again and again. */
-  private void apply(ScaleCluster cluster) {
+  /** Applies complete events to the safety rules, repeatedly. */
+  private void applyHistory(ScaleCluster cluster) {
     try {
-      cluster.history().apply();
+      cluster.history().applyCompleteEvents();
       cluster.rules().watchCancelled();
     } catch (AssertionError e) {
       fail(e);
       return;
     }
-    cluster.real().world().after(100, () -> apply(cluster));
+    cluster.realTimeWorld().world().after(100, () -> applyHistory(cluster));
   }
 
-  // ---- the event thread
-
-  private static void on(RealTimeWorld real, Runnable action)
+  private static void runOnEventThread(RealTimeWorld realTimeWorld, Runnable action)
       throws InterruptedException, ExecutionException, TimeoutException {
-    CompletableFuture<Void> over = new CompletableFuture<>();
-    real.runtime()
+    CompletableFuture<Void> done = new CompletableFuture<>();
+    realTimeWorld
+        .eventLoop()
         .execute(
             () -> {
               try {
                 action.run();
-                over.complete(null);
+                done.complete(null);
               } catch (RuntimeException | AssertionError e) {
-                over.completeExceptionally(e);
+                done.completeExceptionally(e);
               }
             });
-    over.get(60, TimeUnit.SECONDS);
+    done.get(60, TimeUnit.SECONDS);
   }
 
-  private static <T> T get(RealTimeWorld real, Supplier<T> what) {
-    CompletableFuture<T> got = new CompletableFuture<>();
-    real.runtime().execute(() -> got.complete(what.get()));
-    return got.join();
+  private static <T> T getOnEventThread(RealTimeWorld realTimeWorld, Supplier<T> supplier) {
+    CompletableFuture<T> received = new CompletableFuture<>();
+    realTimeWorld.eventLoop().execute(() -> received.complete(supplier.get()));
+    return received.join();
   }
 
-  private static AsyncHttpClient.Reply ask(RealTimeWorld real, String address, String path) {
-    CompletableFuture<AsyncHttpClient.Reply> got = new CompletableFuture<>();
-    real.runtime()
+  private static AsyncHttpClient.Reply httpGet(
+      RealTimeWorld realTimeWorld, String address, String path) {
+    CompletableFuture<AsyncHttpClient.Reply> received = new CompletableFuture<>();
+    realTimeWorld
+        .eventLoop()
         .execute(
             () ->
-                real.caller()
-                    .call(AsyncHttpClient.Request.get(address, path, PATIENCE), got::complete));
-    return got.join();
+                realTimeWorld
+                    .caller()
+                    .call(
+                        AsyncHttpClient.Request.get(address, path, REQUEST_TIMEOUT),
+                        received::complete));
+    return received.join();
   }
 
-  private static JsonNode askJson(RealTimeWorld real, String address, String path) {
+  private static JsonNode httpGetJson(RealTimeWorld realTimeWorld, String address, String path) {
     try {
-      AsyncHttpClient.Reply reply = ask(real, address, path);
+      AsyncHttpClient.Reply reply = httpGet(realTimeWorld, address, path);
       return reply.is(200) ? Json.parseObject(reply.body()) : null;
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
@@ -233,13 +243,15 @@
   }
 
   private boolean isReady(ScaleCluster cluster) {
-    return cluster.fronts().stream().allMatch(front -> ask(cluster.real(), front, "/ready").is(200))
-        && leader(cluster) >= 0;
+    return cluster.userAddresses().stream()
+            .allMatch(address -> httpGet(cluster.realTimeWorld(), address, "/ready").is(200))
+        && leaderIndex(cluster) >= 0;
   }
 
-  private static int leader(ScaleCluster cluster) {
-    for (int i = 0; i < cluster.clusters().size(); i++) {
-      JsonNode status = askJson(cluster.real(), cluster.clusters().get(i), "/admin/v1/status");
+  private static int leaderIndex(ScaleCluster cluster) {
+    for (int i = 0; i < cluster.peerAddresses().size(); i++) {
+      JsonNode status =
+          httpGetJson(cluster.realTimeWorld(), cluster.peerAddresses().get(i), "/admin/v1/status");
       if (status != null && status.path("leadership").asText().equals("leading")) {
         return i;
       }
@@ -247,99 +259,104 @@
     return -1;
   }
 
-  private void waitFor(ScaleCluster cluster, String what, BooleanSupplier there)
+  private void waitFor(ScaleCluster cluster, String description, BooleanSupplier condition)
       throws InterruptedException {
-    long until = System.nanoTime() + START.toNanos();
-    while (!there.getAsBoolean()) {
-      check(cluster);
-      if (System.nanoTime() > until) {
-        throw new IllegalStateException(what + " were not there after " + START.toSeconds() + " s");
+    long deadlineNanos = System.nanoTime() + START_TIMEOUT.toNanos();
+    while (!condition.getAsBoolean()) {
+      checkForFailure(cluster);
+      if (System.nanoTime() > deadlineNanos) {
+        throw new IllegalStateException(
+            description + " not ready within " + START_TIMEOUT.toSeconds() + " s");
       }
       Thread.sleep(200);
     }
   }
 
-  // ---- measuring
-
-  private void check(ScaleCluster cluster) {
+  private void checkForFailure(ScaleCluster cluster) {
     if (failure.get() != null) {
       throw new IllegalStateException(failure.get());
     }
-    String ended = cluster.endedByItself();
-    if (ended != null) {
-      throw new IllegalStateException(ended + " ended by itself");
+    String exited = cluster.exitedWorkerProcess();
+    if (exited != null) {
+      throw new IllegalStateException(exited + " exited unexpectedly");
     }
   }
 
-  private void pass(ScaleCluster cluster, int seconds, boolean measured)
+  private void runPhase(ScaleCluster cluster, int seconds, boolean measured)
       throws InterruptedException, ExecutionException, TimeoutException {
     for (int second = 0; second < seconds; second++) {
       Thread.sleep(1_000);
-      check(cluster);
+      checkForFailure(cluster);
       long[] starts = new long[1];
-      on(
-          cluster.real(),
+      runOnEventThread(
+          cluster.realTimeWorld(),
           () -> {
-            cluster.history().sample();
-            starts[0] = cluster.history().starts();
+            cluster.history().sampleRunningTasks();
+            starts[0] = cluster.history().startCount();
           });
-      startsEachSecond.add((double) (starts[0] - startsBefore));
-      runningEachSecond.add((double) get(cluster.real(), cluster.history()::running));
-      startsBefore = starts[0];
+      startsPerSecond.add((double) (starts[0] - previousStartCount));
+      runningTasksPerSecond.add(
+          (double) getOnEventThread(cluster.realTimeWorld(), cluster.history()::runningTaskCount));
+      previousStartCount = starts[0];
       sampleMemory(cluster);
       if (second % 5 == 4) {
-        say(
+        printStatus(
             (measured ? "measured " : "warm-up ")
                 + (second + 1)
                 + " s: "
-                + startsEachSecond.get(startsEachSecond.size() - 1).intValue()
-                + " starts a second, "
-                + runningEachSecond.get(runningEachSecond.size() - 1).intValue()
-                + " running, "
-                + mostTogether / (1 << 20)
+                + startsPerSecond.get(startsPerSecond.size() - 1).intValue()
+                + " starts/s, "
+                + runningTasksPerSecond.get(runningTasksPerSecond.size() - 1).intValue()
+                + " running tasks, "
+                + peakTotalResidentBytes / (1 << 20)
                 + " MB");
       }
     }
   }
 
   private void sampleMemory(ScaleCluster cluster) {
-    long together = 0;
+    long totalBytes = 0;
     for (List<Long> pids : cluster.pids().values()) {
       for (long pid : pids) {
-        long resident = ProcessFigures.of(pid).residentBytes();
-        mostResident.merge(pid, resident, Math::max);
-        together += resident;
+        long resident = ProcessStats.read(pid).residentBytes();
+        peakResidentBytes.merge(pid, resident, Math::max);
+        totalBytes += resident;
       }
     }
-    mostTogether = Math.max(mostTogether, together);
-    if (together > (long) options.memoryMb << 20) {
+    peakTotalResidentBytes = Math.max(peakTotalResidentBytes, totalBytes);
+    if (totalBytes > (long) options.memoryMb << 20) {
       throw new IllegalStateException(
-          "--memory-mb: the processes hold " + together / (1 << 20) + " MB");
+          "--memory-mb: resident memory limit of "
+              + options.memoryMb
+              + " MB exceeded: "
+              + totalBytes / (1 << 20)
+              + " MB");
     }
   }
 
-  private void begin(ScaleCluster cluster)
+  private void startMeasurement(ScaleCluster cluster)
       throws InterruptedException, ExecutionException, TimeoutException {
-    begunNanos = System.nanoTime();
+    measurementStartNanos = System.nanoTime();
     cluster
         .pids()
         .values()
-        .forEach(all -> all.forEach(pid -> before.put(pid, ProcessFigures.of(pid))));
-    on(
-        cluster.real(),
+        .forEach(all -> all.forEach(pid -> initialStats.put(pid, ProcessStats.read(pid))));
+    runOnEventThread(
+        cluster.realTimeWorld(),
         () -> {
           cluster.workerTraffic().clear();
           cluster.storeTraffic().clear();
-          requestsBefore = cluster.store().requests;
-          changesBefore = Map.copyOf(cluster.store().changes);
-          cluster.history().measure(true);
+          initialStoreRequests = cluster.store().requests;
+          initialStoreChanges = Map.copyOf(cluster.store().changes);
+          cluster.history().setMeasuring(true);
         });
   }
 
-  private void collect(ScaleCluster cluster, LoadGenerator load, SettingsChanges settings)
+  private void collectResults(
+      ScaleCluster cluster, LoadGenerator load, SettingsChangeGenerator settings)
       throws InterruptedException, ExecutionException, TimeoutException {
-    double seconds = (System.nanoTime() - begunNanos) / 1e9;
-    int leader = leader(cluster);
+    double seconds = (System.nanoTime() - measurementStartNanos) / 1e9;
+    int leader = leaderIndex(cluster);
     ObjectNode out = report.json();
     addSizes(out);
     ObjectNode roles = out.putObject("roles");
@@ -352,47 +369,59 @@
                 addProcess(roles.putObject(name), pids.get(i), seconds);
               }
             });
-    on(
-        cluster.real(),
+    runOnEventThread(
+        cluster.realTimeWorld(),
         () -> {
           TaskHistory history = cluster.history();
-          history.measure(false);
-          out.put("starts_a_second", history.measuredStarts() / seconds);
-          out.put("tasks_running", history.meanRunning());
-          out.put("jobs_submitted", load.submitted());
-          out.put("answers_missing", load.unanswered());
-          out.put("store_requests_a_second", (cluster.store().requests - requestsBefore) / seconds);
+          history.setMeasuring(false);
+          out.put("starts_a_second", history.measuredStartCount() / seconds);
+          out.put("tasks_running", history.meanRunningTasks());
+          out.put("jobs_submitted", load.submittedJobs());
+          out.put("answers_missing", load.failedRequests());
+          out.put(
+              "store_requests_a_second",
+              (cluster.store().requests - initialStoreRequests) / seconds);
           ObjectNode changes = out.putObject("store_changes_a_second");
-          double[] all = new double[1];
+          double[] total = new double[1];
           cluster
               .store()
               .changes
               .forEach(
                   (kind, count) -> {
-                    double rate = (count - changesBefore.getOrDefault(kind, 0)) / seconds;
-                    all[0] += rate;
+                    double rate = (count - initialStoreChanges.getOrDefault(kind, 0)) / seconds;
+                    total[0] += rate;
                     changes.put(kind, rate);
                   });
-          changes.put("all", all[0]);
+          changes.put("all", total[0]);
           ObjectNode waits = out.putObject("submission_to_start_s");
-          history.waits().forEach((rank, times) -> waits.set(rank, ScaleReport.seconds(times)));
-          out.set("submission_to_acceptance_s", ScaleReport.seconds(load.accepted()));
-          out.set("settings_in_force_s", ScaleReport.seconds(settings.inForce()));
-          out.put("settings_pending", settings.pending());
+          history
+              .startDelays()
+              .forEach(
+                  (jobClass, delays) ->
+                      waits.set(jobClass, ScaleReport.percentilesInSeconds(delays)));
+          out.set(
+              "submission_to_acceptance_s",
+              ScaleReport.percentilesInSeconds(load.acceptanceTimes()));
+          out.set(
+              "settings_in_force_s", ScaleReport.percentilesInSeconds(settings.activationTimes()));
+          out.put("settings_pending", settings.pendingChanges());
           addTraffic(out.putObject("workers_a_second"), cluster.workerTraffic(), seconds);
           addTraffic(out.putObject("services_a_second"), cluster.storeTraffic(), seconds);
         });
     JsonNode takeovers =
         leader < 0
             ? null
-            : askJson(cluster.real(), cluster.clusters().get(leader), "/admin/v1/takeovers");
+            : httpGetJson(
+                cluster.realTimeWorld(),
+                cluster.peerAddresses().get(leader),
+                "/admin/v1/takeovers");
     if (takeovers != null) {
       out.set("takeovers", takeovers.get("latest"));
     }
-    out.put("resident_mb_together", mostTogether / (1 << 20));
-    report.series("starts", startsEachSecond);
-    report.series(
-        "tasks running / 10", runningEachSecond.stream().map(value -> value / 10).toList());
+    out.put("resident_mb_together", peakTotalResidentBytes / (1 << 20));
+    report.addSeries("starts", startsPerSecond);
+    report.addSeries(
+        "tasks running / 10", runningTasksPerSecond.stream().map(value -> value / 10).toList());
   }
 
   private void addSizes(ObjectNode out) {
@@ -412,14 +441,14 @@
   }
 
   private void addProcess(ObjectNode out, long pid, double seconds) {
-    ProcessFigures now = ProcessFigures.of(pid);
-    ProcessFigures then = before.getOrDefault(pid, now);
-    out.put("cores", (now.cpuSeconds() - then.cpuSeconds()) / seconds)
-        .put("resident_mb", mostResident.getOrDefault(pid, 0L) / (1 << 20))
-        .put("sockets", now.sockets());
+    ProcessStats current = ProcessStats.read(pid);
+    ProcessStats initial = initialStats.getOrDefault(pid, current);
+    out.put("cores", (current.cpuSeconds() - initial.cpuSeconds()) / seconds)
+        .put("resident_mb", peakResidentBytes.getOrDefault(pid, 0L) / (1 << 20))
+        .put("sockets", current.sockets());
   }
 
-  private static void addTraffic(ObjectNode out, Traffic traffic, double seconds) {
+  private static void addTraffic(ObjectNode out, TrafficCounters traffic, double seconds) {
     traffic
         .json()
         .properties()
--- a/src/scale/java/io/pineladder/sim/ScaleSeries.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSeries.java
@@ -17,20 +17,21 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Scale runs in which one size is varied: each figure's lowest, median and highest, and its slope.
+ * Repeats scale runs while varying one option, and reports the minimum, median, maximum and slope
+ * of each result.
  */
 @Command(
     name = "scale-series",
     mixinStandardHelpOptions = true,
     description =
-        "Repeats scale runs at several sizes of one argument and fits a line through the medians."
-            + " What follows the options is handed on to each run.")
+        "Repeats scale runs with several values of one option and fits a line through the medians."
+            + " The remaining arguments are passed to each run.")
 public final class ScaleSeries implements Callable<Integer> {
   private static final int EXIT_OK = 0;
   private static final int EXIT_FAILURE = 1;
 
-  /** Figures of a run, by their place in its report. */
-  private static final List<String> FIGURES =
+  /** JSON pointers of the reported results in the report of a run. */
+  private static final List<String> RESULT_PATHS =
       List.of(
           "/starts_a_second",
           "/tasks_running",
@@ -52,28 +53,32 @@
   @Option(
       names = "--vary",
       required = true,
-      description = "the argument of the scale run that is varied")
+      description = "name of the scale run option to vary, without dashes")
   private String vary;
 
-  @Option(names = "--sizes", required = true, split = ",", description = "its values")
+  @Option(
+      names = "--sizes",
+      required = true,
+      split = ",",
+      description = "values of the varied option")
   private List<Double> sizes;
 
-  @Option(names = "--repeat", description = "runs of each size (default: ${DEFAULT-VALUE})")
+  @Option(names = "--repeat", description = "number of runs per value (default: ${DEFAULT-VALUE})")
   private int repeat = 3;
 
   @Option(
       names = "--report",
       required = true,
-      description = "the file that the series is written to, as JSON")
+      description = "file for the results of all runs, as JSON")
   private Path file;
 
-  @Parameters(description = "arguments of each scale run")
+  @Parameters(description = "arguments passed to each scale run")
   private List<String> rest = new ArrayList<>();
 
-  private final ObjectNode json = Json.object();
-  private int failed;
+  private final ObjectNode report = Json.object();
+  private int failedRuns;
 
-  /** Runs it. */
+  /** Runs the command and exits with its exit code. */
   public static void main(String[] args) {
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
     System.setProperty("org.jboss.logging.provider", "slf4j");
@@ -82,21 +87,21 @@
 
   @Override
   public Integer call() throws IOException {
-    json.put("vary", vary).put("arguments", String.join(" ", rest));
-    ArrayNode runs = json.putArray("runs");
+    report.put("vary", vary).put("arguments", String.join(" ", rest));
+    ArrayNode runs = report.putArray("runs");
     List<List<JsonNode>> bySize = new ArrayList<>();
     for (double size : sizes) {
       List<JsonNode> ofSize = new ArrayList<>();
       for (int i = 0; i < repeat; i++) {
-        ObjectNode figures = runOnce(size);
-        runs.add(figures);
-        if (figures.get("rules_broken").asInt() == 0) {
-          ofSize.add(figures);
+        ObjectNode results = runOnce(size);
+        runs.add(results);
+        if (results.get("rules_broken").asInt() == 0) {
+          ofSize.add(results);
         } else {
-          failed++;
+          failedRuns++;
         }
         Files.writeString(
-            file, new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(json));
+            file, new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(report));
       }
       bySize.add(ofSize);
     }
@@ -104,12 +109,12 @@
     sizes.forEach(size -> table.append(' ').append(vary).append(' ').append(size).append(" |"));
     table.append(" slope | at 0 | largest residual |\n").append("| --- ".repeat(sizes.size() + 4));
     table.append("|\n");
-    for (String figure : FIGURES) {
-      row(figure, bySize, table);
+    for (String path : RESULT_PATHS) {
+      appendRow(path, bySize, table);
     }
     System.out.println(table);
-    System.out.println(failed + " of " + sizes.size() * repeat + " runs failed");
-    return failed == 0 ? EXIT_OK : EXIT_FAILURE;
+    System.out.println(failedRuns + " of " + sizes.size() * repeat + " runs failed");
+    return failedRuns == 0 ? EXIT_OK : EXIT_FAILURE;
   }
 
   private ObjectNode runOnce(double size) throws IOException {
@@ -119,24 +124,24 @@
     arguments.add(size == Math.rint(size) ? Long.toString((long) size) : Double.toString(size));
     new CommandLine(run).parseArgs(arguments.toArray(String[]::new));
     int exit = run.call();
-    ObjectNode figures = run.figures().put("varied", size);
-    if (!figures.has("rules_broken")) {
-      figures.put("rules_broken", exit);
+    ObjectNode results = run.figures().put("varied", size);
+    if (!results.has("rules_broken")) {
+      results.put("rules_broken", exit);
     }
     if (run.failure() != null) {
-      figures.put("failure", run.failure().toString());
+      results.put("failure", run.failure().toString());
     }
-    return figures;
+    return results;
   }
 
-  /** Lowest, median and highest at each size, and the line through the medians. */
-  private void row(String figure, List<List<JsonNode>> bySize, StringBuilder table) {
-    table.append("| ").append(figure.substring(1).replace("/", " ")).append(" |");
+  /** Appends the minimum, median and maximum at each size, and the line through the medians. */
+  private void appendRow(String path, List<List<JsonNode>> bySize, StringBuilder table) {
+    table.append("| ").append(path.substring(1).replace("/", " ")).append(" |");
     List<double[]> points = new ArrayList<>();
     for (int i = 0; i < sizes.size(); i++) {
       double[] values =
           bySize.get(i).stream()
-              .map(run -> run.at(figure))
+              .map(run -> run.at(path))
               .filter(JsonNode::isNumber)
               .mapToDouble(JsonNode::asDouble)
               .sorted()
@@ -154,19 +159,19 @@
       table.append(" none | none | none |\n");
       return;
     }
-    double[] line = fit(points);
+    double[] line = fitLine(points);
     double residual =
         points.stream().mapToDouble(p -> Math.abs(p[1] - line[0] * p[0] - line[1])).max().orElse(0);
     table.append(String.format(" %.6f | %.3f | %.3f |%n", line[0], line[1], residual));
   }
 
-  /** Slope and value at zero of the line with the least squares. */
-  private static double[] fit(List<double[]> points) {
+  /** Returns the slope and the intercept of the least squares line. */
+  private static double[] fitLine(List<double[]> points) {
     double meanX = points.stream().mapToDouble(p -> p[0]).average().orElse(0);
     double meanY = points.stream().mapToDouble(p -> p[1]).average().orElse(0);
-    double above = points.stream().mapToDouble(p -> (p[0] - meanX) * (p[1] - meanY)).sum();
-    double below = points.stream().mapToDouble(p -> (p[0] - meanX) * (p[0] - meanX)).sum();
-    double slope = below == 0 ? 0 : above / below;
+    double covariance = points.stream().mapToDouble(p -> (p[0] - meanX) * (p[1] - meanY)).sum();
+    double variance = points.stream().mapToDouble(p -> (p[0] - meanX) * (p[0] - meanX)).sum();
+    double slope = variance == 0 ? 0 : covariance / variance;
     return new double[] {slope, meanY - slope * meanX};
   }
 }
--- a/src/scale/java/io/pineladder/sim/ScaleSettings.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSettings.java
@@ -11,29 +11,29 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** The settings files of a scale run's controllers. */
+/** Creates the settings files of the controllers of a scale run. */
 final class ScaleSettings {
-  /** What each machine has; a card and a half for each worker is what is planned for. */
-  static final FakeFleet.Type TYPE =
+  /** The type of all machines. */
+  static final FakeFleet.Type MACHINE_TYPE =
       new FakeFleet.Type("w16", 16, 2, 64, 1, 4, 1, 10, List.of("z0"));
 
   private final ScaleOptions options;
-  private final String state;
-  private final String cloud;
-  private final List<String> fronts;
-  private final List<String> clusters;
+  private final String storeAddress;
+  private final String cloudAddress;
+  private final List<String> userAddresses;
+  private final List<String> peerAddresses;
 
   ScaleSettings(
       ScaleOptions options,
-      String state,
-      String cloud,
-      List<String> fronts,
-      List<String> clusters) {
+      String storeAddress,
+      String cloudAddress,
+      List<String> userAddresses,
+      List<String> peerAddresses) {
     this.options = options;
-    this.state = state;
-    this.cloud = cloud;
-    this.fronts = fronts;
-    this.clusters = clusters;
+    this.storeAddress = storeAddress;
+    this.cloudAddress = cloudAddress;
+    this.userAddresses = userAddresses;
+    this.peerAddresses = peerAddresses;
   }
 
   static List<String> zones(int count) {
@@ -41,38 +41,39 @@
   }
 
   /**
-   * Teams whose limits hold a fifth more than their share of the load; the largest part guaranteed.
+   * Returns the teams. The limit of each is its share of the load plus 20% and two whole jobs; half
+   * of the limit is guaranteed.
    */
   static List<Team> teams(ScaleOptions options) {
     List<Team> teams = new ArrayList<>();
-    double each =
+    double maxCpus =
         1.2 * options.running / options.teams + 2.0 * Math.max(options.tasks, options.gang);
     for (int i = 0; i < options.teams; i++) {
-      teams.add(new Team("team-" + i, Resources.of(each / 2, 0, 0), each, 0));
+      teams.add(new Team("team-" + i, Resources.of(maxCpus / 2, 0, 0), maxCpus, 0));
     }
     return teams;
   }
 
-  /** The settings file of one controller. */
+  /** Returns the settings file of a controller as TOML. */
   String toml(int index) throws IOException {
     ObjectNode root =
         Json.object()
             .put("member", "rung-" + index)
             .put("area", "z" + index % options.zones)
-            .put("front", fronts.get(index))
-            .put("cluster_listen", clusters.get(index));
+            .put("front", userAddresses.get(index))
+            .put("cluster_listen", peerAddresses.get(index));
     ArrayNode seeds = root.putArray("seeds");
-    for (int i = 0; i < fronts.size(); i++) {
+    for (int i = 0; i < userAddresses.size(); i++) {
       if (i != index) {
         seeds
             .addObject()
             .put("member", "rung-" + i)
             .put("area", "z" + i % options.zones)
-            .put("address", clusters.get(i));
+            .put("address", peerAddresses.get(i));
       }
     }
-    root.putObject("external").put("cloud", cloud).put("state", state);
-    ObjectNode deployment = root.putObject("deployment").put("count", fronts.size());
+    root.putObject("external").put("cloud", cloudAddress).put("state", storeAddress);
+    ObjectNode deployment = root.putObject("deployment").put("count", userAddresses.size());
     zones(options.zones).forEach(deployment.putArray("zones")::add);
     deployment.put("time_bound_ms", 100.0);
     ArrayNode teams = deployment.putArray("teams");
--- a/src/scale/java/io/pineladder/sim/TaskHistory.java
+++ b/src/scale/java/io/pineladder/sim/TaskHistory.java
@@ -17,211 +17,220 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What all hollow workers have recorded, brought into the order of the machine's steady clock and
- * given to the rules. Events come in batches from several processes, each with the time up to which
- * it holds everything; so an event waits until every process has handed over what came before it.
+ * Merges the task events of all hollow workers in the order of the machine's monotonic clock and
+ * checks them against the safety rules. Each process sends its events in batches; a batch states
+ * the time up to which the events of its process are complete. An event is applied once all
+ * processes have sent all earlier events.
  */
 final class TaskHistory {
-  private static final long MOST_MICROS = 600_000_000L;
+  private static final long MAX_WAIT_MICROS = 600_000_000L;
 
-  /** What a worker recorded, or with an action what a user was told. */
+  /** A task event recorded by a worker or, if {@code action} is set, a response to a user. */
   private record Event(
       long nanos,
-      HollowTasks.Kind kind,
+      HollowTaskRecorder.EventKind kind,
       String host,
-      String piece,
+      String taskId,
       long attempt,
       Runnable action) {}
 
   private final SafetyRules rules;
   private final Map<String, Worker> workers;
-  private final PriorityQueue<Event> waiting =
+  private final PriorityQueue<Event> pendingEvents =
       new PriorityQueue<>(Comparator.comparingLong(Event::nanos));
 
-  /** When each job was submitted first, by the steady clock. */
-  private final Map<String, Long> submitted = new HashMap<>();
+  /** Time of the first submission of each job, on the monotonic clock. */
+  private final Map<String, Long> submittedNanos = new HashMap<>();
 
-  /** Tasks of gangs that wait for the others, by job and attempt, with where they are. */
-  private final Map<String, Map<String, String>> gathering = new HashMap<>();
+  /** Gang tasks that wait for the rest of their gang, by {@code job#attempt}: worker by task. */
+  private final Map<String, Map<String, String>> waitingGangTasks = new HashMap<>();
 
-  /** Gang tasks that may run now, by process. */
-  private final Map<String, ArrayNode> released = new HashMap<>();
+  /** Gang tasks whose gang is complete, by the process to be notified. */
+  private final Map<String, ArrayNode> releasedGangTasks = new HashMap<>();
 
-  private final Map<String, String> processOf = new HashMap<>();
-  private final Map<String, Histogram> waits = new TreeMap<>();
-  private final Set<String> running = new HashSet<>();
+  private final Map<String, String> processByWorker = new HashMap<>();
+  private final Map<String, Histogram> startDelays = new TreeMap<>();
+  private final Set<String> runningTasks = new HashSet<>();
 
-  /** Up to which time each process has handed over everything. */
-  private final Map<String, Long> handedOver = new HashMap<>();
+  /** The time up to which the events of each process are complete. */
+  private final Map<String, Long> completeUntilNanos = new HashMap<>();
 
-  private long applied;
-  private long starts;
-  private long measuredStarts;
-  private long measuredTasksRunning;
-  private long measuredSamples;
+  private long lastAppliedNanos;
+  private long startCount;
+  private long measuredStartCount;
+  private long sampledRunningTasks;
+  private long sampleCount;
   private boolean measuring;
 
   /**
-   * An empty history.
+   * Creates an empty history.
    *
-   * @param processes all processes of hollow workers
+   * @param processes the addresses of all hollow worker processes
    */
   TaskHistory(SafetyRules rules, Map<String, Worker> workers, List<String> processes) {
     this.rules = rules;
     this.workers = workers;
-    processes.forEach(process -> handedOver.put(process, 0L));
+    processes.forEach(process -> completeUntilNanos.put(process, 0L));
   }
 
-  void submitted(String job) {
-    submitted.putIfAbsent(job, System.nanoTime());
+  void recordSubmission(String job) {
+    submittedNanos.putIfAbsent(job, System.nanoTime());
   }
 
-  /** The worker runs in that process. */
-  void runsIn(String host, String process) {
-    processOf.put(host, process);
+  /** Records the process that runs a worker. */
+  void assignProcess(String host, String process) {
+    processByWorker.put(host, process);
   }
 
-  void measure(boolean on) {
-    measuring = on;
+  void setMeasuring(boolean enabled) {
+    measuring = enabled;
   }
 
-  /** Takes in a batch of a process; the answer to it. */
-  ObjectNode take(String process, JsonNode batch) {
-    handedOver.put(process, batch.get("until").asLong());
+  /** Adds a batch of events from a process; returns the response to the process. */
+  ObjectNode addBatch(String process, JsonNode batch) {
+    completeUntilNanos.put(process, batch.get("until").asLong());
     for (JsonNode each : batch.get("events")) {
       Event event =
           new Event(
               each.get(0).asLong(),
-              HollowTasks.Kind.valueOf(each.get(1).asText()),
+              HollowTaskRecorder.EventKind.valueOf(each.get(1).asText()),
               each.get(2).asText(),
               each.get(3).asText(),
               each.get(4).asLong(),
               null);
-      if (event.nanos < applied) {
-        throw new AssertionError("events came after later ones of their process");
+      if (event.nanos < lastAppliedNanos) {
+        throw new AssertionError(
+            "events of process "
+                + process
+                + " arrived out of order: got one at "
+                + event.nanos
+                + " ns after one at "
+                + lastAppliedNanos
+                + " ns was applied");
       }
-      gather(event);
-      waiting.add(event);
+      updateGang(event);
+      pendingEvents.add(event);
     }
     ObjectNode out = Json.object();
     ObjectNode jobs = out.putObject("jobs");
     for (JsonNode id : batch.get("jobs")) {
       SafetyRules.Known job = rules.jobs.get(id.asText());
       if (job == null) {
-        throw new AssertionError("a task of " + id + " was started, which nobody submitted");
+        throw new AssertionError("task of unknown job " + id + " was started");
       }
       jobs.putObject(job.id)
           .put("gang", job.spec.get("shape").asText().equals("group"))
           .put("run_ms", rules.runMillis(new Task(job.id + "/0", 0)));
     }
-    ArrayNode run = released.remove(process);
+    ArrayNode run = releasedGangTasks.remove(process);
     out.set("run", run == null ? Json.array() : run);
     return out;
   }
 
-  /** Something happens now that is to be seen in the same order. */
-  void now(Runnable action) {
-    waiting.add(new Event(System.nanoTime(), null, "", "", 0, action));
+  /** Adds an action that is run in order with the task events, at the current time. */
+  void recordAction(Runnable action) {
+    pendingEvents.add(new Event(System.nanoTime(), null, "", "", 0, action));
   }
 
   /**
-   * A gang runs once all of one attempt are there: its workers are told with their next answers.
+   * Releases a gang once all tasks of an attempt have started. Its workers are notified in the
+   * responses to their next batches.
    */
-  private void gather(Event event) {
-    String gang = event.piece.substring(0, event.piece.indexOf('/')) + "#" + event.attempt;
-    if (event.kind == HollowTasks.Kind.LEFT) {
-      Map<String, String> of = gathering.get(gang);
-      if (of != null) {
-        of.remove(event.piece);
+  private void updateGang(Event event) {
+    String gang = event.taskId.substring(0, event.taskId.indexOf('/')) + "#" + event.attempt;
+    if (event.kind == HollowTaskRecorder.EventKind.LEFT) {
+      Map<String, String> waiting = waitingGangTasks.get(gang);
+      if (waiting != null) {
+        waiting.remove(event.taskId);
       }
-    } else if (event.kind == HollowTasks.Kind.STARTED) {
-      SafetyRules.Known job = rules.jobs.get(event.piece.substring(0, event.piece.indexOf('/')));
+    } else if (event.kind == HollowTaskRecorder.EventKind.STARTED) {
+      SafetyRules.Known job = rules.jobs.get(event.taskId.substring(0, event.taskId.indexOf('/')));
       if (!job.spec.get("shape").asText().equals("group")) {
         return;
       }
-      Map<String, String> of = gathering.computeIfAbsent(gang, g -> new HashMap<>());
-      of.put(event.piece, event.host);
-      if (of.size() == job.tasks()) {
-        of.forEach(
-            (piece, host) ->
-                released
-                    .computeIfAbsent(processOf.get(host), p -> Json.array())
+      Map<String, String> waiting = waitingGangTasks.computeIfAbsent(gang, g -> new HashMap<>());
+      waiting.put(event.taskId, event.host);
+      if (waiting.size() == job.tasks()) {
+        waiting.forEach(
+            (taskId, host) ->
+                releasedGangTasks
+                    .computeIfAbsent(processByWorker.get(host), p -> Json.array())
                     .addArray()
                     .add(host)
-                    .add(piece + "#" + event.attempt));
-        gathering.remove(gang);
+                    .add(taskId + "#" + event.attempt));
+        waitingGangTasks.remove(gang);
       }
     }
   }
 
-  /** Gives the rules what has its place in the order by now. */
-  void apply() {
-    long until = handedOver.values().stream().mapToLong(Long::longValue).min().orElse(0);
-    while (!waiting.isEmpty() && waiting.peek().nanos < until) {
-      Event event = waiting.poll();
-      applied = event.nanos;
+  /** Applies all events that no earlier event can precede any more. */
+  void applyCompleteEvents() {
+    long until = completeUntilNanos.values().stream().mapToLong(Long::longValue).min().orElse(0);
+    while (!pendingEvents.isEmpty() && pendingEvents.peek().nanos < until) {
+      Event event = pendingEvents.poll();
+      lastAppliedNanos = event.nanos;
       if (event.action != null) {
         event.action.run();
       } else {
-        apply(event);
+        applyEvent(event);
       }
     }
   }
 
-  private void apply(Event event) {
-    Task task = new Task(event.piece, event.attempt);
-    Worker on = workers.get(event.host);
+  private void applyEvent(Event event) {
+    Task task = new Task(event.taskId, event.attempt);
+    Worker worker = workers.get(event.host);
     switch (event.kind) {
-      case COMMANDED -> rules.commanded(task, on);
+      case COMMANDED -> rules.commanded(task, worker);
       case STARTED -> {
-        rules.started(task, on);
-        running.add(event.piece);
-        starts++;
+        rules.started(task, worker);
+        runningTasks.add(event.taskId);
+        startCount++;
         if (measuring) {
-          measuredStarts++;
+          measuredStartCount++;
           SafetyRules.Known job = rules.jobs.get(task.job());
-          long micros = (event.nanos - submitted.get(job.id)) / 1_000;
-          waits
+          long micros = (event.nanos - submittedNanos.get(job.id)) / 1_000;
+          startDelays
               .computeIfAbsent(
-                  job.spec.get("jobclass").asText(), c -> new Histogram(MOST_MICROS, 3))
-              .recordValue(Math.min(MOST_MICROS, micros));
+                  job.spec.get("jobclass").asText(), c -> new Histogram(MAX_WAIT_MICROS, 3))
+              .recordValue(Math.min(MAX_WAIT_MICROS, micros));
         }
       }
       case LEFT -> {
-        rules.left(task, on);
-        running.remove(event.piece);
+        rules.left(task, worker);
+        runningTasks.remove(event.taskId);
       }
       case COMPLETED -> rules.completed(task);
       case GATHERING -> {}
     }
   }
 
-  /** Counts the tasks that run, once a second. */
-  void sample() {
+  /** Samples the number of running tasks; called once per second. */
+  void sampleRunningTasks() {
     if (measuring) {
-      measuredTasksRunning += running.size();
-      measuredSamples++;
+      sampledRunningTasks += runningTasks.size();
+      sampleCount++;
     }
   }
 
-  int running() {
-    return running.size();
+  int runningTaskCount() {
+    return runningTasks.size();
   }
 
-  long starts() {
-    return starts;
+  long startCount() {
+    return startCount;
   }
 
-  long measuredStarts() {
-    return measuredStarts;
+  long measuredStartCount() {
+    return measuredStartCount;
   }
 
-  double meanRunning() {
-    return measuredSamples == 0 ? 0 : (double) measuredTasksRunning / measuredSamples;
+  double meanRunningTasks() {
+    return sampleCount == 0 ? 0 : (double) sampledRunningTasks / sampleCount;
   }
 
-  /** From the submission to the start of each task, in microseconds, by class of job. */
-  Map<String, Histogram> waits() {
-    return waits;
+  /** Returns the delays from job submission to task start in microseconds, by job class. */
+  Map<String, Histogram> startDelays() {
+    return startDelays;
   }
 }
--- a/src/scale/java/io/pineladder/sim/Traffic.java
+++ b/src/scale/java/io/pineladder/sim/TrafficCounters.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts messages and the bytes of their bodies, by kind; headers are left out. */
-final class Traffic {
-  /** What passed of one kind. */
+/** Counts messages and the sizes of their bodies by kind; headers are not counted. */
+final class TrafficCounters {
+  /** The counts of one kind of message. */
   static final class Counter {
     long messages;
     long requestBytes;
@@ -16,12 +16,12 @@
 
   private final Map<String, Counter> counters = new TreeMap<>();
 
-  private Counter of(String direction, String path) {
-    return counters.computeIfAbsent(direction + kind(path), kind -> new Counter());
+  private Counter counter(String direction, String path) {
+    return counters.computeIfAbsent(direction + kindOf(path), kind -> new Counter());
   }
 
-  /** The kind of a request by its path: the path's first words, without names and queries. */
-  private static String kind(String path) {
+  /** Derives the kind of a request from its path, without identifiers and query parameters. */
+  private static String kindOf(String path) {
     if (path.startsWith("/v1/jobs")) {
       return path.endsWith("/cancel") ? "cancel" : path.length() > 9 ? "poll" : "submit";
     }
@@ -32,27 +32,27 @@
     return path.contains("?") ? last + "?" : last;
   }
 
-  void sent(String path, int bytes) {
-    Counter counter = of("out ", path);
+  void requestSent(String path, int bytes) {
+    Counter counter = counter("out ", path);
     counter.messages++;
     counter.requestBytes += bytes;
   }
 
-  void replied(String path, int bytes) {
-    of("out ", path).answerBytes += bytes;
+  void responseReceived(String path, int bytes) {
+    counter("out ", path).answerBytes += bytes;
   }
 
-  void received(String path, int bytes) {
-    Counter counter = of("in ", path);
+  void requestReceived(String path, int bytes) {
+    Counter counter = counter("in ", path);
     counter.messages++;
     counter.requestBytes += bytes;
   }
 
-  void answered(String path, int bytes) {
-    of("in ", path).answerBytes += bytes;
+  void responseSent(String path, int bytes) {
+    counter("in ", path).answerBytes += bytes;
   }
 
-  /** Adds what another process has counted. */
+  /** Adds the counts of another process. */
   void add(ObjectNode counted) {
     counted
         .properties()
