--- a/src/main/java/io/pineladder/net/HttpExchange.java
+++ b/src/main/java/io/pineladder/net/HttpExchange.java
@@ -50,7 +50,7 @@
     } catch (RuntimeException e) {
       // The client throws if the peer has just closed the connection. Part of the request may have
       // been sent. This is an expected network failure, so it must not reach runOrHalt.
-      exchange.fail("connection closed by the peer");
+      exchange.fail("the connection was closed");
     }
   }
 
@@ -164,7 +164,7 @@
           return true;
         }
         if (into.size() + read > maxResponseBytes) {
-          fail("response body exceeds " + maxResponseBytes + " bytes");
+          fail("the answer is longer than " + maxResponseBytes + " bytes");
           return true;
         }
         into.write(buffer.array(), 0, read);
--- a/src/main/java/io/pineladder/net/OutboundHttpClient.java
+++ b/src/main/java/io/pineladder/net/OutboundHttpClient.java
@@ -156,7 +156,10 @@
     return true;
   }
 
-  /** A request in progress. */
+  /**
+   * A request in progress. The administration API shows its failure reasons, including those of
+   * {@link HttpExchange}, as {@code last_error}.
+   */
   private final class Call {
     private final Message message;
     private final Consumer<Result> onResult;
@@ -178,9 +181,7 @@
           eventLoop
               .thread()
               .executeAfter(
-                  () ->
-                      XnioEventLoop.runOrHalt(
-                          () -> finish(Result.failed("no response within the timeout"))),
+                  () -> XnioEventLoop.runOrHalt(() -> finish(Result.failed("no answer in time"))),
                   Math.max(1, message.timeout().toMillis()),
                   TimeUnit.MILLISECONDS);
       OpenConnection idleConnection = takeIdleConnection(origin);
@@ -207,7 +208,7 @@
         return;
       }
       if (addresses.length == 0) {
-        finish(Result.failed("cannot resolve host name " + host));
+        finish(Result.failed("the name " + host + " is not known"));
         return;
       }
       InetAddress allowedAddress = null;
@@ -235,7 +236,7 @@
                 .tryOpen(ConnectionLimiter.TrafficClass.NOTICES, this::close);
       }
       if (socket == null) {
-        finish(Result.failed("no free socket for notifications"));
+        finish(Result.failed("no socket is free for notices"));
         return;
       }
       URI url = message.url();
@@ -256,7 +257,7 @@
                 : connector.connect(address, buffers, connectionCallback(allowedAddress));
       } catch (GeneralSecurityException e) {
         socket.markClosed();
-        finish(Result.failed("cannot initialize TLS: " + e.getMessage()));
+        finish(Result.failed("no TLS: " + e.getMessage()));
       }
     }
 
--- a/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
+++ b/src/test/java/io/pineladder/net/OutboundHttpClientTest.java
@@ -177,7 +177,7 @@
         assertEquals(Outcome.FAILED, result.outcome());
         assertTrue(Duration.between(start, Instant.now()).toSeconds() < 8, result.failureReason());
         assertEquals(
-            kind == 2 ? "response body exceeds 4096 bytes" : "no response within the timeout",
+            kind == 2 ? "the answer is longer than 4096 bytes" : "no answer in time",
             result.failureReason());
       }
     }
