--- a/src/main/java/io/pineladder/ClusterConfiguration.java
+++ b/src/main/java/io/pineladder/ClusterConfiguration.java
@@ -126,7 +126,7 @@
 
   private void onEntry(StoreWire.Entry entry) {
     if (entry.key().equals(RecordKeys.DELIVERY_NETWORKS) && delivery != null) {
-      delivery.learnNetworks(entry.value());
+      delivery.setAllowedNetworks(entry.value());
     }
     if (entry.value() == null) {
       return;
--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -168,7 +168,7 @@
   public void start() {
     log.info(
         "Controller started: controller={} zone={}", settings.controllerName(), settings.zone());
-    membership.onStoreStatus(replicaManager.generations()::onPeerStatus);
+    membership.setRecordStatusListener(replicaManager.generations()::onPeerStatus);
     membership.start();
     tick();
     replicaManager.start();
@@ -424,7 +424,7 @@
    * The term while this node may answer heartbeats, its lease valid or in doubt for a short time,
    * whether its records are read or not; else null.
    */
-  public LeaderTerm heldTerm() {
+  public LeaderTerm termAcceptingHeartbeats() {
     return election.mayExtendWorkerLeases() ? leaderTerm : null;
   }
 
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -153,7 +153,7 @@
         .readForUser(
             RecordKeys.UNPAGED_JOB + id,
             read -> {
-              if (!read.certain()) {
+              if (!read.succeeded()) {
                 answer.accept(unavailable("no leader"));
               } else if (read.found()) {
                 answerFromRecord(id, cancel, read.entry(), answer);
@@ -185,7 +185,7 @@
         .readForUser(
             RecordKeys.FINAL_STATE + id,
             read -> {
-              if (!read.certain()) {
+              if (!read.succeeded()) {
                 answer.accept(unavailable("no leader"));
               } else if (!read.found() && node.replicaManager().jobMayBeMissing(id)) {
                 answer.accept(unavailable("not certain yet"));
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -101,7 +101,7 @@
             // Skips the keys of the present generation: '0' follows '/'.
             lastKey = "g" + present.base() + "0";
           }
-          boolean more = page.more() || !obsoleteKeys.isEmpty();
+          boolean more = page.hasMore() || !obsoleteKeys.isEmpty();
           deleteAndContinue(obsoleteKeys, lastKey, more);
         });
   }
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -148,7 +148,7 @@
     this.host = host;
     this.backoff = storeClient.newBackoff();
     this.startedAt = eventLoop.now();
-    storeClient.onRevisionRollback(
+    storeClient.setRevisionRollbackListener(
         revision ->
             declareLoss(
                 Evidence.REVISION_BACK,
@@ -294,7 +294,7 @@
           if (sequence != currentSequence || stopped) {
             return;
           }
-          if (!found.certain()) {
+          if (!found.succeeded()) {
             eventLoop.schedule(backoff.nextDelay(), () -> readGeneration(sequence));
             return;
           }
@@ -320,7 +320,7 @@
     }
   }
 
-  private void evaluate(StoreClient.Read read) {
+  private void evaluate(StoreClient.ReadResult read) {
     Generation found;
     try {
       found =
@@ -472,7 +472,7 @@
           if (sequence != currentSequence || stopped || state != State.LOST) {
             return;
           }
-          if (!found.certain()) {
+          if (!found.succeeded()) {
             eventLoop.schedule(backoff.nextDelay(), () -> tryClaim(sequence));
             return;
           }
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -247,7 +247,7 @@
               watchLeader(expectedRound, entry.revision());
               return;
             }
-            if (read.certain()) {
+            if (read.succeeded()) {
               setKnownLeader(null);
               if (!mayBecomeCandidate.getAsBoolean() || eventLoop.now().isBefore(candidateFrom)) {
                 eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
@@ -392,7 +392,7 @@
    * it renews the other lease; so only a key under the present lease counts.
    */
   private void onLeaderReadAfterClaim(
-      int expectedRound, Instant leaseSentAt, StoreClient.Read read, Reply reply) {
+      int expectedRound, Instant leaseSentAt, StoreClient.ReadResult read, Reply reply) {
     if (expectedRound != round) {
       return;
     }
@@ -483,7 +483,7 @@
     storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
-          if (expectedRound != round || state != State.IN_DOUBT || !read.certain()) {
+          if (expectedRound != round || state != State.IN_DOUBT || !read.succeeded()) {
             return;
           }
           if (!read.found() || read.entry().revision() != leaderKeyRevision) {
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -317,7 +317,7 @@
         key,
         read -> {
           long found = read.found() ? read.entry().revision() : 0;
-          if (sequence == currentSequence && read.certain() && found < known) {
+          if (sequence == currentSequence && read.succeeded() && found < known) {
             listener.onRecordMissing(key);
           }
         });
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -345,11 +345,11 @@
     storeClient.read(key, read -> onOwnRecordRead(key, read));
   }
 
-  private void onOwnRecordRead(String key, StoreClient.Read read) {
+  private void onOwnRecordRead(String key, StoreClient.ReadResult read) {
     if (state == State.CLOSED) {
       return;
     }
-    if (!read.certain()) {
+    if (!read.succeeded()) {
       storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
       return;
     }
@@ -379,7 +379,7 @@
           if (state == State.CLOSED) {
             return;
           }
-          if (!read.certain()) {
+          if (!read.succeeded()) {
             storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
           } else if (read.found() && read.entry().revision() == fencingToken) {
             committed(revision);
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -80,7 +80,7 @@
     storeClient.readForUser(
         RecordKeys.WORKER_KEEP_ALIVES + controllerName,
         read -> {
-          if (read.certain()) {
+          if (read.succeeded()) {
             storedRevision = read.found() ? read.entry().revision() : 0L;
             write(workersByZone);
           }
--- a/src/scale/java/io/pineladder/sim/HollowTaskRecorder.java
+++ b/src/scale/java/io/pineladder/sim/HollowTaskRecorder.java
@@ -35,10 +35,10 @@
   private List<JsonNode> events = new ArrayList<>();
 
   private JobDescription descriptionOf(Task task) {
-    JobDescription found = descriptions.get(task.job());
+    JobDescription found = descriptions.get(task.jobId());
     if (found == null) {
       throw new IllegalStateException(
-          "no description of job " + task.job() + " received before its task started");
+          "no description of job " + task.jobId() + " received before its task started");
     }
     return found;
   }
@@ -79,12 +79,12 @@
             .add(System.nanoTime())
             .add(kind.name())
             .add(worker == null ? "" : worker.name)
-            .add(task.piece)
+            .add(task.id)
             .add(task.attempt));
   }
 
   @Override
-  public boolean isBroken(Task task) {
+  public boolean alwaysFails(Task task) {
     return false;
   }
 
@@ -99,30 +99,30 @@
   }
 
   @Override
-  public void commanded(Task task, Worker worker) {
-    if (!descriptions.containsKey(task.job())) {
-      missingDescriptions.add(task.job());
+  public void onStartCommand(Task task, Worker worker) {
+    if (!descriptions.containsKey(task.jobId())) {
+      missingDescriptions.add(task.jobId());
     }
     record(EventKind.COMMANDED, task, worker);
   }
 
   @Override
-  public void started(Task task, Worker worker) {
+  public void onStarted(Task task, Worker worker) {
     record(EventKind.STARTED, task, worker);
   }
 
   @Override
-  public void left(Task task, Worker worker) {
+  public void onLeft(Task task, Worker worker) {
     record(EventKind.LEFT, task, worker);
   }
 
   @Override
-  public void gather(Task task) {
+  public void onGangTaskReady(Task task) {
     record(EventKind.GATHERING, task, null);
   }
 
   @Override
-  public void completed(Task task) {
+  public void onCompleted(Task task) {
     record(EventKind.COMPLETED, task, null);
   }
 }
--- a/src/scale/java/io/pineladder/sim/HollowWorkers.java
+++ b/src/scale/java/io/pineladder/sim/HollowWorkers.java
@@ -44,8 +44,8 @@
     this.fleet = new FakeFleet(realTimeWorld.world(), recorder, controllers);
     fleet.reportMillis = reportMillis;
     fleet.leaseMillis = leaseMillis;
-    fleet.failsOneOf = 0;
-    fleet.reportsChanges = true;
+    fleet.failsOneIn = 0;
+    fleet.reportsTaskExits = true;
     realTimeWorld
         .eventLoop()
         .execute(
@@ -83,7 +83,7 @@
                 .get("hosts")
                 .forEach(
                     host ->
-                        fleet.run(
+                        fleet.runWorker(
                             host.get("ref").asText(),
                             host.get("addr").asText(),
                             host.get("hull").asText(),
@@ -125,7 +125,7 @@
     batch.set("traffic", traffic.json());
     traffic.clear();
     realTimeWorld
-        .caller()
+        .httpClient()
         .call(
             AsyncHttpClient.Request.post(
                 parentAddress, "/events", Json.bytes(batch), REQUEST_TIMEOUT),
@@ -154,7 +154,7 @@
                 String key = each.get(1).asText();
                 FakeFleet.Task task = worker == null ? null : worker.tasks.get(key);
                 if (task != null && task.status.equals("gathering")) {
-                  worker.run(key, task);
+                  worker.runTask(key, task);
                 }
               });
     } catch (MalformedMessageException e) {
--- a/src/scale/java/io/pineladder/sim/LoadGenerator.java
+++ b/src/scale/java/io/pineladder/sim/LoadGenerator.java
@@ -38,7 +38,7 @@
    * The latest state of each job reported to any user. The safety rules see it later, in the order
    * of the task history.
    */
-  private final Map<String, SafetyRules.Told> reportedStates = new HashMap<>();
+  private final Map<String, SafetyRules.ReportedState> reportedStates = new HashMap<>();
 
   private int lastJobNumber;
   private int failedRequests;
@@ -52,7 +52,7 @@
       List<String> controllerAddresses) {
     this.options = options;
     this.world = realTimeWorld.world();
-    this.httpClient = realTimeWorld.caller();
+    this.httpClient = realTimeWorld.httpClient();
     this.rules = rules;
     this.history = history;
     this.controllerAddresses = controllerAddresses;
@@ -153,9 +153,9 @@
   }
 
   private void submit(ObjectNode spec) {
-    SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
+    SafetyRules.TrackedJob job = new SafetyRules.TrackedJob(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
-    job.submitted = world.now();
+    job.submittedAt = world.now();
     history.recordSubmission(job.id);
     long startNanos = System.nanoTime();
     callUntilAccepted(
@@ -172,15 +172,15 @@
         });
   }
 
-  private void cancel(SafetyRules.Known job) {
-    if (lastReportedState(job) != SafetyRules.Told.OVER) {
-      job.cancelAsked = true;
+  private void cancel(SafetyRules.TrackedJob job) {
+    if (lastReportedState(job) != SafetyRules.ReportedState.FINISHED) {
+      job.cancelRequested = true;
       callUntilAccepted(job, "/v1/jobs/" + job.id + "/cancel", new byte[0], () -> {});
     }
   }
 
   private void callUntilAccepted(
-      SafetyRules.Known job, String path, byte[] body, Runnable onAccepted) {
+      SafetyRules.TrackedJob job, String path, byte[] body, Runnable onAccepted) {
     call(
         job,
         "POST",
@@ -196,21 +196,21 @@
         });
   }
 
-  private void poll(SafetyRules.Known job) {
-    if (lastReportedState(job) != SafetyRules.Told.OVER) {
+  private void poll(SafetyRules.TrackedJob job) {
+    if (lastReportedState(job) != SafetyRules.ReportedState.FINISHED) {
       call(job, "GET", "/v1/jobs/" + job.id, null, Duration.ofSeconds(2), success -> {});
       world.after(POLL_INTERVAL_MILLIS, () -> poll(job));
     }
   }
 
   private void call(
-      SafetyRules.Known job,
+      SafetyRules.TrackedJob job,
       String method,
       String path,
       byte[] body,
       Duration timeout,
       Consumer<Boolean> onResult) {
-    SafetyRules.Told before = lastReportedState(job);
+    SafetyRules.ReportedState before = lastReportedState(job);
     String address = controllerAddresses.get(world.random.nextInt(controllerAddresses.size()));
     httpClient.call(
         new AsyncHttpClient.Request(address, method, path, body, timeout),
@@ -222,10 +222,10 @@
               boolean ended = state.equals("done") || state.equals("aborted");
               reportedStates.merge(
                   job.id,
-                  ended ? SafetyRules.Told.OVER : SafetyRules.Told.ACCEPTED,
+                  ended ? SafetyRules.ReportedState.FINISHED : SafetyRules.ReportedState.ACCEPTED,
                   LoadGenerator::max);
             }
-            history.recordAction(() -> rules.answered(job, before, reply.status(), state));
+            history.recordAction(() -> rules.checkAnswer(job, before, reply.status(), state));
           }
           failedRequests += success ? 0 : 1;
           onResult.accept(success);
@@ -240,11 +240,11 @@
     }
   }
 
-  private static SafetyRules.Told max(SafetyRules.Told one, SafetyRules.Told other) {
+  private static SafetyRules.ReportedState max(SafetyRules.ReportedState one, SafetyRules.ReportedState other) {
     return one.compareTo(other) > 0 ? one : other;
   }
 
-  private SafetyRules.Told lastReportedState(SafetyRules.Known job) {
-    return reportedStates.getOrDefault(job.id, SafetyRules.Told.NOTHING);
+  private SafetyRules.ReportedState lastReportedState(SafetyRules.TrackedJob job) {
+    return reportedStates.getOrDefault(job.id, SafetyRules.ReportedState.UNKNOWN);
   }
 }
--- a/src/scale/java/io/pineladder/sim/RealTimeWorld.java
+++ b/src/scale/java/io/pineladder/sim/RealTimeWorld.java
@@ -22,7 +22,7 @@
  * Runs a {@link SimulatedWorld} in real time on one event thread and connects its addresses to the
  * loopback network.
  */
-final class RealTimeWorld implements SimulatedWorld.Outside {
+final class RealTimeWorld implements SimulatedWorld.ExternalNetwork {
   private static final Duration TICK_INTERVAL = Duration.ofMillis(2);
   private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(2);
 
@@ -50,7 +50,7 @@
         new UndertowHttpClient(eventLoop, address -> ConnectionLimiter.TrafficClass.ORDERS);
     this.worldStart = world.now();
     this.realStart = eventLoop.now();
-    world.outside = this;
+    world.externalNetwork = this;
     eventLoop.execute(this::tick);
   }
 
@@ -131,7 +131,7 @@
   }
 
   @Override
-  public AsyncHttpClient caller() {
+  public AsyncHttpClient httpClient() {
     return (request, onReply) -> {
       if (closed) {
         return;
--- a/src/scale/java/io/pineladder/sim/ScaleCluster.java
+++ b/src/scale/java/io/pineladder/sim/ScaleCluster.java
@@ -79,24 +79,24 @@
                 .mapToObj(this::workerProcessAddress)
                 .toList());
     this.store = new FakeKeyValueStore(world, options.txnOps, (int) (options.valueKb * 1024));
-    store.pageEntries = 1_000;
-    store.mostLogged = 10_000;
+    store.pageSize = 1_000;
+    store.retainedChanges = 10_000;
     this.cloud = new FakeFleet(world, rules, List.of());
-    FakeFleet.Type type = ScaleSettings.MACHINE_TYPE;
+    FakeFleet.MachineType type = ScaleSettings.MACHINE_TYPE;
     cloud.types =
         List.of(
-            new FakeFleet.Type(
+            new FakeFleet.MachineType(
                 type.name(),
                 type.cpus(),
                 type.gpus(),
-                type.gb(),
-                type.pull(),
-                type.price(),
-                type.spot(),
-                type.boot(),
+                type.memoryGb(),
+                type.pullGbPerSecond(),
+                type.hourlyPrice(),
+                type.hourlySpotPrice(),
+                type.bootSeconds(),
                 ScaleSettings.zones(options.zones)));
     // All machines are up from the start, and no more can be rented.
-    cloud.capacity = 0;
+    cloud.zoneCapacity = 0;
     cloud.launcher = this;
     for (int i = 0; i < options.controllers; i++) {
       userAddresses.add(loopbackAddress(10 + 2 * i));
@@ -285,7 +285,7 @@
 
   /** Boots all workers. */
   void bootWorkers() {
-    cloud.addUp(options.workers);
+    cloud.addRunningMachines(options.workers);
     sendPendingBoots();
   }
 
@@ -346,7 +346,7 @@
 
   private void post(String address, String path, ObjectNode body) {
     realTimeWorld
-        .caller()
+        .httpClient()
         .call(
             AsyncHttpClient.Request.post(address, path, Json.bytes(body), REQUEST_TIMEOUT),
             reply -> {
--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -187,7 +187,7 @@
   private void applyHistory(ScaleCluster cluster) {
     try {
       cluster.history().applyCompleteEvents();
-      cluster.rules().watchCancelled();
+      cluster.rules().checkCancelledJobs();
     } catch (AssertionError e) {
       fail(e);
       return;
@@ -226,7 +226,7 @@
         .execute(
             () ->
                 realTimeWorld
-                    .caller()
+                    .httpClient()
                     .call(
                         AsyncHttpClient.Request.get(address, path, REQUEST_TIMEOUT),
                         received::complete));
@@ -346,8 +346,8 @@
         () -> {
           cluster.workerTraffic().clear();
           cluster.storeTraffic().clear();
-          initialStoreRequests = cluster.store().requests;
-          initialStoreChanges = Map.copyOf(cluster.store().changes);
+          initialStoreRequests = cluster.store().requestCount;
+          initialStoreChanges = Map.copyOf(cluster.store().changesByPrefix);
           cluster.history().setMeasuring(true);
         });
   }
@@ -380,12 +380,12 @@
           out.put("answers_missing", load.failedRequests());
           out.put(
               "store_requests_a_second",
-              (cluster.store().requests - initialStoreRequests) / seconds);
+              (cluster.store().requestCount - initialStoreRequests) / seconds);
           ObjectNode changes = out.putObject("store_changes_a_second");
           double[] total = new double[1];
           cluster
               .store()
-              .changes
+              .changesByPrefix
               .forEach(
                   (kind, count) -> {
                     double rate = (count - initialStoreChanges.getOrDefault(kind, 0)) / seconds;
--- a/src/scale/java/io/pineladder/sim/ScaleSettings.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSettings.java
@@ -14,8 +14,8 @@
 /** Creates the settings files of the controllers of a scale run. */
 final class ScaleSettings {
   /** The type of all machines. */
-  static final FakeFleet.Type MACHINE_TYPE =
-      new FakeFleet.Type("w16", 16, 2, 64, 1, 4, 1, 10, List.of("z0"));
+  static final FakeFleet.MachineType MACHINE_TYPE =
+      new FakeFleet.MachineType("w16", 16, 2, 64, 1, 4, 1, 10, List.of("z0"));
 
   private final ScaleOptions options;
   private final String storeAddress;
--- a/src/scale/java/io/pineladder/sim/SettingsChangeGenerator.java
+++ b/src/scale/java/io/pineladder/sim/SettingsChangeGenerator.java
@@ -35,7 +35,7 @@
 
   SettingsChangeGenerator(RealTimeWorld realTimeWorld, List<String> controllerAddresses) {
     this.world = realTimeWorld.world();
-    this.httpClient = realTimeWorld.caller();
+    this.httpClient = realTimeWorld.httpClient();
     this.controllerAddresses = controllerAddresses;
   }
 
--- a/src/scale/java/io/pineladder/sim/TaskHistory.java
+++ b/src/scale/java/io/pineladder/sim/TaskHistory.java
@@ -114,7 +114,7 @@
     ObjectNode out = Json.object();
     ObjectNode jobs = out.putObject("jobs");
     for (JsonNode id : batch.get("jobs")) {
-      SafetyRules.Known job = rules.jobs.get(id.asText());
+      SafetyRules.TrackedJob job = rules.jobs.get(id.asText());
       if (job == null) {
         throw new AssertionError("task of unknown job " + id + " was started");
       }
@@ -144,13 +144,13 @@
         waiting.remove(event.taskId);
       }
     } else if (event.kind == HollowTaskRecorder.EventKind.STARTED) {
-      SafetyRules.Known job = rules.jobs.get(event.taskId.substring(0, event.taskId.indexOf('/')));
+      SafetyRules.TrackedJob job = rules.jobs.get(event.taskId.substring(0, event.taskId.indexOf('/')));
       if (!job.spec.get("shape").asText().equals("group")) {
         return;
       }
       Map<String, String> waiting = waitingGangTasks.computeIfAbsent(gang, g -> new HashMap<>());
       waiting.put(event.taskId, event.host);
-      if (waiting.size() == job.tasks()) {
+      if (waiting.size() == job.taskCount()) {
         waiting.forEach(
             (taskId, host) ->
                 releasedGangTasks
@@ -181,14 +181,14 @@
     Task task = new Task(event.taskId, event.attempt);
     Worker worker = workers.get(event.host);
     switch (event.kind) {
-      case COMMANDED -> rules.commanded(task, worker);
+      case COMMANDED -> rules.onStartCommand(task, worker);
       case STARTED -> {
-        rules.started(task, worker);
+        rules.onStarted(task, worker);
         runningTasks.add(event.taskId);
         startCount++;
         if (measuring) {
           measuredStartCount++;
-          SafetyRules.Known job = rules.jobs.get(task.job());
+          SafetyRules.TrackedJob job = rules.jobs.get(task.jobId());
           long micros = (event.nanos - submittedNanos.get(job.id)) / 1_000;
           startDelays
               .computeIfAbsent(
@@ -197,10 +197,10 @@
         }
       }
       case LEFT -> {
-        rules.left(task, worker);
+        rules.onLeft(task, worker);
         runningTasks.remove(event.taskId);
       }
-      case COMPLETED -> rules.completed(task);
+      case COMPLETED -> rules.onCompleted(task);
       case GATHERING -> {}
     }
   }
--- a/src/test/java/io/pineladder/sim/BadInputTest.java
+++ b/src/test/java/io/pineladder/sim/BadInputTest.java
@@ -27,9 +27,9 @@
   private Map<String, Integer> send(String method, String path, byte[] body) {
     Map<String, Integer> answers = new HashMap<>();
     for (int i = 0; i < TIMES; i++) {
-      String node = fronts.get(i % fronts.size());
+      String node = apiAddresses.get(i % apiAddresses.size());
       world
-          .caller("user", () -> true)
+          .httpClient("user", () -> true)
           .call(
               new AsyncHttpClient.Request(node, method, path, body, Duration.ofSeconds(5)),
               reply -> answers.merge(describe(reply), 1, Integer::sum));
@@ -76,13 +76,13 @@
   @Test
   void nothingThatShouldNotBeSentChangesAJobOrEndsATerm() {
     begin(Layout.FLEET, 41);
-    SafetyRules.Known done = submit(work("array", 1).put("guess_s", 5));
-    SafetyRules.Known cancelled = submit(work("service", 1));
-    SafetyRules.Known runs = submit(work("service", 1));
+    SafetyRules.TrackedJob done = submit(simpleJobSpec("array", 1).put("guess_s", 5));
+    SafetyRules.TrackedJob cancelled = submit(simpleJobSpec("service", 1));
+    SafetyRules.TrackedJob runs = submit(simpleJobSpec("service", 1));
     world.runFor(Duration.ofSeconds(50));
     cancel(cancelled);
     world.runFor(Duration.ofSeconds(20));
-    assertTrue(done.done && cancelled.cancelled != null);
+    assertTrue(done.done && cancelled.cancelledAt != null);
     String holder = String.valueOf(store.value("lead/holder"));
 
     String jobs = "/v1/jobs/";
@@ -110,7 +110,7 @@
 
     // Machines that nobody rented, of a known type and of none, and old words of one that is there.
     FakeFleet.Worker there =
-        fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
+        fleet.runningWorkers().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
     List<byte[]> reports = new ArrayList<>();
     reports.add(report("m-999998", "g4", 1, 1, 0, null));
     reports.add(report("m-999999", "no-such", 1, 1, 0, "req-000777/0"));
@@ -131,9 +131,9 @@
     }
     world.runFor(Duration.ofSeconds(60));
     assertEquals(holder, String.valueOf(store.value("lead/holder")), "the term goes on");
-    assertTrue(store.space().isEmpty(), "nobody takes data for lost");
-    assertEquals(1, fleet.holding(runs.id).size(), "what runs goes on");
-    assertTrue(!runs.isOver());
+    assertTrue(store.generationPrefix().isEmpty(), "nobody takes data for lost");
+    assertEquals(1, fleet.machinesHolding(runs.id).size(), "what runs goes on");
+    assertTrue(!runs.isFinished());
     settle(Duration.ofSeconds(30));
   }
 
@@ -228,7 +228,7 @@
   }
 
   private ObjectNode changed(String how) throws MalformedMessageException {
-    ObjectNode spec = work("array", 2);
+    ObjectNode spec = simpleJobSpec("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
     if (!how.contains("=")) {
       spec.remove(how);
@@ -254,10 +254,10 @@
       for (String node : nodes) {
         ObjectNode spec = changed(each.getKey());
         if (each.getValue() == 201) {
-          known(spec);
+          trackJob(spec);
         }
         world
-            .caller("user", () -> true)
+            .httpClient("user", () -> true)
             .call(
                 new AsyncHttpClient.Request(
                     node, "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
@@ -290,14 +290,14 @@
     begin(Layout.FLEET, 42);
     world.runFor(Duration.ofSeconds(10));
     Predicate<Integer> all = status -> true;
-    assertEquals(expected(3, all, null), answers(fronts, all));
-    int leader = leader();
+    assertEquals(expected(3, all, null), answers(apiAddresses, all));
+    int leader = leaderIndex();
     kill(controllers.get(leader), 3_600_000);
     // Before the leader's lease ends, and so before there is another.
-    List<String> others = fronts.stream().filter(f -> !f.equals(fronts.get(leader))).toList();
+    List<String> others = apiAddresses.stream().filter(f -> !f.equals(apiAddresses.get(leader))).toList();
     Predicate<Integer> malformed = status -> status == 400;
     assertEquals(expected(2, malformed, null), answers(others, malformed));
-    kill(controllers.get(leader()), 500);
+    kill(controllers.get(leaderIndex()), 500);
     // Without a leader each takes reads of the state service, of which a node has few: who gets
     // none says 503.
     // The one that has just ended refuses connections.
@@ -320,8 +320,8 @@
     fleet.outage = true;
     world.runFor(Duration.ofSeconds(10));
     Predicate<Integer> malformed = status -> status == 400;
-    assertEquals(expected(3, malformed, null), answers(fronts, malformed));
+    assertEquals(expected(3, malformed, null), answers(apiAddresses, malformed));
     Predicate<Integer> others = status -> status != 400;
-    assertEquals(expected(3, others, 503), answers(fronts, others));
+    assertEquals(expected(3, others, 503), answers(apiAddresses, others));
   }
 }
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -33,7 +33,7 @@
   private boolean[] upgraded = new boolean[5];
 
   @Override
-  Settings.StoreLimits store(int index, Settings.StoreLimits inForce) {
+  Settings.StoreLimits storeLimits(int index, Settings.StoreLimits inForce) {
     Settings.StoreLimits next =
         new Settings.StoreLimits(
             inForce.requestsPerSecond(), NEXT_CHANGES, NEXT_VALUE_BYTES, NEXT_OPS);
@@ -54,14 +54,14 @@
   }
 
   /** An array that runs for some seconds and waits for these. */
-  private ObjectNode after(int tasks, List<SafetyRules.Known> needed) {
-    ObjectNode spec = work("array", tasks).put("guess_s", some(2, 9));
+  private ObjectNode after(int tasks, List<SafetyRules.TrackedJob> needed) {
+    ObjectNode spec = simpleJobSpec("array", tasks).put("guess_s", randomBetween(2, 9));
     ArrayNode ids = spec.putArray("waits_on");
     needed.forEach(each -> ids.add(each.id));
     return spec;
   }
 
-  private SafetyRules.Known submitAfter(int tasks, SafetyRules.Known... needed) {
+  private SafetyRules.TrackedJob submitAfter(int tasks, SafetyRules.TrackedJob... needed) {
     return submit(after(tasks, List.of(needed)));
   }
 
@@ -69,8 +69,8 @@
    * Has the stages of a pipeline submitted one after another, each once what it needs is accepted.
    */
   private void pipeline(int fan) {
-    SafetyRules.Known first = submit(after(2, List.of()));
-    List<SafetyRules.Known> middle = new ArrayList<>();
+    SafetyRules.TrackedJob first = submit(after(2, List.of()));
+    List<SafetyRules.TrackedJob> middle = new ArrayList<>();
     whenAccepted(
         List.of(first),
         () -> {
@@ -81,36 +81,36 @@
               middle,
               () -> {
                 ObjectNode last = after(1, middle).put("due_s", 120.0).put("rank", "urgent");
-                at(world.random.nextInt(4) == 0 ? 40_000 : 0, () -> submit(last));
+                schedule(world.random.nextInt(4) == 0 ? 40_000 : 0, () -> submit(last));
               });
         });
   }
 
-  private void whenAccepted(List<SafetyRules.Known> jobs, Runnable then) {
+  private void whenAccepted(List<SafetyRules.TrackedJob> jobs, Runnable then) {
     if (jobs.stream().allMatch(job -> job.accepted)) {
       then.run();
     } else {
-      at(100, () -> whenAccepted(jobs, then));
+      schedule(100, () -> whenAccepted(jobs, then));
     }
   }
 
   /** By definition: cancelled with any before it that a user was told is cancelled, else done. */
   private void assertFinalStates() {
-    for (SafetyRules.Known job : rules.jobs.values()) {
+    for (SafetyRules.TrackedJob job : rules.jobs.values()) {
       boolean cancelled =
-          job.cancelled != null || rules.anyBefore(job, each -> each.cancelled != null);
-      assertEquals(cancelled, job.cancelled != null, job.id + " " + job.spec);
+          job.cancelledAt != null || rules.anyPrerequisite(job, each -> each.cancelledAt != null);
+      assertEquals(cancelled, job.cancelledAt != null, job.id + " " + job.spec);
     }
   }
 
   private int status(ObjectNode spec) {
-    return ask(fronts.get(0), "POST", "/v1/jobs", Json.bytes(spec));
+    return ask(apiAddresses.get(0), "POST", "/v1/jobs", Json.bytes(spec));
   }
 
   private int ask(String node, String method, String path, byte[] body) {
     int[] status = new int[1];
     world
-        .caller("user", () -> true)
+        .httpClient("user", () -> true)
         .call(
             new AsyncHttpClient.Request(node, method, path, body, Duration.ofSeconds(5)),
             reply -> status[0] = reply.status());
@@ -121,15 +121,15 @@
   @Test
   void eachStageStartsOnceAllThatItNeedsAreDone() {
     beginUpgraded(Layout.FLEET, 1);
-    SafetyRules.Known first = submitAfter(3);
-    SafetyRules.Known second = submit(work("array", 2).put("guess_s", 20));
+    SafetyRules.TrackedJob first = submitAfter(3);
+    SafetyRules.TrackedJob second = submit(simpleJobSpec("array", 2).put("guess_s", 20));
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known third = submitAfter(2, first, second);
+    SafetyRules.TrackedJob third = submitAfter(2, first, second);
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known last = submitAfter(1, third, first);
+    SafetyRules.TrackedJob last = submitAfter(1, third, first);
     world.runFor(Duration.ofSeconds(90));
     assertTrue(last.done);
-    assertTrue(third.begun.isAfter(first.begun.plusSeconds(2)));
+    assertTrue(third.firstStartedAt.isAfter(first.firstStartedAt.plusSeconds(2)));
     settle(Duration.ofSeconds(20));
     assertFinalStates();
   }
@@ -137,9 +137,9 @@
   @Test
   void whatIsSubmittedIsChecked() {
     beginUpgraded(Layout.FLEET, 2);
-    SafetyRules.Known known = submit(work("array", 1));
+    SafetyRules.TrackedJob known = submit(simpleJobSpec("array", 1));
     world.runFor(Duration.ofSeconds(40));
-    ObjectNode spec = work("array", 1);
+    ObjectNode spec = simpleJobSpec("array", 1);
     rules.jobs.remove(spec.get("ref").asText());
     assertEquals(400, status(spec.deepCopy().put("waits_on", known.id)));
     assertEquals(400, status(spec.deepCopy().set("waits_on", Json.array().add(7))));
@@ -150,13 +150,13 @@
     assertEquals(422, status(itself));
     ObjectNode good = spec.deepCopy();
     good.set("waits_on", Json.array().add(known.id).add(known.id));
-    SafetyRules.Known job = known(good);
+    SafetyRules.TrackedJob job = trackJob(good);
     assertEquals(201, status(good));
     job.accepted = true;
     // A repeat gets the state, whatever its list names now.
     assertEquals(200, status(itself));
-    ObjectNode nothing = work("array", 1).putNull("waits_on");
-    known(nothing).accepted = true;
+    ObjectNode nothing = simpleJobSpec("array", 1).putNull("waits_on");
+    trackJob(nothing).accepted = true;
     assertEquals(201, status(nothing));
     rules.jobs.values().forEach(this::poll);
     settle(Duration.ofSeconds(60));
@@ -169,24 +169,24 @@
   @Test
   void aCancellationReachesAllThatNeedTheJob() {
     beginUpgraded(Layout.FLEET, 3);
-    SafetyRules.Known root = submit(work("array", 2).put("guess_s", 60));
+    SafetyRules.TrackedJob root = submit(simpleJobSpec("array", 2).put("guess_s", 60));
     world.runFor(Duration.ofSeconds(2));
-    List<SafetyRules.Known> tree = new ArrayList<>();
+    List<SafetyRules.TrackedJob> tree = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      SafetyRules.Known needed = i < 4 ? root : tree.get(i / 4 - 1);
+      SafetyRules.TrackedJob needed = i < 4 ? root : tree.get(i / 4 - 1);
       tree.add(submitAfter(1, needed));
       world.runFor(Duration.ofMillis(500));
     }
     world.runFor(Duration.ofSeconds(15));
     cancel(root);
-    while (root.cancelled == null) {
+    while (root.cancelledAt == null) {
       world.runFor(Duration.ofMillis(20));
     }
     killLeader(6_000);
-    SafetyRules.Known late = submitAfter(1, tree.get(39));
+    SafetyRules.TrackedJob late = submitAfter(1, tree.get(39));
     world.runFor(Duration.ofSeconds(60));
-    tree.forEach(job -> assertTrue(job.cancelled != null, job.id));
-    assertTrue(late.cancelled != null);
+    tree.forEach(job -> assertTrue(job.cancelledAt != null, job.id));
+    assertTrue(late.cancelledAt != null);
     settle(Duration.ofSeconds(60));
     assertFinalStates();
   }
@@ -198,9 +198,9 @@
   @Test
   void whatIsDoneBeforeItsCancellationIsFollowed() {
     beginUpgraded(Layout.FLEET, 4);
-    SafetyRules.Known first = submit(work("array", 1).put("guess_s", 3));
+    SafetyRules.TrackedJob first = submit(simpleJobSpec("array", 1).put("guess_s", 3));
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known second = submitAfter(1, first);
+    SafetyRules.TrackedJob second = submitAfter(1, first);
     while (!first.done) {
       world.runFor(Duration.ofMillis(100));
     }
@@ -217,11 +217,11 @@
   void theVersionIsRaisedOnceAllControllersSupportIt() {
     upgraded = new boolean[] {true, true, false};
     begin(Layout.FLEET, 5);
-    SafetyRules.Known job = submit(work("array", 1));
+    SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 1));
     world.runFor(Duration.ofSeconds(60));
     assertTrue(store.value("conf/version") == null);
     ObjectNode chained = after(1, List.of(job));
-    SafetyRules.Known second = known(chained);
+    SafetyRules.TrackedJob second = trackJob(chained);
     assertEquals(503, status(chained));
     upgraded[2] = true;
     kill(controllers.get(2), 3_000);
@@ -239,8 +239,8 @@
     upgraded[1] = false;
     kill(controllers.get(1), 1_000);
     world.runFor(Duration.ofSeconds(30));
-    assertEquals(503, ask(fronts.get(1), "GET", "/ready", null));
-    assertEquals(200, ask(fronts.get(0), "GET", "/ready", null));
+    assertEquals(503, ask(apiAddresses.get(1), "GET", "/ready", null));
+    assertEquals(200, ask(apiAddresses.get(0), "GET", "/ready", null));
     kill(controllers.get(0), 60_000);
     kill(controllers.get(2), 60_000);
     world.runFor(Duration.ofSeconds(40));
@@ -262,14 +262,14 @@
         pipeline(1 + world.random.nextInt(3));
       }
       submit(
-          work(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3))
+          simpleJobSpec(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3))
               .put("owner", i % 6 == 5 ? "red" : "blue"));
       if (world.random.nextInt(4) == 0) {
-        cancelSome(chained ? 0.08 : 0.03);
+        cancelRandomJobs(chained ? 0.08 : 0.03);
       }
       List.copyOf(rules.jobs.values()).stream()
           .filter(job -> world.random.nextInt(12) == 0)
-          .forEach(this::ask);
+          .forEach(this::queryStatus);
       world.runFor(Duration.ofMillis(1_500));
     }
   }
@@ -284,8 +284,8 @@
     begin(layout, 40_000 + 10L * seed + layout.ordinal());
     for (int i = 0; i < 30; i++) {
       submit(
-          work(i % 8 == 0 ? "service" : "array", 1 + i % 2)
-              .put("guess_s", i % 8 == 0 ? 0 : some(5, 100)));
+          simpleJobSpec(i % 8 == 0 ? "service" : "array", 1 + i % 2)
+              .put("guess_s", i % 8 == 0 ? 0 : randomBetween(5, 100)));
       if (i % 10 == 0) {
         world.runFor(Duration.ofMillis(700));
       }
@@ -293,35 +293,35 @@
     arrivals(8, false);
     for (Controller each : controllers) {
       upgraded[each.index] = true;
-      kill(each, some(2_000, 7_000));
+      kill(each, randomBetween(2_000, 7_000));
       if (world.random.nextInt(3) == 0) {
-        at(
-            some(0, 8_000),
-            () -> kill(controllers.get(world.random.nextInt(layout.nodes)), some(500, 6_000)));
+        schedule(
+            randomBetween(0, 8_000),
+            () -> kill(controllers.get(world.random.nextInt(layout.nodes)), randomBetween(500, 6_000)));
       }
       arrivals(6, false);
     }
-    world.runFor(Duration.ofMillis(some(0, 6_000)));
-    store.lower(NEXT_OPS, NEXT_VALUE_BYTES, NEXT_CHANGES);
-    at(some(0, 12_000), () -> killLeader(some(500, 6_000)));
-    at(some(0, 40_000), () -> killLeader(some(500, 6_000)));
+    world.runFor(Duration.ofMillis(randomBetween(0, 6_000)));
+    store.lowerLimits(NEXT_OPS, NEXT_VALUE_BYTES, NEXT_CHANGES);
+    schedule(randomBetween(0, 12_000), () -> killLeader(randomBetween(500, 6_000)));
+    schedule(randomBetween(0, 40_000), () -> killLeader(randomBetween(500, 6_000)));
     if (world.random.nextBoolean()) {
-      at(some(0, 30_000), () -> outage(some(2_000, 20_000)));
+      schedule(randomBetween(0, 30_000), () -> storeOutage(randomBetween(2_000, 20_000)));
     }
-    store.lateWrites = world.random.nextInt(3) == 0 ? 0.1 : 0;
+    store.delayedTransactionRate = world.random.nextInt(3) == 0 ? 0.1 : 0;
     arrivals(25, true);
-    store.lateWrites = 0;
-    looksClosely = world.random.nextBoolean();
+    store.delayedTransactionRate = 0;
+    sendsRequestBursts = world.random.nextBoolean();
     arrivals(10, true);
-    looksClosely = false;
+    sendsRequestBursts = false;
     world.runFor(Duration.ofSeconds(60));
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     settle(Duration.ofSeconds(400));
     assertFinalStates();
     assertEquals(2, store.value("conf/version").get("version").asInt());
-    assertEquals(List.of(), store.largeValues());
+    assertEquals(List.of(), store.oversizedKeys());
     // Before the members know of one another's versions a leader may try what an earlier one left.
-    assertTrue(store.tooLarge < 20, store.tooLarge + " values were too large");
+    assertTrue(store.oversizedTransactions < 20, store.oversizedTransactions + " values were too large");
   }
 
   // ---- the checks, each seen to fail on a run that is wrong
@@ -329,30 +329,30 @@
   @Test
   void aStartBeforeWhatItNeedsIsDoneIsSeen() {
     beginUpgraded(Layout.FLEET, 7);
-    SafetyRules.Known first = submit(work("array", 1).put("guess_s", 500));
+    SafetyRules.TrackedJob first = submit(simpleJobSpec("array", 1).put("guess_s", 500));
     world.runFor(Duration.ofSeconds(30));
-    SafetyRules.Known second = submitAfter(1, first);
+    SafetyRules.TrackedJob second = submitAfter(1, first);
     world.runFor(Duration.ofSeconds(5));
-    FakeFleet.Worker on = fleet.up().get(0);
-    rules.placed = null;
+    FakeFleet.Worker on = fleet.runningWorkers().get(0);
+    rules.placementLookup = null;
     AssertionError seen =
         assertThrows(
-            AssertionError.class, () -> rules.started(new FakeFleet.Task(second.id + "/0", 1), on));
+            AssertionError.class, () -> rules.onStarted(new FakeFleet.Task(second.id + "/0", 1), on));
     assertTrue(seen.getMessage().startsWith("too_early"), seen.getMessage());
   }
 
   @Test
   void anOrphanIsSeen() {
     beginUpgraded(Layout.FLEET, 8);
-    SafetyRules.Known first = known(work("array", 1));
-    SafetyRules.Known second = known(after(1, List.of(first)));
-    first.cancelAsked = true;
-    rules.told(first, "aborted");
-    rules.told(second, "pending");
+    SafetyRules.TrackedJob first = trackJob(simpleJobSpec("array", 1));
+    SafetyRules.TrackedJob second = trackJob(after(1, List.of(first)));
+    first.cancelRequested = true;
+    rules.checkReportedState(first, "aborted");
+    rules.checkReportedState(second, "pending");
     world.runFor(Duration.ofSeconds(41));
-    AssertionError seen = assertThrows(AssertionError.class, () -> rules.told(second, "pending"));
+    AssertionError seen = assertThrows(AssertionError.class, () -> rules.checkReportedState(second, "pending"));
     assertTrue(seen.getMessage().startsWith("orphaned"), seen.getMessage());
-    rules.told(second, "aborted");
-    assertFalse(second.cancelled == null);
+    rules.checkReportedState(second, "aborted");
+    assertFalse(second.cancelledAt == null);
   }
 }
--- a/src/test/java/io/pineladder/sim/ChecksTest.java
+++ b/src/test/java/io/pineladder/sim/ChecksTest.java
@@ -18,27 +18,27 @@
   }
 
   private Worker holder() {
-    return fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
+    return fleet.runningWorkers().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
   }
 
   /** A service whose one task runs. */
-  private SafetyRules.Known serving(long seed) {
+  private SafetyRules.TrackedJob serving(long seed) {
     begin(Layout.ONE_ZONE, seed);
-    SafetyRules.Known job = submit(work("service", 1));
+    SafetyRules.TrackedJob job = submit(simpleJobSpec("service", 1));
     world.runFor(Duration.ofSeconds(60));
     return job;
   }
 
   @Test
   void whatIsToldTooSoonOrStartedUnstoredIsSeen() {
-    SafetyRules.Known job = serving(60);
+    SafetyRules.TrackedJob job = serving(60);
     Worker on = holder();
     Task task = on.tasks.values().iterator().next();
-    rules.commanded(task, on);
-    assertBroken("not_stored", () -> rules.commanded(new Task(task.piece, 999), on));
-    job.cancelAsked = true;
-    assertBroken("told_too_soon", () -> rules.told(job, "aborted"));
-    assertBroken("told_too_soon", () -> rules.commanded(task, on));
+    rules.onStartCommand(task, on);
+    assertBroken("not_stored", () -> rules.onStartCommand(new Task(task.id, 999), on));
+    job.cancelRequested = true;
+    assertBroken("told_too_soon", () -> rules.checkReportedState(job, "aborted"));
+    assertBroken("told_too_soon", () -> rules.onStartCommand(task, on));
   }
 
   /**
@@ -47,40 +47,40 @@
    */
   @Test
   void whatStartsOrGoesOnAfterItsUserWasToldIsSeen() {
-    SafetyRules.Known job = serving(61);
+    SafetyRules.TrackedJob job = serving(61);
     Worker on = holder();
     Task task = on.tasks.values().iterator().next();
     world.freeze(SimulatedWorld.host(on.address), 50_000);
     controllers.forEach(each -> kill(each, 3_600_000));
     fleet.leaseMillis = 3_600_000;
-    job.cancelAsked = true;
-    rules.holding = null;
-    rules.told(job, "aborted");
-    assertBroken("started_cancelled", () -> rules.started(task, on));
+    job.cancelRequested = true;
+    rules.machinesHolding = null;
+    rules.checkReportedState(job, "aborted");
+    assertBroken("started_cancelled", () -> rules.onStarted(task, on));
     assertBroken("ran_cancelled", () -> world.runFor(Duration.ofSeconds(45)));
   }
 
   @Test
   void anAnswerThatIsOlderThanOneBeforeItIsSeen() {
     begin(Layout.FLEET, 62);
-    SafetyRules.Known job = known(work("array", 1));
-    rules.answered(job, SafetyRules.Told.NOTHING, 404, null);
-    rules.answered(job, job.told(), 201, "pending");
+    SafetyRules.TrackedJob job = trackJob(simpleJobSpec("array", 1));
+    rules.checkAnswer(job, SafetyRules.ReportedState.UNKNOWN, 404, null);
+    rules.checkAnswer(job, job.reportedState(), 201, "pending");
     // Asked before anybody was told that it is accepted.
-    rules.answered(job, SafetyRules.Told.NOTHING, 404, null);
+    rules.checkAnswer(job, SafetyRules.ReportedState.UNKNOWN, 404, null);
     for (int status : new int[] {404, 400, 422}) {
-      assertBroken("forgotten", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, status, null));
+      assertBroken("forgotten", () -> rules.checkAnswer(job, SafetyRules.ReportedState.ACCEPTED, status, null));
     }
-    job.cancelAsked = true;
-    rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "aborted");
-    rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "running");
-    assertBroken("went_back", () -> rules.answered(job, SafetyRules.Told.OVER, 200, "running"));
-    assertBroken("not_done", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "done"));
-    SafetyRules.Known unfit = known(work("array", 1));
-    unfit.unfit = true;
-    rules.answered(unfit, SafetyRules.Told.NOTHING, 422, null);
+    job.cancelRequested = true;
+    rules.checkAnswer(job, SafetyRules.ReportedState.ACCEPTED, 200, "aborted");
+    rules.checkAnswer(job, SafetyRules.ReportedState.ACCEPTED, 200, "running");
+    assertBroken("went_back", () -> rules.checkAnswer(job, SafetyRules.ReportedState.FINISHED, 200, "running"));
+    assertBroken("not_done", () -> rules.checkAnswer(job, SafetyRules.ReportedState.ACCEPTED, 200, "done"));
+    SafetyRules.TrackedJob unfit = trackJob(simpleJobSpec("array", 1));
+    unfit.invalid = true;
+    rules.checkAnswer(unfit, SafetyRules.ReportedState.UNKNOWN, 422, null);
     assertBroken(
-        "accepted_unfit", () -> rules.answered(unfit, SafetyRules.Told.NOTHING, 201, "pending"));
+        "accepted_unfit", () -> rules.checkAnswer(unfit, SafetyRules.ReportedState.UNKNOWN, 201, "pending"));
   }
 
   /** Machines with room, and nobody who places anything on them. */
@@ -89,37 +89,37 @@
     begin(Layout.FLEET, 63);
     world.runFor(Duration.ofSeconds(10));
     controllers.forEach(each -> kill(each, 3_600_000));
-    fleet.addUp(2);
-    ObjectNode spec = work("array", 2).put("owner", "blue");
-    SafetyRules.Known job = known(spec);
+    fleet.addRunningMachines(2);
+    ObjectNode spec = simpleJobSpec("array", 2).put("owner", "blue");
+    SafetyRules.TrackedJob job = trackJob(spec);
     job.accepted = true;
-    job.answered = world.now();
-    SafetyRules.Known gang = known(work("group", 3).put("together", true).put("cards", 2.0));
+    job.lastAnsweredAt = world.now();
+    SafetyRules.TrackedJob gang = trackJob(simpleJobSpec("group", 3).put("together", true).put("cards", 2.0));
     gang.accepted = true;
-    gang.answered = world.now();
+    gang.lastAnsweredAt = world.now();
     StarvationCheck check = new StarvationCheck(world, rules, fleet, settings(0).teams());
     runWatching(check, Duration.ofSeconds(100));
-    rules.calmSince = world.now();
-    assertBroken("starved", () -> runWatching(check, StarvationCheck.MOST.plusSeconds(2)));
+    rules.faultsEndedAt = world.now();
+    assertBroken("starved", () -> runWatching(check, StarvationCheck.MAX_WAIT.plusSeconds(2)));
     // Its team at its limit, it may wait; the gang finds room for two tasks in a zone.
     spec.put("cards", 9.0);
     runWatching(check, Duration.ofSeconds(200));
     gang.spec.put("pieces", 2);
     assertBroken("starved", () -> runWatching(check, Duration.ofSeconds(95)));
-    fleet.up().forEach(fleet::die);
+    fleet.runningWorkers().forEach(fleet::failMachine);
     runWatching(check, Duration.ofSeconds(200));
   }
 
   private void runWatching(StarvationCheck check, Duration time) {
     for (int i = 0; i < time.toSeconds(); i++) {
       world.runFor(Duration.ofSeconds(1));
-      check.watch();
+      check.check();
     }
   }
 
   @Override
-  void watch() {
-    rules.watchCancelled();
-    world.after(500, this::watch);
+  void runChecks() {
+    rules.checkCancelledJobs();
+    world.after(500, this::runChecks);
   }
 }
--- a/src/test/java/io/pineladder/sim/CommitterTest.java
+++ b/src/test/java/io/pineladder/sim/CommitterTest.java
@@ -27,7 +27,7 @@
   private record Sent(Request request, Consumer<Reply> onReply) {}
 
   private final SimulatedWorld world = new SimulatedWorld(1);
-  private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
+  private final EventLoop eventLoop = world.eventLoop("10.0.0.1", () -> true, 1);
   private final ArrayDeque<Sent> sent = new ArrayDeque<>();
   private final List<String> ended = new ArrayList<>();
   private int made;
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -61,7 +61,7 @@
   /** Submits a job that can't be placed, and cancels it: a final answer. */
   static String end(LoopbackCluster cluster, int index) throws InterruptedException {
     String id = submit(cluster, index);
-    ObjectNode told = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+    ObjectNode told = cluster.requestUntilSuccess(false, "POST", "/v1/jobs/" + id + "/cancel", null);
     assertEquals("aborted", told.get("status").asText());
     return id;
   }
@@ -88,7 +88,7 @@
             .put("guess_s", 30)
             .put("mark_every_s", 0.0)
             .put("stow_s", 0.0);
-    cluster.insist(false, "POST", "/v1/jobs", spec);
+    cluster.requestUntilSuccess(false, "POST", "/v1/jobs", spec);
     return id;
   }
 
@@ -116,11 +116,11 @@
             folder, 3, 1, List.of("--delivery", folder.resolve("key").toString()))) {
       ObjectNode networks = Json.object();
       networks.putArray("networks").add("127.0.0.1");
-      cluster.insist(true, "PUT", "/admin/v1/networks", networks);
+      cluster.requestUntilSuccess(true, "PUT", "/admin/v1/networks", networks);
       List<String> addresses = new ArrayList<>();
       List<Process> receivers = new ArrayList<>();
       for (int i = 0; i < subscribers; i++) {
-        addresses.add(LoopbackCluster.free());
+        addresses.add(LoopbackCluster.freeAddress());
         receivers.add(receiver(cluster, i, addresses.get(i)));
         ObjectNode wanted = Json.object().put("url", "http://" + addresses.get(i) + "/hook");
         ArrayNode owners = wanted.putArray("owners");
@@ -128,7 +128,7 @@
           owners.add(i % 2 == 0 ? "red" : "blue");
         }
         wanted.putArray("secrets").add(SECRET);
-        cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, wanted);
+        cluster.requestUntilSuccess(true, "PUT", "/admin/v1/subscriptions/desk-" + i, wanted);
       }
       ExecutorService users = Executors.newFixedThreadPool(4);
       AtomicInteger next = new AtomicInteger();
@@ -196,7 +196,7 @@
 
   private static boolean isDelivered(LoopbackCluster cluster, int index)
       throws InterruptedException {
-    ObjectNode shown = cluster.insist(true, "GET", "/admin/v1/subscriptions/desk-" + index, null);
+    ObjectNode shown = cluster.requestUntilSuccess(true, "GET", "/admin/v1/subscriptions/desk-" + index, null);
     return shown.get("backlog").asInt() == 0 && shown.get("confirmed").asInt() > 0;
   }
 }
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -46,17 +46,17 @@
   private final Map<String, Told> subscribers = new LinkedHashMap<>();
 
   @Override
-  DeliveryContext delivery(String host) {
+  DeliveryContext deliveryContext(String host) {
     DeliveryContext delivery =
         new DeliveryContext(DIRECT, new SecretCipher(new byte[32]), List.of(), 1, 32);
-    delivery.sendThrough(FakeReceiver.from(world, host, () -> true));
+    delivery.setOutboundClient(FakeReceiver.outboundClient(world, host, () -> true));
     return delivery;
   }
 
   private AsyncHttpClient.Reply[] tell(String method, String path, ObjectNode body, int node) {
     AsyncHttpClient.Reply[] got = new AsyncHttpClient.Reply[1];
     world
-        .caller("admin", () -> true)
+        .httpClient("admin", () -> true)
         .call(
             new AsyncHttpClient.Request(
                 "10.0.0." + node + ":8081",
@@ -122,12 +122,12 @@
    * effect there, and effects are in sequence from 1 without a gap.
    */
   private void check() {
-    Map<String, String> ends = store.ends();
+    Map<String, String> ends = store.finalStates();
     subscribers.forEach(
         (name, told) -> {
           Map<String, String> effects = new TreeMap<>();
           long expected = 0;
-          for (Event event : told.receiver.effects) {
+          for (Event event : told.receiver.appliedEvents) {
             assertEquals(++expected, event.sequence(), name + " in sequence");
             String job = event.json().get("subject").asText();
             String answer = event.json().at("/data/answer").asText();
@@ -149,7 +149,7 @@
   }
 
   private void settleAndDeliver(Duration time) {
-    subscribers.values().forEach(told -> told.receiver.trouble = 0);
+    subscribers.values().forEach(told -> told.receiver.faultRate = 0);
     settle(time);
     // A last back-off may be 5 minutes long.
     world.runFor(Duration.ofSeconds(700));
@@ -164,28 +164,28 @@
     subscribe("blue", List.of("blue"), List.of());
     subscribe("services", List.of(), List.of("serve"));
     for (int i = 0; i < 20; i++) {
-      submit(job("array", 2, i % 2 == 0 ? "red" : "blue"));
+      submit(jobSpec("array", 2, i % 2 == 0 ? "red" : "blue"));
     }
-    SafetyRules.Known service = submit(job("service", 2, "red"));
+    SafetyRules.TrackedJob service = submit(jobSpec("service", 2, "red"));
     world.runFor(Duration.ofSeconds(40));
     cancel(service);
     settleAndDeliver(Duration.ofMinutes(2));
-    assertEquals(21, subscribers.get("all").receiver.effects.size());
-    assertEquals(1, subscribers.get("services").receiver.effects.size());
+    assertEquals(21, subscribers.get("all").receiver.appliedEvents.size());
+    assertEquals(1, subscribers.get("services").receiver.appliedEvents.size());
     assertEquals(21, shown("all").get("confirmed").asInt());
     assertEquals(0, shown("all").get("backlog").asInt());
   }
 
   /** Ends jobs in bulk: submitted and cancelled at once. */
   private void endMany(int count) {
-    List<SafetyRules.Known> all = new ArrayList<>();
+    List<SafetyRules.TrackedJob> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      all.add(submit(job("array", 1, "red")));
+      all.add(submit(jobSpec("array", 1, "red")));
     }
     world.runFor(Duration.ofSeconds(20));
     all.forEach(this::cancel);
     world.runFor(Duration.ofSeconds(40));
-    all.forEach(job -> assertTrue(job.isOver(), job.id + " is not over"));
+    all.forEach(job -> assertTrue(job.isFinished(), job.id + " is not over"));
   }
 
   /** How subscribers stand while ends are counted. */
@@ -198,7 +198,7 @@
   /** Changes of what notices may be in, while 800 jobs come and end. */
   private int changesOf800Ends(Away away) {
     begin(2);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     if (away != Away.NOBODY_SUBSCRIBES) {
       for (String name : List.of("all", "blue")) {
@@ -210,9 +210,9 @@
     }
     endMany(400);
     endMany(400);
-    return store.changes.get("accepted/")
-        + store.changes.getOrDefault("backlog/", 0)
-        + store.changes.getOrDefault("delivered/", 0);
+    return store.changesByPrefix.get("accepted/")
+        + store.changesByPrefix.getOrDefault("backlog/", 0)
+        + store.changesByPrefix.getOrDefault("delivered/", 0);
   }
 
   /** Found while it was designed: a page of notices of its own costs a change for each lone end. */
@@ -221,7 +221,7 @@
     int without = new DeliverySimulationTest().changesOf800Ends(Away.NOBODY_SUBSCRIBES);
     int more = changesOf800Ends(Away.NOBODY_IS_AWAY) - without;
     assertTrue(more < 0.1 * 800, more + " more changes than " + without + " for 800 ends");
-    assertEquals(800, subscribers.get("all").receiver.effects.size());
+    assertEquals(800, subscribers.get("all").receiver.appliedEvents.size());
     check();
     int away = new DeliverySimulationTest().changesOf800Ends(Away.ALL_ARE_AWAY) - without;
     assertTrue(away < 0.1 * 800, away + " more changes than " + without + " for 800 ends");
@@ -234,22 +234,22 @@
   @Test
   void whatWaitsForLongLeavesThePagesOfJobs() {
     begin(7);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     subscribe("all", List.of(), List.of());
     admin("POST", "subscriptions/all/pause", null, 200);
     endMany(400);
     endMany(400);
-    assertTrue(store.count("backlog/") >= 2, store.count("backlog/") + " pages");
-    kill(controllers.get(leader()), 6_000);
+    assertTrue(store.countKeys("backlog/") >= 2, store.countKeys("backlog/") + " pages");
+    kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofSeconds(10));
     assertEquals(800, shown("all").get("backlog").asInt());
     admin("POST", "subscriptions/all/resume", null, 200);
     world.runFor(Duration.ofSeconds(30));
     endMany(100);
-    assertEquals(900, subscribers.get("all").receiver.effects.size());
+    assertEquals(900, subscribers.get("all").receiver.appliedEvents.size());
     check();
-    assertEquals(0, store.count("backlog/"));
+    assertEquals(0, store.countKeys("backlog/"));
   }
 
   /**
@@ -259,21 +259,21 @@
   @Test
   void laterSubscribersMeetWhatEarlierOnesLeft() {
     begin(8);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     subscribe("old", List.of(), List.of());
     endMany(100);
     check();
-    assertTrue(store.count("delivered/") > 0);
+    assertTrue(store.countKeys("delivered/") > 0);
     subscribers.clear();
     admin("DELETE", "subscriptions/old", null, 200);
-    kill(controllers.get(leader()), 6_000);
+    kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofSeconds(15));
-    long term = controllers.get(leader()).node.election().term();
+    long term = controllers.get(leaderIndex()).node.election().term();
     subscribe("fresh", List.of(), List.of());
     endMany(100);
-    assertEquals(100, subscribers.get("fresh").receiver.effects.size());
-    assertEquals(term, controllers.get(leader()).node.election().term());
+    assertEquals(100, subscribers.get("fresh").receiver.appliedEvents.size());
+    assertEquals(term, controllers.get(leaderIndex()).node.election().term());
   }
 
   /** The receiver answers as it is told to. */
@@ -281,7 +281,7 @@
     return new FakeReceiver(world, SECRET) {
       @Override
       public void handle(String method, String path, byte[] sent, Consumer<HttpResponse> answer) {
-        requests++;
+        requestCount++;
         answer.accept(new HttpResponse(status, body));
       }
     };
@@ -308,25 +308,25 @@
     FakeReceiver ahead = subscribeAnswering("ahead", 202, DeliveryWire.positionResponse(1_000_000));
     FakeReceiver plain = subscribeAnswering("plain", 204, new byte[0]);
     for (int i = 0; i < 6; i++) {
-      submit(job("array", 1, "red"));
+      submit(jobSpec("array", 1, "red"));
     }
     world.runFor(Duration.ofMinutes(2));
     check();
-    assertEquals(6, subscribers.get("good").receiver.effects.size());
-    assertEquals(6, plain.requests, "a receiver without a position gets each once if it answers");
+    assertEquals(6, subscribers.get("good").receiver.appliedEvents.size());
+    assertEquals(6, plain.requestCount, "a receiver without a position gets each once if it answers");
     assertEquals("ended", shown("gone").get("status").asText());
-    assertEquals(1, gone.requests);
+    assertEquals(1, gone.requestCount);
     for (String parked : List.of("refusing", "moved", "ahead")) {
       assertEquals("parked", shown(parked).get("status").asText(), parked);
     }
     assertEquals("the receiver answered 403", shown("refusing").get("reason").asText());
     assertEquals("the receiver answered 302", shown("moved").get("reason").asText());
-    assertEquals(3, refusing.requests + moved.requests + ahead.requests);
+    assertEquals(3, refusing.requestCount + moved.requestCount + ahead.requestCount);
     assertEquals("active", shown("busy").get("status").asText());
     assertEquals("retrying", shown("busy").get("sending").asText());
     assertEquals(6, shown("busy").get("backlog").asInt());
-    assertTrue(busy.requests <= 12, busy.requests + " tries");
-    assertTrue(behind.requests <= 12, behind.requests + " tries");
+    assertTrue(busy.requestCount <= 12, busy.requestCount + " tries");
+    assertTrue(behind.requestCount <= 12, behind.requestCount + " tries");
     // What is parked is kept, and goes on from where an operator says.
     FakeReceiver mended = new FakeReceiver(world, SECRET);
     world.serve("10.8.0.153:9999", mended);
@@ -334,7 +334,7 @@
     admin("POST", "subscriptions/refusing/resume", Json.object().put("sequence", "x"), 400);
     admin("POST", "subscriptions/refusing/resume", null, 200);
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(6, mended.effects.size());
+    assertEquals(6, mended.appliedEvents.size());
     admin("POST", "subscriptions/gone/resume", null, 409);
   }
 
@@ -356,36 +356,36 @@
     assertTrue(!all.contains("whsec"), all);
     assertTrue(!store.value("conf/subscription/desk").toString().contains("whsec"));
     admin("POST", "subscriptions/desk/pause", null, 200);
-    submit(job("array", 1, "red"));
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(0, receiver.effects.size());
-    kill(controllers.get(leader()), 6_000);
+    assertEquals(0, receiver.appliedEvents.size());
+    kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofSeconds(15));
     assertEquals("paused", shown("desk").get("status").asText());
     assertEquals(1, shown("desk").get("backlog").asInt());
     admin("POST", "subscriptions/desk/resume", null, 200);
     world.runFor(Duration.ofSeconds(5));
-    assertEquals(1, receiver.effects.size());
+    assertEquals(1, receiver.appliedEvents.size());
     // A receiver that returns to an older copy is told again what it has lost.
-    submit(job("array", 1, "blue"));
+    submit(jobSpec("array", 1, "blue"));
     world.runFor(Duration.ofSeconds(60));
-    receiver.restore(1);
-    submit(job("array", 1, "red"));
+    receiver.restoreBackup(1);
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(3, receiver.effects.size());
+    assertEquals(3, receiver.appliedEvents.size());
     check();
     // Deleted and created anew it counts from 1, as another source.
     admin("DELETE", "subscriptions/desk", null, 200);
-    submit(job("array", 1, "red"));
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(3, receiver.effects.size());
+    assertEquals(3, receiver.appliedEvents.size());
     admin("PUT", "subscriptions/desk", subscription("10.9.0.1", List.of(), List.of()), 201);
-    submit(job("array", 1, "red"));
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(150));
-    assertEquals(4, receiver.effects.size());
-    Event last = receiver.effects.get(3);
+    assertEquals(4, receiver.appliedEvents.size());
+    Event last = receiver.appliedEvents.get(3);
     assertEquals(1, last.sequence());
-    assertTrue(!last.source().equals(receiver.effects.get(2).source()));
+    assertTrue(!last.source().equals(receiver.appliedEvents.get(2).source()));
   }
 
   /** The store is out while receivers go on: what they confirm is sent again, and taken once. */
@@ -395,7 +395,7 @@
     world.runFor(Duration.ofSeconds(5));
     subscribe("all", List.of(), List.of());
     for (int i = 0; i < 30; i++) {
-      submit(job("array", 1, "red"));
+      submit(jobSpec("array", 1, "red"));
     }
     world.runFor(Duration.ofSeconds(20));
     store.outage = true;
@@ -403,7 +403,7 @@
     world.runFor(Duration.ofSeconds(20));
     store.endOutage();
     settleAndDeliver(Duration.ofSeconds(200));
-    assertTrue(subscribers.get("all").receiver.requests > 30);
+    assertTrue(subscribers.get("all").receiver.requestCount > 30);
   }
 
   /** Eight days; more by hand with {@code -Dpineladder.days=1000 -Dpineladder.first=1}. */
@@ -417,15 +417,15 @@
   void eachEndIsToldOnceUnderFaultsTogether(long seed) {
     begin(seed);
     world.runFor(Duration.ofSeconds(4));
-    subscribe("all", List.of(), List.of()).trouble = 0.3;
-    subscribe("blue", List.of("blue"), List.of()).trouble = 0.1;
+    subscribe("all", List.of(), List.of()).faultRate = 0.3;
+    subscribe("blue", List.of("blue"), List.of()).faultRate = 0.1;
     subscribe("services", List.of(), List.of("serve"));
-    world.lossy = 0.03;
+    world.lossRate = 0.03;
     for (int step = 0; step < 40; step++) {
-      SafetyRules.Known job = submit(randomJob());
-      job.broken = world.random.nextInt(12) == 0;
-      List<SafetyRules.Known> open =
-          rules.jobs.values().stream().filter(j -> j.accepted && !j.isOver()).toList();
+      SafetyRules.TrackedJob job = submit(randomJobSpec());
+      job.alwaysFails = world.random.nextInt(12) == 0;
+      List<SafetyRules.TrackedJob> open =
+          rules.jobs.values().stream().filter(j -> j.accepted && !j.isFinished()).toList();
       if (!open.isEmpty() && world.random.nextInt(2) == 0) {
         cancel(open.get(world.random.nextInt(open.size())));
       }
@@ -434,11 +434,11 @@
         boolean pause = world.random.nextBoolean();
         tell("POST", "subscriptions/blue/" + (pause ? "pause" : "resume"), null, 1);
       }
-      trouble(world.random.nextInt(18));
+      injectFault(world.random.nextInt(18));
       world.runFor(Duration.ofMillis(1_000 + world.random.nextInt(4_000)));
     }
     // A pause that comes late, as a request of the day may, would hold for good after the resume.
-    world.lossy = 0;
+    world.lossRate = 0;
     world.runFor(Duration.ofMinutes(2));
     admin("POST", "subscriptions/blue/resume", null, 200);
     settleAndDeliver(Duration.ofMinutes(10));
@@ -450,21 +450,21 @@
     byte[] fresh = SECRET.clone();
     fresh[0] = 1;
     begin(6);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     FakeReceiver receiver = subscribe("desk", List.of(), List.of());
-    receiver.trouble = 0.2;
+    receiver.faultRate = 0.2;
     endMany(20);
     admin("PUT", "subscriptions/desk", secrets(fresh, SECRET), 200);
     endMany(20);
-    receiver.replace(fresh);
+    receiver.replaceSecret(fresh);
     endMany(20);
     admin("PUT", "subscriptions/desk", secrets(fresh), 200);
     endMany(20);
-    receiver.trouble = 0;
+    receiver.faultRate = 0;
     world.runFor(Duration.ofSeconds(700));
     assertEquals("active", shown("desk").get("status").asText());
-    assertEquals(80, receiver.effects.size());
+    assertEquals(80, receiver.appliedEvents.size());
     check();
   }
 
--- a/src/test/java/io/pineladder/sim/RandomFaultsTest.java
+++ b/src/test/java/io/pineladder/sim/RandomFaultsTest.java
@@ -40,12 +40,12 @@
 
   private void arrivals(int steps) {
     for (int step = 0; step < steps; step++) {
-      submit(work(step % 4 == 0 ? "service" : "array", 1 + world.random.nextInt(4)));
+      submit(simpleJobSpec(step % 4 == 0 ? "service" : "array", 1 + world.random.nextInt(4)));
       if (step % 5 == 1) {
-        submit(work("group", 2 + world.random.nextInt(2)));
+        submit(simpleJobSpec("group", 2 + world.random.nextInt(2)));
       }
       if (step % 8 == 2) {
-        submit(work("array", 24));
+        submit(simpleJobSpec("array", 24));
       }
       world.runFor(Duration.ofSeconds(2));
     }
@@ -55,21 +55,21 @@
     long millis = TROUBLE.toMillis();
     switch (trouble) {
       case ONE_WAY, ONE_WAY_THIRD -> {
-        List<FakeFleet.Worker> up = fleet.up();
+        List<FakeFleet.Worker> up = fleet.runningWorkers();
         int first = world.random.nextInt(up.size());
         for (int i = 0; i < up.size(); i++) {
           if (trouble == Trouble.ONE_WAY ? i == first : i % 3 == first % 3) {
             String there = SimulatedWorld.host(up.get(i).address);
-            world.deaf.add(there);
-            world.after(millis, () -> world.deaf.remove(there));
+            world.unreachableHosts.add(there);
+            world.after(millis, () -> world.unreachableHosts.remove(there));
           }
         }
       }
       case LATE_COPIES -> {
-        fleet.copies = 0.2;
-        world.after(millis, () -> fleet.copies = 0);
+        fleet.duplicateReportRate = 0.2;
+        world.after(millis, () -> fleet.duplicateReportRate = 0);
       }
-      case ALONE -> aloneFor(millis);
+      case ALONE -> isolateLeader(millis);
       case AT_ONCE -> {
         for (int i = 0; i < 8; i++) {
           world.after(
@@ -77,7 +77,7 @@
               () -> {
                 int some =
                     world.random.nextBoolean() && store.value("lead/holder") != null
-                        ? leader()
+                        ? leaderIndex()
                         : world.random.nextInt(layout.nodes);
                 kill(controllers.get(some), world.random.nextInt(500));
               });
@@ -90,7 +90,7 @@
   private void strike(Beside beside) {
     switch (beside) {
       case NOTHING -> {}
-      case TAKEOVER -> kill(controllers.get(leader()), 6_000);
+      case TAKEOVER -> kill(controllers.get(leaderIndex()), 6_000);
       case STATE_OUTAGE -> {
         store.outage = true;
         world.after(15_000, store::endOutage);
@@ -111,7 +111,7 @@
             25_000, () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other))));
       }
       case SPOT_WAVE -> {
-        for (FakeFleet.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.runningWorkers()) {
           if (worker.spot && world.random.nextInt(3) == 0) {
             fleet.machines.remove(worker.name);
             worker.end();
@@ -146,9 +146,9 @@
     strike(beside);
     arrivals(20);
     world.runFor(TROUBLE);
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     settle(Duration.ofSeconds(200));
-    rules.checkShares();
+    rules.checkServedShares();
   }
 
   /** It was given new tasks with each new session, of which none ever started. */
@@ -156,20 +156,20 @@
   void aMachineThatHearsNothingGetsNoNewWorkAndIsReplaced() {
     begin(Layout.SHORT, 31);
     for (int i = 0; i < 4; i++) {
-      submit(work("service", 4));
+      submit(simpleJobSpec("service", 4));
     }
     world.runFor(Duration.ofSeconds(40));
     FakeFleet.Worker deaf =
-        fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
-    world.deaf.add(SimulatedWorld.host(deaf.address));
+        fleet.runningWorkers().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
+    world.unreachableHosts.add(SimulatedWorld.host(deaf.address));
     world.runFor(Duration.ofSeconds(14));
     assertTrue(deaf.tasks.isEmpty(), "its lease has ended");
-    SafetyRules.Known late = submit(work("array", 6));
+    SafetyRules.TrackedJob late = submit(simpleJobSpec("array", 6));
     world.runFor(Duration.ofSeconds(45));
     assertTrue(late.done, "served elsewhere");
     int running = 0;
-    for (FakeFleet.Worker worker : fleet.up()) {
-      running += (int) worker.tasks.values().stream().filter(t -> t.there).count();
+    for (FakeFleet.Worker worker : fleet.runningWorkers()) {
+      running += (int) worker.tasks.values().stream().filter(t -> t.onMachine).count();
     }
     assertEquals(16, running, "what it ran runs elsewhere");
     world.runFor(Duration.ofSeconds(30));
@@ -180,16 +180,16 @@
   @Test
   void aMachineThatHearsAgainIsUsedAgain() {
     begin(Layout.FLEET, 32);
-    fleet.capacity = 1;
-    submit(work("service", 2));
-    submit(work("service", 2));
+    fleet.zoneCapacity = 1;
+    submit(simpleJobSpec("service", 2));
+    submit(simpleJobSpec("service", 2));
     world.runFor(Duration.ofSeconds(40));
-    List<String> hosts = fleet.up().stream().map(w -> SimulatedWorld.host(w.address)).toList();
-    world.deaf.addAll(hosts);
+    List<String> hosts = fleet.runningWorkers().stream().map(w -> SimulatedWorld.host(w.address)).toList();
+    world.unreachableHosts.addAll(hosts);
     world.runFor(Duration.ofSeconds(6));
-    SafetyRules.Known job = submit(work("array", 2));
+    SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 2));
     world.runFor(Duration.ofSeconds(5));
-    world.deaf.clear();
+    world.unreachableHosts.clear();
     world.runFor(Duration.ofSeconds(60));
     assertTrue(job.done);
   }
@@ -201,43 +201,43 @@
   @Test
   void aGangBeginsThoughSmallTasksOfItsRankTakeEachFreedPiece() {
     begin(Layout.FLEET, 36);
-    fleet.capacity = 2;
+    fleet.zoneCapacity = 2;
     for (int i = 0; i < 8; i++) {
-      submit(work("array", 6).put("rank", "standard").put("guess_s", 7 + i).put("loaners", false));
+      submit(simpleJobSpec("array", 6).put("rank", "standard").put("guess_s", 7 + i).put("loaners", false));
     }
     world.runFor(Duration.ofSeconds(20));
-    SafetyRules.Known gang =
+    SafetyRules.TrackedJob gang =
         submit(
-            work("group", 2)
+            simpleJobSpec("group", 2)
                 .put("rank", "standard")
                 .put("cards", 4.0)
                 .put("guess_s", 10)
                 .put("loaners", false));
     for (int second = 0; second < 220; second += 2) {
       submit(
-          work("array", 5)
+          simpleJobSpec("array", 5)
               .put("rank", "standard")
               .put("guess_s", 6 + second % 7)
               .put("loaners", false));
       world.runFor(Duration.ofSeconds(2));
     }
-    assertTrue(gang.everStarted.size() == 2, "begun: " + gang.everStarted);
-    assertTrue(gang.begun.isBefore(gang.submitted.plusSeconds(240)));
+    assertTrue(gang.startedTasks.size() == 2, "begun: " + gang.startedTasks);
+    assertTrue(gang.firstStartedAt.isBefore(gang.submittedAt.plusSeconds(240)));
   }
 
   // ---- the checks of the checks
 
-  private SafetyRules.Known accepted(String shape, int tasks) {
-    SafetyRules.Known job = known(work(shape, tasks));
+  private SafetyRules.TrackedJob accepted(String shape, int tasks) {
+    SafetyRules.TrackedJob job = trackJob(simpleJobSpec(shape, tasks));
     job.accepted = true;
-    job.answered = world.now();
+    job.lastAnsweredAt = world.now();
     return job;
   }
 
   @Test
   void aJobNobodyAnswersForIsSeenAsForgotten() {
     begin(Layout.FLEET, 33);
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     accepted("array", 1);
     assertThrows(AssertionError.class, () -> world.runFor(Duration.ofSeconds(77)));
   }
@@ -247,23 +247,23 @@
     begin(Layout.FLEET, 34);
     accepted("array", 1).done = true;
     accepted("array", 1);
-    rules.jobs.values().forEach(job -> job.begun = world.now());
-    rules.checkShares();
+    rules.jobs.values().forEach(job -> job.firstStartedAt = world.now());
+    rules.checkServedShares();
     accepted("array", 1);
-    assertThrows(AssertionError.class, rules::checkShares);
+    assertThrows(AssertionError.class, rules::checkServedShares);
   }
 
   @Test
   void aLargestJobThatBeginsLateIsSeen() {
     begin(Layout.FLEET, 35);
-    SafetyRules.Known large = accepted("array", 9);
+    SafetyRules.TrackedJob large = accepted("array", 9);
     for (int i = 0; i < 3; i++) {
       accepted("array", 1).done = true;
     }
-    rules.jobs.values().forEach(job -> job.begun = world.now());
+    rules.jobs.values().forEach(job -> job.firstStartedAt = world.now());
     large.done = true;
-    rules.checkShares();
-    large.begun = large.submitted.plusSeconds(241);
-    assertThrows(AssertionError.class, rules::checkShares);
+    rules.checkServedShares();
+    large.firstStartedAt = large.submittedAt.plusSeconds(241);
+    assertThrows(AssertionError.class, rules::checkServedShares);
   }
 }
--- a/src/test/java/io/pineladder/sim/RestartProcessTest.java
+++ b/src/test/java/io/pineladder/sim/RestartProcessTest.java
@@ -33,7 +33,7 @@
         for (int i = 0; i < 4; i++) {
           String id = DeliveryProcessTest.submit(cluster, 4 * round + i);
           if (i % 2 == 0) {
-            ObjectNode told = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+            ObjectNode told = cluster.requestUntilSuccess(false, "POST", "/v1/jobs/" + id + "/cancel", null);
             assertEquals("aborted", told.get("status").asText(), id);
             aborted.add(id);
           } else {
@@ -68,14 +68,14 @@
   }
 
   private static String status(LoopbackCluster cluster, String id) throws Exception {
-    return cluster.insist(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
+    return cluster.requestUntilSuccess(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
   }
 
   /** A controller says the same as before or that it does not know yet. */
   private static void check(LoopbackCluster cluster, int node, List<String> jobs, String expected)
       throws Exception {
     for (String id : jobs) {
-      HttpResponse<String> got = cluster.askOnce(node, "GET", "/v1/jobs/" + id);
+      HttpResponse<String> got = cluster.requestOnce(node, "GET", "/v1/jobs/" + id);
       if (got == null || got.statusCode() == 503) {
         continue;
       }
--- a/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
@@ -26,7 +26,7 @@
     for (FakeFleet.Worker worker : fleet.machines.values()) {
       worker.tasks.forEach(
           (key, task) -> {
-            if (task.there) {
+            if (task.onMachine) {
               found.put(key, worker.name);
             }
           });
@@ -49,21 +49,21 @@
 
   private void loseAll(int cost) {
     Map<String, String> before = there();
-    int requests = store.requests;
-    int changes = store.changes.values().stream().mapToInt(n -> n).sum();
+    int requests = store.requestCount;
+    int changes = store.changesByPrefix.values().stream().mapToInt(n -> n).sum();
     Instant at = world.now();
     store.loseEverything();
     Duration noticed = until(at, Duration.ofSeconds(2), () -> any(State.LOST));
     until(at, Duration.ofSeconds(15), () -> any(State.REBUILT));
-    int written = store.changes.values().stream().mapToInt(n -> n).sum() - changes;
-    SafetyRules.Known late = submit(job("array", 4, "red").put("together", false));
+    int written = store.changesByPrefix.values().stream().mapToInt(n -> n).sum() - changes;
+    SafetyRules.TrackedJob late = submit(jobSpec("array", 4, "red").put("together", false));
     Duration accepted = until(at, Duration.ofSeconds(12), () -> late.accepted);
     Duration first =
         until(
             at,
             Duration.ofSeconds(15),
             () -> there().keySet().stream().anyMatch(key -> key.startsWith(late.id)));
-    int asked = store.requests - requests;
+    int asked = store.requestCount - requests;
     world.runFor(Duration.ofSeconds(60));
     Map<String, String> after = there();
     before.forEach((task, machine) -> assertEquals(machine, after.get(task), task + " was lost"));
@@ -81,12 +81,12 @@
   @Test
   void nothingThatRunsIsLostWithAllThatWasStored() {
     begin(51);
-    losesData = true;
-    fleet.capacity = MACHINES;
-    fleet.addUp(MACHINES);
+    allowsDataLoss = true;
+    fleet.zoneCapacity = MACHINES;
+    fleet.addRunningMachines(MACHINES);
     world.runFor(Duration.ofSeconds(10));
     for (int i = 0; i < JOBS; i++) {
-      submit(job("service", TASKS_EACH, "red").put("spread", false).put("together", false));
+      submit(jobSpec("service", TASKS_EACH, "red").put("spread", false).put("together", false));
     }
     world.runFor(Duration.ofSeconds(60));
     assertEquals(JOBS * TASKS_EACH, there().size(), "all runs before the loss");
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -83,10 +83,10 @@
   }
 
   private void fill() {
-    fleet.capacity = 40;
+    fleet.zoneCapacity = 40;
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 12; i++) {
-      submit(job("service", 4, "red").put("together", false).put("spread", true));
+      submit(jobSpec("service", 4, "red").put("together", false).put("spread", true));
     }
     world.runFor(Duration.ofSeconds(90));
     assertEquals(24, there("b").size(), "half of all is in the second zone");
@@ -97,8 +97,8 @@
   }
 
   private void lead(int wanted) {
-    for (int tries = 0; tries < 20 && leader() != wanted; tries++) {
-      kill(controllers.get(leader()), 4_000);
+    for (int tries = 0; tries < 20 && leaderIndex() != wanted; tries++) {
+      kill(controllers.get(leaderIndex()), 4_000);
       world.runFor(Duration.ofSeconds(12));
     }
   }
@@ -152,13 +152,13 @@
     lead(0);
     Runnable heal = part(true);
     world.runFor(Duration.ofSeconds(15));
-    SafetyRules.Known job = rules.jobs.values().iterator().next();
+    SafetyRules.TrackedJob job = rules.jobs.values().iterator().next();
     cancel(job);
     world.runFor(Duration.ofSeconds(90));
-    assertTrue(job.cancelled == null, "told while tasks of it run");
+    assertTrue(job.cancelledAt == null, "told while tasks of it run");
     heal.run();
     world.runFor(Duration.ofSeconds(30));
-    assertTrue(job.cancelled != null);
+    assertTrue(job.cancelledAt != null);
     settle(Duration.ofSeconds(60));
   }
 
