--- a/src/main/java/io/pineladder/ClusterConfiguration.java
+++ b/src/main/java/io/pineladder/ClusterConfiguration.java
@@ -115,7 +115,7 @@
             // 410: the store no longer retains the changes after this revision.
             storeClient.scheduleRetry(
                 retry,
-                watched.reply().is(410)
+                watched.reply().hasStatus(410)
                     ? this::listAndWatch
                     : () -> watch(afterRevision, isCurrent));
           }
--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -235,7 +235,7 @@
   private void sendGossip(String address, byte[] message, Consumer<byte[]> onReply) {
     httpClient.call(
         Request.post(address, GossipWire.PATH, message, Membership.HEARTBEAT_TIMEOUT),
-        reply -> onReply.accept(reply.is(200) ? reply.body() : null));
+        reply -> onReply.accept(reply.hasStatus(200) ? reply.body() : null));
   }
 
   private Membership.LocalStatus localStatus() {
--- a/src/main/java/io/pineladder/autoscaling/MachineInventory.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineInventory.java
@@ -92,7 +92,7 @@
 
   private void onPage(Reply reply, String after, Instant listBegunAt, Instant sentAt) {
     listInFlight = false;
-    if (!reply.is(200)) {
+    if (!reply.hasStatus(200)) {
       return;
     }
     try {
--- a/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
@@ -99,7 +99,7 @@
             CloudWire.releaseRequest(names),
             reply -> {
               releaseInFlight = false;
-              if (reply.is(200)) {
+              if (reply.hasStatus(200)) {
                 names.forEach(this::onReleased);
               }
             });
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/Training.java
@@ -66,7 +66,7 @@
     client.call(
         Request.post(apiAddress, "/v1/jobs", JOB, REQUEST_TIMEOUT),
         reply -> {
-          if (reply.is(201)) {
+          if (reply.hasStatus(201)) {
             sendHeartbeat(client, apiAddress, 1, done);
           } else {
             eventLoop.schedule(RETRY_DELAY, () -> submitJob(eventLoop, client, apiAddress, done));
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -139,9 +139,9 @@
     storeClient.sendImmediately(
         storeClient.post("/multi", remove.bytes()),
         reply -> {
-          removedCount += reply.is(200) ? obsoleteKeys.size() : 0;
+          removedCount += reply.hasStatus(200) ? obsoleteKeys.size() : 0;
           // After a failure a new scan finds the keys that were not removed.
-          eventLoop.schedule(STEP_INTERVAL, () -> scanPage(reply.is(200) ? lastKey : null));
+          eventLoop.schedule(STEP_INTERVAL, () -> scanPage(reply.hasStatus(200) ? lastKey : null));
         });
   }
 }
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -312,7 +312,7 @@
           GENERATION_WATCH_TIMEOUT,
           reply ->
               eventLoop.schedule(
-                  reply.is(200) ? Duration.ZERO : backoff.nextDelay(),
+                  reply.hasStatus(200) ? Duration.ZERO : backoff.nextDelay(),
                   () -> readGeneration(sequence)));
     } else {
       eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> readGeneration(sequence));
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -330,7 +330,7 @@
             return;
           }
           try {
-            if (reply.is(200)) {
+            if (reply.hasStatus(200)) {
               leaseId = StoreWire.parseLeaseId(reply.body());
               claimLeaderKey(expectedRound, sentAt, false);
               return;
@@ -362,7 +362,7 @@
       return;
     }
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         long revision = StoreWire.parseRevision(reply.body());
         if (storeClient.acceptCommitRevision(revisionBefore, revision)) {
           becomeLeader(revision, leaseSentAt);
@@ -374,7 +374,7 @@
     } catch (MalformedMessageException e) {
       log.warn("Leader claim response malformed: error={}", e.getMessage());
     }
-    if (reply.is(409) && repeated) {
+    if (reply.hasStatus(409) && repeated) {
       // An earlier attempt of this claim, which got no reply, may have written the key.
       storeClient.readImmediately(
           RecordKeys.LEADER,
@@ -463,12 +463,12 @@
           if (expectedRound != round || !holdsTerm()) {
             return;
           }
-          if (reply.is(404)) {
+          if (reply.hasStatus(404)) {
             listener.onLeaseNotFound();
             endTerm("the lease no longer exists in the store", false);
             return;
           }
-          boolean renewed = reply.is(200);
+          boolean renewed = reply.hasStatus(200);
           if (renewed) {
             retry.reset();
             if (state == State.IN_DOUBT) {
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -337,7 +337,7 @@
             upToDateAt = sent;
             changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), true));
             replica.advanceTo(revision);
-          } else if (result.reply().is(410)
+          } else if (result.reply().hasStatus(410)
               || (upToDateAt.plus(MAX_LAG).isBefore(eventLoop.now()) && storeClient.isHealthy())) {
             follow();
             return;
--- a/src/main/java/io/pineladder/store/AcceptedJobIndex.java
+++ b/src/main/java/io/pineladder/store/AcceptedJobIndex.java
@@ -155,7 +155,7 @@
             return;
           }
           // 410: the changes since this revision are no longer available.
-          finish(response.reply().is(410) ? State.EMPTY : State.LOADED, callers, false);
+          finish(response.reply().hasStatus(410) ? State.EMPTY : State.LOADED, callers, false);
         });
   }
 
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -208,11 +208,11 @@
       return;
     }
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         onExecuted(StoreWire.parseRevision(reply.body()));
         return;
       }
-      if (reply.is(409)) {
+      if (reply.hasStatus(409)) {
         onConflict(
             StoreWire.parseFailedConditions(reply.body(), storeClient.generation().prefix()));
         return;
@@ -220,7 +220,7 @@
     } catch (MalformedMessageException e) {
       log.warn("Malformed transaction reply, outcome unknown: reply={}", reply);
     }
-    if (reply.is(400)) {
+    if (reply.hasStatus(400)) {
       onBadRequest(reply);
     } else {
       onNoOutcome(reply);
@@ -262,7 +262,8 @@
 
   /** Handles rejection before execution, a missing reply, and an unexpected status. */
   private void onNoOutcome(Reply reply) {
-    boolean notExecuted = reply.is(503) || reply.is(429) || reply.outcome() == Outcome.NOT_SENT;
+    boolean notExecuted =
+        reply.hasStatus(503) || reply.hasStatus(429) || reply.outcome() == Outcome.NOT_SENT;
     if (!notExecuted) {
       // It may have been executed, or may still be.
       pending.markAmbiguous();
--- a/src/main/java/io/pineladder/store/PrefixScan.java
+++ b/src/main/java/io/pineladder/store/PrefixScan.java
@@ -35,7 +35,7 @@
 
   /** Adds the page in a reply; returns false when the reply is not a valid page. */
   boolean addPage(Reply reply) {
-    if (!reply.is(200)) {
+    if (!reply.hasStatus(200)) {
       return false;
     }
     try {
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -232,7 +232,7 @@
         reply -> {
           ReadResult read = toReadResult(reply, context);
           try {
-            if (!read.succeeded() && reply.is(404)) {
+            if (!read.succeeded() && reply.hasStatus(404)) {
               read = new ReadResult(true, null, StoreWire.parseRevision(reply.body()));
             }
           } catch (MalformedMessageException e) {
@@ -244,11 +244,11 @@
 
   private static ReadResult toReadResult(Reply reply, RequestContext context) {
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         StoreWire.Entry entry = StoreWire.parseEntry(reply.body(), context.keyspace());
         return new ReadResult(true, entry, entry.revision());
       }
-      if (reply.is(404)) {
+      if (reply.hasStatus(404)) {
         long revision = StoreWire.parseRevision(reply.body());
         return context.acceptRevision(revision)
             ? new ReadResult(true, null, revision)
@@ -340,7 +340,7 @@
         get(StoreWire.listPath(keyspace + prefix, after == null ? null : keyspace + after)),
         reply -> {
           try {
-            if (reply.is(200)) {
+            if (reply.hasStatus(200)) {
               StoreWire.Page page = StoreWire.parsePage(reply.body(), keyspace);
               boolean accepted = anyRevision || context.acceptRevision(page.revision());
               onPage.accept(accepted ? page : null);
@@ -401,7 +401,7 @@
 
   private static ChangesReply toChangesReply(Reply reply, RequestContext context) {
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         StoreWire.Changes changes = StoreWire.parseChanges(reply.body(), context.keyspace());
         return new ChangesReply(reply, context.acceptRevision(changes.revision()) ? changes : null);
       }
@@ -424,11 +424,11 @@
         post("/multi", conditions.bytes()),
         reply -> {
           try {
-            if (reply.is(200)) {
+            if (reply.hasStatus(200)) {
               onDone.accept(List.of());
               return;
             }
-            if (reply.is(409)) {
+            if (reply.hasStatus(409)) {
               onDone.accept(StoreWire.parseFailedConditions(reply.body(), context.keyspace()));
               return;
             }
--- a/src/main/java/io/pineladder/workers/CommandReplyHandler.java
+++ b/src/main/java/io/pineladder/workers/CommandReplyHandler.java
@@ -46,9 +46,10 @@
    */
   boolean onReply(Machine machine, List<Attempt> started, Reply reply) {
     machine.commandInFlight = false;
-    boolean executed = reply.is(200);
+    boolean executed = reply.hasStatus(200);
     // Any other status code proves nothing; in particular not that a start had no effect.
-    boolean refused = reply.is(409) || reply.is(400) || reply.outcome() == Outcome.NOT_SENT;
+    boolean refused =
+        reply.hasStatus(409) || reply.hasStatus(400) || reply.outcome() == Outcome.NOT_SENT;
     resolveStarts(started, executed, refused);
     if (refused || !executed) {
       // Kills in the request may not have arrived; the next heartbeat response repeats them.
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -104,7 +104,7 @@
         1,
         reply -> {
           try {
-            storedRevision = reply.is(200) ? StoreWire.parseRevision(reply.body()) : null;
+            storedRevision = reply.hasStatus(200) ? StoreWire.parseRevision(reply.body()) : null;
           } catch (MalformedMessageException e) {
             // The outcome is uncertain, as without a reply; the next write reads the record first.
             storedRevision = null;
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -76,7 +76,7 @@
       for (int i = 0; i < 60 && got[0] == null; i++) {
         world.runFor(Duration.ofMillis(100));
       }
-      if (got[0] != null && got[0].is(wanted)) {
+      if (got[0] != null && got[0].hasStatus(wanted)) {
         try {
           return Json.parseObject(got[0].body());
         } catch (Exception e) {
--- a/src/test/java/io/pineladder/sim/FakeFleet.java
+++ b/src/test/java/io/pineladder/sim/FakeFleet.java
@@ -405,7 +405,7 @@
 
     private void onReply(AsyncHttpClient.Reply reply, long sentEpoch, long sentMillis) {
       try {
-        if (reply.is(200)) {
+        if (reply.hasStatus(200)) {
           ObjectNode response = Json.parseObject(reply.body());
           long receivedToken = response.get("baton").asLong();
           boolean higher = receivedToken > fencingToken;
@@ -419,7 +419,8 @@
               higher ? 500 : reportMillis * 3 / 4 + world.random.nextInt((int) reportMillis / 2));
           return;
         }
-        JsonNode leader = reply.is(421) ? Json.parseObject(reply.body()).get("foreman") : null;
+        JsonNode leader =
+            reply.hasStatus(421) ? Json.parseObject(reply.body()).get("foreman") : null;
         if (leader != null) {
           controllerIndex = Integer.parseInt(leader.asText().substring("rung-".length()));
           scheduleReport(world.random.nextInt(500));
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -68,7 +68,7 @@
                     AsyncHttpClient.Request.post(
                         address, GossipWire.PATH, beat, Membership.HEARTBEAT_TIMEOUT),
                     reply -> {
-                      byte[] body = reply.is(200) ? reply.body() : null;
+                      byte[] body = reply.hasStatus(200) ? reply.body() : null;
                       record(body == null ? Kind.MISS : Kind.ANSWER, peer, body);
                       onAnswer.accept(body);
                       compare(peer);
--- a/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
@@ -49,7 +49,7 @@
           .call(
               AsyncHttpClient.Request.post(
                   leader + ":8080", "/v1/jobs", body, Duration.ofSeconds(5)),
-              reply -> accepted[0] += reply.is(201) ? 1 : 0);
+              reply -> accepted[0] += reply.hasStatus(201) ? 1 : 0);
     }
     world.runFor(Duration.ofMillis(1_500));
     assertEquals(500, accepted[0]);
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -312,7 +312,7 @@
         .call(
             new AsyncHttpClient.Request(node, method, path, body, timeout),
             reply -> {
-              boolean succeeded = reply.is(200) || reply.is(201);
+              boolean succeeded = reply.hasStatus(200) || reply.hasStatus(201);
               try {
                 String state =
                     succeeded ? Json.parseObject(reply.body()).get("status").asText() : null;
