--- a/src/test/java/io/pineladder/sim/BadInputTest.java
+++ b/src/test/java/io/pineladder/sim/BadInputTest.java
@@ -19,14 +19,14 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** What no user or worker should send, through every node and again and again. */
+/** Invalid and repeated requests of users and workers, sent many times to all nodes. */
 class BadInputTest extends ConfigurableCluster {
-  private static final int TIMES = 100;
+  private static final int REQUEST_COUNT = 100;
 
-  /** How often each answer came, as its status and what it says of the job. */
-  private Map<String, Integer> send(String method, String path, byte[] body) {
+  /** Sends a request repeatedly, to the nodes in turn; counts answers by code and job status. */
+  private Map<String, Integer> sendRepeatedly(String method, String path, byte[] body) {
     Map<String, Integer> answers = new HashMap<>();
-    for (int i = 0; i < TIMES; i++) {
+    for (int i = 0; i < REQUEST_COUNT; i++) {
       String node = fronts.get(i % fronts.size());
       world
           .caller("user", () -> true)
@@ -49,23 +49,23 @@
     return String.valueOf(reply.status());
   }
 
-  private static byte[] report(
-      String host, String hull, long shift, long tally, long baton, String piece) {
+  private static byte[] heartbeat(
+      String host, String machineType, long epoch, long sequence, long fencingToken, String task) {
     ObjectNode out =
         Json.object()
             .put("host", host)
             .put("addr", "10.1.9.9:9000")
-            .put("hull", hull)
+            .put("hull", machineType)
             .put("yard", "a")
             .put("loaners", false)
-            .put("shift", shift)
-            .put("tally", tally)
-            .put("baton", baton);
+            .put("shift", epoch)
+            .put("tally", sequence)
+            .put("baton", fencingToken);
     var pieces = out.putArray("pieces");
-    if (piece != null) {
+    if (task != null) {
       pieces
           .addObject()
-          .put("piece", piece)
+          .put("piece", task)
           .put("try", 1)
           .put("status", "ended")
           .put("cause", "done");
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void nothingThatShouldNotBeSentChangesAJobOrEndsATerm() {
+  void ignoresInvalidAndRepeatedRequests() {
     begin(Layout.FLEET, 41);
     SafetyRules.Known done = submit(work("array", 1).put("guess_s", 5));
     SafetyRules.Known cancelled = submit(work("service", 1));
@@ -86,59 +86,77 @@
     String holder = String.valueOf(store.value("lead/holder"));
 
     String jobs = "/v1/jobs/";
-    Map<String, Integer> all = Map.of("200 done", TIMES);
+    Map<String, Integer> all = Map.of("200 done", REQUEST_COUNT);
     assertEquals(
-        all, send("POST", jobs + done.id + "/cancel", null), "a job that is done stays done");
-    assertEquals(all, send("POST", "/v1/jobs", Json.bytes(done.spec)), "and is no new one");
-    assertEquals(Map.of("200 aborted", TIMES), send("POST", jobs + cancelled.id + "/cancel", null));
+        all,
+        sendRepeatedly("POST", jobs + done.id + "/cancel", null),
+        "cancelling a completed job has no effect");
     assertEquals(
-        Map.of("200 aborted", TIMES), send("POST", "/v1/jobs", Json.bytes(cancelled.spec)));
+        all,
+        sendRepeatedly("POST", "/v1/jobs", Json.bytes(done.spec)),
+        "a repeated submission creates no job");
+    assertEquals(
+        Map.of("200 aborted", REQUEST_COUNT),
+        sendRepeatedly("POST", jobs + cancelled.id + "/cancel", null));
+    assertEquals(
+        Map.of("200 aborted", REQUEST_COUNT),
+        sendRepeatedly("POST", "/v1/jobs", Json.bytes(cancelled.spec)));
     for (String unknown : List.of("req-999999", "nonsense", "req-1", "..", "req-000001x")) {
-      assertEquals(Map.of("404", TIMES), send("POST", jobs + unknown + "/cancel", null), unknown);
-      assertEquals(Map.of("404", TIMES), send("GET", jobs + unknown, null), unknown);
+      assertEquals(
+          Map.of("404", REQUEST_COUNT),
+          sendRepeatedly("POST", jobs + unknown + "/cancel", null),
+          unknown);
+      assertEquals(
+          Map.of("404", REQUEST_COUNT), sendRepeatedly("GET", jobs + unknown, null), unknown);
     }
     for (String malformed : List.of("", "[]", "{", "{}", "null", "{\"ref\":7}", "\u0000")) {
       assertEquals(
-          Map.of("400", TIMES),
-          send("POST", "/v1/jobs", malformed.getBytes(StandardCharsets.UTF_8)),
+          Map.of("400", REQUEST_COUNT),
+          sendRepeatedly("POST", "/v1/jobs", malformed.getBytes(StandardCharsets.UTF_8)),
           malformed);
       assertEquals(
-          Map.of("400", TIMES),
-          send("POST", "/v1/report", malformed.getBytes(StandardCharsets.UTF_8)),
+          Map.of("400", REQUEST_COUNT),
+          sendRepeatedly("POST", "/v1/report", malformed.getBytes(StandardCharsets.UTF_8)),
           malformed);
     }
 
-    // Machines that nobody rented, of a known type and of none, and old words of one that is there.
-    FakeFleet.Worker there =
+    // Heartbeats of unknown machines, with known and unknown types, and stale ones of a known
+    // machine.
+    FakeFleet.Worker busy =
         fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
-    List<byte[]> reports = new ArrayList<>();
-    reports.add(report("m-999998", "g4", 1, 1, 0, null));
-    reports.add(report("m-999999", "no-such", 1, 1, 0, "req-000777/0"));
-    reports.add(report("m-999997", "g4", 3, 900, 0, runs.id + "/0"));
-    reports.add(report(there.name, "g4", 0, 1, 0, runs.id + "/0"));
-    reports.add(report(there.name, "g4", 1, 0, 0, null));
-    reports.add(report(there.name, "g4", 0, Long.MAX_VALUE, 0, null));
-    for (byte[] each : reports) {
-      Map<String, Integer> answers = send("POST", "/v1/report", each);
-      answers.keySet().forEach(a -> assertTrue(List.of("200", "421").contains(a), "answered " + a));
+    List<byte[]> heartbeats = new ArrayList<>();
+    heartbeats.add(heartbeat("m-999998", "g4", 1, 1, 0, null));
+    heartbeats.add(heartbeat("m-999999", "no-such", 1, 1, 0, "req-000777/0"));
+    heartbeats.add(heartbeat("m-999997", "g4", 3, 900, 0, runs.id + "/0"));
+    heartbeats.add(heartbeat(busy.name, "g4", 0, 1, 0, runs.id + "/0"));
+    heartbeats.add(heartbeat(busy.name, "g4", 1, 0, 0, null));
+    heartbeats.add(heartbeat(busy.name, "g4", 0, Long.MAX_VALUE, 0, null));
+    for (byte[] heartbeat : heartbeats) {
+      Map<String, Integer> answers = sendRepeatedly("POST", "/v1/report", heartbeat);
+      answers
+          .keySet()
+          .forEach(a -> assertTrue(List.of("200", "421").contains(a), "unexpected status " + a));
     }
     for (byte[] each :
         List.of(
-            report("m-000001", "g4", -1, 1, 0, null),
-            report("m-000001", "g4", 1, -1, 0, null),
-            report("m-000001", "g4", 1, 1, -1, null))) {
-      assertEquals(Map.of("400", TIMES), send("POST", "/v1/report", each));
+            heartbeat("m-000001", "g4", -1, 1, 0, null),
+            heartbeat("m-000001", "g4", 1, -1, 0, null),
+            heartbeat("m-000001", "g4", 1, 1, -1, null))) {
+      assertEquals(Map.of("400", REQUEST_COUNT), sendRepeatedly("POST", "/v1/report", each));
     }
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(holder, String.valueOf(store.value("lead/holder")), "the term goes on");
-    assertTrue(store.space().isEmpty(), "nobody takes data for lost");
-    assertEquals(1, fleet.holding(runs.id).size(), "what runs goes on");
+    assertEquals(holder, String.valueOf(store.value("lead/holder")), "the leader keeps its term");
+    assertTrue(store.space().isEmpty(), "no data loss is assumed");
+    assertEquals(1, fleet.holding(runs.id).size(), "the running task is kept");
     assertTrue(!runs.isOver());
     settle(Duration.ofSeconds(30));
   }
 
-  /** What is sent, by what is done to a good job, and how every node answers it. */
-  private static final Map<String, Integer> SUBMISSIONS = new LinkedHashMap<>();
+  /**
+   * The expected status code by change of a valid job: a field to remove, or fields to set as
+   * {@code field=value,...}.
+   */
+  private static final Map<String, Integer> STATUS_BY_CHANGE = new LinkedHashMap<>();
 
   static {
     List<String> required =
@@ -161,20 +179,20 @@
             "mark_every_s",
             "stow_s");
     for (String field : required) {
-      // Only a field that may be null may be absent, or null.
-      SUBMISSIONS.put(field, 400);
-      SUBMISSIONS.put(field + "=null", 400);
-      SUBMISSIONS.put(field + "=[1]", 400);
-      SUBMISSIONS.put(field + "={}", 400);
+      // Required fields may be neither absent nor null.
+      STATUS_BY_CHANGE.put(field, 400);
+      STATUS_BY_CHANGE.put(field + "=null", 400);
+      STATUS_BY_CHANGE.put(field + "=[1]", 400);
+      STATUS_BY_CHANGE.put(field + "={}", 400);
     }
     for (String amount :
         List.of("vcpus", "cards", "memory_gb", "image_gb", "guess_s", "mark_every_s", "stow_s")) {
       for (String value : List.of("-1", "1e400", "\"NaN\"", "\"7\"", "true")) {
-        SUBMISSIONS.put(amount + "=" + value, 400);
+        STATUS_BY_CHANGE.put(amount + "=" + value, 400);
       }
     }
     for (String value : List.of("0", "100001", "-3", "1.5", "99999999999999999999", "\"2\"")) {
-      SUBMISSIONS.put("pieces=" + value, 400);
+      STATUS_BY_CHANGE.put("pieces=" + value, 400);
     }
     for (String each :
         List.of(
@@ -196,7 +214,7 @@
             "due_s=\"soon\"",
             "due_s=-1",
             "owner=\"\"")) {
-      SUBMISSIONS.put(each, 400);
+      STATUS_BY_CHANGE.put(each, 400);
     }
     for (String each :
         List.of(
@@ -210,7 +228,7 @@
             "owner=\"blue\",shape=\"service\",pieces=9",
             "shape=\"group\",together=true,spread=true",
             "shape=\"group\",yard=\"a\",spread=true")) {
-      SUBMISSIONS.put(each, 422);
+      STATUS_BY_CHANGE.put(each, 422);
     }
     for (String each :
         List.of(
@@ -223,36 +241,38 @@
             "shape=\"group\",spread=true",
             "shape=\"group\",pieces=1,together=true,spread=true",
             "yard=\"a\"")) {
-      SUBMISSIONS.put(each, 201);
+      STATUS_BY_CHANGE.put(each, 201);
     }
   }
 
-  private ObjectNode changed(String how) throws MalformedMessageException {
+  private ObjectNode changedSpec(String change) throws MalformedMessageException {
     ObjectNode spec = work("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
-    if (!how.contains("=")) {
-      spec.remove(how);
+    if (!change.contains("=")) {
+      spec.remove(change);
       return spec;
     }
-    for (String each : how.split(",(?=[a-z_]+=)", 0)) {
-      int is = each.indexOf('=');
-      String text = spec.toString().replaceAll("\\}$", ",\"" + each.substring(0, is) + "\":");
+    for (String assignment : change.split(",(?=[a-z_]+=)", 0)) {
+      int separator = assignment.indexOf('=');
+      String text =
+          spec.toString().replaceAll("\\}$", ",\"" + assignment.substring(0, separator) + "\":");
       spec =
-          Json.parseObject((text + each.substring(is + 1) + "}").getBytes(StandardCharsets.UTF_8));
+          Json.parseObject(
+              (text + assignment.substring(separator + 1) + "}").getBytes(StandardCharsets.UTF_8));
     }
     return spec;
   }
 
-  /** What each node answers to what is done to a good job; every node is sent a job of its own. */
-  private Map<String, List<Integer>> answers(List<String> nodes, Predicate<Integer> which)
-      throws MalformedMessageException {
+  /** Submits each changed job to each node, with an id per node, and returns the status codes. */
+  private Map<String, List<Integer>> submitChangedJobs(
+      List<String> nodes, Predicate<Integer> selected) throws MalformedMessageException {
     Map<String, List<Integer>> found = new LinkedHashMap<>();
-    for (Map.Entry<String, Integer> each : SUBMISSIONS.entrySet()) {
-      if (!which.test(each.getValue())) {
+    for (Map.Entry<String, Integer> each : STATUS_BY_CHANGE.entrySet()) {
+      if (!selected.test(each.getValue())) {
         continue;
       }
       for (String node : nodes) {
-        ObjectNode spec = changed(each.getKey());
+        ObjectNode spec = changedSpec(each.getKey());
         if (each.getValue() == 201) {
           known(spec);
         }
@@ -272,56 +292,54 @@
     return found;
   }
 
-  private static Map<String, List<Integer>> expected(
-      int nodes, Predicate<Integer> which, Integer instead) {
+  private static Map<String, List<Integer>> expectedAnswers(
+      int nodes, Predicate<Integer> selected, Integer replacement) {
     Map<String, List<Integer>> all = new LinkedHashMap<>();
-    SUBMISSIONS.forEach(
-        (how, status) -> {
-          if (which.test(status)) {
-            all.put(how, Collections.nCopies(nodes, instead == null ? status : instead));
+    STATUS_BY_CHANGE.forEach(
+        (change, status) -> {
+          if (selected.test(status)) {
+            all.put(change, Collections.nCopies(nodes, replacement == null ? status : replacement));
           }
         });
     return all;
   }
 
-  /** The same at the leader, at those that hand on to it, and where there is none. */
+  /** Guards against answers that differ between the leader, the followers and a leaderless node. */
   @Test
-  void aSubmissionIsRefusedForWhatItLacksAlikeByEveryNode() throws MalformedMessageException {
+  void rejectsInvalidSubmissionsOnEveryNode() throws MalformedMessageException {
     begin(Layout.FLEET, 42);
     world.runFor(Duration.ofSeconds(10));
     Predicate<Integer> all = status -> true;
-    assertEquals(expected(3, all, null), answers(fronts, all));
+    assertEquals(expectedAnswers(3, all, null), submitChangedJobs(fronts, all));
     int leader = leader();
     kill(controllers.get(leader), 3_600_000);
-    // Before the leader's lease ends, and so before there is another.
+    // The leader's lease has not expired, so there is no new leader yet.
     List<String> others = fronts.stream().filter(f -> !f.equals(fronts.get(leader))).toList();
     Predicate<Integer> malformed = status -> status == 400;
-    assertEquals(expected(2, malformed, null), answers(others, malformed));
+    assertEquals(expectedAnswers(2, malformed, null), submitChangedJobs(others, malformed));
     kill(controllers.get(leader()), 500);
-    // Without a leader each takes reads of the state service, of which a node has few: who gets
-    // none says 503.
-    // The one that has just ended refuses connections.
-    Predicate<Integer> impossible = status -> status == 422;
-    Map<String, List<Integer>> asked = answers(others, impossible);
-    assertEquals(expected(2, impossible, null).keySet(), asked.keySet());
-    asked.forEach(
-        (how, got) -> assertTrue(Set.of(0, 422, 503).containsAll(got), how + " got " + got));
+    // Without a leader each request needs reads of the key-value store, which are rate-limited: a
+    // node answers 503 when it has none left. The node that was just killed refuses connections.
+    Predicate<Integer> unsatisfiable = status -> status == 422;
+    Map<String, List<Integer>> found = submitChangedJobs(others, unsatisfiable);
+    assertEquals(expectedAnswers(2, unsatisfiable, null).keySet(), found.keySet());
+    found.forEach(
+        (change, statuses) ->
+            assertTrue(Set.of(0, 422, 503).containsAll(statuses), change + " got " + statuses));
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(expected(2, impossible, null), answers(others, impossible));
+    assertEquals(expectedAnswers(2, unsatisfiable, null), submitChangedJobs(others, unsatisfiable));
   }
 
-  /**
-   * No node may judge by types that it does not know; what is malformed is so whatever they are.
-   */
+  /** Guards against 422 answers by nodes that have not read the machine types yet. */
   @Test
-  void whereTypesAreNotKnownNothingIsCalledImpossible() throws MalformedMessageException {
+  void answersUnavailableWhileMachineTypesAreUnknown() throws MalformedMessageException {
     layout = Layout.FLEET;
     begin(43);
     fleet.outage = true;
     world.runFor(Duration.ofSeconds(10));
     Predicate<Integer> malformed = status -> status == 400;
-    assertEquals(expected(3, malformed, null), answers(fronts, malformed));
+    assertEquals(expectedAnswers(3, malformed, null), submitChangedJobs(fronts, malformed));
     Predicate<Integer> others = status -> status != 400;
-    assertEquals(expected(3, others, 503), answers(fronts, others));
+    assertEquals(expectedAnswers(3, others, 503), submitChangedJobs(fronts, others));
   }
 }
--- a/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -12,37 +12,37 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Fifteen hundred machines under faults that pile up, with bounds on what recovery takes. */
+/** 1,500 machines under consecutive faults, with bounds on the time that recovery takes. */
 class CascadingFaultsSimulationTest extends SimulatedCluster {
   private static final int MACHINES = 1_500;
   private static final int JOBS = 250;
-  private static final int TASKS_EACH = 20;
+  private static final int TASKS_PER_JOB = 20;
 
-  private void cutFromAll(FakeFleet.Worker worker, long millis) {
-    String there = SimulatedWorld.host(worker.address);
+  private void cutFromControllers(FakeFleet.Worker worker, long millis) {
+    String host = SimulatedWorld.host(worker.address);
     for (int i = 1; i <= 3; i++) {
       String node = "10.0.0." + i;
-      world.cut(node, there);
-      world.after(millis, () -> world.heal(node, there));
+      world.cut(node, host);
+      world.after(millis, () -> world.heal(node, host));
     }
   }
 
-  private CompletedFailover latestTakeover() {
+  private CompletedFailover latestFailover() {
     return controllers.get(leader()).node.failoverTimings().latest().get(0);
   }
 
-  private void assertWithin(CompletedFailover taken, Phase phase, Duration most) {
-    Duration took = taken.phases().get(phase);
-    assertTrue(took != null && took.compareTo(most) <= 0, phase + " took " + took);
+  private void assertWithin(CompletedFailover failover, Phase phase, Duration bound) {
+    Duration took = failover.phases().get(phase);
+    assertTrue(took != null && took.compareTo(bound) <= 0, phase + " took " + took);
   }
 
-  private int running() {
+  private int runningTasks() {
     return fleet.machines.values().stream()
         .mapToInt(w -> (int) w.tasks.values().stream().filter(t -> t.there).count())
         .sum();
   }
 
-  private List<FakeFleet.Worker> busy(int count) {
+  private List<FakeFleet.Worker> busyWorkers(int count) {
     List<FakeFleet.Worker> busy = new ArrayList<>();
     for (FakeFleet.Worker worker : fleet.up()) {
       if (!worker.tasks.isEmpty() && busy.size() < count) {
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Seen on laval-fleet: with the store out, machines dead, all controllers ended, machines cut and
-   * the leader frozen, 435 tasks were ended by their workers' leases.
+   * Guards against tasks lost to lease expiry when a store outage, dead machines, a restart of all
+   * controllers, network partitions and a frozen leader follow one another.
    */
   @Test
   void aFleetComesThroughFaultsThatPileUp() {
@@ -63,15 +63,15 @@
     fleet.addUp(MACHINES);
     world.runFor(Duration.ofSeconds(10));
     for (int i = 0; i < JOBS; i++) {
-      submit(job("service", TASKS_EACH, "red").put("spread", false).put("together", false));
+      submit(job("service", TASKS_PER_JOB, "red").put("spread", false).put("together", false));
     }
-    int wanted = JOBS * TASKS_EACH;
+    int wanted = JOBS * TASKS_PER_JOB;
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(wanted, running(), "all runs before the faults");
+    assertEquals(wanted, runningTasks(), "all tasks run before the faults");
 
     store.outage = true;
     world.runFor(Duration.ofSeconds(5));
-    List<FakeFleet.Worker> dead = busy(120);
+    List<FakeFleet.Worker> dead = busyWorkers(120);
     for (FakeFleet.Worker worker : dead) {
       fleet.machines.remove(worker.name);
       worker.end();
@@ -85,38 +85,40 @@
     int requests = store.requests - before;
     assertTrue(requests <= 350, requests + " requests in the first 5 s after the outage");
     world.runFor(Duration.ofSeconds(15));
-    CompletedFailover first = latestTakeover();
+    CompletedFailover first = latestFailover();
     assertWithin(first, Phase.STORE_READ, Duration.ofSeconds(2));
     assertWithin(first, Phase.FIRST_REPORT, Duration.ofSeconds(3));
     assertWithin(first, Phase.FLEET_HEARD, Duration.ofSeconds(8));
-    // Nine in ten machines were answered in time: what ran there still runs.
-    int kept = running();
+    // The other machines renewed their leases in time: their tasks still run.
+    int kept = runningTasks();
     assertTrue(kept >= wanted - 120 * 4, kept + " of " + wanted + " tasks");
     world.runFor(Duration.ofSeconds(45));
-    assertEquals(wanted, running(), "what ran on dead machines runs elsewhere");
+    assertEquals(wanted, runningTasks(), "tasks of dead machines run elsewhere");
 
-    busy(250).forEach(worker -> cutFromAll(worker, 70_000));
+    busyWorkers(250).forEach(worker -> cutFromControllers(worker, 70_000));
     world.runFor(Duration.ofSeconds(5));
     int frozen = leader();
     world.freeze("10.0.0." + (frozen + 1), 30_000);
     world.runFor(Duration.ofSeconds(20));
-    assertTrue(leader() != frozen, "another leads");
-    assertWithin(latestTakeover(), Phase.FIRST_PLACEMENT, Duration.ofSeconds(14));
+    assertTrue(leader() != frozen, "another controller leads");
+    assertWithin(latestFailover(), Phase.FIRST_PLACEMENT, Duration.ofSeconds(14));
     world.runFor(Duration.ofSeconds(90));
-    assertEquals(wanted, running(), "what was cut off runs elsewhere");
+    assertEquals(wanted, runningTasks(), "tasks of partitioned machines run elsewhere");
 
-    // Machines that hang for less than they may be silent lose nothing.
-    List<FakeFleet.Worker> hung = busy(150);
-    Set<String> there = new HashSet<>();
+    // Machines that hang for less than the failure-detection timeout lose no tasks.
+    List<FakeFleet.Worker> hung = busyWorkers(150);
+    Set<String> missing = new HashSet<>();
     for (FakeFleet.Worker worker : hung) {
-      worker.tasks.forEach((key, task) -> there.add(worker.name + " " + key));
+      worker.tasks.forEach((key, task) -> missing.add(worker.name + " " + key));
       world.freeze(SimulatedWorld.host(worker.address), 6_000);
     }
     world.runFor(Duration.ofSeconds(20));
     for (FakeFleet.Worker worker : hung) {
-      worker.tasks.keySet().forEach(key -> there.remove(worker.name + " " + key));
+      worker.tasks.keySet().forEach(key -> missing.remove(worker.name + " " + key));
     }
-    assertTrue(there.isEmpty(), there.size() + " tasks were lost before their time: " + there);
-    assertEquals(wanted, running());
+    assertTrue(
+        missing.isEmpty(),
+        missing.size() + " tasks were lost on machines that hung briefly: " + missing);
+    assertEquals(wanted, runningTasks());
   }
 }
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Jobs that wait for others, and the rolling upgrade with which they come. Controllers that are not
- * upgraded support the version before, know no announced limits, and so store large values.
+ * Job dependencies and the rolling upgrade that introduces them. Controllers that are not upgraded
+ * support only the previous cluster version, ignore announced store limits and store large values.
  */
 class ChainedJobsTest extends FaultInjectionCluster {
-  private static final int NEXT_VALUE_BYTES = 2048;
-  private static final int NEXT_OPS = 4;
-  private static final double NEXT_CHANGES = 28;
+  private static final int LOWERED_VALUE_BYTES = 2048;
+  private static final int LOWERED_TXN_OPS = 4;
+  private static final double LOWERED_CHANGES_PER_SECOND = 28;
 
   private boolean[] upgraded = new boolean[5];
 
@@ -36,7 +36,10 @@
   Settings.StoreLimits store(int index, Settings.StoreLimits inForce) {
     Settings.StoreLimits next =
         new Settings.StoreLimits(
-            inForce.requestsPerSecond(), NEXT_CHANGES, NEXT_VALUE_BYTES, NEXT_OPS);
+            inForce.requestsPerSecond(),
+            LOWERED_CHANGES_PER_SECOND,
+            LOWERED_VALUE_BYTES,
+            LOWERED_TXN_OPS);
     return upgraded[index] ? inForce.strictest(next) : inForce;
   }
 
@@ -53,48 +56,46 @@
     assertEquals(ClusterVersion.CHAINED_JOBS, store.value("conf/version").get("version").asInt());
   }
 
-  /** An array that runs for some seconds and waits for these. */
-  private ObjectNode after(int tasks, List<SafetyRules.Known> needed) {
+  /** A job array that runs for some seconds and depends on the given jobs. */
+  private ObjectNode dependentJob(int tasks, List<SafetyRules.Known> dependencies) {
     ObjectNode spec = work("array", tasks).put("guess_s", some(2, 9));
     ArrayNode ids = spec.putArray("waits_on");
-    needed.forEach(each -> ids.add(each.id));
+    dependencies.forEach(each -> ids.add(each.id));
     return spec;
   }
 
-  private SafetyRules.Known submitAfter(int tasks, SafetyRules.Known... needed) {
-    return submit(after(tasks, List.of(needed)));
+  private SafetyRules.Known submitDependent(int tasks, SafetyRules.Known... dependencies) {
+    return submit(dependentJob(tasks, List.of(dependencies)));
   }
 
-  /**
-   * Has the stages of a pipeline submitted one after another, each once what it needs is accepted.
-   */
-  private void pipeline(int fan) {
-    SafetyRules.Known first = submit(after(2, List.of()));
+  /** Submits a pipeline of three stages, each once its dependencies are accepted. */
+  private void submitPipeline(int fan) {
+    SafetyRules.Known first = submit(dependentJob(2, List.of()));
     List<SafetyRules.Known> middle = new ArrayList<>();
-    whenAccepted(
+    runOnceAccepted(
         List.of(first),
         () -> {
           for (int i = 0; i < fan; i++) {
-            middle.add(submitAfter(1 + i % 3, first));
+            middle.add(submitDependent(1 + i % 3, first));
           }
-          whenAccepted(
+          runOnceAccepted(
               middle,
               () -> {
-                ObjectNode last = after(1, middle).put("due_s", 120.0).put("rank", "urgent");
+                ObjectNode last = dependentJob(1, middle).put("due_s", 120.0).put("rank", "urgent");
                 at(world.random.nextInt(4) == 0 ? 40_000 : 0, () -> submit(last));
               });
         });
   }
 
-  private void whenAccepted(List<SafetyRules.Known> jobs, Runnable then) {
+  private void runOnceAccepted(List<SafetyRules.Known> jobs, Runnable then) {
     if (jobs.stream().allMatch(job -> job.accepted)) {
       then.run();
     } else {
-      at(100, () -> whenAccepted(jobs, then));
+      at(100, () -> runOnceAccepted(jobs, then));
     }
   }
 
-  /** By definition: cancelled with any before it that a user was told is cancelled, else done. */
+  /** A job ends cancelled if it or a transitive dependency was cancelled, and done otherwise. */
   private void assertFinalStates() {
     for (SafetyRules.Known job : rules.jobs.values()) {
       boolean cancelled =
@@ -103,11 +104,11 @@
     }
   }
 
-  private int status(ObjectNode spec) {
-    return ask(fronts.get(0), "POST", "/v1/jobs", Json.bytes(spec));
+  private int submissionStatus(ObjectNode spec) {
+    return requestStatus(fronts.get(0), "POST", "/v1/jobs", Json.bytes(spec));
   }
 
-  private int ask(String node, String method, String path, byte[] body) {
+  private int requestStatus(String node, String method, String path, byte[] body) {
     int[] status = new int[1];
     world
         .caller("user", () -> true)
@@ -119,14 +120,14 @@
   }
 
   @Test
-  void eachStageStartsOnceAllThatItNeedsAreDone() {
+  void startsJobsAfterTheirDependencies() {
     beginUpgraded(Layout.FLEET, 1);
-    SafetyRules.Known first = submitAfter(3);
+    SafetyRules.Known first = submitDependent(3);
     SafetyRules.Known second = submit(work("array", 2).put("guess_s", 20));
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known third = submitAfter(2, first, second);
+    SafetyRules.Known third = submitDependent(2, first, second);
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known last = submitAfter(1, third, first);
+    SafetyRules.Known last = submitDependent(1, third, first);
     world.runFor(Duration.ofSeconds(90));
     assertTrue(last.done);
     assertTrue(third.begun.isAfter(first.begun.plusSeconds(2)));
@@ -141,31 +142,29 @@
     world.runFor(Duration.ofSeconds(40));
     ObjectNode spec = work("array", 1);
     rules.jobs.remove(spec.get("ref").asText());
-    assertEquals(400, status(spec.deepCopy().put("waits_on", known.id)));
-    assertEquals(400, status(spec.deepCopy().set("waits_on", Json.array().add(7))));
-    assertEquals(400, status(spec.deepCopy().set("waits_on", Json.array().add("job-1"))));
-    assertEquals(422, status(spec.deepCopy().set("waits_on", Json.array().add("req-999999"))));
+    assertEquals(400, submissionStatus(spec.deepCopy().put("waits_on", known.id)));
+    assertEquals(400, submissionStatus(spec.deepCopy().set("waits_on", Json.array().add(7))));
+    assertEquals(400, submissionStatus(spec.deepCopy().set("waits_on", Json.array().add("job-1"))));
+    assertEquals(
+        422, submissionStatus(spec.deepCopy().set("waits_on", Json.array().add("req-999999"))));
     ObjectNode itself = spec.deepCopy();
     itself.set("waits_on", Json.array().add(spec.get("ref").asText()));
-    assertEquals(422, status(itself));
+    assertEquals(422, submissionStatus(itself));
     ObjectNode good = spec.deepCopy();
     good.set("waits_on", Json.array().add(known.id).add(known.id));
     SafetyRules.Known job = known(good);
-    assertEquals(201, status(good));
+    assertEquals(201, submissionStatus(good));
     job.accepted = true;
-    // A repeat gets the state, whatever its list names now.
-    assertEquals(200, status(itself));
+    // A repeated submission returns the status, whatever dependencies it names.
+    assertEquals(200, submissionStatus(itself));
     ObjectNode nothing = work("array", 1).putNull("waits_on");
     known(nothing).accepted = true;
-    assertEquals(201, status(nothing));
+    assertEquals(201, submissionStatus(nothing));
     rules.jobs.values().forEach(this::poll);
     settle(Duration.ofSeconds(60));
   }
 
-  /**
-   * A user is told of the one job; all after it follow, at every node, without a leader and after a
-   * takeover.
-   */
+  /** Guards against dependents that survive a cancellation when the leader fails right after it. */
   @Test
   void aCancellationReachesAllThatNeedTheJob() {
     beginUpgraded(Layout.FLEET, 3);
@@ -173,8 +172,8 @@
     world.runFor(Duration.ofSeconds(2));
     List<SafetyRules.Known> tree = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      SafetyRules.Known needed = i < 4 ? root : tree.get(i / 4 - 1);
-      tree.add(submitAfter(1, needed));
+      SafetyRules.Known dependency = i < 4 ? root : tree.get(i / 4 - 1);
+      tree.add(submitDependent(1, dependency));
       world.runFor(Duration.ofMillis(500));
     }
     world.runFor(Duration.ofSeconds(15));
@@ -183,7 +182,7 @@
       world.runFor(Duration.ofMillis(20));
     }
     killLeader(6_000);
-    SafetyRules.Known late = submitAfter(1, tree.get(39));
+    SafetyRules.Known late = submitDependent(1, tree.get(39));
     world.runFor(Duration.ofSeconds(60));
     tree.forEach(job -> assertTrue(job.cancelled != null, job.id));
     assertTrue(late.cancelled != null);
@@ -191,16 +190,13 @@
     assertFinalStates();
   }
 
-  /**
-   * A job that ends by itself just as its user cancels it is called done, and what needs it goes
-   * on.
-   */
+  /** Guards against cancelled dependents of a job that completed before it was cancelled. */
   @Test
-  void whatIsDoneBeforeItsCancellationIsFollowed() {
+  void runsDependentsOfJobDoneBeforeItsCancellation() {
     beginUpgraded(Layout.FLEET, 4);
     SafetyRules.Known first = submit(work("array", 1).put("guess_s", 3));
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known second = submitAfter(1, first);
+    SafetyRules.Known second = submitDependent(1, first);
     while (!first.done) {
       world.runFor(Duration.ofMillis(100));
     }
@@ -209,10 +205,7 @@
     assertTrue(second.done);
   }
 
-  /**
-   * Without the last controller upgraded nothing of the new version is used, and jobs that name
-   * others wait.
-   */
+  /** Guards against use of the new version, such as dependencies, before all are upgraded. */
   @Test
   void theVersionIsRaisedOnceAllControllersSupportIt() {
     upgraded = new boolean[] {true, true, false};
@@ -220,9 +213,9 @@
     SafetyRules.Known job = submit(work("array", 1));
     world.runFor(Duration.ofSeconds(60));
     assertTrue(store.value("conf/version") == null);
-    ObjectNode chained = after(1, List.of(job));
+    ObjectNode chained = dependentJob(1, List.of(job));
     SafetyRules.Known second = known(chained);
-    assertEquals(503, status(chained));
+    assertEquals(503, submissionStatus(chained));
     upgraded[2] = true;
     kill(controllers.get(2), 3_000);
     world.runFor(Duration.ofSeconds(12));
@@ -232,23 +225,23 @@
     assertTrue(second.done);
   }
 
-  /** A controller whose software is older than the records serves nothing and never leads. */
+  /** Guards against a controller that serves or leads though the records are of a newer version. */
   @Test
   void aControllerThatIsTooOldServesNothing() {
     beginUpgraded(Layout.FLEET, 6);
     upgraded[1] = false;
     kill(controllers.get(1), 1_000);
     world.runFor(Duration.ofSeconds(30));
-    assertEquals(503, ask(fronts.get(1), "GET", "/ready", null));
-    assertEquals(200, ask(fronts.get(0), "GET", "/ready", null));
+    assertEquals(503, requestStatus(fronts.get(1), "GET", "/ready", null));
+    assertEquals(200, requestStatus(fronts.get(0), "GET", "/ready", null));
     kill(controllers.get(0), 60_000);
     kill(controllers.get(2), 60_000);
     world.runFor(Duration.ofSeconds(40));
     assertEquals(null, store.value("lead/holder"));
   }
 
-  /** All seeds; more by hand with {@code -Dpineladder.chains=100}. */
-  static Stream<Arguments> days() {
+  /** Two seeds for each layout; more with {@code -Dpineladder.chains=100}. */
+  static Stream<Arguments> layoutsAndSeeds() {
     return Stream.of(Layout.values())
         .flatMap(
             layout ->
@@ -259,7 +252,7 @@
   private void arrivals(int steps, boolean chained) {
     for (int i = 0; i < steps; i++) {
       if (chained && i % 3 == 0) {
-        pipeline(1 + world.random.nextInt(3));
+        submitPipeline(1 + world.random.nextInt(3));
       }
       submit(
           work(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3))
@@ -275,11 +268,11 @@
   }
 
   /**
-   * Large values of the version before, a roll with a crash in it, limits lowered at once, then
-   * pipelines.
+   * Guards against broken rules in a rolling upgrade with crashes, after which the store limits are
+   * lowered below the size of existing values and pipelines are submitted.
    */
   @ParameterizedTest
-  @MethodSource("days")
+  @MethodSource("layoutsAndSeeds")
   void anUpgradeAndChainsKeepTheRules(Layout layout, int seed) {
     begin(layout, 40_000 + 10L * seed + layout.ordinal());
     for (int i = 0; i < 30; i++) {
@@ -302,7 +295,7 @@
       arrivals(6, false);
     }
     world.runFor(Duration.ofMillis(some(0, 6_000)));
-    store.lower(NEXT_OPS, NEXT_VALUE_BYTES, NEXT_CHANGES);
+    store.lower(LOWERED_TXN_OPS, LOWERED_VALUE_BYTES, LOWERED_CHANGES_PER_SECOND);
     at(some(0, 12_000), () -> killLeader(some(500, 6_000)));
     at(some(0, 40_000), () -> killLeader(some(500, 6_000)));
     if (world.random.nextBoolean()) {
@@ -320,18 +313,18 @@
     assertFinalStates();
     assertEquals(2, store.value("conf/version").get("version").asInt());
     assertEquals(List.of(), store.largeValues());
-    // Before the members know of one another's versions a leader may try what an earlier one left.
-    assertTrue(store.tooLarge < 20, store.tooLarge + " values were too large");
+    // Before it knows the members' versions, a leader may retry large writes of an earlier leader.
+    assertTrue(store.tooLarge < 20, store.tooLarge + " transactions exceeded the lowered limits");
   }
 
-  // ---- the checks, each seen to fail on a run that is wrong
+  // Negative tests: each check fails on a run that violates its rule.
 
   @Test
-  void aStartBeforeWhatItNeedsIsDoneIsSeen() {
+  void detectsStartBeforeDependencyIsDone() {
     beginUpgraded(Layout.FLEET, 7);
     SafetyRules.Known first = submit(work("array", 1).put("guess_s", 500));
     world.runFor(Duration.ofSeconds(30));
-    SafetyRules.Known second = submitAfter(1, first);
+    SafetyRules.Known second = submitDependent(1, first);
     world.runFor(Duration.ofSeconds(5));
     FakeFleet.Worker on = fleet.up().get(0);
     rules.placed = null;
@@ -342,10 +335,10 @@
   }
 
   @Test
-  void anOrphanIsSeen() {
+  void detectsOrphanedDependent() {
     beginUpgraded(Layout.FLEET, 8);
     SafetyRules.Known first = known(work("array", 1));
-    SafetyRules.Known second = known(after(1, List.of(first)));
+    SafetyRules.Known second = known(dependentJob(1, List.of(first)));
     first.cancelAsked = true;
     rules.told(first, "aborted");
     rules.told(second, "pending");
--- a/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Days of the simulated cluster, each with the rules checked at every start and answer. */
+/** Simulated runs of a cluster; the safety rules are checked at every task start and answer. */
 class ClusterSimulationTest extends SimulatedCluster {
   @Test
   void aQuietDayIsServedPromptly() {
@@ -27,13 +27,13 @@
     cancel(service);
     settle(Duration.ofSeconds(40));
     assertTrue(service.cancelled != null);
-    // Users who come before a node knows the machine types are told to come back; nobody else is.
+    // All nodes know the machine types before the first submission, so no request is rejected.
     assertEquals(0, unanswered);
   }
 
   /**
-   * Found on the grown colombo: a submission to a node that reached neither the leader nor the
-   * store was refused until the cut was over, though a peer could have stored it.
+   * Guards against rejected submissions at a node that reaches neither the leader nor the store
+   * while a peer can store them.
    */
   @Test
   void aPeerStoresWhatANodeWithoutLeaderAndStoreCannot() {
@@ -66,7 +66,7 @@
     settle(Duration.ofMinutes(2));
   }
 
-  /** Leadership goes where it can be exercised, and not back and forth while the cut lasts. */
+  /** Guards against repeated leader changes while a leader is partitioned from the workers. */
   @Test
   void aLeaderWhoseWorkersOnlyReachItsPeersMakesWayOnce() {
     begin(6);
@@ -88,20 +88,20 @@
     assertEquals(after, leader());
     SafetyRules.Known late = submit(job("array", 4, "blue"));
     world.runFor(Duration.ofSeconds(60));
-    assertTrue(late.done, "served while the cut lasts");
+    assertTrue(late.done, "served during the partition");
   }
 
   /**
-   * Found by the simulation once users asked more often: a poll read the record of a job whose
-   * creation the leader had sent but not heard of, and the leader then held the job twice.
+   * Guards against a duplicate of a job whose record is read by a poll before the leader receives
+   * the response to the transaction that created it.
    */
   @Test
-  void aJobReadBeforeItsOwnCommitIsHeardOfIsThereOnce() {
+  void doesNotDuplicateJobReadBeforeItsCommitIsConfirmed() {
     begin(3145);
-    theRulesHoldOnADay();
+    runWithRandomFaults();
   }
 
-  /** Twelve days; more by hand with {@code -Dpineladder.days=1000 -Dpineladder.first=1}. */
+  /** Twelve runs; more with {@code -Dpineladder.days=1000 -Dpineladder.first=1}. */
   static LongStream seeds() {
     long first = Long.getLong("pineladder.first", 1);
     return LongStream.range(first, first + Long.getLong("pineladder.days", 12));
@@ -111,10 +111,10 @@
   @MethodSource("seeds")
   void theRulesHoldUnderFaultsTogether(long seed) {
     begin(seed);
-    theRulesHoldOnADay();
+    runWithRandomFaults();
   }
 
-  private void theRulesHoldOnADay() {
+  private void runWithRandomFaults() {
     world.runFor(Duration.ofSeconds(4));
     world.lossy = 0.03;
     for (int step = 0; step < 60; step++) {
--- a/src/test/java/io/pineladder/sim/CommitterTest.java
+++ b/src/test/java/io/pineladder/sim/CommitterTest.java
@@ -22,18 +22,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What becomes of a transaction by the answer that it gets. */
+/** How the committer handles each answer to a transaction. */
 class CommitterTest {
-  private record Sent(Request request, Consumer<Reply> onReply) {}
+  private record SentRequest(Request request, Consumer<Reply> onReply) {}
 
   private final SimulatedWorld world = new SimulatedWorld(1);
   private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
-  private final ArrayDeque<Sent> sent = new ArrayDeque<>();
-  private final List<String> ended = new ArrayList<>();
-  private int made;
-  private int stored;
+  private final ArrayDeque<SentRequest> sent = new ArrayDeque<>();
+  private final List<String> terminations = new ArrayList<>();
+  private int valuesBuilt;
+  private int confirmations;
 
-  private Sent next() {
+  private SentRequest nextRequest() {
     while (sent.isEmpty()) {
       world.runFor(Duration.ofMillis(10));
     }
@@ -45,28 +45,28 @@
   }
 
   private JsonNode value() {
-    return Json.object().put("made", ++made);
+    return Json.object().put("made", ++valuesBuilt);
   }
 
   private final class Listener implements Committer.Listener {
     @Override
     public void onFenced(String reason) {
-      ended.add(reason);
+      terminations.add(reason);
     }
 
     @Override
     public void onLeaderKeyGone() {
-      ended.add("key gone");
+      terminations.add("leader key gone");
     }
 
     @Override
     public void onDataLoss(String reason) {
-      ended.add(reason);
+      terminations.add(reason);
     }
 
     @Override
     public void onLimitsLowered() {
-      ended.add("limits lowered");
+      terminations.add("limits lowered");
     }
 
     @Override
@@ -74,7 +74,9 @@
   }
 
   /**
-   * Whether the same bytes go out again, so that the first copy and the second exclude one another.
+   * Guards against double execution: after an ambiguous answer the same bytes must be sent again,
+   * so that at most one copy is applied. A transaction is rebuilt only after a definite rejection
+   * or if it was not sent.
    */
   @ParameterizedTest
   @CsvSource({
@@ -90,10 +92,10 @@
     "429, false",
     "-1, false"
   })
-  void onlyARefusalThatTheProtocolNamesLetsItBePutTogetherAnew(int status, boolean unchanged) {
+  void rebuildsTransactionOnlyAfterDefiniteRejection(int status, boolean sameBytes) {
     StoreClient storeClient =
         new StoreClient(
-            (request, onReply) -> sent.add(new Sent(request, onReply)),
+            (request, onReply) -> sent.add(new SentRequest(request, onReply)),
             eventLoop,
             "10.2.0.1:2379",
             new Settings.StoreLimits(100, 40, 8192, 12),
@@ -103,18 +105,18 @@
         Mutation.of(
             Mutation.Priority.PLACEMENT,
             List.of(new Mutation.Write("placed/1", this::value)),
-            () -> stored++));
-    Sent first = next();
+            () -> confirmations++));
+    SentRequest first = nextRequest();
     first.onReply.accept(
         status == 0 ? Reply.UNKNOWN : status < 0 ? Reply.NOT_SENT : answer(status, "?"));
-    Sent second = next();
-    assertEquals(0, stored, "nothing is told of it yet");
-    if (unchanged) {
+    SentRequest second = nextRequest();
+    assertEquals(0, confirmations, "not confirmed yet");
+    if (sameBytes) {
       assertArrayEquals(first.request.body(), second.request.body());
     }
-    assertEquals(unchanged ? 1 : 2, made);
+    assertEquals(sameBytes ? 1 : 2, valuesBuilt);
     second.onReply.accept(answer(200, "{\"epoch\":9}"));
-    assertEquals(1, stored);
-    assertTrue(ended.isEmpty(), "no answer of these ends a term: " + ended);
+    assertEquals(1, confirmations);
+    assertTrue(terminations.isEmpty(), "none of these answers ends the term: " + terminations);
   }
 }
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -30,11 +30,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real controllers and receivers on loopback, killed at seeded random points. More by hand with
+ * Controller and receiver processes on loopback, killed at seeded random points. Larger runs with
  * {@code -Dpineladder.answers=2000 -Dpineladder.subscribers=3}.
  */
 class DeliveryProcessTest {
-  private static final Duration PATIENCE = Duration.ofMinutes(5);
+  private static final Duration TEST_TIMEOUT = Duration.ofMinutes(5);
   private static final String SECRET =
       WebhookSignature.SECRET_PREFIX + Base64.getEncoder().encodeToString(new byte[32]);
 
@@ -44,7 +44,7 @@
     return folder.resolve("journal-" + index);
   }
 
-  private Process receiver(LoopbackCluster cluster, int index, String address) {
+  private Process startReceiver(LoopbackCluster cluster, int index, String address) {
     return cluster.start(
         "receiver-" + index,
         "io.pineladder.cli.Main",
@@ -58,16 +58,17 @@
             folder.resolve("secrets").toString()));
   }
 
-  /** Submits a job that can't be placed, and cancels it: a final answer. */
+  /** Submits a job that can't be placed and cancels it, which produces a final answer. */
   static String end(LoopbackCluster cluster, int index) throws InterruptedException {
-    String id = submit(cluster, index);
-    ObjectNode told = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
-    assertEquals("aborted", told.get("status").asText());
+    String id = submitUnplaceableJob(cluster, index);
+    ObjectNode answer = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+    assertEquals("aborted", answer.get("status").asText());
     return id;
   }
 
   /** Submits a job that can't be placed. */
-  static String submit(LoopbackCluster cluster, int index) throws InterruptedException {
+  static String submitUnplaceableJob(LoopbackCluster cluster, int index)
+      throws InterruptedException {
     String id = String.format("req-%06d", index);
     ObjectNode spec =
         Json.object()
@@ -92,8 +93,8 @@
     return id;
   }
 
-  private List<ObjectNode> events(int index) throws Exception {
-    // Opening it checks every line's checksum and sequence.
+  private List<ObjectNode> readEvents(int index) throws Exception {
+    // Opening the journal verifies the checksum and sequence of every line.
     new NotificationJournal(journal(index)).close();
     List<ObjectNode> events = new ArrayList<>();
     for (String line : Files.readAllLines(journal(index))) {
@@ -103,7 +104,7 @@
   }
 
   @Test
-  void everyAnswerIsRecordedOnceHoweverOftenProcessesAreKilled() throws Exception {
+  void recordsEachEventOnceWhenProcessesAreKilled() throws Exception {
     int answers = Integer.getInteger("pineladder.answers", 150);
     int subscribers = Integer.getInteger("pineladder.subscribers", 2);
     Files.writeString(folder.resolve("key"), Base64.getEncoder().encodeToString(new byte[32]));
@@ -121,14 +122,14 @@
       List<Process> receivers = new ArrayList<>();
       for (int i = 0; i < subscribers; i++) {
         addresses.add(LoopbackCluster.free());
-        receivers.add(receiver(cluster, i, addresses.get(i)));
-        ObjectNode wanted = Json.object().put("url", "http://" + addresses.get(i) + "/hook");
-        ArrayNode owners = wanted.putArray("owners");
+        receivers.add(startReceiver(cluster, i, addresses.get(i)));
+        ObjectNode subscription = Json.object().put("url", "http://" + addresses.get(i) + "/hook");
+        ArrayNode owners = subscription.putArray("owners");
         if (i > 0) {
           owners.add(i % 2 == 0 ? "red" : "blue");
         }
-        wanted.putArray("secrets").add(SECRET);
-        cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, wanted);
+        subscription.putArray("secrets").add(SECRET);
+        cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, subscription);
       }
       ExecutorService users = Executors.newFixedThreadPool(4);
       AtomicInteger next = new AtomicInteger();
@@ -142,24 +143,24 @@
                           n < answers;
                           n = next.getAndIncrement()) {
                         end(cluster, n);
-                        // So that the ends are spread over the kills.
+                        // Spreads the final answers over the kills.
                         Thread.sleep(Integer.getInteger("pineladder.pause", 20));
                       }
                       return null;
                     }));
       }
       int kills = 0;
-      Instant deadline = Instant.now().plus(PATIENCE);
+      Instant deadline = Instant.now().plus(TEST_TIMEOUT);
       while (!all.stream().allMatch(Future::isDone) || kills < 6) {
-        assertTrue(Instant.now().isBefore(deadline), "the users are not done");
+        assertTrue(Instant.now().isBefore(deadline), "users did not finish before the deadline");
         Thread.sleep(300 + random.nextInt(700));
         kills++;
         if (kills % 6 == 0) {
           cluster.killController(random.nextInt(3));
         } else {
-          int one = random.nextInt(subscribers);
-          receivers.get(one).destroyForcibly().waitFor();
-          receivers.set(one, receiver(cluster, one, addresses.get(one)));
+          int killed = random.nextInt(subscribers);
+          receivers.get(killed).destroyForcibly().waitFor();
+          receivers.set(killed, startReceiver(cluster, killed, addresses.get(killed)));
         }
       }
       for (Future<?> each : all) {
@@ -168,7 +169,9 @@
       users.shutdown();
       for (int i = 0; i < subscribers; i++) {
         while (!isDelivered(cluster, i)) {
-          assertTrue(Instant.now().isBefore(deadline), "not delivered to " + i);
+          assertTrue(
+              Instant.now().isBefore(deadline),
+              "events not delivered to receiver " + i + " before the deadline");
           Thread.sleep(200);
         }
       }
@@ -185,10 +188,10 @@
       }
       Set<String> found = new TreeSet<>();
       long sequence = 0;
-      for (ObjectNode event : events(i)) {
+      for (ObjectNode event : readEvents(i)) {
         assertEquals(++sequence, event.get("sequence").asLong());
         assertEquals(DeliveryWire.JOB_CANCELLED, event.get("type").asText());
-        assertTrue(found.add(event.get("subject").asText()), event + " is there twice");
+        assertTrue(found.add(event.get("subject").asText()), event + " was recorded twice");
       }
       assertEquals(expected, found);
     }
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Final answers told to subscribers whose receivers are killed, among controllers that are too. */
+/** Delivery of final answers to subscribers while receivers, controllers and the store fail. */
 class DeliverySimulationTest extends SimulatedCluster {
   private static final byte[] SECRET = new byte[32];
   private static final BackgroundExecutor DIRECT =
@@ -40,10 +40,10 @@
         }
       };
 
-  /** A receiver with what it is to hear of. */
-  private record Told(FakeReceiver receiver, Predicate<ObjectNode> wants) {}
+  /** A receiver and the jobs whose ends it subscribes to. */
+  private record Subscriber(FakeReceiver receiver, Predicate<ObjectNode> filter) {}
 
-  private final Map<String, Told> subscribers = new LinkedHashMap<>();
+  private final Map<String, Subscriber> subscribers = new LinkedHashMap<>();
 
   @Override
   DeliveryContext delivery(String host) {
@@ -53,7 +53,8 @@
     return delivery;
   }
 
-  private AsyncHttpClient.Reply[] tell(String method, String path, ObjectNode body, int node) {
+  private AsyncHttpClient.Reply[] sendAdminRequest(
+      String method, String path, ObjectNode body, int node) {
     AsyncHttpClient.Reply[] got = new AsyncHttpClient.Reply[1];
     world
         .caller("admin", () -> true)
@@ -68,15 +69,15 @@
     return got;
   }
 
-  /** Asks any node until it says what is wanted. */
-  private ObjectNode admin(String method, String path, ObjectNode body, int wanted) {
+  /** Repeats a request to the nodes in turn until one answers with the expected status. */
+  private ObjectNode adminRequest(String method, String path, ObjectNode body, int expected) {
     for (int tries = 0; tries < 300; tries++) {
-      AsyncHttpClient.Reply[] got = tell(method, path, body, 1 + tries % 3);
+      AsyncHttpClient.Reply[] got = sendAdminRequest(method, path, body, 1 + tries % 3);
       world.runFor(Duration.ofMillis(200));
       for (int i = 0; i < 60 && got[0] == null; i++) {
         world.runFor(Duration.ofMillis(100));
       }
-      if (got[0] != null && got[0].is(wanted)) {
+      if (got[0] != null && got[0].is(expected)) {
         try {
           return Json.parseObject(got[0].body());
         } catch (Exception e) {
@@ -84,7 +85,7 @@
         }
       }
     }
-    throw new AssertionError(method + " " + path + " was not answered with " + wanted);
+    throw new AssertionError(method + " " + path + " was not answered with " + expected);
   }
 
   private static ObjectNode subscription(String host, List<String> owners, List<String> classes) {
@@ -102,10 +103,10 @@
     FakeReceiver receiver = new FakeReceiver(world, SECRET);
     String host = "10.9.0." + (subscribers.size() + 1);
     world.serve(host + ":9999", receiver);
-    admin("PUT", "subscriptions/" + name, subscription(host, owners, classes), 201);
+    adminRequest("PUT", "subscriptions/" + name, subscription(host, owners, classes), 201);
     subscribers.put(
         name,
-        new Told(
+        new Subscriber(
             receiver,
             spec ->
                 (owners.isEmpty() || owners.contains(spec.get("owner").asText()))
@@ -113,47 +114,47 @@
     return receiver;
   }
 
-  private ObjectNode shown(String name) {
-    return admin("GET", "subscriptions/" + name, null, 200);
+  private ObjectNode getSubscription(String name) {
+    return adminRequest("GET", "subscriptions/" + name, null, 200);
   }
 
   /**
-   * The plain model: every end that the store knows, and that a subscriber wants, has had one
-   * effect there, and effects are in sequence from 1 without a gap.
+   * Compares with a reference model: every stored end of a job that matches a subscription took
+   * effect exactly once at its receiver, in a sequence from 1 without gaps.
    */
-  private void check() {
+  private void assertDelivered() {
     Map<String, String> ends = store.ends();
     subscribers.forEach(
-        (name, told) -> {
+        (name, subscriber) -> {
           Map<String, String> effects = new TreeMap<>();
           long expected = 0;
-          for (Event event : told.receiver.effects) {
-            assertEquals(++expected, event.sequence(), name + " in sequence");
+          for (Event event : subscriber.receiver.effects) {
+            assertEquals(++expected, event.sequence(), "sequence at " + name);
             String job = event.json().get("subject").asText();
             String answer = event.json().at("/data/answer").asText();
             assertEquals(
                 event.type(),
                 answer.equals("done") ? DeliveryWire.JOB_DONE : DeliveryWire.JOB_CANCELLED);
-            assertEquals(null, effects.put(job, answer), job + " told twice to " + name);
-            assertTrue(ends.containsKey(job), job + " is not over and was told to " + name);
-            assertTrue(ends.get(job).contains(answer), job + " ended otherwise");
+            assertEquals(null, effects.put(job, answer), job + " was delivered twice to " + name);
+            assertTrue(ends.containsKey(job), job + " has not ended and was delivered to " + name);
+            assertTrue(ends.get(job).contains(answer), job + " ended with another answer");
           }
           ends.keySet()
               .forEach(
                   job ->
                       assertEquals(
-                          told.wants.test(rules.jobs.get(job).spec),
+                          subscriber.filter.test(rules.jobs.get(job).spec),
                           effects.containsKey(job),
-                          job + " told to " + name));
+                          job + " delivered to " + name));
         });
   }
 
   private void settleAndDeliver(Duration time) {
-    subscribers.values().forEach(told -> told.receiver.trouble = 0);
+    subscribers.values().forEach(subscriber -> subscriber.receiver.trouble = 0);
     settle(time);
-    // A last back-off may be 5 minutes long.
+    // Allows for the longest back-off, 5 minutes.
     world.runFor(Duration.ofSeconds(700));
-    check();
+    assertDelivered();
   }
 
   @Test
@@ -172,12 +173,12 @@
     settleAndDeliver(Duration.ofMinutes(2));
     assertEquals(21, subscribers.get("all").receiver.effects.size());
     assertEquals(1, subscribers.get("services").receiver.effects.size());
-    assertEquals(21, shown("all").get("confirmed").asInt());
-    assertEquals(0, shown("all").get("backlog").asInt());
+    assertEquals(21, getSubscription("all").get("confirmed").asInt());
+    assertEquals(0, getSubscription("all").get("backlog").asInt());
   }
 
-  /** Ends jobs in bulk: submitted and cancelled at once. */
-  private void endMany(int count) {
+  /** Ends jobs in bulk: submits all, then cancels all. */
+  private void submitAndCancelJobs(int count) {
     List<SafetyRules.Known> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       all.add(submit(job("array", 1, "red")));
@@ -188,96 +189,94 @@
     all.forEach(job -> assertTrue(job.isOver(), job.id + " is not over"));
   }
 
-  /** How subscribers stand while ends are counted. */
-  private enum Away {
-    NOBODY_SUBSCRIBES,
-    NOBODY_IS_AWAY,
-    ALL_ARE_AWAY
+  /** The subscriptions while changes are counted. */
+  private enum SubscriptionState {
+    NONE,
+    ACTIVE,
+    PAUSED
   }
 
-  /** Changes of what notices may be in, while 800 jobs come and end. */
-  private int changesOf800Ends(Away away) {
+  /** Counts the changes of keys that can hold notifications while 800 jobs end. */
+  private int storeChangesFor800Jobs(SubscriptionState state) {
     begin(2);
     fleet.capacity = 0;
     world.runFor(Duration.ofSeconds(5));
-    if (away != Away.NOBODY_SUBSCRIBES) {
+    if (state != SubscriptionState.NONE) {
       for (String name : List.of("all", "blue")) {
         subscribe(name, name.equals("all") ? List.of() : List.of(name), List.of());
-        if (away == Away.ALL_ARE_AWAY) {
-          admin("POST", "subscriptions/" + name + "/pause", null, 200);
+        if (state == SubscriptionState.PAUSED) {
+          adminRequest("POST", "subscriptions/" + name + "/pause", null, 200);
         }
       }
     }
-    endMany(400);
-    endMany(400);
+    submitAndCancelJobs(400);
+    submitAndCancelJobs(400);
     return store.changes.get("accepted/")
         + store.changes.getOrDefault("backlog/", 0)
         + store.changes.getOrDefault("delivered/", 0);
   }
 
-  /** Found while it was designed: a page of notices of its own costs a change for each lone end. */
+  /** Guards against an extra store change for each notification. */
   @Test
-  void noticesCostTheStoreNextToNothing() {
-    int without = new DeliverySimulationTest().changesOf800Ends(Away.NOBODY_SUBSCRIBES);
-    int more = changesOf800Ends(Away.NOBODY_IS_AWAY) - without;
-    assertTrue(more < 0.1 * 800, more + " more changes than " + without + " for 800 ends");
+  void notificationsAddFewStoreChanges() {
+    int baseline = new DeliverySimulationTest().storeChangesFor800Jobs(SubscriptionState.NONE);
+    int more = storeChangesFor800Jobs(SubscriptionState.ACTIVE) - baseline;
+    assertTrue(more < 0.1 * 800, more + " more changes than " + baseline + " for 800 jobs");
     assertEquals(800, subscribers.get("all").receiver.effects.size());
-    check();
-    int away = new DeliverySimulationTest().changesOf800Ends(Away.ALL_ARE_AWAY) - without;
-    assertTrue(away < 0.1 * 800, away + " more changes than " + without + " for 800 ends");
+    assertDelivered();
+    int paused =
+        new DeliverySimulationTest().storeChangesFor800Jobs(SubscriptionState.PAUSED) - baseline;
+    assertTrue(paused < 0.1 * 800, paused + " more changes than " + baseline + " for 800 jobs");
   }
 
-  /**
-   * Measured on loopback: 100,000 notices that waited made 1,700 pages of jobs to read at a
-   * takeover.
-   */
+  /** Guards against a slow failover because old notifications stay in the pages of jobs. */
   @Test
   void whatWaitsForLongLeavesThePagesOfJobs() {
     begin(7);
     fleet.capacity = 0;
     world.runFor(Duration.ofSeconds(5));
     subscribe("all", List.of(), List.of());
-    admin("POST", "subscriptions/all/pause", null, 200);
-    endMany(400);
-    endMany(400);
+    adminRequest("POST", "subscriptions/all/pause", null, 200);
+    submitAndCancelJobs(400);
+    submitAndCancelJobs(400);
     assertTrue(store.count("backlog/") >= 2, store.count("backlog/") + " pages");
     kill(controllers.get(leader()), 6_000);
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(800, shown("all").get("backlog").asInt());
-    admin("POST", "subscriptions/all/resume", null, 200);
+    assertEquals(800, getSubscription("all").get("backlog").asInt());
+    adminRequest("POST", "subscriptions/all/resume", null, 200);
     world.runFor(Duration.ofSeconds(30));
-    endMany(100);
+    submitAndCancelJobs(100);
     assertEquals(900, subscribers.get("all").receiver.effects.size());
-    check();
+    assertDelivered();
     assertEquals(0, store.count("backlog/"));
   }
 
   /**
-   * Found on rereading: a leader that began without subscribers did not read what earlier ones had
-   * left in the store, and its first page of progress then cost it its term.
+   * Guards against a leader that loses its term because it did not read the stored progress of
+   * subscriptions that were deleted before it was elected.
    */
   @Test
-  void laterSubscribersMeetWhatEarlierOnesLeft() {
+  void keepsTermWhenProgressOfDeletedSubscriptionIsStored() {
     begin(8);
     fleet.capacity = 0;
     world.runFor(Duration.ofSeconds(5));
     subscribe("old", List.of(), List.of());
-    endMany(100);
-    check();
+    submitAndCancelJobs(100);
+    assertDelivered();
     assertTrue(store.count("delivered/") > 0);
     subscribers.clear();
-    admin("DELETE", "subscriptions/old", null, 200);
+    adminRequest("DELETE", "subscriptions/old", null, 200);
     kill(controllers.get(leader()), 6_000);
     world.runFor(Duration.ofSeconds(15));
     long term = controllers.get(leader()).node.election().term();
     subscribe("fresh", List.of(), List.of());
-    endMany(100);
+    submitAndCancelJobs(100);
     assertEquals(100, subscribers.get("fresh").receiver.effects.size());
     assertEquals(term, controllers.get(leader()).node.election().term());
   }
 
-  /** The receiver answers as it is told to. */
-  private static FakeReceiver answering(SimulatedWorld world, int status, byte[] body) {
+  /** A receiver with a fixed answer. */
+  private static FakeReceiver receiverAnswering(SimulatedWorld world, int status, byte[] body) {
     return new FakeReceiver(world, SECRET) {
       @Override
       public void handle(String method, String path, byte[] sent, Consumer<HttpResponse> answer) {
@@ -288,10 +287,10 @@
   }
 
   private FakeReceiver subscribeAnswering(String name, int status, byte[] body) {
-    FakeReceiver receiver = answering(world, status, body);
+    FakeReceiver receiver = receiverAnswering(world, status, body);
     String host = "10.8.0." + status % 250;
     world.serve(host + ":9999", receiver);
-    admin("PUT", "subscriptions/" + name, subscription(host, List.of(), List.of()), 201);
+    adminRequest("PUT", "subscriptions/" + name, subscription(host, List.of(), List.of()), 201);
     return receiver;
   }
 
@@ -311,31 +310,31 @@
       submit(job("array", 1, "red"));
     }
     world.runFor(Duration.ofMinutes(2));
-    check();
+    assertDelivered();
     assertEquals(6, subscribers.get("good").receiver.effects.size());
-    assertEquals(6, plain.requests, "a receiver without a position gets each once if it answers");
-    assertEquals("ended", shown("gone").get("status").asText());
+    assertEquals(6, plain.requests, "a receiver that returns no position gets each event once");
+    assertEquals("ended", getSubscription("gone").get("status").asText());
     assertEquals(1, gone.requests);
     for (String parked : List.of("refusing", "moved", "ahead")) {
-      assertEquals("parked", shown(parked).get("status").asText(), parked);
+      assertEquals("parked", getSubscription(parked).get("status").asText(), parked);
     }
-    assertEquals("the receiver answered 403", shown("refusing").get("reason").asText());
-    assertEquals("the receiver answered 302", shown("moved").get("reason").asText());
+    assertEquals("the receiver answered 403", getSubscription("refusing").get("reason").asText());
+    assertEquals("the receiver answered 302", getSubscription("moved").get("reason").asText());
     assertEquals(3, refusing.requests + moved.requests + ahead.requests);
-    assertEquals("active", shown("busy").get("status").asText());
-    assertEquals("retrying", shown("busy").get("sending").asText());
-    assertEquals(6, shown("busy").get("backlog").asInt());
+    assertEquals("active", getSubscription("busy").get("status").asText());
+    assertEquals("retrying", getSubscription("busy").get("sending").asText());
+    assertEquals(6, getSubscription("busy").get("backlog").asInt());
     assertTrue(busy.requests <= 12, busy.requests + " tries");
     assertTrue(behind.requests <= 12, behind.requests + " tries");
-    // What is parked is kept, and goes on from where an operator says.
-    FakeReceiver mended = new FakeReceiver(world, SECRET);
-    world.serve("10.8.0.153:9999", mended);
-    admin("POST", "subscriptions/refusing/resume", Json.object().put("sequence", 8), 409);
-    admin("POST", "subscriptions/refusing/resume", Json.object().put("sequence", "x"), 400);
-    admin("POST", "subscriptions/refusing/resume", null, 200);
+    // A parked subscription keeps its events and can be resumed by an operator.
+    FakeReceiver repaired = new FakeReceiver(world, SECRET);
+    world.serve("10.8.0.153:9999", repaired);
+    adminRequest("POST", "subscriptions/refusing/resume", Json.object().put("sequence", 8), 409);
+    adminRequest("POST", "subscriptions/refusing/resume", Json.object().put("sequence", "x"), 400);
+    adminRequest("POST", "subscriptions/refusing/resume", null, 200);
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(6, mended.effects.size());
-    admin("POST", "subscriptions/gone/resume", null, 409);
+    assertEquals(6, repaired.effects.size());
+    adminRequest("POST", "subscriptions/gone/resume", null, 409);
   }
 
   @Test
@@ -344,42 +343,43 @@
     world.runFor(Duration.ofSeconds(5));
     FakeReceiver receiver = subscribe("desk", List.of(), List.of());
     ObjectNode faulty = Json.object().put("url", "ftp://example.org/").put("colour", "red");
-    assertEquals(2, admin("PUT", "subscriptions/other", faulty, 400).get("faults").size());
-    admin("PUT", "subscriptions/Other", faulty, 400);
-    admin("GET", "subscriptions/other", null, 404);
-    admin("DELETE", "subscriptions", null, 405);
+    assertEquals(2, adminRequest("PUT", "subscriptions/other", faulty, 400).get("faults").size());
+    adminRequest("PUT", "subscriptions/Other", faulty, 400);
+    adminRequest("GET", "subscriptions/other", null, 404);
+    adminRequest("DELETE", "subscriptions", null, 405);
     ObjectNode networks = Json.object();
     networks.putArray("networks").add("10.9.0.0/16").add("010.0.0.0/8");
     assertEquals(
-        "/networks/1", admin("PUT", "networks", networks, 400).at("/faults/0/pointer").asText());
-    String all = admin("GET", "subscriptions", null, 200).toString();
+        "/networks/1",
+        adminRequest("PUT", "networks", networks, 400).at("/faults/0/pointer").asText());
+    String all = adminRequest("GET", "subscriptions", null, 200).toString();
     assertTrue(!all.contains("whsec"), all);
     assertTrue(!store.value("conf/subscription/desk").toString().contains("whsec"));
-    admin("POST", "subscriptions/desk/pause", null, 200);
+    adminRequest("POST", "subscriptions/desk/pause", null, 200);
     submit(job("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
     assertEquals(0, receiver.effects.size());
     kill(controllers.get(leader()), 6_000);
     world.runFor(Duration.ofSeconds(15));
-    assertEquals("paused", shown("desk").get("status").asText());
-    assertEquals(1, shown("desk").get("backlog").asInt());
-    admin("POST", "subscriptions/desk/resume", null, 200);
+    assertEquals("paused", getSubscription("desk").get("status").asText());
+    assertEquals(1, getSubscription("desk").get("backlog").asInt());
+    adminRequest("POST", "subscriptions/desk/resume", null, 200);
     world.runFor(Duration.ofSeconds(5));
     assertEquals(1, receiver.effects.size());
-    // A receiver that returns to an older copy is told again what it has lost.
+    // A receiver restored from an older copy gets the lost events again.
     submit(job("array", 1, "blue"));
     world.runFor(Duration.ofSeconds(60));
     receiver.restore(1);
     submit(job("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
     assertEquals(3, receiver.effects.size());
-    check();
-    // Deleted and created anew it counts from 1, as another source.
-    admin("DELETE", "subscriptions/desk", null, 200);
+    assertDelivered();
+    // A subscription that is deleted and created again starts at sequence 1 with a new source.
+    adminRequest("DELETE", "subscriptions/desk", null, 200);
     submit(job("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
     assertEquals(3, receiver.effects.size());
-    admin("PUT", "subscriptions/desk", subscription("10.9.0.1", List.of(), List.of()), 201);
+    adminRequest("PUT", "subscriptions/desk", subscription("10.9.0.1", List.of(), List.of()), 201);
     submit(job("array", 1, "red"));
     world.runFor(Duration.ofSeconds(150));
     assertEquals(4, receiver.effects.size());
@@ -388,7 +388,7 @@
     assertTrue(!last.source().equals(receiver.effects.get(2).source()));
   }
 
-  /** The store is out while receivers go on: what they confirm is sent again, and taken once. */
+  /** Guards against lost or doubly applied events when confirmations can't be stored. */
   @Test
   void anOutageOfTheStoreRepeatsAndLosesNothing() {
     begin(5);
@@ -406,7 +406,7 @@
     assertTrue(subscribers.get("all").receiver.requests > 30);
   }
 
-  /** Eight days; more by hand with {@code -Dpineladder.days=1000 -Dpineladder.first=1}. */
+  /** Eight runs; more with {@code -Dpineladder.days=1000 -Dpineladder.first=1}. */
   static LongStream seeds() {
     long first = Long.getLong("pineladder.first", 1);
     return LongStream.range(first, first + Long.getLong("pineladder.days", 8));
@@ -430,21 +430,21 @@
         cancel(open.get(world.random.nextInt(open.size())));
       }
       if (world.random.nextInt(6) == 0) {
-        // An operator stops one and lets it go on, whatever becomes of the requests.
+        // An operator pauses and resumes a subscription; the requests may be lost.
         boolean pause = world.random.nextBoolean();
-        tell("POST", "subscriptions/blue/" + (pause ? "pause" : "resume"), null, 1);
+        sendAdminRequest("POST", "subscriptions/blue/" + (pause ? "pause" : "resume"), null, 1);
       }
       trouble(world.random.nextInt(18));
       world.runFor(Duration.ofMillis(1_000 + world.random.nextInt(4_000)));
     }
-    // A pause that comes late, as a request of the day may, would hold for good after the resume.
+    // Waits for delayed requests: a pause that arrives after the resume would stay in force.
     world.lossy = 0;
     world.runFor(Duration.ofMinutes(2));
-    admin("POST", "subscriptions/blue/resume", null, 200);
+    adminRequest("POST", "subscriptions/blue/resume", null, 200);
     settleAndDeliver(Duration.ofMinutes(10));
   }
 
-  /** While one secret replaces the other both sign, so that nothing is refused on the way. */
+  /** Guards against rejected signatures while one secret replaces another. */
   @Test
   void secretsAreReplacedWhileNoticesAreUnderWay() {
     byte[] fresh = SECRET.clone();
@@ -454,21 +454,21 @@
     world.runFor(Duration.ofSeconds(5));
     FakeReceiver receiver = subscribe("desk", List.of(), List.of());
     receiver.trouble = 0.2;
-    endMany(20);
-    admin("PUT", "subscriptions/desk", secrets(fresh, SECRET), 200);
-    endMany(20);
+    submitAndCancelJobs(20);
+    adminRequest("PUT", "subscriptions/desk", subscriptionWithSecrets(fresh, SECRET), 200);
+    submitAndCancelJobs(20);
     receiver.replace(fresh);
-    endMany(20);
-    admin("PUT", "subscriptions/desk", secrets(fresh), 200);
-    endMany(20);
+    submitAndCancelJobs(20);
+    adminRequest("PUT", "subscriptions/desk", subscriptionWithSecrets(fresh), 200);
+    submitAndCancelJobs(20);
     receiver.trouble = 0;
     world.runFor(Duration.ofSeconds(700));
-    assertEquals("active", shown("desk").get("status").asText());
+    assertEquals("active", getSubscription("desk").get("status").asText());
     assertEquals(80, receiver.effects.size());
-    check();
+    assertDelivered();
   }
 
-  private static ObjectNode secrets(byte[]... secrets) {
+  private static ObjectNode subscriptionWithSecrets(byte[]... secrets) {
     ObjectNode body = subscription("10.9.0.1", List.of(), List.of());
     ArrayNode list = body.putArray("secrets");
     for (byte[] secret : secrets) {
--- a/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
+++ b/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
@@ -18,116 +18,112 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Two troubles that meet, while users cancel and ask. Beside the rules each of these days asks for
- * the promise behind them: nothing of a job is on any machine when its user is told that it is
- * cancelled.
+ * Faults that coincide while users cancel and poll jobs. Each run also checks that no task of a job
+ * is on any machine when the job is reported as cancelled.
  */
 class FaultCombinationsTest extends FaultInjectionCluster {
-  /** What meets; the rows of docs/fault-combinations.md. */
+  /** The combined faults; docs/fault-combinations.md has a row for each. */
   enum Combination {
     /**
-     * The leader alone is refused, another confirms cancellations, then nobody is served for long.
+     * The store rejects only the leader, a new leader confirms cancellations, then a long outage of
+     * the store follows.
      */
-    GAP,
-    /** The state service answers slowly, refuses the leader, then everybody. */
-    SLOW_THEN_OUT,
-    /** Jobs of two or three tasks that end far apart, across changes of leader. */
-    ENDS_FAR_APART,
-    /** Old reports after newer ones, also of earlier sessions and attempts. */
-    OLD_REPORTS,
-    /** Commands and answers are held up for seconds, and machines stand still and go on. */
-    HELD_UP,
-    /** Controllers hand over and back, all end, and one returns, also within a second. */
-    HANDOVERS,
-    /** Transactions without an answer are carried out late, after newer ones. */
-    LATE_WRITES,
-    /** A leader ends while machines with long tasks can't be reached, or do not hear. */
-    UNREACHED,
-    /** A leader without state service and peers, while jobs are cancelled through the new one. */
-    ALONE,
+    LEADER_REJECTED_THEN_OUTAGE,
+    /** The store answers slowly, rejects the leader, then is unavailable. */
+    SLOW_STORE_THEN_OUTAGE,
+    /** Tasks of a job end far apart, across failovers. */
+    TASKS_END_FAR_APART,
+    /** Stale heartbeats arrive after newer ones, also of earlier agent epochs and attempts. */
+    STALE_HEARTBEATS,
+    /** Messages are delayed for seconds, and machines freeze and resume. */
+    DELAYED_MESSAGES,
+    /** Frequent failovers, then all controllers are killed and one restarts within a second. */
+    FREQUENT_FAILOVERS,
+    /** Transactions get no answer and are executed late, after newer ones. */
+    LATE_TRANSACTIONS,
+    /** The leader is killed while machines are unreachable or receive nothing. */
+    UNREACHABLE_MACHINES,
+    /** The leader is cut off from the store and its peers; a new leader cancels jobs. */
+    ISOLATED_LEADER,
     /**
-     * Users ask at all nodes within milliseconds of each answer, submit again, some cancel; the
-     * leader ends.
+     * Users poll, resubmit and cancel at all nodes within milliseconds of each answer, across
+     * failovers.
      */
-    CLOSE_LOOKS,
-    /**
-     * Transactions are carried out at once and only the answer is lost, while users look closely.
-     */
-    ANSWERS_LOST,
-    /**
-     * Every team is at its limit, jobs are cancelled whose machines are cut off or hang, the leader
-     * changes.
-     */
-    AT_LIMIT,
-    /** Jobs are cancelled every 100 ms from before the leader changes until after. */
-    CANCELS_AT_HANDOVER,
-    /** Machines are up within two seconds and get work while writes lag, and the leader ends. */
-    QUICK_BOOTS,
-    /** Old reports reach every controller just as a new leader begins. */
-    REPORTS_FOR_NEXT,
-    /** One-task jobs, four a second, a quarter of them cancelled. */
-    SWARM,
-    /** Jobs bound to one zone lose machines. */
-    BOUND_TO_ZONE,
-    /**
-     * Jobs are cancelled as the state service refuses the leader; a second later it is out for
-     * long.
-     */
-    CANCELS_AT_REFUSAL,
-    /** More work than room, urgent and not, over slow links. */
-    PRESSURE,
-    /** A cancellation, a question and a repeated submission meet the end of a job's last task. */
-    AT_THE_END,
-    /** All controllers are away for longer than a lease. */
-    ALL_AWAY,
-    /** Leaders change ten times in two minutes, also inside an outage. */
-    TEN_LEADERS,
-    /** A zone with workers and a controller is cut off for longer than a lease. */
-    ZONE_CUT,
-    /** Workers can't open connections to any controller, while direct commands still reach them. */
-    MUTE
+    RAPID_POLLING,
+    /** Transactions are executed but their answers are lost, while users poll all nodes. */
+    LOST_STORE_ANSWERS,
+    /** Teams are at their quota while jobs on partitioned or frozen machines are cancelled. */
+    TEAMS_AT_QUOTA,
+    /** Jobs are cancelled every 100 ms around failovers. */
+    CANCELS_AT_FAILOVER,
+    /** Machines boot within two seconds while store writes are late, across failovers. */
+    FAST_BOOTS,
+    /** Stale heartbeats reach every controller just as a new leader is elected. */
+    STALE_HEARTBEATS_AT_FAILOVER,
+    /** Four one-task jobs per second, a quarter of them cancelled. */
+    MANY_SMALL_JOBS,
+    /** Jobs that must run in one zone lose machines. */
+    ZONE_CONSTRAINTS,
+    /** Jobs are cancelled as the store rejects the leader; a second later a long outage begins. */
+    CANCELS_AT_STORE_REJECTION,
+    /** More work than capacity, of all priorities, over slow links. */
+    OVERLOAD,
+    /** Cancellations, polls and repeated submissions arrive as a job's last task completes. */
+    REQUESTS_AT_COMPLETION,
+    /** All controllers are down for longer than a worker lease. */
+    ALL_CONTROLLERS_DOWN,
+    /** Ten failovers in two minutes, some during a store outage. */
+    TEN_FAILOVERS,
+    /** A zone is partitioned for longer than a worker lease. */
+    ZONE_PARTITION,
+    /** Workers can't connect to any controller, but receive commands. */
+    NO_HEARTBEATS
   }
 
-  /** Machines of a zone at most: room for all that the days ask for at once. */
-  private static final int CAPACITY = 20;
+  /** Machines per zone, enough for all work that is submitted at once. */
+  private static final int MACHINES_PER_ZONE = 20;
 
-  private static final Duration CANCEL = Duration.ofSeconds(40);
+  private static final Duration CANCELLATION_BOUND = Duration.ofSeconds(40);
 
-  /** The last trouble is over by then. */
-  private static final Duration LONGEST = CANCEL.multipliedBy(4);
+  /** All faults have ended after this time. */
+  private static final Duration FAULTS_END = CANCELLATION_BOUND.multipliedBy(4);
 
   /**
-   * A cancellation that waits for proof is told so long after the last trouble: a machine that was
-   * out of reach is heard within a few reports, or it is returned.
+   * Bound, from the end of the last fault, on the report of a cancellation that had to wait until
+   * no machine holds a task: within it a machine sends heartbeats again or is returned to the
+   * cloud.
    */
-  private static final Duration TOLD = Duration.ofSeconds(75);
+  private static final Duration CANCELLATION_REPORT_BOUND = Duration.ofSeconds(75);
 
-  private void strike(Combination combination) {
+  private void inject(Combination combination) {
     switch (combination) {
-      case GAP -> {
+      case LEADER_REJECTED_THEN_OUTAGE -> {
         String old = leading();
         long before = some(500, 20_000);
         refuseLeader(before + some(0, 30_000));
-        // Some workers are left to the old leader: no other controller reaches them.
+        // Some workers can reach only the old leader.
         for (String machine : someMachines(3)) {
           cutFor(List.of(machine), nodes().stream().filter(h -> !h.equals(old)).toList(), 90_000);
         }
-        at(before, () -> outage(some(CANCEL.toMillis() / 2, 3 * CANCEL.toMillis())));
+        at(
+            before,
+            () ->
+                outage(some(CANCELLATION_BOUND.toMillis() / 2, 3 * CANCELLATION_BOUND.toMillis())));
       }
-      case SLOW_THEN_OUT -> {
+      case SLOW_STORE_THEN_OUTAGE -> {
         store.slowMillis = 2_500;
         at(10_000, () -> refuseLeader(some(2_000, 15_000)));
         at(some(12_000, 25_000), () -> outage(some(15_000, 60_000)));
         at(70_000, () -> store.slowMillis = 0);
       }
-      case ENDS_FAR_APART -> {
+      case TASKS_END_FAR_APART -> {
         for (int i = 0; i < 6; i++) {
           submit(
               work(i % 3 == 2 ? "group" : "array", 2 + i % 2).put("apart_ms", some(1_000, 25_000)));
           at(some(3_000, 60_000), () -> killLeader(some(0, 8_000)));
         }
       }
-      case OLD_REPORTS -> {
+      case STALE_HEARTBEATS -> {
         fleet.copies = 0.4;
         at(60_000, () -> fleet.copies = 0);
         for (int i = 0; i < 3; i++) {
@@ -135,7 +131,7 @@
           at(some(3_000, 50_000), () -> killLeader(some(0, 6_000)));
         }
       }
-      case HELD_UP -> {
+      case DELAYED_MESSAGES -> {
         world.held = 0.15;
         at(50_000, () -> world.held = 0);
         for (int i = 0; i < 12; i++) {
@@ -145,7 +141,7 @@
         }
         at(some(5_000, 45_000), () -> killLeader(some(0, 6_000)));
       }
-      case HANDOVERS -> {
+      case FREQUENT_FAILOVERS -> {
         for (int i = 0; i < 8; i++) {
           at(some(0, 30_000), () -> killLeader(some(0, 1_000)));
         }
@@ -157,13 +153,13 @@
                   each -> kill(each, each.index == first ? some(0, 1_000) : some(2_000, 12_000)));
             });
       }
-      case LATE_WRITES -> {
+      case LATE_TRANSACTIONS -> {
         store.lateWrites = 0.3;
         at(50_000, () -> store.lateWrites = 0);
         at(some(5_000, 25_000), () -> killLeader(some(0, 6_000)));
         at(some(25_000, 45_000), () -> refuseLeader(some(1_000, 6_000)));
       }
-      case UNREACHED -> {
+      case UNREACHABLE_MACHINES -> {
         List<String> away = someMachines(2);
         long millis = some(20_000, 70_000);
         if (world.random.nextBoolean()) {
@@ -173,15 +169,15 @@
         }
         at(some(500, 15_000), () -> killLeader(some(0, 8_000)));
       }
-      case ALONE -> aloneFor(some(20_000, 70_000));
-      case CLOSE_LOOKS -> {
+      case ISOLATED_LEADER -> aloneFor(some(20_000, 70_000));
+      case RAPID_POLLING -> {
         looksClosely = true;
         at(60_000, () -> looksClosely = false);
         for (int i = 0; i < 3; i++) {
           at(some(2_000, 50_000), () -> killLeader(some(0, 8_000)));
         }
       }
-      case ANSWERS_LOST -> {
+      case LOST_STORE_ANSWERS -> {
         looksClosely = true;
         store.unanswered = 0.3;
         at(
@@ -192,7 +188,7 @@
             });
         at(some(5_000, 45_000), () -> killLeader(some(0, 8_000)));
       }
-      case AT_LIMIT -> {
+      case TEAMS_AT_QUOTA -> {
         for (int i = 0; i < 10; i++) {
           submit(work("array", 4).put("owner", "blue").put("guess_s", some(20, 90)));
         }
@@ -213,7 +209,7 @@
               at(some(4_000, 12_000), () -> cancelSome(0.6));
             });
       }
-      case CANCELS_AT_HANDOVER -> {
+      case CANCELS_AT_FAILOVER -> {
         at(3_000, () -> killLeader(some(0, 8_000)));
         for (int i = 0; i < 80; i++) {
           at(i * 100L, () -> cancelSome(0.03));
@@ -223,14 +219,14 @@
           at(27_000 + i * 100L, () -> cancelSome(0.03));
         }
       }
-      case QUICK_BOOTS -> {
+      case FAST_BOOTS -> {
         fleet.quickBoots = true;
         store.lateWrites = 0.2;
         for (int i = 0; i < 12; i++) {
           submit(work("array", 8));
         }
         at(some(1_000, 8_000), () -> killLeader(some(0, 6_000)));
-        at(some(10_000, 20_000), () -> fleet.up().forEach(this::perhapsDies));
+        at(some(10_000, 20_000), () -> fleet.up().forEach(this::killWithLowProbability));
         at(some(15_000, 30_000), () -> killLeader(some(0, 6_000)));
         at(
             40_000,
@@ -239,7 +235,7 @@
               store.lateWrites = 0;
             });
       }
-      case REPORTS_FOR_NEXT -> {
+      case STALE_HEARTBEATS_AT_FAILOVER -> {
         fleet.copies = 0.4;
         fleet.keepsCopies = true;
         for (int i = 0; i < 3; i++) {
@@ -253,7 +249,7 @@
               fleet.keepsCopies = false;
             });
       }
-      case SWARM -> {
+      case MANY_SMALL_JOBS -> {
         for (int i = 0; i < 200; i++) {
           at(
               i * 250L,
@@ -266,7 +262,7 @@
         }
         at(some(15_000, 35_000), () -> killLeader(some(0, 6_000)));
       }
-      case BOUND_TO_ZONE -> {
+      case ZONE_CONSTRAINTS -> {
         for (int i = 0; i < 6; i++) {
           String shape = List.of("array", "service", "group").get(i % 3);
           ObjectNode spec =
@@ -274,12 +270,12 @@
           submit(i % 2 == 0 ? spec.put("yard", layout.zones.get(0)) : spec.put("together", true));
         }
         for (int i = 0; i < 4; i++) {
-          at(some(5_000, 50_000), () -> fleet.up().forEach(this::perhapsDies));
+          at(some(5_000, 50_000), () -> fleet.up().forEach(this::killWithLowProbability));
         }
         at(some(5_000, 50_000), () -> killLeader(some(0, 6_000)));
         at(some(5_000, 30_000), () -> cutFor(someMachines(4), nodes(), some(10_000, 40_000)));
       }
-      case CANCELS_AT_REFUSAL -> {
+      case CANCELS_AT_STORE_REJECTION -> {
         long refused = some(5_000, 40_000);
         at(
             5_000,
@@ -290,9 +286,11 @@
         for (int i = 0; i < 20; i++) {
           at(4_900 + i * 60L, () -> cancelSome(0.05));
         }
-        at(6_000, () -> outage(some(CANCEL.toMillis(), 2 * CANCEL.toMillis())));
+        at(
+            6_000,
+            () -> outage(some(CANCELLATION_BOUND.toMillis(), 2 * CANCELLATION_BOUND.toMillis())));
       }
-      case PRESSURE -> {
+      case OVERLOAD -> {
         fleet.capacity = Math.max(2, fleet.up().size() / (2 * layout.zones.size()));
         world.held = 0.1;
         for (int i = 0; i < 25; i++) {
@@ -307,10 +305,10 @@
             60_000,
             () -> {
               world.held = 0;
-              fleet.capacity = CAPACITY;
+              fleet.capacity = MACHINES_PER_ZONE;
             });
       }
-      case AT_THE_END -> {
+      case REQUESTS_AT_COMPLETION -> {
         cancelledAtEnd = 0.7;
         meetEnds();
         for (int i = 0; i < 120; i++) {
@@ -320,24 +318,24 @@
         }
         at(70_000, () -> cancelledAtEnd = 0);
       }
-      case ALL_AWAY -> {
+      case ALL_CONTROLLERS_DOWN -> {
         long away = fleet.leaseMillis + some(1_000, 25_000);
         controllers.forEach(each -> kill(each, away + some(0, 3_000)));
         at(some(0, 3_000), () -> cancelSome(0.2));
       }
-      case TEN_LEADERS -> {
+      case TEN_FAILOVERS -> {
         for (int i = 0; i < 10; i++) {
           at(some(i * 10_000L, i * 10_000L + 9_000), () -> killLeader(some(0, 4_000)));
         }
         at(some(20_000, 40_000), () -> outage(some(10_000, 50_000)));
       }
-      case ZONE_CUT -> {
+      case ZONE_PARTITION -> {
         String zone = layout.zones.get(world.random.nextInt(layout.zones.size()));
         cutZone(zone, fleet.leaseMillis + some(5_000, 60_000));
         at(some(0, 20_000), () -> cancelSome(0.3));
         at(some(5_000, 30_000), () -> killLeader(some(0, 6_000)));
       }
-      case MUTE -> {
+      case NO_HEARTBEATS -> {
         muteFor(someMachines(2), some(10_000, 60_000));
         at(some(1_000, 15_000), () -> cancelSome(0.3));
         at(some(5_000, 40_000), () -> killLeader(some(0, 6_000)));
@@ -346,7 +344,7 @@
     }
   }
 
-  private void perhapsDies(FakeFleet.Worker worker) {
+  private void killWithLowProbability(FakeFleet.Worker worker) {
     if (world.random.nextInt(6) == 0) {
       fleet.die(worker);
     }
@@ -359,36 +357,35 @@
     }
   }
 
-  void day(Layout of, long seed, Set<Combination> combinations) {
+  void runWithFaults(Layout of, long seed, Set<Combination> combinations) {
     begin(of, seed);
-    fleet.capacity = CAPACITY;
+    fleet.capacity = MACHINES_PER_ZONE;
     int number = 0;
     for (; number < 14; number++) {
       step(number);
     }
     for (Combination combination : combinations) {
-      strike(combination);
+      inject(combination);
       world.runFor(Duration.ofMillis(some(0, 4_000)));
     }
     for (; number < 45; number++) {
       step(number);
     }
-    world.runFor(LONGEST.minusSeconds(60));
+    world.runFor(FAULTS_END.minusSeconds(60));
     rules.calmSince = world.now();
-    world.runFor(TOLD);
+    world.runFor(CANCELLATION_REPORT_BOUND);
     for (SafetyRules.Known job : rules.jobs.values()) {
       assertTrue(
-          !job.cancelAsked || job.isOver(),
-          job.id + " was asked to be cancelled, and nothing was told");
+          !job.cancelAsked || job.isOver(), job.id + " was cancelled and not reported as over");
     }
     settle(Duration.ofSeconds(400));
   }
 
   /**
-   * Has transactions of all kinds committed: work, a change of leader, and two parts apart, so that
-   * leases are kept by one controller and submissions stored by another.
+   * Causes transactions of all kinds: jobs, a failover, and a partition in which one controller
+   * renews leases and another stores submissions.
    */
-  private void changesOfAllKinds() {
+  private void causeTransactionsOfAllKinds() {
     int number = 0;
     for (; number < 20; number++) {
       step(number);
@@ -403,15 +400,12 @@
     }
   }
 
-  /**
-   * A copy of each transaction is carried out again 2 to 12 s after it, the same leader still
-   * leading or another, or none: whatever was executed once has no effect a second time.
-   */
+  /** Guards against effects of a transaction that is executed again 2 to 12 s later. */
   @Test
   void aTransactionThatWasExecutedHasNoEffectASecondTime() {
     begin(Layout.FLEET, 77);
     store.repeats = true;
-    changesOfAllKinds();
+    causeTransactionsOfAllKinds();
     world.runFor(Duration.ofSeconds(60));
     settle(Duration.ofSeconds(400));
     Set<String> kinds =
@@ -429,22 +423,22 @@
             "apart/");
     for (String kind : kinds) {
       assertTrue(
-          store.repeated.getOrDefault(kind, 0) > 0, "no copy of " + kind + " in " + store.repeated);
+          store.repeated.getOrDefault(kind, 0) > 0,
+          "no repeated transaction for " + kind + " in " + store.repeated);
     }
     assertEquals(Map.of(), store.repeatedWithEffect);
   }
 
   /**
-   * Of each kind of transaction some are carried out at once and only the answer is lost, while
-   * users look closely at every node: its sender takes its own work for nobody else's, and no node
-   * tells what is older.
+   * Guards against stale answers, and against a sender that mistakes its own executed transaction
+   * for a conflicting one, when only the answer to a transaction is lost.
    */
   @Test
   void anAnswerThatIsLostIsNoRefusalAndNobodyElsesWork() {
     begin(Layout.SHORT, 79);
     store.unanswered = 0.3;
     looksClosely = true;
-    changesOfAllKinds();
+    causeTransactionsOfAllKinds();
     looksClosely = false;
     world.runFor(Duration.ofSeconds(30));
     store.unanswered = 0;
@@ -466,19 +460,19 @@
     for (String kind : kinds) {
       assertTrue(
           store.unansweredKinds.getOrDefault(kind, 0) > 0,
-          "none of " + kind + " in " + store.unansweredKinds);
+          "no lost answer for " + kind + " in " + store.unansweredKinds);
     }
   }
 
   /**
-   * Found on the gap days of laval and galleharbour: in an outage for all that lasts for longer
-   * than leases are kept from memory, what ran outside the leader's zone ended with its leases.
+   * Guards against lease expiry of tasks outside the leader's zone in a store outage that follows a
+   * rejection of the leader.
    */
   @ParameterizedTest
   @EnumSource(
       value = Layout.class,
       names = {"FLEET", "SHORT"})
-  void nothingEndsInALongOutageThoughTheLeaderWasRefusedBefore(Layout of) {
+  void keepsTasksInLongOutageAfterRejectionOfLeader(Layout of) {
     begin(of, 50);
     for (int i = 0; i < 8; i++) {
       submit(work("service", 3).put("spread", true));
@@ -490,25 +484,22 @@
     at(2_000, () -> outage(90_000));
     world.runFor(Duration.ofSeconds(130));
     assertEquals(0, fleet.endedByLease);
-    // One may be returned for having no work, none for its silence.
+    // One machine may be returned because it is idle, but none because it is unreachable.
     List<String> gone = machines.stream().filter(m -> !fleet.machines.containsKey(m)).toList();
-    assertTrue(gone.size() <= 1, "returned: " + gone);
+    assertTrue(gone.size() <= 1, "machines returned: " + gone);
     settle(Duration.ofSeconds(20));
   }
 
-  /**
-   * Milliseconds from the leader's end to that of whoever is there then: before, in and after an
-   * election.
-   */
-  static IntStream steps() {
+  /** Delays in milliseconds from the kill of the leader to the next kill, around an election. */
+  static IntStream killDelaysMillis() {
     return IntStream.rangeClosed(0, 10).map(i -> 400 * i);
   }
 
-  /** Whoever leads or is about to ends at each step of an election, and is back within a second. */
+  /** Guards against broken rules when candidates are killed at any time during an election. */
   @ParameterizedTest
-  @MethodSource("steps")
-  void controllersEndAndReturnAtEachStepOfAnElection(int step) {
-    begin(Layout.SHORT, 30_000 + step);
+  @MethodSource("killDelaysMillis")
+  void recoversFromKillsDuringElection(int delayMillis) {
+    begin(Layout.SHORT, 30_000 + delayMillis);
     int number = 0;
     for (; number < 10; number++) {
       step(number);
@@ -516,13 +507,15 @@
     int leader = leader();
     kill(controllers.get(leader), some(0, 1_000));
     at(
-        step,
+        delayMillis,
         () -> {
           int next = store.value("lead/holder") == null ? (leader + 1) % layout.nodes : leader();
           kill(controllers.get(next), some(0, 1_000));
           kill(controllers.get((next + 1) % layout.nodes), some(0, 200));
         });
-    at(step + 600L, () -> controllers.forEach(each -> kill(each, each.index * some(0, 250))));
+    at(
+        delayMillis + 600L,
+        () -> controllers.forEach(each -> kill(each, each.index * some(0, 250))));
     for (; number < 18; number++) {
       step(number);
     }
@@ -530,10 +523,8 @@
     settle(Duration.ofMinutes(5));
   }
 
-  /**
-   * Each combination in two shapes; more seeds by hand with {@code -Dpineladder.combinations=100}.
-   */
-  static Stream<Arguments> alone() {
+  /** Each combination in two layouts; more seeds with {@code -Dpineladder.combinations=100}. */
+  static Stream<Arguments> singleCombinations() {
     return Stream.of(Combination.values())
         .flatMap(m -> Stream.of(Layout.ONE_ZONE, Layout.SHORT).map(of -> List.of(m, of)))
         .flatMap(cell -> seeds().mapToObj(s -> Arguments.of(cell.get(0), cell.get(1), s)));
@@ -545,13 +536,13 @@
   }
 
   @ParameterizedTest
-  @MethodSource("alone")
-  void theRulesHoldWhereTroublesMeet(Combination combination, Layout of, int seed) {
-    day(of, 20_000 + 100L * seed + combination.ordinal(), Set.of(combination));
+  @MethodSource("singleCombinations")
+  void keepsRulesUnderFaultCombination(Combination combination, Layout of, int seed) {
+    runWithFaults(of, 20_000 + 100L * seed + combination.ordinal(), Set.of(combination));
   }
 
-  /** Three at a time, each in its turn first, in all shapes; each seed takes three others. */
-  static Stream<Arguments> together() {
+  /** Three combinations at a time, once for each as the first; the others depend on the seed. */
+  static Stream<Arguments> tripleCombinations() {
     return seeds()
         .boxed()
         .flatMap(
@@ -559,15 +550,15 @@
   }
 
   @ParameterizedTest
-  @MethodSource("together")
+  @MethodSource("tripleCombinations")
   void theRulesHoldWhereThreeMeet(int first, int seed) {
     Combination[] all = Combination.values();
-    Set<Combination> met = new TreeSet<>();
-    met.add(all[first]);
+    Set<Combination> combinations = new TreeSet<>();
+    combinations.add(all[first]);
     int others = all.length - 1;
-    met.add(all[(first + 1 + (5 * seed + 2) % others) % all.length]);
-    met.add(all[(first + 1 + (seed / others + 7 * seed + 11) % others) % all.length]);
+    combinations.add(all[(first + 1 + (5 * seed + 2) % others) % all.length]);
+    combinations.add(all[(first + 1 + (seed / others + 7 * seed + 11) % others) % all.length]);
     Layout of = Layout.values()[(first + seed) % Layout.values().length];
-    day(of, 400_000 + 100L * seed + first, met);
+    runWithFaults(of, 400_000 + 100L * seed + first, combinations);
   }
 }
--- a/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
+++ b/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
@@ -19,7 +19,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** A claim of the leader's key that got no answer and is carried out in a later round. */
+/** A claim of the leader key that gets no answer and is executed in a later election round. */
 class LateElectionClaimTest {
   private final SimulatedWorld world = new SimulatedWorld(1);
   private final FakeKeyValueStore store = new FakeKeyValueStore(world, 12, 8192);
@@ -39,20 +39,18 @@
             world.after(5, () -> onReply.accept(Reply.answered(answer.status(), answer.body()))));
   }
 
-  /**
-   * The first claim is lost, the next one and the end of its lease refused, the third lost again.
-   */
+  /** Loses the first claim, rejects the second and its lease revocation, loses the third. */
   private void unreliableStore(Request request, Consumer<Reply> onReply) {
-    Reply refused = Reply.answered(503, new byte[0]);
+    Reply rejected = Reply.answered(503, new byte[0]);
     Reply replacement = null;
     if (request.path().equals("/multi")) {
       claims.add(request);
       replacement =
           switch (claims.size()) {
             case 1 -> Reply.UNKNOWN;
-            case 2 -> refused;
+            case 2 -> rejected;
             case 3 -> {
-              // Now the first one is carried out: its lease has not run out yet.
+              // Executes the first claim, whose lease has not expired yet.
               Request late = claims.get(0);
               store.handle(
                   late.method(),
@@ -64,7 +62,7 @@
             default -> null;
           };
     } else if (request.method().equals("DELETE") && claims.size() == 2) {
-      replacement = refused;
+      replacement = rejected;
     }
     forward(request, replacement, onReply);
   }
@@ -103,11 +101,11 @@
             });
     election.start();
     world.runFor(Duration.ofMillis(1_800));
-    assertTrue(claims.size() >= 4, "the round in question was reached");
-    assertFalse(election.holdsTerm(), "the key goes with another round's lease");
+    assertTrue(claims.size() >= 4, "the late claim was executed");
+    assertFalse(election.holdsTerm(), "the key is bound to the lease of an earlier round");
     world.runFor(Duration.ofSeconds(12));
-    assertTrue(election.isLeaseValid(), "elected once that lease is over");
+    assertTrue(election.isLeaseValid(), "elected once that lease has expired");
     assertEquals(1, terms.size());
-    assertTrue(store.value("lead/holder") != null, "and its key stands");
+    assertTrue(store.value("lead/holder") != null, "the leader key is stored");
   }
 }
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -27,27 +27,28 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What controllers make of one another, against a plain model that reads the whole history anew.
+ * Compares the membership state of each peer with a reference model that evaluates the whole
+ * history at every step.
  */
 class MembershipTest {
   private static final int NODES = 3;
 
-  /** Something that happened at a node. */
-  private record Event(Instant at, Kind kind, String peer, GossipWire.Heartbeat told) {}
+  /** A heartbeat response, timeout or incoming heartbeat at a node. */
+  private record Event(Instant at, Kind kind, String peer, GossipWire.Heartbeat heartbeat) {}
 
   private enum Kind {
     ANSWER,
-    MISS,
+    TIMEOUT,
     INBOUND
   }
 
-  /** One controller and all that it has met with. */
+  /** A controller and the history of its heartbeats. */
   private final class Node {
     final String name;
     final String host;
     final boolean[] alive = {true};
     final List<Event> history = new ArrayList<>();
-    final Map<String, State> called = new HashMap<>();
+    final Map<String, State> lastStates = new HashMap<>();
     final EventLoop eventLoop;
     Membership membership;
 
@@ -63,15 +64,15 @@
               eventLoop,
               (address, beat, onAnswer) -> {
                 String peer = nameOf(address);
-                noteMade(beat);
+                recordCreation(beat);
                 httpClient.call(
                     AsyncHttpClient.Request.post(
                         address, GossipWire.PATH, beat, Membership.HEARTBEAT_TIMEOUT),
                     reply -> {
                       byte[] body = reply.is(200) ? reply.body() : null;
-                      record(body == null ? Kind.MISS : Kind.ANSWER, peer, body);
+                      record(body == null ? Kind.TIMEOUT : Kind.ANSWER, peer, body);
                       onAnswer.accept(body);
-                      compare(peer);
+                      assertStateJustified(peer);
                     });
               },
               () ->
@@ -84,8 +85,8 @@
               String peer = GossipWire.parse(body).member();
               record(Kind.INBOUND, peer, body);
               byte[] own = membership.handle(body);
-              noteMade(own);
-              compare(peer);
+              recordCreation(own);
+              assertStateJustified(peer);
               answer.accept(new HttpResponse(200, own));
             } catch (MalformedMessageException e) {
               throw new AssertionError(e);
@@ -98,10 +99,10 @@
       return MembershipTest.this;
     }
 
-    private void noteMade(byte[] own) {
+    private void recordCreation(byte[] own) {
       try {
         GossipWire.Heartbeat beat = GossipWire.parse(own);
-        made.put(beat.nonce() + "#" + beat.sequence(), eventLoop.now());
+        creationTimes.put(beat.nonce() + "#" + beat.sequence(), eventLoop.now());
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
@@ -116,19 +117,21 @@
       }
     }
 
-    /** Asks that each verdict has its cause in all that happened until then. */
-    void compare(String peer) {
+    /** Asserts that a change of a peer's state is justified by the history. */
+    void assertStateJustified(String peer) {
       State state = membership.stateOf(peer);
-      if (called.put(peer, state) == state) {
+      if (lastStates.put(peer, state) == state) {
         return;
       }
-      // It may have come with the last tick, between the last two events.
+      // The state may have changed on a tick between the last two events.
       int n = history.size();
-      boolean caused = new Model(this, peer, history, eventLoop.now()).allows(state);
-      for (int i = Math.max(0, n - 2); i < n && !caused; i++) {
-        caused = new Model(this, peer, history.subList(0, n - 1), history.get(i).at).allows(state);
+      boolean justified = new ReferenceModel(this, peer, history, eventLoop.now()).allows(state);
+      for (int i = Math.max(0, n - 2); i < n && !justified; i++) {
+        justified =
+            new ReferenceModel(this, peer, history.subList(0, n - 1), history.get(i).at)
+                .allows(state);
       }
-      assertTrue(caused, name + " calls " + peer + " " + state);
+      assertTrue(justified, name + " has no cause to mark " + peer + " " + state);
     }
 
     void kill() {
@@ -137,53 +140,56 @@
     }
   }
 
-  /** What is true of a peer at a node, read off everything that ever happened there. */
-  private record Model(Node node, String peer, List<Event> history, Instant now) {
+  /** The states of a peer that the history of a node allows. */
+  private record ReferenceModel(Node node, String peer, List<Event> history, Instant now) {
     boolean allows(State state) {
       return switch (state) {
         case UNKNOWN -> !answeredBefore();
-        case UP -> last(2, Kind.ANSWER) || !answeredBefore();
-        case SUSPECT -> last(3, Kind.MISS) || isSilent();
-        case APART -> last(3, Kind.MISS);
-        case DOWN -> last(3, Kind.MISS) && isSilent() && hearsOthers();
+        case UP -> lastAre(2, Kind.ANSWER) || !answeredBefore();
+        case SUSPECT -> lastAre(3, Kind.TIMEOUT) || isSilent();
+        case APART -> lastAre(3, Kind.TIMEOUT);
+        case DOWN -> lastAre(3, Kind.TIMEOUT) && isSilent() && receivesFromOthers();
       };
     }
 
-    private List<Event> direct() {
+    private List<Event> directProbes() {
       return history.stream()
-          .filter(e -> e.peer.equals(peer) && (e.kind == Kind.ANSWER || e.kind == Kind.MISS))
+          .filter(e -> e.peer.equals(peer) && (e.kind == Kind.ANSWER || e.kind == Kind.TIMEOUT))
           .toList();
     }
 
-    private boolean last(int count, Kind kind) {
-      List<Event> direct = direct();
+    private boolean lastAre(int count, Kind kind) {
+      List<Event> direct = directProbes();
       return direct.size() >= count
           && direct.subList(direct.size() - count, direct.size()).stream()
               .allMatch(e -> e.kind == kind);
     }
 
     boolean answeredBefore() {
-      return direct().stream().filter(e -> e.kind == Kind.ANSWER).count() > 1;
+      return directProbes().stream().filter(e -> e.kind == Kind.ANSWER).count() > 1;
     }
 
-    /** The youngest thing heard of a peer was made so long ago, whenever it came in. */
-    private Duration age(String of) {
+    /** The time since the creation of the newest heartbeat received from a peer. */
+    private Duration age(String sender) {
       Instant newest = Instant.MIN;
       for (Event event : history) {
-        if (event.peer.equals(of) && event.told != null) {
-          Instant made = node.test().made.get(event.told.nonce() + "#" + event.told.sequence());
+        if (event.peer.equals(sender) && event.heartbeat != null) {
+          Instant made =
+              node.test()
+                  .creationTimes
+                  .get(event.heartbeat.nonce() + "#" + event.heartbeat.sequence());
           newest = made.isAfter(newest) ? made : newest;
         }
       }
       return newest.equals(Instant.MIN) ? Duration.ofDays(1) : Duration.between(newest, now);
     }
 
-    /** Nothing that it made in the last second has come here. */
+    /** No heartbeat that the peer created in the last second was received. */
     boolean isSilent() {
       return age(peer).compareTo(Duration.ofSeconds(1)) >= 0;
     }
 
-    boolean hearsOthers() {
+    boolean receivesFromOthers() {
       for (int i = 0; i < NODES; i++) {
         String other = "rung-" + i;
         if (!other.equals(peer)
@@ -196,8 +202,8 @@
     }
   }
 
-  /** When each beat was made, by process and number. */
-  private final Map<String, Instant> made = new HashMap<>();
+  /** Creation time of each heartbeat, by nonce and sequence number. */
+  private final Map<String, Instant> creationTimes = new HashMap<>();
 
   private SimulatedWorld world;
   private final Map<Integer, Node> nodes = new HashMap<>();
@@ -233,11 +239,11 @@
     }
   }
 
-  private State state(int of, int peer) {
-    return nodes.get(of).membership.stateOf("rung-" + peer);
+  private State state(int node, int peer) {
+    return nodes.get(node).membership.stateOf("rung-" + peer);
   }
 
-  private int changes() {
+  private int stateChanges() {
     return nodes.values().stream()
         .flatMap(n -> n.membership.peerStatuses().stream())
         .mapToInt(Membership.PeerStatus::stateChanges)
@@ -246,11 +252,11 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void lossFreezesAndCutsLeadToNoVerdictWithoutCause(long seed) {
+  void changesStateOnlyWithCauseUnderRandomFaults(long seed) {
     begin(seed);
     world.runFor(Duration.ofSeconds(5));
-    int before = changes();
-    Duration each = Duration.ofSeconds(6);
+    int before = stateChanges();
+    Duration roundDuration = Duration.ofSeconds(6);
     int rounds = 60;
     for (int round = 0; round < rounds; round++) {
       world.lossy = world.random.nextDouble() * 0.3;
@@ -265,12 +271,12 @@
         case 3 -> world.heal(one, other);
         default -> {}
       }
-      world.runFor(each);
+      world.runFor(roundDuration);
     }
-    // At least two seconds between changes of one peer at one node, of which there are six pairs.
-    long most = 6 * each.multipliedBy(rounds).toMillis() / 2_000;
-    assertTrue(changes() - before > 20, "something happened");
-    assertTrue(changes() - before <= most, changes() + " changes");
+    // Each of the six pairs of node and peer changes its state at most once in two seconds.
+    long maxChanges = 6 * roundDuration.multipliedBy(rounds).toMillis() / 2_000;
+    assertTrue(stateChanges() - before > 20, "expected more than 20 state changes");
+    assertTrue(stateChanges() - before <= maxChanges, stateChanges() + " changes");
     world.lossy = 0;
     for (int a = 0; a < NODES; a++) {
       for (int b = 0; b < NODES; b++) {
@@ -287,19 +293,19 @@
   }
 
   @Test
-  void twoLostMessagesAreNoVerdict() {
+  void toleratesTwoLostHeartbeats() {
     begin(21);
     world.runFor(Duration.ofSeconds(5));
-    int before = changes();
+    int before = stateChanges();
     world.refuse("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofMillis(1_900));
     world.heal("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofSeconds(5));
-    assertEquals(before, changes());
+    assertEquals(before, stateChanges());
   }
 
   @Test
-  void aProcessThatEndedIsCalledDownByThoseThatHearEachOther() {
+  void marksKilledPeerDown() {
     begin(22);
     world.runFor(Duration.ofSeconds(5));
     nodes.get(2).kill();
@@ -314,12 +320,12 @@
   }
 
   @Test
-  void aNodeThatStoodStillOrIsCutOffCallsNobodyDown() {
+  void frozenOrIsolatedNodeMarksNoPeerDown() {
     begin(23);
     world.runFor(Duration.ofSeconds(5));
     world.freeze("10.0.0.1", 30_000);
     world.runFor(Duration.ofSeconds(20));
-    assertEquals(State.DOWN, state(1, 0), "to the others it is gone");
+    assertEquals(State.DOWN, state(1, 0), "the frozen node is down at the others");
     for (int i = 0; i < 200; i++) {
       world.runFor(Duration.ofMillis(100));
       assertNotEquals(State.DOWN, state(0, 1));
@@ -336,17 +342,17 @@
   }
 
   @Test
-  void aPeerThatOthersHearIsApartAndNotDown() {
+  void marksPeerApartWhenOthersReachIt() {
     begin(24);
     world.runFor(Duration.ofSeconds(5));
     world.refuse("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(State.APART, state(0, 1), "its own beats still come");
+    assertEquals(State.APART, state(0, 1), "its heartbeats are still received");
     assertEquals(State.UP, state(1, 0));
     assertTrue(nodes.get(0).membership.isUnreachable("rung-1"));
     world.cut("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(State.APART, state(0, 1), "the third hears it");
+    assertEquals(State.APART, state(0, 1), "the third node receives its heartbeats");
     assertEquals(List.of("10.0.0.3:8081"), nodes.get(0).membership.candidateAddresses());
   }
 }
--- a/src/test/java/io/pineladder/sim/RandomFaultsTest.java
+++ b/src/test/java/io/pineladder/sim/RandomFaultsTest.java
@@ -15,27 +15,26 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Machines that report and hear nothing, late copies of reports, a controller alone with its
- * workers, and processes that are back at once; each alone and with another trouble, in deployments
- * of several shapes.
+ * Pairs of faults in several layouts: machines that send heartbeats but receive nothing, duplicated
+ * heartbeats, an isolated controller and processes that restart at once, each with a second fault.
  */
 class RandomFaultsTest extends ConfigurableCluster {
-  private static final Duration TROUBLE = Duration.ofSeconds(40);
+  private static final Duration FAULT_DURATION = Duration.ofSeconds(40);
 
   enum Trouble {
-    ONE_WAY,
-    ONE_WAY_THIRD,
-    LATE_COPIES,
-    ALONE,
-    AT_ONCE
+    MACHINE_RECEIVES_NOTHING,
+    THIRD_OF_MACHINES_RECEIVES_NOTHING,
+    DUPLICATED_HEARTBEATS,
+    ISOLATED_LEADER,
+    RAPID_RESTARTS
   }
 
   enum Beside {
-    NOTHING,
-    TAKEOVER,
-    STATE_OUTAGE,
-    ZONE_CUT,
-    SPOT_WAVE
+    NONE,
+    FAILOVER,
+    STORE_OUTAGE,
+    ZONE_PARTITION,
+    SPOT_RECLAIM
   }
 
   private void arrivals(int steps) {
@@ -51,35 +50,35 @@
     }
   }
 
-  private void strike(Trouble trouble) {
-    long millis = TROUBLE.toMillis();
+  private void inject(Trouble trouble) {
+    long millis = FAULT_DURATION.toMillis();
     switch (trouble) {
-      case ONE_WAY, ONE_WAY_THIRD -> {
+      case MACHINE_RECEIVES_NOTHING, THIRD_OF_MACHINES_RECEIVES_NOTHING -> {
         List<FakeFleet.Worker> up = fleet.up();
         int first = world.random.nextInt(up.size());
         for (int i = 0; i < up.size(); i++) {
-          if (trouble == Trouble.ONE_WAY ? i == first : i % 3 == first % 3) {
-            String there = SimulatedWorld.host(up.get(i).address);
-            world.deaf.add(there);
-            world.after(millis, () -> world.deaf.remove(there));
+          if (trouble == Trouble.MACHINE_RECEIVES_NOTHING ? i == first : i % 3 == first % 3) {
+            String host = SimulatedWorld.host(up.get(i).address);
+            world.deaf.add(host);
+            world.after(millis, () -> world.deaf.remove(host));
           }
         }
       }
-      case LATE_COPIES -> {
+      case DUPLICATED_HEARTBEATS -> {
         fleet.copies = 0.2;
         world.after(millis, () -> fleet.copies = 0);
       }
-      case ALONE -> aloneFor(millis);
-      case AT_ONCE -> {
+      case ISOLATED_LEADER -> aloneFor(millis);
+      case RAPID_RESTARTS -> {
         for (int i = 0; i < 8; i++) {
           world.after(
               i * (400L + world.random.nextInt(900)),
               () -> {
-                int some =
+                int killed =
                     world.random.nextBoolean() && store.value("lead/holder") != null
                         ? leader()
                         : world.random.nextInt(layout.nodes);
-                kill(controllers.get(some), world.random.nextInt(500));
+                kill(controllers.get(killed), world.random.nextInt(500));
               });
         }
       }
@@ -87,15 +86,15 @@
     }
   }
 
-  private void strike(Beside beside) {
+  private void inject(Beside beside) {
     switch (beside) {
-      case NOTHING -> {}
-      case TAKEOVER -> kill(controllers.get(leader()), 6_000);
-      case STATE_OUTAGE -> {
+      case NONE -> {}
+      case FAILOVER -> kill(controllers.get(leader()), 6_000);
+      case STORE_OUTAGE -> {
         store.outage = true;
         world.after(15_000, store::endOutage);
       }
-      case ZONE_CUT -> {
+      case ZONE_PARTITION -> {
         List<String> inside = new ArrayList<>();
         List<String> outside = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "user"));
         for (int i = 0; i < layout.nodes; i++) {
@@ -110,7 +109,7 @@
         world.after(
             25_000, () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other))));
       }
-      case SPOT_WAVE -> {
+      case SPOT_RECLAIM -> {
         for (FakeFleet.Worker worker : fleet.up()) {
           if (worker.spot && world.random.nextInt(3) == 0) {
             fleet.machines.remove(worker.name);
@@ -122,8 +121,8 @@
     }
   }
 
-  /** All cells; more seeds of each by hand with {@code -Dpineladder.unlisted=100}. */
-  static Stream<Arguments> cells() {
+  /** All pairs of faults; more seeds of each with {@code -Dpineladder.unlisted=100}. */
+  static Stream<Arguments> faultPairs() {
     return Stream.of(Trouble.values())
         .flatMap(
             trouble ->
@@ -135,25 +134,25 @@
   }
 
   @ParameterizedTest
-  @MethodSource("cells")
+  @MethodSource("faultPairs")
   void allIsKnownAndServed(Trouble trouble, Beside beside, int seed) {
-    int cell = trouble.ordinal() * Beside.values().length + beside.ordinal();
-    Layout of = Layout.values()[(cell + seed) % Layout.values().length];
-    begin(of, 9_000 + 100L * seed + cell);
+    int pair = trouble.ordinal() * Beside.values().length + beside.ordinal();
+    Layout of = Layout.values()[(pair + seed) % Layout.values().length];
+    begin(of, 9_000 + 100L * seed + pair);
     arrivals(12);
-    strike(trouble);
+    inject(trouble);
     world.runFor(Duration.ofMillis(1_000 + world.random.nextInt(6_000)));
-    strike(beside);
+    inject(beside);
     arrivals(20);
-    world.runFor(TROUBLE);
+    world.runFor(FAULT_DURATION);
     rules.calmSince = world.now();
     settle(Duration.ofSeconds(200));
     rules.checkShares();
   }
 
-  /** It was given new tasks with each new session, of which none ever started. */
+  /** Guards against placement of tasks on a machine that sends heartbeats but receives nothing. */
   @Test
-  void aMachineThatHearsNothingGetsNoNewWorkAndIsReplaced() {
+  void replacesMachineThatReceivesNothing() {
     begin(Layout.SHORT, 31);
     for (int i = 0; i < 4; i++) {
       submit(work("service", 4));
@@ -163,22 +162,22 @@
         fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
     world.deaf.add(SimulatedWorld.host(deaf.address));
     world.runFor(Duration.ofSeconds(14));
-    assertTrue(deaf.tasks.isEmpty(), "its lease has ended");
+    assertTrue(deaf.tasks.isEmpty(), "its lease has expired");
     SafetyRules.Known late = submit(work("array", 6));
     world.runFor(Duration.ofSeconds(45));
-    assertTrue(late.done, "served elsewhere");
+    assertTrue(late.done, "the job ran on another machine");
     int running = 0;
     for (FakeFleet.Worker worker : fleet.up()) {
       running += (int) worker.tasks.values().stream().filter(t -> t.there).count();
     }
-    assertEquals(16, running, "what it ran runs elsewhere");
+    assertEquals(16, running, "its tasks run on other machines");
     world.runFor(Duration.ofSeconds(30));
-    assertTrue(!fleet.machines.containsKey(deaf.name), "returned");
+    assertTrue(!fleet.machines.containsKey(deaf.name), "the machine was returned");
   }
 
-  /** One that hears again works again. */
+  /** Guards against machines that stay excluded after they receive messages again. */
   @Test
-  void aMachineThatHearsAgainIsUsedAgain() {
+  void reusesMachineThatReceivesAgain() {
     begin(Layout.FLEET, 32);
     fleet.capacity = 1;
     submit(work("service", 2));
@@ -194,10 +193,7 @@
     assertTrue(job.done);
   }
 
-  /**
-   * The design's own known failure: a parked gang loses freed room again and again to small tasks.
-   * Room is held for one that has waited for long.
-   */
+  /** Guards against starvation of a gang when small tasks take all capacity that becomes free. */
   @Test
   void aGangBeginsThoughSmallTasksOfItsRankTakeEachFreedPiece() {
     begin(Layout.FLEET, 36);
@@ -221,13 +217,13 @@
               .put("loaners", false));
       world.runFor(Duration.ofSeconds(2));
     }
-    assertTrue(gang.everStarted.size() == 2, "begun: " + gang.everStarted);
+    assertTrue(gang.everStarted.size() == 2, "tasks started: " + gang.everStarted);
     assertTrue(gang.begun.isBefore(gang.submitted.plusSeconds(240)));
   }
 
-  // ---- the checks of the checks
+  // Negative tests: each check fails on a run that violates its rule.
 
-  private SafetyRules.Known accepted(String shape, int tasks) {
+  private SafetyRules.Known acceptedJob(String shape, int tasks) {
     SafetyRules.Known job = known(work(shape, tasks));
     job.accepted = true;
     job.answered = world.now();
@@ -235,30 +231,30 @@
   }
 
   @Test
-  void aJobNobodyAnswersForIsSeenAsForgotten() {
+  void detectsForgottenJob() {
     begin(Layout.FLEET, 33);
     rules.calmSince = world.now();
-    accepted("array", 1);
+    acceptedJob("array", 1);
     assertThrows(AssertionError.class, () -> world.runFor(Duration.ofSeconds(77)));
   }
 
   @Test
-  void anUnservedHalfIsSeen() {
+  void detectsUnservedHalf() {
     begin(Layout.FLEET, 34);
-    accepted("array", 1).done = true;
-    accepted("array", 1);
+    acceptedJob("array", 1).done = true;
+    acceptedJob("array", 1);
     rules.jobs.values().forEach(job -> job.begun = world.now());
     rules.checkShares();
-    accepted("array", 1);
+    acceptedJob("array", 1);
     assertThrows(AssertionError.class, rules::checkShares);
   }
 
   @Test
-  void aLargestJobThatBeginsLateIsSeen() {
+  void detectsLateStartOfLargestJob() {
     begin(Layout.FLEET, 35);
-    SafetyRules.Known large = accepted("array", 9);
+    SafetyRules.Known large = acceptedJob("array", 9);
     for (int i = 0; i < 3; i++) {
-      accepted("array", 1).done = true;
+      acceptedJob("array", 1).done = true;
     }
     rules.jobs.values().forEach(job -> job.begun = world.now());
     large.done = true;
--- a/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
@@ -9,14 +9,14 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** What bursts, outages and takeovers cost, and what users are told meanwhile. */
+/** Costs of bursts, outages and failovers, and the answers to users meanwhile. */
 class RecoverySimulationTest extends SimulatedCluster {
   private String host(int index) {
     return "10.0.0." + (index + 1);
   }
 
-  /** Asks one node, and runs until it has answered. */
-  private AsyncHttpClient.Reply ask(String host, String method, String path, byte[] body) {
+  /** Sends a request to a node and runs the simulation until it has answered. */
+  private AsyncHttpClient.Reply request(String host, String method, String path, byte[] body) {
     AsyncHttpClient.Reply[] got = new AsyncHttpClient.Reply[1];
     world
         .caller("user", () -> true)
@@ -33,9 +33,7 @@
     return Json.parseObject(reply.body()).get("status").asText();
   }
 
-  /**
-   * Seen on the larger fleets: each acceptance cost a change of the store, which takes 35 a second.
-   */
+  /** Guards against one store change per accepted job, which exceeds the store's rate limit. */
   @Test
   void aBurstOfSubmissionsCostsFewChangesOfTheStore() {
     begin(11);
@@ -58,11 +56,11 @@
   }
 
   /**
-   * Seen on the larger fleets: all controllers ended in an outage of the store, and when it was
-   * back the dead leader's lease had its full time again, in which workers' leases ran out.
+   * Guards against waiting for the lease of a dead leader, which is renewed in full when the store
+   * returns from an outage, until worker leases expire.
    */
   @Test
-  void afterAnOutageNobodyWaitsForALeaseThatNobodyHolds() {
+  void doesNotWaitForLeaseOfDeadLeaderAfterOutage() {
     begin(12);
     world.runFor(Duration.ofSeconds(5));
     store.outage = true;
@@ -73,13 +71,13 @@
     world.runFor(Duration.ofMillis(1_500));
     SafetyRules.Known job = submit(job("array", 2, "red"));
     world.runFor(Duration.ofMillis(900));
-    assertTrue(job.accepted, "a leader accepts within 2.4 s of the store's return");
+    assertTrue(job.accepted, "a leader accepts jobs within 2.4 s of the end of the outage");
     settle(Duration.ofMinutes(2));
   }
 
-  /** What the nodes send as soon as the store is back must leave room for what matters. */
+  /** Guards against a thundering herd of store requests at the end of an outage. */
   @Test
-  void noHerdComesBackWithTheStore() {
+  void limitsRequestsAfterStoreOutage() {
     begin(16);
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 30; i++) {
@@ -95,14 +93,12 @@
     int before = store.requests;
     world.runFor(Duration.ofSeconds(5));
     int requests = store.requests - before;
-    // The settings allow 500 in that time; a new leader reads, and a hundred submissions wait.
+    // The settings allow 500; a new leader reads its state and 100 submissions are waiting.
     assertTrue(requests <= 200, requests + " requests in the first 5 s");
     settle(Duration.ofMinutes(5));
   }
 
-  /**
-   * A node that reaches the store and not the leader finds what the leader accepted into a page.
-   */
+  /** Guards against 404 answers of a follower without a leader for jobs stored in pages. */
   @Test
   void aNodeWithoutLeaderAnswersForJobsInPages() throws Exception {
     begin(13);
@@ -111,64 +107,62 @@
     SafetyRules.Known job = known(spec);
     int leader = leader();
     assertEquals(
-        201, ask(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status(), "stored in a page");
+        201,
+        request(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status(),
+        "stored in a page");
     assertEquals(0, store.count("job/"));
     String alone = host((leader + 1) % 3);
     world.cut(alone, host(leader));
     world.cut(alone, host((leader + 2) % 3));
     world.runFor(Duration.ofSeconds(6));
-    AsyncHttpClient.Reply known = ask(alone, "GET", "/v1/jobs/" + job.id, null);
+    AsyncHttpClient.Reply known = request(alone, "GET", "/v1/jobs/" + job.id, null);
     assertEquals(200, known.status());
     assertEquals("pending", status(known));
-    assertEquals(404, ask(alone, "GET", "/v1/jobs/req-999999", null).status());
+    assertEquals(404, request(alone, "GET", "/v1/jobs/req-999999", null).status());
     job.cancelAsked = true;
     AsyncHttpClient.Reply cancelled =
-        ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
+        request(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
-    // The index that it has read by now must not tell what has been overtaken.
-    assertEquals("aborted", status(ask(alone, "GET", "/v1/jobs/" + job.id, null)));
+    // The index that the node has read must not yield a stale status.
+    assertEquals("aborted", status(request(alone, "GET", "/v1/jobs/" + job.id, null)));
   }
 
-  /**
-   * A job that another node stores again, while it cannot reach the leader, ends once and for all.
-   */
+  /** Guards against a job that is resumed after its end because another node stored a copy. */
   @Test
-  void aJobStoredTwiceEndsWithItsCopy() throws Exception {
+  void endsJobTogetherWithItsCopy() throws Exception {
     begin(14);
     world.runFor(Duration.ofSeconds(5));
     ObjectNode spec = job("service", 1, "red");
     SafetyRules.Known job = known(spec);
     int leader = leader();
-    assertEquals(201, ask(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status());
+    assertEquals(201, request(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status());
     job.accepted = true;
     String alone = host((leader + 1) % 3);
     world.cut(alone, host(leader));
     world.cut(alone, host((leader + 2) % 3));
     world.runFor(Duration.ofSeconds(6));
-    // The user's repeat: its first answer was lost.
-    assertEquals(201, ask(alone, "POST", "/v1/jobs", Json.bytes(spec)).status());
+    // The user repeats the submission as if the first answer was lost.
+    assertEquals(201, request(alone, "POST", "/v1/jobs", Json.bytes(spec)).status());
     assertEquals(1, store.count("job/"));
     world.runFor(Duration.ofSeconds(3));
     job.cancelAsked = true;
     AsyncHttpClient.Reply cancelled =
-        ask(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
+        request(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
     rules.told(job, "aborted");
     controllers.forEach(each -> kill(each, 6_000));
     world.heal(alone, host(leader));
     world.heal(alone, host((leader + 2) % 3));
     world.runFor(Duration.ofSeconds(30));
-    assertTrue(store.jobs().isEmpty(), store.jobs() + " would be taken up again");
-    assertEquals("aborted", status(ask(alone, "GET", "/v1/jobs/" + job.id, null)));
+    assertTrue(store.jobs().isEmpty(), store.jobs() + " would be resumed");
+    assertEquals("aborted", status(request(alone, "GET", "/v1/jobs/" + job.id, null)));
   }
 
-  /**
-   * Sent to the store it was refused as malformed, and each repeat of it ended the leader's term.
-   */
+  /** Guards against a leader that resigns because the store rejects an oversized job. */
   @Test
-  void aDescriptionThatCannotBeStoredIsRefusedAndEndsNoTerm() throws Exception {
+  void rejectsOversizedJobWithoutLosingTerm() throws Exception {
     begin(15);
-    // Before, a cluster that begins cannot tell that it never accepted the job.
+    // A starting cluster can't rule out yet that it accepted the job earlier.
     world.runFor(Duration.ofSeconds(8));
     ObjectNode spec = job("array", 1, "red");
     var types = spec.putArray("hulls").add("g4");
@@ -176,7 +170,7 @@
       types.add("a-machine-type-of-a-long-name-" + i);
     }
     String nonce = store.value("lead/holder").get("nonce").asText();
-    assertEquals(422, ask(host(leader()), "POST", "/v1/jobs", Json.bytes(spec)).status());
+    assertEquals(422, request(host(leader()), "POST", "/v1/jobs", Json.bytes(spec)).status());
     world.runFor(Duration.ofSeconds(5));
     assertEquals(nonce, store.value("lead/holder").get("nonce").asText());
   }
--- a/src/test/java/io/pineladder/sim/RestartProcessTest.java
+++ b/src/test/java/io/pineladder/sim/RestartProcessTest.java
@@ -14,27 +14,25 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Real processes that end without a word and are started again at once, with the same addresses.
- */
+/** Controller processes that are killed and restarted at once with the same addresses. */
 class RestartProcessTest {
   private static final int ROUNDS = 6;
 
   @TempDir Path folder;
 
-  /** Nobody is ever told less than before, and in the end everything is known. */
+  /** Guards against answers that go back to an earlier state after restarts. */
   @Test
   @Timeout(150)
-  void whatWasToldStaysThoughProcessesEndAndReturnAtOnce() throws Exception {
+  void keepsAnswersAcrossRestarts() throws Exception {
     try (LoopbackCluster cluster = new LoopbackCluster(folder, 3, 1, List.of())) {
       List<String> pending = new ArrayList<>();
       List<String> aborted = new ArrayList<>();
       for (int round = 0; round < ROUNDS; round++) {
         for (int i = 0; i < 4; i++) {
-          String id = DeliveryProcessTest.submit(cluster, 4 * round + i);
+          String id = DeliveryProcessTest.submitUnplaceableJob(cluster, 4 * round + i);
           if (i % 2 == 0) {
-            ObjectNode told = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
-            assertEquals("aborted", told.get("status").asText(), id);
+            ObjectNode answer = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+            assertEquals("aborted", answer.get("status").asText(), id);
             aborted.add(id);
           } else {
             pending.add(id);
@@ -48,14 +46,14 @@
             cluster.startController(i);
           }
         } else {
-          // In the midst of the election that the first one's end brings about.
+          // Kills a second controller during the election that the first kill causes.
           cluster.killController(round % 3);
           Thread.sleep(150L * round);
           cluster.killController((round + 1) % 3);
         }
         for (int node = 0; node < 3; node++) {
-          check(cluster, node, pending, "pending");
-          check(cluster, node, aborted, "aborted");
+          assertAnswers(cluster, node, pending, "pending");
+          assertAnswers(cluster, node, aborted, "aborted");
         }
       }
       for (String id : pending) {
@@ -71,9 +69,9 @@
     return cluster.insist(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
   }
 
-  /** A controller says the same as before or that it does not know yet. */
-  private static void check(LoopbackCluster cluster, int node, List<String> jobs, String expected)
-      throws Exception {
+  /** Asserts that a controller answers with the expected status or 503. */
+  private static void assertAnswers(
+      LoopbackCluster cluster, int node, List<String> jobs, String expected) throws Exception {
     for (String id : jobs) {
       HttpResponse<String> got = cluster.askOnce(node, "GET", "/v1/jobs/" + id);
       if (got == null || got.statusCode() == 503) {
--- a/src/test/java/io/pineladder/sim/RetryTest.java
+++ b/src/test/java/io/pineladder/sim/RetryTest.java
@@ -13,47 +13,47 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Pauses, breakers and budgets of tries, in virtual time. */
+/** Back-off delays, circuit breakers and retry budgets in virtual time. */
 class RetryTest {
   private final SimulatedWorld world = new SimulatedWorld(31);
   private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
 
   @Test
-  void delaysGrowToTheirMaximumAndDoNotCoincide() {
+  void delaysGrowToMaximumWithJitter() {
     Set<Duration> seen = new HashSet<>();
     for (int series = 0; series < 20; series++) {
       Backoff backoff = new Backoff(eventLoop, Duration.ofMillis(100), Duration.ofSeconds(1));
       long upperBound = 100;
       for (int i = 0; i < 8; i++) {
         long delay = backoff.nextDelay().toMillis();
-        assertTrue(delay >= upperBound / 2 && delay <= upperBound, "pause " + i + ": " + delay);
+        assertTrue(delay >= upperBound / 2 && delay <= upperBound, "delay " + i + ": " + delay);
         upperBound = Math.min(1_000, upperBound * 2);
       }
       seen.add(backoff.nextDelay());
       backoff.reset();
       assertTrue(backoff.nextDelay().toMillis() <= 100);
     }
-    assertTrue(seen.size() > 15, seen.size() + " different pauses of 20");
+    assertTrue(seen.size() > 15, seen.size() + " different delays of 20");
   }
 
   @Test
-  void theCircuitStaysOpenForGrowingDelays() {
+  void circuitStaysOpenForGrowingDelays() {
     CircuitBreaker circuitBreaker =
         new CircuitBreaker("the cloud", eventLoop, 2, Duration.ofSeconds(1), Duration.ofSeconds(8));
     assertTrue(circuitBreaker.tryAcquire());
     circuitBreaker.onFailure();
-    assertTrue(circuitBreaker.tryAcquire(), "one failure says nothing");
+    assertTrue(circuitBreaker.tryAcquire(), "a single failure does not open the circuit");
     circuitBreaker.onFailure();
     int calls = 0;
     for (int i = 0; i < 600; i++) {
       world.runFor(Duration.ofMillis(100));
       if (circuitBreaker.tryAcquire()) {
-        assertFalse(circuitBreaker.tryAcquire(), "one at a time shows whether it is better");
+        assertFalse(circuitBreaker.tryAcquire(), "only one probe at a time");
         calls++;
         circuitBreaker.onFailure();
       }
     }
-    // Pauses of up to 1, 2, 4 and then 8 s, each at least half of that.
+    // Delays of up to 1, 2, 4 and then 8 s, each at least half of that.
     assertTrue(calls >= 8 && calls <= 17, calls + " calls in a minute");
     while (!circuitBreaker.tryAcquire()) {
       world.runFor(Duration.ofMillis(100));
@@ -61,19 +61,20 @@
     circuitBreaker.onSuccess();
     assertEquals(CircuitBreaker.State.CLOSED, circuitBreaker.state());
     assertTrue(circuitBreaker.tryAcquire());
-    assertTrue(circuitBreaker.tryAcquire(), "and a second time: it is not only a probe");
+    assertTrue(circuitBreaker.tryAcquire(), "a closed circuit admits more than one call");
   }
 
   @Test
-  void retriesAreARatioOfTheSuccessfulCalls() {
+  void limitsRetriesToRatioOfSuccessfulCalls() {
     RetryBudget budget = new RetryBudget(eventLoop, 0.1, 2, 5);
-    int atOnce = 0;
+    int immediateRetries = 0;
     for (int i = 0; i < 100; i++) {
-      atOnce += budget.acquireDelay().isZero() ? 1 : 0;
+      immediateRetries += budget.acquireDelay().isZero() ? 1 : 0;
     }
-    assertEquals(5, atOnce, "what was saved up");
+    assertEquals(5, immediateRetries, "the initial burst");
     Duration wait = budget.acquireDelay();
-    assertEquals(48.0, wait.toMillis() / 1000.0, 0.1, "the rest wait for their turn, two a second");
+    assertEquals(
+        48.0, wait.toMillis() / 1000.0, 0.1, "further retries are limited to two per second");
     RetryBudget other = new RetryBudget(eventLoop, 0.1, 2, 5);
     for (int i = 0; i < 100; i++) {
       other.acquireDelay();
@@ -81,6 +82,6 @@
         other.onSuccess();
       }
     }
-    assertTrue(other.acquireDelay().isZero(), "most succeed, so a try again costs little");
+    assertTrue(other.acquireDelay().isZero(), "successful calls refill the budget");
   }
 }
--- a/src/test/java/io/pineladder/sim/ScaleRunTest.java
+++ b/src/test/java/io/pineladder/sim/ScaleRunTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** The scale run at a small size, judged by counts and rules, and never by times. */
+/** A small scale run, checked by counts and rules and not by durations. */
 class ScaleRunTest {
   private static final int FIRST_PORT = 21_000;
   private static final int LAST_PORT = 31_000;
-  private static final int PORTS_A_RUN = 250;
+  private static final int PORTS_PER_RUN = 250;
 
   private static ScaleRun run(String... args) {
     ScaleRun run = new ScaleRun();
@@ -29,10 +29,10 @@
   }
 
   @Test
-  void aSmallRunKeepsTheRulesAndEndsWhatItStarted() throws Exception {
+  void smallRunKeepsRulesAndStopsItsProcesses() throws Exception {
     ScaleRun run =
         run(
-            "--port", Integer.toString(firstOfFreePorts()),
+            "--port", Integer.toString(firstFreePort()),
             "--workers", "60",
             "--per-process", "59",
             "--single", "1",
@@ -67,20 +67,19 @@
   }
 
   /**
-   * The first port of a range that no other run on this machine has. Seen where the test command
-   * ran twice at the same time: the second run could not listen on the default one. The ranges are
-   * below those that the system gives to connections.
+   * The first port of a free range, so that several runs can share a machine. The ranges are below
+   * the ephemeral ports.
    */
-  private static int firstOfFreePorts() {
-    int ranges = (LAST_PORT - FIRST_PORT) / PORTS_A_RUN;
+  private static int firstFreePort() {
+    int ranges = (LAST_PORT - FIRST_PORT) / PORTS_PER_RUN;
     int start = ThreadLocalRandom.current().nextInt(ranges);
     for (int i = 0; i < ranges; i++) {
-      int first = FIRST_PORT + (start + i) % ranges * PORTS_A_RUN;
-      if (IntStream.range(first, first + PORTS_A_RUN).allMatch(ScaleRunTest::isFree)) {
+      int first = FIRST_PORT + (start + i) % ranges * PORTS_PER_RUN;
+      if (IntStream.range(first, first + PORTS_PER_RUN).allMatch(ScaleRunTest::isFree)) {
         return first;
       }
     }
-    throw new AssertionError("no range of " + PORTS_A_RUN + " ports is free");
+    throw new AssertionError("no range of " + PORTS_PER_RUN + " ports is free");
   }
 
   private static boolean isFree(int port) {
@@ -107,7 +106,7 @@
     "--run-seconds, 0",
     "--jar, /nowhere/controller.jar"
   })
-  void aBadSizeIsNamed(String argument, String value) {
+  void rejectsInvalidOptions(String argument, String value) {
     ScaleRun run = run(argument, value);
     assertTrue(run.options().fault().startsWith(argument), run.options().fault());
   }
--- a/src/test/java/io/pineladder/sim/ChecksTest.java
+++ b/src/test/java/io/pineladder/sim/SimulationChecksTest.java
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/** The checks of the simulated days, each seen to fail on a run that is wrong. */
-class ChecksTest extends ConfigurableCluster {
-  private static void assertBroken(String rule, Executable wrong) {
-    AssertionError seen = assertThrows(AssertionError.class, wrong);
+/** Negative tests of the checks of simulated runs: each check fails on a run that violates it. */
+class SimulationChecksTest extends ConfigurableCluster {
+  private static void assertViolation(String rule, Executable violation) {
+    AssertionError seen = assertThrows(AssertionError.class, violation);
     assertTrue(seen.getMessage().startsWith(rule), seen.getMessage());
   }
 
-  private Worker holder() {
+  private Worker busyWorker() {
     return fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
   }
 
-  /** A service whose one task runs. */
-  private SafetyRules.Known serving(long seed) {
+  /** Begins a run with a service whose one task is running. */
+  private SafetyRules.Known beginWithService(long seed) {
     begin(Layout.ONE_ZONE, seed);
     SafetyRules.Known job = submit(work("service", 1));
     world.runFor(Duration.ofSeconds(60));
@@ -30,25 +30,22 @@
   }
 
   @Test
-  void whatIsToldTooSoonOrStartedUnstoredIsSeen() {
-    SafetyRules.Known job = serving(60);
-    Worker on = holder();
+  void detectsEarlyCancellationAndUnstoredPlacement() {
+    SafetyRules.Known job = beginWithService(60);
+    Worker on = busyWorker();
     Task task = on.tasks.values().iterator().next();
     rules.commanded(task, on);
-    assertBroken("not_stored", () -> rules.commanded(new Task(task.piece, 999), on));
+    assertViolation("not_stored", () -> rules.commanded(new Task(task.piece, 999), on));
     job.cancelAsked = true;
-    assertBroken("told_too_soon", () -> rules.told(job, "aborted"));
-    assertBroken("told_too_soon", () -> rules.commanded(task, on));
+    assertViolation("told_too_soon", () -> rules.told(job, "aborted"));
+    assertViolation("told_too_soon", () -> rules.commanded(task, on));
   }
 
-  /**
-   * A task that was fetching when its job was told cancelled, and one that goes on after its
-   * machine hung.
-   */
+  /** A task that starts, and one that keeps running, after its job was reported as cancelled. */
   @Test
-  void whatStartsOrGoesOnAfterItsUserWasToldIsSeen() {
-    SafetyRules.Known job = serving(61);
-    Worker on = holder();
+  void detectsTasksRunningAfterReportedCancellation() {
+    SafetyRules.Known job = beginWithService(61);
+    Worker on = busyWorker();
     Task task = on.tasks.values().iterator().next();
     world.freeze(SimulatedWorld.host(on.address), 50_000);
     controllers.forEach(each -> kill(each, 3_600_000));
@@ -56,36 +53,37 @@
     job.cancelAsked = true;
     rules.holding = null;
     rules.told(job, "aborted");
-    assertBroken("started_cancelled", () -> rules.started(task, on));
-    assertBroken("ran_cancelled", () -> world.runFor(Duration.ofSeconds(45)));
+    assertViolation("started_cancelled", () -> rules.started(task, on));
+    assertViolation("ran_cancelled", () -> world.runFor(Duration.ofSeconds(45)));
   }
 
   @Test
-  void anAnswerThatIsOlderThanOneBeforeItIsSeen() {
+  void detectsStaleAnswers() {
     begin(Layout.FLEET, 62);
     SafetyRules.Known job = known(work("array", 1));
     rules.answered(job, SafetyRules.Told.NOTHING, 404, null);
     rules.answered(job, job.told(), 201, "pending");
-    // Asked before anybody was told that it is accepted.
+    // The request was sent before any user received the acceptance.
     rules.answered(job, SafetyRules.Told.NOTHING, 404, null);
     for (int status : new int[] {404, 400, 422}) {
-      assertBroken("forgotten", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, status, null));
+      assertViolation(
+          "forgotten", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, status, null));
     }
     job.cancelAsked = true;
     rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "aborted");
     rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "running");
-    assertBroken("went_back", () -> rules.answered(job, SafetyRules.Told.OVER, 200, "running"));
-    assertBroken("not_done", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "done"));
+    assertViolation("went_back", () -> rules.answered(job, SafetyRules.Told.OVER, 200, "running"));
+    assertViolation("not_done", () -> rules.answered(job, SafetyRules.Told.ACCEPTED, 200, "done"));
     SafetyRules.Known unfit = known(work("array", 1));
     unfit.unfit = true;
     rules.answered(unfit, SafetyRules.Told.NOTHING, 422, null);
-    assertBroken(
+    assertViolation(
         "accepted_unfit", () -> rules.answered(unfit, SafetyRules.Told.NOTHING, 201, "pending"));
   }
 
-  /** Machines with room, and nobody who places anything on them. */
+  /** Machines have capacity, but no controller is alive to place tasks. */
   @Test
-  void aJobThatWaitsBesideRoomIsSeen() {
+  void detectsStarvation() {
     begin(Layout.FLEET, 63);
     world.runFor(Duration.ofSeconds(10));
     controllers.forEach(each -> kill(each, 3_600_000));
@@ -98,20 +96,21 @@
     gang.accepted = true;
     gang.answered = world.now();
     StarvationCheck check = new StarvationCheck(world, rules, fleet, settings(0).teams());
-    runWatching(check, Duration.ofSeconds(100));
+    runWithStarvationCheck(check, Duration.ofSeconds(100));
     rules.calmSince = world.now();
-    assertBroken("starved", () -> runWatching(check, StarvationCheck.MOST.plusSeconds(2)));
-    // Its team at its limit, it may wait; the gang finds room for two tasks in a zone.
+    assertViolation(
+        "starved", () -> runWithStarvationCheck(check, StarvationCheck.MOST.plusSeconds(2)));
+    // The job may wait while its team is at its quota; the gang of two fits into a zone.
     spec.put("cards", 9.0);
-    runWatching(check, Duration.ofSeconds(200));
+    runWithStarvationCheck(check, Duration.ofSeconds(200));
     gang.spec.put("pieces", 2);
-    assertBroken("starved", () -> runWatching(check, Duration.ofSeconds(95)));
+    assertViolation("starved", () -> runWithStarvationCheck(check, Duration.ofSeconds(95)));
     fleet.up().forEach(fleet::die);
-    runWatching(check, Duration.ofSeconds(200));
+    runWithStarvationCheck(check, Duration.ofSeconds(200));
   }
 
-  private void runWatching(StarvationCheck check, Duration time) {
-    for (int i = 0; i < time.toSeconds(); i++) {
+  private void runWithStarvationCheck(StarvationCheck check, Duration duration) {
+    for (int i = 0; i < duration.toSeconds(); i++) {
       world.runFor(Duration.ofSeconds(1));
       check.watch();
     }
--- a/src/test/java/io/pineladder/sim/SmallJobsTest.java
+++ b/src/test/java/io/pineladder/sim/SmallJobsTest.java
@@ -10,30 +10,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One-task jobs, four a second for ten minutes, a quarter of them cancelled, within the limits of
- * the smallest site.
+ * Four one-task jobs per second for ten minutes, a quarter of them cancelled, within the store
+ * limits of the smallest deployment.
  */
 class SmallJobsTest extends ConfigurableCluster {
-  private static final double REQUESTS = 80;
-  private static final double CHANGES = 30;
+  private static final double REQUESTS_PER_SECOND = 80;
+  private static final double CHANGES_PER_SECOND = 30;
   private static final int JOBS = 2_400;
 
-  /**
-   * Changes that a job may cost, its end included, so that the limit serves half as many jobs
-   * again.
-   */
-  private static final double MOST_CHANGES = 5;
+  /** Store changes per job, its end included; leaves room for 50% more jobs. */
+  private static final double MAX_CHANGES_PER_JOB = 5;
 
-  /** Requests that a job may cost, those that five controllers make without any included. */
-  private static final double MOST_REQUESTS = 12;
+  /** Store requests per job, the background requests of five controllers included. */
+  private static final double MAX_REQUESTS_PER_JOB = 12;
 
   @Test
-  void tenMinutesOfOneTaskJobsStayWithinTheLimits() {
+  void keepsStoreLimitsUnderOneTaskJobs() {
     begin(Layout.SHORT, 81);
     fleet.capacity = 20;
     world.runFor(Duration.ofSeconds(30));
-    store.requestLimit = new TokenBucket(REQUESTS, REQUESTS, world.now());
-    store.changeLimit = new TokenBucket(CHANGES, CHANGES, world.now());
+    store.requestLimit = new TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, world.now());
+    store.changeLimit = new TokenBucket(CHANGES_PER_SECOND, CHANGES_PER_SECOND, world.now());
     store.changes.clear();
     int before = store.requests;
     List<SafetyRules.Known> all = new ArrayList<>();
@@ -50,15 +47,18 @@
     }
     int changes = store.changes.values().stream().mapToInt(Integer::intValue).sum();
     assertTrue(
-        changes < MOST_CHANGES * JOBS,
+        changes < MAX_CHANGES_PER_JOB * JOBS,
         changes + " changes for " + JOBS + " jobs: " + store.changes);
-    int asked = store.requests - before;
-    assertTrue(asked < MOST_REQUESTS * JOBS, asked + " requests for " + JOBS + " jobs");
+    int requests = store.requests - before;
+    assertTrue(
+        requests < MAX_REQUESTS_PER_JOB * JOBS, requests + " requests for " + JOBS + " jobs");
     rules.calmSince = world.now();
     world.runFor(Duration.ofSeconds(60));
     List<String> open = all.stream().filter(j -> !j.isOver()).map(j -> j.id).toList();
     assertEquals(List.of(), open);
-    assertTrue(store.overLimit < 0.01 * store.requests, store.overLimit + " of " + store.requests);
+    assertTrue(
+        store.overLimit < 0.01 * store.requests,
+        store.overLimit + " rejected of " + store.requests);
     assertTrue(all.stream().filter(j -> j.cancelled != null).count() > JOBS / 10);
     settle(Duration.ofSeconds(60));
   }
--- a/src/test/java/io/pineladder/sim/StarvationTest.java
+++ b/src/test/java/io/pineladder/sim/StarvationTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Policy may keep a job from room for a while, and not for ever. */
+/** Scheduling policy may delay a job while there is capacity, but only for a bounded time. */
 class StarvationTest extends ConfigurableCluster {
   /**
-   * Found by the simulation on 1 of 630 days: a job of one task that failed by chance on the only
-   * two machines with room was taken to be at fault, kept off both, and waited for ever.
+   * Guards against starvation of a job that is kept off the only machines with capacity because it
+   * failed there by chance.
    */
   @Test
   void aJobThatFailedByChanceWhereverThereIsRoomRunsAllTheSame() {
@@ -44,23 +44,17 @@
     assertTrue(job.done);
   }
 
-  /**
-   * Each shape with some seeds; more by hand with {@code -Dpineladder.days=100
-   * -Dpineladder.first=1}.
-   */
-  static Stream<Arguments> pressed() {
+  /** Two layouts, two seeds each; more with {@code -Dpineladder.days=100 -Dpineladder.first=1}. */
+  static Stream<Arguments> layoutsAndSeeds() {
     long first = Long.getLong("pineladder.first", 1);
     return LongStream.range(first, first + Long.getLong("pineladder.days", 2))
         .boxed()
         .flatMap(seed -> Stream.of(Layout.FLEET, Layout.SHORT).map(of -> Arguments.of(of, seed)));
   }
 
-  /**
-   * More work than room, with no trouble: small and large, of all ranks and kinds, bound to zones
-   * and not. What waits does so for room or for its team's limit, and nothing of it for good.
-   */
+  /** Guards against jobs that wait without need under a mixed overload without faults. */
   @ParameterizedTest
-  @MethodSource("pressed")
+  @MethodSource("layoutsAndSeeds")
   void whereThereIsMoreWorkThanRoomNothingWaitsBesideRoom(Layout of, long seed) {
     begin(of, 5_000 + seed);
     fleet.capacity = of == Layout.SHORT ? 4 : 3;
--- a/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
@@ -13,15 +13,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a loss costs with thirteen hundred machines at work. */
+/** Cost and duration of the recovery from data loss with 1,300 machines. */
 class StateLossAtScaleTest extends SimulatedCluster {
   private static final Logger log = LoggerFactory.getLogger(StateLossAtScaleTest.class);
   private static final int MACHINES = 1_300;
   private static final int JOBS = 250;
-  private static final int TASKS_EACH = 20;
+  private static final int TASKS_PER_JOB = 20;
 
-  /** What is on the machines, with its attempt. */
-  private Map<String, String> there() {
+  /** Machine by task and attempt. */
+  private Map<String, String> placements() {
     Map<String, String> found = new TreeMap<>();
     for (FakeFleet.Worker worker : fleet.machines.values()) {
       worker.tasks.forEach(
@@ -34,72 +34,74 @@
     return found;
   }
 
-  private Duration until(Instant from, Duration most, BooleanSupplier is) {
-    while (!is.getAsBoolean()) {
-      assertTrue(Duration.between(from, world.now()).compareTo(most) < 0, "not within " + most);
+  private Duration runUntil(Instant from, Duration bound, BooleanSupplier condition) {
+    while (!condition.getAsBoolean()) {
+      assertTrue(
+          Duration.between(from, world.now()).compareTo(bound) < 0,
+          "condition not met within " + bound);
       world.runFor(Duration.ofMillis(10));
     }
     return Duration.between(from, world.now());
   }
 
-  private boolean any(State state) {
+  private boolean anyGenerationIs(State state) {
     return controllers.stream()
         .anyMatch(c -> c.node.replicaManager().generations().state() == state);
   }
 
-  private void loseAll(int cost) {
-    Map<String, String> before = there();
+  private void loseEverythingAndRecover(int cost) {
+    Map<String, String> before = placements();
     int requests = store.requests;
     int changes = store.changes.values().stream().mapToInt(n -> n).sum();
     Instant at = world.now();
     store.loseEverything();
-    Duration noticed = until(at, Duration.ofSeconds(2), () -> any(State.LOST));
-    until(at, Duration.ofSeconds(15), () -> any(State.REBUILT));
-    int written = store.changes.values().stream().mapToInt(n -> n).sum() - changes;
-    SafetyRules.Known late = submit(job("array", 4, "red").put("together", false));
-    Duration accepted = until(at, Duration.ofSeconds(12), () -> late.accepted);
+    Duration detected = runUntil(at, Duration.ofSeconds(2), () -> anyGenerationIs(State.LOST));
+    runUntil(at, Duration.ofSeconds(15), () -> anyGenerationIs(State.REBUILT));
+    int changed = store.changes.values().stream().mapToInt(n -> n).sum() - changes;
+    SafetyRules.Known submitted = submit(job("array", 4, "red").put("together", false));
+    Duration accepted = runUntil(at, Duration.ofSeconds(12), () -> submitted.accepted);
     Duration first =
-        until(
+        runUntil(
             at,
             Duration.ofSeconds(15),
-            () -> there().keySet().stream().anyMatch(key -> key.startsWith(late.id)));
-    int asked = store.requests - requests;
+            () -> placements().keySet().stream().anyMatch(key -> key.startsWith(submitted.id)));
+    int requestsToStart = store.requests - requests;
     world.runFor(Duration.ofSeconds(60));
-    Map<String, String> after = there();
+    Map<String, String> after = placements();
     before.forEach((task, machine) -> assertEquals(machine, after.get(task), task + " was lost"));
     log.info(
-        "noticed after {}, accepted after {}, started after {}; {} changes, {} requests",
-        noticed,
+        "Recovered from data loss: detected={} accepted={} started={} changes={} requests={}",
+        detected,
         accepted,
         first,
-        written,
-        asked);
-    assertTrue(written <= cost, written + " changes of the store to rebuild");
-    assertTrue(asked <= 600, asked + " requests until the first start");
+        changed,
+        requestsToStart);
+    assertTrue(changed <= cost, changed + " store changes for the recovery");
+    assertTrue(
+        requestsToStart <= 600, requestsToStart + " store requests until the first task start");
   }
 
   @Test
-  void nothingThatRunsIsLostWithAllThatWasStored() {
+  void keepsRunningTasksWhenStoreIsLost() {
     begin(51);
     losesData = true;
     fleet.capacity = MACHINES;
     fleet.addUp(MACHINES);
     world.runFor(Duration.ofSeconds(10));
     for (int i = 0; i < JOBS; i++) {
-      submit(job("service", TASKS_EACH, "red").put("spread", false).put("together", false));
+      submit(job("service", TASKS_PER_JOB, "red").put("spread", false).put("together", false));
     }
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(JOBS * TASKS_EACH, there().size(), "all runs before the loss");
-    loseAll(250);
-    // Once more, a minute later.
-    loseAll(250);
-    // And with the leader, of which nothing is left then but what the others have copied.
+    assertEquals(JOBS * TASKS_PER_JOB, placements().size(), "all tasks run before the loss");
+    loseEverythingAndRecover(250);
+    loseEverythingAndRecover(250);
+    // Loses the leader at the same time, so that only the followers' replicas are left.
     world.runFor(Duration.ofSeconds(20));
-    Map<String, String> before = there();
+    Map<String, String> before = placements();
     store.loseEverything();
     controllers.stream().filter(c -> c.node.election().holdsTerm()).forEach(c -> kill(c, 6_000));
     world.runFor(Duration.ofSeconds(90));
-    Map<String, String> after = there();
+    Map<String, String> after = placements();
     before.forEach((task, machine) -> assertEquals(machine, after.get(task), task + " was lost"));
   }
 }
--- a/src/test/java/io/pineladder/sim/StateLossProcessTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossProcessTest.java
@@ -10,20 +10,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real controllers on loopback whose state service is emptied, with them and without. */
+/** Controller processes on loopback whose store is emptied, with and without a restart. */
 class StateLossProcessTest {
   private static final int JOBS = 60;
 
   @TempDir Path folder;
 
   private static void cancel(LoopbackCluster cluster, String id) throws InterruptedException {
-    ObjectNode told = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
-    assertEquals("aborted", told.get("status").asText(), id);
+    ObjectNode answer = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+    assertEquals("aborted", answer.get("status").asText(), id);
   }
 
-  /** Each accepted job reaches one final answer, whatever was lost in between. */
+  /** Guards against lost or contradictory final answers after data loss. */
   @Test
-  void eachJobReachesOneFinalAnswerThoughTheStoreIsEmptied() throws Exception {
+  void keepsFinalAnswersWhenStoreIsLost() throws Exception {
     Path snapshots = folder.resolve("snapshots");
     try (LoopbackCluster cluster =
         new LoopbackCluster(folder, 3, 1, List.of("--snapshots", snapshots.toString()))) {
@@ -33,16 +33,16 @@
         if (n % 2 == 0) {
           ended.add(DeliveryProcessTest.end(cluster, n));
         } else {
-          open.add(DeliveryProcessTest.submit(cluster, n));
+          open.add(DeliveryProcessTest.submitUnplaceableJob(cluster, n));
         }
         if (n == JOBS / 3) {
-          // The controllers live on.
-          cluster.read(() -> empty(cluster));
+          // The controllers keep running.
+          cluster.read(() -> loseEverything(cluster));
         }
       }
-      // What is on the disk is as old as the last write; nothing was accepted in that time.
+      // No job is accepted after these snapshots, so they are complete.
       awaitSnapshots(cluster);
-      cluster.read(() -> empty(cluster));
+      cluster.read(() -> loseEverything(cluster));
       for (int i = 0; i < 3; i++) {
         cluster.controller(i).destroyForcibly().waitFor();
       }
@@ -60,7 +60,7 @@
     }
   }
 
-  private static boolean empty(LoopbackCluster cluster) {
+  private static boolean loseEverything(LoopbackCluster cluster) {
     cluster.store.loseEverything();
     return true;
   }
@@ -69,7 +69,7 @@
     return cluster.insist(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
   }
 
-  /** Waits until every controller has a snapshot of all that was accepted. */
+  /** Waits until every controller has a snapshot of all accepted jobs. */
   private static void awaitSnapshots(LoopbackCluster cluster) throws InterruptedException {
     for (String address : cluster.clusters()) {
       JsonNode records;
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -20,11 +20,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Days on which the state service loses data, in each of the ways in which it can. */
+/** Recovery from each kind of data loss in the key-value store. */
 class StateLossTest extends SimulatedCluster {
   private static final Logger log = LoggerFactory.getLogger(StateLossTest.class);
 
-  /** What is lost. */
+  /** The data that is lost or damaged. */
   enum Loss {
     NOTHING,
     EVERYTHING,
@@ -38,8 +38,8 @@
     DAMAGED_PLACED
   }
 
-  /** Two days of each kind; more by hand with {@code -Dpineladder.losses=20}. */
-  static Stream<Arguments> days() {
+  /** Two runs for each kind of loss; more with {@code -Dpineladder.losses=20}. */
+  static Stream<Arguments> lossesAndSeeds() {
     long days = Long.getLong("pineladder.losses", 2);
     long first = Long.getLong("pineladder.first", 1);
     List<Arguments> all = new ArrayList<>();
@@ -70,7 +70,7 @@
     }
   }
 
-  private void work(int steps) {
+  private void submitAndCancelJobs(int steps) {
     for (int step = 0; step < steps; step++) {
       submit(randomJob());
       List<SafetyRules.Known> open =
@@ -82,18 +82,18 @@
     }
   }
 
-  /** Who is left when it is lost. */
-  enum Left {
+  /** The copies of the data that remain. */
+  enum Surviving {
     ALL,
-    /** The leader's process ends with the data. */
+    /** The leader is killed at the same time. */
     FOLLOWERS,
-    /** All processes end with it, and begin again with the snapshots that they kept. */
+    /** All controllers are killed at the same time and restart with their snapshots. */
     SNAPSHOTS
   }
 
-  /** Every job is served to its end and no rule breaks. */
-  private void served(Loss loss, Left left, long seed) {
-    if (left == Left.SNAPSHOTS) {
+  /** Asserts that all jobs end and no rule is violated. */
+  private void assertServedDespite(Loss loss, Surviving left, long seed) {
+    if (left == Surviving.SNAPSHOTS) {
       for (int i = 0; i < 3; i++) {
         shelves.put(i, new MemoryShelf());
       }
@@ -103,16 +103,16 @@
     store.backUp();
     world.runFor(Duration.ofSeconds(4));
     world.lossy = 0.02;
-    work(20);
-    log.debug("what is lost now, at {}: {}", world.now(), loss);
+    submitAndCancelJobs(20);
+    log.debug("Losing data: time={} loss={}", world.now(), loss);
     lose(loss);
-    if (left == Left.SNAPSHOTS) {
+    if (left == Surviving.SNAPSHOTS) {
       controllers.forEach(each -> kill(each, 6_000 + each.index * 300L));
-    } else if (left == Left.FOLLOWERS || loss.name().startsWith("DAMAGED")) {
-      // Whoever reads what is damaged is a new leader.
-      kill(controllers.get(leading()), 6_000);
+    } else if (left == Surviving.FOLLOWERS || loss.name().startsWith("DAMAGED")) {
+      // Only a new leader reads the damaged records.
+      kill(controllers.get(leaderIndex()), 6_000);
     }
-    work(20);
+    submitAndCancelJobs(20);
     settle(Duration.ofSeconds(400));
     boolean rebuilt =
         controllers.stream()
@@ -123,7 +123,7 @@
     assertTrue(rebuilt || loss == Loss.NOTHING || loss.name().startsWith("DAMAGED"));
   }
 
-  private int leading() {
+  private int leaderIndex() {
     for (Controller each : controllers) {
       if (each.node.election().holdsTerm()) {
         return each.index;
@@ -133,24 +133,24 @@
   }
 
   @ParameterizedTest
-  @MethodSource("days")
+  @MethodSource("lossesAndSeeds")
   void whatIsLostIsRebuiltByControllersThatLive(Loss loss, long seed) {
-    served(loss, Left.ALL, seed);
+    assertServedDespite(loss, Surviving.ALL, seed);
   }
 
   @ParameterizedTest
-  @MethodSource("days")
+  @MethodSource("lossesAndSeeds")
   void whatIsLostWithTheLeaderIsRebuiltByTheOthers(Loss loss, long seed) {
-    served(loss, Left.FOLLOWERS, seed);
+    assertServedDespite(loss, Surviving.FOLLOWERS, seed);
   }
 
   @ParameterizedTest
-  @MethodSource("days")
+  @MethodSource("lossesAndSeeds")
   void whatIsLostWithAllControllersIsRebuiltFromSnapshots(Loss loss, long seed) {
-    served(loss, Left.SNAPSHOTS, seed);
+    assertServedDespite(loss, Surviving.SNAPSHOTS, seed);
   }
 
-  /** Found with real processes: a loss by which controllers lived, and one with them soon after. */
+  /** Guards against a failed recovery from a second loss soon after the first. */
   @Test
   void aSecondLossFindsWhatTheFirstHasLeft() {
     for (int i = 0; i < 3; i++) {
@@ -159,36 +159,36 @@
     begin(78);
     losesData = true;
     world.runFor(Duration.ofSeconds(4));
-    work(10);
+    submitAndCancelJobs(10);
     store.loseEverything();
-    work(10);
+    submitAndCancelJobs(10);
     store.loseEverything();
     controllers.forEach(each -> kill(each, 6_000 + each.index * 300L));
-    work(10);
+    submitAndCancelJobs(10);
     settle(Duration.ofSeconds(400));
   }
 
-  /** What earlier generations leave does not add up, however often data is lost. */
+  /** Guards against an accumulation of keys of earlier generations. */
   @Test
   void whatEarlierGenerationsLeaveIsClearedAway() {
     begin(79);
     losesData = true;
     world.runFor(Duration.ofSeconds(4));
-    work(10);
-    // Not all of it: so the keys of the first generation stay behind.
+    submitAndCancelJobs(10);
+    // A partial loss leaves the other keys of the first generation behind.
     store.losePrefix("placed/");
-    work(10);
+    submitAndCancelJobs(10);
     store.losePrefix("accepted/");
-    work(10);
-    assertTrue(store.outside() > 10, "old keys are there");
+    submitAndCancelJobs(10);
+    assertTrue(store.outside() > 10, "keys of earlier generations remain");
     world.runFor(Duration.ofMinutes(5));
-    kill(controllers.get(leading()), 6_000);
+    kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofMinutes(15));
-    assertEquals(1, store.outside(), "the name of the generation alone");
+    assertEquals(1, store.outside(), "only the key of the current generation remains");
     settle(Duration.ofSeconds(60));
   }
 
-  /** Found with real processes: whoever had read nothing yet wrote that, and jobs were gone. */
+  /** Guards against jobs lost because a controller that has read nothing rebuilds the store. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aLossInAClustersFirstSecondsIsRebuiltByWhoKnowsMost(long seed) {
@@ -200,25 +200,25 @@
       world.runFor(Duration.ofMillis(10 * seed));
     }
     store.loseEverything();
-    work(5);
+    submitAndCancelJobs(5);
     settle(Duration.ofSeconds(400));
   }
 
-  /** Nothing is left but a file that an operator has kept. */
+  /** Guards against jobs lost when only an operator's snapshot file remains. */
   @Test
   void aSnapshotThatIsHandedInBringsJobsBack() throws Exception {
     begin(77);
     losesData = true;
     world.runFor(Duration.ofSeconds(4));
-    work(10);
+    submitAndCancelJobs(10);
     List<SafetyRules.Known> before = List.copyOf(rules.jobs.values());
     world.runFor(Duration.ofSeconds(15));
-    byte[] kept = controllers.get(leading()).node.replicaManager().exportSnapshot();
+    byte[] kept = controllers.get(leaderIndex()).node.replicaManager().exportSnapshot();
     store.loseEverything();
     controllers.forEach(each -> kill(each, 6_000 + each.index * 300L));
-    // Users who ask meanwhile are told that nothing is certain.
+    // Until the import, users get no definite answers.
     world.runFor(Duration.ofSeconds(45));
-    ControllerNode leader = controllers.get(leading()).node;
+    ControllerNode leader = controllers.get(leaderIndex()).node;
     byte[] damaged = kept.clone();
     damaged[damaged.length / 2] ^= 1;
     assertThrows(
@@ -227,7 +227,7 @@
         MalformedMessageException.class,
         () -> leader.replicaManager().importSnapshot(Arrays.copyOf(kept, kept.length / 2)));
     assertTrue(leader.replicaManager().importSnapshot(kept) > 0);
-    work(5);
+    submitAndCancelJobs(5);
     settle(Duration.ofSeconds(400));
     assertTrue(before.stream().allMatch(job -> job.accepted));
   }
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -14,12 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/**
- * Two zones, a controller of which stands in the second, which is cut off, parted, or comes and
- * goes.
- */
+/** Two zones, the second with one of three controllers, which is partitioned or lost. */
 class ZoneSimulationTest extends SimulatedCluster {
-  private static final String INSIDE = "10.0.0.2";
+  private static final String ZONE_B_CONTROLLER = "10.0.0.2";
 
   private static String zoneOf(String member) {
     return member.equals("rung-1") ? "b" : "a";
@@ -27,29 +24,29 @@
 
   @Override
   Settings settings(int index) {
-    Settings of = super.settings(index);
+    Settings base = super.settings(index);
     List<Settings.Peer> peers =
-        of.peers().stream()
+        base.peers().stream()
             .map(
                 p -> new Settings.Peer(p.controllerName(), zoneOf(p.controllerName()), p.address()))
             .toList();
     return new Settings(
-        of.controllerName(),
-        zoneOf(of.controllerName()),
-        of.apiAddress(),
-        of.clusterAddress(),
+        base.controllerName(),
+        zoneOf(base.controllerName()),
+        base.apiAddress(),
+        base.clusterAddress(),
         peers,
-        of.cloudAddress(),
-        of.storeAddress(),
-        of.zones(),
-        of.teams(),
-        of.objectives(),
-        of.workerTimes(),
-        of.storeLimits(),
-        of.currentStoreLimits(),
-        of.cloudLimits(),
-        of.maxSockets(),
-        of.coreShare());
+        base.cloudAddress(),
+        base.storeAddress(),
+        base.zones(),
+        base.teams(),
+        base.objectives(),
+        base.workerTimes(),
+        base.storeLimits(),
+        base.currentStoreLimits(),
+        base.cloudLimits(),
+        base.maxSockets(),
+        base.coreShare());
   }
 
   private List<String> hosts(String zone) {
@@ -57,12 +54,15 @@
     fleet.machines.values().stream()
         .filter(w -> w.zone.equals(zone))
         .forEach(w -> hosts.add(SimulatedWorld.host(w.address)));
-    hosts.addAll(zone.equals("b") ? List.of(INSIDE) : List.of("10.0.0.1", "10.0.0.3"));
+    hosts.addAll(zone.equals("b") ? List.of(ZONE_B_CONTROLLER) : List.of("10.0.0.1", "10.0.0.3"));
     return hosts;
   }
 
-  /** Cuts the second zone from the first, and from everything else if so asked. */
-  private Runnable part(boolean fromAll) {
+  /**
+   * Partitions the second zone from the first, and optionally from users, cloud and store; returns
+   * the action that ends the partition.
+   */
+  private Runnable partition(boolean fromAll) {
     List<String> inside = hosts("b");
     List<String> outside = new ArrayList<>(hosts("a"));
     if (fromAll) {
@@ -72,7 +72,7 @@
     return () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other)));
   }
 
-  private Map<String, String> there(String zone) {
+  private Map<String, String> placementsIn(String zone) {
     Map<String, String> found = new TreeMap<>();
     for (FakeFleet.Worker worker : fleet.machines.values()) {
       if (worker.zone.equals(zone)) {
@@ -82,46 +82,46 @@
     return found;
   }
 
-  private void fill() {
+  private void fillZones() {
     fleet.capacity = 40;
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 12; i++) {
       submit(job("service", 4, "red").put("together", false).put("spread", true));
     }
     world.runFor(Duration.ofSeconds(90));
-    assertEquals(24, there("b").size(), "half of all is in the second zone");
+    assertEquals(24, placementsIn("b").size(), "half of the tasks run in the second zone");
   }
 
   static LongStream seeds() {
     return LongStream.range(0, Long.getLong("pineladder.cuts", 6));
   }
 
-  private void lead(int wanted) {
-    for (int tries = 0; tries < 20 && leader() != wanted; tries++) {
+  private void moveLeadershipTo(int node) {
+    for (int tries = 0; tries < 20 && leader() != node; tries++) {
       kill(controllers.get(leader()), 4_000);
       world.runFor(Duration.ofSeconds(12));
     }
   }
 
-  /** Seen on laval-fleet: it was luck what a cut cost, by the node that led. */
+  /** Guards against tasks lost in a partitioned zone, whichever node leads. */
   @ParameterizedTest
   @MethodSource("seeds")
   void whatRunsInAZoneLivesThroughItsCutWhoeverLeads(long seed) {
     begin(600 + seed);
-    fill();
-    lead((int) seed % 3);
-    Map<String, String> before = there("b");
-    Runnable heal = part(true);
+    fillZones();
+    moveLeadershipTo((int) seed % 3);
+    Map<String, String> before = placementsIn("b");
+    Runnable heal = partition(true);
     world.runFor(Duration.ofSeconds(20));
     if (seed >= 3) {
-      // Whoever begins inside knows neither leader nor store.
+      // The controller inside the zone restarts and reaches neither leader nor store.
       kill(controllers.get(1), 4_000);
     }
     world.runFor(Duration.ofSeconds(100));
-    assertEquals(before, there("b"), "nothing was ended while the zone was away");
+    assertEquals(before, placementsIn("b"), "no task ended during the partition");
     heal.run();
     world.runFor(Duration.ofSeconds(60));
-    Map<String, String> after = there("b");
+    Map<String, String> after = placementsIn("b");
     before.forEach((task, machine) -> assertEquals(machine, after.get(task), task));
     settle(Duration.ofSeconds(60));
   }
@@ -130,44 +130,44 @@
   @MethodSource("seeds")
   void zonesThatDoNotReachOneAnotherGoOn(long seed) {
     begin(700 + seed);
-    fill();
-    lead((int) seed % 3);
-    Map<String, String> before = there("b");
-    before.putAll(there("a"));
-    Runnable heal = part(false);
+    fillZones();
+    moveLeadershipTo((int) seed % 3);
+    Map<String, String> before = placementsIn("b");
+    before.putAll(placementsIn("a"));
+    Runnable heal = partition(false);
     world.runFor(Duration.ofSeconds(150));
     heal.run();
     world.runFor(Duration.ofSeconds(40));
-    Map<String, String> after = there("b");
-    after.putAll(there("a"));
+    Map<String, String> after = placementsIn("b");
+    after.putAll(placementsIn("a"));
     before.forEach((task, machine) -> assertEquals(machine, after.get(task), task));
     settle(Duration.ofSeconds(60));
   }
 
-  /** A task that nobody can reach may run for long, so its user is not told that it is gone. */
+  /** Guards against a job reported as cancelled while tasks of it run in a partitioned zone. */
   @Test
   void aJobInAZoneThatIsAwayIsCalledCancelledOnceItIsBack() {
     begin(800);
-    fill();
-    lead(0);
-    Runnable heal = part(true);
+    fillZones();
+    moveLeadershipTo(0);
+    Runnable heal = partition(true);
     world.runFor(Duration.ofSeconds(15));
     SafetyRules.Known job = rules.jobs.values().iterator().next();
     cancel(job);
     world.runFor(Duration.ofSeconds(90));
-    assertTrue(job.cancelled == null, "told while tasks of it run");
+    assertTrue(job.cancelled == null, "reported as cancelled while tasks run");
     heal.run();
     world.runFor(Duration.ofSeconds(30));
     assertTrue(job.cancelled != null);
     settle(Duration.ofSeconds(60));
   }
 
-  /** Machines that have died are known by the cloud's list, and what they held runs elsewhere. */
+  /** Guards against tasks that are not restarted when the cloud no longer lists their machines. */
   @Test
   void aZoneThatIsLostForGoodIsReplaced() {
     begin(801);
-    fill();
-    lead(0);
+    fillZones();
+    moveLeadershipTo(0);
     List<FakeFleet.Worker> dead =
         fleet.machines.values().stream().filter(w -> w.zone.equals("b")).toList();
     for (FakeFleet.Worker worker : dead) {
@@ -175,7 +175,7 @@
       worker.end();
     }
     world.runFor(Duration.ofMinutes(2));
-    assertEquals(24, there("b").size(), "rented and started anew");
+    assertEquals(24, placementsIn("b").size(), "tasks run on new machines");
     settle(Duration.ofSeconds(60));
   }
 }
