--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -49,9 +49,9 @@
         upgraded[index] ? ClusterVersion.SUPPORTED : ClusterVersion.UNVERSIONED);
   }
 
-  private void beginUpgraded(Layout of, long seed) {
+  private void beginUpgraded(Layout layout, long seed) {
     upgraded = new boolean[] {true, true, true, true, true};
-    begin(of, seed);
+    begin(layout, seed);
     world.runFor(Duration.ofSeconds(10));
     assertEquals(ClusterVersion.CHAINED_JOBS, store.value("conf/version").get("version").asInt());
   }
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -90,10 +90,10 @@
 
   private static ObjectNode subscription(String host, List<String> owners, List<String> classes) {
     ObjectNode body = Json.object().put("url", "http://" + host + ":9999/hook");
-    ArrayNode of = body.putArray("owners");
-    owners.forEach(of::add);
-    ArrayNode in = body.putArray("classes");
-    classes.forEach(in::add);
+    ArrayNode ownersArray = body.putArray("owners");
+    owners.forEach(ownersArray::add);
+    ArrayNode classesArray = body.putArray("classes");
+    classes.forEach(classesArray::add);
     body.putArray("secrets")
         .add(WebhookSignature.SECRET_PREFIX + Base64.getEncoder().encodeToString(SECRET));
     return body;
--- a/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
+++ b/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
@@ -357,8 +357,8 @@
     }
   }
 
-  void runWithFaults(Layout of, long seed, Set<Combination> combinations) {
-    begin(of, seed);
+  void runWithFaults(Layout layout, long seed, Set<Combination> combinations) {
+    begin(layout, seed);
     fleet.capacity = MACHINES_PER_ZONE;
     int number = 0;
     for (; number < 14; number++) {
@@ -472,8 +472,8 @@
   @EnumSource(
       value = Layout.class,
       names = {"FLEET", "SHORT"})
-  void keepsTasksInLongOutageAfterRejectionOfLeader(Layout of) {
-    begin(of, 50);
+  void keepsTasksInLongOutageAfterRejectionOfLeader(Layout layout) {
+    begin(layout, 50);
     for (int i = 0; i < 8; i++) {
       submit(work("service", 3).put("spread", true));
     }
@@ -526,7 +526,7 @@
   /** Each combination in two layouts; more seeds with {@code -Dpineladder.combinations=100}. */
   static Stream<Arguments> singleCombinations() {
     return Stream.of(Combination.values())
-        .flatMap(m -> Stream.of(Layout.ONE_ZONE, Layout.SHORT).map(of -> List.of(m, of)))
+        .flatMap(m -> Stream.of(Layout.ONE_ZONE, Layout.SHORT).map(layout -> List.of(m, layout)))
         .flatMap(cell -> seeds().mapToObj(s -> Arguments.of(cell.get(0), cell.get(1), s)));
   }
 
@@ -537,8 +537,8 @@
 
   @ParameterizedTest
   @MethodSource("singleCombinations")
-  void keepsRulesUnderFaultCombination(Combination combination, Layout of, int seed) {
-    runWithFaults(of, 20_000 + 100L * seed + combination.ordinal(), Set.of(combination));
+  void keepsRulesUnderFaultCombination(Combination combination, Layout layout, int seed) {
+    runWithFaults(layout, 20_000 + 100L * seed + combination.ordinal(), Set.of(combination));
   }
 
   /** Three combinations at a time, once for each as the first; the others depend on the seed. */
@@ -558,7 +558,7 @@
     int others = all.length - 1;
     combinations.add(all[(first + 1 + (5 * seed + 2) % others) % all.length]);
     combinations.add(all[(first + 1 + (seed / others + 7 * seed + 11) % others) % all.length]);
-    Layout of = Layout.values()[(first + seed) % Layout.values().length];
-    runWithFaults(of, 400_000 + 100L * seed + first, combinations);
+    Layout layout = Layout.values()[(first + seed) % Layout.values().length];
+    runWithFaults(layout, 400_000 + 100L * seed + first, combinations);
   }
 }
--- a/src/test/java/io/pineladder/sim/RandomFaultsTest.java
+++ b/src/test/java/io/pineladder/sim/RandomFaultsTest.java
@@ -50,14 +50,14 @@
     }
   }
 
-  private void inject(Trouble trouble) {
+  private void inject(Trouble fault) {
     long millis = FAULT_DURATION.toMillis();
-    switch (trouble) {
+    switch (fault) {
       case MACHINE_RECEIVES_NOTHING, THIRD_OF_MACHINES_RECEIVES_NOTHING -> {
         List<FakeFleet.Worker> up = fleet.up();
         int first = world.random.nextInt(up.size());
         for (int i = 0; i < up.size(); i++) {
-          if (trouble == Trouble.MACHINE_RECEIVES_NOTHING ? i == first : i % 3 == first % 3) {
+          if (fault == Trouble.MACHINE_RECEIVES_NOTHING ? i == first : i % 3 == first % 3) {
             String host = SimulatedWorld.host(up.get(i).address);
             world.deaf.add(host);
             world.after(millis, () -> world.deaf.remove(host));
@@ -82,12 +82,12 @@
               });
         }
       }
-      default -> throw new AssertionError(trouble);
+      default -> throw new AssertionError(fault);
     }
   }
 
-  private void inject(Beside beside) {
-    switch (beside) {
+  private void inject(Beside secondFault) {
+    switch (secondFault) {
       case NONE -> {}
       case FAILOVER -> kill(controllers.get(leader()), 6_000);
       case STORE_OUTAGE -> {
@@ -117,7 +117,7 @@
           }
         }
       }
-      default -> throw new AssertionError(beside);
+      default -> throw new AssertionError(secondFault);
     }
   }
 
@@ -125,24 +125,24 @@
   static Stream<Arguments> faultPairs() {
     return Stream.of(Trouble.values())
         .flatMap(
-            trouble ->
+            fault ->
                 Stream.of(Beside.values())
                     .flatMap(
-                        beside ->
+                        secondFault ->
                             IntStream.range(0, Integer.getInteger("pineladder.unlisted", 1))
-                                .mapToObj(seed -> Arguments.of(trouble, beside, seed))));
+                                .mapToObj(seed -> Arguments.of(fault, secondFault, seed))));
   }
 
   @ParameterizedTest
   @MethodSource("faultPairs")
-  void allIsKnownAndServed(Trouble trouble, Beside beside, int seed) {
-    int pair = trouble.ordinal() * Beside.values().length + beside.ordinal();
-    Layout of = Layout.values()[(pair + seed) % Layout.values().length];
-    begin(of, 9_000 + 100L * seed + pair);
+  void allIsKnownAndServed(Trouble fault, Beside secondFault, int seed) {
+    int pair = fault.ordinal() * Beside.values().length + secondFault.ordinal();
+    Layout layout = Layout.values()[(pair + seed) % Layout.values().length];
+    begin(layout, 9_000 + 100L * seed + pair);
     arrivals(12);
-    inject(trouble);
+    inject(fault);
     world.runFor(Duration.ofMillis(1_000 + world.random.nextInt(6_000)));
-    inject(beside);
+    inject(secondFault);
     arrivals(20);
     world.runFor(FAULT_DURATION);
     rules.calmSince = world.now();
@@ -158,11 +158,11 @@
       submit(work("service", 4));
     }
     world.runFor(Duration.ofSeconds(40));
-    FakeFleet.Worker deaf =
+    FakeFleet.Worker unreachable =
         fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
-    world.deaf.add(SimulatedWorld.host(deaf.address));
+    world.deaf.add(SimulatedWorld.host(unreachable.address));
     world.runFor(Duration.ofSeconds(14));
-    assertTrue(deaf.tasks.isEmpty(), "its lease has expired");
+    assertTrue(unreachable.tasks.isEmpty(), "its lease has expired");
     SafetyRules.Known late = submit(work("array", 6));
     world.runFor(Duration.ofSeconds(45));
     assertTrue(late.done, "the job ran on another machine");
@@ -172,7 +172,7 @@
     }
     assertEquals(16, running, "its tasks run on other machines");
     world.runFor(Duration.ofSeconds(30));
-    assertTrue(!fleet.machines.containsKey(deaf.name), "the machine was returned");
+    assertTrue(!fleet.machines.containsKey(unreachable.name), "the machine was returned");
   }
 
   /** Guards against machines that stay excluded after they receive messages again. */
--- a/src/test/java/io/pineladder/sim/StarvationTest.java
+++ b/src/test/java/io/pineladder/sim/StarvationTest.java
@@ -49,15 +49,17 @@
     long first = Long.getLong("pineladder.first", 1);
     return LongStream.range(first, first + Long.getLong("pineladder.days", 2))
         .boxed()
-        .flatMap(seed -> Stream.of(Layout.FLEET, Layout.SHORT).map(of -> Arguments.of(of, seed)));
+        .flatMap(
+            seed ->
+                Stream.of(Layout.FLEET, Layout.SHORT).map(layout -> Arguments.of(layout, seed)));
   }
 
   /** Guards against jobs that wait without need under a mixed overload without faults. */
   @ParameterizedTest
   @MethodSource("layoutsAndSeeds")
-  void whereThereIsMoreWorkThanRoomNothingWaitsBesideRoom(Layout of, long seed) {
-    begin(of, 5_000 + seed);
-    fleet.capacity = of == Layout.SHORT ? 4 : 3;
+  void whereThereIsMoreWorkThanRoomNothingWaitsBesideRoom(Layout layout, long seed) {
+    begin(layout, 5_000 + seed);
+    fleet.capacity = layout == Layout.SHORT ? 4 : 3;
     for (int i = 0; i < 200; i++) {
       if (i == 30) {
         rules.calmSince = world.now();
