--- a/src/main/java/io/pineladder/ClusterConfiguration.java
+++ b/src/main/java/io/pineladder/ClusterConfiguration.java
@@ -114,7 +114,7 @@
           } else {
             // 410: the service no longer has the changes after this revision.
             storeClient.scheduleRetry(
-                retry, watched.reply().is(410) ? this::follow : () -> watch(afterRevision, wanted));
+                retry, watched.reply().hasStatus(410) ? this::follow : () -> watch(afterRevision, wanted));
           }
         });
   }
@@ -126,7 +126,7 @@
 
   private void onEntry(StoreWire.Entry entry) {
     if (entry.key().equals(RecordKeys.DELIVERY_NETWORKS) && delivery != null) {
-      delivery.learnNetworks(entry.value());
+      delivery.setAllowedNetworks(entry.value());
     }
     if (entry.value() == null) {
       return;
--- a/src/main/java/io/pineladder/ControllerNode.java
+++ b/src/main/java/io/pineladder/ControllerNode.java
@@ -168,7 +168,7 @@
   public void start() {
     log.info(
         "Controller started: controller={} zone={}", settings.controllerName(), settings.zone());
-    membership.onStoreStatus(replicaManager.generations()::onPeerStatus);
+    membership.setRecordStatusListener(replicaManager.generations()::onPeerStatus);
     membership.start();
     tick();
     replicaManager.start();
@@ -232,7 +232,7 @@
   private void sendGossip(String address, byte[] message, Consumer<byte[]> onReply) {
     httpClient.call(
         Request.post(address, GossipWire.PATH, message, Membership.HEARTBEAT_TIMEOUT),
-        reply -> onReply.accept(reply.is(200) ? reply.body() : null));
+        reply -> onReply.accept(reply.hasStatus(200) ? reply.body() : null));
   }
 
   private Membership.LocalStatus ownGossip() {
@@ -424,7 +424,7 @@
    * The term while this node may answer heartbeats, its lease valid or in doubt for a short time,
    * whether its records are read or not; else null.
    */
-  public LeaderTerm heldTerm() {
+  public LeaderTerm termAcceptingHeartbeats() {
     return election.mayExtendWorkerLeases() ? leaderTerm : null;
   }
 
--- a/src/main/java/io/pineladder/JobStatusReader.java
+++ b/src/main/java/io/pineladder/JobStatusReader.java
@@ -88,12 +88,12 @@
    */
   static JobView viewOf(Job job) {
     if (job.cancelledByDependency || (!job.isActive() && job.finalStateStored)) {
-      return new JobView(JobView.toStatus(job.state()), job.done.cardinality(), 0, true);
+      return new JobView(JobView.toStatus(job.state()), job.completedTasks.cardinality(), 0, true);
     }
     int running = Scheduler.countRunning(job);
     return new JobView(
         running > 0 ? JobWire.Status.RUNNING : JobWire.Status.PENDING,
-        job.done.cardinality(),
+        job.completedTasks.cardinality(),
         running,
         true);
   }
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -139,7 +139,7 @@
 
   private NotificationOutbox newOutbox() {
     return new NotificationOutbox(
-        NotificationOutbox.MOST_KEPT,
+        NotificationOutbox.MAX_RETAINED,
         maxValueBytes(),
         eventLoop,
         committer::submit,
@@ -254,7 +254,7 @@
     failover.expectReports(cluster.machines().size());
     for (Job job : jobs) {
       scheduler.add(job);
-      if (job.isActive() && job.done.cardinality() == job.spec.tasks()) {
+      if (job.isActive() && job.completedTasks.cardinality() == job.spec.tasks()) {
         job.transitionTo(Job.State.DONE);
         records.storeFinalState(job);
       }
@@ -282,7 +282,7 @@
     new GenerationGarbageCollector(
             storeClient, eventLoop, elected.leaderKeyRevision(), lifecycle::mayAct)
         .start();
-    if (subscriptions.isOn() || outbox.hasSubscribers()) {
+    if (subscriptions.isEnabled() || outbox.hasSubscribers()) {
       loader.loadBacklog(lifecycle::isLeading, subscriptions::start);
     }
     scheduler.requestRun();
@@ -299,7 +299,7 @@
   /** The lease was in doubt and is valid after all. */
   void onLeaseConfirmed() {
     scheduler.requestRun();
-    subscriptions.kick();
+    subscriptions.wake();
   }
 
   // ---- configuration
@@ -345,7 +345,7 @@
   // ---- users and workers
 
   /** Whether the job is known here, so that a submission of it is a repeated one. */
-  public boolean knowsJob(String id) {
+  public boolean isJobKnown(String id) {
     return submissions.isKnown(id);
   }
 
@@ -453,7 +453,7 @@
   }
 
   private void onNotificationsStored() {
-    subscriptions.kick();
+    subscriptions.wake();
   }
 
   /** A job with prerequisites counts as an arrival once it may start, which the scheduler tells. */
@@ -680,7 +680,7 @@
   }
 
   /** What the autoscaler asks and causes. */
-  private final class AutoscalerEffects implements Autoscaler.Effects {
+  private final class AutoscalerEffects implements Autoscaler.Callbacks {
     @Override
     public boolean mayAct() {
       return lifecycle.mayAct();
@@ -702,8 +702,8 @@
     }
 
     @Override
-    public int workersHeardByPeers(String zone) {
-      return keepAliveReader.workersHeardByPeers(zone);
+    public int workersSeenByPeers(String zone) {
+      return keepAliveReader.workersSeenByPeers(zone);
     }
 
     @Override
--- a/src/main/java/io/pineladder/MachineTypeFetcher.java
+++ b/src/main/java/io/pineladder/MachineTypeFetcher.java
@@ -61,7 +61,7 @@
     httpClient.call(
         Request.get(cloudAddress, "/flavors", CLOUD_TIMEOUT),
         reply -> {
-          if (!reply.is(200)) {
+          if (!reply.hasStatus(200)) {
             return;
           }
           try {
--- a/src/main/java/io/pineladder/admin/AdminApi.java
+++ b/src/main/java/io/pineladder/admin/AdminApi.java
@@ -46,7 +46,7 @@
   }
 
   /** Whether a request is to be answered by the leader, whichever node gets it. */
-  public boolean isLeadersMatter(String method, String path) {
+  public boolean requiresLeader(String method, String path) {
     if (isAboutSubscriptions(path)) {
       return true;
     }
@@ -106,7 +106,7 @@
 
   private ObjectNode status() {
     var known = node.election().knownLeader();
-    LeaderTerm leader = node.heldTerm();
+    LeaderTerm leader = node.termAcceptingHeartbeats();
     ObjectNode out = Json.object();
     out.put("member", node.settings().controllerName())
         .put("zone", node.settings().zone())
@@ -117,7 +117,7 @@
         .put("machine_types", node.machineTypes().size())
         .put(
             "doubts_itself",
-            node.membership().selfAssessment() == Membership.SelfAssessment.DOUBTFUL);
+            node.membership().localHealth() == Membership.LocalHealth.DEGRADED);
     ArrayNode peers = out.putArray("peers");
     for (Membership.PeerStatus peer : node.membership().peerStatuses()) {
       peers
@@ -184,7 +184,7 @@
       }
     }
     ArrayNode latest = out.putArray("latest");
-    for (FailoverTimings.CompletedFailover taken : node.failoverTimings().latest()) {
+    for (FailoverTimings.FailoverSummary taken : node.failoverTimings().recentFailovers()) {
       ObjectNode one = latest.addObject().put("term", taken.term());
       taken.phases().forEach((phase, took) -> one.put(phase.label(), took.toMillis() / 1e3));
     }
@@ -192,7 +192,7 @@
   }
 
   /** What only the leader can answer. */
-  public void lead(
+  public void handleAsLeader(
       LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (isAboutSubscriptions(path)) {
       leader.subscriptions().handle(method, path.substring(PREFIX.length()), body, answer);
@@ -246,7 +246,7 @@
           .addObject()
           .put("name", zone.name())
           .put("state", zone.state().toLowerCase(Locale.ROOT))
-          .put("losses", zone.losses())
+          .put("losses", zone.outageCount())
           .put("gone_s", zone.outageDuration().toMillis() / 1e3);
     }
     ArrayNode list = out.putArray("machines");
--- a/src/main/java/io/pineladder/admin/Metrics.java
+++ b/src/main/java/io/pineladder/admin/Metrics.java
@@ -62,7 +62,7 @@
   }
 
   /** Has the sockets shown with the other figures. */
-  public void watch(ConnectionLimiter of) {
+  public void setConnectionLimiter(ConnectionLimiter of) {
     sockets = of;
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** One request was answered. */
-  public void answered(Operation operation, int status, Duration took) {
+  public void recordRequest(Operation operation, int status, Duration took) {
     counters
         .computeIfAbsent(operation, o -> new TreeMap<>())
         .computeIfAbsent(
--- a/src/main/java/io/pineladder/api/DependencyChainReader.java
+++ b/src/main/java/io/pineladder/api/DependencyChainReader.java
@@ -125,7 +125,7 @@
           .readForUser(
               RecordKeys.UNPAGED_JOB + id,
               read -> {
-                if (!read.certain()) {
+                if (!read.succeeded()) {
                   onOutcome.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
                   readFinalState(id);
@@ -147,7 +147,7 @@
           .readForUser(
               RecordKeys.FINAL_STATE + id,
               read -> {
-                if (!read.certain()
+                if (!read.succeeded()
                     || (!read.found() && node.replicaManager().jobMayBeMissing(id))) {
                   onOutcome.accept(Outcome.UNCERTAIN);
                 } else if (!read.found()) {
--- a/src/main/java/io/pineladder/api/HeartbeatHandler.java
+++ b/src/main/java/io/pineladder/api/HeartbeatHandler.java
@@ -84,7 +84,7 @@
       answer.accept(ok(WorkerWire.heartbeatResponse(rebuildToken, new WorkerWire.Orders())));
       return;
     }
-    LeaderTerm heldTerm = node.heldTerm();
+    LeaderTerm heldTerm = node.termAcceptingHeartbeats();
     if (heldTerm != null) {
       byte[] response = heldTerm.onHeartbeat(heartbeat, forwarded);
       // To a worker that has seen a newer token, orders of this term would be fenced off.
--- a/src/main/java/io/pineladder/api/LeaderApi.java
+++ b/src/main/java/io/pineladder/api/LeaderApi.java
@@ -45,7 +45,7 @@
   void handle(
       LeaderTerm leader, String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     if (path.startsWith(AdminApi.PREFIX)) {
-      adminApi.lead(leader, method, path, body, answer);
+      adminApi.handleAsLeader(leader, method, path, body, answer);
       return;
     }
     if (path.equals(ApiPaths.HEARTBEAT)) {
@@ -96,7 +96,7 @@
   }
 
   private void submit(LeaderTerm leader, JobSpec spec, Consumer<HttpResponse> answer) {
-    if (!leader.knowsJob(spec.id())) {
+    if (!leader.isJobKnown(spec.id())) {
       if (node.machineTypes().isEmpty()) {
         answer.accept(unavailable("the machine types are not known yet"));
         return;
@@ -111,7 +111,7 @@
       answer.accept(unavailable("the state service is not available"));
       return;
     }
-    if (spec.prerequisites().isEmpty() || leader.knowsJob(spec.id())) {
+    if (spec.prerequisites().isEmpty() || leader.isJobKnown(spec.id())) {
       accept(leader, spec, answer);
       return;
     }
--- a/src/main/java/io/pineladder/api/LeaderlessApi.java
+++ b/src/main/java/io/pineladder/api/LeaderlessApi.java
@@ -118,13 +118,13 @@
             node.storeClient().post("/multi", body),
             2,
             reply -> {
-              if (reply.is(200)) {
+              if (reply.hasStatus(200)) {
                 log.debug("Job accepted without a leader: job={}", id);
                 replica.put(RecordKeys.UNPAGED_JOB + id, record, 0, true);
                 replica.put(RecordKeys.INBOX + id, inboxEntry, 0, true);
                 node.replicaManager().onAcceptedWithoutLeader(() -> submit(spec, ignored -> {}));
                 answer.accept(new HttpResponse(201, JobWire.view(id, status)));
-              } else if (reply.is(409)) {
+              } else if (reply.hasStatus(409)) {
                 read(id, false, answer);
               } else {
                 answer.accept(unavailable("no leader"));
@@ -153,7 +153,7 @@
         .readForUser(
             RecordKeys.UNPAGED_JOB + id,
             read -> {
-              if (!read.certain()) {
+              if (!read.succeeded()) {
                 answer.accept(unavailable("no leader"));
               } else if (read.found()) {
                 answerFromRecord(id, cancel, read.entry(), answer);
@@ -185,7 +185,7 @@
         .readForUser(
             RecordKeys.FINAL_STATE + id,
             read -> {
-              if (!read.certain()) {
+              if (!read.succeeded()) {
                 answer.accept(unavailable("no leader"));
               } else if (!read.found() && node.replicaManager().jobMayBeMissing(id)) {
                 answer.accept(unavailable("not certain yet"));
--- a/src/main/java/io/pineladder/api/PeerForwarder.java
+++ b/src/main/java/io/pineladder/api/PeerForwarder.java
@@ -110,7 +110,7 @@
                     : FORWARD_TIMEOUT),
             reply -> {
               try {
-                if (reply.is(200)) {
+                if (reply.hasStatus(200)) {
                   PeerWire.ForwardedResponse peerResponse = PeerWire.parseResponse(reply.body());
                   if (peerResponse.decided()) {
                     answer.accept(peerResponse.response());
--- a/src/main/java/io/pineladder/api/RequestRouter.java
+++ b/src/main/java/io/pineladder/api/RequestRouter.java
@@ -65,7 +65,7 @@
     Instant receivedAt = node.eventLoop().now();
     Consumer<HttpResponse> answer =
         response -> {
-          metrics.answered(
+          metrics.recordRequest(
               Metrics.Operation.of(method, path),
               response.status(),
               Duration.between(receivedAt, node.eventLoop().now()));
@@ -207,7 +207,7 @@
       }
     } else if (path.equals(PeerWire.PATH)) {
       peerRequests.handle(body, answer);
-    } else if (adminApi.isLeadersMatter(method, path)) {
+    } else if (adminApi.requiresLeader(method, path)) {
       serve(method, path, body, answer, () -> answer.accept(unavailable("no leader")));
     } else {
       adminApi.handle(method, path, answer);
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -26,7 +26,7 @@
   private final ClusterState cluster;
   private final Scheduler scheduler;
   private final EventLoop eventLoop;
-  private final Effects effects;
+  private final Callbacks effects;
   private final CloudClient cloud;
   private final Zones zones = new Zones();
   private final CapacityEstimates estimates;
@@ -39,7 +39,7 @@
   private Instant lastTickAt;
 
   /** What the autoscaler asks of the leader. */
-  public interface Effects {
+  public interface Callbacks {
     /** Whether the leader's lease allows it to act now. */
     boolean mayAct();
 
@@ -53,7 +53,7 @@
     void transferLeadership(String reason);
 
     /** How many workers of a zone other controllers have lately reported heartbeats of. */
-    int workersHeardByPeers(String zone);
+    int workersSeenByPeers(String zone);
 
     /** Probes a machine whose heartbeat is overdue. */
     void probe(Machine machine);
@@ -68,7 +68,7 @@
       EventLoop eventLoop,
       long term,
       OperatorSettings operator,
-      Effects effects) {
+      Callbacks effects) {
     this.cluster = cluster;
     this.scheduler = scheduler;
     this.eventLoop = eventLoop;
--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -272,7 +272,7 @@
               case FIT, PLACE, SPREAD, TOGETHER -> true;
               case TEAM_LIMIT, PREDECESSOR, FAILING, PACE, DEPENDENCY -> false;
             };
-    if (!rejectedForCapacity || entry.place() == QueueEntry.Place.BACKOFF_ERROR) {
+    if (!rejectedForCapacity || entry.state() == QueueEntry.State.BACKOFF_ERROR) {
       return false;
     }
     // A failing job is tried only where capacity happens to be free.
@@ -284,7 +284,7 @@
     JobSpec spec = job.spec;
     Team team = cluster.team(spec.team());
     Resources used = cluster.usage(spec.team());
-    int count = job.pending.cardinality();
+    int count = job.pendingTasks.cardinality();
     while (count > 0
         && !team.allows(used.plus(plannedBefore).plus(spec.resourcesPerTask().times(count)))) {
       count = count > 64 ? count / 2 : count - 1;
@@ -357,7 +357,7 @@
 
   private void addToBacklog(PendingJob pendingJob, MachineType type) {
     JobSpec spec = pendingJob.job.spec;
-    Duration startDelay = cluster.soonestStartElsewhere(spec);
+    Duration startDelay = cluster.minProvisioningTime(spec);
     // For an objective that is missed soon after another machine is ready it is too late to rent.
     Duration allowance =
         cluster.startAllowance(pendingJob.job, wallClock.plus(startDelay.multipliedBy(2)));
--- a/src/main/java/io/pineladder/autoscaling/CloudClient.java
+++ b/src/main/java/io/pineladder/autoscaling/CloudClient.java
@@ -68,7 +68,7 @@
     httpClient.call(
         request,
         reply -> {
-          if (reply.is(200) || reply.is(400) || isCapacityRefusal(reply)) {
+          if (reply.hasStatus(200) || reply.hasStatus(400) || isCapacityRefusal(reply)) {
             circuitBreaker.onSuccess();
           } else {
             circuitBreaker.onFailure();
@@ -82,7 +82,7 @@
 
   /** Whether the cloud refuses for want of capacity, which is no failure of it. */
   static boolean isCapacityRefusal(Reply reply) {
-    return reply.is(503)
+    return reply.hasStatus(503)
         && new String(reply.body(), StandardCharsets.UTF_8).contains("no capacity");
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -47,7 +47,7 @@
   private final CapacityEstimates estimates;
   private final Zones zones;
   private final ZoneLossPlan zoneLossPlan;
-  private final Autoscaler.Effects effects;
+  private final Autoscaler.Callbacks effects;
   private final Instant startedAt;
 
   /** Until when a zone that was unreachable is taken to be so. */
@@ -64,7 +64,7 @@
       ClusterState cluster,
       CapacityEstimates estimates,
       Zones zones,
-      Autoscaler.Effects effects,
+      Autoscaler.Callbacks effects,
       Instant now) {
     this.cluster = cluster;
     this.estimates = estimates;
@@ -196,7 +196,7 @@
                   heartbeats.expected,
                   heartbeats.overdue,
                   heartbeats.recentlyHeard,
-                  effects.workersHeardByPeers(zone));
+                  effects.workersSeenByPeers(zone));
           zones.review(zone, counts, now);
           if (counts.isUnreachable()) {
             // Once a cut is over the first that are heard say nothing of the rest, whose heartbeats
--- a/src/main/java/io/pineladder/autoscaling/MachineInventory.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineInventory.java
@@ -92,13 +92,13 @@
 
   private void onPage(Reply reply, String after, Instant listBegunAt, Instant sentAt) {
     listInFlight = false;
-    if (!reply.is(200)) {
+    if (!reply.hasStatus(200)) {
       return;
     }
     try {
       CloudWire.Page page = CloudWire.parsePage(reply.body());
       page.machines().forEach(this::onListed);
-      boolean more = page.more() && !page.machines().isEmpty();
+      boolean more = page.hasMore() && !page.machines().isEmpty();
       String last = more ? page.machines().get(page.machines().size() - 1).name() : null;
       releaseMissing(page, after, last, sentAt);
       if (more) {
@@ -166,8 +166,8 @@
       machine.firstListedAt = eventLoop.now();
     }
     machine.listedRunning |= listed.status() == CloudWire.MachineStatus.RUNNING;
-    if (listed.status() == CloudWire.MachineStatus.FAILED && !machine.stoppedByItself) {
-      machine.stoppedByItself = true;
+    if (listed.status() == CloudWire.MachineStatus.FAILED && !machine.listedFailed) {
+      machine.listedFailed = true;
       log.info("Machine failed: machine={}", machine);
       releaser.release(machine);
     }
--- a/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
@@ -99,7 +99,7 @@
             CloudWire.releaseRequest(names),
             reply -> {
               releaseInFlight = false;
-              if (reply.is(200)) {
+              if (reply.hasStatus(200)) {
                 names.forEach(this::onReleased);
               }
             });
@@ -116,7 +116,7 @@
       return;
     }
     machine.transitionTo(Machine.State.GONE);
-    scheduler.faultAttribution().forget(machine);
+    scheduler.faultAttribution().remove(machine);
     bootTimes.forget(machine);
     List<Attempt> lost = List.copyOf(machine.attempts.values());
     records.removePlacements(lost);
--- a/src/main/java/io/pineladder/autoscaling/MachineUtilization.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineUtilization.java
@@ -33,6 +33,6 @@
 
   /** The share of the machine's capacity that is free, 0 to 1; 1 if it is idle. */
   double freeShare(Machine machine) {
-    return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.shareOf(machine.type.capacity()));
+    return isIdle(machine) ? 1 : Math.max(0, 1 - machine.used.dominantShareOf(machine.type.capacity()));
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/RentalClient.java
+++ b/src/main/java/io/pineladder/autoscaling/RentalClient.java
@@ -163,7 +163,7 @@
       return;
     }
     openRentals.remove(rental);
-    if (!reply.is(200)) {
+    if (!reply.hasStatus(200)) {
       if (CloudClient.isCapacityRefusal(reply)) {
         refusals.record(rental.pool);
       }
--- a/src/main/java/io/pineladder/cli/Controller.java
+++ b/src/main/java/io/pineladder/cli/Controller.java
@@ -138,7 +138,7 @@
                 .usage()
                 .get(ConnectionLimiter.TrafficClass.NOTICES)
                 .maxOpen());
-    delivery.sendThrough(new OutboundHttpClient(runtime, delivery::allows));
+    delivery.setOutboundClient(new OutboundHttpClient(runtime, delivery::allows));
     return delivery;
   }
 
@@ -163,7 +163,7 @@
                     extras.snapshots.resolve(settings.controllerName()), runtime),
             runtime);
     Metrics metrics = new Metrics();
-    metrics.watch(runtime.connectionLimiter());
+    metrics.setConnectionLimiter(runtime.connectionLimiter());
     RequestRouter front = new RequestRouter(node, metrics);
     runtime.serve(
         new XnioEventLoop.Listener(
--- a/src/main/java/io/pineladder/cli/ReceiveCommand.java
+++ b/src/main/java/io/pineladder/cli/ReceiveCommand.java
@@ -69,7 +69,7 @@
       List<byte[]> secrets = new ArrayList<>();
       for (String line : Files.readAllLines(parsed.matchedOptionValue("--secrets", null))) {
         if (!line.isBlank()) {
-          secrets.add(WebhookSignature.secret(line.strip()));
+          secrets.add(WebhookSignature.parseSecret(line.strip()));
         }
       }
       if (secrets.isEmpty()) {
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/Training.java
@@ -65,7 +65,7 @@
     caller.call(
         Request.post(front, "/v1/jobs", JOB, TIMEOUT),
         reply -> {
-          if (reply.is(201)) {
+          if (reply.hasStatus(201)) {
             report(caller, front, 1, over);
           } else {
             time.schedule(RETRY, () -> submit(time, caller, front, over));
--- a/src/main/java/io/pineladder/delivery/DeliveryContext.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryContext.java
@@ -51,7 +51,7 @@
   }
 
   /** Has notices sent through this. */
-  public void sendThrough(OutboundClient through) {
+  public void setOutboundClient(OutboundClient through) {
     outward = through;
   }
 
@@ -90,7 +90,7 @@
   }
 
   /** The stored networks were read, or have changed; null when they are gone. */
-  public void learnNetworks(JsonNode value) {
+  public void setAllowedNetworks(JsonNode value) {
     try {
       destinations = value == null ? null : destinations(DeliveryWire.parseNetworks(value));
     } catch (MalformedMessageException | IllegalArgumentException e) {
--- a/src/main/java/io/pineladder/delivery/NotificationOutbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -45,7 +45,7 @@
   private static final Logger log = LoggerFactory.getLogger(NotificationOutbox.class);
 
   /** So many are kept; what a subscriber has not confirmed beyond that is lost to it. */
-  public static final int MOST_KEPT = 100_000;
+  public static final int MAX_RETAINED = 100_000;
 
   /** At the bound so large a part of what is kept goes at once. */
   private static final int PARTS = 64;
@@ -207,12 +207,12 @@
   // ---- the start of a term
 
   /** A subscription read at the start of the term. */
-  public void known(Subscription subscription) {
+  public void onSubscriptionLoaded(Subscription subscription) {
     subscriptions.put(subscription.name(), subscription);
   }
 
   /** The pages of jobs have been read, with the newest notices: ends may follow. */
-  public void loaded() {
+  public void onJobPagesLoaded() {
     state = State.READING_BACKLOG;
     entries.sort(BY_NUMBER);
     committed = entries.isEmpty() ? 0 : at(entries.size() - 1);
@@ -226,7 +226,7 @@
    * All else has been read: notices that wait for long, and where the subscribers are, each by
    * their pages' keys.
    */
-  public void complete(
+  public void onBacklogLoaded(
       Map<String, List<Notification>> backlog,
       Map<String, Map<String, DeliveryProgress>> progress) {
     // Both copies of one that had moved and whose job's page was not written since.
@@ -396,8 +396,8 @@
     String owner = job.spec.team();
     String jobClass = job.spec.jobClass();
     boolean wanted =
-        subscriptions.values().stream().anyMatch(s -> s.mayWant(owner, jobClass))
-            || coming.values().stream().anyMatch(s -> s.mayWant(owner, jobClass));
+        subscriptions.values().stream().anyMatch(s -> s.mayMatch(owner, jobClass))
+            || coming.values().stream().anyMatch(s -> s.mayMatch(owner, jobClass));
     return wanted
         ? new Notification(
             ++assigned,
@@ -522,7 +522,7 @@
     Notification found = null;
     while (found == null && cursor.number < committed) {
       Notification next = at(cursor.number + 1);
-      if (subscription.wants(next)) {
+      if (subscription.matches(next)) {
         found = next;
       } else {
         cursor.number++;
@@ -543,7 +543,7 @@
     Notification oldest = allocate(subscription);
     long count = 0;
     for (long n = cursor(subscription).number + 1; oldest != null && n <= committed; n++) {
-      count += subscription.wants(at(n)) ? 1 : 0;
+      count += subscription.matches(at(n)) ? 1 : 0;
     }
     return new Backlog(count, oldest);
   }
@@ -570,7 +570,7 @@
       }
     } else {
       while (cursor.sequence > position && cursor.number >= first()) {
-        cursor.sequence -= subscription.wants(at(cursor.number)) ? 1 : 0;
+        cursor.sequence -= subscription.matches(at(cursor.number)) ? 1 : 0;
         cursor.number--;
       }
       cursor.lostFrom = cursor.sequence > position ? position + 1 : 0;
@@ -606,7 +606,7 @@
       long lost = 0;
       while (subscription.retainsNotifications() && cursor.number + 1 < before) {
         cursor.number++;
-        if (subscription.wants(at(cursor.number))) {
+        if (subscription.matches(at(cursor.number))) {
           lost++;
           cursor.sequence++;
           cursor.lostFrom = cursor.lostFrom == 0 ? cursor.sequence : cursor.lostFrom;
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -88,7 +88,7 @@
   }
 
   /** Whether subscriptions can be administered and are served here. */
-  public boolean isOn() {
+  public boolean isEnabled() {
     return delivery != null;
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** More may be sent. */
-  public void kick() {
+  public void wake() {
     if (deliveries != null) {
       deliveries.kick();
     }
@@ -171,7 +171,7 @@
             now != null
                     && now.source().equals(of.source())
                     && now.status() == Subscription.Status.ACTIVE
-                ? now.with(status, reason.substring(0, Math.min(reason.length(), MOST_REASON)))
+                ? now.withStatus(status, reason.substring(0, Math.min(reason.length(), MOST_REASON)))
                 : now,
         () -> {});
   }
@@ -362,7 +362,7 @@
     }
     for (int i = 0; i < wanted.path("secrets").size(); i++) {
       try {
-        WebhookSignature.secret(wanted.get("secrets").get(i).textValue());
+        WebhookSignature.parseSecret(wanted.get("secrets").get(i).textValue());
       } catch (IllegalArgumentException e) {
         faults.add(new SubscriptionSchema.Fault("/secrets/" + i, e.getMessage()));
       }
@@ -377,11 +377,11 @@
         .forEach(
             secret ->
                 encrypted.add(
-                    delivery.box().seal(name, WebhookSignature.secret(secret.textValue()))));
+                    delivery.box().seal(name, WebhookSignature.parseSecret(secret.textValue()))));
     String incarnation = HexFormat.of().toHexDigits(eventLoop.random().nextInt());
     String url = wanted.get("url").textValue();
-    Set<String> owners = DeliveryWire.texts(wanted.path("owners"));
-    Set<String> classes = DeliveryWire.texts(wanted.path("classes"));
+    Set<String> owners = DeliveryWire.parseStringSet(wanted.path("owners"));
+    Set<String> classes = DeliveryWire.parseStringSet(wanted.path("classes"));
     UnaryOperator<Subscription> change =
         now -> {
           if (now == null && !isNew) {
@@ -442,7 +442,7 @@
     }
     change(
         name,
-        now -> now == null ? null : now.with(Subscription.Status.PAUSED, null),
+        now -> now == null ? null : now.withStatus(Subscription.Status.PAUSED, null),
         within(answer, () -> shown(name)));
   }
 
@@ -471,7 +471,7 @@
     }
     change(
         name,
-        now -> now == null ? null : now.with(Subscription.Status.ACTIVE, null),
+        now -> now == null ? null : now.withStatus(Subscription.Status.ACTIVE, null),
         within(answer, () -> shown(name)));
   }
 
@@ -514,7 +514,7 @@
             within(
                 answer,
                 () -> {
-                  delivery.learnNetworks(record);
+                  delivery.setAllowedNetworks(record);
                   return json(200, record);
                 })));
   }
--- a/src/main/java/io/pineladder/delivery/WebhookSignature.java
+++ b/src/main/java/io/pineladder/delivery/WebhookSignature.java
@@ -28,7 +28,7 @@
    *
    * @throws IllegalArgumentException when the text is no secret; the message does not repeat it
    */
-  public static byte[] secret(String text) {
+  public static byte[] parseSecret(String text) {
     if (!text.startsWith(SECRET_PREFIX)) {
       throw new IllegalArgumentException("does not begin with " + SECRET_PREFIX);
     }
--- a/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public synchronized long position(String source) {
+  public synchronized long lastSequence(String source) {
     return positions.getOrDefault(source, 0L);
   }
 
--- a/src/main/java/io/pineladder/delivery/receiver/NotificationStore.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationStore.java
@@ -11,7 +11,7 @@
  */
 public interface NotificationStore extends Closeable {
   /** The last sequence of a source whose effect is durable; 0 for none. */
-  long position(String source);
+  long lastSequence(String source);
 
   /**
    * Makes the event's effect and its position durable in one step that is there as a whole or not
--- a/src/main/java/io/pineladder/delivery/receiver/Receiver.java
+++ b/src/main/java/io/pineladder/delivery/receiver/Receiver.java
@@ -76,7 +76,7 @@
     if (!event.json().path("id").asText().equals(id)) {
       return Reply.error(400, WebhookSignature.ID + " is not the event's id");
     }
-    long position = store.position(event.source());
+    long position = store.lastSequence(event.source());
     if (event.firstSequence() > position + 1) {
       return new Reply(409, DeliveryWire.positionResponse(position));
     }
--- a/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
+++ b/src/main/java/io/pineladder/failover/ClusterStateRestorer.java
@@ -116,7 +116,7 @@
         records.restoreNotification(page.key(), notification);
       }
     }
-    outbox.loaded();
+    outbox.onJobPagesLoaded();
     Set<String> pages = new HashSet<>();
     listing.entries().forEach(page -> pages.add(page.key()));
     for (PageEntry<JsonNode> record : readPages(listing, entry -> entry)) {
@@ -169,7 +169,7 @@
     all.removeIf(done -> !jobs.containsKey(done.entry.job()));
     for (PageEntry<RecordWire.StoredCompletions> done : all) {
       Job job = jobs.get(done.entry.job());
-      job.done.or(done.entry.completed());
+      job.completedTasks.or(done.entry.completed());
     }
     for (PageEntry<RecordWire.StoredCompletions> done : all) {
       records.restoreCompletions(done.page, jobs.get(done.entry.job()), done.entry);
@@ -195,7 +195,7 @@
       Job job = jobs.get(placement.job());
       if (job == null
           || placement.task() >= job.spec.tasks()
-          || (job.isActive() && job.done.get(placement.task()))
+          || (job.isActive() && job.completedTasks.get(placement.task()))
           || newestAttempts.get(placement.job() + "/" + placement.task()) != placement.attempt()) {
         continue;
       }
--- a/src/main/java/io/pineladder/failover/FailoverTimings.java
+++ b/src/main/java/io/pineladder/failover/FailoverTimings.java
@@ -49,11 +49,11 @@
   }
 
   /** The phases of one failover so far, by its term. */
-  public record CompletedFailover(long term, Map<Phase, Duration> phases) {}
+  public record FailoverSummary(long term, Map<Phase, Duration> phases) {}
 
   private final EventLoop eventLoop;
   private final Map<Phase, Histogram> histograms = new EnumMap<>(Phase.class);
-  private final Deque<CompletedFailover> latest = new ArrayDeque<>();
+  private final Deque<FailoverSummary> recentFailovers = new ArrayDeque<>();
 
   /** Timings without a failover yet. */
   public FailoverTimings(EventLoop eventLoop) {
@@ -82,8 +82,8 @@
   }
 
   /** The latest failovers, the newest first. */
-  public List<CompletedFailover> latest() {
-    return new ArrayList<>(latest);
+  public List<FailoverSummary> recentFailovers() {
+    return new ArrayList<>(recentFailovers);
   }
 
   /** One failover in progress. */
@@ -97,9 +97,9 @@
 
     private OngoingFailover(long term) {
       this.term = term;
-      latest.addFirst(new CompletedFailover(term, phases));
-      if (latest.size() > HISTORY_SIZE) {
-        latest.removeLast();
+      recentFailovers.addFirst(new FailoverSummary(term, phases));
+      if (recentFailovers.size() > HISTORY_SIZE) {
+        recentFailovers.removeLast();
       }
     }
 
--- a/src/main/java/io/pineladder/failover/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -131,7 +131,7 @@
     for (StoreWire.Entry entry : configuration) {
       if (entry.key().startsWith(RecordKeys.SUBSCRIPTION)) {
         try {
-          outbox.known(DeliveryWire.parseSubscription(entry.value()));
+          outbox.onSubscriptionLoaded(DeliveryWire.parseSubscription(entry.value()));
         } catch (MalformedMessageException e) {
           // Scheduling for all matters more than the notifications of one subscriber.
           log.error(
@@ -208,7 +208,7 @@
         committer.restoreRevision(page.key(), page.revision());
         progress.put(page.key(), DeliveryWire.parseProgress(page.value()));
       }
-      outbox.complete(notifications, progress);
+      outbox.onBacklogLoaded(notifications, progress);
       onDone.run();
     } catch (MalformedMessageException e) {
       // Scheduling goes on; nothing is delivered, and no notification is discarded.
--- a/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
+++ b/src/main/java/io/pineladder/generation/GenerationGarbageCollector.java
@@ -101,7 +101,7 @@
             // Skips the keys of the present generation: '0' follows '/'.
             lastKey = "g" + present.base() + "0";
           }
-          boolean more = page.more() || !obsoleteKeys.isEmpty();
+          boolean more = page.hasMore() || !obsoleteKeys.isEmpty();
           deleteAndContinue(obsoleteKeys, lastKey, more);
         });
   }
@@ -139,9 +139,9 @@
     storeClient.sendImmediately(
         storeClient.post("/multi", remove.bytes()),
         reply -> {
-          removedCount += reply.is(200) ? obsoleteKeys.size() : 0;
+          removedCount += reply.hasStatus(200) ? obsoleteKeys.size() : 0;
           // After a failure the scan begins again and finds what was not removed.
-          eventLoop.schedule(STEP_INTERVAL, () -> scanPage(reply.is(200) ? lastKey : null));
+          eventLoop.schedule(STEP_INTERVAL, () -> scanPage(reply.hasStatus(200) ? lastKey : null));
         });
   }
 }
--- a/src/main/java/io/pineladder/generation/GenerationManager.java
+++ b/src/main/java/io/pineladder/generation/GenerationManager.java
@@ -148,7 +148,7 @@
     this.host = host;
     this.backoff = storeClient.newBackoff();
     this.startedAt = eventLoop.now();
-    storeClient.onRevisionRollback(
+    storeClient.setRevisionRollbackListener(
         revision ->
             declareLoss(
                 Evidence.REVISION_BACK,
@@ -294,7 +294,7 @@
           if (sequence != currentSequence || stopped) {
             return;
           }
-          if (!found.certain()) {
+          if (!found.succeeded()) {
             eventLoop.schedule(backoff.nextDelay(), () -> readGeneration(sequence));
             return;
           }
@@ -313,14 +313,14 @@
           GENERATION_WATCH_TIMEOUT,
           reply ->
               eventLoop.schedule(
-                  reply.is(200) ? Duration.ZERO : backoff.nextDelay(),
+                  reply.hasStatus(200) ? Duration.ZERO : backoff.nextDelay(),
                   () -> readGeneration(sequence)));
     } else {
       eventLoop.schedule(GENERATION_POLL_INTERVAL, () -> readGeneration(sequence));
     }
   }
 
-  private void evaluate(StoreClient.Read read) {
+  private void evaluate(StoreClient.ReadResult read) {
     Generation found;
     try {
       found =
@@ -472,7 +472,7 @@
           if (sequence != currentSequence || stopped || state != State.LOST) {
             return;
           }
-          if (!found.certain()) {
+          if (!found.succeeded()) {
             eventLoop.schedule(backoff.nextDelay(), () -> tryClaim(sequence));
             return;
           }
--- a/src/main/java/io/pineladder/generation/GenerationWriter.java
+++ b/src/main/java/io/pineladder/generation/GenerationWriter.java
@@ -132,10 +132,10 @@
           if (finished) {
             return;
           }
-          if (reply.is(200)) {
+          if (reply.hasStatus(200)) {
             backoff.reset();
             onStored.run();
-          } else if (reply.is(409) || reply.is(400)) {
+          } else if (reply.hasStatus(409) || reply.hasStatus(400)) {
             // Another generation is in force, or the last transaction had committed without a
             // reply.
             finish(Outcome.REJECTED);
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -247,7 +247,7 @@
               watchLeader(expectedRound, entry.revision());
               return;
             }
-            if (read.certain()) {
+            if (read.succeeded()) {
               setKnownLeader(null);
               if (!mayBecomeCandidate.getAsBoolean() || eventLoop.now().isBefore(candidateFrom)) {
                 eventLoop.schedule(retry.nextDelay(), () -> readLeader(expectedRound));
@@ -321,7 +321,7 @@
             return;
           }
           try {
-            if (reply.is(200)) {
+            if (reply.hasStatus(200)) {
               leaseId = StoreWire.parseLeaseId(reply.body());
               claimLeaderKey(expectedRound, sentAt, false);
               return;
@@ -353,7 +353,7 @@
       return;
     }
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         long revision = StoreWire.parseRevision(reply.body());
         if (storeClient.acceptCommitRevision(revisionBefore, revision)) {
           becomeLeader(revision, leaseSentAt);
@@ -365,7 +365,7 @@
     } catch (MalformedMessageException e) {
       log.warn("Leader claim response malformed: error={}", e.getMessage());
     }
-    if (reply.is(409) && repeated) {
+    if (reply.hasStatus(409) && repeated) {
       // The key may have been written by the first copy of the claim, which got no reply.
       storeClient.readImmediately(
           RecordKeys.LEADER,
@@ -392,7 +392,7 @@
    * it renews the other lease; so only a key under the present lease counts.
    */
   private void onLeaderReadAfterClaim(
-      int expectedRound, Instant leaseSentAt, StoreClient.Read read, Reply reply) {
+      int expectedRound, Instant leaseSentAt, StoreClient.ReadResult read, Reply reply) {
     if (expectedRound != round) {
       return;
     }
@@ -454,12 +454,12 @@
           if (expectedRound != round || !holdsTerm()) {
             return;
           }
-          if (reply.is(404)) {
+          if (reply.hasStatus(404)) {
             listener.onLeaseNotFound();
             endTerm("the lease has ended", false);
             return;
           }
-          boolean renewed = reply.is(200);
+          boolean renewed = reply.hasStatus(200);
           if (renewed) {
             retry.reset();
             if (state == State.IN_DOUBT) {
@@ -483,7 +483,7 @@
     storeClient.readImmediately(
         RecordKeys.LEADER,
         (read, reply) -> {
-          if (expectedRound != round || state != State.IN_DOUBT || !read.certain()) {
+          if (expectedRound != round || state != State.IN_DOUBT || !read.succeeded()) {
             return;
           }
           if (!read.found() || read.entry().revision() != leaderKeyRevision) {
--- a/src/main/java/io/pineladder/membership/FailureDetector.java
+++ b/src/main/java/io/pineladder/membership/FailureDetector.java
@@ -1,6 +1,6 @@
 package io.pineladder.membership;
 
-import io.pineladder.membership.Membership.SelfAssessment;
+import io.pineladder.membership.Membership.LocalHealth;
 import io.pineladder.membership.Membership.State;
 import io.pineladder.wire.GossipWire.PeerContact;
 import java.time.Duration;
@@ -35,7 +35,7 @@
   private static final Duration MIN_STATE_DURATION = Duration.ofSeconds(2);
 
   private final Collection<Peer> peers;
-  private SelfAssessment selfAssessment = SelfAssessment.SURE;
+  private LocalHealth selfAssessment = LocalHealth.HEALTHY;
 
   /** Whether any peer was ever heard: until then that none is heard says nothing. */
   private boolean everHeardPeer;
@@ -47,7 +47,7 @@
     this.peers = peers;
   }
 
-  SelfAssessment selfAssessment() {
+  LocalHealth selfAssessment() {
     return selfAssessment;
   }
 
@@ -110,7 +110,7 @@
   private void classifyUnresponsive(Peer peer, Instant now) {
     boolean suspectedLong =
         peer.state() != State.SUSPECT || !peer.stateChangedAt().plus(SUSPICION_PERIOD).isAfter(now);
-    boolean conclusive = suspectedLong && selfAssessment == SelfAssessment.SURE;
+    boolean conclusive = suspectedLong && selfAssessment == LocalHealth.HEALTHY;
     if (isHeardByAnyNode(peer, now)) {
       transitionTo(peer, State.APART, now);
     } else if (conclusive && !hasUpWitness(peer, now)) {
@@ -163,7 +163,7 @@
       hearsAny |= isFresh(peer.contactAt(), now);
     }
     boolean doubtful = doubtfulUntil.isAfter(now) || (everHeardPeer && !hearsAny);
-    SelfAssessment next = doubtful ? SelfAssessment.DOUBTFUL : SelfAssessment.SURE;
+    LocalHealth next = doubtful ? LocalHealth.DEGRADED : LocalHealth.HEALTHY;
     if (next != selfAssessment) {
       log.info("Self-assessment changed: assessment={} previous={}", next, selfAssessment);
       selfAssessment = next;
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -60,11 +60,11 @@
   }
 
   /** Whether this node trusts its own observations. */
-  public enum SelfAssessment {
+  public enum LocalHealth {
     /** It hears others, or has just begun. */
-    SURE,
+    HEALTHY,
     /** It hears nobody, or was paused: what it misses may be its own fault. */
-    DOUBTFUL
+    DEGRADED
   }
 
   /** Sends heartbeats to peers. */
@@ -153,7 +153,7 @@
   }
 
   /** Sets what receives each newer heartbeat's report of the records. */
-  public void onStoreStatus(Consumer<GossipWire.RecordStatus> listener) {
+  public void setRecordStatusListener(Consumer<GossipWire.RecordStatus> listener) {
     storeStatusListener = listener;
   }
 
@@ -273,7 +273,7 @@
   // ---- queries
 
   /** Whether this node trusts its own observations. */
-  public SelfAssessment selfAssessment() {
+  public LocalHealth localHealth() {
     return failureDetector.selfAssessment();
   }
 
--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -110,7 +110,7 @@
   public boolean startUnconfirmed;
 
   /** The end is handled and, where that matters, stored: the worker may forget the attempt. */
-  public boolean mayBeForgotten;
+  public boolean endProcessed;
 
   /** The attempt whose completion of the task is stored once this one is gone; or null. */
   public Attempt completedBy;
--- a/src/main/java/io/pineladder/model/Job.java
+++ b/src/main/java/io/pineladder/model/Job.java
@@ -54,13 +54,13 @@
   public Job cancellingPrerequisite;
 
   /** Tasks that are complete. */
-  public final BitSet done = new BitSet();
+  public final BitSet completedTasks = new BitSet();
 
   /** Complete tasks of which another attempt may still run; they are not stored as complete yet. */
-  public final BitSet unprovenDone = new BitSet();
+  public final BitSet unconfirmedCompletedTasks = new BitSet();
 
   /** Tasks that wait to be placed. */
-  public final BitSet pending = new BitSet();
+  public final BitSet pendingTasks = new BitSet();
 
   /** Attempts that may hold capacity, by task; a superseded one stays until it is proven gone. */
   public final Map<Integer, Set<Attempt>> attempts = new HashMap<>();
@@ -101,7 +101,7 @@
   }
 
   /** Changes the priority class and deadlines; this is the only place where they change. */
-  public void setUrgency(PriorityClass highest, ChainDeadlines times) {
+  public void setPriorityAndDeadlines(PriorityClass highest, ChainDeadlines times) {
     priorityClass = highest;
     chainDeadlines = times;
   }
@@ -129,12 +129,12 @@
   }
 
   /** Adds an attempt that may hold capacity. */
-  public void add(Attempt attempt) {
+  public void addAttempt(Attempt attempt) {
     attempts.computeIfAbsent(attempt.task, t -> new LinkedHashSet<>(2)).add(attempt);
   }
 
   /** Removes an attempt that no longer holds capacity. */
-  public void remove(Attempt attempt) {
+  public void removeAttempt(Attempt attempt) {
     Set<Attempt> taskAttempts = attempts.get(attempt.task);
     if (taskAttempts != null && taskAttempts.remove(attempt) && taskAttempts.isEmpty()) {
       attempts.remove(attempt.task);
@@ -143,7 +143,7 @@
 
   /** Whether a task may be started: it is not complete, and no attempt of it holds capacity. */
   public boolean mayStartTask(int task) {
-    return !attempts.containsKey(task) && !done.get(task);
+    return !attempts.containsKey(task) && !completedTasks.get(task);
   }
 
   @Override
--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -93,7 +93,7 @@
   public boolean listedRunning;
 
   /** The cloud has listed it as stopped by itself. */
-  public boolean stoppedByItself;
+  public boolean listedFailed;
 
   /** The attempts that it may list, by key, exited ones included. */
   public final Map<String, Attempt> attempts = new LinkedHashMap<>();
--- a/src/main/java/io/pineladder/model/Resources.java
+++ b/src/main/java/io/pineladder/model/Resources.java
@@ -81,7 +81,7 @@
   }
 
   /** The largest part of {@code whole} that any one dimension takes: the dominant share. */
-  public double shareOf(Resources whole) {
+  public double dominantShareOf(Resources whole) {
     return Math.max(
         share(microCpus, whole.microCpus),
         Math.max(share(microGpus, whole.microGpus), share(microGb, whole.microGb)));
--- a/src/main/java/io/pineladder/model/Subscription.java
+++ b/src/main/java/io/pineladder/model/Subscription.java
@@ -53,7 +53,7 @@
   }
 
   /** Whether the notification is for it. */
-  public boolean wants(Notification notification) {
+  public boolean matches(Notification notification) {
     if (notification.number() <= createdAfterNumber) {
       return false;
     }
@@ -66,7 +66,7 @@
   }
 
   /** Whether any of its filters, past ones included, is for such a job. */
-  public boolean mayWant(String team, String jobClass) {
+  public boolean mayMatch(String team, String jobClass) {
     return status != Status.ENDED
         && filters.stream().anyMatch(filter -> filter.matches(team, jobClass));
   }
@@ -87,7 +87,7 @@
   }
 
   /** The subscription with another status, and the reason for it or null. */
-  public Subscription with(Status next, String why) {
+  public Subscription withStatus(Status next, String why) {
     return new Subscription(
         name, incarnation, url, createdAfterNumber, filters, secrets, next, why);
   }
--- a/src/main/java/io/pineladder/model/Team.java
+++ b/src/main/java/io/pineladder/model/Team.java
@@ -22,7 +22,7 @@
   }
 
   /** How many more times {@code each} keeps a team with {@code usage} within its limit. */
-  public long countWithin(Resources usage, Resources each) {
+  public long maxAdditionalUnits(Resources usage, Resources each) {
     Resources limit = limit();
     long cpus = unitsWithin(limit.microCpus(), usage.microCpus(), each.microCpus());
     return Math.min(cpus, unitsWithin(limit.microGpus(), usage.microGpus(), each.microGpus()));
--- a/src/main/java/io/pineladder/net/AsyncHttpClient.java
+++ b/src/main/java/io/pineladder/net/AsyncHttpClient.java
@@ -52,7 +52,7 @@
     }
 
     /** Whether a response with this status arrived. */
-    public boolean is(int wanted) {
+    public boolean hasStatus(int wanted) {
       return outcome == Outcome.ANSWERED && status == wanted;
     }
 
--- a/src/main/java/io/pineladder/queue/QueueEntry.java
+++ b/src/main/java/io/pineladder/queue/QueueEntry.java
@@ -10,7 +10,7 @@
  */
 public final class QueueEntry {
   /** Where in the queue an entry is. Shown to operators by these names. */
-  public enum Place {
+  public enum State {
     /** Not in the queue. */
     OUTSIDE,
     /** In the active heap, to be scheduled by priority. */
@@ -28,7 +28,7 @@
   /** The job whose pending tasks these are. */
   public final Job job;
 
-  Place place = Place.OUTSIDE;
+  State state = State.OUTSIDE;
   SchedulingCheck rejectedBy;
 
   /** Scheduling cycles, or failures, since the back-off was last reset. */
@@ -56,8 +56,8 @@
   }
 
   /** Where in the queue the entry is. */
-  public Place place() {
-    return place;
+  public State state() {
+    return state;
   }
 
   /** The check that rejected it last; null before the first rejection. */
@@ -82,6 +82,6 @@
 
   @Override
   public String toString() {
-    return job + " " + place;
+    return job + " " + state;
   }
 }
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -69,8 +69,8 @@
   }
 
   /** The only place where an entry changes its place. */
-  private void transitionTo(QueueEntry entry, QueueEntry.Place next) {
-    switch (entry.place) {
+  private void transitionTo(QueueEntry entry, QueueEntry.State next) {
+    switch (entry.state) {
       case ACTIVE -> active.remove(entry);
       case BACKOFF_REJECTED -> rejectedInBackoff.remove(entry);
       case BACKOFF_ERROR -> failedInBackoff.remove(entry);
@@ -79,7 +79,7 @@
       case OUTSIDE -> {}
       default -> throw new IllegalStateException("Unknown place: " + entry);
     }
-    entry.place = next;
+    entry.state = next;
     switch (next) {
       case ACTIVE -> {
         entry.guaranteed = ordering.isGuaranteed(entry);
@@ -98,18 +98,18 @@
 
   /** Makes a new entry, or one whose job has new pending tasks, active. */
   public void add(QueueEntry entry) {
-    if (entry.place == QueueEntry.Place.ACTIVE || entry.place == QueueEntry.Place.IN_FLIGHT) {
+    if (entry.state == QueueEntry.State.ACTIVE || entry.state == QueueEntry.State.IN_FLIGHT) {
       return;
     }
-    if (entry.place == QueueEntry.Place.OUTSIDE) {
+    if (entry.state == QueueEntry.State.OUTSIDE) {
       entry.arrivalNumber = ++arrivals;
     }
-    transitionTo(entry, QueueEntry.Place.ACTIVE);
+    transitionTo(entry, QueueEntry.State.ACTIVE);
   }
 
   /** Removes an entry from wherever it is. */
   public void remove(QueueEntry entry) {
-    transitionTo(entry, QueueEntry.Place.OUTSIDE);
+    transitionTo(entry, QueueEntry.State.OUTSIDE);
   }
 
   /**
@@ -120,7 +120,7 @@
     if (entry == null) {
       return null;
     }
-    transitionTo(entry, QueueEntry.Place.IN_FLIGHT);
+    transitionTo(entry, QueueEntry.State.IN_FLIGHT);
     entry.lastCycleAt = now;
     entry.lastCycle = ++cycles;
     entry.attempts++;
@@ -134,7 +134,7 @@
 
   /** Makes an entry active again after a cycle that left tasks pending. */
   public void putBack(QueueEntry entry) {
-    transitionTo(entry, QueueEntry.Place.ACTIVE);
+    transitionTo(entry, QueueEntry.State.ACTIVE);
   }
 
   /** Ends an entry's cycle with the initial back-off, which no event cuts short. */
@@ -143,7 +143,7 @@
     entry.attempts = 1;
     entry.rejectedBy = check;
     entry.backoffExpiry = backoffExpiry(entry);
-    transitionTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
+    transitionTo(entry, QueueEntry.State.BACKOFF_REJECTED);
   }
 
   /** Ends an entry's cycle by a rejection; an event that came meanwhile may activate it at once. */
@@ -158,7 +158,7 @@
     }
     entry.rejectedBy = check;
     entry.backoffExpiry = backoffExpiry(entry);
-    transitionTo(entry, QueueEntry.Place.UNSCHEDULABLE);
+    transitionTo(entry, QueueEntry.State.UNSCHEDULABLE);
     applyHint(entry, best, now);
   }
 
@@ -171,18 +171,18 @@
     entry.lastCycleAt = now;
     entry.attempts = Math.max(1, failures);
     entry.backoffExpiry = backoffExpiry(entry);
-    if (entry.place == QueueEntry.Place.OUTSIDE) {
+    if (entry.state == QueueEntry.State.OUTSIDE) {
       entry.arrivalNumber = ++arrivals;
     }
-    transitionTo(entry, QueueEntry.Place.BACKOFF_ERROR);
+    transitionTo(entry, QueueEntry.State.BACKOFF_ERROR);
   }
 
   private void applyHint(QueueEntry entry, QueueingHint hint, Instant now) {
     if (hint == QueueingHint.QUEUE_IMMEDIATELY
         || (hint == QueueingHint.QUEUE && !entry.backoffExpiry.isAfter(now))) {
-      transitionTo(entry, QueueEntry.Place.ACTIVE);
+      transitionTo(entry, QueueEntry.State.ACTIVE);
     } else if (hint == QueueingHint.QUEUE) {
-      transitionTo(entry, QueueEntry.Place.BACKOFF_REJECTED);
+      transitionTo(entry, QueueEntry.State.BACKOFF_REJECTED);
     }
   }
 
@@ -259,7 +259,7 @@
     boolean applied = false;
     for (QueueEntry entry : helped) {
       Resources perTask = entry.job.spec.resourcesPerTask();
-      long count = Math.min(entry.job.pending.cardinality(), perTask.timesFittingIn(remaining));
+      long count = Math.min(entry.job.pendingTasks.cardinality(), perTask.timesFittingIn(remaining));
       if (count > 0) {
         remaining = remaining.minus(perTask.times(count));
         applyEvent(entry, event, now);
@@ -277,7 +277,7 @@
   public void activateExpired(Instant now) {
     for (PriorityQueue<QueueEntry> heap : List.of(rejectedInBackoff, failedInBackoff)) {
       while (!heap.isEmpty() && !heap.peek().backoffExpiry.isAfter(now)) {
-        transitionTo(heap.peek(), QueueEntry.Place.ACTIVE);
+        transitionTo(heap.peek(), QueueEntry.State.ACTIVE);
       }
     }
   }
@@ -300,15 +300,15 @@
                 .limit(maxPerCheck)
                 .filter(entry -> entry.lastCycleAt.isBefore(lastCycleBefore))
                 .toList()
-                .forEach(entry -> transitionTo(entry, QueueEntry.Place.ACTIVE));
+                .forEach(entry -> transitionTo(entry, QueueEntry.State.ACTIVE));
           }
         });
   }
 
   /** The sort keys of an entry have changed. */
   public void reorder(QueueEntry entry) {
-    if (entry.place == QueueEntry.Place.ACTIVE) {
-      transitionTo(entry, QueueEntry.Place.ACTIVE);
+    if (entry.state == QueueEntry.State.ACTIVE) {
+      transitionTo(entry, QueueEntry.State.ACTIVE);
     } else {
       entry.priorityClass = entry.job.priorityClass();
     }
@@ -316,8 +316,8 @@
 
   /** Activates the entry if it is unschedulable. */
   public void activateUnschedulable(QueueEntry entry) {
-    if (entry.place == QueueEntry.Place.UNSCHEDULABLE) {
-      transitionTo(entry, QueueEntry.Place.ACTIVE);
+    if (entry.state == QueueEntry.State.UNSCHEDULABLE) {
+      transitionTo(entry, QueueEntry.State.ACTIVE);
     }
   }
 
@@ -337,14 +337,14 @@
   }
 
   /** How many entries are in each place, for operators. */
-  public Map<QueueEntry.Place, Integer> sizes() {
-    EnumMap<QueueEntry.Place, Integer> sizes = new EnumMap<>(QueueEntry.Place.class);
-    sizes.put(QueueEntry.Place.ACTIVE, active.size());
-    sizes.put(QueueEntry.Place.IN_FLIGHT, inFlight.size());
-    sizes.put(QueueEntry.Place.BACKOFF_REJECTED, rejectedInBackoff.size());
-    sizes.put(QueueEntry.Place.BACKOFF_ERROR, failedInBackoff.size());
+  public Map<QueueEntry.State, Integer> sizes() {
+    EnumMap<QueueEntry.State, Integer> sizes = new EnumMap<>(QueueEntry.State.class);
+    sizes.put(QueueEntry.State.ACTIVE, active.size());
+    sizes.put(QueueEntry.State.IN_FLIGHT, inFlight.size());
+    sizes.put(QueueEntry.State.BACKOFF_REJECTED, rejectedInBackoff.size());
+    sizes.put(QueueEntry.State.BACKOFF_ERROR, failedInBackoff.size());
     sizes.put(
-        QueueEntry.Place.UNSCHEDULABLE, unschedulable.values().stream().mapToInt(Set::size).sum());
+        QueueEntry.State.UNSCHEDULABLE, unschedulable.values().stream().mapToInt(Set::size).sum());
     return sizes;
   }
 
--- a/src/main/java/io/pineladder/reconciliation/JobReconciler.java
+++ b/src/main/java/io/pineladder/reconciliation/JobReconciler.java
@@ -107,7 +107,7 @@
                 .filter(e -> e.value() != null)
                 .forEach(this::reconcileInboxEntry);
             watchInbox(changes.revision());
-          } else if (followed.reply().is(410)) {
+          } else if (followed.reply().hasStatus(410)) {
             storeClient.listAll(
                 RecordKeys.INBOX,
                 listener::isLeading,
@@ -186,8 +186,8 @@
   }
 
   private void onRecordRead(
-      String id, StoreClient.Read read, long removalsBefore, Consumer<JobLookup> onDone) {
-    if (!listener.isLeading() || !read.certain() || listener.isAccepting(id)) {
+      String id, StoreClient.ReadResult read, long removalsBefore, Consumer<JobLookup> onDone) {
+    if (!listener.isLeading() || !read.succeeded() || listener.isAccepting(id)) {
       onDone.accept(JobLookup.UNCERTAIN);
       return;
     }
@@ -232,7 +232,7 @@
           if (!listener.isLeading()) {
             return;
           }
-          if (!read.certain()) {
+          if (!read.succeeded()) {
             storeClient.scheduleRetry(backoff, () -> findDuplicateRecord(job, onDone));
             return;
           }
@@ -254,13 +254,13 @@
     storeClient.read(
         RecordKeys.UNPAGED_JOB + id,
         own -> {
-          if (own.found() || !own.certain() || !listener.isLeading()) {
+          if (own.found() || !own.succeeded() || !listener.isLeading()) {
             return;
           }
           storeClient.read(
               RecordKeys.FINAL_STATE + id,
               end -> {
-                boolean gone = end.certain() && !end.found() && listener.isLeading();
+                boolean gone = end.succeeded() && !end.found() && listener.isLeading();
                 if (gone && !cluster.jobs.containsKey(id)) {
                   onUnknown.run();
                 }
@@ -272,7 +272,7 @@
     storeClient.read(
         RecordKeys.FINAL_STATE + id,
         read -> {
-          if (!read.certain()) {
+          if (!read.succeeded()) {
             onDone.accept(JobLookup.UNCERTAIN);
             return;
           }
--- a/src/main/java/io/pineladder/recovery/FinalStateRestorer.java
+++ b/src/main/java/io/pineladder/recovery/FinalStateRestorer.java
@@ -55,7 +55,7 @@
         storeClient.post("/multi", body),
         1,
         reply -> {
-          if (reply.is(200) || reply.is(409)) {
+          if (reply.hasStatus(200) || reply.hasStatus(409)) {
             remaining.pollFirst();
           }
           eventLoop.schedule(WRITE_INTERVAL, () -> storeNext(remaining));
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -317,7 +317,7 @@
         key,
         read -> {
           long found = read.found() ? read.entry().revision() : 0;
-          if (sequence == currentSequence && read.certain() && found < known) {
+          if (sequence == currentSequence && read.succeeded() && found < known) {
             listener.onRecordMissing(key);
           }
         });
@@ -337,7 +337,7 @@
             upToDateAt = sent;
             changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), true));
             replica.advanceTo(revision);
-          } else if (followed.reply().is(410)
+          } else if (followed.reply().hasStatus(410)
               || (upToDateAt.plus(MAX_LAG).isBefore(eventLoop.now()) && storeClient.isHealthy())) {
             follow();
             return;
--- a/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
+++ b/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
@@ -150,7 +150,7 @@
     if (endReason == EndReason.DONE && job.spec.kind() != JobKind.SERVICE) {
       onTaskCompleted(attempt);
     } else {
-      attempt.mayBeForgotten = true;
+      attempt.endProcessed = true;
       if (endReason == EndReason.ERROR && job.isActive()) {
         onTaskFailed(attempt);
       }
@@ -192,22 +192,22 @@
   private void onTaskCompleted(Attempt attempt) {
     Job job = attempt.job;
     if (!job.isActive()) {
-      attempt.mayBeForgotten = true;
+      attempt.endProcessed = true;
       jobFinalizer.storeCancellationIfStopped(job);
       jobFinalizer.removeRecordIfFinished(job);
       return;
     }
     // The tasks of a gang complete together.
     if (job.spec.kind() == JobKind.GANG) {
-      job.done.set(0, job.spec.tasks());
+      job.completedTasks.set(0, job.spec.tasks());
     } else {
-      job.done.set(attempt.task);
+      job.completedTasks.set(attempt.task);
     }
-    job.pending.clear(attempt.task);
+    job.pendingTasks.clear(attempt.task);
     faultAttribution.recordSuccess(job);
     context.cluster.onDemandChanged(job);
     stopOtherAttempts(attempt);
-    if (job.done.cardinality() == job.spec.tasks()) {
+    if (job.completedTasks.cardinality() == job.spec.tasks()) {
       jobFinalizer.onAllTasksDone(job);
     }
   }
@@ -227,11 +227,11 @@
       }
     }
     if (others.isEmpty()) {
-      job.unprovenDone.clear(complete.task);
+      job.unconfirmedCompletedTasks.clear(complete.task);
       context.records().storeCompletion(job, complete);
       return;
     }
-    job.unprovenDone.set(complete.task);
+    job.unconfirmedCompletedTasks.set(complete.task);
     others.get(0).completedBy = complete;
     others.forEach(other -> kill(other, Duration.ZERO));
   }
@@ -284,11 +284,11 @@
         killAll(job, job.spec.checkpointDuration());
         return;
       }
-      job.pending.set(0, job.spec.tasks());
+      job.pendingTasks.set(0, job.spec.tasks());
     } else if (job.mayStartTask(attempt.task)) {
-      job.pending.set(attempt.task);
+      job.pendingTasks.set(attempt.task);
     }
-    if (job.pending.isEmpty()) {
+    if (job.pendingTasks.isEmpty()) {
       return;
     }
     // The last task of a failing gang to end may have been stopped because of the others.
@@ -302,8 +302,8 @@
   private void backOffAfterError(Job job, Attempt attempt) {
     QueueEntry entry = pendingJobs.entry(job);
     // Tasks that fail together, while the entry is in back-off already, count as one failure.
-    if (entry.place() != QueueEntry.Place.ACTIVE
-        && entry.place() != QueueEntry.Place.BACKOFF_ERROR) {
+    if (entry.state() != QueueEntry.State.ACTIVE
+        && entry.state() != QueueEntry.State.BACKOFF_ERROR) {
       boolean failing = job.failing || attempt.endReason == EndReason.ERROR;
       int failures = failing ? faultAttribution.countFailureRound(job) : entry.attempts() + 1;
       pendingJobs.queue().backOffAfterError(entry, failures, context.now());
--- a/src/main/java/io/pineladder/scheduling/ClusterState.java
+++ b/src/main/java/io/pineladder/scheduling/ClusterState.java
@@ -128,9 +128,9 @@
     double machineCount = 0;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name())) {
-        double machinesPerTask = Math.min(1, spec.resourcesPerTask().shareOf(type.capacity()));
+        double machinesPerTask = Math.min(1, spec.resourcesPerTask().dominantShareOf(type.capacity()));
         machineCount =
-            Math.max(machineCount, (spec.tasks() - job.done.cardinality()) * machinesPerTask);
+            Math.max(machineCount, (spec.tasks() - job.completedTasks.cardinality()) * machinesPerTask);
       }
     }
     return spotRisk.reclaimProbability(machineCount, spec.estimatedRunTime()) > SPOT_LOSS_THRESHOLD;
@@ -150,7 +150,7 @@
    * How soon a machine rented now that the job may use would have its image; zero if the job can
    * use no machine type.
    */
-  public Duration soonestStartElsewhere(JobSpec spec) {
+  public Duration minProvisioningTime(JobSpec spec) {
     Duration soonest = null;
     for (MachineType type : types.values()) {
       if (spec.allowsType(type.name()) && spec.resourcesPerTask().fitsIn(type.capacity())) {
@@ -173,7 +173,7 @@
         && spec.spotAllowed()
         && startAllowance(job, job.readyAt)
                 .minus(ServiceObjectives.dependencyWait(job))
-                .compareTo(soonestStartElsewhere(spec).multipliedBy(2))
+                .compareTo(minProvisioningTime(spec).multipliedBy(2))
             >= 0;
   }
 
@@ -372,7 +372,7 @@
   public Attempt addAttempt(
       Job job, int task, long number, Machine machine, Instant now, Attempt.State initialState) {
     Attempt attempt = new Attempt(job, task, number, machine, now, initialState);
-    job.add(attempt);
+    job.addAttempt(attempt);
     machine.attempts.put(attempt.key, attempt);
     machine.used = machine.used.plus(job.spec.resourcesPerTask());
     machine.idleSince = null;
@@ -395,7 +395,7 @@
       attempt.machine.used = attempt.machine.used.minus(freed);
       quotas.removeUsage(attempt.job.spec.team(), freed);
       capacityHolders.merge(attempt.job.spec.priorityClass(), -1, Integer::sum);
-      attempt.job.remove(attempt);
+      attempt.job.removeAttempt(attempt);
       updateIndexes(attempt.machine);
     }
     if (next == Attempt.State.GONE) {
--- a/src/main/java/io/pineladder/scheduling/FaultAttribution.java
+++ b/src/main/java/io/pineladder/scheduling/FaultAttribution.java
@@ -150,7 +150,7 @@
   }
 
   /** Removes the evidence of a job that is over. */
-  void forget(Job job) {
+  void remove(Job job) {
     FailureHistory history = historyByJob.remove(job);
     if (history != null) {
       history.failedMachines.forEach(machine -> withdrawFailure(job, machine));
@@ -160,7 +160,7 @@
   }
 
   /** Removes a machine that is gone; failures there remain evidence on its jobs. */
-  public void forget(Machine machine) {
+  public void remove(Machine machine) {
     failedJobsByMachine.remove(machine);
     quarantinedMachines.remove(machine);
     faultyMachines.remove(machine);
@@ -174,7 +174,7 @@
   }
 
   private static boolean isSuccessful(Job job, FailureHistory history, Instant now) {
-    if (!job.done.isEmpty()) {
+    if (!job.completedTasks.isEmpty()) {
       return true;
     }
     Duration successRunTime =
--- a/src/main/java/io/pineladder/scheduling/GangReservation.java
+++ b/src/main/java/io/pineladder/scheduling/GangReservation.java
@@ -89,7 +89,7 @@
     if (job.failing || job.readyAt.plus(MIN_WAIT).isAfter(eventLoop.wallClock())) {
       return false;
     }
-    boolean unheld = holder == null || !holder.isActive() || holder.pending.isEmpty();
+    boolean unheld = holder == null || !holder.isActive() || holder.pendingTasks.isEmpty();
     return unheld
         || holder == job
         || job.priorityClass().isAbove(holder.priorityClass())
--- a/src/main/java/io/pineladder/scheduling/JobDependencies.java
+++ b/src/main/java/io/pineladder/scheduling/JobDependencies.java
@@ -359,7 +359,7 @@
     if (unchanged) {
       return false;
     }
-    job.setUrgency(priorityClass, deadlines);
+    job.setPriorityAndDeadlines(priorityClass, deadlines);
     listener.onUrgencyChanged(job);
     return true;
   }
--- a/src/main/java/io/pineladder/scheduling/JobFinalizer.java
+++ b/src/main/java/io/pineladder/scheduling/JobFinalizer.java
@@ -27,9 +27,9 @@
 
   /** Nothing of the job is started from here on. */
   void removeFromQueue(Job job) {
-    job.pending.clear();
+    job.pendingTasks.clear();
     starvationBound.clear(job);
-    faultAttribution.forget(job);
+    faultAttribution.remove(job);
     pendingJobs.remove(job);
   }
 
--- a/src/main/java/io/pineladder/scheduling/ObjectiveOrdering.java
+++ b/src/main/java/io/pineladder/scheduling/ObjectiveOrdering.java
@@ -47,7 +47,7 @@
             ? ServiceObjectives.DEFAULT_START_ALLOWANCE
             : cluster.objectives().startAllowance(job, eventLoop.wallClock());
     Duration withOccupancy = allowance.plus(teamLimitOccupancy(job));
-    boolean anyTaskStarted = job.attempts.size() + job.done.cardinality() > 0;
+    boolean anyTaskStarted = job.attempts.size() + job.completedTasks.cardinality() > 0;
     Duration latest = MAX_START_DELAY.plus(ServiceObjectives.dependencyWait(job));
     return anyTaskStarted || job.failing || withOccupancy.compareTo(latest) < 0
         ? withOccupancy
@@ -65,7 +65,7 @@
       return Duration.ZERO;
     }
     double share =
-        spec.resourcesPerTask().times(spec.tasks() - job.done.cardinality()).shareOf(team.limit());
+        spec.resourcesPerTask().times(spec.tasks() - job.completedTasks.cardinality()).dominantShareOf(team.limit());
     return Duration.ofMillis((long) (spec.estimatedRunTime().toMillis() * share));
   }
 }
--- a/src/main/java/io/pineladder/scheduling/PendingJobs.java
+++ b/src/main/java/io/pineladder/scheduling/PendingJobs.java
@@ -59,7 +59,7 @@
 
   /** Makes the job's entry active if it has pending tasks. */
   void enqueue(Job job) {
-    if (job.isActive() && !job.pending.isEmpty()) {
+    if (job.isActive() && !job.pendingTasks.isEmpty()) {
       queue.add(entry(job));
       requestRun();
     }
@@ -141,7 +141,7 @@
    * @param withheld the jobs that policy alone denies capacity
    */
   void retryUnschedulable(List<Job> withheld, Instant now) {
-    int unschedulable = queue.sizes().get(QueueEntry.Place.UNSCHEDULABLE);
+    int unschedulable = queue.sizes().get(QueueEntry.State.UNSCHEDULABLE);
     int maxPerCheck =
         Math.min(
             MAX_UNSCHEDULABLE_RETRIES_PER_CHECK, 1 + unschedulable / UNSCHEDULABLE_RETRY_DIVISOR);
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -97,7 +97,7 @@
     boolean allOrNothing = spec.kind() == JobKind.GANG;
     Team team = cluster.team(spec.team());
     long withinLimit =
-        team == null ? 0 : team.countWithin(cluster.usage(spec.team()), spec.resourcesPerTask());
+        team == null ? 0 : team.maxAdditionalUnits(cluster.usage(spec.team()), spec.resourcesPerTask());
     if (withinLimit == 0 || (allOrNothing && withinLimit < taskCount)) {
       return Decision.rejected(SchedulingCheck.TEAM_LIMIT);
     }
@@ -216,7 +216,7 @@
    */
   static boolean wouldBlockDeadlineMachine(
       ClusterState cluster, Job job, Machine machine, Instant wallClock) {
-    Duration readyElsewhereAfter = cluster.soonestStartElsewhere(job.spec);
+    Duration readyElsewhereAfter = cluster.minProvisioningTime(job.spec);
     boolean isShort =
         job.spec.estimatedRunTime().compareTo(readyElsewhereAfter.multipliedBy(2)) <= 0;
     if (isShort || fillsMachine(job.spec, machine.type) || !cluster.canWaitForCapacity(job)) {
@@ -227,7 +227,7 @@
 
   /** Whether a task takes half of a machine of this type or more. */
   public static boolean fillsMachine(JobSpec spec, MachineType type) {
-    return 2 * spec.resourcesPerTask().shareOf(type.capacity()) >= 1;
+    return 2 * spec.resourcesPerTask().dominantShareOf(type.capacity()) >= 1;
   }
 
   /** Whether one more task on the machine satisfies the job's constraints on zones. */
@@ -373,7 +373,7 @@
               ? -DEADLINE_MACHINE_BONUS_SECONDS
               : ON_DEMAND_COST_SECONDS;
     }
-    cost += 1 - machine.used.shareOf(machine.type.capacity());
+    cost += 1 - machine.used.dominantShareOf(machine.type.capacity());
     return cost;
   }
 
--- a/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -64,7 +64,7 @@
    */
   boolean preemptFor(Job job, double maxFetchSeconds, Instant now) {
     int tasksWithoutCapacity =
-        job.pending.cardinality() - victimSelector.countMachinesBeingFreed(job, now);
+        job.pendingTasks.cardinality() - victimSelector.countMachinesBeingFreed(job, now);
     Instant scanStartedAt = eventLoop.now();
     if (tasksWithoutCapacity <= 0
         || nextScanAt.isAfter(scanStartedAt)
@@ -104,7 +104,7 @@
       return true;
     }
     Duration slack = cluster.startSlack(job, eventLoop.wallClock());
-    return slack.compareTo(cluster.soonestStartElsewhere(job.spec)) < 0;
+    return slack.compareTo(cluster.minProvisioningTime(job.spec)) < 0;
   }
 
   /**
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -233,7 +233,7 @@
     }
     for (int task = 0; task < job.spec.tasks(); task++) {
       if (job.mayStartTask(task)) {
-        job.pending.set(task);
+        job.pendingTasks.set(task);
       }
     }
     pendingJobs.enqueue(job);
@@ -248,7 +248,7 @@
   public boolean adoptUnrecorded(Attempt attempt) {
     Job job = attempt.job;
     boolean isOnlyAttempt = job.attempts.get(attempt.task).size() == 1;
-    if (!job.isActive() || job.done.get(attempt.task) || !isOnlyAttempt) {
+    if (!job.isActive() || job.completedTasks.get(attempt.task) || !isOnlyAttempt) {
       return false;
     }
     if (job.spec.kind() == JobKind.GANG) {
@@ -259,7 +259,7 @@
         }
       }
     }
-    job.pending.clear(attempt.task);
+    job.pendingTasks.clear(attempt.task);
     context.records().storePlacement(attempt);
     return true;
   }
--- a/src/main/java/io/pineladder/scheduling/SchedulingCycle.java
+++ b/src/main/java/io/pineladder/scheduling/SchedulingCycle.java
@@ -90,7 +90,7 @@
 
   private void run(QueueEntry entry, Instant now) {
     Job job = entry.job;
-    if (!job.isActive() || job.pending.isEmpty()) {
+    if (!job.isActive() || job.pendingTasks.isEmpty()) {
       pendingJobs.removeInCycle(entry);
     } else if (job.blockedByDependencies) {
       queue.markUnschedulable(entry, SchedulingCheck.DEPENDENCY, now);
@@ -127,7 +127,7 @@
   /** Places as many pending tasks of an array or a service as limits and capacity allow. */
   private void placeTasks(QueueEntry entry, Instant now) {
     Job job = entry.job;
-    int taskCount = Math.min(job.pending.cardinality(), MAX_TASKS_PER_CYCLE);
+    int taskCount = Math.min(job.pendingTasks.cardinality(), MAX_TASKS_PER_CYCLE);
     if (job.failing) {
       taskCount = Math.min(taskCount, MAX_PROBE_TASKS - job.attempts.size());
       if (taskCount <= 0) {
@@ -153,14 +153,14 @@
         return;
       }
       taskStarter.start(
-          job, job.pending.nextSetBit(0), taskStarter.nextAttemptNumber(), machine, now);
+          job, job.pendingTasks.nextSetBit(0), taskStarter.nextAttemptNumber(), machine, now);
       if (!job.failing) {
         entry.resetBackoff();
       }
     }
     if (!decision.isPlaced()) {
       reject(entry, decision.rejectedBy(), now);
-    } else if (job.pending.isEmpty()) {
+    } else if (job.pendingTasks.isEmpty()) {
       pendingJobs.removeInCycle(entry);
     } else {
       queue.putBack(entry);
--- a/src/main/java/io/pineladder/scheduling/TaskStarter.java
+++ b/src/main/java/io/pineladder/scheduling/TaskStarter.java
@@ -41,7 +41,7 @@
     if (machine.reservedFor() == job) {
       context.cluster.unreserve(machine);
     }
-    job.pending.clear(task);
+    job.pendingTasks.clear(task);
     starvationBound.clear(job);
     double fetchSeconds = Placer.fetchSeconds(job, machine);
     log.debug(
--- a/src/main/java/io/pineladder/scheduling/TeamQuotas.java
+++ b/src/main/java/io/pineladder/scheduling/TeamQuotas.java
@@ -98,7 +98,7 @@
       if (!job.isActive() || job.blockedByDependencies) {
         continue;
       }
-      int remainingTasks = job.spec.tasks() - job.done.cardinality();
+      int remainingTasks = job.spec.tasks() - job.completedTasks.cardinality();
       demand = demand.plus(job.spec.resourcesPerTask().times(remainingTasks));
       if (!team.guarantees(demand)) {
         break;
--- a/src/main/java/io/pineladder/store/AcceptedJobIndex.java
+++ b/src/main/java/io/pineladder/store/AcceptedJobIndex.java
@@ -156,7 +156,7 @@
             return;
           }
           // 410: the index is too old to be brought up to date.
-          finish(response.reply().is(410) ? State.EMPTY : State.LOADED, callers, false);
+          finish(response.reply().hasStatus(410) ? State.EMPTY : State.LOADED, callers, false);
         });
   }
 
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -209,11 +209,11 @@
       return;
     }
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         onExecuted(StoreWire.parseRevision(reply.body()));
         return;
       }
-      if (reply.is(409)) {
+      if (reply.hasStatus(409)) {
         onConflict(
             StoreWire.parseFailedConditions(reply.body(), storeClient.generation().prefix()));
         return;
@@ -221,7 +221,7 @@
     } catch (MalformedMessageException e) {
       log.warn("Malformed transaction reply, outcome unknown: reply={}", reply);
     }
-    if (reply.is(400)) {
+    if (reply.hasStatus(400)) {
       onBadRequest(reply);
     } else {
       onNoOutcome(reply);
@@ -263,7 +263,7 @@
 
   /** A refusal before execution, no reply, or one that the protocol does not name. */
   private void onNoOutcome(Reply reply) {
-    boolean notExecuted = reply.is(503) || reply.is(429) || reply.outcome() == Outcome.NOT_SENT;
+    boolean notExecuted = reply.hasStatus(503) || reply.hasStatus(429) || reply.outcome() == Outcome.NOT_SENT;
     if (!notExecuted) {
       // It may have been executed, or be yet.
       pending.markAmbiguous();
@@ -345,11 +345,11 @@
     storeClient.read(key, read -> onOwnRecordRead(key, read));
   }
 
-  private void onOwnRecordRead(String key, StoreClient.Read read) {
+  private void onOwnRecordRead(String key, StoreClient.ReadResult read) {
     if (state == State.CLOSED) {
       return;
     }
-    if (!read.certain()) {
+    if (!read.succeeded()) {
       storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
       return;
     }
@@ -379,7 +379,7 @@
           if (state == State.CLOSED) {
             return;
           }
-          if (!read.certain()) {
+          if (!read.succeeded()) {
             storeClient.scheduleRetry(backoff, this::resolveAmbiguity);
           } else if (read.found() && read.entry().revision() == fencingToken) {
             committed(revision);
--- a/src/main/java/io/pineladder/store/CompletionRecords.java
+++ b/src/main/java/io/pineladder/store/CompletionRecords.java
@@ -110,10 +110,10 @@
 
   private JsonNode encode(Chunk chunk) {
     chunk.beingStored = List.copyOf(chunk.waiting);
-    BitSet done = chunk.job.done;
-    if (!chunk.job.unprovenDone.isEmpty()) {
+    BitSet done = chunk.job.completedTasks;
+    if (!chunk.job.unconfirmedCompletedTasks.isEmpty()) {
       done = (BitSet) done.clone();
-      done.andNot(chunk.job.unprovenDone);
+      done.andNot(chunk.job.unconfirmedCompletedTasks);
     }
     Chunking chunking = chunkingOf(chunk.job);
     String id = chunk.job.spec.id();
@@ -123,7 +123,7 @@
   }
 
   private static void onStored(Chunk chunk) {
-    chunk.beingStored.forEach(attempt -> attempt.mayBeForgotten = true);
+    chunk.beingStored.forEach(attempt -> attempt.endProcessed = true);
     chunk.waiting.removeAll(chunk.beingStored);
     chunk.beingStored = List.of();
   }
@@ -135,7 +135,7 @@
     if (ofJob != null) {
       ofJob
           .values()
-          .forEach(chunk -> chunk.waiting.forEach(attempt -> attempt.mayBeForgotten = true));
+          .forEach(chunk -> chunk.waiting.forEach(attempt -> attempt.endProcessed = true));
     }
   }
 
--- a/src/main/java/io/pineladder/store/PrefixScan.java
+++ b/src/main/java/io/pineladder/store/PrefixScan.java
@@ -35,7 +35,7 @@
 
   /** Takes in a reply; false when it is no valid page, so that the request is to be repeated. */
   boolean addPage(Reply reply) {
-    if (!reply.is(200)) {
+    if (!reply.hasStatus(200)) {
       return false;
     }
     try {
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -64,7 +64,7 @@
   // ---- generation and revision
 
   /** Sets what is called with a revision that shows that the store has lost data. */
-  public void onRevisionRollback(LongConsumer listener) {
+  public void setRevisionRollbackListener(LongConsumer listener) {
     revisions.onRollback(listener);
   }
 
@@ -192,12 +192,12 @@
   /**
    * The outcome of a read of one key.
    *
-   * @param certain whether the read succeeded; if not, nothing may be concluded
+   * @param succeeded whether the read succeeded; if not, nothing may be concluded
    * @param entry the key's entry; null when it does not exist, or the read failed
    * @param revision the entry's revision, or the store's when there is no entry
    */
-  public record Read(boolean certain, StoreWire.Entry entry, long revision) {
-    static final Read FAILED = new Read(false, null, 0);
+  public record ReadResult(boolean succeeded, StoreWire.Entry entry, long revision) {
+    static final ReadResult FAILED = new ReadResult(false, null, 0);
 
     /** Whether the key exists. */
     public boolean found() {
@@ -206,19 +206,19 @@
   }
 
   /** Reads one key when the budget allows. */
-  public void read(String key, Consumer<Read> onRead) {
+  public void read(String key, Consumer<ReadResult> onRead) {
     RequestContext context = revisions.requestContext();
     send(get(keyPath(key)), reply -> onRead.accept(toRead(reply, context)));
   }
 
   /** Reads one key at once, whatever the budget; the reply itself is passed on as well. */
-  public void readImmediately(String key, BiConsumer<Read, Reply> onRead) {
+  public void readImmediately(String key, BiConsumer<ReadResult, Reply> onRead) {
     RequestContext context = revisions.requestContext();
     sendImmediately(get(keyPath(key)), reply -> onRead.accept(toRead(reply, context), reply));
   }
 
   /** Reads one key for a user, at once or not at all. */
-  public void readForUser(String key, Consumer<Read> onRead) {
+  public void readForUser(String key, Consumer<ReadResult> onRead) {
     RequestContext context = revisions.requestContext();
     sender.readForUser(get(keyPath(key)), reply -> onRead.accept(toRead(reply, context)));
   }
@@ -227,15 +227,15 @@
    * Reads which generation is active, at once: everything waits for that. A revision rollback makes
    * this answer no less certain, since whoever rebuilds has to know what the store holds now.
    */
-  public void readGeneration(Consumer<Read> onRead) {
+  public void readGeneration(Consumer<ReadResult> onRead) {
     RequestContext context = revisions.requestContext();
     sendImmediately(
         get(StoreWire.keyPath(RecordKeys.GENERATION)),
         reply -> {
-          Read read = toRead(reply, context);
+          ReadResult read = toRead(reply, context);
           try {
-            if (!read.certain() && reply.is(404)) {
-              read = new Read(true, null, StoreWire.parseRevision(reply.body()));
+            if (!read.succeeded() && reply.hasStatus(404)) {
+              read = new ReadResult(true, null, StoreWire.parseRevision(reply.body()));
             }
           } catch (MalformedMessageException e) {
             log.warn("Malformed store reply: request=generation error={}", e.getMessage());
@@ -244,20 +244,20 @@
         });
   }
 
-  private static Read toRead(Reply reply, RequestContext context) {
+  private static ReadResult toRead(Reply reply, RequestContext context) {
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         StoreWire.Entry entry = StoreWire.parseEntry(reply.body(), context.keyspace());
-        return new Read(true, entry, entry.revision());
+        return new ReadResult(true, entry, entry.revision());
       }
-      if (reply.is(404)) {
+      if (reply.hasStatus(404)) {
         long revision = StoreWire.parseRevision(reply.body());
-        return context.acceptRevision(revision) ? new Read(true, null, revision) : Read.FAILED;
+        return context.acceptRevision(revision) ? new ReadResult(true, null, revision) : ReadResult.FAILED;
       }
     } catch (MalformedMessageException e) {
-      return Read.FAILED;
+      return ReadResult.FAILED;
     }
-    return Read.FAILED;
+    return ReadResult.FAILED;
   }
 
   // ---- reads of a prefix
@@ -340,7 +340,7 @@
         get(StoreWire.listPath(keyspace + prefix, after == null ? null : keyspace + after)),
         reply -> {
           try {
-            if (reply.is(200)) {
+            if (reply.hasStatus(200)) {
               StoreWire.Page page = StoreWire.parsePage(reply.body(), keyspace);
               boolean accepted = anyRevision || context.acceptRevision(page.revision());
               onPage.accept(accepted ? page : null);
@@ -401,7 +401,7 @@
 
   private static ChangesReply toChangesReply(Reply reply, RequestContext context) {
     try {
-      if (reply.is(200)) {
+      if (reply.hasStatus(200)) {
         StoreWire.Changes changes = StoreWire.parseChanges(reply.body(), context.keyspace());
         return new ChangesReply(reply, context.acceptRevision(changes.revision()) ? changes : null);
       }
@@ -424,11 +424,11 @@
         post("/multi", conditions.bytes()),
         reply -> {
           try {
-            if (reply.is(200)) {
+            if (reply.hasStatus(200)) {
               onDone.accept(List.of());
               return;
             }
-            if (reply.is(409)) {
+            if (reply.hasStatus(409)) {
               onDone.accept(StoreWire.parseFailedConditions(reply.body(), context.keyspace()));
               return;
             }
--- a/src/main/java/io/pineladder/store/StoreRequestSender.java
+++ b/src/main/java/io/pineladder/store/StoreRequestSender.java
@@ -159,13 +159,13 @@
   private Consumer<Reply> observing(Consumer<Reply> onReply) {
     requestCount++;
     return reply -> {
-      rateLimitedCount += reply.is(429) ? 1 : 0;
+      rateLimitedCount += reply.hasStatus(429) ? 1 : 0;
       boolean executed = reply.isAnswered() && reply.status() < 429;
       if (executed) {
         lastResponseAt = eventLoop.now();
         healthy = true;
         retryBudget.onSuccess();
-      } else if (!reply.is(429)) {
+      } else if (!reply.hasStatus(429)) {
         healthy = false;
       }
       onReply.accept(reply);
--- a/src/main/java/io/pineladder/wire/CloudWire.java
+++ b/src/main/java/io/pineladder/wire/CloudWire.java
@@ -47,7 +47,7 @@
       Duration age) {}
 
   /** A page of the machine list; {@code more} when further pages follow. */
-  public record Page(List<ListedMachine> machines, boolean more) {}
+  public record Page(List<ListedMachine> machines, boolean hasMore) {}
 
   /** Reads the machine types that can be rented. */
   public static List<MachineType> parseTypes(byte[] body) throws MalformedMessageException {
--- a/src/main/java/io/pineladder/wire/DeliveryWire.java
+++ b/src/main/java/io/pineladder/wire/DeliveryWire.java
@@ -35,7 +35,7 @@
 
   // ---- stored records
 
-  private static ArrayNode texts(Collection<String> values) {
+  private static ArrayNode parseStringSet(Collection<String> values) {
     ArrayNode out = Json.array();
     values.forEach(out::add);
     return out;
@@ -48,7 +48,7 @@
   }
 
   /** The texts of a list, each once. */
-  public static Set<String> texts(JsonNode node) {
+  public static Set<String> parseStringSet(JsonNode node) {
     return Set.copyOf(textList(node));
   }
 
@@ -63,10 +63,10 @@
     ArrayNode filters = out.putArray("filters");
     for (Subscription.Filter filter : from.filters()) {
       ObjectNode one = filters.addObject().put("after", filter.afterNumber());
-      one.set("owners", texts(filter.teams().stream().sorted().toList()));
-      one.set("classes", texts(filter.classes().stream().sorted().toList()));
+      one.set("owners", parseStringSet(filter.teams().stream().sorted().toList()));
+      one.set("classes", parseStringSet(filter.classes().stream().sorted().toList()));
     }
-    out.set("secrets", texts(from.secrets()));
+    out.set("secrets", parseStringSet(from.secrets()));
     out.put("status", from.status().name().toLowerCase(Locale.ROOT));
     return from.reason() == null ? out : out.put("reason", from.reason());
   }
@@ -79,8 +79,8 @@
       filters.add(
           new Subscription.Filter(
               Fields.of(filter).integer("after", 0, MAX_NUMBER),
-              texts(filter.path("owners")),
-              texts(filter.path("classes"))));
+              parseStringSet(filter.path("owners")),
+              parseStringSet(filter.path("classes"))));
     }
     if (filters.isEmpty()) {
       throw new MalformedMessageException("filters is empty");
@@ -135,7 +135,7 @@
   /** The stored form of the allowed destination networks. */
   public static ObjectNode networks(Collection<String> networks) {
     ObjectNode out = Json.object();
-    out.set("networks", texts(networks));
+    out.set("networks", parseStringSet(networks));
     return out;
   }
 
--- a/src/main/java/io/pineladder/wire/StoreWire.java
+++ b/src/main/java/io/pineladder/wire/StoreWire.java
@@ -23,10 +23,10 @@
   public record Entry(String key, JsonNode value, long revision) {}
 
   /** A page of keys, as of {@code revision}. */
-  public record Page(List<Entry> entries, boolean more, long revision) {
+  public record Page(List<Entry> entries, boolean hasMore, long revision) {
     /** The key after which the next page begins; null when this is the last one. */
     public String nextPageAfter() {
-      return more && !entries.isEmpty() ? entries.get(entries.size() - 1).key() : null;
+      return hasMore && !entries.isEmpty() ? entries.get(entries.size() - 1).key() : null;
     }
   }
 
--- a/src/main/java/io/pineladder/workers/AttemptReconciler.java
+++ b/src/main/java/io/pineladder/workers/AttemptReconciler.java
@@ -121,7 +121,7 @@
     if (task.state() != TaskState.EXITED
         && !(listener.areRecordsIncomplete() && scheduler.adoptUnrecorded(attempt))) {
       log.info("Killing task without a stored placement: attempt={}", attempt);
-      job.pending.clear(attempt.task);
+      job.pendingTasks.clear(attempt.task);
       scheduler.kill(attempt, Duration.ZERO);
     }
     return attempt;
--- a/src/main/java/io/pineladder/workers/CommandReplyHandler.java
+++ b/src/main/java/io/pineladder/workers/CommandReplyHandler.java
@@ -46,10 +46,10 @@
    */
   boolean onReply(Machine machine, List<Attempt> started, Reply reply) {
     machine.commandInFlight = false;
-    boolean executed = reply.is(200);
+    boolean executed = reply.hasStatus(200);
     // A status that the protocol does not name proves nothing, least of all that a start had no
     // effect.
-    boolean refused = reply.is(409) || reply.is(400) || reply.outcome() == Outcome.NOT_SENT;
+    boolean refused = reply.hasStatus(409) || reply.hasStatus(400) || reply.outcome() == Outcome.NOT_SENT;
     settleStarts(started, executed, refused);
     if (refused || !executed) {
       // Kills in it may not have arrived; the next heartbeat response repeats them.
--- a/src/main/java/io/pineladder/workers/CommandWriter.java
+++ b/src/main/java/io/pineladder/workers/CommandWriter.java
@@ -55,7 +55,7 @@
         case RECOVERED, FETCHING_IMAGE, WAITING_FOR_GANG, RUNNING, SAVING_CHECKPOINT ->
             writeKill(attempt, commands, channel);
         case EXITED -> {
-          if (attempt.mayBeForgotten
+          if (attempt.endProcessed
               && !attempt.startUnconfirmed
               && channel == Channel.HEARTBEAT_RESPONSE) {
             commands.forget(attempt.job.spec.id(), attempt.task, attempt.number);
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveReader.java
@@ -70,7 +70,7 @@
   }
 
   /** How many workers of the zone have leases that other controllers keep alive. */
-  public int workersHeardByPeers(String zone) {
+  public int workersSeenByPeers(String zone) {
     Instant from = eventLoop.now().minus(KEEP_ALIVE_TTL);
     int heard = 0;
     for (KeepAlive keepAlive : keepAlives.values()) {
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -80,7 +80,7 @@
     storeClient.readForUser(
         RecordKeys.WORKER_KEEP_ALIVES + controllerName,
         read -> {
-          if (read.certain()) {
+          if (read.succeeded()) {
             storedRevision = read.found() ? read.entry().revision() : 0L;
             write(workersByZone);
           }
@@ -104,7 +104,7 @@
         1,
         reply -> {
           try {
-            storedRevision = reply.is(200) ? StoreWire.parseRevision(reply.body()) : null;
+            storedRevision = reply.hasStatus(200) ? StoreWire.parseRevision(reply.body()) : null;
           } catch (MalformedMessageException e) {
             // The outcome is as uncertain as without an answer: the next renewal reads the note.
             storedRevision = null;
--- a/src/main/java/io/pineladder/zones/Zones.java
+++ b/src/main/java/io/pineladder/zones/Zones.java
@@ -18,10 +18,10 @@
    * A zone as the administration API shows it.
    *
    * @param state the name of its state
-   * @param losses how often it has become unreachable in this term
+   * @param outageCount how often it has become unreachable in this term
    * @param outageDuration for how long it has been unreachable; zero if it is not
    */
-  public record View(String name, String state, int losses, Duration outageDuration) {}
+  public record View(String name, String state, int outageCount, Duration outageDuration) {}
 
   /** Applies a zone's heartbeat counts, once a second. */
   public void review(String name, HeartbeatCounts counts, Instant now) {
--- a/src/scale/java/io/pineladder/sim/HollowTasks.java
+++ b/src/scale/java/io/pineladder/sim/HollowTasks.java
@@ -35,9 +35,9 @@
   private List<JsonNode> events = new ArrayList<>();
 
   private Description of(Task task) {
-    Description found = descriptions.get(task.job());
+    Description found = descriptions.get(task.jobId());
     if (found == null) {
-      throw new IllegalStateException("the description of " + task.job() + " has not come in time");
+      throw new IllegalStateException("the description of " + task.jobId() + " has not come in time");
     }
     return found;
   }
@@ -78,12 +78,12 @@
             .add(System.nanoTime())
             .add(kind.name())
             .add(on == null ? "" : on.name)
-            .add(task.piece)
+            .add(task.id)
             .add(task.attempt));
   }
 
   @Override
-  public boolean isBroken(Task task) {
+  public boolean alwaysFails(Task task) {
     return false;
   }
 
@@ -98,30 +98,30 @@
   }
 
   @Override
-  public void commanded(Task task, Worker on) {
-    if (!descriptions.containsKey(task.job())) {
-      wanted.add(task.job());
+  public void onStartCommand(Task task, Worker on) {
+    if (!descriptions.containsKey(task.jobId())) {
+      wanted.add(task.jobId());
     }
     record(Kind.COMMANDED, task, on);
   }
 
   @Override
-  public void started(Task task, Worker on) {
+  public void onStarted(Task task, Worker on) {
     record(Kind.STARTED, task, on);
   }
 
   @Override
-  public void left(Task task, Worker from) {
+  public void onLeft(Task task, Worker from) {
     record(Kind.LEFT, task, from);
   }
 
   @Override
-  public void gather(Task task) {
+  public void onGangTaskReady(Task task) {
     record(Kind.GATHERING, task, null);
   }
 
   @Override
-  public void completed(Task task) {
+  public void onCompleted(Task task) {
     record(Kind.COMPLETED, task, null);
   }
 }
--- a/src/scale/java/io/pineladder/sim/HollowWorkers.java
+++ b/src/scale/java/io/pineladder/sim/HollowWorkers.java
@@ -42,8 +42,8 @@
     this.fleet = new FakeFleet(real.world(), tasks, controllers);
     fleet.reportMillis = reportMillis;
     fleet.leaseMillis = leaseMillis;
-    fleet.failsOneOf = 0;
-    fleet.reportsChanges = true;
+    fleet.failsOneIn = 0;
+    fleet.reportsTaskExits = true;
     real.runtime()
         .execute(
             () -> {
@@ -79,7 +79,7 @@
                 .get("hosts")
                 .forEach(
                     host ->
-                        fleet.run(
+                        fleet.runWorker(
                             host.get("ref").asText(),
                             host.get("addr").asText(),
                             host.get("hull").asText(),
@@ -119,12 +119,12 @@
     ObjectNode batch = tasks.take().put("process", own).put("workers", fleet.machines.size());
     batch.set("traffic", traffic.json());
     traffic.clear();
-    real.caller()
+    real.httpClient()
         .call(
             AsyncHttpClient.Request.post(control, "/events", Json.bytes(batch), PATIENCE),
             reply -> {
               underWay = false;
-              if (reply.is(200)) {
+              if (reply.hasStatus(200)) {
                 answeredMillis = real.world().now().toEpochMilli();
                 take(reply.body());
               } else {
@@ -147,7 +147,7 @@
                 String key = each.get(1).asText();
                 FakeFleet.Task task = worker == null ? null : worker.tasks.get(key);
                 if (task != null && task.status.equals("gathering")) {
-                  worker.run(key, task);
+                  worker.runTask(key, task);
                 }
               });
     } catch (MalformedMessageException e) {
--- a/src/scale/java/io/pineladder/sim/LoadGenerator.java
+++ b/src/scale/java/io/pineladder/sim/LoadGenerator.java
@@ -34,7 +34,7 @@
   private final Deque<ObjectNode> initial = new ArrayDeque<>();
 
   /** What any user was told of each job so far; the rules see it a moment later, in order. */
-  private final Map<String, SafetyRules.Told> told = new HashMap<>();
+  private final Map<String, SafetyRules.ReportedState> told = new HashMap<>();
 
   private int ids;
   private int refused;
@@ -48,7 +48,7 @@
       List<String> fronts) {
     this.options = options;
     this.world = real.world();
-    this.httpClient = real.caller();
+    this.httpClient = real.httpClient();
     this.rules = rules;
     this.history = history;
     this.fronts = fronts;
@@ -144,9 +144,9 @@
   }
 
   private void submit(ObjectNode spec) {
-    SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
+    SafetyRules.TrackedJob job = new SafetyRules.TrackedJob(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
-    job.submitted = world.now();
+    job.submittedAt = world.now();
     history.submitted(job.id);
     long begun = System.nanoTime();
     insist(
@@ -163,14 +163,14 @@
         });
   }
 
-  private void cancel(SafetyRules.Known job) {
-    if (told(job) != SafetyRules.Told.OVER) {
-      job.cancelAsked = true;
+  private void cancel(SafetyRules.TrackedJob job) {
+    if (told(job) != SafetyRules.ReportedState.FINISHED) {
+      job.cancelRequested = true;
       insist(job, "/v1/jobs/" + job.id + "/cancel", new byte[0], () -> {});
     }
   }
 
-  private void insist(SafetyRules.Known job, String path, byte[] body, Runnable then) {
+  private void insist(SafetyRules.TrackedJob job, String path, byte[] body, Runnable then) {
     call(
         job,
         "POST",
@@ -186,36 +186,36 @@
         });
   }
 
-  private void poll(SafetyRules.Known job) {
-    if (told(job) != SafetyRules.Told.OVER) {
+  private void poll(SafetyRules.TrackedJob job) {
+    if (told(job) != SafetyRules.ReportedState.FINISHED) {
       call(job, "GET", "/v1/jobs/" + job.id, null, Duration.ofSeconds(2), good -> {});
       world.after(POLL_MILLIS, () -> poll(job));
     }
   }
 
   private void call(
-      SafetyRules.Known job,
+      SafetyRules.TrackedJob job,
       String method,
       String path,
       byte[] body,
       Duration patience,
       Consumer<Boolean> then) {
-    SafetyRules.Told before = told(job);
+    SafetyRules.ReportedState before = told(job);
     String front = fronts.get(world.random.nextInt(fronts.size()));
     httpClient.call(
         new AsyncHttpClient.Request(front, method, path, body, patience),
         reply -> {
-          boolean good = reply.is(200) || reply.is(201);
+          boolean good = reply.hasStatus(200) || reply.hasStatus(201);
           if (reply.isAnswered()) {
             String state = good ? state(reply.body()) : null;
             if (state != null) {
               boolean over = state.equals("done") || state.equals("aborted");
               told.merge(
                   job.id,
-                  over ? SafetyRules.Told.OVER : SafetyRules.Told.ACCEPTED,
+                  over ? SafetyRules.ReportedState.FINISHED : SafetyRules.ReportedState.ACCEPTED,
                   LoadGenerator::later);
             }
-            history.now(() -> rules.answered(job, before, reply.status(), state));
+            history.now(() -> rules.checkAnswer(job, before, reply.status(), state));
           }
           refused += good ? 0 : 1;
           then.accept(good);
@@ -230,11 +230,11 @@
     }
   }
 
-  private static SafetyRules.Told later(SafetyRules.Told one, SafetyRules.Told other) {
+  private static SafetyRules.ReportedState later(SafetyRules.ReportedState one, SafetyRules.ReportedState other) {
     return one.compareTo(other) > 0 ? one : other;
   }
 
-  private SafetyRules.Told told(SafetyRules.Known job) {
-    return told.getOrDefault(job.id, SafetyRules.Told.NOTHING);
+  private SafetyRules.ReportedState told(SafetyRules.TrackedJob job) {
+    return told.getOrDefault(job.id, SafetyRules.ReportedState.UNKNOWN);
   }
 }
--- a/src/scale/java/io/pineladder/sim/RealTimeWorld.java
+++ b/src/scale/java/io/pineladder/sim/RealTimeWorld.java
@@ -19,7 +19,7 @@
 import java.util.function.Consumer;
 
 /** The stand-ins' world with the real clock and the loopback network, on one event thread. */
-final class RealTimeWorld implements SimulatedWorld.Outside {
+final class RealTimeWorld implements SimulatedWorld.ExternalNetwork {
   private static final Duration TICK = Duration.ofMillis(2);
   private static final Duration CLOSE = Duration.ofSeconds(2);
 
@@ -46,7 +46,7 @@
     this.caller = new UndertowHttpClient(runtime, address -> ConnectionLimiter.TrafficClass.ORDERS);
     this.worldBegun = world.now();
     this.begun = runtime.now();
-    world.outside = this;
+    world.externalNetwork = this;
     runtime.execute(this::tick);
   }
 
@@ -126,7 +126,7 @@
   }
 
   @Override
-  public AsyncHttpClient caller() {
+  public AsyncHttpClient httpClient() {
     return (request, onReply) -> {
       if (closed) {
         return;
--- a/src/scale/java/io/pineladder/sim/ScaleCluster.java
+++ b/src/scale/java/io/pineladder/sim/ScaleCluster.java
@@ -71,24 +71,24 @@
             workers,
             IntStream.range(0, options.processes()).mapToObj(this::hollowControl).toList());
     this.store = new FakeKeyValueStore(world, options.txnOps, (int) (options.valueKb * 1024));
-    store.pageEntries = 1_000;
-    store.mostLogged = 10_000;
+    store.pageSize = 1_000;
+    store.retainedChanges = 10_000;
     this.cloud = new FakeFleet(world, rules, List.of());
-    FakeFleet.Type type = ScaleSettings.TYPE;
+    FakeFleet.MachineType type = ScaleSettings.TYPE;
     cloud.types =
         List.of(
-            new FakeFleet.Type(
+            new FakeFleet.MachineType(
                 type.name(),
                 type.cpus(),
                 type.gpus(),
-                type.gb(),
-                type.pull(),
-                type.price(),
-                type.spot(),
-                type.boot(),
+                type.memoryGb(),
+                type.pullGbPerSecond(),
+                type.hourlyPrice(),
+                type.hourlySpotPrice(),
+                type.bootSeconds(),
                 ScaleSettings.zones(options.zones)));
     // All machines are up from the start, and no more are to be had.
-    cloud.capacity = 0;
+    cloud.zoneCapacity = 0;
     cloud.launcher = this;
     for (int i = 0; i < options.controllers; i++) {
       fronts.add(local(10 + 2 * i));
@@ -275,7 +275,7 @@
 
   /** Has all workers boot. */
   void bootWorkers() {
-    cloud.addUp(options.workers);
+    cloud.addRunningMachines(options.workers);
     sendBoots();
   }
 
@@ -335,11 +335,11 @@
   }
 
   private void post(String address, String path, ObjectNode body) {
-    real.caller()
+    real.httpClient()
         .call(
             AsyncHttpClient.Request.post(address, path, Json.bytes(body), PATIENCE),
             reply -> {
-              if (!reply.is(200)) {
+              if (!reply.hasStatus(200)) {
                 onFailure.accept(new AssertionError(address + path + ": " + reply));
               }
             });
--- a/src/scale/java/io/pineladder/sim/ScaleOptions.java
+++ b/src/scale/java/io/pineladder/sim/ScaleOptions.java
@@ -148,7 +148,7 @@
   Path out;
 
   /** The first fault of the sizes, naming its argument; null when there is none. */
-  String fault() {
+  String validationError() {
     if (controllers < 2 || controllers > 9) {
       return "--controllers: from 2 to 9";
     }
--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -78,7 +78,7 @@
   }
 
   /** What was measured, after {@link #call}. */
-  ObjectNode figures() {
+  ObjectNode results() {
     return report.json();
   }
 
@@ -93,7 +93,7 @@
 
   @Override
   public Integer call() throws IOException {
-    String fault = options.fault();
+    String fault = options.validationError();
     if (fault == null && options.processes() + options.controllers + 1 > MOST_PROCESSES) {
       fault = "--per-process: more than " + MOST_PROCESSES + " processes";
     }
@@ -181,7 +181,7 @@
   private void apply(ScaleCluster cluster) {
     try {
       cluster.history().apply();
-      cluster.rules().watchCancelled();
+      cluster.rules().checkCancelledJobs();
     } catch (AssertionError e) {
       fail(e);
       return;
@@ -218,7 +218,7 @@
     real.runtime()
         .execute(
             () ->
-                real.caller()
+                real.httpClient()
                     .call(AsyncHttpClient.Request.get(address, path, PATIENCE), got::complete));
     return got.join();
   }
@@ -226,14 +226,14 @@
   private static JsonNode askJson(RealTimeWorld real, String address, String path) {
     try {
       AsyncHttpClient.Reply reply = ask(real, address, path);
-      return reply.is(200) ? Json.parseObject(reply.body()) : null;
+      return reply.hasStatus(200) ? Json.parseObject(reply.body()) : null;
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
   }
 
   private boolean isReady(ScaleCluster cluster) {
-    return cluster.fronts().stream().allMatch(front -> ask(cluster.real(), front, "/ready").is(200))
+    return cluster.fronts().stream().allMatch(front -> ask(cluster.real(), front, "/ready").hasStatus(200))
         && leader(cluster) >= 0;
   }
 
@@ -330,8 +330,8 @@
         () -> {
           cluster.workerTraffic().clear();
           cluster.storeTraffic().clear();
-          requestsBefore = cluster.store().requests;
-          changesBefore = Map.copyOf(cluster.store().changes);
+          requestsBefore = cluster.store().requestCount;
+          changesBefore = Map.copyOf(cluster.store().changesByPrefix);
           cluster.history().measure(true);
         });
   }
@@ -361,12 +361,12 @@
           out.put("tasks_running", history.meanRunning());
           out.put("jobs_submitted", load.submitted());
           out.put("answers_missing", load.unanswered());
-          out.put("store_requests_a_second", (cluster.store().requests - requestsBefore) / seconds);
+          out.put("store_requests_a_second", (cluster.store().requestCount - requestsBefore) / seconds);
           ObjectNode changes = out.putObject("store_changes_a_second");
           double[] all = new double[1];
           cluster
               .store()
-              .changes
+              .changesByPrefix
               .forEach(
                   (kind, count) -> {
                     double rate = (count - changesBefore.getOrDefault(kind, 0)) / seconds;
--- a/src/scale/java/io/pineladder/sim/ScaleSeries.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSeries.java
@@ -119,7 +119,7 @@
     arguments.add(size == Math.rint(size) ? Long.toString((long) size) : Double.toString(size));
     new CommandLine(run).parseArgs(arguments.toArray(String[]::new));
     int exit = run.call();
-    ObjectNode figures = run.figures().put("varied", size);
+    ObjectNode figures = run.results().put("varied", size);
     if (!figures.has("rules_broken")) {
       figures.put("rules_broken", exit);
     }
--- a/src/scale/java/io/pineladder/sim/ScaleSettings.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSettings.java
@@ -14,8 +14,8 @@
 /** The settings files of a scale run's controllers. */
 final class ScaleSettings {
   /** What each machine has; a card and a half for each worker is what is planned for. */
-  static final FakeFleet.Type TYPE =
-      new FakeFleet.Type("w16", 16, 2, 64, 1, 4, 1, 10, List.of("z0"));
+  static final FakeFleet.MachineType TYPE =
+      new FakeFleet.MachineType("w16", 16, 2, 64, 1, 4, 1, 10, List.of("z0"));
 
   private final ScaleOptions options;
   private final String state;
--- a/src/scale/java/io/pineladder/sim/SettingsChanges.java
+++ b/src/scale/java/io/pineladder/sim/SettingsChanges.java
@@ -35,7 +35,7 @@
 
   SettingsChanges(RealTimeWorld real, List<String> clusters) {
     this.world = real.world();
-    this.httpClient = real.caller();
+    this.httpClient = real.httpClient();
     this.clusters = clusters;
   }
 
@@ -72,7 +72,7 @@
     httpClient.call(
         new AsyncHttpClient.Request(address, "PUT", PATH, body, PATIENCE),
         reply -> {
-          if (reply.is(200)) {
+          if (reply.hasStatus(200)) {
             Set<String> left = new HashSet<>(clusters);
             clusters.forEach(cluster -> look(cluster, value, begun, left));
           } else {
@@ -85,7 +85,7 @@
     httpClient.call(
         AsyncHttpClient.Request.get(cluster, PATH, PATIENCE),
         reply -> {
-          if (reply.is(200) && read(reply.body()) >= value) {
+          if (reply.hasStatus(200) && read(reply.body()) >= value) {
             left.remove(cluster);
             if (left.isEmpty()) {
               pending--;
--- a/src/scale/java/io/pineladder/sim/TaskHistory.java
+++ b/src/scale/java/io/pineladder/sim/TaskHistory.java
@@ -106,7 +106,7 @@
     ObjectNode out = Json.object();
     ObjectNode jobs = out.putObject("jobs");
     for (JsonNode id : batch.get("jobs")) {
-      SafetyRules.Known job = rules.jobs.get(id.asText());
+      SafetyRules.TrackedJob job = rules.jobs.get(id.asText());
       if (job == null) {
         throw new AssertionError("a task of " + id + " was started, which nobody submitted");
       }
@@ -135,13 +135,13 @@
         of.remove(event.piece);
       }
     } else if (event.kind == HollowTasks.Kind.STARTED) {
-      SafetyRules.Known job = rules.jobs.get(event.piece.substring(0, event.piece.indexOf('/')));
+      SafetyRules.TrackedJob job = rules.jobs.get(event.piece.substring(0, event.piece.indexOf('/')));
       if (!job.spec.get("shape").asText().equals("group")) {
         return;
       }
       Map<String, String> of = gathering.computeIfAbsent(gang, g -> new HashMap<>());
       of.put(event.piece, event.host);
-      if (of.size() == job.tasks()) {
+      if (of.size() == job.taskCount()) {
         of.forEach(
             (piece, host) ->
                 released
@@ -172,14 +172,14 @@
     Task task = new Task(event.piece, event.attempt);
     Worker on = workers.get(event.host);
     switch (event.kind) {
-      case COMMANDED -> rules.commanded(task, on);
+      case COMMANDED -> rules.onStartCommand(task, on);
       case STARTED -> {
-        rules.started(task, on);
+        rules.onStarted(task, on);
         running.add(event.piece);
         starts++;
         if (measuring) {
           measuredStarts++;
-          SafetyRules.Known job = rules.jobs.get(task.job());
+          SafetyRules.TrackedJob job = rules.jobs.get(task.jobId());
           long micros = (event.nanos - submitted.get(job.id)) / 1_000;
           waits
               .computeIfAbsent(
@@ -188,10 +188,10 @@
         }
       }
       case LEFT -> {
-        rules.left(task, on);
+        rules.onLeft(task, on);
         running.remove(event.piece);
       }
-      case COMPLETED -> rules.completed(task);
+      case COMPLETED -> rules.onCompleted(task);
       case GATHERING -> {}
     }
   }
--- a/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
+++ b/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
@@ -72,7 +72,7 @@
   private ControllerNode node() {
     try {
       return new ControllerNode(
-          SettingsReader.parse(SettingsReaderTest.GOOD),
+          SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS),
           eventLoop,
           this::store,
           "nonce",
--- a/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -47,7 +47,7 @@
     String unusedAddress = freeAddress();
     Settings settings =
         SettingsReader.parse(
-            SettingsReaderTest.GOOD
+            SettingsReaderTest.VALID_SETTINGS
                 .replace("10.0.0.1:8080", front)
                 .replace("10.0.0.1:8081", cluster)
                 .replaceAll("10\\.[02]\\.0\\.\\d:\\d+", unusedAddress));
@@ -56,7 +56,7 @@
         new UndertowHttpClient(eventLoop, address -> ConnectionLimiter.TrafficClass.SERVICES);
     ControllerNode node = new ControllerNode(settings, eventLoop, http, "nonce", null, null, null);
     Metrics metrics = new Metrics();
-    metrics.watch(eventLoop.connectionLimiter());
+    metrics.setConnectionLimiter(eventLoop.connectionLimiter());
     RequestRouter router = new RequestRouter(node, metrics);
     eventLoop.serve(
         new XnioEventLoop.Listener(
--- a/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
+++ b/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
@@ -24,7 +24,7 @@
   /** The example that the implementations of Standard Webhooks are tested with. */
   @Test
   void signaturesAreThoseOfStandardWebhooks() {
-    byte[] secret = WebhookSignature.secret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
+    byte[] secret = WebhookSignature.parseSecret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw");
     byte[] body = "{\"test\": 2432232314}".getBytes(StandardCharsets.UTF_8);
     String id = "msg_p5jXN8AQM9LWM0D4loKWxJek";
     String signed =
--- a/src/test/java/io/pineladder/delivery/NotificationJournalTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationJournalTest.java
@@ -83,7 +83,7 @@
       assertEquals(200, send(receiver, DeliveryWire.eventId(DESK, 5), lost, NOW, SECRET).status());
     }
     try (NotificationJournal journal = new NotificationJournal(file)) {
-      assertEquals(5, journal.position(DESK.source()));
+      assertEquals(5, journal.lastSequence(DESK.source()));
     }
     assertEquals(3, Files.readAllLines(file).size());
   }
@@ -104,7 +104,7 @@
     for (int length = first; length < whole.length; length++) {
       Files.write(file, Arrays.copyOf(whole, length));
       try (NotificationJournal journal = new NotificationJournal(file)) {
-        assertEquals(1, journal.position(DESK.source()), length + " bytes");
+        assertEquals(1, journal.lastSequence(DESK.source()), length + " bytes");
         send(receiver(journal), 2);
       }
       assertEquals(whole.length, Files.size(file));
@@ -140,7 +140,7 @@
           425, send(receiver, id, event(1), NOW.minus(bound).minusSeconds(1), SECRET).status());
       assertEquals(400, send(receiver, "another", event(1), NOW, SECRET).status());
       assertEquals(400, receiver.receive(name -> null, event(1)).status());
-      assertEquals(0, journal.position(DESK.source()));
+      assertEquals(0, journal.lastSequence(DESK.source()));
       assertEquals(200, send(receiver, id, event(1), NOW.plus(bound), SECRET).status());
       assertEquals(200, send(receiver, id, event(1), NOW.minus(bound), SECRET).status());
     }
--- a/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
@@ -86,7 +86,7 @@
   private void begin() {
     underWay.clear();
     outbox = new NotificationOutbox(MOST, 8192, eventLoop, this::commit, () -> {});
-    storedSubscriptions.values().forEach(outbox::known);
+    storedSubscriptions.values().forEach(outbox::onSubscriptionLoaded);
     List<Notification> notices = new ArrayList<>(storedNotices.values());
     // Pages come in no order of numbers.
     while (!notices.isEmpty()) {
@@ -96,7 +96,7 @@
           Json.bytes(RecordWire.notification(notification)).length + 1,
           () -> dropped.add(notification.number()));
     }
-    outbox.loaded();
+    outbox.onJobPagesLoaded();
     dropped.clear();
     Map<String, List<Notification>> backlog = new TreeMap<>();
     Map<String, Map<String, DeliveryProgress>> progress = new TreeMap<>();
@@ -110,7 +110,7 @@
     } catch (io.pineladder.wire.MalformedMessageException e) {
       throw new AssertionError(e);
     }
-    outbox.complete(backlog, progress);
+    outbox.onBacklogLoaded(backlog, progress);
   }
 
   private void commit(Mutation mutation) {
--- a/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
+++ b/src/test/java/io/pineladder/queue/SchedulingQueueTest.java
@@ -86,7 +86,7 @@
   /** An entry in the reference model. */
   private static final class ReferenceEntry {
     final QueueEntry entry;
-    QueueEntry.Place place = QueueEntry.Place.ACTIVE;
+    QueueEntry.State place = QueueEntry.State.ACTIVE;
     SchedulingCheck by;
     int tries;
     Instant triedAt;
@@ -124,7 +124,7 @@
           QueueEntry popped = queue.pop(now);
           ReferenceEntry first =
               model.stream()
-                  .filter(p -> p.place == QueueEntry.Place.ACTIVE)
+                  .filter(p -> p.place == QueueEntry.State.ACTIVE)
                   .min(
                       Comparator.<ReferenceEntry, PriorityClass>comparing(
                               p -> p.entry.job.spec.priorityClass())
@@ -145,12 +145,12 @@
           } else if (fate == 1) {
             queue.backOffAfterError(popped, popped.attempts(), now);
             first.backOff();
-            first.place = QueueEntry.Place.BACKOFF_ERROR;
+            first.place = QueueEntry.State.BACKOFF_ERROR;
           } else {
             first.by = fate == 2 ? SchedulingCheck.TEAM_LIMIT : SchedulingCheck.FIT;
             queue.markUnschedulable(popped, first.by, now);
             first.backOff();
-            first.place = QueueEntry.Place.UNSCHEDULABLE;
+            first.place = QueueEntry.State.UNSCHEDULABLE;
           }
         }
         case 3 -> {
@@ -158,23 +158,23 @@
           queue.onEvent(ClusterEvent.teamUsageReduced(team), now);
           for (ReferenceEntry p : model) {
             boolean waits =
-                p.place == QueueEntry.Place.UNSCHEDULABLE
-                    || p.place == QueueEntry.Place.BACKOFF_REJECTED;
+                p.place == QueueEntry.State.UNSCHEDULABLE
+                    || p.place == QueueEntry.State.BACKOFF_REJECTED;
             if (waits
                 && p.by == SchedulingCheck.TEAM_LIMIT
                 && p.entry.job.spec.team().equals(team)) {
-              p.place = QueueEntry.Place.ACTIVE;
+              p.place = QueueEntry.State.ACTIVE;
             }
           }
         }
         case 4 -> {
           queue.onEvent(ClusterEvent.capacityFreed(null, null, Long.MAX_VALUE), now);
           for (ReferenceEntry p : model) {
-            if (p.place == QueueEntry.Place.UNSCHEDULABLE && p.by == SchedulingCheck.FIT) {
+            if (p.place == QueueEntry.State.UNSCHEDULABLE && p.by == SchedulingCheck.FIT) {
               p.place =
                   p.until.isAfter(now)
-                      ? QueueEntry.Place.BACKOFF_REJECTED
-                      : QueueEntry.Place.ACTIVE;
+                      ? QueueEntry.State.BACKOFF_REJECTED
+                      : QueueEntry.State.ACTIVE;
             }
           }
         }
@@ -182,16 +182,16 @@
           queue.activateExpired(now);
           for (ReferenceEntry p : model) {
             boolean backingOff =
-                p.place == QueueEntry.Place.BACKOFF_REJECTED
-                    || p.place == QueueEntry.Place.BACKOFF_ERROR;
+                p.place == QueueEntry.State.BACKOFF_REJECTED
+                    || p.place == QueueEntry.State.BACKOFF_ERROR;
             if (backingOff && !p.until.isAfter(now)) {
-              p.place = QueueEntry.Place.ACTIVE;
+              p.place = QueueEntry.State.ACTIVE;
             }
           }
         }
       }
       for (ReferenceEntry p : model) {
-        assertEquals(p.place, p.entry.place(), "step " + step + " of " + p.entry);
+        assertEquals(p.place, p.entry.state(), "step " + step + " of " + p.entry);
       }
     }
   }
@@ -204,7 +204,7 @@
     queue.pop(ORIGIN);
     queue.onEvent(ClusterEvent.teamUsageReduced("t"), ORIGIN);
     queue.markUnschedulable(entry, SchedulingCheck.TEAM_LIMIT, ORIGIN);
-    assertEquals(QueueEntry.Place.ACTIVE, entry.place());
+    assertEquals(QueueEntry.State.ACTIVE, entry.state());
   }
 
   @Test
@@ -216,7 +216,7 @@
     queue.markUnschedulable(entry, SchedulingCheck.PREDECESSOR, ORIGIN);
     queue.onEvent(ClusterEvent.capacityFreed(null, null, Long.MAX_VALUE), ORIGIN.plusSeconds(60));
     queue.onEvent(ClusterEvent.teamUsageReduced("t"), ORIGIN.plusSeconds(60));
-    assertEquals(QueueEntry.Place.UNSCHEDULABLE, entry.place());
+    assertEquals(QueueEntry.State.UNSCHEDULABLE, entry.state());
     assertEquals(1, queue.unschedulableByCheck().get(SchedulingCheck.PREDECESSOR));
   }
 }
--- a/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
+++ b/src/test/java/io/pineladder/scheduling/FaultAttributionTest.java
@@ -95,7 +95,7 @@
   }
 
   private void complete(Job job) {
-    job.done.set(0);
+    job.completedTasks.set(0);
     faultAttribution.recordSuccess(job);
   }
 
@@ -159,7 +159,7 @@
           complete(job);
         }
         case 1, 2 -> {
-          faultAttribution.forget(job);
+          faultAttribution.remove(job);
           model.failedMachines.remove(job);
           failingJobs.remove(job);
           jobs.set(at, job(100 + step));
@@ -167,7 +167,7 @@
         default -> {
           Machine machine = machines.get(random.nextInt(machines.size()));
           fail(job, machine);
-          if (!job.done.isEmpty()) {
+          if (!job.completedTasks.isEmpty()) {
             model.succeeded.add(job);
           }
           Set<Machine> on = model.failedMachines.computeIfAbsent(job, j -> new LinkedHashSet<>());
--- a/src/test/java/io/pineladder/scheduling/PlacerTest.java
+++ b/src/test/java/io/pineladder/scheduling/PlacerTest.java
@@ -67,7 +67,7 @@
         [deployment.workers]\
         """;
     return new ClusterState(
-        SettingsReader.parse(SettingsReaderTest.GOOD.replace("[deployment.workers]", objective)));
+        SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS.replace("[deployment.workers]", objective)));
   }
 
   private static JobSpec randomSpec(RandomGenerator random, int id) {
@@ -161,7 +161,7 @@
   void placesExactlyWhenTheReferenceModelCan(long seed, boolean policy)
       throws SettingsReader.BadSettingsException {
     RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
+    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS));
     List<MachineType> types = List.of(type("small", 8, 2), type("large", 24, 4));
     for (int i = 0; i < 9; i++) {
       Machine machine =
@@ -227,7 +227,7 @@
 
   @Test
   void namesTheTeamLimitAsTheReason() throws SettingsReader.BadSettingsException {
-    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
+    ClusterState cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS));
     JobSpec spec =
         new JobSpec(
             "req-1",
@@ -320,7 +320,7 @@
         cluster.addJob(low);
         cluster.addAttempt(low, 0, 1, machine, NOW, Attempt.State.PLACEMENT_PENDING);
         Job high = job("req-2", "class", PriorityClass.NORMAL, NOW);
-        high.pending.set(0);
+        high.pendingTasks.set(0);
         cluster.addJob(high);
         Instant now = NOW.plusSeconds(age);
         List<Attempt> stopped = new ArrayList<>();
--- a/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
+++ b/src/test/java/io/pineladder/scheduling/PreemptionPolicyTest.java
@@ -64,7 +64,7 @@
 
   @BeforeEach
   void begin() throws SettingsReader.BadSettingsException {
-    cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.GOOD));
+    cluster = new ClusterState(SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS));
     cluster.setTypes(List.of(TYPE));
     preemptionPolicy = new PreemptionPolicy(cluster, TIME, attempt -> {});
   }
--- a/src/test/java/io/pineladder/sim/BadInputTest.java
+++ b/src/test/java/io/pineladder/sim/BadInputTest.java
@@ -27,9 +27,9 @@
   private Map<String, Integer> sendRepeatedly(String method, String path, byte[] body) {
     Map<String, Integer> answers = new HashMap<>();
     for (int i = 0; i < REQUEST_COUNT; i++) {
-      String node = fronts.get(i % fronts.size());
+      String node = apiAddresses.get(i % apiAddresses.size());
       world
-          .caller("user", () -> true)
+          .httpClient("user", () -> true)
           .call(
               new AsyncHttpClient.Request(node, method, path, body, Duration.ofSeconds(5)),
               reply -> answers.merge(describe(reply), 1, Integer::sum));
@@ -76,13 +76,13 @@
   @Test
   void ignoresInvalidAndRepeatedRequests() {
     begin(Layout.FLEET, 41);
-    SafetyRules.Known done = submit(work("array", 1).put("guess_s", 5));
-    SafetyRules.Known cancelled = submit(work("service", 1));
-    SafetyRules.Known runs = submit(work("service", 1));
+    SafetyRules.TrackedJob done = submit(simpleJobSpec("array", 1).put("guess_s", 5));
+    SafetyRules.TrackedJob cancelled = submit(simpleJobSpec("service", 1));
+    SafetyRules.TrackedJob runs = submit(simpleJobSpec("service", 1));
     world.runFor(Duration.ofSeconds(50));
     cancel(cancelled);
     world.runFor(Duration.ofSeconds(20));
-    assertTrue(done.done && cancelled.cancelled != null);
+    assertTrue(done.done && cancelled.cancelledAt != null);
     String holder = String.valueOf(store.value("lead/holder"));
 
     String jobs = "/v1/jobs/";
@@ -123,7 +123,7 @@
     // Heartbeats of unknown machines, with known and unknown types, and stale ones of a known
     // machine.
     FakeFleet.Worker busy =
-        fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
+        fleet.runningWorkers().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
     List<byte[]> heartbeats = new ArrayList<>();
     heartbeats.add(heartbeat("m-999998", "g4", 1, 1, 0, null));
     heartbeats.add(heartbeat("m-999999", "no-such", 1, 1, 0, "req-000777/0"));
@@ -146,9 +146,9 @@
     }
     world.runFor(Duration.ofSeconds(60));
     assertEquals(holder, String.valueOf(store.value("lead/holder")), "the leader keeps its term");
-    assertTrue(store.space().isEmpty(), "no data loss is assumed");
-    assertEquals(1, fleet.holding(runs.id).size(), "the running task is kept");
-    assertTrue(!runs.isOver());
+    assertTrue(store.generationPrefix().isEmpty(), "no data loss is assumed");
+    assertEquals(1, fleet.machinesHolding(runs.id).size(), "the running task is kept");
+    assertTrue(!runs.isFinished());
     settle(Duration.ofSeconds(30));
   }
 
@@ -246,7 +246,7 @@
   }
 
   private ObjectNode changedSpec(String change) throws MalformedMessageException {
-    ObjectNode spec = work("array", 2);
+    ObjectNode spec = simpleJobSpec("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
     if (!change.contains("=")) {
       spec.remove(change);
@@ -274,10 +274,10 @@
       for (String node : nodes) {
         ObjectNode spec = changedSpec(each.getKey());
         if (each.getValue() == 201) {
-          known(spec);
+          trackJob(spec);
         }
         world
-            .caller("user", () -> true)
+            .httpClient("user", () -> true)
             .call(
                 new AsyncHttpClient.Request(
                     node, "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
@@ -310,14 +310,14 @@
     begin(Layout.FLEET, 42);
     world.runFor(Duration.ofSeconds(10));
     Predicate<Integer> all = status -> true;
-    assertEquals(expectedAnswers(3, all, null), submitChangedJobs(fronts, all));
-    int leader = leader();
+    assertEquals(expectedAnswers(3, all, null), submitChangedJobs(apiAddresses, all));
+    int leader = leaderIndex();
     kill(controllers.get(leader), 3_600_000);
     // The leader's lease has not expired, so there is no new leader yet.
-    List<String> others = fronts.stream().filter(f -> !f.equals(fronts.get(leader))).toList();
+    List<String> others = apiAddresses.stream().filter(f -> !f.equals(apiAddresses.get(leader))).toList();
     Predicate<Integer> malformed = status -> status == 400;
     assertEquals(expectedAnswers(2, malformed, null), submitChangedJobs(others, malformed));
-    kill(controllers.get(leader()), 500);
+    kill(controllers.get(leaderIndex()), 500);
     // Without a leader each request needs reads of the key-value store, which are rate-limited: a
     // node answers 503 when it has none left. The node that was just killed refuses connections.
     Predicate<Integer> unsatisfiable = status -> status == 422;
@@ -338,8 +338,8 @@
     fleet.outage = true;
     world.runFor(Duration.ofSeconds(10));
     Predicate<Integer> malformed = status -> status == 400;
-    assertEquals(expectedAnswers(3, malformed, null), submitChangedJobs(fronts, malformed));
+    assertEquals(expectedAnswers(3, malformed, null), submitChangedJobs(apiAddresses, malformed));
     Predicate<Integer> others = status -> status != 400;
-    assertEquals(expectedAnswers(3, others, 503), submitChangedJobs(fronts, others));
+    assertEquals(expectedAnswers(3, others, 503), submitChangedJobs(apiAddresses, others));
   }
 }
--- a/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pineladder.failover.FailoverTimings.CompletedFailover;
+import io.pineladder.failover.FailoverTimings.FailoverSummary;
 import io.pineladder.failover.FailoverTimings.Phase;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -27,24 +27,24 @@
     }
   }
 
-  private CompletedFailover latestFailover() {
-    return controllers.get(leader()).node.failoverTimings().latest().get(0);
+  private FailoverSummary latestFailover() {
+    return controllers.get(leaderIndex()).node.failoverTimings().recentFailovers().get(0);
   }
 
-  private void assertWithin(CompletedFailover failover, Phase phase, Duration bound) {
+  private void assertWithin(FailoverSummary failover, Phase phase, Duration bound) {
     Duration took = failover.phases().get(phase);
     assertTrue(took != null && took.compareTo(bound) <= 0, phase + " took " + took);
   }
 
   private int runningTasks() {
     return fleet.machines.values().stream()
-        .mapToInt(w -> (int) w.tasks.values().stream().filter(t -> t.there).count())
+        .mapToInt(w -> (int) w.tasks.values().stream().filter(t -> t.onMachine).count())
         .sum();
   }
 
   private List<FakeFleet.Worker> busyWorkers(int count) {
     List<FakeFleet.Worker> busy = new ArrayList<>();
-    for (FakeFleet.Worker worker : fleet.up()) {
+    for (FakeFleet.Worker worker : fleet.runningWorkers()) {
       if (!worker.tasks.isEmpty() && busy.size() < count) {
         busy.add(worker);
       }
@@ -59,11 +59,11 @@
   @Test
   void aFleetComesThroughFaultsThatPileUp() {
     begin(41);
-    fleet.capacity = MACHINES;
-    fleet.addUp(MACHINES);
+    fleet.zoneCapacity = MACHINES;
+    fleet.addRunningMachines(MACHINES);
     world.runFor(Duration.ofSeconds(10));
     for (int i = 0; i < JOBS; i++) {
-      submit(job("service", TASKS_PER_JOB, "red").put("spread", false).put("together", false));
+      submit(jobSpec("service", TASKS_PER_JOB, "red").put("spread", false).put("together", false));
     }
     int wanted = JOBS * TASKS_PER_JOB;
     world.runFor(Duration.ofSeconds(60));
@@ -80,12 +80,12 @@
     controllers.forEach(each -> kill(each, 3_000));
     world.runFor(Duration.ofSeconds(6));
     store.endOutage();
-    int before = store.requests;
+    int before = store.requestCount;
     world.runFor(Duration.ofSeconds(5));
-    int requests = store.requests - before;
+    int requests = store.requestCount - before;
     assertTrue(requests <= 350, requests + " requests in the first 5 s after the outage");
     world.runFor(Duration.ofSeconds(15));
-    CompletedFailover first = latestFailover();
+    FailoverSummary first = latestFailover();
     assertWithin(first, Phase.STORE_READ, Duration.ofSeconds(2));
     assertWithin(first, Phase.FIRST_REPORT, Duration.ofSeconds(3));
     assertWithin(first, Phase.FLEET_HEARD, Duration.ofSeconds(8));
@@ -97,10 +97,10 @@
 
     busyWorkers(250).forEach(worker -> cutFromControllers(worker, 70_000));
     world.runFor(Duration.ofSeconds(5));
-    int frozen = leader();
+    int frozen = leaderIndex();
     world.freeze("10.0.0." + (frozen + 1), 30_000);
     world.runFor(Duration.ofSeconds(20));
-    assertTrue(leader() != frozen, "another controller leads");
+    assertTrue(leaderIndex() != frozen, "another controller leads");
     assertWithin(latestFailover(), Phase.FIRST_PLACEMENT, Duration.ofSeconds(14));
     world.runFor(Duration.ofSeconds(90));
     assertEquals(wanted, runningTasks(), "tasks of partitioned machines run elsewhere");
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -33,7 +33,7 @@
   private boolean[] upgraded = new boolean[5];
 
   @Override
-  Settings.StoreLimits store(int index, Settings.StoreLimits inForce) {
+  Settings.StoreLimits storeLimits(int index, Settings.StoreLimits inForce) {
     Settings.StoreLimits next =
         new Settings.StoreLimits(
             inForce.requestsPerSecond(),
@@ -57,21 +57,21 @@
   }
 
   /** A job array that runs for some seconds and depends on the given jobs. */
-  private ObjectNode dependentJob(int tasks, List<SafetyRules.Known> dependencies) {
-    ObjectNode spec = work("array", tasks).put("guess_s", some(2, 9));
+  private ObjectNode dependentJob(int tasks, List<SafetyRules.TrackedJob> dependencies) {
+    ObjectNode spec = simpleJobSpec("array", tasks).put("guess_s", randomBetween(2, 9));
     ArrayNode ids = spec.putArray("waits_on");
     dependencies.forEach(each -> ids.add(each.id));
     return spec;
   }
 
-  private SafetyRules.Known submitDependent(int tasks, SafetyRules.Known... dependencies) {
+  private SafetyRules.TrackedJob submitDependent(int tasks, SafetyRules.TrackedJob... dependencies) {
     return submit(dependentJob(tasks, List.of(dependencies)));
   }
 
   /** Submits a pipeline of three stages, each once its dependencies are accepted. */
   private void submitPipeline(int fan) {
-    SafetyRules.Known first = submit(dependentJob(2, List.of()));
-    List<SafetyRules.Known> middle = new ArrayList<>();
+    SafetyRules.TrackedJob first = submit(dependentJob(2, List.of()));
+    List<SafetyRules.TrackedJob> middle = new ArrayList<>();
     runOnceAccepted(
         List.of(first),
         () -> {
@@ -82,36 +82,36 @@
               middle,
               () -> {
                 ObjectNode last = dependentJob(1, middle).put("due_s", 120.0).put("rank", "urgent");
-                at(world.random.nextInt(4) == 0 ? 40_000 : 0, () -> submit(last));
+                schedule(world.random.nextInt(4) == 0 ? 40_000 : 0, () -> submit(last));
               });
         });
   }
 
-  private void runOnceAccepted(List<SafetyRules.Known> jobs, Runnable then) {
+  private void runOnceAccepted(List<SafetyRules.TrackedJob> jobs, Runnable then) {
     if (jobs.stream().allMatch(job -> job.accepted)) {
       then.run();
     } else {
-      at(100, () -> runOnceAccepted(jobs, then));
+      schedule(100, () -> runOnceAccepted(jobs, then));
     }
   }
 
   /** A job ends cancelled if it or a transitive dependency was cancelled, and done otherwise. */
   private void assertFinalStates() {
-    for (SafetyRules.Known job : rules.jobs.values()) {
+    for (SafetyRules.TrackedJob job : rules.jobs.values()) {
       boolean cancelled =
-          job.cancelled != null || rules.anyBefore(job, each -> each.cancelled != null);
-      assertEquals(cancelled, job.cancelled != null, job.id + " " + job.spec);
+          job.cancelledAt != null || rules.anyPrerequisite(job, each -> each.cancelledAt != null);
+      assertEquals(cancelled, job.cancelledAt != null, job.id + " " + job.spec);
     }
   }
 
   private int submissionStatus(ObjectNode spec) {
-    return requestStatus(fronts.get(0), "POST", "/v1/jobs", Json.bytes(spec));
+    return requestStatus(apiAddresses.get(0), "POST", "/v1/jobs", Json.bytes(spec));
   }
 
   private int requestStatus(String node, String method, String path, byte[] body) {
     int[] status = new int[1];
     world
-        .caller("user", () -> true)
+        .httpClient("user", () -> true)
         .call(
             new AsyncHttpClient.Request(node, method, path, body, Duration.ofSeconds(5)),
             reply -> status[0] = reply.status());
@@ -122,15 +122,15 @@
   @Test
   void startsJobsAfterTheirDependencies() {
     beginUpgraded(Layout.FLEET, 1);
-    SafetyRules.Known first = submitDependent(3);
-    SafetyRules.Known second = submit(work("array", 2).put("guess_s", 20));
+    SafetyRules.TrackedJob first = submitDependent(3);
+    SafetyRules.TrackedJob second = submit(simpleJobSpec("array", 2).put("guess_s", 20));
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known third = submitDependent(2, first, second);
+    SafetyRules.TrackedJob third = submitDependent(2, first, second);
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known last = submitDependent(1, third, first);
+    SafetyRules.TrackedJob last = submitDependent(1, third, first);
     world.runFor(Duration.ofSeconds(90));
     assertTrue(last.done);
-    assertTrue(third.begun.isAfter(first.begun.plusSeconds(2)));
+    assertTrue(third.firstStartedAt.isAfter(first.firstStartedAt.plusSeconds(2)));
     settle(Duration.ofSeconds(20));
     assertFinalStates();
   }
@@ -138,9 +138,9 @@
   @Test
   void whatIsSubmittedIsChecked() {
     beginUpgraded(Layout.FLEET, 2);
-    SafetyRules.Known known = submit(work("array", 1));
+    SafetyRules.TrackedJob known = submit(simpleJobSpec("array", 1));
     world.runFor(Duration.ofSeconds(40));
-    ObjectNode spec = work("array", 1);
+    ObjectNode spec = simpleJobSpec("array", 1);
     rules.jobs.remove(spec.get("ref").asText());
     assertEquals(400, submissionStatus(spec.deepCopy().put("waits_on", known.id)));
     assertEquals(400, submissionStatus(spec.deepCopy().set("waits_on", Json.array().add(7))));
@@ -152,13 +152,13 @@
     assertEquals(422, submissionStatus(itself));
     ObjectNode good = spec.deepCopy();
     good.set("waits_on", Json.array().add(known.id).add(known.id));
-    SafetyRules.Known job = known(good);
+    SafetyRules.TrackedJob job = trackJob(good);
     assertEquals(201, submissionStatus(good));
     job.accepted = true;
     // A repeated submission returns the status, whatever dependencies it names.
     assertEquals(200, submissionStatus(itself));
-    ObjectNode nothing = work("array", 1).putNull("waits_on");
-    known(nothing).accepted = true;
+    ObjectNode nothing = simpleJobSpec("array", 1).putNull("waits_on");
+    trackJob(nothing).accepted = true;
     assertEquals(201, submissionStatus(nothing));
     rules.jobs.values().forEach(this::poll);
     settle(Duration.ofSeconds(60));
@@ -168,24 +168,24 @@
   @Test
   void aCancellationReachesAllThatNeedTheJob() {
     beginUpgraded(Layout.FLEET, 3);
-    SafetyRules.Known root = submit(work("array", 2).put("guess_s", 60));
+    SafetyRules.TrackedJob root = submit(simpleJobSpec("array", 2).put("guess_s", 60));
     world.runFor(Duration.ofSeconds(2));
-    List<SafetyRules.Known> tree = new ArrayList<>();
+    List<SafetyRules.TrackedJob> tree = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      SafetyRules.Known dependency = i < 4 ? root : tree.get(i / 4 - 1);
+      SafetyRules.TrackedJob dependency = i < 4 ? root : tree.get(i / 4 - 1);
       tree.add(submitDependent(1, dependency));
       world.runFor(Duration.ofMillis(500));
     }
     world.runFor(Duration.ofSeconds(15));
     cancel(root);
-    while (root.cancelled == null) {
+    while (root.cancelledAt == null) {
       world.runFor(Duration.ofMillis(20));
     }
     killLeader(6_000);
-    SafetyRules.Known late = submitDependent(1, tree.get(39));
+    SafetyRules.TrackedJob late = submitDependent(1, tree.get(39));
     world.runFor(Duration.ofSeconds(60));
-    tree.forEach(job -> assertTrue(job.cancelled != null, job.id));
-    assertTrue(late.cancelled != null);
+    tree.forEach(job -> assertTrue(job.cancelledAt != null, job.id));
+    assertTrue(late.cancelledAt != null);
     settle(Duration.ofSeconds(60));
     assertFinalStates();
   }
@@ -194,9 +194,9 @@
   @Test
   void runsDependentsOfJobDoneBeforeItsCancellation() {
     beginUpgraded(Layout.FLEET, 4);
-    SafetyRules.Known first = submit(work("array", 1).put("guess_s", 3));
+    SafetyRules.TrackedJob first = submit(simpleJobSpec("array", 1).put("guess_s", 3));
     world.runFor(Duration.ofSeconds(2));
-    SafetyRules.Known second = submitDependent(1, first);
+    SafetyRules.TrackedJob second = submitDependent(1, first);
     while (!first.done) {
       world.runFor(Duration.ofMillis(100));
     }
@@ -210,11 +210,11 @@
   void theVersionIsRaisedOnceAllControllersSupportIt() {
     upgraded = new boolean[] {true, true, false};
     begin(Layout.FLEET, 5);
-    SafetyRules.Known job = submit(work("array", 1));
+    SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 1));
     world.runFor(Duration.ofSeconds(60));
     assertTrue(store.value("conf/version") == null);
     ObjectNode chained = dependentJob(1, List.of(job));
-    SafetyRules.Known second = known(chained);
+    SafetyRules.TrackedJob second = trackJob(chained);
     assertEquals(503, submissionStatus(chained));
     upgraded[2] = true;
     kill(controllers.get(2), 3_000);
@@ -232,8 +232,8 @@
     upgraded[1] = false;
     kill(controllers.get(1), 1_000);
     world.runFor(Duration.ofSeconds(30));
-    assertEquals(503, requestStatus(fronts.get(1), "GET", "/ready", null));
-    assertEquals(200, requestStatus(fronts.get(0), "GET", "/ready", null));
+    assertEquals(503, requestStatus(apiAddresses.get(1), "GET", "/ready", null));
+    assertEquals(200, requestStatus(apiAddresses.get(0), "GET", "/ready", null));
     kill(controllers.get(0), 60_000);
     kill(controllers.get(2), 60_000);
     world.runFor(Duration.ofSeconds(40));
@@ -255,14 +255,14 @@
         submitPipeline(1 + world.random.nextInt(3));
       }
       submit(
-          work(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3))
+          simpleJobSpec(i % 6 == 5 ? "service" : "array", 1 + world.random.nextInt(3))
               .put("owner", i % 6 == 5 ? "red" : "blue"));
       if (world.random.nextInt(4) == 0) {
-        cancelSome(chained ? 0.08 : 0.03);
+        cancelRandomJobs(chained ? 0.08 : 0.03);
       }
       List.copyOf(rules.jobs.values()).stream()
           .filter(job -> world.random.nextInt(12) == 0)
-          .forEach(this::ask);
+          .forEach(this::queryStatus);
       world.runFor(Duration.ofMillis(1_500));
     }
   }
@@ -277,8 +277,8 @@
     begin(layout, 40_000 + 10L * seed + layout.ordinal());
     for (int i = 0; i < 30; i++) {
       submit(
-          work(i % 8 == 0 ? "service" : "array", 1 + i % 2)
-              .put("guess_s", i % 8 == 0 ? 0 : some(5, 100)));
+          simpleJobSpec(i % 8 == 0 ? "service" : "array", 1 + i % 2)
+              .put("guess_s", i % 8 == 0 ? 0 : randomBetween(5, 100)));
       if (i % 10 == 0) {
         world.runFor(Duration.ofMillis(700));
       }
@@ -286,35 +286,35 @@
     arrivals(8, false);
     for (Controller each : controllers) {
       upgraded[each.index] = true;
-      kill(each, some(2_000, 7_000));
+      kill(each, randomBetween(2_000, 7_000));
       if (world.random.nextInt(3) == 0) {
-        at(
-            some(0, 8_000),
-            () -> kill(controllers.get(world.random.nextInt(layout.nodes)), some(500, 6_000)));
+        schedule(
+            randomBetween(0, 8_000),
+            () -> kill(controllers.get(world.random.nextInt(layout.nodes)), randomBetween(500, 6_000)));
       }
       arrivals(6, false);
     }
-    world.runFor(Duration.ofMillis(some(0, 6_000)));
-    store.lower(LOWERED_TXN_OPS, LOWERED_VALUE_BYTES, LOWERED_CHANGES_PER_SECOND);
-    at(some(0, 12_000), () -> killLeader(some(500, 6_000)));
-    at(some(0, 40_000), () -> killLeader(some(500, 6_000)));
+    world.runFor(Duration.ofMillis(randomBetween(0, 6_000)));
+    store.lowerLimits(LOWERED_TXN_OPS, LOWERED_VALUE_BYTES, LOWERED_CHANGES_PER_SECOND);
+    schedule(randomBetween(0, 12_000), () -> killLeader(randomBetween(500, 6_000)));
+    schedule(randomBetween(0, 40_000), () -> killLeader(randomBetween(500, 6_000)));
     if (world.random.nextBoolean()) {
-      at(some(0, 30_000), () -> outage(some(2_000, 20_000)));
+      schedule(randomBetween(0, 30_000), () -> storeOutage(randomBetween(2_000, 20_000)));
     }
-    store.lateWrites = world.random.nextInt(3) == 0 ? 0.1 : 0;
+    store.delayedTransactionRate = world.random.nextInt(3) == 0 ? 0.1 : 0;
     arrivals(25, true);
-    store.lateWrites = 0;
-    looksClosely = world.random.nextBoolean();
+    store.delayedTransactionRate = 0;
+    sendsRequestBursts = world.random.nextBoolean();
     arrivals(10, true);
-    looksClosely = false;
+    sendsRequestBursts = false;
     world.runFor(Duration.ofSeconds(60));
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     settle(Duration.ofSeconds(400));
     assertFinalStates();
     assertEquals(2, store.value("conf/version").get("version").asInt());
-    assertEquals(List.of(), store.largeValues());
+    assertEquals(List.of(), store.oversizedKeys());
     // Before it knows the members' versions, a leader may retry large writes of an earlier leader.
-    assertTrue(store.tooLarge < 20, store.tooLarge + " transactions exceeded the lowered limits");
+    assertTrue(store.oversizedTransactions < 20, store.oversizedTransactions + " transactions exceeded the lowered limits");
   }
 
   // Negative tests: each check fails on a run that violates its rule.
@@ -322,30 +322,30 @@
   @Test
   void detectsStartBeforeDependencyIsDone() {
     beginUpgraded(Layout.FLEET, 7);
-    SafetyRules.Known first = submit(work("array", 1).put("guess_s", 500));
+    SafetyRules.TrackedJob first = submit(simpleJobSpec("array", 1).put("guess_s", 500));
     world.runFor(Duration.ofSeconds(30));
-    SafetyRules.Known second = submitDependent(1, first);
+    SafetyRules.TrackedJob second = submitDependent(1, first);
     world.runFor(Duration.ofSeconds(5));
-    FakeFleet.Worker on = fleet.up().get(0);
-    rules.placed = null;
+    FakeFleet.Worker on = fleet.runningWorkers().get(0);
+    rules.placementLookup = null;
     AssertionError seen =
         assertThrows(
-            AssertionError.class, () -> rules.started(new FakeFleet.Task(second.id + "/0", 1), on));
+            AssertionError.class, () -> rules.onStarted(new FakeFleet.Task(second.id + "/0", 1), on));
     assertTrue(seen.getMessage().startsWith("too_early"), seen.getMessage());
   }
 
   @Test
   void detectsOrphanedDependent() {
     beginUpgraded(Layout.FLEET, 8);
-    SafetyRules.Known first = known(work("array", 1));
-    SafetyRules.Known second = known(dependentJob(1, List.of(first)));
-    first.cancelAsked = true;
-    rules.told(first, "aborted");
-    rules.told(second, "pending");
+    SafetyRules.TrackedJob first = trackJob(simpleJobSpec("array", 1));
+    SafetyRules.TrackedJob second = trackJob(dependentJob(1, List.of(first)));
+    first.cancelRequested = true;
+    rules.checkReportedState(first, "aborted");
+    rules.checkReportedState(second, "pending");
     world.runFor(Duration.ofSeconds(41));
-    AssertionError seen = assertThrows(AssertionError.class, () -> rules.told(second, "pending"));
+    AssertionError seen = assertThrows(AssertionError.class, () -> rules.checkReportedState(second, "pending"));
     assertTrue(seen.getMessage().startsWith("orphaned"), seen.getMessage());
-    rules.told(second, "aborted");
-    assertFalse(second.cancelled == null);
+    rules.checkReportedState(second, "aborted");
+    assertFalse(second.cancelledAt == null);
   }
 }
--- a/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
@@ -20,15 +20,15 @@
     begin(1);
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 8; i++) {
-      submit(job(i % 4 == 0 ? "group" : "array", 3, "red"));
+      submit(jobSpec(i % 4 == 0 ? "group" : "array", 3, "red"));
     }
-    SafetyRules.Known service = submit(job("service", 2, "red"));
+    SafetyRules.TrackedJob service = submit(jobSpec("service", 2, "red"));
     world.runFor(Duration.ofSeconds(60));
     cancel(service);
     settle(Duration.ofSeconds(40));
-    assertTrue(service.cancelled != null);
+    assertTrue(service.cancelledAt != null);
     // All nodes know the machine types before the first submission, so no request is rejected.
-    assertEquals(0, unanswered);
+    assertEquals(0, failedRequests);
   }
 
   /**
@@ -39,7 +39,7 @@
   void aPeerStoresWhatANodeWithoutLeaderAndStoreCannot() {
     begin(5);
     world.runFor(Duration.ofSeconds(5));
-    int leader = leader();
+    int leader = leaderIndex();
     String leading = "10.0.0." + (leader + 1);
     String alone = "10.0.0." + ((leader + 1) % 3 + 1);
     String peer = "10.0.0." + ((leader + 2) % 3 + 1);
@@ -48,10 +48,10 @@
     world.cut(peer, leading);
     world.runFor(Duration.ofSeconds(8));
     int[] status = new int[1];
-    ObjectNode spec = job("array", 2, "red");
-    SafetyRules.Known job = known(spec);
+    ObjectNode spec = jobSpec("array", 2, "red");
+    SafetyRules.TrackedJob job = trackJob(spec);
     world
-        .caller("user", () -> true)
+        .httpClient("user", () -> true)
         .call(
             new AsyncHttpClient.Request(
                 alone + ":8080", "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
@@ -72,21 +72,21 @@
     begin(6);
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 5; i++) {
-      submit(job("service", 4, "red"));
+      submit(jobSpec("service", 4, "red"));
     }
     world.runFor(Duration.ofSeconds(30));
-    int before = leader();
+    int before = leaderIndex();
     String host = "10.0.0." + (before + 1);
-    assertTrue(fleet.up().size() >= 4);
+    assertTrue(fleet.runningWorkers().size() >= 4);
     for (int i = 1; i <= 60; i++) {
       world.cut(host, "10.1.0." + i);
     }
     world.runFor(Duration.ofSeconds(35));
-    int after = leader();
+    int after = leaderIndex();
     assertTrue(before != after, "leader " + after);
     world.runFor(Duration.ofSeconds(40));
-    assertEquals(after, leader());
-    SafetyRules.Known late = submit(job("array", 4, "blue"));
+    assertEquals(after, leaderIndex());
+    SafetyRules.TrackedJob late = submit(jobSpec("array", 4, "blue"));
     world.runFor(Duration.ofSeconds(60));
     assertTrue(late.done, "served during the partition");
   }
@@ -116,16 +116,16 @@
 
   private void runWithRandomFaults() {
     world.runFor(Duration.ofSeconds(4));
-    world.lossy = 0.03;
+    world.lossRate = 0.03;
     for (int step = 0; step < 60; step++) {
-      SafetyRules.Known job = submit(randomJob());
-      job.broken = world.random.nextInt(12) == 0;
-      List<SafetyRules.Known> open =
-          rules.jobs.values().stream().filter(j -> j.accepted && !j.isOver()).toList();
+      SafetyRules.TrackedJob job = submit(randomJobSpec());
+      job.alwaysFails = world.random.nextInt(12) == 0;
+      List<SafetyRules.TrackedJob> open =
+          rules.jobs.values().stream().filter(j -> j.accepted && !j.isFinished()).toList();
       if (!open.isEmpty() && world.random.nextInt(3) == 0) {
         cancel(open.get(world.random.nextInt(open.size())));
       }
-      trouble(world.random.nextInt(18));
+      injectFault(world.random.nextInt(18));
       world.runFor(Duration.ofMillis(2_000 + world.random.nextInt(4_000)));
     }
     settle(Duration.ofMinutes(10));
--- a/src/test/java/io/pineladder/sim/CommitterTest.java
+++ b/src/test/java/io/pineladder/sim/CommitterTest.java
@@ -27,7 +27,7 @@
   private record SentRequest(Request request, Consumer<Reply> onReply) {}
 
   private final SimulatedWorld world = new SimulatedWorld(1);
-  private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
+  private final EventLoop eventLoop = world.eventLoop("10.0.0.1", () -> true, 1);
   private final ArrayDeque<SentRequest> sent = new ArrayDeque<>();
   private final List<String> terminations = new ArrayList<>();
   private int valuesBuilt;
--- a/src/test/java/io/pineladder/sim/ConfigurableCluster.java
+++ b/src/test/java/io/pineladder/sim/ConfigurableCluster.java
@@ -54,7 +54,7 @@
     return new Settings(
         "rung-" + index,
         zoneOf(index),
-        fronts.get(index),
+        apiAddresses.get(index),
         host(index) + ":8081",
         peers,
         of.cloudAddress(),
@@ -70,7 +70,7 @@
                 Duration.ofSeconds(6),
                 Duration.ofSeconds(41))
             : of.workerTimes(),
-        store(index, inForce),
+        storeLimits(index, inForce),
         inForce,
         fast ? new Settings.CloudLimits(1.5, Duration.ofSeconds(8)) : of.cloudLimits(),
         of.maxSockets(),
@@ -78,7 +78,7 @@
   }
 
   /** The limits of the state service that a controller keeps to. */
-  Settings.StoreLimits store(int index, Settings.StoreLimits inForce) {
+  Settings.StoreLimits storeLimits(int index, Settings.StoreLimits inForce) {
     return inForce;
   }
 
@@ -93,43 +93,43 @@
 
   void begin(Layout of, long seed) {
     layout = of;
-    fronts = IntStream.range(0, of.nodes).mapToObj(i -> host(i) + ":8080").toList();
+    apiAddresses = IntStream.range(0, of.nodes).mapToObj(i -> host(i) + ":8080").toList();
     begin(seed);
     if (of == Layout.SHORT) {
       fleet.types =
           List.of(
-              new FakeFleet.Type("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, of.zones),
-              new FakeFleet.Type("large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
+              new FakeFleet.MachineType("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, of.zones),
+              new FakeFleet.MachineType("large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
       fleet.leaseMillis = 11_000;
       fleet.reportMillis = 1_000;
     }
     world.runFor(Duration.ofSeconds(5));
   }
 
-  ObjectNode work(String shape, int tasks) {
-    ObjectNode spec = job(shape, tasks, "red").put("together", false).put("spread", false);
+  ObjectNode simpleJobSpec(String shape, int tasks) {
+    ObjectNode spec = jobSpec(shape, tasks, "red").put("together", false).put("spread", false);
     return layout == Layout.SHORT ? spec.put("cards", 0.0) : spec;
   }
 
   /** The host that leads, or some other while none does. */
-  String leading() {
+  String leaderHost() {
     return store.value("lead/holder") == null
         ? host(world.random.nextInt(layout.nodes))
-        : host(leader());
+        : host(leaderIndex());
   }
 
   /**
    * Cuts the leader from the state service and the other controllers, not from workers or users.
    */
-  void aloneFor(long millis) {
-    String alone = leading();
+  void isolateLeader(long millis) {
+    String alone = leaderHost();
     List<String> others = new ArrayList<>(List.of("10.2.0.1"));
-    nodes().stream().filter(node -> !node.equals(alone)).forEach(others::add);
-    cutFor(List.of(alone), others, millis);
+    controllerHosts().stream().filter(node -> !node.equals(alone)).forEach(others::add);
+    cutTemporarily(List.of(alone), others, millis);
   }
 
   /** Neither side reaches the other, in both directions. */
-  void cutFor(List<String> some, List<String> others, long millis) {
+  void cutTemporarily(List<String> some, List<String> others, long millis) {
     for (String one : some) {
       for (String other : others) {
         world.cut(one, other);
@@ -139,7 +139,7 @@
   }
 
   /** The hosts of all controllers. */
-  List<String> nodes() {
+  List<String> controllerHosts() {
     return IntStream.range(0, layout.nodes).mapToObj(ConfigurableCluster::host).toList();
   }
 }
--- a/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
+++ b/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
@@ -43,12 +43,12 @@
     boolean[] open = {!late};
     Receiver receiver =
         new Receiver(
-            List.of(WebhookSignature.secret(SECRET)),
+            List.of(WebhookSignature.parseSecret(SECRET)),
             new NotificationStore() {
               private final Map<String, Long> positions = new ConcurrentHashMap<>();
 
               @Override
-              public long position(String source) {
+              public long lastSequence(String source) {
                 return positions.getOrDefault(source, 0L);
               }
 
@@ -89,13 +89,13 @@
             folder, 1, 100, List.of("--delivery", folder.resolve("key").toString()))) {
       ObjectNode networks = Json.object();
       networks.putArray("networks").add("127.0.0.1");
-      cluster.insist(true, "PUT", "/admin/v1/networks", networks);
+      cluster.requestUntilSuccess(true, "PUT", "/admin/v1/networks", networks);
       for (int i = 0; i < subscribers; i++) {
         ObjectNode wanted = Json.object().put("url", "http://127.0.0.1:" + port + "/" + i);
         wanted.putArray("secrets").add(SECRET);
-        cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, wanted);
+        cluster.requestUntilSuccess(true, "PUT", "/admin/v1/subscriptions/desk-" + i, wanted);
       }
-      Map<String, Integer> before = cluster.read(() -> Map.copyOf(cluster.store.changes));
+      Map<String, Integer> before = cluster.readOnEventLoop(() -> Map.copyOf(cluster.store.changesByPrefix));
       Duration processor = processor(cluster);
       Instant begun = Instant.now();
       AtomicInteger next = new AtomicInteger();
@@ -119,8 +119,8 @@
         open[0] = true;
         for (int i = 0; i < subscribers; i++) {
           String one = "/admin/v1/subscriptions/desk-" + i;
-          cluster.insist(true, "POST", one + "/pause", null);
-          cluster.insist(true, "POST", one + "/resume", null);
+          cluster.requestUntilSuccess(true, "POST", one + "/pause", null);
+          cluster.requestUntilSuccess(true, "POST", one + "/resume", null);
         }
       }
       long wanted = (long) ends * subscribers;
@@ -129,18 +129,18 @@
       }
       report("delivered after that", late ? wanted : ends, drain, processorThen, cluster);
       report("all", late ? wanted : ends, begun, processor, cluster);
-      Map<String, Integer> after = cluster.read(() -> Map.copyOf(cluster.store.changes));
+      Map<String, Integer> after = cluster.readOnEventLoop(() -> Map.copyOf(cluster.store.changesByPrefix));
       System.out.println("changes before " + before + ", after " + after);
-      System.out.println(cluster.insist(true, "GET", "/admin/v1/metrics", null).get("notices"));
+      System.out.println(cluster.requestUntilSuccess(true, "GET", "/admin/v1/metrics", null).get("notices"));
       System.out.println(
           "last errors: "
               + cluster
-                  .insist(true, "GET", "/admin/v1/subscriptions", null)
+                  .requestUntilSuccess(true, "GET", "/admin/v1/subscriptions", null)
                   .findValues("last_error")
                   .stream()
                   .distinct()
                   .toList());
-      System.out.println("pages of jobs: " + cluster.read(() -> cluster.store.count("accepted/")));
+      System.out.println("pages of jobs: " + cluster.readOnEventLoop(() -> cluster.store.countKeys("accepted/")));
     } finally {
       server.stop();
     }
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -61,7 +61,7 @@
   /** Submits a job that can't be placed and cancels it, which produces a final answer. */
   static String end(LoopbackCluster cluster, int index) throws InterruptedException {
     String id = submitUnplaceableJob(cluster, index);
-    ObjectNode answer = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+    ObjectNode answer = cluster.requestUntilSuccess(false, "POST", "/v1/jobs/" + id + "/cancel", null);
     assertEquals("aborted", answer.get("status").asText());
     return id;
   }
@@ -89,7 +89,7 @@
             .put("guess_s", 30)
             .put("mark_every_s", 0.0)
             .put("stow_s", 0.0);
-    cluster.insist(false, "POST", "/v1/jobs", spec);
+    cluster.requestUntilSuccess(false, "POST", "/v1/jobs", spec);
     return id;
   }
 
@@ -117,11 +117,11 @@
             folder, 3, 1, List.of("--delivery", folder.resolve("key").toString()))) {
       ObjectNode networks = Json.object();
       networks.putArray("networks").add("127.0.0.1");
-      cluster.insist(true, "PUT", "/admin/v1/networks", networks);
+      cluster.requestUntilSuccess(true, "PUT", "/admin/v1/networks", networks);
       List<String> addresses = new ArrayList<>();
       List<Process> receivers = new ArrayList<>();
       for (int i = 0; i < subscribers; i++) {
-        addresses.add(LoopbackCluster.free());
+        addresses.add(LoopbackCluster.freeAddress());
         receivers.add(startReceiver(cluster, i, addresses.get(i)));
         ObjectNode subscription = Json.object().put("url", "http://" + addresses.get(i) + "/hook");
         ArrayNode owners = subscription.putArray("owners");
@@ -129,7 +129,7 @@
           owners.add(i % 2 == 0 ? "red" : "blue");
         }
         subscription.putArray("secrets").add(SECRET);
-        cluster.insist(true, "PUT", "/admin/v1/subscriptions/desk-" + i, subscription);
+        cluster.requestUntilSuccess(true, "PUT", "/admin/v1/subscriptions/desk-" + i, subscription);
       }
       ExecutorService users = Executors.newFixedThreadPool(4);
       AtomicInteger next = new AtomicInteger();
@@ -199,7 +199,7 @@
 
   private static boolean isDelivered(LoopbackCluster cluster, int index)
       throws InterruptedException {
-    ObjectNode shown = cluster.insist(true, "GET", "/admin/v1/subscriptions/desk-" + index, null);
+    ObjectNode shown = cluster.requestUntilSuccess(true, "GET", "/admin/v1/subscriptions/desk-" + index, null);
     return shown.get("backlog").asInt() == 0 && shown.get("confirmed").asInt() > 0;
   }
 }
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -46,10 +46,10 @@
   private final Map<String, Subscriber> subscribers = new LinkedHashMap<>();
 
   @Override
-  DeliveryContext delivery(String host) {
+  DeliveryContext deliveryContext(String host) {
     DeliveryContext delivery =
         new DeliveryContext(DIRECT, new SecretCipher(new byte[32]), List.of(), 1, 32);
-    delivery.sendThrough(FakeReceiver.from(world, host, () -> true));
+    delivery.setOutboundClient(FakeReceiver.outboundClient(world, host, () -> true));
     return delivery;
   }
 
@@ -57,7 +57,7 @@
       String method, String path, ObjectNode body, int node) {
     AsyncHttpClient.Reply[] got = new AsyncHttpClient.Reply[1];
     world
-        .caller("admin", () -> true)
+        .httpClient("admin", () -> true)
         .call(
             new AsyncHttpClient.Request(
                 "10.0.0." + node + ":8081",
@@ -77,7 +77,7 @@
       for (int i = 0; i < 60 && got[0] == null; i++) {
         world.runFor(Duration.ofMillis(100));
       }
-      if (got[0] != null && got[0].is(expected)) {
+      if (got[0] != null && got[0].hasStatus(expected)) {
         try {
           return Json.parseObject(got[0].body());
         } catch (Exception e) {
@@ -123,12 +123,12 @@
    * effect exactly once at its receiver, in a sequence from 1 without gaps.
    */
   private void assertDelivered() {
-    Map<String, String> ends = store.ends();
+    Map<String, String> ends = store.finalStates();
     subscribers.forEach(
         (name, subscriber) -> {
           Map<String, String> effects = new TreeMap<>();
           long expected = 0;
-          for (Event event : subscriber.receiver.effects) {
+          for (Event event : subscriber.receiver.appliedEvents) {
             assertEquals(++expected, event.sequence(), "sequence at " + name);
             String job = event.json().get("subject").asText();
             String answer = event.json().at("/data/answer").asText();
@@ -150,7 +150,7 @@
   }
 
   private void settleAndDeliver(Duration time) {
-    subscribers.values().forEach(subscriber -> subscriber.receiver.trouble = 0);
+    subscribers.values().forEach(subscriber -> subscriber.receiver.faultRate = 0);
     settle(time);
     // Allows for the longest back-off, 5 minutes.
     world.runFor(Duration.ofSeconds(700));
@@ -165,28 +165,28 @@
     subscribe("blue", List.of("blue"), List.of());
     subscribe("services", List.of(), List.of("serve"));
     for (int i = 0; i < 20; i++) {
-      submit(job("array", 2, i % 2 == 0 ? "red" : "blue"));
+      submit(jobSpec("array", 2, i % 2 == 0 ? "red" : "blue"));
     }
-    SafetyRules.Known service = submit(job("service", 2, "red"));
+    SafetyRules.TrackedJob service = submit(jobSpec("service", 2, "red"));
     world.runFor(Duration.ofSeconds(40));
     cancel(service);
     settleAndDeliver(Duration.ofMinutes(2));
-    assertEquals(21, subscribers.get("all").receiver.effects.size());
-    assertEquals(1, subscribers.get("services").receiver.effects.size());
+    assertEquals(21, subscribers.get("all").receiver.appliedEvents.size());
+    assertEquals(1, subscribers.get("services").receiver.appliedEvents.size());
     assertEquals(21, getSubscription("all").get("confirmed").asInt());
     assertEquals(0, getSubscription("all").get("backlog").asInt());
   }
 
   /** Ends jobs in bulk: submits all, then cancels all. */
   private void submitAndCancelJobs(int count) {
-    List<SafetyRules.Known> all = new ArrayList<>();
+    List<SafetyRules.TrackedJob> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      all.add(submit(job("array", 1, "red")));
+      all.add(submit(jobSpec("array", 1, "red")));
     }
     world.runFor(Duration.ofSeconds(20));
     all.forEach(this::cancel);
     world.runFor(Duration.ofSeconds(40));
-    all.forEach(job -> assertTrue(job.isOver(), job.id + " is not over"));
+    all.forEach(job -> assertTrue(job.isFinished(), job.id + " is not over"));
   }
 
   /** The subscriptions while changes are counted. */
@@ -199,7 +199,7 @@
   /** Counts the changes of keys that can hold notifications while 800 jobs end. */
   private int storeChangesFor800Jobs(SubscriptionState state) {
     begin(2);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     if (state != SubscriptionState.NONE) {
       for (String name : List.of("all", "blue")) {
@@ -211,9 +211,9 @@
     }
     submitAndCancelJobs(400);
     submitAndCancelJobs(400);
-    return store.changes.get("accepted/")
-        + store.changes.getOrDefault("backlog/", 0)
-        + store.changes.getOrDefault("delivered/", 0);
+    return store.changesByPrefix.get("accepted/")
+        + store.changesByPrefix.getOrDefault("backlog/", 0)
+        + store.changesByPrefix.getOrDefault("delivered/", 0);
   }
 
   /** Guards against an extra store change for each notification. */
@@ -222,7 +222,7 @@
     int baseline = new DeliverySimulationTest().storeChangesFor800Jobs(SubscriptionState.NONE);
     int more = storeChangesFor800Jobs(SubscriptionState.ACTIVE) - baseline;
     assertTrue(more < 0.1 * 800, more + " more changes than " + baseline + " for 800 jobs");
-    assertEquals(800, subscribers.get("all").receiver.effects.size());
+    assertEquals(800, subscribers.get("all").receiver.appliedEvents.size());
     assertDelivered();
     int paused =
         new DeliverySimulationTest().storeChangesFor800Jobs(SubscriptionState.PAUSED) - baseline;
@@ -233,22 +233,22 @@
   @Test
   void whatWaitsForLongLeavesThePagesOfJobs() {
     begin(7);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     subscribe("all", List.of(), List.of());
     adminRequest("POST", "subscriptions/all/pause", null, 200);
     submitAndCancelJobs(400);
     submitAndCancelJobs(400);
-    assertTrue(store.count("backlog/") >= 2, store.count("backlog/") + " pages");
-    kill(controllers.get(leader()), 6_000);
+    assertTrue(store.countKeys("backlog/") >= 2, store.countKeys("backlog/") + " pages");
+    kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofSeconds(10));
     assertEquals(800, getSubscription("all").get("backlog").asInt());
     adminRequest("POST", "subscriptions/all/resume", null, 200);
     world.runFor(Duration.ofSeconds(30));
     submitAndCancelJobs(100);
-    assertEquals(900, subscribers.get("all").receiver.effects.size());
+    assertEquals(900, subscribers.get("all").receiver.appliedEvents.size());
     assertDelivered();
-    assertEquals(0, store.count("backlog/"));
+    assertEquals(0, store.countKeys("backlog/"));
   }
 
   /**
@@ -258,21 +258,21 @@
   @Test
   void keepsTermWhenProgressOfDeletedSubscriptionIsStored() {
     begin(8);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     subscribe("old", List.of(), List.of());
     submitAndCancelJobs(100);
     assertDelivered();
-    assertTrue(store.count("delivered/") > 0);
+    assertTrue(store.countKeys("delivered/") > 0);
     subscribers.clear();
     adminRequest("DELETE", "subscriptions/old", null, 200);
-    kill(controllers.get(leader()), 6_000);
+    kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofSeconds(15));
-    long term = controllers.get(leader()).node.election().term();
+    long term = controllers.get(leaderIndex()).node.election().term();
     subscribe("fresh", List.of(), List.of());
     submitAndCancelJobs(100);
-    assertEquals(100, subscribers.get("fresh").receiver.effects.size());
-    assertEquals(term, controllers.get(leader()).node.election().term());
+    assertEquals(100, subscribers.get("fresh").receiver.appliedEvents.size());
+    assertEquals(term, controllers.get(leaderIndex()).node.election().term());
   }
 
   /** A receiver with a fixed answer. */
@@ -280,7 +280,7 @@
     return new FakeReceiver(world, SECRET) {
       @Override
       public void handle(String method, String path, byte[] sent, Consumer<HttpResponse> answer) {
-        requests++;
+        requestCount++;
         answer.accept(new HttpResponse(status, body));
       }
     };
@@ -307,25 +307,25 @@
     FakeReceiver ahead = subscribeAnswering("ahead", 202, DeliveryWire.positionResponse(1_000_000));
     FakeReceiver plain = subscribeAnswering("plain", 204, new byte[0]);
     for (int i = 0; i < 6; i++) {
-      submit(job("array", 1, "red"));
+      submit(jobSpec("array", 1, "red"));
     }
     world.runFor(Duration.ofMinutes(2));
     assertDelivered();
-    assertEquals(6, subscribers.get("good").receiver.effects.size());
-    assertEquals(6, plain.requests, "a receiver that returns no position gets each event once");
+    assertEquals(6, subscribers.get("good").receiver.appliedEvents.size());
+    assertEquals(6, plain.requestCount, "a receiver that returns no position gets each event once");
     assertEquals("ended", getSubscription("gone").get("status").asText());
-    assertEquals(1, gone.requests);
+    assertEquals(1, gone.requestCount);
     for (String parked : List.of("refusing", "moved", "ahead")) {
       assertEquals("parked", getSubscription(parked).get("status").asText(), parked);
     }
     assertEquals("the receiver answered 403", getSubscription("refusing").get("reason").asText());
     assertEquals("the receiver answered 302", getSubscription("moved").get("reason").asText());
-    assertEquals(3, refusing.requests + moved.requests + ahead.requests);
+    assertEquals(3, refusing.requestCount + moved.requestCount + ahead.requestCount);
     assertEquals("active", getSubscription("busy").get("status").asText());
     assertEquals("retrying", getSubscription("busy").get("sending").asText());
     assertEquals(6, getSubscription("busy").get("backlog").asInt());
-    assertTrue(busy.requests <= 12, busy.requests + " tries");
-    assertTrue(behind.requests <= 12, behind.requests + " tries");
+    assertTrue(busy.requestCount <= 12, busy.requestCount + " tries");
+    assertTrue(behind.requestCount <= 12, behind.requestCount + " tries");
     // A parked subscription keeps its events and can be resumed by an operator.
     FakeReceiver repaired = new FakeReceiver(world, SECRET);
     world.serve("10.8.0.153:9999", repaired);
@@ -333,7 +333,7 @@
     adminRequest("POST", "subscriptions/refusing/resume", Json.object().put("sequence", "x"), 400);
     adminRequest("POST", "subscriptions/refusing/resume", null, 200);
     world.runFor(Duration.ofSeconds(10));
-    assertEquals(6, repaired.effects.size());
+    assertEquals(6, repaired.appliedEvents.size());
     adminRequest("POST", "subscriptions/gone/resume", null, 409);
   }
 
@@ -356,36 +356,36 @@
     assertTrue(!all.contains("whsec"), all);
     assertTrue(!store.value("conf/subscription/desk").toString().contains("whsec"));
     adminRequest("POST", "subscriptions/desk/pause", null, 200);
-    submit(job("array", 1, "red"));
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(0, receiver.effects.size());
-    kill(controllers.get(leader()), 6_000);
+    assertEquals(0, receiver.appliedEvents.size());
+    kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofSeconds(15));
     assertEquals("paused", getSubscription("desk").get("status").asText());
     assertEquals(1, getSubscription("desk").get("backlog").asInt());
     adminRequest("POST", "subscriptions/desk/resume", null, 200);
     world.runFor(Duration.ofSeconds(5));
-    assertEquals(1, receiver.effects.size());
+    assertEquals(1, receiver.appliedEvents.size());
     // A receiver restored from an older copy gets the lost events again.
-    submit(job("array", 1, "blue"));
+    submit(jobSpec("array", 1, "blue"));
     world.runFor(Duration.ofSeconds(60));
-    receiver.restore(1);
-    submit(job("array", 1, "red"));
+    receiver.restoreBackup(1);
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(3, receiver.effects.size());
+    assertEquals(3, receiver.appliedEvents.size());
     assertDelivered();
     // A subscription that is deleted and created again starts at sequence 1 with a new source.
     adminRequest("DELETE", "subscriptions/desk", null, 200);
-    submit(job("array", 1, "red"));
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(60));
-    assertEquals(3, receiver.effects.size());
+    assertEquals(3, receiver.appliedEvents.size());
     adminRequest("PUT", "subscriptions/desk", subscription("10.9.0.1", List.of(), List.of()), 201);
-    submit(job("array", 1, "red"));
+    submit(jobSpec("array", 1, "red"));
     world.runFor(Duration.ofSeconds(150));
-    assertEquals(4, receiver.effects.size());
-    Event last = receiver.effects.get(3);
+    assertEquals(4, receiver.appliedEvents.size());
+    Event last = receiver.appliedEvents.get(3);
     assertEquals(1, last.sequence());
-    assertTrue(!last.source().equals(receiver.effects.get(2).source()));
+    assertTrue(!last.source().equals(receiver.appliedEvents.get(2).source()));
   }
 
   /** Guards against lost or doubly applied events when confirmations can't be stored. */
@@ -395,7 +395,7 @@
     world.runFor(Duration.ofSeconds(5));
     subscribe("all", List.of(), List.of());
     for (int i = 0; i < 30; i++) {
-      submit(job("array", 1, "red"));
+      submit(jobSpec("array", 1, "red"));
     }
     world.runFor(Duration.ofSeconds(20));
     store.outage = true;
@@ -403,7 +403,7 @@
     world.runFor(Duration.ofSeconds(20));
     store.endOutage();
     settleAndDeliver(Duration.ofSeconds(200));
-    assertTrue(subscribers.get("all").receiver.requests > 30);
+    assertTrue(subscribers.get("all").receiver.requestCount > 30);
   }
 
   /** Eight runs; more with {@code -Dpineladder.days=1000 -Dpineladder.first=1}. */
@@ -417,15 +417,15 @@
   void eachEndIsToldOnceUnderFaultsTogether(long seed) {
     begin(seed);
     world.runFor(Duration.ofSeconds(4));
-    subscribe("all", List.of(), List.of()).trouble = 0.3;
-    subscribe("blue", List.of("blue"), List.of()).trouble = 0.1;
+    subscribe("all", List.of(), List.of()).faultRate = 0.3;
+    subscribe("blue", List.of("blue"), List.of()).faultRate = 0.1;
     subscribe("services", List.of(), List.of("serve"));
-    world.lossy = 0.03;
+    world.lossRate = 0.03;
     for (int step = 0; step < 40; step++) {
-      SafetyRules.Known job = submit(randomJob());
-      job.broken = world.random.nextInt(12) == 0;
-      List<SafetyRules.Known> open =
-          rules.jobs.values().stream().filter(j -> j.accepted && !j.isOver()).toList();
+      SafetyRules.TrackedJob job = submit(randomJobSpec());
+      job.alwaysFails = world.random.nextInt(12) == 0;
+      List<SafetyRules.TrackedJob> open =
+          rules.jobs.values().stream().filter(j -> j.accepted && !j.isFinished()).toList();
       if (!open.isEmpty() && world.random.nextInt(2) == 0) {
         cancel(open.get(world.random.nextInt(open.size())));
       }
@@ -434,11 +434,11 @@
         boolean pause = world.random.nextBoolean();
         sendAdminRequest("POST", "subscriptions/blue/" + (pause ? "pause" : "resume"), null, 1);
       }
-      trouble(world.random.nextInt(18));
+      injectFault(world.random.nextInt(18));
       world.runFor(Duration.ofMillis(1_000 + world.random.nextInt(4_000)));
     }
     // Waits for delayed requests: a pause that arrives after the resume would stay in force.
-    world.lossy = 0;
+    world.lossRate = 0;
     world.runFor(Duration.ofMinutes(2));
     adminRequest("POST", "subscriptions/blue/resume", null, 200);
     settleAndDeliver(Duration.ofMinutes(10));
@@ -450,21 +450,21 @@
     byte[] fresh = SECRET.clone();
     fresh[0] = 1;
     begin(6);
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
     FakeReceiver receiver = subscribe("desk", List.of(), List.of());
-    receiver.trouble = 0.2;
+    receiver.faultRate = 0.2;
     submitAndCancelJobs(20);
     adminRequest("PUT", "subscriptions/desk", subscriptionWithSecrets(fresh, SECRET), 200);
     submitAndCancelJobs(20);
-    receiver.replace(fresh);
+    receiver.replaceSecret(fresh);
     submitAndCancelJobs(20);
     adminRequest("PUT", "subscriptions/desk", subscriptionWithSecrets(fresh), 200);
     submitAndCancelJobs(20);
-    receiver.trouble = 0;
+    receiver.faultRate = 0;
     world.runFor(Duration.ofSeconds(700));
     assertEquals("active", getSubscription("desk").get("status").asText());
-    assertEquals(80, receiver.effects.size());
+    assertEquals(80, receiver.appliedEvents.size());
     assertDelivered();
   }
 
--- a/src/test/java/io/pineladder/sim/FakeFleet.java
+++ b/src/test/java/io/pineladder/sim/FakeFleet.java
@@ -36,7 +36,7 @@
   boolean outage;
 
   /** Machines of one zone at most. */
-  int capacity = CAPACITY;
+  int zoneCapacity = CAPACITY;
 
   /** How long a worker's lease lasts, and about how long it is between two of its reports. */
   long leaseMillis = 20_000;
@@ -44,44 +44,44 @@
   long reportMillis = 3_000;
 
   /** A machine's type. */
-  record Type(
+  record MachineType(
       String name,
       double cpus,
       double gpus,
-      double gb,
-      double pull,
-      double price,
-      double spot,
-      double boot,
+      double memoryGb,
+      double pullGbPerSecond,
+      double hourlyPrice,
+      double hourlySpotPrice,
+      double bootSeconds,
       List<String> zones) {}
 
-  List<Type> types = List.of(new Type("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
+  List<MachineType> types = List.of(new MachineType("g4", 16, 4, 64, 1, 4, 1, 10, List.of("a", "b")));
 
   /** What a machine of this type has. */
   Resources size(String type) {
-    Type of = types.stream().filter(t -> t.name.equals(type)).findFirst().orElseThrow();
-    return Resources.of(of.cpus, of.gpus, of.gb);
+    MachineType of = types.stream().filter(t -> t.name.equals(type)).findFirst().orElseThrow();
+    return Resources.of(of.cpus, of.gpus, of.memoryGb);
   }
 
   /** The part of reports of which a copy comes late, up to three leases, at any controller. */
-  double copies;
+  double duplicateReportRate;
 
   /** Reports are sent as soon as a task has exited too, and not only from time to time. */
-  boolean reportsChanges;
+  boolean reportsTaskExits;
 
-  /** Copies of such reports are kept until {@link #deliverKept}. */
-  boolean keepsCopies;
+  /** Copies of such reports are kept until {@link #deliverRetainedReports}. */
+  boolean retainsReportCopies;
 
   private final List<byte[]> kept = new ArrayList<>();
 
   /** Machines are up within two seconds. */
-  boolean quickBoots;
+  boolean fastBoots;
 
   /** Tasks that ended with their worker's lease. */
-  int endedByLease;
+  int tasksEndedByLeaseExpiry;
 
   /** One of so many tasks that are no gang's fails; 0 for none. */
-  int failsOneOf = 40;
+  int failsOneIn = 40;
 
   /** Where workers run that this stand-in rents out and does not run itself; null for none. */
   interface Launcher {
@@ -138,19 +138,19 @@
   private ObjectNode flavors() {
     ObjectNode out = Json.object();
     ArrayNode hulls = out.putArray("hulls");
-    for (Type type : types) {
+    for (MachineType type : types) {
       ArrayNode yards =
           hulls
               .addObject()
               .put("sku", type.name)
               .put("vcpus", type.cpus)
               .put("cards", type.gpus)
-              .put("memory_gb", type.gb)
+              .put("memory_gb", type.memoryGb)
               .put("local_gb", 50.0)
-              .put("pull_gb_per_s", type.pull)
-              .put("hourly", type.price)
-              .put("spot_price", type.spot)
-              .put("boot_s", type.boot)
+              .put("pull_gb_per_s", type.pullGbPerSecond)
+              .put("hourly", type.hourlyPrice)
+              .put("spot_price", type.hourlySpotPrice)
+              .put("boot_s", type.bootSeconds)
               .putArray("yards");
       type.zones.forEach(yards::add);
     }
@@ -165,7 +165,7 @@
     String zone = request.get("yard").asText();
     boolean spot = request.get("loaners").asBoolean();
     long there = machines.values().stream().filter(w -> w.zone.equals(zone)).count();
-    int count = (int) Math.min(request.get("count").asInt(), capacity - there);
+    int count = (int) Math.min(request.get("count").asInt(), zoneCapacity - there);
     if (count <= 0) {
       return new HttpResponse(503, Json.bytes(Json.object().put("error", "no capacity")));
     }
@@ -183,7 +183,7 @@
     Worker worker = new Worker(name, address(), type, zone, spot);
     machines.put(name, worker);
     // Some come up at once, some take several times as long, and a few never come.
-    if (quickBoots) {
+    if (fastBoots) {
       world.after(world.random.nextInt(2_000), worker::boot);
       return name;
     }
@@ -200,14 +200,14 @@
   }
 
   /** A worker that another process rents out and this one runs. */
-  void run(String name, String address, String type, String zone, boolean spot) {
+  void runWorker(String name, String address, String type, String zone, boolean spot) {
     Worker worker = new Worker(name, address, type, zone, spot);
     machines.put(name, worker);
     worker.boot();
   }
 
   /** Ordinary machines that are up from the start. */
-  void addUp(int count) {
+  void addRunningMachines(int count) {
     List<String> zones = types.get(0).zones;
     for (int i = 0; i < count; i++) {
       String name = String.format("m-%06d", ++names);
@@ -243,23 +243,23 @@
 
   /** One task on a worker. */
   static final class Task {
-    final String piece;
+    final String id;
     final long attempt;
     String status = "fetching";
     String cause;
-    boolean there;
+    boolean onMachine;
 
     Task(String piece, long attempt) {
-      this.piece = piece;
+      this.id = piece;
       this.attempt = attempt;
     }
 
-    String job() {
-      return piece.substring(0, piece.indexOf('/'));
+    String jobId() {
+      return id.substring(0, id.indexOf('/'));
     }
 
     int index() {
-      return Integer.parseInt(piece.substring(piece.indexOf('/') + 1));
+      return Integer.parseInt(id.substring(id.indexOf('/') + 1));
     }
   }
 
@@ -320,9 +320,9 @@
     }
 
     private void leave(Task task) {
-      if (task.there) {
-        task.there = false;
-        rules.left(task, this);
+      if (task.onMachine) {
+        task.onMachine = false;
+        rules.onLeft(task, this);
       }
     }
 
@@ -331,7 +331,7 @@
         return;
       }
       if (world.now().toEpochMilli() - answeredSentMillis > leaseMillis) {
-        endedByLease +=
+        tasksEndedByLeaseExpiry +=
             (int) tasks.values().stream().filter(t -> !t.status.equals("ended")).count();
         List.copyOf(tasks.values()).forEach(this::leave);
         tasks.clear();
@@ -358,7 +358,7 @@
         ObjectNode piece =
             pieces
                 .addObject()
-                .put("piece", task.piece)
+                .put("piece", task.id)
                 .put("try", task.attempt)
                 .put("status", task.status);
         if (task.cause != null) {
@@ -377,15 +377,15 @@
       long sentSession = session;
       long sentMillis = world.now().toEpochMilli();
       byte[] body = Json.bytes(report());
-      if (keepsCopies && world.random.nextDouble() < copies) {
+      if (retainsReportCopies && world.random.nextDouble() < duplicateReportRate) {
         kept.add(body);
-      } else if (copies > 0 && world.random.nextDouble() < copies) {
+      } else if (duplicateReportRate > 0 && world.random.nextDouble() < duplicateReportRate) {
         String where = controllers.get(world.random.nextInt(controllers.size()));
         world.deliverCopy(
             AsyncHttpClient.Request.post(where, "/v1/report", body, Duration.ofSeconds(4)),
             1_000 + world.random.nextLong(3 * leaseMillis));
       }
-      AsyncHttpClient caller = world.caller(SimulatedWorld.host(address), () -> !ended);
+      AsyncHttpClient caller = world.httpClient(SimulatedWorld.host(address), () -> !ended);
       caller.call(
           AsyncHttpClient.Request.post(
               controllers.get(at), "/v1/report", body, Duration.ofSeconds(4)),
@@ -399,7 +399,7 @@
 
     private void onReply(AsyncHttpClient.Reply reply, long sentSession, long sentMillis) {
       try {
-        if (reply.is(200)) {
+        if (reply.hasStatus(200)) {
           ObjectNode response = Json.parseObject(reply.body());
           long given = response.get("baton").asLong();
           boolean higher = given > token;
@@ -413,7 +413,7 @@
               higher ? 500 : reportMillis * 3 / 4 + world.random.nextInt((int) reportMillis / 2));
           return;
         }
-        JsonNode leader = reply.is(421) ? Json.parseObject(reply.body()).get("foreman") : null;
+        JsonNode leader = reply.hasStatus(421) ? Json.parseObject(reply.body()).get("foreman") : null;
         if (leader != null) {
           at = Integer.parseInt(leader.asText().substring("rung-".length()));
           sendAfter(world.random.nextInt(500));
@@ -466,7 +466,7 @@
 
     private void begin(String key, Task task) {
       tasks.put(key, task);
-      rules.commanded(task, this);
+      rules.onStartCommand(task, this);
       world.after(500 + world.random.nextInt(3_000), () -> arrive(key, task));
     }
 
@@ -474,8 +474,8 @@
       if (ended || tasks.get(key) != task || !task.status.equals("fetching")) {
         return;
       }
-      task.there = true;
-      rules.started(task, this);
+      task.onMachine = true;
+      rules.onStarted(task, this);
       if (rules.isGang(task)) {
         task.status = "gathering";
         world.after(
@@ -485,13 +485,13 @@
                 exit(task, "incomplete");
               }
             });
-        rules.gather(task);
+        rules.onGangTaskReady(task);
       } else {
-        run(key, task);
+        runTask(key, task);
       }
     }
 
-    void run(String key, Task task) {
+    void runTask(String key, Task task) {
       task.status = "running";
       long millis = rules.runMillis(task);
       if (millis > 0) {
@@ -500,12 +500,12 @@
             () -> {
               if (!ended && tasks.get(key) == task && task.status.equals("running")) {
                 boolean fails =
-                    rules.isBroken(task)
-                        || (failsOneOf > 0
-                            && world.random.nextInt(failsOneOf) == 0
+                    rules.alwaysFails(task)
+                        || (failsOneIn > 0
+                            && world.random.nextInt(failsOneIn) == 0
                             && !rules.isGang(task));
                 if (!fails) {
-                  rules.completed(task);
+                  rules.onCompleted(task);
                 }
                 exit(task, fails ? "error" : "done");
               }
@@ -517,7 +517,7 @@
       task.status = "ended";
       task.cause = cause;
       leave(task);
-      if (reportsChanges && !changeSent) {
+      if (reportsTaskExits && !changeSent) {
         // A change is told at once, though not more often than every half second.
         changeSent = true;
         long last = answeredSentMillis;
@@ -552,18 +552,18 @@
   }
 
   /** The machines that have anything of a job that has not exited, wherever its image is. */
-  List<String> holding(String job) {
+  List<String> machinesHolding(String job) {
     return machines.values().stream()
         .filter(
             w ->
                 w.tasks.values().stream()
-                    .anyMatch(t -> t.job().equals(job) && !t.status.equals("ended")))
+                    .anyMatch(t -> t.jobId().equals(job) && !t.status.equals("ended")))
         .map(w -> w.name)
         .toList();
   }
 
   /** What was kept arrives at every controller, each copy some time within two leases from now. */
-  void deliverKept() {
+  void deliverRetainedReports() {
     for (byte[] body : kept) {
       for (String where : controllers) {
         world.deliverCopy(
@@ -575,12 +575,12 @@
   }
 
   /** A machine dies, and everything on it. */
-  void die(Worker worker) {
+  void failMachine(Worker worker) {
     machines.remove(worker.name);
     worker.end();
   }
 
-  List<Worker> up() {
+  List<Worker> runningWorkers() {
     return new ArrayList<>(machines.values().stream().filter(w -> w.up).toList());
   }
 }
