--- a/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
+++ b/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
@@ -53,7 +53,7 @@
   private boolean lowered;
 
   /** Transactions refused because they hold more than the lowered limits allow. */
-  int tooLarge;
+  int oversizedTransactions;
 
   private final TreeMap<String, Value> keys = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
@@ -64,24 +64,24 @@
   boolean outage;
 
   /** The part of transactions that get no answer and are carried out 2 to 12 s later. */
-  double lateWrites;
+  double delayedTransactionRate;
 
   /** The part of transactions that are carried out at once and get no answer. */
-  double unanswered;
+  double lostAnswerRate;
 
   /** So carried out, by the kinds of keys they change. */
-  final Map<String, Integer> unansweredKinds = new TreeMap<>();
+  final Map<String, Integer> lostAnswersByPrefix = new TreeMap<>();
 
   /** Told of each key that has changed. */
   Consumer<String> onChange = key -> {};
 
   /** Of each transaction a copy is carried out 2 to 12 s later, if it still can be. */
-  boolean repeats;
+  boolean replaysTransactions;
 
   /** Copies carried out, by the kinds of keys they change; and those of them that had effect. */
-  final Map<String, Integer> repeated = new TreeMap<>();
+  final Map<String, Integer> replaysByPrefix = new TreeMap<>();
 
-  final Map<String, Integer> repeatedWithEffect = new TreeMap<>();
+  final Map<String, Integer> effectiveReplaysByPrefix = new TreeMap<>();
 
   /**
    * Requests and changes a second that are served, with bursts of a second's worth; the rest gets
@@ -92,25 +92,25 @@
   TokenBucket changeLimit;
 
   /** Requests that were over a limit. */
-  int overLimit;
+  int rateLimitedRequests;
 
   /** Entries of a listing in one answer: few, so that reading on is part of every test. */
-  int pageEntries = 20;
+  int pageSize = 20;
 
   /** Changes that are kept for those who follow; by the protocol 10,000. */
-  int mostLogged = Integer.MAX_VALUE;
+  int retainedChanges = Integer.MAX_VALUE;
 
   /** The revision up to which changes are no longer kept. */
   private long forgotten;
 
   /** Answers take up to so long. */
-  int slowMillis;
+  int maxAnswerDelayMillis;
 
   /** Puts and deletes so far, by the first part of their keys. */
-  final Map<String, Integer> changes = new HashMap<>();
+  final Map<String, Integer> changesByPrefix = new HashMap<>();
 
   /** Requests so far, refused ones included. */
-  int requests;
+  int requestCount;
 
   FakeKeyValueStore(SimulatedWorld world, int txnOps, int valueBytes) {
     this.world = world;
@@ -120,7 +120,7 @@
   }
 
   /** From here on less is allowed; what is stored stays. */
-  void lower(int nextTxnOps, int nextValueBytes, double changesPerSecond) {
+  void lowerLimits(int nextTxnOps, int nextValueBytes, double changesPerSecond) {
     lowered = true;
     txnOps = nextTxnOps;
     valueBytes = nextValueBytes;
@@ -129,7 +129,7 @@
   }
 
   /** The keys of values that are larger than they may be now. */
-  List<String> largeValues() {
+  List<String> oversizedKeys() {
     return keys.entrySet().stream()
         .filter(each -> Json.bytes(each.getValue().value).length > valueBytes)
         .map(Map.Entry::getKey)
@@ -137,24 +137,24 @@
   }
 
   /** What stands before the keys of the generation that counts. */
-  String space() {
+  String generationPrefix() {
     Value named = keys.get("generation/current");
     return named == null ? "" : "g" + named.value.get("base").asLong() + "/";
   }
 
   JsonNode value(String key) {
-    Value found = keys.get(space() + key);
+    Value found = keys.get(generationPrefix() + key);
     return found == null ? null : found.value;
   }
 
-  int count(String prefix) {
-    String within = space() + prefix;
+  int countKeys(String prefix) {
+    String within = generationPrefix() + prefix;
     return (int) keys.keySet().stream().filter(k -> k.startsWith(within)).count();
   }
 
   /** Whether a placement of this start is stored. */
   boolean hasPlacement(String machine, String piece, long attempt) {
-    String within = space() + "placed/";
+    String within = generationPrefix() + "placed/";
     for (Value page : keys.subMap(within, within + Character.MAX_VALUE).values()) {
       for (JsonNode entry : page.value.path("entries")) {
         if (entry.get(0).asText().equals(machine)
@@ -168,8 +168,8 @@
   }
 
   /** How many keys are none of the generation that counts. */
-  int outside() {
-    String space = space();
+  int countKeysOutsideGeneration() {
+    String space = generationPrefix();
     return (int) keys.keySet().stream().filter(k -> !k.startsWith(space)).count();
   }
 
@@ -179,9 +179,9 @@
   private record Backup(Instant at, TreeMap<String, Value> keys, long revision) {}
 
   /** Makes a backup now and every second from now on. */
-  void backUp() {
+  void startBackups() {
     backups.add(new Backup(world.now(), new TreeMap<>(keys), revision));
-    world.after(1_000, this::backUp);
+    world.after(1_000, this::startBackups);
   }
 
   /** As if set up anew: nothing is left, and revisions and leases are numbered from the start. */
@@ -195,7 +195,7 @@
   }
 
   /** A backup takes the place of what is stored; leases are gone with their keys, or come back. */
-  void restore(Duration age, boolean withLeases) {
+  void restoreBackup(Duration age, boolean withLeases) {
     Instant wanted = world.now().minus(age);
     Backup found = backups.get(0);
     for (Backup each : backups) {
@@ -217,13 +217,13 @@
 
   /** Keys with this prefix are gone, and nothing tells of it. */
   void losePrefix(String prefix) {
-    String within = space() + prefix;
+    String within = generationPrefix() + prefix;
     keys.keySet().removeIf(key -> key.startsWith(within));
   }
 
   /** One value with this prefix cannot be read any more; its revision is as before. */
-  void damage(String prefix) {
-    String within = space() + prefix;
+  void corruptValue(String prefix) {
+    String within = generationPrefix() + prefix;
     List<String> there = keys.keySet().stream().filter(k -> k.startsWith(within)).toList();
     if (!there.isEmpty()) {
       String key = there.get(world.random.nextInt(there.size()));
@@ -233,9 +233,9 @@
   }
 
   /** The final states that are stored, by job. */
-  Map<String, String> ends() {
+  Map<String, String> finalStates() {
     Map<String, String> found = new TreeMap<>();
-    String space = space();
+    String space = generationPrefix();
     keys.forEach(
         (whole, value) -> {
           String key = inside(whole, space);
@@ -247,9 +247,9 @@
   }
 
   /** The ids of all jobs that a leader would take up, in pages or with a record of their own. */
-  Set<String> jobs() {
+  Set<String> jobIds() {
     Set<String> found = new TreeSet<>();
-    String space = space();
+    String space = generationPrefix();
     keys.forEach(
         (whole, value) -> {
           String key = inside(whole, space);
@@ -317,9 +317,9 @@
 
   @Override
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
-    requests++;
+    requestCount++;
     if (isOverLimit(path, body)) {
-      overLimit++;
+      rateLimitedRequests++;
       answer.accept(answer(429, Json.object().put("error", "over the limit")));
       return;
     }
@@ -330,21 +330,21 @@
     try {
       if (path.startsWith("/follow?")) {
         follow(query(path), answer);
-      } else if (lateWrites > 0
+      } else if (delayedTransactionRate > 0
           && path.equals("/multi")
-          && world.random.nextDouble() < lateWrites) {
+          && world.random.nextDouble() < delayedTransactionRate) {
         ObjectNode txn = Json.parseObject(body);
         late(() -> multi(txn));
-      } else if (unanswered > 0
+      } else if (lostAnswerRate > 0
           && path.equals("/multi")
-          && world.random.nextDouble() < unanswered) {
+          && world.random.nextDouble() < lostAnswerRate) {
         ObjectNode txn = Json.parseObject(body);
         if (multi(txn).status() == 200) {
-          kinds(txn).forEach(kind -> unansweredKinds.merge(kind, 1, Integer::sum));
+          kinds(txn).forEach(kind -> lostAnswersByPrefix.merge(kind, 1, Integer::sum));
         }
-      } else if (slowMillis > 0) {
+      } else if (maxAnswerDelayMillis > 0) {
         HttpResponse given = now(method, path, body);
-        world.after(world.random.nextInt(slowMillis), () -> answer.accept(given));
+        world.after(world.random.nextInt(maxAnswerDelayMillis), () -> answer.accept(given));
       } else {
         answer.accept(now(method, path, body));
       }
@@ -389,7 +389,7 @@
     TreeSet<String> kinds = new TreeSet<>();
     for (JsonNode change : txn.get("apply")) {
       boolean remove = change.has("remove");
-      String key = inside(change.get(remove ? "remove" : "write").asText(), space());
+      String key = inside(change.get(remove ? "remove" : "write").asText(), generationPrefix());
       kinds.add((remove ? "-" : "") + key.substring(0, key.indexOf('/') + 1));
     }
     return kinds;
@@ -398,9 +398,9 @@
   private void repeat(ObjectNode txn) {
     boolean effect = multi(txn).status() == 200;
     for (String kind : kinds(txn)) {
-      repeated.merge(kind, 1, Integer::sum);
+      replaysByPrefix.merge(kind, 1, Integer::sum);
       if (effect) {
-        repeatedWithEffect.merge(kind, 1, Integer::sum);
+        effectiveReplaysByPrefix.merge(kind, 1, Integer::sum);
       }
     }
   }
@@ -421,7 +421,7 @@
     if (path.equals("/multi")) {
       ObjectNode txn = Json.parseObject(body);
       HttpResponse given = multi(txn);
-      if (repeats && given.status() == 200 && !txn.get("apply").isEmpty()) {
+      if (replaysTransactions && given.status() == 200 && !txn.get("apply").isEmpty()) {
         late(() -> repeat(txn));
       }
       return given;
@@ -467,7 +467,7 @@
       if (!found.getKey().startsWith(prefix)) {
         break;
       }
-      if (entries.size() == pageEntries) {
+      if (entries.size() == pageSize) {
         more = true;
         break;
       }
@@ -486,7 +486,7 @@
         if (!lowered) {
           throw new AssertionError("the value of " + change.get("write") + " is too large");
         }
-        tooLarge++;
+        oversizedTransactions++;
         return answer(400, Json.object().put("error", "too large"));
       }
     }
@@ -511,7 +511,7 @@
     revision++;
     for (JsonNode change : changes) {
       String changed = change.path("write").asText() + change.path("remove").asText();
-      this.changes.merge(changed.substring(0, changed.indexOf('/') + 1), 1, Integer::sum);
+      this.changesByPrefix.merge(changed.substring(0, changed.indexOf('/') + 1), 1, Integer::sum);
       world.after(0, () -> onChange.accept(changed));
       if (change.has("remove")) {
         remove(change.get("remove").asText());
@@ -551,8 +551,8 @@
   }
 
   private void trimLog() {
-    if (log.size() > 2L * mostLogged) {
-      int over = log.size() - mostLogged;
+    if (log.size() > 2L * retainedChanges) {
+      int over = log.size() - retainedChanges;
       forgotten = log.get(over - 1).get("stamp").asLong();
       log.subList(0, over).clear();
       watches.forEach(watch -> watch.from = Math.max(0, watch.from - over));
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -33,12 +33,12 @@
   private Receiver receiver;
 
   /** What happened here, in order: the effect. */
-  final List<Event> effects = new ArrayList<>();
+  final List<Event> appliedEvents = new ArrayList<>();
 
   private final Map<String, Long> positions = new HashMap<>();
 
   /** The part of requests at which it is killed, or answers with trouble. */
-  double trouble;
+  double faultRate;
 
   /** When a killed one is back. */
   private Instant backAt = Instant.EPOCH;
@@ -46,15 +46,15 @@
   /** It is killed after its next effect and before its answer. */
   private boolean dying;
 
-  int requests;
+  int requestCount;
 
   FakeReceiver(SimulatedWorld world, byte[] secret) {
     this.world = world;
-    replace(secret);
+    replaceSecret(secret);
   }
 
   /** It knows another secret from here on. */
-  final void replace(byte[] secret) {
+  final void replaceSecret(byte[] secret) {
     receiver =
         new Receiver(
             List.of(secret),
@@ -78,16 +78,16 @@
   }
 
   @Override
-  public long position(String source) {
+  public long lastSequence(String source) {
     return positions.getOrDefault(source, 0L);
   }
 
   @Override
   public void apply(Event event) throws IOException {
-    if (world.random.nextDouble() < trouble / 4) {
+    if (world.random.nextDouble() < faultRate / 4) {
       throw new IOException("the disk is full");
     }
-    effects.add(event);
+    appliedEvents.add(event);
     positions.put(event.source(), event.sequence());
   }
 
@@ -95,30 +95,30 @@
   public void close() {}
 
   /** It loses its latest effects, as after a return to a copy. */
-  void restore(int keep) {
-    while (effects.size() > keep) {
-      effects.remove(effects.size() - 1);
+  void restoreBackup(int keep) {
+    while (appliedEvents.size() > keep) {
+      appliedEvents.remove(appliedEvents.size() - 1);
     }
     positions.clear();
-    effects.forEach(event -> positions.put(event.source(), event.sequence()));
+    appliedEvents.forEach(event -> positions.put(event.source(), event.sequence()));
   }
 
   @Override
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
-    requests++;
+    requestCount++;
     if (world.now().isBefore(backAt)) {
       return;
     }
     double chance = world.random.nextDouble();
-    if (chance < trouble / 4) {
+    if (chance < faultRate / 4) {
       kill();
       return;
     }
-    if (chance < trouble / 2) {
+    if (chance < faultRate / 2) {
       answer.accept(new HttpResponse(world.random.nextBoolean() ? 503 : 429, new byte[0], 1));
       return;
     }
-    dying = chance < trouble * 3 / 4;
+    dying = chance < faultRate * 3 / 4;
     try {
       ObjectNode envelope = Json.parseObject(body);
       Receiver.Reply reply =
@@ -140,8 +140,8 @@
   }
 
   /** What a controller on a host sends through: the simulated network, with its late packets. */
-  static OutboundClient from(SimulatedWorld world, String host, BooleanSupplier alive) {
-    AsyncHttpClient httpClient = world.caller(host, alive);
+  static OutboundClient outboundClient(SimulatedWorld world, String host, BooleanSupplier alive) {
+    AsyncHttpClient httpClient = world.httpClient(host, alive);
     return (message, onAnswer) -> {
       ObjectNode envelope = Json.object();
       ObjectNode headers = envelope.putObject("headers");
--- a/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
+++ b/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
@@ -98,247 +98,247 @@
   private void inject(Combination combination) {
     switch (combination) {
       case LEADER_REJECTED_THEN_OUTAGE -> {
-        String old = leading();
-        long before = some(500, 20_000);
-        refuseLeader(before + some(0, 30_000));
+        String old = leaderHost();
+        long before = randomBetween(500, 20_000);
+        rejectLeaderAtStore(before + randomBetween(0, 30_000));
         // Some workers can reach only the old leader.
-        for (String machine : someMachines(3)) {
-          cutFor(List.of(machine), nodes().stream().filter(h -> !h.equals(old)).toList(), 90_000);
+        for (String machine : randomMachines(3)) {
+          cutTemporarily(List.of(machine), controllerHosts().stream().filter(h -> !h.equals(old)).toList(), 90_000);
         }
-        at(
+        schedule(
             before,
             () ->
-                outage(some(CANCELLATION_BOUND.toMillis() / 2, 3 * CANCELLATION_BOUND.toMillis())));
+                storeOutage(randomBetween(CANCELLATION_BOUND.toMillis() / 2, 3 * CANCELLATION_BOUND.toMillis())));
       }
       case SLOW_STORE_THEN_OUTAGE -> {
-        store.slowMillis = 2_500;
-        at(10_000, () -> refuseLeader(some(2_000, 15_000)));
-        at(some(12_000, 25_000), () -> outage(some(15_000, 60_000)));
-        at(70_000, () -> store.slowMillis = 0);
+        store.maxAnswerDelayMillis = 2_500;
+        schedule(10_000, () -> rejectLeaderAtStore(randomBetween(2_000, 15_000)));
+        schedule(randomBetween(12_000, 25_000), () -> storeOutage(randomBetween(15_000, 60_000)));
+        schedule(70_000, () -> store.maxAnswerDelayMillis = 0);
       }
       case TASKS_END_FAR_APART -> {
         for (int i = 0; i < 6; i++) {
           submit(
-              work(i % 3 == 2 ? "group" : "array", 2 + i % 2).put("apart_ms", some(1_000, 25_000)));
-          at(some(3_000, 60_000), () -> killLeader(some(0, 8_000)));
+              simpleJobSpec(i % 3 == 2 ? "group" : "array", 2 + i % 2).put("apart_ms", randomBetween(1_000, 25_000)));
+          schedule(randomBetween(3_000, 60_000), () -> killLeader(randomBetween(0, 8_000)));
         }
       }
       case STALE_HEARTBEATS -> {
-        fleet.copies = 0.4;
-        at(60_000, () -> fleet.copies = 0);
+        fleet.duplicateReportRate = 0.4;
+        schedule(60_000, () -> fleet.duplicateReportRate = 0);
         for (int i = 0; i < 3; i++) {
-          at(some(3_000, 50_000), () -> deafen(someMachines(5), some(5_000, 25_000)));
-          at(some(3_000, 50_000), () -> killLeader(some(0, 6_000)));
+          schedule(randomBetween(3_000, 50_000), () -> makeUnreachable(randomMachines(5), randomBetween(5_000, 25_000)));
+          schedule(randomBetween(3_000, 50_000), () -> killLeader(randomBetween(0, 6_000)));
         }
       }
       case DELAYED_MESSAGES -> {
-        world.held = 0.15;
-        at(50_000, () -> world.held = 0);
+        world.delayRate = 0.15;
+        schedule(50_000, () -> world.delayRate = 0);
         for (int i = 0; i < 12; i++) {
-          at(
-              some(0, 45_000),
-              () -> someMachines(4).forEach(m -> world.freeze(m, some(500, 9_000))));
+          schedule(
+              randomBetween(0, 45_000),
+              () -> randomMachines(4).forEach(m -> world.freeze(m, randomBetween(500, 9_000))));
         }
-        at(some(5_000, 45_000), () -> killLeader(some(0, 6_000)));
+        schedule(randomBetween(5_000, 45_000), () -> killLeader(randomBetween(0, 6_000)));
       }
       case FREQUENT_FAILOVERS -> {
         for (int i = 0; i < 8; i++) {
-          at(some(0, 30_000), () -> killLeader(some(0, 1_000)));
+          schedule(randomBetween(0, 30_000), () -> killLeader(randomBetween(0, 1_000)));
         }
-        at(
+        schedule(
             35_000,
             () -> {
               int first = world.random.nextInt(layout.nodes);
               controllers.forEach(
-                  each -> kill(each, each.index == first ? some(0, 1_000) : some(2_000, 12_000)));
+                  each -> kill(each, each.index == first ? randomBetween(0, 1_000) : randomBetween(2_000, 12_000)));
             });
       }
       case LATE_TRANSACTIONS -> {
-        store.lateWrites = 0.3;
-        at(50_000, () -> store.lateWrites = 0);
-        at(some(5_000, 25_000), () -> killLeader(some(0, 6_000)));
-        at(some(25_000, 45_000), () -> refuseLeader(some(1_000, 6_000)));
+        store.delayedTransactionRate = 0.3;
+        schedule(50_000, () -> store.delayedTransactionRate = 0);
+        schedule(randomBetween(5_000, 25_000), () -> killLeader(randomBetween(0, 6_000)));
+        schedule(randomBetween(25_000, 45_000), () -> rejectLeaderAtStore(randomBetween(1_000, 6_000)));
       }
       case UNREACHABLE_MACHINES -> {
-        List<String> away = someMachines(2);
-        long millis = some(20_000, 70_000);
+        List<String> away = randomMachines(2);
+        long millis = randomBetween(20_000, 70_000);
         if (world.random.nextBoolean()) {
-          deafen(away, millis);
+          makeUnreachable(away, millis);
         } else {
-          cutFor(away, nodes(), millis);
+          cutTemporarily(away, controllerHosts(), millis);
         }
-        at(some(500, 15_000), () -> killLeader(some(0, 8_000)));
+        schedule(randomBetween(500, 15_000), () -> killLeader(randomBetween(0, 8_000)));
       }
-      case ISOLATED_LEADER -> aloneFor(some(20_000, 70_000));
+      case ISOLATED_LEADER -> isolateLeader(randomBetween(20_000, 70_000));
       case RAPID_POLLING -> {
-        looksClosely = true;
-        at(60_000, () -> looksClosely = false);
+        sendsRequestBursts = true;
+        schedule(60_000, () -> sendsRequestBursts = false);
         for (int i = 0; i < 3; i++) {
-          at(some(2_000, 50_000), () -> killLeader(some(0, 8_000)));
+          schedule(randomBetween(2_000, 50_000), () -> killLeader(randomBetween(0, 8_000)));
         }
       }
       case LOST_STORE_ANSWERS -> {
-        looksClosely = true;
-        store.unanswered = 0.3;
-        at(
+        sendsRequestBursts = true;
+        store.lostAnswerRate = 0.3;
+        schedule(
             50_000,
             () -> {
-              looksClosely = false;
-              store.unanswered = 0;
+              sendsRequestBursts = false;
+              store.lostAnswerRate = 0;
             });
-        at(some(5_000, 45_000), () -> killLeader(some(0, 8_000)));
+        schedule(randomBetween(5_000, 45_000), () -> killLeader(randomBetween(0, 8_000)));
       }
       case TEAMS_AT_QUOTA -> {
         for (int i = 0; i < 10; i++) {
-          submit(work("array", 4).put("owner", "blue").put("guess_s", some(20, 90)));
+          submit(simpleJobSpec("array", 4).put("owner", "blue").put("guess_s", randomBetween(20, 90)));
         }
-        at(
+        schedule(
             12_000,
             () -> {
-              List<String> away = someMachines(2);
+              List<String> away = randomMachines(2);
               away.forEach(
                   machine -> {
                     if (world.random.nextBoolean()) {
-                      world.freeze(machine, some(5_000, 40_000));
+                      world.freeze(machine, randomBetween(5_000, 40_000));
                     } else {
-                      cutFor(List.of(machine), nodes(), some(10_000, 60_000));
+                      cutTemporarily(List.of(machine), controllerHosts(), randomBetween(10_000, 60_000));
                     }
                   });
-              at(some(0, 2_000), () -> cancelSome(0.6));
-              at(some(0, 4_000), () -> killLeader(some(0, 8_000)));
-              at(some(4_000, 12_000), () -> cancelSome(0.6));
+              schedule(randomBetween(0, 2_000), () -> cancelRandomJobs(0.6));
+              schedule(randomBetween(0, 4_000), () -> killLeader(randomBetween(0, 8_000)));
+              schedule(randomBetween(4_000, 12_000), () -> cancelRandomJobs(0.6));
             });
       }
       case CANCELS_AT_FAILOVER -> {
-        at(3_000, () -> killLeader(some(0, 8_000)));
+        schedule(3_000, () -> killLeader(randomBetween(0, 8_000)));
         for (int i = 0; i < 80; i++) {
-          at(i * 100L, () -> cancelSome(0.03));
+          schedule(i * 100L, () -> cancelRandomJobs(0.03));
         }
-        at(30_000, () -> killLeader(0));
+        schedule(30_000, () -> killLeader(0));
         for (int i = 0; i < 80; i++) {
-          at(27_000 + i * 100L, () -> cancelSome(0.03));
+          schedule(27_000 + i * 100L, () -> cancelRandomJobs(0.03));
         }
       }
       case FAST_BOOTS -> {
-        fleet.quickBoots = true;
-        store.lateWrites = 0.2;
+        fleet.fastBoots = true;
+        store.delayedTransactionRate = 0.2;
         for (int i = 0; i < 12; i++) {
-          submit(work("array", 8));
+          submit(simpleJobSpec("array", 8));
         }
-        at(some(1_000, 8_000), () -> killLeader(some(0, 6_000)));
-        at(some(10_000, 20_000), () -> fleet.up().forEach(this::killWithLowProbability));
-        at(some(15_000, 30_000), () -> killLeader(some(0, 6_000)));
-        at(
+        schedule(randomBetween(1_000, 8_000), () -> killLeader(randomBetween(0, 6_000)));
+        schedule(randomBetween(10_000, 20_000), () -> fleet.runningWorkers().forEach(this::killWithLowProbability));
+        schedule(randomBetween(15_000, 30_000), () -> killLeader(randomBetween(0, 6_000)));
+        schedule(
             40_000,
             () -> {
-              fleet.quickBoots = false;
-              store.lateWrites = 0;
+              fleet.fastBoots = false;
+              store.delayedTransactionRate = 0;
             });
       }
       case STALE_HEARTBEATS_AT_FAILOVER -> {
-        fleet.copies = 0.4;
-        fleet.keepsCopies = true;
+        fleet.duplicateReportRate = 0.4;
+        fleet.retainsReportCopies = true;
         for (int i = 0; i < 3; i++) {
-          at(some(10_000, 50_000), () -> killLeader(some(0, 6_000)));
+          schedule(randomBetween(10_000, 50_000), () -> killLeader(randomBetween(0, 6_000)));
         }
-        at(some(5_000, 40_000), () -> deafen(someMachines(4), some(5_000, 25_000)));
-        at(
+        schedule(randomBetween(5_000, 40_000), () -> makeUnreachable(randomMachines(4), randomBetween(5_000, 25_000)));
+        schedule(
             60_000,
             () -> {
-              fleet.copies = 0;
-              fleet.keepsCopies = false;
+              fleet.duplicateReportRate = 0;
+              fleet.retainsReportCopies = false;
             });
       }
       case MANY_SMALL_JOBS -> {
         for (int i = 0; i < 200; i++) {
-          at(
+          schedule(
               i * 250L,
               () -> {
-                SafetyRules.Known job = submit(work("array", 1).put("guess_s", some(3, 12)));
+                SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 1).put("guess_s", randomBetween(3, 12)));
                 if (world.random.nextInt(4) == 0) {
-                  at(some(200, 9_000), () -> cancel(job));
+                  schedule(randomBetween(200, 9_000), () -> cancel(job));
                 }
               });
         }
-        at(some(15_000, 35_000), () -> killLeader(some(0, 6_000)));
+        schedule(randomBetween(15_000, 35_000), () -> killLeader(randomBetween(0, 6_000)));
       }
       case ZONE_CONSTRAINTS -> {
         for (int i = 0; i < 6; i++) {
           String shape = List.of("array", "service", "group").get(i % 3);
           ObjectNode spec =
-              work(shape, 2 + i % 2).put("guess_s", shape.equals("service") ? 0 : some(20, 80));
+              simpleJobSpec(shape, 2 + i % 2).put("guess_s", shape.equals("service") ? 0 : randomBetween(20, 80));
           submit(i % 2 == 0 ? spec.put("yard", layout.zones.get(0)) : spec.put("together", true));
         }
         for (int i = 0; i < 4; i++) {
-          at(some(5_000, 50_000), () -> fleet.up().forEach(this::killWithLowProbability));
+          schedule(randomBetween(5_000, 50_000), () -> fleet.runningWorkers().forEach(this::killWithLowProbability));
         }
-        at(some(5_000, 50_000), () -> killLeader(some(0, 6_000)));
-        at(some(5_000, 30_000), () -> cutFor(someMachines(4), nodes(), some(10_000, 40_000)));
+        schedule(randomBetween(5_000, 50_000), () -> killLeader(randomBetween(0, 6_000)));
+        schedule(randomBetween(5_000, 30_000), () -> cutTemporarily(randomMachines(4), controllerHosts(), randomBetween(10_000, 40_000)));
       }
       case CANCELS_AT_STORE_REJECTION -> {
-        long refused = some(5_000, 40_000);
-        at(
+        long refused = randomBetween(5_000, 40_000);
+        schedule(
             5_000,
             () -> {
-              refuseLeader(refused);
-              cancelSome(0.3);
+              rejectLeaderAtStore(refused);
+              cancelRandomJobs(0.3);
             });
         for (int i = 0; i < 20; i++) {
-          at(4_900 + i * 60L, () -> cancelSome(0.05));
+          schedule(4_900 + i * 60L, () -> cancelRandomJobs(0.05));
         }
-        at(
+        schedule(
             6_000,
-            () -> outage(some(CANCELLATION_BOUND.toMillis(), 2 * CANCELLATION_BOUND.toMillis())));
+            () -> storeOutage(randomBetween(CANCELLATION_BOUND.toMillis(), 2 * CANCELLATION_BOUND.toMillis())));
       }
       case OVERLOAD -> {
-        fleet.capacity = Math.max(2, fleet.up().size() / (2 * layout.zones.size()));
-        world.held = 0.1;
+        fleet.zoneCapacity = Math.max(2, fleet.runningWorkers().size() / (2 * layout.zones.size()));
+        world.delayRate = 0.1;
         for (int i = 0; i < 25; i++) {
           ObjectNode spec =
-              work(i % 4 == 0 ? "group" : "array", 2 + i % 3)
+              simpleJobSpec(i % 4 == 0 ? "group" : "array", 2 + i % 3)
                   .put("rank", List.of("prod", "urgent", "standard", "low").get(i % 4))
                   .put("mark_every_s", i % 2 * 5.0)
                   .put("stow_s", i % 2 * 2.0);
-          at(some(0, 40_000), () -> submit(spec));
+          schedule(randomBetween(0, 40_000), () -> submit(spec));
         }
-        at(
+        schedule(
             60_000,
             () -> {
-              world.held = 0;
-              fleet.capacity = MACHINES_PER_ZONE;
+              world.delayRate = 0;
+              fleet.zoneCapacity = MACHINES_PER_ZONE;
             });
       }
       case REQUESTS_AT_COMPLETION -> {
-        cancelledAtEnd = 0.7;
-        meetEnds();
+        cancelAtEndRate = 0.7;
+        cancelJobsAtEnd();
         for (int i = 0; i < 120; i++) {
-          at(
-              some(0, 50_000),
-              () -> submit(work("array", 1 + world.random.nextInt(2)).put("guess_s", 3)));
+          schedule(
+              randomBetween(0, 50_000),
+              () -> submit(simpleJobSpec("array", 1 + world.random.nextInt(2)).put("guess_s", 3)));
         }
-        at(70_000, () -> cancelledAtEnd = 0);
+        schedule(70_000, () -> cancelAtEndRate = 0);
       }
       case ALL_CONTROLLERS_DOWN -> {
-        long away = fleet.leaseMillis + some(1_000, 25_000);
-        controllers.forEach(each -> kill(each, away + some(0, 3_000)));
-        at(some(0, 3_000), () -> cancelSome(0.2));
+        long away = fleet.leaseMillis + randomBetween(1_000, 25_000);
+        controllers.forEach(each -> kill(each, away + randomBetween(0, 3_000)));
+        schedule(randomBetween(0, 3_000), () -> cancelRandomJobs(0.2));
       }
       case TEN_FAILOVERS -> {
         for (int i = 0; i < 10; i++) {
-          at(some(i * 10_000L, i * 10_000L + 9_000), () -> killLeader(some(0, 4_000)));
+          schedule(randomBetween(i * 10_000L, i * 10_000L + 9_000), () -> killLeader(randomBetween(0, 4_000)));
         }
-        at(some(20_000, 40_000), () -> outage(some(10_000, 50_000)));
+        schedule(randomBetween(20_000, 40_000), () -> storeOutage(randomBetween(10_000, 50_000)));
       }
       case ZONE_PARTITION -> {
         String zone = layout.zones.get(world.random.nextInt(layout.zones.size()));
-        cutZone(zone, fleet.leaseMillis + some(5_000, 60_000));
-        at(some(0, 20_000), () -> cancelSome(0.3));
-        at(some(5_000, 30_000), () -> killLeader(some(0, 6_000)));
+        cutZone(zone, fleet.leaseMillis + randomBetween(5_000, 60_000));
+        schedule(randomBetween(0, 20_000), () -> cancelRandomJobs(0.3));
+        schedule(randomBetween(5_000, 30_000), () -> killLeader(randomBetween(0, 6_000)));
       }
       case NO_HEARTBEATS -> {
-        muteFor(someMachines(2), some(10_000, 60_000));
-        at(some(1_000, 15_000), () -> cancelSome(0.3));
-        at(some(5_000, 40_000), () -> killLeader(some(0, 6_000)));
+        blockOutgoing(randomMachines(2), randomBetween(10_000, 60_000));
+        schedule(randomBetween(1_000, 15_000), () -> cancelRandomJobs(0.3));
+        schedule(randomBetween(5_000, 40_000), () -> killLeader(randomBetween(0, 6_000)));
       }
       default -> throw new AssertionError(combination);
     }
@@ -346,37 +346,37 @@
 
   private void killWithLowProbability(FakeFleet.Worker worker) {
     if (world.random.nextInt(6) == 0) {
-      fleet.die(worker);
+      fleet.failMachine(worker);
     }
   }
 
   @Override
-  void onStored(String key) {
-    if (key.endsWith("lead/holder") && fleet.keepsCopies) {
-      fleet.deliverKept();
+  void onStoreChange(String key) {
+    if (key.endsWith("lead/holder") && fleet.retainsReportCopies) {
+      fleet.deliverRetainedReports();
     }
   }
 
   void runWithFaults(Layout layout, long seed, Set<Combination> combinations) {
     begin(layout, seed);
-    fleet.capacity = MACHINES_PER_ZONE;
+    fleet.zoneCapacity = MACHINES_PER_ZONE;
     int number = 0;
     for (; number < 14; number++) {
-      step(number);
+      runStep(number);
     }
     for (Combination combination : combinations) {
       inject(combination);
-      world.runFor(Duration.ofMillis(some(0, 4_000)));
+      world.runFor(Duration.ofMillis(randomBetween(0, 4_000)));
     }
     for (; number < 45; number++) {
-      step(number);
+      runStep(number);
     }
     world.runFor(FAULTS_END.minusSeconds(60));
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     world.runFor(CANCELLATION_REPORT_BOUND);
-    for (SafetyRules.Known job : rules.jobs.values()) {
+    for (SafetyRules.TrackedJob job : rules.jobs.values()) {
       assertTrue(
-          !job.cancelAsked || job.isOver(), job.id + " was cancelled and not reported as over");
+          !job.cancelRequested || job.isFinished(), job.id + " was cancelled and not reported as over");
     }
     settle(Duration.ofSeconds(400));
   }
@@ -388,15 +388,15 @@
   private void causeTransactionsOfAllKinds() {
     int number = 0;
     for (; number < 20; number++) {
-      step(number);
+      runStep(number);
     }
     killLeader(400);
     for (; number < 24; number++) {
-      step(number);
+      runStep(number);
     }
-    aloneFor(25_000);
+    isolateLeader(25_000);
     for (; number < 45; number++) {
-      step(number);
+      runStep(number);
     }
   }
 
@@ -404,7 +404,7 @@
   @Test
   void aTransactionThatWasExecutedHasNoEffectASecondTime() {
     begin(Layout.FLEET, 77);
-    store.repeats = true;
+    store.replaysTransactions = true;
     causeTransactionsOfAllKinds();
     world.runFor(Duration.ofSeconds(60));
     settle(Duration.ofSeconds(400));
@@ -423,10 +423,10 @@
             "apart/");
     for (String kind : kinds) {
       assertTrue(
-          store.repeated.getOrDefault(kind, 0) > 0,
-          "no repeated transaction for " + kind + " in " + store.repeated);
+          store.replaysByPrefix.getOrDefault(kind, 0) > 0,
+          "no repeated transaction for " + kind + " in " + store.replaysByPrefix);
     }
-    assertEquals(Map.of(), store.repeatedWithEffect);
+    assertEquals(Map.of(), store.effectiveReplaysByPrefix);
   }
 
   /**
@@ -436,14 +436,14 @@
   @Test
   void anAnswerThatIsLostIsNoRefusalAndNobodyElsesWork() {
     begin(Layout.SHORT, 79);
-    store.unanswered = 0.3;
-    looksClosely = true;
+    store.lostAnswerRate = 0.3;
+    sendsRequestBursts = true;
     causeTransactionsOfAllKinds();
-    looksClosely = false;
+    sendsRequestBursts = false;
     world.runFor(Duration.ofSeconds(30));
-    store.unanswered = 0;
+    store.lostAnswerRate = 0;
     world.runFor(Duration.ofSeconds(30));
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     settle(Duration.ofSeconds(400));
     Set<String> kinds =
         Set.of(
@@ -459,8 +459,8 @@
             "lead/");
     for (String kind : kinds) {
       assertTrue(
-          store.unansweredKinds.getOrDefault(kind, 0) > 0,
-          "no lost answer for " + kind + " in " + store.unansweredKinds);
+          store.lostAnswersByPrefix.getOrDefault(kind, 0) > 0,
+          "no lost answer for " + kind + " in " + store.lostAnswersByPrefix);
     }
   }
 
@@ -475,15 +475,15 @@
   void keepsTasksInLongOutageAfterRejectionOfLeader(Layout layout) {
     begin(layout, 50);
     for (int i = 0; i < 8; i++) {
-      submit(work("service", 3).put("spread", true));
+      submit(simpleJobSpec("service", 3).put("spread", true));
     }
     world.runFor(Duration.ofSeconds(60));
-    assertTrue(fleet.up().stream().map(w -> w.zone).distinct().count() > 1);
-    List<String> machines = fleet.up().stream().map(w -> w.name).toList();
-    refuseLeader(14_000);
-    at(2_000, () -> outage(90_000));
+    assertTrue(fleet.runningWorkers().stream().map(w -> w.zone).distinct().count() > 1);
+    List<String> machines = fleet.runningWorkers().stream().map(w -> w.name).toList();
+    rejectLeaderAtStore(14_000);
+    schedule(2_000, () -> storeOutage(90_000));
     world.runFor(Duration.ofSeconds(130));
-    assertEquals(0, fleet.endedByLease);
+    assertEquals(0, fleet.tasksEndedByLeaseExpiry);
     // One machine may be returned because it is idle, but none because it is unreachable.
     List<String> gone = machines.stream().filter(m -> !fleet.machines.containsKey(m)).toList();
     assertTrue(gone.size() <= 1, "machines returned: " + gone);
@@ -502,24 +502,24 @@
     begin(Layout.SHORT, 30_000 + delayMillis);
     int number = 0;
     for (; number < 10; number++) {
-      step(number);
+      runStep(number);
     }
-    int leader = leader();
-    kill(controllers.get(leader), some(0, 1_000));
-    at(
+    int leader = leaderIndex();
+    kill(controllers.get(leader), randomBetween(0, 1_000));
+    schedule(
         delayMillis,
         () -> {
-          int next = store.value("lead/holder") == null ? (leader + 1) % layout.nodes : leader();
-          kill(controllers.get(next), some(0, 1_000));
-          kill(controllers.get((next + 1) % layout.nodes), some(0, 200));
+          int next = store.value("lead/holder") == null ? (leader + 1) % layout.nodes : leaderIndex();
+          kill(controllers.get(next), randomBetween(0, 1_000));
+          kill(controllers.get((next + 1) % layout.nodes), randomBetween(0, 200));
         });
-    at(
+    schedule(
         delayMillis + 600L,
-        () -> controllers.forEach(each -> kill(each, each.index * some(0, 250))));
+        () -> controllers.forEach(each -> kill(each, each.index * randomBetween(0, 250))));
     for (; number < 18; number++) {
-      step(number);
+      runStep(number);
     }
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     settle(Duration.ofMinutes(5));
   }
 
--- a/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
+++ b/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
@@ -18,54 +18,54 @@
   private static final long[] CLOSELY = {0, 2, 7, 20, 60, 200, 800};
 
   /** Users ask at all nodes, again and again, right after an answer that says something new. */
-  boolean looksClosely;
+  boolean sendsRequestBursts;
 
   /** The part of the jobs that end by themselves which are cancelled at that moment. */
-  double cancelledAtEnd;
+  double cancelAtEndRate;
 
-  long some(long least, long most) {
+  long randomBetween(long least, long most) {
     return least + world.random.nextLong(most - least);
   }
 
-  void at(long millis, Runnable action) {
+  void schedule(long millis, Runnable action) {
     world.after(millis, action);
   }
 
   void killLeader(long backMillis) {
-    kill(controllers.get(leading().charAt(leading().length() - 1) - '1'), backMillis);
+    kill(controllers.get(leaderHost().charAt(leaderHost().length() - 1) - '1'), backMillis);
   }
 
-  void refuseLeader(long millis) {
-    String refused = leading();
+  void rejectLeaderAtStore(long millis) {
+    String refused = leaderHost();
     world.answerRefused(refused, "10.2.0.1", true);
-    at(millis, () -> world.answerRefused(refused, "10.2.0.1", false));
+    schedule(millis, () -> world.answerRefused(refused, "10.2.0.1", false));
   }
 
-  void outage(long millis) {
+  void storeOutage(long millis) {
     store.outage = true;
-    at(millis, store::endOutage);
+    schedule(millis, store::endOutage);
   }
 
-  List<String> someMachines(int oneOf) {
-    return fleet.up().stream()
+  List<String> randomMachines(int oneOf) {
+    return fleet.runningWorkers().stream()
         .map(w -> SimulatedWorld.host(w.address))
         .filter(h -> world.random.nextInt(oneOf) == 0)
         .toList();
   }
 
-  void deafen(List<String> hosts, long millis) {
-    world.deaf.addAll(hosts);
-    at(millis, () -> hosts.forEach(world.deaf::remove));
+  void makeUnreachable(List<String> hosts, long millis) {
+    world.unreachableHosts.addAll(hosts);
+    schedule(millis, () -> hosts.forEach(world.unreachableHosts::remove));
   }
 
-  void step(int number) {
+  void runStep(int number) {
     String shape = number % 5 == 0 ? "service" : number % 5 == 3 ? "group" : "array";
-    ObjectNode spec = work(shape, 1 + world.random.nextInt(shape.equals("group") ? 3 : 5));
+    ObjectNode spec = simpleJobSpec(shape, 1 + world.random.nextInt(shape.equals("group") ? 3 : 5));
     boolean together = shape.equals("group") && number % 2 == 0;
     spec.put("together", together).put("spread", !together && number % 7 == 0);
     if (number % 2 == 0 && !shape.equals("service")) {
       // Long enough to be there from before the troubles until after them.
-      spec.put("guess_s", some(30, 110));
+      spec.put("guess_s", randomBetween(30, 110));
     }
     if (number % 3 == 0 && !shape.equals("service")) {
       // Services run on, and would fill this team's limit for good.
@@ -73,29 +73,29 @@
     }
     submit(spec);
     oddRequests();
-    for (SafetyRules.Known job : new ArrayList<>(rules.jobs.values())) {
+    for (SafetyRules.TrackedJob job : new ArrayList<>(rules.jobs.values())) {
       perhapsCancel(job, CANCELS);
       if (world.random.nextInt(10) == 0) {
-        ask(job);
+        queryStatus(job);
       }
     }
     world.runFor(Duration.ofSeconds(2));
   }
 
   /** So likely cancels a job whose user may think of it. */
-  private void perhapsCancel(SafetyRules.Known job, double likely) {
-    if (job.accepted && !job.cancelAsked && !job.isOver() && world.random.nextDouble() < likely) {
+  private void perhapsCancel(SafetyRules.TrackedJob job, double likely) {
+    if (job.accepted && !job.cancelRequested && !job.isFinished() && world.random.nextDouble() < likely) {
       cancel(job);
     }
   }
 
-  void cancelSome(double part) {
+  void cancelRandomJobs(double part) {
     List.copyOf(rules.jobs.values()).forEach(job -> perhapsCancel(job, part));
   }
 
   @Override
-  void onNews(SafetyRules.Known job) {
-    if (looksClosely) {
+  void onNews(SafetyRules.TrackedJob job) {
+    if (sendsRequestBursts) {
       lookClosely(job);
     }
   }
@@ -104,17 +104,17 @@
    * Asks at every node within milliseconds, submits again, and cancels some that were just
    * accepted.
    */
-  void lookClosely(SafetyRules.Known job) {
+  void lookClosely(SafetyRules.TrackedJob job) {
     boolean cancels =
-        job.told() == SafetyRules.Told.ACCEPTED && !job.cancelAsked && world.random.nextInt(4) == 0;
-    for (String node : fronts) {
+        job.reportedState() == SafetyRules.ReportedState.ACCEPTED && !job.cancelRequested && world.random.nextInt(4) == 0;
+    for (String node : apiAddresses) {
       for (long millis : CLOSELY) {
-        at(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, good -> {}));
+        schedule(millis, () -> send(job, node, "GET", "/v1/jobs/" + job.id, null, good -> {}));
       }
-      at(some(0, 50), () -> send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {}));
+      schedule(randomBetween(0, 50), () -> send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {}));
     }
     if (cancels) {
-      at(some(0, 30), () -> cancel(job));
+      schedule(randomBetween(0, 30), () -> cancel(job));
     }
   }
 
@@ -122,15 +122,15 @@
    * Each of the jobs that end may be cancelled, asked for and submitted again within that very
    * moment.
    */
-  void meetEnds() {
+  void cancelJobsAtEnd() {
     rules.onLastDone =
         job -> {
-          if (world.random.nextDouble() < cancelledAtEnd) {
-            at(some(0, 1_000), () -> lookClosely(job));
-            job.cancelAsked = true;
+          if (world.random.nextDouble() < cancelAtEndRate) {
+            schedule(randomBetween(0, 1_000), () -> lookClosely(job));
+            job.cancelRequested = true;
             for (int i = 0; i < 2; i++) {
               String path = "/v1/jobs/" + job.id + "/cancel";
-              at(some(0, 700), () -> send(job, "POST", path, null));
+              schedule(randomBetween(0, 700), () -> send(job, "POST", path, null));
             }
           }
         };
@@ -141,7 +141,7 @@
    * those done.
    */
   void oddRequests() {
-    ObjectNode spec = work("array", 2);
+    ObjectNode spec = simpleJobSpec("array", 2);
     rules.jobs.remove(spec.get("ref").asText());
     switch (world.random.nextInt(8)) {
       case 0 -> spec.put("owner", "nobody");
@@ -157,12 +157,12 @@
         spec.remove(required.get(world.random.nextInt(required.size())));
       }
     }
-    SafetyRules.Known unfit = new SafetyRules.Known(spec.get("ref").asText(), spec);
-    unfit.unfit = true;
+    SafetyRules.TrackedJob unfit = new SafetyRules.TrackedJob(spec.get("ref").asText(), spec);
+    unfit.invalid = true;
     send(unfit, "POST", "/v1/jobs", Json.bytes(spec));
-    for (SafetyRules.Known job : List.copyOf(rules.jobs.values())) {
+    for (SafetyRules.TrackedJob job : List.copyOf(rules.jobs.values())) {
       if (job.accepted && world.random.nextInt(10) == 0) {
-        String node = fronts.get(world.random.nextInt(fronts.size()));
+        String node = apiAddresses.get(world.random.nextInt(apiAddresses.size()));
         send(job, node, "POST", "/v1/jobs", Json.bytes(job.spec), good -> {});
         if (job.done) {
           send(job, node, "POST", "/v1/jobs/" + job.id + "/cancel", null, good -> {});
@@ -172,11 +172,11 @@
   }
 
   /** These machines can open connections to no controller; direct commands reach them. */
-  void muteFor(List<String> machines, long millis) {
+  void blockOutgoing(List<String> machines, long millis) {
     for (String machine : machines) {
-      for (String node : nodes()) {
-        world.refuse(machine, node);
-        at(millis, () -> world.heal(machine, node));
+      for (String node : controllerHosts()) {
+        world.cutOneWay(machine, node);
+        schedule(millis, () -> world.heal(machine, node));
       }
     }
   }
@@ -190,9 +190,9 @@
     for (int i = 0; i < layout.nodes; i++) {
       (zoneOf(i).equals(zone) ? inside : outside).add(host(i));
     }
-    for (FakeFleet.Worker worker : fleet.up()) {
+    for (FakeFleet.Worker worker : fleet.runningWorkers()) {
       (worker.zone.equals(zone) ? inside : outside).add(SimulatedWorld.host(worker.address));
     }
-    cutFor(inside, outside, millis);
+    cutTemporarily(inside, outside, millis);
   }
 }
--- a/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
+++ b/src/test/java/io/pineladder/sim/LateElectionClaimTest.java
@@ -69,8 +69,8 @@
 
   @Test
   void lateClaimOfEarlierRoundDoesNotElect() throws Exception {
-    Settings settings = SettingsReader.parse(SettingsReaderTest.GOOD);
-    EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
+    Settings settings = SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS);
+    EventLoop eventLoop = world.eventLoop("10.0.0.1", () -> true, 1);
     StoreClient client =
         new StoreClient(
             this::unreliableStore, eventLoop, settings.storeAddress(), settings.storeLimits(), 3);
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -31,10 +31,10 @@
   private final SimulatedWorld world = new SimulatedWorld(1);
   final FakeKeyValueStore store = new FakeKeyValueStore(world, 12, 8192);
   private final List<Process> processes = new ArrayList<>();
-  private final String storeAddress = free();
-  private final String cloudAddress = free();
+  private final String storeAddress = freeAddress();
+  private final String cloudAddress = freeAddress();
   private final List<String> fronts = new ArrayList<>();
-  private final List<String> clusters = new ArrayList<>();
+  private final List<String> adminAddresses = new ArrayList<>();
   private final List<String> options;
   private final double coreShare;
   private final HttpClient http =
@@ -54,7 +54,7 @@
     this.options = options;
     runtime = new XnioEventLoop(4_000, Duration.ofSeconds(3));
     FakeFleet fleet = new FakeFleet(world, new SafetyRules(world, List.of()), List.of());
-    fleet.capacity = 0;
+    fleet.zoneCapacity = 0;
     runtime.serve(
         new XnioEventLoop.Listener(
             storeAddress,
@@ -68,8 +68,8 @@
             ConnectionLimiter.TrafficClass.USERS,
             path -> ConnectionLimiter.TrafficClass.USERS));
     for (int i = 0; i < controllers; i++) {
-      fronts.add(free());
-      clusters.add(free());
+      fronts.add(freeAddress());
+      adminAddresses.add(freeAddress());
     }
     for (int i = 0; i < controllers; i++) {
       Files.writeString(folder.resolve("settings-" + i + ".toml"), settings(i));
@@ -88,7 +88,7 @@
     }
   }
 
-  static String free() {
+  static String freeAddress() {
     try (ServerSocket socket =
         new ServerSocket(0, 1, InetAddress.getByAddress(new byte[] {127, 0, 0, 1}))) {
       return "127.0.0.1:" + socket.getLocalPort();
@@ -98,7 +98,7 @@
   }
 
   private String settings(int index) {
-    String good = SettingsReaderTest.GOOD;
+    String good = SettingsReaderTest.VALID_SETTINGS;
     int seeds = good.indexOf("[[seeds]]");
     StringBuilder text =
         new StringBuilder(good.substring(0, seeds))
@@ -107,7 +107,7 @@
     for (int i = 0; i < fronts.size(); i++) {
       if (i != index) {
         text.append("[[seeds]]\nmember = \"rung-" + i + "\"\narea = \"a\"\naddress = \"")
-            .append(clusters.get(i))
+            .append(adminAddresses.get(i))
             .append("\"\n");
       }
     }
@@ -117,7 +117,7 @@
             "member = \"rung-0\"\narea = \"a\"\nfront",
             "member = \"rung-" + index + "\"\narea = \"a\"\nfront")
         .replace("10.0.0.1:8080", fronts.get(index))
-        .replace("10.0.0.1:8081", clusters.get(index))
+        .replace("10.0.0.1:8081", adminAddresses.get(index))
         .replace("write_rps = 60.0", "write_rps = 2000.0")
         .replace("rps = 100.0", "rps = 5000.0")
         .replace("core_share = 0.2", "core_share = " + coreShare);
@@ -163,7 +163,7 @@
   }
 
   /** Reads something of the stand-ins, on their thread. */
-  <T> T read(Supplier<T> what) throws Exception {
+  <T> T readOnEventLoop(Supplier<T> what) throws Exception {
     java.util.concurrent.CompletableFuture<T> got = new java.util.concurrent.CompletableFuture<>();
     runtime.execute(() -> got.complete(what.get()));
     return got.get();
@@ -189,27 +189,27 @@
   }
 
   /** One request to one controller's users' address; null when there was no answer. */
-  HttpResponse<String> askOnce(int index, String method, String path) throws InterruptedException {
+  HttpResponse<String> requestOnce(int index, String method, String path) throws InterruptedException {
     return ask(fronts.get(index), method, path, null);
   }
 
   /** The controllers' addresses for administrators. */
-  List<String> clusters() {
-    return clusters;
+  List<String> adminAddresses() {
+    return adminAddresses;
   }
 
   /** Asks one address until it answers with 200 or 201. */
-  ObjectNode insistOf(String address, String method, String path) throws InterruptedException {
-    return insist(List.of(address), method, path, null);
+  ObjectNode requestAddressUntilSuccess(String address, String method, String path) throws InterruptedException {
+    return requestUntilSuccess(List.of(address), method, path, null);
   }
 
   /** Asks one controller after the other until one answers with 200 or 201. */
-  ObjectNode insist(boolean admin, String method, String path, ObjectNode body)
+  ObjectNode requestUntilSuccess(boolean admin, String method, String path, ObjectNode body)
       throws InterruptedException {
-    return insist(admin ? clusters : fronts, method, path, body);
+    return requestUntilSuccess(admin ? adminAddresses : fronts, method, path, body);
   }
 
-  private ObjectNode insist(List<String> addresses, String method, String path, ObjectNode body)
+  private ObjectNode requestUntilSuccess(List<String> addresses, String method, String path, ObjectNode body)
       throws InterruptedException {
     int first = Math.floorMod(path.hashCode(), addresses.size());
     String last = "no answer";
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pineladder.membership.Membership;
-import io.pineladder.membership.Membership.SelfAssessment;
+import io.pineladder.membership.Membership.LocalHealth;
 import io.pineladder.membership.Membership.State;
 import io.pineladder.model.ClusterVersion;
 import io.pineladder.model.Settings;
@@ -55,8 +55,8 @@
     Node(int index, String nonce) {
       name = "rung-" + index;
       host = "10.0.0." + (index + 1);
-      eventLoop = world.timeline(host, () -> alive[0], 1);
-      AsyncHttpClient httpClient = world.caller(host, () -> alive[0]);
+      eventLoop = world.eventLoop(host, () -> alive[0], 1);
+      AsyncHttpClient httpClient = world.httpClient(host, () -> alive[0]);
       membership =
           new Membership(
               settings(index),
@@ -69,7 +69,7 @@
                     AsyncHttpClient.Request.post(
                         address, GossipWire.PATH, beat, Membership.HEARTBEAT_TIMEOUT),
                     reply -> {
-                      byte[] body = reply.is(200) ? reply.body() : null;
+                      byte[] body = reply.hasStatus(200) ? reply.body() : null;
                       record(body == null ? Kind.TIMEOUT : Kind.ANSWER, peer, body);
                       onAnswer.accept(body);
                       assertStateJustified(peer);
@@ -216,7 +216,7 @@
         toml.append("address = \"10.0.0." + (i + 1) + ":8081\"\n");
       }
     }
-    String good = SettingsReaderTest.GOOD;
+    String good = SettingsReaderTest.VALID_SETTINGS;
     int from = good.indexOf("[[seeds]]");
     int to = good.indexOf("[external]");
     try {
@@ -259,7 +259,7 @@
     Duration roundDuration = Duration.ofSeconds(6);
     int rounds = 60;
     for (int round = 0; round < rounds; round++) {
-      world.lossy = world.random.nextDouble() * 0.3;
+      world.lossRate = world.random.nextDouble() * 0.3;
       int a = world.random.nextInt(NODES);
       int b = (a + 1 + world.random.nextInt(NODES - 1)) % NODES;
       String one = nodes.get(a).host;
@@ -267,7 +267,7 @@
       switch (world.random.nextInt(5)) {
         case 0 -> world.freeze(one, 1_000 + world.random.nextInt(20_000));
         case 1 -> world.cut(one, other);
-        case 2 -> world.refuse(one, other);
+        case 2 -> world.cutOneWay(one, other);
         case 3 -> world.heal(one, other);
         default -> {}
       }
@@ -277,7 +277,7 @@
     long maxChanges = 6 * roundDuration.multipliedBy(rounds).toMillis() / 2_000;
     assertTrue(stateChanges() - before > 20, "expected more than 20 state changes");
     assertTrue(stateChanges() - before <= maxChanges, stateChanges() + " changes");
-    world.lossy = 0;
+    world.lossRate = 0;
     for (int a = 0; a < NODES; a++) {
       for (int b = 0; b < NODES; b++) {
         world.heal(nodes.get(a).host, nodes.get(b).host);
@@ -288,7 +288,7 @@
       for (int b = 0; b < NODES; b++) {
         assertEquals(a == b ? State.UNKNOWN : State.UP, state(a, b));
       }
-      assertEquals(SelfAssessment.SURE, nodes.get(a).membership.selfAssessment());
+      assertEquals(LocalHealth.HEALTHY, nodes.get(a).membership.localHealth());
     }
   }
 
@@ -297,7 +297,7 @@
     begin(21);
     world.runFor(Duration.ofSeconds(5));
     int before = stateChanges();
-    world.refuse("10.0.0.1", "10.0.0.2");
+    world.cutOneWay("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofMillis(1_900));
     world.heal("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofSeconds(5));
@@ -335,17 +335,17 @@
     world.cut("10.0.0.1", "10.0.0.2");
     world.cut("10.0.0.1", "10.0.0.3");
     world.runFor(Duration.ofSeconds(20));
-    assertEquals(SelfAssessment.DOUBTFUL, nodes.get(0).membership.selfAssessment());
+    assertEquals(LocalHealth.DEGRADED, nodes.get(0).membership.localHealth());
     assertNotEquals(State.DOWN, state(0, 1));
     assertEquals(State.DOWN, state(1, 0));
-    assertEquals(SelfAssessment.SURE, nodes.get(1).membership.selfAssessment());
+    assertEquals(LocalHealth.HEALTHY, nodes.get(1).membership.localHealth());
   }
 
   @Test
   void marksPeerApartWhenOthersReachIt() {
     begin(24);
     world.runFor(Duration.ofSeconds(5));
-    world.refuse("10.0.0.1", "10.0.0.2");
+    world.cutOneWay("10.0.0.1", "10.0.0.2");
     world.runFor(Duration.ofSeconds(10));
     assertEquals(State.APART, state(0, 1), "its heartbeats are still received");
     assertEquals(State.UP, state(1, 0));
--- a/src/test/java/io/pineladder/sim/RandomFaultsTest.java
+++ b/src/test/java/io/pineladder/sim/RandomFaultsTest.java
@@ -39,12 +39,12 @@
 
   private void arrivals(int steps) {
     for (int step = 0; step < steps; step++) {
-      submit(work(step % 4 == 0 ? "service" : "array", 1 + world.random.nextInt(4)));
+      submit(simpleJobSpec(step % 4 == 0 ? "service" : "array", 1 + world.random.nextInt(4)));
       if (step % 5 == 1) {
-        submit(work("group", 2 + world.random.nextInt(2)));
+        submit(simpleJobSpec("group", 2 + world.random.nextInt(2)));
       }
       if (step % 8 == 2) {
-        submit(work("array", 24));
+        submit(simpleJobSpec("array", 24));
       }
       world.runFor(Duration.ofSeconds(2));
     }
@@ -54,21 +54,21 @@
     long millis = FAULT_DURATION.toMillis();
     switch (fault) {
       case MACHINE_RECEIVES_NOTHING, THIRD_OF_MACHINES_RECEIVES_NOTHING -> {
-        List<FakeFleet.Worker> up = fleet.up();
+        List<FakeFleet.Worker> up = fleet.runningWorkers();
         int first = world.random.nextInt(up.size());
         for (int i = 0; i < up.size(); i++) {
           if (fault == Trouble.MACHINE_RECEIVES_NOTHING ? i == first : i % 3 == first % 3) {
             String host = SimulatedWorld.host(up.get(i).address);
-            world.deaf.add(host);
-            world.after(millis, () -> world.deaf.remove(host));
+            world.unreachableHosts.add(host);
+            world.after(millis, () -> world.unreachableHosts.remove(host));
           }
         }
       }
       case DUPLICATED_HEARTBEATS -> {
-        fleet.copies = 0.2;
-        world.after(millis, () -> fleet.copies = 0);
+        fleet.duplicateReportRate = 0.2;
+        world.after(millis, () -> fleet.duplicateReportRate = 0);
       }
-      case ISOLATED_LEADER -> aloneFor(millis);
+      case ISOLATED_LEADER -> isolateLeader(millis);
       case RAPID_RESTARTS -> {
         for (int i = 0; i < 8; i++) {
           world.after(
@@ -76,7 +76,7 @@
               () -> {
                 int killed =
                     world.random.nextBoolean() && store.value("lead/holder") != null
-                        ? leader()
+                        ? leaderIndex()
                         : world.random.nextInt(layout.nodes);
                 kill(controllers.get(killed), world.random.nextInt(500));
               });
@@ -89,7 +89,7 @@
   private void inject(Beside secondFault) {
     switch (secondFault) {
       case NONE -> {}
-      case FAILOVER -> kill(controllers.get(leader()), 6_000);
+      case FAILOVER -> kill(controllers.get(leaderIndex()), 6_000);
       case STORE_OUTAGE -> {
         store.outage = true;
         world.after(15_000, store::endOutage);
@@ -110,7 +110,7 @@
             25_000, () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other))));
       }
       case SPOT_RECLAIM -> {
-        for (FakeFleet.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.runningWorkers()) {
           if (worker.spot && world.random.nextInt(3) == 0) {
             fleet.machines.remove(worker.name);
             worker.end();
@@ -145,9 +145,9 @@
     inject(secondFault);
     arrivals(20);
     world.runFor(FAULT_DURATION);
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     settle(Duration.ofSeconds(200));
-    rules.checkShares();
+    rules.checkServedShares();
   }
 
   /** Guards against placement of tasks on a machine that sends heartbeats but receives nothing. */
@@ -155,20 +155,20 @@
   void replacesMachineThatReceivesNothing() {
     begin(Layout.SHORT, 31);
     for (int i = 0; i < 4; i++) {
-      submit(work("service", 4));
+      submit(simpleJobSpec("service", 4));
     }
     world.runFor(Duration.ofSeconds(40));
     FakeFleet.Worker unreachable =
-        fleet.up().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
-    world.deaf.add(SimulatedWorld.host(unreachable.address));
+        fleet.runningWorkers().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
+    world.unreachableHosts.add(SimulatedWorld.host(unreachable.address));
     world.runFor(Duration.ofSeconds(14));
     assertTrue(unreachable.tasks.isEmpty(), "its lease has expired");
-    SafetyRules.Known late = submit(work("array", 6));
+    SafetyRules.TrackedJob late = submit(simpleJobSpec("array", 6));
     world.runFor(Duration.ofSeconds(45));
     assertTrue(late.done, "the job ran on another machine");
     int running = 0;
-    for (FakeFleet.Worker worker : fleet.up()) {
-      running += (int) worker.tasks.values().stream().filter(t -> t.there).count();
+    for (FakeFleet.Worker worker : fleet.runningWorkers()) {
+      running += (int) worker.tasks.values().stream().filter(t -> t.onMachine).count();
     }
     assertEquals(16, running, "its tasks run on other machines");
     world.runFor(Duration.ofSeconds(30));
@@ -179,16 +179,16 @@
   @Test
   void reusesMachineThatReceivesAgain() {
     begin(Layout.FLEET, 32);
-    fleet.capacity = 1;
-    submit(work("service", 2));
-    submit(work("service", 2));
+    fleet.zoneCapacity = 1;
+    submit(simpleJobSpec("service", 2));
+    submit(simpleJobSpec("service", 2));
     world.runFor(Duration.ofSeconds(40));
-    List<String> hosts = fleet.up().stream().map(w -> SimulatedWorld.host(w.address)).toList();
-    world.deaf.addAll(hosts);
+    List<String> hosts = fleet.runningWorkers().stream().map(w -> SimulatedWorld.host(w.address)).toList();
+    world.unreachableHosts.addAll(hosts);
     world.runFor(Duration.ofSeconds(6));
-    SafetyRules.Known job = submit(work("array", 2));
+    SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 2));
     world.runFor(Duration.ofSeconds(5));
-    world.deaf.clear();
+    world.unreachableHosts.clear();
     world.runFor(Duration.ofSeconds(60));
     assertTrue(job.done);
   }
@@ -197,43 +197,43 @@
   @Test
   void aGangBeginsThoughSmallTasksOfItsRankTakeEachFreedPiece() {
     begin(Layout.FLEET, 36);
-    fleet.capacity = 2;
+    fleet.zoneCapacity = 2;
     for (int i = 0; i < 8; i++) {
-      submit(work("array", 6).put("rank", "standard").put("guess_s", 7 + i).put("loaners", false));
+      submit(simpleJobSpec("array", 6).put("rank", "standard").put("guess_s", 7 + i).put("loaners", false));
     }
     world.runFor(Duration.ofSeconds(20));
-    SafetyRules.Known gang =
+    SafetyRules.TrackedJob gang =
         submit(
-            work("group", 2)
+            simpleJobSpec("group", 2)
                 .put("rank", "standard")
                 .put("cards", 4.0)
                 .put("guess_s", 10)
                 .put("loaners", false));
     for (int second = 0; second < 220; second += 2) {
       submit(
-          work("array", 5)
+          simpleJobSpec("array", 5)
               .put("rank", "standard")
               .put("guess_s", 6 + second % 7)
               .put("loaners", false));
       world.runFor(Duration.ofSeconds(2));
     }
-    assertTrue(gang.everStarted.size() == 2, "tasks started: " + gang.everStarted);
-    assertTrue(gang.begun.isBefore(gang.submitted.plusSeconds(240)));
+    assertTrue(gang.startedTasks.size() == 2, "tasks started: " + gang.startedTasks);
+    assertTrue(gang.firstStartedAt.isBefore(gang.submittedAt.plusSeconds(240)));
   }
 
   // Negative tests: each check fails on a run that violates its rule.
 
-  private SafetyRules.Known acceptedJob(String shape, int tasks) {
-    SafetyRules.Known job = known(work(shape, tasks));
+  private SafetyRules.TrackedJob acceptedJob(String shape, int tasks) {
+    SafetyRules.TrackedJob job = trackJob(simpleJobSpec(shape, tasks));
     job.accepted = true;
-    job.answered = world.now();
+    job.lastAnsweredAt = world.now();
     return job;
   }
 
   @Test
   void detectsForgottenJob() {
     begin(Layout.FLEET, 33);
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     acceptedJob("array", 1);
     assertThrows(AssertionError.class, () -> world.runFor(Duration.ofSeconds(77)));
   }
@@ -243,23 +243,23 @@
     begin(Layout.FLEET, 34);
     acceptedJob("array", 1).done = true;
     acceptedJob("array", 1);
-    rules.jobs.values().forEach(job -> job.begun = world.now());
-    rules.checkShares();
+    rules.jobs.values().forEach(job -> job.firstStartedAt = world.now());
+    rules.checkServedShares();
     acceptedJob("array", 1);
-    assertThrows(AssertionError.class, rules::checkShares);
+    assertThrows(AssertionError.class, rules::checkServedShares);
   }
 
   @Test
   void detectsLateStartOfLargestJob() {
     begin(Layout.FLEET, 35);
-    SafetyRules.Known large = acceptedJob("array", 9);
+    SafetyRules.TrackedJob large = acceptedJob("array", 9);
     for (int i = 0; i < 3; i++) {
       acceptedJob("array", 1).done = true;
     }
-    rules.jobs.values().forEach(job -> job.begun = world.now());
+    rules.jobs.values().forEach(job -> job.firstStartedAt = world.now());
     large.done = true;
-    rules.checkShares();
-    large.begun = large.submitted.plusSeconds(241);
-    assertThrows(AssertionError.class, rules::checkShares);
+    rules.checkServedShares();
+    large.firstStartedAt = large.submittedAt.plusSeconds(241);
+    assertThrows(AssertionError.class, rules::checkServedShares);
   }
 }
--- a/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
@@ -19,7 +19,7 @@
   private AsyncHttpClient.Reply request(String host, String method, String path, byte[] body) {
     AsyncHttpClient.Reply[] got = new AsyncHttpClient.Reply[1];
     world
-        .caller("user", () -> true)
+        .httpClient("user", () -> true)
         .call(
             new AsyncHttpClient.Request(host + ":8080", method, path, body, Duration.ofSeconds(5)),
             reply -> got[0] = reply);
@@ -38,20 +38,20 @@
   void aBurstOfSubmissionsCostsFewChangesOfTheStore() {
     begin(11);
     world.runFor(Duration.ofSeconds(5));
-    String leader = host(leader());
+    String leader = host(leaderIndex());
     int[] accepted = new int[1];
     for (int i = 0; i < 500; i++) {
-      byte[] body = Json.bytes(job("array", 1, "nobody-runs-it").put("owner", "red"));
+      byte[] body = Json.bytes(jobSpec("array", 1, "nobody-runs-it").put("owner", "red"));
       world
-          .caller("user", () -> true)
+          .httpClient("user", () -> true)
           .call(
               AsyncHttpClient.Request.post(
                   leader + ":8080", "/v1/jobs", body, Duration.ofSeconds(5)),
-              reply -> accepted[0] += reply.is(201) ? 1 : 0);
+              reply -> accepted[0] += reply.hasStatus(201) ? 1 : 0);
     }
     world.runFor(Duration.ofMillis(1_500));
     assertEquals(500, accepted[0]);
-    int changes = store.changes.get("accepted/") + store.changes.getOrDefault("job/", 0);
+    int changes = store.changesByPrefix.get("accepted/") + store.changesByPrefix.getOrDefault("job/", 0);
     assertTrue(changes <= 100, changes + " changes for 500 acceptances");
   }
 
@@ -69,7 +69,7 @@
     world.runFor(Duration.ofSeconds(12));
     store.endOutage();
     world.runFor(Duration.ofMillis(1_500));
-    SafetyRules.Known job = submit(job("array", 2, "red"));
+    SafetyRules.TrackedJob job = submit(jobSpec("array", 2, "red"));
     world.runFor(Duration.ofMillis(900));
     assertTrue(job.accepted, "a leader accepts jobs within 2.4 s of the end of the outage");
     settle(Duration.ofMinutes(2));
@@ -81,18 +81,18 @@
     begin(16);
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 30; i++) {
-      submit(job("array", 2, "red"));
+      submit(jobSpec("array", 2, "red"));
     }
     world.runFor(Duration.ofSeconds(20));
     store.outage = true;
     for (int i = 0; i < 100; i++) {
-      submit(job("array", 1, "red"));
+      submit(jobSpec("array", 1, "red"));
     }
     world.runFor(Duration.ofSeconds(25));
     store.endOutage();
-    int before = store.requests;
+    int before = store.requestCount;
     world.runFor(Duration.ofSeconds(5));
-    int requests = store.requests - before;
+    int requests = store.requestCount - before;
     // The settings allow 500; a new leader reads its state and 100 submissions are waiting.
     assertTrue(requests <= 200, requests + " requests in the first 5 s");
     settle(Duration.ofMinutes(5));
@@ -103,14 +103,14 @@
   void aNodeWithoutLeaderAnswersForJobsInPages() throws Exception {
     begin(13);
     world.runFor(Duration.ofSeconds(5));
-    ObjectNode spec = job("service", 1, "red");
-    SafetyRules.Known job = known(spec);
-    int leader = leader();
+    ObjectNode spec = jobSpec("service", 1, "red");
+    SafetyRules.TrackedJob job = trackJob(spec);
+    int leader = leaderIndex();
     assertEquals(
         201,
         request(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status(),
         "stored in a page");
-    assertEquals(0, store.count("job/"));
+    assertEquals(0, store.countKeys("job/"));
     String alone = host((leader + 1) % 3);
     world.cut(alone, host(leader));
     world.cut(alone, host((leader + 2) % 3));
@@ -119,7 +119,7 @@
     assertEquals(200, known.status());
     assertEquals("pending", status(known));
     assertEquals(404, request(alone, "GET", "/v1/jobs/req-999999", null).status());
-    job.cancelAsked = true;
+    job.cancelRequested = true;
     AsyncHttpClient.Reply cancelled =
         request(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
@@ -132,9 +132,9 @@
   void endsJobTogetherWithItsCopy() throws Exception {
     begin(14);
     world.runFor(Duration.ofSeconds(5));
-    ObjectNode spec = job("service", 1, "red");
-    SafetyRules.Known job = known(spec);
-    int leader = leader();
+    ObjectNode spec = jobSpec("service", 1, "red");
+    SafetyRules.TrackedJob job = trackJob(spec);
+    int leader = leaderIndex();
     assertEquals(201, request(host(leader), "POST", "/v1/jobs", Json.bytes(spec)).status());
     job.accepted = true;
     String alone = host((leader + 1) % 3);
@@ -143,18 +143,18 @@
     world.runFor(Duration.ofSeconds(6));
     // The user repeats the submission as if the first answer was lost.
     assertEquals(201, request(alone, "POST", "/v1/jobs", Json.bytes(spec)).status());
-    assertEquals(1, store.count("job/"));
+    assertEquals(1, store.countKeys("job/"));
     world.runFor(Duration.ofSeconds(3));
-    job.cancelAsked = true;
+    job.cancelRequested = true;
     AsyncHttpClient.Reply cancelled =
         request(host(leader), "POST", "/v1/jobs/" + job.id + "/cancel", null);
     assertEquals("aborted", status(cancelled));
-    rules.told(job, "aborted");
+    rules.checkReportedState(job, "aborted");
     controllers.forEach(each -> kill(each, 6_000));
     world.heal(alone, host(leader));
     world.heal(alone, host((leader + 2) % 3));
     world.runFor(Duration.ofSeconds(30));
-    assertTrue(store.jobs().isEmpty(), store.jobs() + " would be resumed");
+    assertTrue(store.jobIds().isEmpty(), store.jobIds() + " would be resumed");
     assertEquals("aborted", status(request(alone, "GET", "/v1/jobs/" + job.id, null)));
   }
 
@@ -164,13 +164,13 @@
     begin(15);
     // A starting cluster can't rule out yet that it accepted the job earlier.
     world.runFor(Duration.ofSeconds(8));
-    ObjectNode spec = job("array", 1, "red");
+    ObjectNode spec = jobSpec("array", 1, "red");
     var types = spec.putArray("hulls").add("g4");
     for (int i = 0; i < 500; i++) {
       types.add("a-machine-type-of-a-long-name-" + i);
     }
     String nonce = store.value("lead/holder").get("nonce").asText();
-    assertEquals(422, request(host(leader()), "POST", "/v1/jobs", Json.bytes(spec)).status());
+    assertEquals(422, request(host(leaderIndex()), "POST", "/v1/jobs", Json.bytes(spec)).status());
     world.runFor(Duration.ofSeconds(5));
     assertEquals(nonce, store.value("lead/holder").get("nonce").asText());
   }
--- a/src/test/java/io/pineladder/sim/RestartProcessTest.java
+++ b/src/test/java/io/pineladder/sim/RestartProcessTest.java
@@ -31,7 +31,7 @@
         for (int i = 0; i < 4; i++) {
           String id = DeliveryProcessTest.submitUnplaceableJob(cluster, 4 * round + i);
           if (i % 2 == 0) {
-            ObjectNode answer = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+            ObjectNode answer = cluster.requestUntilSuccess(false, "POST", "/v1/jobs/" + id + "/cancel", null);
             assertEquals("aborted", answer.get("status").asText(), id);
             aborted.add(id);
           } else {
@@ -66,14 +66,14 @@
   }
 
   private static String status(LoopbackCluster cluster, String id) throws Exception {
-    return cluster.insist(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
+    return cluster.requestUntilSuccess(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
   }
 
   /** Asserts that a controller answers with the expected status or 503. */
   private static void assertAnswers(
       LoopbackCluster cluster, int node, List<String> jobs, String expected) throws Exception {
     for (String id : jobs) {
-      HttpResponse<String> got = cluster.askOnce(node, "GET", "/v1/jobs/" + id);
+      HttpResponse<String> got = cluster.requestOnce(node, "GET", "/v1/jobs/" + id);
       if (got == null || got.statusCode() == 503) {
         continue;
       }
--- a/src/test/java/io/pineladder/sim/RetryTest.java
+++ b/src/test/java/io/pineladder/sim/RetryTest.java
@@ -16,7 +16,7 @@
 /** Back-off delays, circuit breakers and retry budgets in virtual time. */
 class RetryTest {
   private final SimulatedWorld world = new SimulatedWorld(31);
-  private final EventLoop eventLoop = world.timeline("10.0.0.1", () -> true, 1);
+  private final EventLoop eventLoop = world.eventLoop("10.0.0.1", () -> true, 1);
 
   @Test
   void delaysGrowToMaximumWithJitter() {
--- a/src/test/java/io/pineladder/sim/SafetyRules.java
+++ b/src/test/java/io/pineladder/sim/SafetyRules.java
@@ -28,10 +28,10 @@
    * What some user of a job has been told: of two answers the higher may not come before the lower
    * is asked for.
    */
-  enum Told {
-    NOTHING,
+  enum ReportedState {
+    UNKNOWN,
     ACCEPTED,
-    OVER
+    FINISHED
   }
 
   private static final Duration CANCEL = Duration.ofSeconds(40);
@@ -39,19 +39,19 @@
   private static final Duration BEGINS = Duration.ofMinutes(4);
 
   /** A submitted job as its user knows it. */
-  static final class Known {
+  static final class TrackedJob {
     final String id;
     final ObjectNode spec;
     boolean accepted;
 
     /** Submitted with a mistake: every task of it fails. */
-    boolean broken;
+    boolean alwaysFails;
 
     /** It can't run or lacks a field: no node may accept it. */
-    boolean unfit;
+    boolean invalid;
 
     /** The last of what was told of it that was new. */
-    Told news = Told.NOTHING;
+    ReportedState news = ReportedState.UNKNOWN;
 
     /** Its user asks for it every few seconds. */
     boolean polled;
@@ -59,27 +59,27 @@
     /**
      * When its user first asked for it, a task of it first began, and a question was answered last.
      */
-    Instant submitted;
+    Instant submittedAt;
 
-    Instant begun;
-    Instant answered;
+    Instant firstStartedAt;
+    Instant lastAnsweredAt;
 
     /** How often a task of it began. */
-    int begins;
+    int startCount;
 
-    final Set<String> everStarted = new HashSet<>();
+    final Set<String> startedTasks = new HashSet<>();
 
-    boolean cancelAsked;
-    Instant cancelled;
+    boolean cancelRequested;
+    Instant cancelledAt;
     boolean done;
     final Set<Integer> completed = new HashSet<>();
 
-    Known(String id, ObjectNode spec) {
+    TrackedJob(String id, ObjectNode spec) {
       this.id = id;
       this.spec = spec;
     }
 
-    int tasks() {
+    int taskCount() {
       return spec.get("pieces").asInt();
     }
 
@@ -90,19 +90,19 @@
       return ids;
     }
 
-    boolean isOver() {
-      return done || cancelled != null;
+    boolean isFinished() {
+      return done || cancelledAt != null;
     }
 
     /** What has been told of it by any node so far. */
-    Told told() {
-      return isOver() ? Told.OVER : accepted ? Told.ACCEPTED : Told.NOTHING;
+    ReportedState reportedState() {
+      return isFinished() ? ReportedState.FINISHED : accepted ? ReportedState.ACCEPTED : ReportedState.UNKNOWN;
     }
   }
 
   private final SimulatedWorld world;
   private final List<Team> teams;
-  final Map<String, Known> jobs = new LinkedHashMap<>();
+  final Map<String, TrackedJob> jobs = new LinkedHashMap<>();
 
   /** Where each task is. */
   private final Map<String, Worker> places = new HashMap<>();
@@ -113,20 +113,20 @@
   private final Map<String, Map<String, Integer>> zonesOf = new HashMap<>();
 
   /** Told of each job whose last task has just completed. */
-  Consumer<Known> onLastDone = job -> {};
+  Consumer<TrackedJob> onLastDone = job -> {};
 
   private final Map<String, Map<String, Worker>> gathered = new HashMap<>();
   int starts;
 
   /** Since when all troubles are over, or null. */
-  Instant calmSince;
+  Instant faultsEndedAt;
 
   /**
    * Which machines hold anything of a job; null where nobody promises that a cancellation is told
    * only once none does. Leases may be kept without limit because of that promise, so breaking it
    * is as bad as a task that runs on, which shows only when nobody can be reached.
    */
-  Function<String, List<String>> holding;
+  Function<String, List<String>> machinesHolding;
 
   /** Asks the store for the placement of a start. */
   interface Placed {
@@ -137,7 +137,7 @@
    * A start is to be executed only while its placement is stored: one that comes when its attempt
    * is taken for gone has been given up without proof. Null where the store may lose data.
    */
-  Placed placed;
+  Placed placementLookup;
 
   SafetyRules(SimulatedWorld world, List<Team> teams) {
     this.world = world;
@@ -149,18 +149,18 @@
   }
 
   @Override
-  public boolean isBroken(Task task) {
-    return jobs.get(task.job()).broken;
+  public boolean alwaysFails(Task task) {
+    return jobs.get(task.jobId()).alwaysFails;
   }
 
   @Override
   public boolean isGang(Task task) {
-    return jobs.get(task.job()).spec.get("shape").asText().equals("group");
+    return jobs.get(task.jobId()).spec.get("shape").asText().equals("group");
   }
 
   @Override
   public long runMillis(Task task) {
-    ObjectNode spec = jobs.get(task.job()).spec;
+    ObjectNode spec = jobs.get(task.jobId()).spec;
     long apart = task.index() * spec.path("apart_ms").asLong();
     return spec.get("shape").asText().equals("service")
         ? 0
@@ -168,48 +168,48 @@
   }
 
   @Override
-  public void commanded(Task task, Worker on) {
-    Known job = jobs.get(task.job());
+  public void onStartCommand(Task task, Worker on) {
+    TrackedJob job = jobs.get(task.jobId());
     if (job == null) {
-      throw broken("unknown job started", task.piece);
+      throw broken("unknown job started", task.id);
     }
-    if (placed != null && !placed.isStored(on.name, task.piece, task.attempt)) {
-      throw broken("not_stored", task.piece + "#" + task.attempt + " starts on " + on.name);
+    if (placementLookup != null && !placementLookup.isStored(on.name, task.id, task.attempt)) {
+      throw broken("not_stored", task.id + "#" + task.attempt + " starts on " + on.name);
     }
-    if (holding != null && job.cancelled != null) {
+    if (machinesHolding != null && job.cancelledAt != null) {
       throw broken(
-          "told_too_soon", task.piece + " is sent to " + on.name + ", its job told cancelled");
+          "told_too_soon", task.id + " is sent to " + on.name + ", its job told cancelled");
     }
   }
 
   @Override
-  public void started(Task task, Worker on) {
+  public void onStarted(Task task, Worker on) {
     starts++;
-    Known job = jobs.get(task.job());
-    job.begun = job.begun == null ? world.now() : job.begun;
-    job.everStarted.add(task.piece);
-    job.begins++;
-    if (job.cancelled != null) {
+    TrackedJob job = jobs.get(task.jobId());
+    job.firstStartedAt = job.firstStartedAt == null ? world.now() : job.firstStartedAt;
+    job.startedTasks.add(task.id);
+    job.startCount++;
+    if (job.cancelledAt != null) {
       throw broken(
-          "started_cancelled", task.piece + " starts on " + on.name + " after its user was told");
+          "started_cancelled", task.id + " starts on " + on.name + " after its user was told");
     }
-    Worker other = places.get(task.piece);
+    Worker other = places.get(task.id);
     if (other != null && other != on) {
-      throw broken("ran_twice", task.piece + " on " + other.name + " and " + on.name);
+      throw broken("ran_twice", task.id + " on " + other.name + " and " + on.name);
     }
-    places.put(task.piece, on);
+    places.put(task.id, on);
     for (String id : job.prerequisites()) {
-      Known needed = jobs.get(id);
-      if (needed.completed.size() < needed.tasks()) {
-        throw broken("too_early", task.piece + " starts before " + id + " is done");
+      TrackedJob needed = jobs.get(id);
+      if (needed.completed.size() < needed.taskCount()) {
+        throw broken("too_early", task.id + " starts before " + id + " is done");
       }
     }
     ObjectNode spec = job.spec;
     if (on.spot && !spec.get("loaners").asBoolean()) {
-      throw broken("wrong_place", task.piece + " on a spot machine");
+      throw broken("wrong_place", task.id + " on a spot machine");
     }
     if (spec.hasNonNull("yard") && !spec.get("yard").asText().equals(on.zone)) {
-      throw broken("wrong_place", task.piece + " in zone " + on.zone);
+      throw broken("wrong_place", task.id + " in zone " + on.zone);
     }
     Resources each = StarvationCheck.each(spec);
     String owner = spec.get("owner").asText();
@@ -221,64 +221,64 @@
     Resources used = usage.get(owner);
     int inZone = zones.get(on.zone);
     if (spec.get("together").asBoolean() && zones.size() > 1) {
-      throw broken("wrong_place", task.piece + " apart from the others");
+      throw broken("wrong_place", task.id + " apart from the others");
     }
-    if (spec.get("spread").asBoolean() && inZone > (job.tasks() + 1) / 2) {
-      throw broken("wrong_place", task.piece + " is one too many in zone " + on.zone);
+    if (spec.get("spread").asBoolean() && inZone > (job.taskCount() + 1) / 2) {
+      throw broken("wrong_place", task.id + " is one too many in zone " + on.zone);
     }
     for (Team team : teams) {
       if (team.name().equals(owner) && !team.allows(used)) {
-        throw broken("quota", used + " used at the start of " + task.piece);
+        throw broken("quota", used + " used at the start of " + task.id);
       }
     }
   }
 
   @Override
-  public void left(Task task, Worker from) {
-    if (places.remove(task.piece, from)) {
-      ObjectNode spec = jobs.get(task.job()).spec;
+  public void onLeft(Task task, Worker from) {
+    if (places.remove(task.id, from)) {
+      ObjectNode spec = jobs.get(task.jobId()).spec;
       usage.merge(spec.get("owner").asText(), StarvationCheck.each(spec), Resources::minus);
-      zonesOf.get(task.job()).computeIfPresent(from.zone, (zone, n) -> n == 1 ? null : n - 1);
+      zonesOf.get(task.jobId()).computeIfPresent(from.zone, (zone, n) -> n == 1 ? null : n - 1);
     }
-    Map<String, Worker> of = gathered.get(task.job() + "#" + task.attempt);
+    Map<String, Worker> of = gathered.get(task.jobId() + "#" + task.attempt);
     if (of != null) {
-      of.remove(task.piece);
+      of.remove(task.id);
     }
   }
 
   /** A gang's tasks start together once all of one attempt are there. */
   @Override
-  public void gather(Task task) {
-    String key = task.job() + "#" + task.attempt;
+  public void onGangTaskReady(Task task) {
+    String key = task.jobId() + "#" + task.attempt;
     Map<String, Worker> of = gathered.computeIfAbsent(key, k -> new HashMap<>());
-    of.put(task.piece, places.get(task.piece));
-    if (of.size() == jobs.get(task.job()).tasks()) {
+    of.put(task.id, places.get(task.id));
+    if (of.size() == jobs.get(task.jobId()).taskCount()) {
       for (var each : of.entrySet()) {
         String at = each.getKey() + "#" + task.attempt;
-        each.getValue().run(at, each.getValue().tasks.get(at));
+        each.getValue().runTask(at, each.getValue().tasks.get(at));
       }
     }
   }
 
   @Override
-  public void completed(Task task) {
-    Known job = jobs.get(task.job());
+  public void onCompleted(Task task) {
+    TrackedJob job = jobs.get(task.jobId());
     job.completed.add(task.index());
     if (isGang(task)) {
-      for (int i = 0; i < job.tasks(); i++) {
+      for (int i = 0; i < job.taskCount(); i++) {
         job.completed.add(i);
       }
     }
-    if (job.completed.size() == job.tasks()) {
+    if (job.completed.size() == job.taskCount()) {
       onLastDone.accept(job);
     }
   }
 
   /** Tasks of cancelled jobs must be gone in time; asked again and again. */
-  void watchCancelled() {
+  void checkCancelledJobs() {
     for (var place : places.entrySet()) {
-      Known job = jobs.get(place.getKey().substring(0, place.getKey().indexOf('/')));
-      if (job.cancelled != null && job.cancelled.plus(CANCEL).isBefore(world.now())) {
+      TrackedJob job = jobs.get(place.getKey().substring(0, place.getKey().indexOf('/')));
+      if (job.cancelledAt != null && job.cancelledAt.plus(CANCEL).isBefore(world.now())) {
         throw broken("ran_cancelled", place.getKey() + " is still on " + place.getValue().name);
       }
     }
@@ -289,25 +289,25 @@
    * about it is answered every 75 s, however others fare. Its user asks more often than that.
    */
   void watchKnown() {
-    if (calmSince == null) {
+    if (faultsEndedAt == null) {
       return;
     }
-    for (Known job : jobs.values()) {
-      if (job.accepted && !job.cancelAsked) {
-        Instant last = job.answered.isAfter(calmSince) ? job.answered : calmSince;
+    for (TrackedJob job : jobs.values()) {
+      if (job.accepted && !job.cancelRequested) {
+        Instant last = job.lastAnsweredAt.isAfter(faultsEndedAt) ? job.lastAnsweredAt : faultsEndedAt;
         if (last.plus(KNOWN).isBefore(world.now())) {
-          throw broken("forgotten", job.id + " had no answer since " + job.answered);
+          throw broken("forgotten", job.id + " had no answer since " + job.lastAnsweredAt);
         }
       }
     }
   }
 
   /** Of a class, of a team, and of the largest quarter of a class's jobs half must be served. */
-  void checkShares() {
-    Map<String, List<Known>> groups = new TreeMap<>();
-    for (Known job : jobs.values()) {
+  void checkServedShares() {
+    Map<String, List<TrackedJob>> groups = new TreeMap<>();
+    for (TrackedJob job : jobs.values()) {
       // What waits for others is served when those are done, and may be cancelled with one.
-      if (!job.cancelAsked && !job.broken && job.prerequisites().isEmpty()) {
+      if (!job.cancelRequested && !job.alwaysFails && job.prerequisites().isEmpty()) {
         String owner = job.spec.get("owner").asText();
         groups.computeIfAbsent("team " + owner, g -> new ArrayList<>()).add(job);
         String of = job.spec.get("jobclass").asText();
@@ -318,41 +318,41 @@
     groups.forEach(
         (name, group) -> {
           if (name.startsWith("class ")) {
-            group.sort(Comparator.comparingInt(Known::tasks).reversed());
-            List<Known> largest = group.subList(0, (group.size() + 3) / 4);
+            group.sort(Comparator.comparingInt(TrackedJob::taskCount).reversed());
+            List<TrackedJob> largest = group.subList(0, (group.size() + 3) / 4);
             checkShare("largest of " + name, largest);
-            for (Known job : largest) {
-              if (job.begun == null || job.begun.isAfter(job.submitted.plus(BEGINS))) {
-                throw broken("largest began late", job.id + " of " + name + " at " + job.begun);
+            for (TrackedJob job : largest) {
+              if (job.firstStartedAt == null || job.firstStartedAt.isAfter(job.submittedAt.plus(BEGINS))) {
+                throw broken("largest began late", job.id + " of " + name + " at " + job.firstStartedAt);
               }
             }
           }
         });
   }
 
-  private void checkShare(String name, List<Known> group) {
+  private void checkShare(String name, List<TrackedJob> group) {
     long served = group.stream().filter(SafetyRules::isServed).count();
     if (2 * served < group.size()) {
       throw broken("less than half served", name + ": " + served + " of " + group.size());
     }
   }
 
-  private static boolean isServed(Known job) {
+  private static boolean isServed(TrackedJob job) {
     boolean service = job.spec.get("shape").asText().equals("service");
-    return service ? job.everStarted.size() == job.tasks() : job.done;
+    return service ? job.startedTasks.size() == job.taskCount() : job.done;
   }
 
-  private boolean isLongCancelled(Known job) {
-    return job.cancelled != null && job.cancelled.plus(CANCEL).isBefore(world.now());
+  private boolean isLongCancelled(TrackedJob job) {
+    return job.cancelledAt != null && job.cancelledAt.plus(CANCEL).isBefore(world.now());
   }
 
   /** Whether the condition holds for a job that this one needs, directly or through others. */
-  boolean anyBefore(Known job, Predicate<Known> condition) {
-    Deque<Known> left = new ArrayDeque<>(List.of(job));
-    Set<Known> seen = new HashSet<>();
+  boolean anyPrerequisite(TrackedJob job, Predicate<TrackedJob> condition) {
+    Deque<TrackedJob> left = new ArrayDeque<>(List.of(job));
+    Set<TrackedJob> seen = new HashSet<>();
     while (!left.isEmpty()) {
       for (String id : left.poll().prerequisites()) {
-        Known needed = jobs.get(id);
+        TrackedJob needed = jobs.get(id);
         if (condition.test(needed)) {
           return true;
         }
@@ -365,30 +365,30 @@
   }
 
   /** A user was told a state. */
-  void told(Known job, String status) {
-    job.answered = world.now();
-    if (status.equals("done") && job.completed.size() < job.tasks()) {
+  void checkReportedState(TrackedJob job, String status) {
+    job.lastAnsweredAt = world.now();
+    if (status.equals("done") && job.completed.size() < job.taskCount()) {
       throw broken("not_done", job.id);
     }
     if (job.done && !status.equals("done")) {
       throw broken("went_back", job.id + " was done and is called " + status);
     }
-    if (job.cancelled != null && !status.equals("aborted")) {
+    if (job.cancelledAt != null && !status.equals("aborted")) {
       throw broken("went_back", job.id + " was cancelled and is called " + status);
     }
-    if (status.equals("aborted") && !job.cancelAsked && !anyBefore(job, each -> each.cancelAsked)) {
+    if (status.equals("aborted") && !job.cancelRequested && !anyPrerequisite(job, each -> each.cancelRequested)) {
       throw broken("went_back", job.id + " is called cancelled by no wish of its user");
     }
     boolean isOver = status.equals("done") || status.equals("aborted");
-    if (!isOver && anyBefore(job, SafetyRules.this::isLongCancelled)) {
+    if (!isOver && anyPrerequisite(job, SafetyRules.this::isLongCancelled)) {
       throw broken(
           "orphaned", job.id + " is called " + status + " after one before it was cancelled");
     }
     if (status.equals("done")) {
       job.done = true;
-    } else if (status.equals("aborted") && job.cancelled == null) {
-      job.cancelled = world.now();
-      List<String> on = holding == null ? List.of() : holding.apply(job.id);
+    } else if (status.equals("aborted") && job.cancelledAt == null) {
+      job.cancelledAt = world.now();
+      List<String> on = machinesHolding == null ? List.of() : machinesHolding.apply(job.id);
       if (!on.isEmpty()) {
         throw broken("told_too_soon", job.id + " is called cancelled and is on " + on);
       }
@@ -402,21 +402,21 @@
    * @param before what had been told of the job, by whichever node, when the question was sent
    * @param state the state that the answer names, or null
    */
-  void answered(Known job, Told before, int status, String state) {
+  void checkAnswer(TrackedJob job, ReportedState before, int status, String state) {
     if (status == 404 || status == 400 || status == 422) {
-      if (before != Told.NOTHING) {
+      if (before != ReportedState.UNKNOWN) {
         throw broken("forgotten", job.id + " got " + status + " asked when told " + before);
       }
     } else if (state != null) {
-      if (job.unfit) {
+      if (job.invalid) {
         throw broken("accepted_unfit", job.id + " is called " + state);
       }
       boolean over = state.equals("done") || state.equals("aborted");
       // What was asked before the job was over may be answered as it was then.
-      if (over || before == Told.OVER || !job.isOver()) {
-        told(job, state);
+      if (over || before == ReportedState.FINISHED || !job.isFinished()) {
+        checkReportedState(job, state);
       } else {
-        job.answered = world.now();
+        job.lastAnsweredAt = world.now();
       }
       job.accepted = true;
     }
--- a/src/test/java/io/pineladder/sim/ScaleRunTest.java
+++ b/src/test/java/io/pineladder/sim/ScaleRunTest.java
@@ -46,7 +46,7 @@
             "--settings-per-minute", "20",
             "--heap-mb", "128");
     int exit = run.call();
-    JsonNode figures = run.figures();
+    JsonNode figures = run.results();
     assertNull(run.failure());
     assertEquals(0, exit);
     assertEquals(0, figures.get("rules_broken").asInt());
@@ -108,6 +108,6 @@
   })
   void rejectsInvalidOptions(String argument, String value) {
     ScaleRun run = run(argument, value);
-    assertTrue(run.options().fault().startsWith(argument), run.options().fault());
+    assertTrue(run.options().validationError().startsWith(argument), run.options().validationError());
   }
 }
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -47,7 +47,7 @@
   final List<Controller> controllers = new ArrayList<>();
 
   /** Where the controllers are reached; as many as there are. */
-  List<String> fronts = FRONTS;
+  List<String> apiAddresses = FRONTS;
 
   SimulatedWorld world;
   FakeKeyValueStore store;
@@ -55,16 +55,16 @@
   SafetyRules rules;
   StarvationCheck starvation;
   int jobs;
-  int unanswered;
+  int failedRequests;
 
   /** The store may lose data on this day; on any other nobody may think that it has. */
-  boolean losesData;
+  boolean allowsDataLoss;
 
   /** Told of all traffic of the simulated network; set it before the simulation begins. */
   TrafficObserver traffic = TrafficObserver.NONE;
 
   /** What controllers keep snapshots on, by their number; none unless a test sets them up. */
-  final Map<Integer, SnapshotStore> shelves = new HashMap<>();
+  final Map<Integer, SnapshotStore> snapshotStores = new HashMap<>();
 
   static final BackgroundExecutor IMMEDIATE =
       new BackgroundExecutor() {
@@ -75,7 +75,7 @@
       };
 
   /** A shelf that outlives its controller's processes. */
-  static final class MemoryShelf implements SnapshotStore {
+  static final class InMemorySnapshotStore implements SnapshotStore {
     final Map<String, byte[]> files = new TreeMap<>();
 
     @Override
@@ -112,33 +112,33 @@
     world.traffic = traffic;
     rules = new SafetyRules(world, settings(0).teams());
     store = new FakeKeyValueStore(world, 12, 8192);
-    fleet = new FakeFleet(world, rules, fronts);
+    fleet = new FakeFleet(world, rules, apiAddresses);
     starvation = new StarvationCheck(world, rules, fleet, settings(0).teams());
-    store.onChange = this::onStored;
-    if (!losesData) {
-      rules.holding = fleet::holding;
-      rules.placed = store::hasPlacement;
+    store.onChange = this::onStoreChange;
+    if (!allowsDataLoss) {
+      rules.machinesHolding = fleet::machinesHolding;
+      rules.placementLookup = store::hasPlacement;
     }
     world.serve(STORE, store);
     world.serve(FakeFleet.ADDRESS, fleet);
-    for (int i = 0; i < fronts.size(); i++) {
+    for (int i = 0; i < apiAddresses.size(); i++) {
       controllers.add(new Controller(i));
       start(controllers.get(i));
     }
-    watch();
+    runChecks();
   }
 
-  void watch() {
-    rules.watchCancelled();
+  void runChecks() {
+    rules.checkCancelledJobs();
     rules.watchKnown();
-    starvation.watch();
-    world.after(500, this::watch);
+    starvation.check();
+    world.after(500, this::runChecks);
   }
 
   Settings settings(int index) {
     String host = "10.0.0." + (index + 1);
     String text =
-        SettingsReaderTest.GOOD
+        SettingsReaderTest.VALID_SETTINGS
             .replace("member = \"rung-0\"\narea", "member = \"rung-" + index + "\"\narea")
             .replace("front = \"10.0.0.1:", "front = \"" + host + ":")
             .replace("cluster_listen = \"10.0.0.1:", "cluster_listen = \"" + host + ":");
@@ -176,16 +176,16 @@
     Settings settings = settings(controller.index);
     double rate = 1 + (world.random.nextDouble() - 0.5) * 0.001;
     String host = "10.0.0." + (controller.index + 1);
-    EventLoop eventLoop = world.timeline(host, () -> alive[0], rate);
-    AsyncHttpClient httpClient = world.caller(host, () -> alive[0]);
+    EventLoop eventLoop = world.eventLoop(host, () -> alive[0], rate);
+    AsyncHttpClient httpClient = world.httpClient(host, () -> alive[0]);
     ControllerNode node =
         new ControllerNode(
             settings,
             eventLoop,
             httpClient,
             "nonce-" + world.random.nextLong(),
-            delivery(host),
-            shelves.get(controller.index),
+            deliveryContext(host),
+            snapshotStores.get(controller.index),
             IMMEDIATE,
             version(controller.index));
     controller.node = node;
@@ -201,13 +201,13 @@
   }
 
   /** A key of the state service has changed. */
-  void onStored(String key) {}
+  void onStoreChange(String key) {}
 
   /** A user was told something that nobody had been told of the job before. */
-  void onNews(SafetyRules.Known job) {}
+  void onNews(SafetyRules.TrackedJob job) {}
 
   /** What the host delivers notices with; null for none. */
-  DeliveryContext delivery(String host) {
+  DeliveryContext deliveryContext(String host) {
     return null;
   }
 
@@ -216,14 +216,14 @@
       return;
     }
     controller.alive[0] = false;
-    world.stop(fronts.get(controller.index));
+    world.stop(apiAddresses.get(controller.index));
     world.stop("10.0.0." + (controller.index + 1) + ":8081");
     world.after(backMillis, () -> start(controller));
   }
 
   // ---- users
 
-  ObjectNode job(String shape, int tasks, String owner) {
+  ObjectNode jobSpec(String shape, int tasks, String owner) {
     ObjectNode spec =
         Json.object()
             .put("ref", String.format("req-%06d", ++jobs))
@@ -247,26 +247,26 @@
   }
 
   /** A job that its user knows of from here on. */
-  SafetyRules.Known known(ObjectNode spec) {
-    SafetyRules.Known job = new SafetyRules.Known(spec.get("ref").asText(), spec);
+  SafetyRules.TrackedJob trackJob(ObjectNode spec) {
+    SafetyRules.TrackedJob job = new SafetyRules.TrackedJob(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
-    job.submitted = world.now();
+    job.submittedAt = world.now();
     return job;
   }
 
-  SafetyRules.Known submit(ObjectNode spec) {
-    SafetyRules.Known job = known(spec);
+  SafetyRules.TrackedJob submit(ObjectNode spec) {
+    SafetyRules.TrackedJob job = trackJob(spec);
     send(job, "POST", "/v1/jobs", Json.bytes(spec));
     return job;
   }
 
-  void cancel(SafetyRules.Known job) {
-    job.cancelAsked = true;
+  void cancel(SafetyRules.TrackedJob job) {
+    job.cancelRequested = true;
     send(job, "POST", "/v1/jobs/" + job.id + "/cancel", null);
   }
 
-  void send(SafetyRules.Known job, String method, String path, byte[] body) {
-    String node = fronts.get(world.random.nextInt(fronts.size()));
+  void send(SafetyRules.TrackedJob job, String method, String path, byte[] body) {
+    String node = apiAddresses.get(world.random.nextInt(apiAddresses.size()));
     boolean poll = method.equals("GET");
     boolean submission = path.equals("/v1/jobs");
     send(
@@ -276,7 +276,7 @@
         path,
         body,
         good -> {
-          if (!good && !poll && !job.unfit) {
+          if (!good && !poll && !job.invalid) {
             world.after(1_000, () -> send(job, method, path, body));
           } else if (submission && good && !job.polled) {
             job.polled = true;
@@ -289,73 +289,73 @@
    * One request about a job at one node; {@code then} is told whether it was answered as wanted.
    */
   void send(
-      SafetyRules.Known job,
+      SafetyRules.TrackedJob job,
       String node,
       String method,
       String path,
       byte[] body,
       Consumer<Boolean> then) {
-    SafetyRules.Told before = job.told();
+    SafetyRules.ReportedState before = job.reportedState();
     Duration patience = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
     world
-        .caller("user", () -> true)
+        .httpClient("user", () -> true)
         .call(
             new AsyncHttpClient.Request(node, method, path, body, patience),
             reply -> {
-              boolean good = reply.is(200) || reply.is(201);
+              boolean good = reply.hasStatus(200) || reply.hasStatus(201);
               try {
                 String state = good ? Json.parseObject(reply.body()).get("status").asText() : null;
                 if (reply.isAnswered()) {
-                  rules.answered(job, before, reply.status(), state);
+                  rules.checkAnswer(job, before, reply.status(), state);
                 }
               } catch (MalformedMessageException e) {
                 throw new AssertionError(e);
               }
-              if (job.told().compareTo(before) > 0 && job.told() != job.news) {
-                job.news = job.told();
+              if (job.reportedState().compareTo(before) > 0 && job.reportedState() != job.news) {
+                job.news = job.reportedState();
                 onNews(job);
               }
-              unanswered += good ? 0 : 1;
+              failedRequests += good ? 0 : 1;
               then.accept(good);
             });
   }
 
-  void poll(SafetyRules.Known job) {
+  void poll(SafetyRules.TrackedJob job) {
     send(job, "GET", "/v1/jobs/" + job.id, null);
-    world.after(job.isOver() ? 20_000 : 5_000, () -> poll(job));
+    world.after(job.isFinished() ? 20_000 : 5_000, () -> poll(job));
   }
 
-  ObjectNode randomJob() {
+  ObjectNode randomJobSpec() {
     return switch (world.random.nextInt(4)) {
-      case 0 -> job("service", 1 + world.random.nextInt(2), "red");
-      case 1 -> job("group", 2 + world.random.nextInt(3), "red");
-      default -> job("array", 1 + world.random.nextInt(6), "blue");
+      case 0 -> jobSpec("service", 1 + world.random.nextInt(2), "red");
+      case 1 -> jobSpec("group", 2 + world.random.nextInt(3), "red");
+      default -> jobSpec("array", 1 + world.random.nextInt(6), "blue");
     };
   }
 
   /** Gives everything time to settle, then asks that all work is done and nothing is left over. */
   void settle(Duration time) {
-    world.lossy = 0;
+    world.lossRate = 0;
     world.runFor(time);
-    for (SafetyRules.Known job : rules.jobs.values()) {
+    for (SafetyRules.TrackedJob job : rules.jobs.values()) {
       boolean service = job.spec.get("shape").asText().equals("service");
       assertTrue(job.accepted, job.id + " was not accepted");
-      assertTrue(service || job.broken || job.isOver(), job.id + " did not end: " + job.completed);
+      assertTrue(service || job.alwaysFails || job.isFinished(), job.id + " did not end: " + job.completed);
     }
     assertTrue(rules.starts > 0);
-    assertTrue(losesData || store.space().isEmpty(), "a loss was seen where there was none");
-    assertEquals(0, store.count("inbox/"));
+    assertTrue(allowsDataLoss || store.generationPrefix().isEmpty(), "a loss was seen where there was none");
+    assertEquals(0, store.countKeys("inbox/"));
     List<String> open =
-        rules.jobs.values().stream().filter(j -> !j.isOver()).map(j -> j.id).sorted().toList();
-    assertEquals(open, List.copyOf(store.jobs()));
+        rules.jobs.values().stream().filter(j -> !j.isFinished()).map(j -> j.id).sorted().toList();
+    assertEquals(open, List.copyOf(store.jobIds()));
   }
 
-  int leader() {
+  int leaderIndex() {
     String member = store.value("lead/holder").get("member").asText();
     return Integer.parseInt(member.substring(member.length() - 1));
   }
 
-  void trouble(int kind) {
+  void injectFault(int kind) {
     Controller some = controllers.get(world.random.nextInt(3));
     String host = "10.0.0." + (some.index + 1);
     long millis = 2_000L + world.random.nextInt(30_000);
@@ -375,7 +375,7 @@
       }
       case 4 -> {
         // One zone's workers are cut from one controller.
-        for (FakeFleet.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.runningWorkers()) {
           if (worker.zone.equals("a")) {
             String there = SimulatedWorld.host(worker.address);
             world.cut(host, there);
@@ -384,7 +384,7 @@
         }
       }
       case 5 -> {
-        for (FakeFleet.Worker worker : fleet.up()) {
+        for (FakeFleet.Worker worker : fleet.runningWorkers()) {
           if (world.random.nextInt(4) == 0) {
             for (int i = 1; i <= 3; i++) {
               String node = "10.0.0." + i;
@@ -401,9 +401,9 @@
         }
       }
       case 7 -> {
-        List<FakeFleet.Worker> up = fleet.up();
+        List<FakeFleet.Worker> up = fleet.runningWorkers();
         if (!up.isEmpty()) {
-          fleet.die(up.get(world.random.nextInt(up.size())));
+          fleet.failMachine(up.get(world.random.nextInt(up.size())));
         }
       }
       case 8, 9 -> world.freeze(host, millis);
@@ -414,14 +414,14 @@
       case 11 -> {
         // Everybody asks about everything, again and again.
         for (int i = 0; i < 8; i++) {
-          world.after(i * 500L, () -> rules.jobs.values().stream().toList().forEach(this::ask));
+          world.after(i * 500L, () -> rules.jobs.values().stream().toList().forEach(this::queryStatus));
         }
       }
       default -> {}
     }
   }
 
-  void ask(SafetyRules.Known job) {
+  void queryStatus(SafetyRules.TrackedJob job) {
     if (job.accepted) {
       send(job, "GET", "/v1/jobs/" + job.id, null);
     }
--- a/src/test/java/io/pineladder/sim/SimulatedWorld.java
+++ b/src/test/java/io/pineladder/sim/SimulatedWorld.java
@@ -37,18 +37,18 @@
   private final Map<String, Long> frozen = new HashMap<>();
 
   /** Hosts that send and that nothing reaches: neither requests nor answers to theirs. */
-  final Set<String> deaf = new HashSet<>();
+  final Set<String> unreachableHosts = new HashSet<>();
 
   /** Whether anything can reach the host from somewhere, and its process moves. */
   boolean hears(String host) {
-    return !deaf.contains(host) && frozen.getOrDefault(host, 0L) <= nowMillis;
+    return !unreachableHosts.contains(host) && frozen.getOrDefault(host, 0L) <= nowMillis;
   }
 
   /** The part of messages whose reply is lost, and which may then be executed late. */
-  double lossy;
+  double lossRate;
 
   /** The part of messages that are held up for seconds, on the way there or on the way back. */
-  double held;
+  double delayRate;
 
   private static final int LONGEST_HELD = 7_000;
 
@@ -78,30 +78,30 @@
   }
 
   /** The network outside, where this world is run beside real processes; null in a simulation. */
-  interface Outside {
+  interface ExternalNetwork {
     void serve(String address, AsyncHttpHandler handler);
 
     void stop(String address);
 
-    AsyncHttpClient caller();
+    AsyncHttpClient httpClient();
   }
 
-  Outside outside;
+  ExternalNetwork externalNetwork;
 
-  /** Told of what is sent and answered here; not of what goes through {@link #outside}. */
+  /** Told of what is sent and answered here; not of what goes through {@link #externalNetwork}. */
   TrafficObserver traffic = TrafficObserver.NONE;
 
   void serve(String address, AsyncHttpHandler handler) {
     servers.put(address, handler);
-    if (outside != null) {
-      outside.serve(address, handler);
+    if (externalNetwork != null) {
+      externalNetwork.serve(address, handler);
     }
   }
 
   void stop(String address) {
     servers.remove(address);
-    if (outside != null) {
-      outside.stop(address);
+    if (externalNetwork != null) {
+      externalNetwork.stop(address);
     }
   }
 
@@ -114,7 +114,7 @@
   /**
    * Keeps {@code one} from reaching the other, as a packet filter does; not the other way round.
    */
-  void refuse(String one, String other) {
+  void cutOneWay(String one, String other) {
     cuts.add(one + " " + other);
   }
 
@@ -161,7 +161,7 @@
   }
 
   /** A clock of a process that ends when {@code alive} says so. */
-  EventLoop timeline(String host, BooleanSupplier alive, double rate) {
+  EventLoop eventLoop(String host, BooleanSupplier alive, double rate) {
     Instant begun = now();
     return new EventLoop() {
       @Override
@@ -197,11 +197,11 @@
   }
 
   /** The network as one process on {@code from} uses it. */
-  AsyncHttpClient caller(String from, BooleanSupplier alive) {
-    if (outside != null) {
+  AsyncHttpClient httpClient(String from, BooleanSupplier alive) {
+    if (externalNetwork != null) {
       return (request, onReply) ->
-          outside
-              .caller()
+          externalNetwork
+              .httpClient()
               .call(
                   request,
                   reply -> {
@@ -225,7 +225,7 @@
                   });
       long timeout = request.timeout().toMillis();
       String way = from + " " + host(request.address());
-      if (deaf.contains(host(request.address()))) {
+      if (unreachableHosts.contains(host(request.address()))) {
         after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
         return;
       }
@@ -249,9 +249,9 @@
         after(5, () -> once.accept(AsyncHttpClient.Reply.answered(503, new byte[0])));
         return;
       }
-      boolean lost = random.nextDouble() < lossy;
+      boolean lost = random.nextDouble() < lossRate;
       boolean late = lost && random.nextBoolean();
-      boolean holds = held > 0 && random.nextDouble() < held;
+      boolean holds = delayRate > 0 && random.nextDouble() < delayRate;
       boolean there = holds && random.nextBoolean();
       int back = holds && !there ? random.nextInt(LONGEST_HELD) : 0;
       after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
@@ -263,7 +263,7 @@
               deliver(
                   request,
                   answer -> {
-                    if (!lost && !cuts.contains(way) && !deaf.contains(from)) {
+                    if (!lost && !cuts.contains(way) && !unreachableHosts.contains(from)) {
                       after(
                           1 + random.nextInt(5) + back,
                           () ->
--- a/src/test/java/io/pineladder/sim/SmallJobsTest.java
+++ b/src/test/java/io/pineladder/sim/SmallJobsTest.java
@@ -27,39 +27,39 @@
   @Test
   void keepsStoreLimitsUnderOneTaskJobs() {
     begin(Layout.SHORT, 81);
-    fleet.capacity = 20;
+    fleet.zoneCapacity = 20;
     world.runFor(Duration.ofSeconds(30));
     store.requestLimit = new TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, world.now());
     store.changeLimit = new TokenBucket(CHANGES_PER_SECOND, CHANGES_PER_SECOND, world.now());
-    store.changes.clear();
-    int before = store.requests;
-    List<SafetyRules.Known> all = new ArrayList<>();
+    store.changesByPrefix.clear();
+    int before = store.requestCount;
+    List<SafetyRules.TrackedJob> all = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      SafetyRules.Known job = submit(work("array", 1).put("guess_s", 4 + i % 9));
+      SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 1).put("guess_s", 4 + i % 9));
       all.add(job);
       if (i % 4 == 0) {
         world.after(world.random.nextInt(12_000), () -> cancel(job));
       }
       if (i == JOBS / 2) {
-        kill(controllers.get(leader()), 6_000);
+        kill(controllers.get(leaderIndex()), 6_000);
       }
       world.runFor(Duration.ofMillis(250));
     }
-    int changes = store.changes.values().stream().mapToInt(Integer::intValue).sum();
+    int changes = store.changesByPrefix.values().stream().mapToInt(Integer::intValue).sum();
     assertTrue(
         changes < MAX_CHANGES_PER_JOB * JOBS,
-        changes + " changes for " + JOBS + " jobs: " + store.changes);
-    int requests = store.requests - before;
+        changes + " changes for " + JOBS + " jobs: " + store.changesByPrefix);
+    int requests = store.requestCount - before;
     assertTrue(
         requests < MAX_REQUESTS_PER_JOB * JOBS, requests + " requests for " + JOBS + " jobs");
-    rules.calmSince = world.now();
+    rules.faultsEndedAt = world.now();
     world.runFor(Duration.ofSeconds(60));
-    List<String> open = all.stream().filter(j -> !j.isOver()).map(j -> j.id).toList();
+    List<String> open = all.stream().filter(j -> !j.isFinished()).map(j -> j.id).toList();
     assertEquals(List.of(), open);
     assertTrue(
-        store.overLimit < 0.01 * store.requests,
-        store.overLimit + " rejected of " + store.requests);
-    assertTrue(all.stream().filter(j -> j.cancelled != null).count() > JOBS / 10);
+        store.rateLimitedRequests < 0.01 * store.requestCount,
+        store.rateLimitedRequests + " rejected of " + store.requestCount);
+    assertTrue(all.stream().filter(j -> j.cancelledAt != null).count() > JOBS / 10);
     settle(Duration.ofSeconds(60));
   }
 }
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -20,7 +20,7 @@
  * of all of them.
  */
 final class StarvationCheck {
-  static final Duration MOST = Duration.ofSeconds(90);
+  static final Duration MAX_WAIT = Duration.ofSeconds(90);
 
   private final SimulatedWorld world;
   private final SafetyRules rules;
@@ -48,12 +48,12 @@
     this.teams = teams;
   }
 
-  void watch() {
-    if (rules.calmSince == null) {
+  void check() {
+    if (rules.faultsEndedAt == null) {
       return;
     }
     look();
-    for (SafetyRules.Known job : rules.jobs.values()) {
+    for (SafetyRules.TrackedJob job : rules.jobs.values()) {
       int now = job.completed.size() + places.getOrDefault(job.id, Map.of()).size();
       boolean moves = underWay.getOrDefault(job.id, 0) < now;
       underWay.put(job.id, now);
@@ -62,7 +62,7 @@
         continue;
       }
       Instant first = since.computeIfAbsent(job.id, id -> world.now());
-      if (first.plus(MOST).isBefore(world.now())) {
+      if (first.plus(MAX_WAIT).isBefore(world.now())) {
         throw new AssertionError(
             "starved at " + world.now() + ": " + job.id + " waits since " + first + " " + job.spec);
       }
@@ -79,10 +79,10 @@
         if (task.status.equals("ended")) {
           continue;
         }
-        JsonNode spec = rules.jobs.get(task.job()).spec;
+        JsonNode spec = rules.jobs.get(task.jobId()).spec;
         left = left.minus(each(spec));
         usage.merge(spec.get("owner").asText(), each(spec), Resources::plus);
-        places.computeIfAbsent(task.job(), j -> new HashMap<>()).put(task.index(), worker);
+        places.computeIfAbsent(task.jobId(), j -> new HashMap<>()).put(task.index(), worker);
       }
       if (worker.up && world.hears(SimulatedWorld.host(worker.address))) {
         free.put(worker, left);
@@ -101,10 +101,10 @@
    * It is to run, was not submitted with a mistake, and tasks of it are neither complete nor on a
    * machine.
    */
-  private boolean waits(SafetyRules.Known job) {
-    boolean wanted = job.accepted && !job.cancelAsked && !job.isOver() && !job.broken;
+  private boolean waits(SafetyRules.TrackedJob job) {
+    boolean wanted = job.accepted && !job.cancelRequested && !job.isFinished() && !job.alwaysFails;
     for (String id : job.prerequisites()) {
-      SafetyRules.Known needed = rules.jobs.get(id);
+      SafetyRules.TrackedJob needed = rules.jobs.get(id);
       // A completion is seen, stored and told before what needs it can start.
       wanted &= needed.done;
     }
@@ -113,13 +113,13 @@
     known.addAll(there.keySet());
     boolean gang = job.spec.get("shape").asText().equals("group");
     // What is left of a gang must be gone before it can start anew.
-    return wanted && known.size() < job.tasks() && !(gang && !there.isEmpty());
+    return wanted && known.size() < job.taskCount() && !(gang && !there.isEmpty());
   }
 
-  private boolean couldRun(SafetyRules.Known job) {
+  private boolean couldRun(SafetyRules.TrackedJob job) {
     JsonNode spec = job.spec;
     boolean gang = spec.get("shape").asText().equals("group");
-    int wanted = gang ? job.tasks() : 1;
+    int wanted = gang ? job.taskCount() : 1;
     Resources each = each(spec);
     String owner = spec.get("owner").asText();
     Team team = teams.stream().filter(t -> t.name().equals(owner)).findFirst().orElseThrow();
@@ -128,7 +128,7 @@
       return false;
     }
     boolean together = spec.get("together").asBoolean();
-    int most = spec.get("spread").asBoolean() ? (job.tasks() + 1) / 2 : Integer.MAX_VALUE;
+    int most = spec.get("spread").asBoolean() ? (job.taskCount() + 1) / 2 : Integer.MAX_VALUE;
     Map<String, Integer> inZone = new HashMap<>();
     places
         .getOrDefault(job.id, Map.of())
--- a/src/test/java/io/pineladder/sim/StarvationTest.java
+++ b/src/test/java/io/pineladder/sim/StarvationTest.java
@@ -22,24 +22,24 @@
   @Test
   void aJobThatFailedByChanceWhereverThereIsRoomRunsAllTheSame() {
     begin(Layout.FLEET, 71);
-    fleet.capacity = 2;
+    fleet.zoneCapacity = 2;
     for (double cards : new double[] {4, 3}) {
-      submit(work("service", 2).put("spread", true).put("cards", cards));
+      submit(simpleJobSpec("service", 2).put("spread", true).put("cards", cards));
       for (int i = 0; i < 200 && running() < (cards == 4 ? 2 : 4); i++) {
         world.runFor(Duration.ofSeconds(1));
       }
     }
     assertEquals(4, running());
-    assertEquals(4, fleet.up().size());
-    SafetyRules.Known job = submit(work("array", 1).put("guess_s", 5));
-    job.broken = true;
-    for (int i = 0; i < 60 && job.begins < 2; i++) {
+    assertEquals(4, fleet.runningWorkers().size());
+    SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 1).put("guess_s", 5));
+    job.alwaysFails = true;
+    for (int i = 0; i < 60 && job.startCount < 2; i++) {
       world.runFor(Duration.ofSeconds(1));
     }
     world.runFor(Duration.ofSeconds(8));
-    assertEquals(2, job.begins);
-    job.broken = false;
-    rules.calmSince = world.now();
+    assertEquals(2, job.startCount);
+    job.alwaysFails = false;
+    rules.faultsEndedAt = world.now();
     world.runFor(Duration.ofMinutes(2));
     assertTrue(job.done);
   }
@@ -59,16 +59,16 @@
   @MethodSource("layoutsAndSeeds")
   void whereThereIsMoreWorkThanRoomNothingWaitsBesideRoom(Layout layout, long seed) {
     begin(layout, 5_000 + seed);
-    fleet.capacity = layout == Layout.SHORT ? 4 : 3;
+    fleet.zoneCapacity = layout == Layout.SHORT ? 4 : 3;
     for (int i = 0; i < 200; i++) {
       if (i == 30) {
-        rules.calmSince = world.now();
+        rules.faultsEndedAt = world.now();
       }
       int kind = world.random.nextInt(10);
       String shape = kind < 7 ? "array" : kind < 9 ? "group" : "service";
       int tasks = 1 + world.random.nextInt(shape.equals("array") ? 9 : 3);
       ObjectNode spec =
-          work(shape, tasks)
+          simpleJobSpec(shape, tasks)
               .put(
                   "rank", List.of("prod", "urgent", "standard", "low").get(world.random.nextInt(4)))
               .put("owner", world.random.nextInt(3) == 0 ? "blue" : "red")
@@ -85,19 +85,19 @@
           spec.put("due_s", 60.0 + world.random.nextInt(600));
         }
       }
-      SafetyRules.Known job = submit(spec);
+      SafetyRules.TrackedJob job = submit(spec);
       if (shape.equals("service")) {
         world.after(20_000 + world.random.nextInt(60_000), () -> cancel(job));
       }
       world.runFor(Duration.ofMillis(1_500 + world.random.nextInt(2_500)));
     }
-    rules.jobs.values().stream().filter(j -> !j.isOver()).toList().forEach(this::cancel);
+    rules.jobs.values().stream().filter(j -> !j.isFinished()).toList().forEach(this::cancel);
     settle(Duration.ofMinutes(2));
   }
 
   private int running() {
     return (int)
-        fleet.up().stream()
+        fleet.runningWorkers().stream()
             .flatMap(w -> w.tasks.values().stream())
             .filter(t -> t.status.equals("running"))
             .count();
--- a/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
@@ -26,7 +26,7 @@
     for (FakeFleet.Worker worker : fleet.machines.values()) {
       worker.tasks.forEach(
           (key, task) -> {
-            if (task.there) {
+            if (task.onMachine) {
               found.put(key, worker.name);
             }
           });
@@ -51,21 +51,21 @@
 
   private void loseEverythingAndRecover(int cost) {
     Map<String, String> before = placements();
-    int requests = store.requests;
-    int changes = store.changes.values().stream().mapToInt(n -> n).sum();
+    int requests = store.requestCount;
+    int changes = store.changesByPrefix.values().stream().mapToInt(n -> n).sum();
     Instant at = world.now();
     store.loseEverything();
     Duration detected = runUntil(at, Duration.ofSeconds(2), () -> anyGenerationIs(State.LOST));
     runUntil(at, Duration.ofSeconds(15), () -> anyGenerationIs(State.REBUILT));
-    int changed = store.changes.values().stream().mapToInt(n -> n).sum() - changes;
-    SafetyRules.Known submitted = submit(job("array", 4, "red").put("together", false));
+    int changed = store.changesByPrefix.values().stream().mapToInt(n -> n).sum() - changes;
+    SafetyRules.TrackedJob submitted = submit(jobSpec("array", 4, "red").put("together", false));
     Duration accepted = runUntil(at, Duration.ofSeconds(12), () -> submitted.accepted);
     Duration first =
         runUntil(
             at,
             Duration.ofSeconds(15),
             () -> placements().keySet().stream().anyMatch(key -> key.startsWith(submitted.id)));
-    int requestsToStart = store.requests - requests;
+    int requestsToStart = store.requestCount - requests;
     world.runFor(Duration.ofSeconds(60));
     Map<String, String> after = placements();
     before.forEach((task, machine) -> assertEquals(machine, after.get(task), task + " was lost"));
@@ -84,12 +84,12 @@
   @Test
   void keepsRunningTasksWhenStoreIsLost() {
     begin(51);
-    losesData = true;
-    fleet.capacity = MACHINES;
-    fleet.addUp(MACHINES);
+    allowsDataLoss = true;
+    fleet.zoneCapacity = MACHINES;
+    fleet.addRunningMachines(MACHINES);
     world.runFor(Duration.ofSeconds(10));
     for (int i = 0; i < JOBS; i++) {
-      submit(job("service", TASKS_PER_JOB, "red").put("spread", false).put("together", false));
+      submit(jobSpec("service", TASKS_PER_JOB, "red").put("spread", false).put("together", false));
     }
     world.runFor(Duration.ofSeconds(60));
     assertEquals(JOBS * TASKS_PER_JOB, placements().size(), "all tasks run before the loss");
--- a/src/test/java/io/pineladder/sim/StateLossProcessTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossProcessTest.java
@@ -17,7 +17,7 @@
   @TempDir Path folder;
 
   private static void cancel(LoopbackCluster cluster, String id) throws InterruptedException {
-    ObjectNode answer = cluster.insist(false, "POST", "/v1/jobs/" + id + "/cancel", null);
+    ObjectNode answer = cluster.requestUntilSuccess(false, "POST", "/v1/jobs/" + id + "/cancel", null);
     assertEquals("aborted", answer.get("status").asText(), id);
   }
 
@@ -37,12 +37,12 @@
         }
         if (n == JOBS / 3) {
           // The controllers keep running.
-          cluster.read(() -> loseEverything(cluster));
+          cluster.readOnEventLoop(() -> loseEverything(cluster));
         }
       }
       // No job is accepted after these snapshots, so they are complete.
       awaitSnapshots(cluster);
-      cluster.read(() -> loseEverything(cluster));
+      cluster.readOnEventLoop(() -> loseEverything(cluster));
       for (int i = 0; i < 3; i++) {
         cluster.controller(i).destroyForcibly().waitFor();
       }
@@ -66,16 +66,16 @@
   }
 
   private static String status(LoopbackCluster cluster, String id) throws InterruptedException {
-    return cluster.insist(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
+    return cluster.requestUntilSuccess(false, "GET", "/v1/jobs/" + id, null).get("status").asText();
   }
 
   /** Waits until every controller has a snapshot of all accepted jobs. */
   private static void awaitSnapshots(LoopbackCluster cluster) throws InterruptedException {
-    for (String address : cluster.clusters()) {
+    for (String address : cluster.adminAddresses()) {
       JsonNode records;
       do {
         Thread.sleep(200);
-        records = cluster.insistOf(address, "GET", "/admin/v1/status").get("records");
+        records = cluster.requestAddressUntilSuccess(address, "GET", "/admin/v1/status").get("records");
       } while (!records.at("/copy/whole").asBoolean()
           || records.at("/copy/generation").asLong() != records.get("generation").asLong()
           || records.at("/snapshots/kept").asInt() == 0);
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -59,22 +59,22 @@
     switch (loss) {
       case NOTHING -> {}
       case EVERYTHING -> store.loseEverything();
-      case LAST_SECONDS -> store.restore(Duration.ofSeconds(15), false);
-      case LAST_SECONDS_LEASES_KEPT -> store.restore(Duration.ofSeconds(15), true);
+      case LAST_SECONDS -> store.restoreBackup(Duration.ofSeconds(15), false);
+      case LAST_SECONDS_LEASES_KEPT -> store.restoreBackup(Duration.ofSeconds(15), true);
       case PLACEMENTS -> store.losePrefix("placed/");
       case ACCEPTED -> store.losePrefix("accepted/");
       case ENDS -> store.losePrefix("end/");
-      case DAMAGED_DONE -> store.damage("done/");
-      case DAMAGED_ACCEPTED -> store.damage("accepted/");
-      case DAMAGED_PLACED -> store.damage("placed/");
+      case DAMAGED_DONE -> store.corruptValue("done/");
+      case DAMAGED_ACCEPTED -> store.corruptValue("accepted/");
+      case DAMAGED_PLACED -> store.corruptValue("placed/");
     }
   }
 
   private void submitAndCancelJobs(int steps) {
     for (int step = 0; step < steps; step++) {
-      submit(randomJob());
-      List<SafetyRules.Known> open =
-          rules.jobs.values().stream().filter(j -> j.accepted && !j.isOver()).toList();
+      submit(randomJobSpec());
+      List<SafetyRules.TrackedJob> open =
+          rules.jobs.values().stream().filter(j -> j.accepted && !j.isFinished()).toList();
       if (!open.isEmpty() && world.random.nextInt(3) == 0) {
         cancel(open.get(world.random.nextInt(open.size())));
       }
@@ -95,14 +95,14 @@
   private void assertServedDespite(Loss loss, Surviving left, long seed) {
     if (left == Surviving.SNAPSHOTS) {
       for (int i = 0; i < 3; i++) {
-        shelves.put(i, new MemoryShelf());
+        snapshotStores.put(i, new InMemorySnapshotStore());
       }
     }
     begin(seed);
-    losesData = loss != Loss.NOTHING;
-    store.backUp();
+    allowsDataLoss = loss != Loss.NOTHING;
+    store.startBackups();
     world.runFor(Duration.ofSeconds(4));
-    world.lossy = 0.02;
+    world.lossRate = 0.02;
     submitAndCancelJobs(20);
     log.debug("Losing data: time={} loss={}", world.now(), loss);
     lose(loss);
@@ -154,10 +154,10 @@
   @Test
   void aSecondLossFindsWhatTheFirstHasLeft() {
     for (int i = 0; i < 3; i++) {
-      shelves.put(i, new MemoryShelf());
+      snapshotStores.put(i, new InMemorySnapshotStore());
     }
     begin(78);
-    losesData = true;
+    allowsDataLoss = true;
     world.runFor(Duration.ofSeconds(4));
     submitAndCancelJobs(10);
     store.loseEverything();
@@ -172,7 +172,7 @@
   @Test
   void whatEarlierGenerationsLeaveIsClearedAway() {
     begin(79);
-    losesData = true;
+    allowsDataLoss = true;
     world.runFor(Duration.ofSeconds(4));
     submitAndCancelJobs(10);
     // A partial loss leaves the other keys of the first generation behind.
@@ -180,11 +180,11 @@
     submitAndCancelJobs(10);
     store.losePrefix("accepted/");
     submitAndCancelJobs(10);
-    assertTrue(store.outside() > 10, "keys of earlier generations remain");
+    assertTrue(store.countKeysOutsideGeneration() > 10, "keys of earlier generations remain");
     world.runFor(Duration.ofMinutes(5));
     kill(controllers.get(leaderIndex()), 6_000);
     world.runFor(Duration.ofMinutes(15));
-    assertEquals(1, store.outside(), "only the key of the current generation remains");
+    assertEquals(1, store.countKeysOutsideGeneration(), "only the key of the current generation remains");
     settle(Duration.ofSeconds(60));
   }
 
@@ -193,10 +193,10 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void aLossInAClustersFirstSecondsIsRebuiltByWhoKnowsMost(long seed) {
     begin(90 + seed);
-    losesData = true;
+    allowsDataLoss = true;
     world.runFor(Duration.ofMillis(300));
     for (int i = 0; i < 10; i++) {
-      submit(randomJob());
+      submit(randomJobSpec());
       world.runFor(Duration.ofMillis(10 * seed));
     }
     store.loseEverything();
@@ -208,10 +208,10 @@
   @Test
   void aSnapshotThatIsHandedInBringsJobsBack() throws Exception {
     begin(77);
-    losesData = true;
+    allowsDataLoss = true;
     world.runFor(Duration.ofSeconds(4));
     submitAndCancelJobs(10);
-    List<SafetyRules.Known> before = List.copyOf(rules.jobs.values());
+    List<SafetyRules.TrackedJob> before = List.copyOf(rules.jobs.values());
     world.runFor(Duration.ofSeconds(15));
     byte[] kept = controllers.get(leaderIndex()).node.replicaManager().exportSnapshot();
     store.loseEverything();
--- a/src/test/java/io/pineladder/sim/TaskWatcher.java
+++ b/src/test/java/io/pineladder/sim/TaskWatcher.java
@@ -6,7 +6,7 @@
 /** Follows what becomes of tasks on workers, and knows what kind of task each is. */
 interface TaskWatcher {
   /** Every attempt of the task fails. */
-  boolean isBroken(Task task);
+  boolean alwaysFails(Task task);
 
   boolean isGang(Task task);
 
@@ -14,16 +14,16 @@
   long runMillis(Task task);
 
   /** A start was executed. */
-  void commanded(Task task, Worker on);
+  void onStartCommand(Task task, Worker on);
 
   /** The task is on its machine with its image. */
-  void started(Task task, Worker on);
+  void onStarted(Task task, Worker on);
 
   /** The task is on its machine no more. */
-  void left(Task task, Worker from);
+  void onLeft(Task task, Worker from);
 
   /** A task of a gang waits for the others. */
-  void gather(Task task);
+  void onGangTaskReady(Task task);
 
-  void completed(Task task);
+  void onCompleted(Task task);
 }
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -83,10 +83,10 @@
   }
 
   private void fillZones() {
-    fleet.capacity = 40;
+    fleet.zoneCapacity = 40;
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 12; i++) {
-      submit(job("service", 4, "red").put("together", false).put("spread", true));
+      submit(jobSpec("service", 4, "red").put("together", false).put("spread", true));
     }
     world.runFor(Duration.ofSeconds(90));
     assertEquals(24, placementsIn("b").size(), "half of the tasks run in the second zone");
@@ -97,8 +97,8 @@
   }
 
   private void moveLeadershipTo(int node) {
-    for (int tries = 0; tries < 20 && leader() != node; tries++) {
-      kill(controllers.get(leader()), 4_000);
+    for (int tries = 0; tries < 20 && leaderIndex() != node; tries++) {
+      kill(controllers.get(leaderIndex()), 4_000);
       world.runFor(Duration.ofSeconds(12));
     }
   }
@@ -152,13 +152,13 @@
     moveLeadershipTo(0);
     Runnable heal = partition(true);
     world.runFor(Duration.ofSeconds(15));
-    SafetyRules.Known job = rules.jobs.values().iterator().next();
+    SafetyRules.TrackedJob job = rules.jobs.values().iterator().next();
     cancel(job);
     world.runFor(Duration.ofSeconds(90));
-    assertTrue(job.cancelled == null, "reported as cancelled while tasks run");
+    assertTrue(job.cancelledAt == null, "reported as cancelled while tasks run");
     heal.run();
     world.runFor(Duration.ofSeconds(30));
-    assertTrue(job.cancelled != null);
+    assertTrue(job.cancelledAt != null);
     settle(Duration.ofSeconds(60));
   }
 
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -255,7 +255,7 @@
     for (int task = 0; task < 20_000; task++) {
       if (task < 10_000 ? task % 2 == 1 : random.nextInt(3) == 0) {
         Attempt attempt = new Attempt(job, task, 1, machine, Instant.EPOCH, Attempt.State.RUNNING);
-        job.done.set(task);
+        job.completedTasks.set(task);
         done.add(attempt);
         records.storeCompletion(job, attempt);
       }
@@ -273,8 +273,8 @@
         chunks.add(stored.job() + "/" + stored.chunk());
       }
     }
-    assertEquals(job.done, read);
+    assertEquals(job.completedTasks, read);
     assertTrue(chunks.size() > 100, "it takes many entries");
-    assertTrue(done.stream().allMatch(attempt -> attempt.mayBeForgotten));
+    assertTrue(done.stream().allMatch(attempt -> attempt.endProcessed));
   }
 }
--- a/src/test/java/io/pineladder/store/StoreClientTest.java
+++ b/src/test/java/io/pineladder/store/StoreClientTest.java
@@ -52,7 +52,7 @@
       storeClient.readForUser(
           "job/req-" + i,
           read -> {
-            assertFalse(read.certain());
+            assertFalse(read.succeeded());
             refused[0]++;
           });
     }
--- a/src/test/java/io/pineladder/wire/SettingsReaderTest.java
+++ b/src/test/java/io/pineladder/wire/SettingsReaderTest.java
@@ -18,7 +18,7 @@
 /** Checks which settings are accepted, and the messages for those that are not. */
 public class SettingsReaderTest {
   /** A deployment of two zones; {@code member} and the addresses are to be filled in. */
-  public static final String GOOD =
+  public static final String VALID_SETTINGS =
       """
       member = "rung-0"
       area = "a"
@@ -83,7 +83,7 @@
 
   @Test
   void readsThePlatformsSettings() throws SettingsReader.BadSettingsException {
-    Settings settings = SettingsReader.parse(GOOD);
+    Settings settings = SettingsReader.parse(VALID_SETTINGS);
     assertEquals("rung-0", settings.controllerName());
     assertEquals(2, settings.peers().size());
     assertEquals(Duration.ofSeconds(20), settings.workerTimes().leaseDuration());
@@ -95,7 +95,7 @@
   @Test
   void namesEveryErrorInOneMessage() {
     String bad =
-        GOOD.replace("area = \"a\"\nfront", "front")
+        VALID_SETTINGS.replace("area = \"a\"\nfront", "front")
             .replace("txn_ops = 12", "txn_ops = \"many\"")
             .replace("10.2.0.1:2379", "state.example:99")
             .replace("lease_s = 20.0", "lease_s = -1.0")
@@ -119,11 +119,11 @@
   /** What cannot be served is refused at the start, with the field's name. */
   @Test
   void refusesUnsupportedSettings() {
-    String seeds = GOOD.substring(GOOD.indexOf("[[seeds]]"), GOOD.indexOf("[external]"));
+    String seeds = VALID_SETTINGS.substring(VALID_SETTINGS.indexOf("[[seeds]]"), VALID_SETTINGS.indexOf("[external]"));
     Map<String, String> refused =
         Map.of(
-            GOOD.replace(seeds, ""), "seeds names no other controller",
-            GOOD.replace("lease_s = 20.0", "lease_s = 3.5"),
+            VALID_SETTINGS.replace(seeds, ""), "seeds names no other controller",
+            VALID_SETTINGS.replace("lease_s = 20.0", "lease_s = 3.5"),
                 "deployment.workers.lease_s is not longer than a report may take to come");
     refused.forEach(
         (text, fault) -> {
@@ -138,11 +138,11 @@
   @Test
   void acceptsOtherDeployments() throws SettingsReader.BadSettingsException {
     String objectives =
-        GOOD.substring(
-            GOOD.indexOf("[[deployment.objectives]]"), GOOD.indexOf("[deployment.workers]"));
+        VALID_SETTINGS.substring(
+            VALID_SETTINGS.indexOf("[[deployment.objectives]]"), VALID_SETTINGS.indexOf("[deployment.workers]"));
     Settings settings =
         SettingsReader.parse(
-            GOOD.replace(objectives, "")
+            VALID_SETTINGS.replace(objectives, "")
                 .replace("zones = [\"a\", \"b\"]", "zones = [\"a\", \"b\", \"c\", \"d\"]")
                 .replace("report_s = 3.0", "report_s = 1.0")
                 .replace("lease_s = 20.0", "lease_s = 30.0")
@@ -188,7 +188,7 @@
     assertEquals(3_996, SettingsReader.defaultMaxSockets(4_096));
     assertEquals(7_000, SettingsReader.defaultMaxSockets(Long.MAX_VALUE));
     int untold =
-        SettingsReader.parse(GOOD.substring(0, GOOD.indexOf("[deployment.resources]")))
+        SettingsReader.parse(VALID_SETTINGS.substring(0, VALID_SETTINGS.indexOf("[deployment.resources]")))
             .maxSockets();
     assertTrue(untold >= 1_000 && untold <= 7_000);
   }
--- a/src/test/java/io/pineladder/workers/AutoscalerTest.java
+++ b/src/test/java/io/pineladder/workers/AutoscalerTest.java
@@ -172,7 +172,7 @@
                 Duration.ofSeconds(3),
                 null));
     leader.autoscaler.start();
-    assertTrue(filler.pending.isEmpty());
+    assertTrue(filler.pendingTasks.isEmpty());
     for (int second = 0; second < 70; second++) {
       for (int i = 0; i < 2; i++) {
         leader.heartbeat(
--- a/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
+++ b/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
@@ -64,7 +64,7 @@
     leader.heartbeatResponse(2, 1, LeaderHarness.TERM);
     assertEquals(Machine.Reachability.UNREACHABLE, machine.reachability());
     assertTrue(job.attempts.isEmpty(), "the new session is the proof");
-    assertEquals(1, job.pending.cardinality(), "and the task waits for another machine");
+    assertEquals(1, job.pendingTasks.cardinality(), "and the task waits for another machine");
     leader.runFor(Duration.ofSeconds(5));
     leader.heartbeatResponse(2, 2, LeaderHarness.TERM);
     LeaderHarness.SentRequest probe = leader.nextCommand();
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -111,7 +111,7 @@
     for (int i = 0; i < 40; i++) {
       runOneSecond();
     }
-    assertTrue(low.pending.cardinality() <= 2, "all but the probes' room: " + low.pending);
+    assertTrue(low.pendingTasks.cardinality() <= 2, "all but the probes' room: " + low.pendingTasks);
     low.attempts.values().forEach(all -> all.forEach(a -> assertTrue(a.isWanted())));
   }
 
--- a/src/test/java/io/pineladder/workers/GangRestartTest.java
+++ b/src/test/java/io/pineladder/workers/GangRestartTest.java
@@ -64,7 +64,7 @@
     }
     leader.scheduler.preempt(gang.attempts.get(2).iterator().next());
     assertTrue(gang.attempts.isEmpty(), "none was started anew: " + gang.attempts);
-    assertEquals(3, gang.pending.cardinality());
+    assertEquals(3, gang.pendingTasks.cardinality());
   }
 
   /** Found on the grown laval: one task's vain wait stopped the other's fetch, again and again. */
--- a/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
+++ b/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
@@ -70,9 +70,9 @@
         new TaskStatus(new TaskId("req-1", 0), 3, TaskState.EXITED, EndReason.DONE, false);
     leader.heartbeat("m-2", 1, before);
     Attempt complete = leader.cluster.machine("m-2").attempts.get(before.attemptKey());
-    assertTrue(job.done.get(0));
+    assertTrue(job.completedTasks.get(0));
     leader.runFor(Duration.ofSeconds(2));
-    assertFalse(complete.mayBeForgotten, "not stored while the new attempt may run");
+    assertFalse(complete.endProcessed, "not stored while the new attempt may run");
     assertFalse(anew.isWanted(), "it is stopped");
     leader.heartbeat(
         "m-1",
@@ -80,7 +80,7 @@
         LeaderHarness.exited(anew, EndReason.STOPPED),
         LeaderHarness.task(other, TaskState.RUNNING));
     leader.runFor(Duration.ofSeconds(2));
-    assertTrue(complete.mayBeForgotten);
+    assertTrue(complete.endProcessed);
     assertTrue(job.isActive());
   }
 
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -121,9 +121,9 @@
   }
 
   /** Answers by {@link #leaseCertain} and collects resignations. */
-  private final class AutoscalerEffects implements Autoscaler.Effects {
+  private final class AutoscalerEffects implements Autoscaler.Callbacks {
     @Override
-    public int workersHeardByPeers(String zone) {
+    public int workersSeenByPeers(String zone) {
       return 0;
     }
 
@@ -188,7 +188,7 @@
   LeaderHarness() {
     Settings settings;
     try {
-      settings = SettingsReader.parse(SettingsReaderTest.GOOD);
+      settings = SettingsReader.parse(SettingsReaderTest.VALID_SETTINGS);
     } catch (SettingsReader.BadSettingsException e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/io/pineladder/workers/PreemptionTest.java
+++ b/src/test/java/io/pineladder/workers/PreemptionTest.java
@@ -91,7 +91,7 @@
     Job tiny = leader.accept(LeaderHarness.withResources(cpus, Resources.of(1, 0, 1)));
     Job low =
         leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.LOW, 16, "i"));
-    assertTrue(low.pending.isEmpty());
+    assertTrue(low.pendingTasks.isEmpty());
     for (Attempt attempt : leader.attempts()) {
       leader.scheduler.onAttemptObserved(attempt, Attempt.State.RUNNING);
     }
@@ -158,7 +158,7 @@
     int later = huge.attempts.size();
     assertTrue(later > 300 && later < 900, "after some seconds: " + later);
     leader.runFor(Duration.ofSeconds(8));
-    assertTrue(huge.pending.isEmpty());
+    assertTrue(huge.pendingTasks.isEmpty());
   }
 
   /** Found on laval: tasks sat out fetches of minutes while machines with the image came free. */
