--- a/src/main/java/io/pineladder/membership/FailureDetector.java
+++ b/src/main/java/io/pineladder/membership/FailureDetector.java
@@ -125,8 +125,8 @@
     if (isFresh(peer.contactAt(), now)) {
       return true;
     }
-    for (Peer other : peers) {
-      Duration age = other == peer ? null : reportedContactAge(other, peer, now);
+    for (Peer observer : peers) {
+      Duration age = observer == peer ? null : reportedContactAge(observer, peer, now);
       if (age != null && age.compareTo(MAX_CONTACT_AGE) < 0) {
         return true;
       }
@@ -134,10 +134,10 @@
     return false;
   }
 
-  /** Whether another peer is up, which would report a contact with this one. */
+  /** Whether another peer is up, whose heartbeats would report a contact with this one. */
   private boolean hasUpObserver(Peer peer, Instant now) {
-    for (Peer other : peers) {
-      if (other != peer && other.state() == State.UP && isFresh(other.contactAt(), now)) {
+    for (Peer observer : peers) {
+      if (observer != peer && observer.state() == State.UP && isFresh(observer.contactAt(), now)) {
         return true;
       }
     }
@@ -148,13 +148,13 @@
     return at != null && at.plus(MAX_CONTACT_AGE).isAfter(now);
   }
 
-  /** The age of {@code other}'s last contact with the peer; null if not known. */
-  private static Duration reportedContactAge(Peer other, Peer peer, Instant now) {
-    if (!isFresh(other.contactAt(), now)) {
+  /** The age of {@code observer}'s last contact with the peer; null if not known. */
+  private static Duration reportedContactAge(Peer observer, Peer peer, Instant now) {
+    if (!isFresh(observer.contactAt(), now)) {
       return null;
     }
-    PeerContact contact = other.lastHeartbeat().contacts().get(peer.controllerName());
-    return contact == null ? null : contact.age().plus(Duration.between(other.contactAt(), now));
+    PeerContact contact = observer.lastHeartbeat().contacts().get(peer.controllerName());
+    return contact == null ? null : contact.age().plus(Duration.between(observer.contactAt(), now));
   }
 
   private void evaluateLocalHealth(Instant now) {
--- a/src/main/java/io/pineladder/membership/Membership.java
+++ b/src/main/java/io/pineladder/membership/Membership.java
@@ -314,11 +314,13 @@
    * are not up.
    */
   public boolean isStoreUnreachableForMost() {
-    long without =
+    long unreachableCount =
         peers.values().stream()
             .filter(p -> p.state() == State.UP && p.reportsStoreUnreachable())
             .count();
-    return without > 0 && 2 * without >= peers.size() && !isStoreReachableByPeer();
+    return unreachableCount > 0
+        && 2 * unreachableCount >= peers.size()
+        && !isStoreReachableByPeer();
   }
 
   /** When the latest heartbeat answered by the peer was sent; null for never. */
--- a/src/main/java/io/pineladder/recovery/LocalAcceptances.java
+++ b/src/main/java/io/pineladder/recovery/LocalAcceptances.java
@@ -35,7 +35,7 @@
   /** Submits all jobs again that were accepted within {@link #RETENTION}. */
   void resubmitAll() {
     Instant cutoff = eventLoop.now().minus(RETENTION);
-    acceptances.removeIf(each -> each.acceptedAt.isBefore(cutoff));
-    acceptances.forEach(each -> each.resubmit.run());
+    acceptances.removeIf(acceptance -> acceptance.acceptedAt.isBefore(cutoff));
+    acceptances.forEach(acceptance -> acceptance.resubmit.run());
   }
 }
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -25,7 +25,7 @@
 
 /**
  * Coordinates the recovery of the records in one controller, whether it leads or not: the replica
- * of the records, its snapshots, and the state machine of the generations. Also tells whether
+ * of the records, its snapshots, and the state machine of the generations. Also determines whether
  * records may be missing from the store. Event thread only.
  */
 public final class ReplicaManager {
@@ -46,7 +46,10 @@
   /** Time within which all controllers that restored a snapshot compare it with the store. */
   private static final Duration SNAPSHOT_VERIFICATION_PERIOD = Duration.ofSeconds(20);
 
-  /** How long a controller with an incomplete replica defers an election to one that has it. */
+  /**
+   * How long a controller with an incomplete replica defers its election to a peer with a complete
+   * one.
+   */
   private static final Duration INCOMPLETE_REPLICA_ELECTION_DELAY = Duration.ofSeconds(2);
 
   /** The controller that uses the records. */
--- a/src/main/java/io/pineladder/replica/AcceptedJobPages.java
+++ b/src/main/java/io/pineladder/replica/AcceptedJobPages.java
@@ -36,8 +36,8 @@
   private static Set<String> jobIds(String key, StoredValue page) {
     Set<String> ids = new HashSet<>();
     try {
-      for (JsonNode each : RecordWire.entries(page.parse())) {
-        ids.add(RecordWire.parseJob(each).spec().id());
+      for (JsonNode record : RecordWire.entries(page.parse())) {
+        ids.add(RecordWire.parseJob(record).spec().id());
       }
     } catch (MalformedMessageException e) {
       log.warn("Unreadable page of accepted jobs: key={} detail=\"{}\"", key, e.getMessage());
--- a/src/main/java/io/pineladder/replica/GenerationEntries.java
+++ b/src/main/java/io/pineladder/replica/GenerationEntries.java
@@ -18,7 +18,7 @@
   /** Maximum size of the final states in one value. */
   private static final int MAX_FINAL_STATE_PAGE_BYTES = 6 * 1024;
 
-  /** Size of such a value without its job ids. */
+  /** Size of a value with final states, without its job ids. */
   private static final int FINAL_STATE_PAGE_OVERHEAD_BYTES = 64;
 
   /** Maximum size of a job id in JSON, with its comma. */
@@ -63,12 +63,12 @@
     for (Job.State state : List.of(Job.State.DONE, Job.State.CANCELLED)) {
       List<String> ids = new ArrayList<>();
       int bytes = 0;
-      for (Map.Entry<String, Job.State> each : finalStates.entrySet()) {
-        if (each.getValue() != state) {
+      for (Map.Entry<String, Job.State> finalState : finalStates.entrySet()) {
+        if (finalState.getValue() != state) {
           continue;
         }
-        ids.add(each.getKey());
-        bytes += each.getKey().length() + ID_OVERHEAD_BYTES;
+        ids.add(finalState.getKey());
+        bytes += finalState.getKey().length() + ID_OVERHEAD_BYTES;
         if (bytes + MAX_ID_BYTES >= maxPageBytes) {
           entries.add(page(pages++, state, ids));
           ids = new ArrayList<>();
--- a/src/main/java/io/pineladder/replica/RecordReplica.java
+++ b/src/main/java/io/pineladder/replica/RecordReplica.java
@@ -225,9 +225,9 @@
     }
     Map<String, Long> listedVersions = new HashMap<>();
     listed.forEach(entry -> listedVersions.put(entry.key(), entry.revision()));
-    for (Map.Entry<String, StoredValue> each : recordsWithPrefix(prefix).entrySet()) {
-      if (listedVersions.getOrDefault(each.getKey(), 0L) < each.getValue().version()) {
-        return each.getKey();
+    for (Map.Entry<String, StoredValue> replicated : recordsWithPrefix(prefix).entrySet()) {
+      if (listedVersions.getOrDefault(replicated.getKey(), 0L) < replicated.getValue().version()) {
+        return replicated.getKey();
       }
     }
     return null;
@@ -243,11 +243,11 @@
       return null;
     }
     for (String prefix : PERMANENT_PAGE_PREFIXES) {
-      for (Map.Entry<String, StoredValue> each : recordsWithPrefix(prefix).entrySet()) {
+      for (Map.Entry<String, StoredValue> page : recordsWithPrefix(prefix).entrySet()) {
         // Right after a rebuild the versions in this replica are 0, so only presence is compared.
-        StoredValue other = newer.records.get(each.getKey());
-        if (other == null || other.version() < each.getValue().version()) {
-          return each.getKey();
+        StoredValue newerPage = newer.records.get(page.getKey());
+        if (newerPage == null || newerPage.version() < page.getValue().version()) {
+          return page.getKey();
         }
       }
     }
@@ -280,9 +280,9 @@
   SortedMap<String, Long> permanentPages(String after, int max) {
     SortedMap<String, Long> found = new TreeMap<>();
     for (String prefix : PERMANENT_PAGE_PREFIXES) {
-      for (Map.Entry<String, StoredValue> each : recordsWithPrefix(prefix).entrySet()) {
-        if (found.size() < max && (after == null || each.getKey().compareTo(after) > 0)) {
-          found.put(each.getKey(), each.getValue().version());
+      for (Map.Entry<String, StoredValue> page : recordsWithPrefix(prefix).entrySet()) {
+        if (found.size() < max && (after == null || page.getKey().compareTo(after) > 0)) {
+          found.put(page.getKey(), page.getValue().version());
         }
       }
     }
@@ -339,7 +339,7 @@
     if (damaged.stream().allMatch(DamagedRecord::repaired)) {
       recordsWithPrefix(prefix).clear();
     }
-    // Otherwise retains the replica's older values of records that cannot be parsed.
+    // If a damaged record was not repaired, the replica's older values are retained.
     readable.forEach(entry -> put(entry.key(), entry.value(), entry.revision(), false));
     return new ListingResult(readable, damaged);
   }
--- a/src/main/java/io/pineladder/replica/RecordValidator.java
+++ b/src/main/java/io/pineladder/replica/RecordValidator.java
@@ -19,20 +19,20 @@
         RecordWire.parseJob(value);
       } else if (key.startsWith(RecordKeys.JOB_PAGES)) {
         RecordWire.parseNotifications(value);
-        for (JsonNode each : RecordWire.entries(value)) {
-          RecordWire.parseJob(each);
+        for (JsonNode item : RecordWire.entries(value)) {
+          RecordWire.parseJob(item);
         }
       } else if (key.startsWith(RecordKeys.COMPLETIONS)) {
-        for (JsonNode each : RecordWire.entries(value)) {
-          RecordWire.parseCompletions(each);
+        for (JsonNode item : RecordWire.entries(value)) {
+          RecordWire.parseCompletions(item);
         }
       } else if (key.startsWith(RecordKeys.PLACEMENTS)) {
-        for (JsonNode each : RecordWire.entries(value)) {
-          RecordWire.parsePlacement(each);
+        for (JsonNode item : RecordWire.entries(value)) {
+          RecordWire.parsePlacement(item);
         }
       } else if (key.startsWith(RecordKeys.CACHED_IMAGES)) {
-        for (JsonNode each : RecordWire.entries(value)) {
-          RecordWire.parseImages(each);
+        for (JsonNode item : RecordWire.entries(value)) {
+          RecordWire.parseImages(item);
         }
       }
       return true;
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -20,7 +20,7 @@
  * only the final states of earlier terms are read here. Event thread only.
  */
 public final class ReplicaFollower {
-  /** Leaves the request budget to the start of the controller or of a term. */
+  /** Delay of the first request; leaves the request budget to the start of a controller or term. */
   private static final Duration INITIAL_DELAY = Duration.ofSeconds(5);
 
   /** The interval between requests; spreads the reading of a large store over time. */
@@ -35,7 +35,10 @@
   /** Maximum number of pages in one comparison. */
   private static final int MAX_COMPARED_PAGES = 100;
 
-  /** After a longer lag all records are listed again: the changes may take more memory. */
+  /** The store allows this many conditions per key that a transaction may change. */
+  private static final int CONDITIONS_PER_OPERATION = 4;
+
+  /** After a longer lag all records are listed again: the missed changes may take more memory. */
   private static final Duration MAX_LAG = Duration.ofSeconds(10);
 
   /** A follower's {@link #step} runs in cycles; steps without a constant read changes. */
@@ -168,7 +171,7 @@
     transitionTo(State.OFF);
   }
 
-  /** Schedules an action that is dropped if the state changes before. */
+  /** Schedules an action that is dropped if the state changes before it runs. */
   private void schedule(Duration delay, int sequence, Runnable action) {
     eventLoop.schedule(
         delay,
@@ -283,7 +286,11 @@
    * while its version in the replica is unchanged is read again.
    */
   private void comparePages(int sequence) {
-    int maxPages = Math.min(MAX_COMPARED_PAGES, 4 * storeClient.limits().transactionOps() - 1);
+    // One condition is used for the generation.
+    int maxPages =
+        Math.min(
+            MAX_COMPARED_PAGES,
+            CONDITIONS_PER_OPERATION * storeClient.limits().transactionOps() - 1);
     SortedMap<String, Long> pages = replica.permanentPages(lastComparedPage, maxPages);
     lastComparedPage = pages.size() < maxPages ? null : pages.lastKey();
     StoreWire.Transaction compare = storeClient.transaction();
@@ -295,8 +302,10 @@
             return;
           }
           for (String key : failed == null ? List.<String>of() : failed) {
-            Long before = mismatchedPages.put(key, pages.getOrDefault(key, 0L));
-            if (before != null && before == replica.versionOf(key) && pages.containsKey(key)) {
+            Long previousVersion = mismatchedPages.put(key, pages.getOrDefault(key, 0L));
+            if (previousVersion != null
+                && previousVersion == replica.versionOf(key)
+                && pages.containsKey(key)) {
               confirmMissing(sequence, key, replica.versionOf(key));
             }
           }
@@ -308,7 +317,7 @@
   }
 
   /**
-   * Reads a record again and reports it if it is missing or older.
+   * Reads a record again and notifies the listener if it is missing or older.
    *
    * @param knownVersion the version in the replica
    */
@@ -324,7 +333,7 @@
   }
 
   private void readChanges(int sequence) {
-    Instant sent = eventLoop.now();
+    Instant sentAt = eventLoop.now();
     storeClient.readChanges(
         revision,
         result -> {
@@ -334,7 +343,7 @@
           StoreWire.Changes changes = result.changes();
           if (changes != null) {
             revision = changes.revision();
-            upToDateAt = sent;
+            upToDateAt = sentAt;
             changes.entries().forEach(e -> replica.put(e.key(), e.value(), e.revision(), true));
             replica.advanceTo(revision);
           } else if (result.reply().hasStatus(410)
--- a/src/main/java/io/pineladder/replica/SnapshotMerger.java
+++ b/src/main/java/io/pineladder/replica/SnapshotMerger.java
@@ -36,11 +36,11 @@
    * @return the number of jobs that were unknown to the target
    */
   int merge(Map<String, StoredValue> records) {
-    for (Map.Entry<String, StoredValue> each : records.entrySet()) {
+    for (Map.Entry<String, StoredValue> record : records.entrySet()) {
       try {
-        merge(each.getKey(), each.getValue().parse());
+        merge(record.getKey(), record.getValue().parse());
       } catch (MalformedMessageException e) {
-        log.warn("Unreadable record of the snapshot left out: key={}", each.getKey());
+        log.warn("Unreadable record of the snapshot left out: key={}", record.getKey());
       }
     }
     return jobCount;
--- a/src/main/java/io/pineladder/snapshot/SnapshotFileNames.java
+++ b/src/main/java/io/pineladder/snapshot/SnapshotFileNames.java
@@ -47,8 +47,8 @@
     return name.startsWith(CHANGES);
   }
 
-  /** Whether {@code name} is a change file of the same generation as this change file. */
-  static boolean isSameKindAndGeneration(String name, String changes) {
-    return name.startsWith(changes.substring(0, changes.lastIndexOf('-')));
+  /** Whether {@code name} is a change file of the same generation as {@code changeFile}. */
+  static boolean isSameKindAndGeneration(String name, String changeFile) {
+    return name.startsWith(changeFile.substring(0, changeFile.lastIndexOf('-')));
   }
 }
--- a/src/main/java/io/pineladder/store/AcceptedJobIndex.java
+++ b/src/main/java/io/pineladder/store/AcceptedJobIndex.java
@@ -91,7 +91,7 @@
     List<Consumer<Boolean>> callers = waitingCallers;
     waitingCallers = new ArrayList<>();
     transitionTo(State.EMPTY);
-    callers.forEach(each -> each.accept(false));
+    callers.forEach(caller -> caller.accept(false));
   }
 
   private void transitionTo(State to) {
@@ -119,7 +119,7 @@
         RecordKeys.JOB_PAGES,
         listing -> {
           if (readEpoch != generationEpoch) {
-            callers.forEach(each -> each.accept(false));
+            callers.forEach(caller -> caller.accept(false));
             return;
           }
           if (listing == null) {
@@ -145,7 +145,7 @@
         revision,
         response -> {
           if (readEpoch != generationEpoch) {
-            callers.forEach(each -> each.accept(false));
+            callers.forEach(caller -> caller.accept(false));
             return;
           }
           StoreWire.Changes changes = response.changes();
@@ -165,7 +165,7 @@
 
   private void finish(State to, List<Consumer<Boolean>> callers, boolean fresh) {
     transitionTo(to);
-    callers.forEach(each -> each.accept(fresh));
+    callers.forEach(caller -> caller.accept(fresh));
     if (!waitingCallers.isEmpty() && state != State.READING) {
       read();
     } else if (state == State.LOADED && !expiryScheduled) {
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -80,7 +80,9 @@
      */
     void onDataLoss(String reason);
 
-    /** A value that only the earlier limits allow was rejected: the lower limits are in force. */
+    /**
+     * The store rejected a value that its earlier, higher limits allowed: lower ones are in force.
+     */
     void onLimitsLowered();
 
     /** The value is committed; it is null for a deleted key. */
--- a/src/main/java/io/pineladder/store/JobPage.java
+++ b/src/main/java/io/pineladder/store/JobPage.java
@@ -29,10 +29,10 @@
   /** Upper bound of the content's size, uncommitted content included. */
   private int reservedBytes;
 
-  /** Whether it exceeded the capacity when that was lowered. */
+  /** Whether the page exceeded the capacity when {@link #markIfOversized} was called. */
   private boolean wasOversized;
 
-  /** While it is being divided, only the transaction that deletes it may change it. */
+  /** While the page is being divided, only the transaction that deletes it may change it. */
   private boolean dividing;
 
   JobPage(String key) {
--- a/src/main/java/io/pineladder/store/JobPageEdit.java
+++ b/src/main/java/io/pineladder/store/JobPageEdit.java
@@ -45,13 +45,13 @@
   /** The page to change; null for the page that contains the job's record at the time. */
   private JobPage assignedPage;
 
-  /** The record as last rendered; once a transaction is committed, the record in it. */
+  /** The record as last rendered; after the commit, the committed record. */
   private JsonNode rendered;
 
   /** The notification as last allocated; null when no subscriber wants it. */
   private Notification notification;
 
-  /** Whether it is part of a transaction that may be in flight. */
+  /** Whether this edit is part of a transaction that may be in flight. */
   private boolean inFlight;
 
   private JobPageEdit(
@@ -96,12 +96,12 @@
     return new JobPageEdit(pages, Kind.REWRITE, page, null, null, null, 0);
   }
 
-  /** The page that it changes at present; a job's record moves when its page is divided. */
+  /** The page that this edit changes at present; a job's record moves when its page is divided. */
   JobPage page() {
     return assignedPage != null ? assignedPage : pages.pageOf(job);
   }
 
-  /** Whether it must be deferred until its page is divided. */
+  /** Whether this edit must be deferred until its page is divided. */
   boolean mustBeDeferred() {
     JobPage page = page();
     if (page == null) {
@@ -114,7 +114,7 @@
     return page.reservedBytes() - removedBytes > pages.capacity();
   }
 
-  /** Marks it as part of no transaction. */
+  /** Marks this edit as part of no transaction. */
   void defer() {
     inFlight = false;
   }
--- a/src/main/java/io/pineladder/store/Mutation.java
+++ b/src/main/java/io/pineladder/store/Mutation.java
@@ -65,7 +65,7 @@
         priority, writes, pageEdits, mustNotExist, () -> true, onCommitted, onAlreadyExists);
   }
 
-  /** Whether it changes a job page that is being divided or must be divided first. */
+  /** Whether this changes a job page that is being divided or must be divided first. */
   boolean mustBeDeferred() {
     return pageEdits.stream().anyMatch(JobPageEdit::mustBeDeferred);
   }
--- a/src/main/java/io/pineladder/store/PendingTransaction.java
+++ b/src/main/java/io/pineladder/store/PendingTransaction.java
@@ -88,10 +88,10 @@
    * revision to compare, so one is returned only if the transaction writes no other key.
    */
   String evidenceKey() {
-    String chosen = null;
+    String evidence = null;
     for (Map.Entry<String, JsonNode> change : values.entrySet()) {
-      chosen = chosen == null || change.getValue() != null ? change.getKey() : chosen;
+      evidence = evidence == null || change.getValue() != null ? change.getKey() : evidence;
     }
-    return chosen;
+    return evidence;
   }
 }
--- a/src/main/java/io/pineladder/store/RecordAudit.java
+++ b/src/main/java/io/pineladder/store/RecordAudit.java
@@ -37,12 +37,12 @@
     this.isInFlight = isInFlight;
     int maxRecords = Math.min(MAX_RECORDS, maxConditions);
     var remaining = after == null ? revisions : revisions.tailMap(after, false);
-    for (Map.Entry<String, Long> each : remaining.entrySet()) {
+    for (Map.Entry<String, Long> record : remaining.entrySet()) {
       if (expected.size() == maxRecords) {
         break;
       }
-      if (!isInFlight.test(each.getKey())) {
-        expected.put(each.getKey(), each.getValue());
+      if (!isInFlight.test(record.getKey())) {
+        expected.put(record.getKey(), record.getValue());
       }
     }
     lastStep = expected.size() < maxRecords;
--- a/src/main/java/io/pineladder/store/RecordPages.java
+++ b/src/main/java/io/pineladder/store/RecordPages.java
@@ -229,11 +229,11 @@
     int bytes = 0;
     var entries = page.entries.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<T, EncodedEntry> each = entries.next();
-      T entry = each.getKey();
+      Map.Entry<T, EncodedEntry> pageEntry = entries.next();
+      T entry = pageEntry.getKey();
       boolean inThisPage = storedPage.get(entry) == page || page.entriesBeingStored.contains(entry);
       if (inThisPage && kind.isLive.test(entry)) {
-        bytes += each.getValue().bytes;
+        bytes += pageEntry.getValue().bytes;
         continue;
       }
       entries.remove();
@@ -274,7 +274,7 @@
       int additionalBytes = encoded.bytes - (previous == null ? 0 : previous.bytes);
       if (bytes + additionalBytes > capacity) {
         if (encoded.bytes > capacity) {
-          // A pattern of completions too long for any page; it shortens as its gaps close.
+          // Completions with too many gaps for any page; the entry shrinks as the gaps close.
           continue;
         }
         break;
@@ -293,7 +293,7 @@
     page.entriesBeingStored.add(entry);
     Page<T> superseded = pageBeingStored.put(entry, page);
     if (superseded != null && superseded != page) {
-      // If it is committed later, its older content must not be taken for the newest.
+      // If that page is committed later, its older copy must not be taken for the newest.
       superseded.entriesBeingStored.remove(entry);
       if (storedPage.get(entry) != superseded) {
         superseded.entries.remove(entry);
--- a/src/main/java/io/pineladder/store/RevisionTracker.java
+++ b/src/main/java/io/pineladder/store/RevisionTracker.java
@@ -34,7 +34,7 @@
     generation = next;
   }
 
-  /** Takes into account that the store had this revision in the generation with that base. */
+  /** Takes into account that the store had this revision in the generation with this base. */
   void observeRevision(long base, long revision) {
     if (base == generation.base()) {
       highestRevision = Math.max(highestRevision, revision);
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -82,7 +82,7 @@
     return revisions.highestRevision();
   }
 
-  /** Takes into account a revision of the store that a peer knows, in the generation with base. */
+  /** Takes into account a revision that a peer has seen in the generation with this base. */
   public void observeRevision(long base, long revision) {
     revisions.observeRevision(base, revision);
   }
--- a/src/main/java/io/pineladder/store/StoreRequestSender.java
+++ b/src/main/java/io/pineladder/store/StoreRequestSender.java
@@ -22,7 +22,7 @@
   private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(250);
   private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(500);
 
-  /** Retries beyond this share of the successful requests are rate-limited. */
+  /** Retries beyond this share of the successful requests are limited in rate and burst. */
   private static final double RETRY_TO_SUCCESS_RATIO = 0.05;
 
   private static final double RETRIES_PER_SECOND = 10;
--- a/src/main/java/io/pineladder/store/TransactionAssembler.java
+++ b/src/main/java/io/pineladder/store/TransactionAssembler.java
@@ -18,6 +18,9 @@
   /** Limit of the values' size. The store allows 64 KiB; the rest is for conditions. */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
+  /** The store allows this many conditions per key that a transaction may change. */
+  private static final int CONDITIONS_PER_OPERATION = 4;
+
   /** Conditions that every transaction has: the generation and the leader's key. */
   private static final int FENCING_CONDITIONS = 2;
 
@@ -51,7 +54,7 @@
 
   /** The number of conditions that a transaction may have in addition to the fencing ones. */
   static int maxConditions(int maxTransactionOperations) {
-    return 4 * maxTransactionOperations - FENCING_CONDITIONS;
+    return CONDITIONS_PER_OPERATION * maxTransactionOperations - FENCING_CONDITIONS;
   }
 
   /** The number of keys that the mutation changes when it is alone in a transaction. */
@@ -102,8 +105,8 @@
   private boolean include(Mutation mutation) {
     int operations = operations(mutation, assembled.pageEdits());
     int conditions = operations + mutation.mustNotExist().size();
-    boolean repeats = mutation.writes().stream().anyMatch(w -> writtenKeys.contains(w.key()));
-    if (operations > remainingOperations || repeats || conditions > remainingConditions) {
+    boolean repeatsKey = mutation.writes().stream().anyMatch(w -> writtenKeys.contains(w.key()));
+    if (operations > remainingOperations || repeatsKey || conditions > remainingConditions) {
       return false;
     }
     Map<String, JsonNode> values = new HashMap<>();
--- a/src/test/java/io/pineladder/store/JobPageDividerTest.java
+++ b/src/test/java/io/pineladder/store/JobPageDividerTest.java
@@ -27,7 +27,7 @@
 class JobPageDividerTest {
   private static final int VALUE_BYTES = 2048;
 
-  /** Wants a notification of each final state. */
+  /** A log with one subscriber, which wants a notification of each final state. */
   private static final NotificationLog ONE_SUBSCRIBER =
       new NotificationLog() {
         @Override
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Otherwise the final state with that notification would stay deferred forever. */
+  /** Guards against a final state that stays deferred forever because of its notification. */
   @Test
   void relocatesDeferredNotification() {
     restoreJobs();
@@ -142,7 +142,7 @@
     assertFalse(notification.mustBeDeferred());
   }
 
-  /** Otherwise the notification would be deleted together with the page. */
+  /** Guards against deleting a notification together with the page. */
   @Test
   void doesNotDividePageWithNotificationInFlight() {
     restoreJobs();
