--- a/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
+++ b/src/main/java/io/pineladder/autoscaling/ArrivalForecast.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The value that arrives per second, as an exponentially decaying average. */
+/** Estimates the quantity that arrives per second, as an exponentially decaying average. */
 final class ArrivalForecast {
   private final Duration timeConstant;
   private double rate;
@@ -18,12 +18,12 @@
     this.timeConstant = timeConstant;
   }
 
-  void add(double value, Instant now) {
+  void add(double quantity, Instant now) {
     decay(now);
-    rate += value / timeConstant.toSeconds();
+    rate += quantity / timeConstant.toSeconds();
   }
 
-  /** The value that arrives per second. */
+  /** The quantity that arrives per second. */
   double rate(Instant now) {
     decay(now);
     return rate;
--- a/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -165,6 +165,7 @@
   double arrivalShare(MachineType type) {
     TypeHistory history = historyOf(type);
     long inTime = history.arrivedInTime.stream().filter(arrived -> arrived).count();
+    // Adds eight assumed boots in time, so that a few failures hardly change the share.
     return (inTime + 8.0) / (history.arrivedInTime.size() + 8.0);
   }
 
--- a/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
+++ b/src/main/java/io/pineladder/autoscaling/CapacityDemand.java
@@ -280,6 +280,7 @@
     int count = job.pendingTasks.cardinality();
     while (count > 0
         && !team.allows(used.plus(plannedBefore).plus(spec.resourcesPerTask().times(count)))) {
+      // Large counts are halved to limit the number of iterations.
       count = count > 64 ? count / 2 : count - 1;
     }
     return count;
@@ -301,7 +302,7 @@
     // Deferrable jobs do not avoid spot machines: their slack shrinks while they wait, and they
     // would all switch to on-demand machines.
     boolean avoidsSpot = onDemand != null && !deferrable && cluster.avoidsSpot(job, wallClock);
-    boolean maySpot = spec.spotAllowed() && !avoidsSpot;
+    boolean mayUseSpot = spec.spotAllowed() && !avoidsSpot;
     boolean idleCapacityOnly = cluster.runsOnIdleCapacityOnly(job, wallClock);
     if (deferrable && !idleCapacityOnly) {
       addToBacklog(pendingJob, listed);
@@ -309,18 +310,19 @@
     double tasks = pendingJob.tasks;
     for (MachineType type : cluster.types()) {
       if (MachineTypeSelector.isUsable(spec, type)) {
-        pendingValue[marketIndex(maySpot)] += type == listed ? tasks * taskValue(spec, type) : 0;
-        tasks -= maySpot ? assignBooting(new MachineKind(type.name(), true), spec, type, tasks) : 0;
+        pendingValue[marketIndex(mayUseSpot)] += type == listed ? tasks * taskValue(spec, type) : 0;
+        tasks -=
+            mayUseSpot ? assignBooting(new MachineKind(type.name(), true), spec, type, tasks) : 0;
         tasks -= assignBooting(new MachineKind(type.name(), false), spec, type, tasks);
       }
     }
     if (tasks <= 0) {
       return;
     }
-    MachineType spot = maySpot ? types.cheapestAvailable(true, spec) : null;
+    MachineType spot = mayUseSpot ? types.cheapestAvailable(true, spec) : null;
     if (spot != null) {
       addMissing(new MachineKind(spot.name(), true), spec, spot, tasks);
-    } else if (onDemand != null && (!maySpot || (!idleCapacityOnly && !deferrable))) {
+    } else if (onDemand != null && (!mayUseSpot || (!idleCapacityOnly && !deferrable))) {
       addMissing(new MachineKind(onDemand.name(), false), spec, onDemand, tasks);
     }
   }
--- a/src/main/java/io/pineladder/autoscaling/CloudClient.java
+++ b/src/main/java/io/pineladder/autoscaling/CloudClient.java
@@ -36,8 +36,9 @@
     this.eventLoop = eventLoop;
     this.address = settings.cloudAddress();
     this.circuitBreaker = new CircuitBreaker("the cloud", eventLoop, 1, INITIAL_PAUSE, MAX_PAUSE);
-    double rps = settings.cloudLimits().requestsPerSecond() * RATE_SHARE;
-    this.callBudget = new TokenBucket(rps, Math.max(1, rps * 2), eventLoop.now());
+    double requestsPerSecond = settings.cloudLimits().requestsPerSecond() * RATE_SHARE;
+    this.callBudget =
+        new TokenBucket(requestsPerSecond, Math.max(1, requestsPerSecond * 2), eventLoop.now());
   }
 
   /** Ignores all replies from now on. */
--- a/src/main/java/io/pineladder/autoscaling/FailureDetector.java
+++ b/src/main/java/io/pineladder/autoscaling/FailureDetector.java
@@ -228,7 +228,7 @@
     return toRelease;
   }
 
-  /** How long after its last heartbeat a silent machine is released. */
+  /** The minimum silence after which a silent machine is released; zero to release it at once. */
   private Duration releaseTimeout(
       Machine machine, ZoneHeartbeats zone, boolean anySeen, Duration timeout, Instant now) {
     Duration lease = cluster.settings.workerTimes().leaseDuration();
--- a/src/main/java/io/pineladder/autoscaling/OnDemandReview.java
+++ b/src/main/java/io/pineladder/autoscaling/OnDemandReview.java
@@ -138,7 +138,7 @@
       DrainCost cost = drainCost(machine, now, wallClock);
       if (cost.isWorthwhile(machine.type.onDemandPrice(), remainingSpotValue)) {
         log.debug(
-            "Retiring machine drained: machine={} lostValue={} longestSeconds={}",
+            "Retiring machine drained: machine={} lostValue={} remainingSeconds={}",
             machine,
             cost.lostValue,
             cost.remainingSeconds);
@@ -170,7 +170,7 @@
   private DrainCost drainCost(Machine machine, Instant now, Instant wallClock) {
     double lostValue = 0;
     double movedValue = 0;
-    double longestSeconds = 0;
+    double remainingSeconds = 0;
     boolean meetsObjectives = true;
     for (Attempt attempt : machine.attempts.values()) {
       if (!attempt.holdsCapacity()) {
@@ -184,13 +184,13 @@
       movedValue += taskValue;
       lostValue +=
           taskValue * elapsedSeconds * machine.type.spotPrice() / machine.type.onDemandPrice();
-      longestSeconds =
+      remainingSeconds =
           Math.max(
-              longestSeconds,
+              remainingSeconds,
               Math.max(STRAGGLER_FACTOR * runSeconds - elapsedSeconds, runSeconds / 2));
       meetsObjectives &=
           attempt.isWanted() && !cluster.wouldMissObjectiveAfterRestart(attempt.job, wallClock);
     }
-    return new DrainCost(lostValue, movedValue, longestSeconds, meetsObjectives);
+    return new DrainCost(lostValue, movedValue, remainingSeconds, meetsObjectives);
   }
 }
--- a/src/main/java/io/pineladder/autoscaling/ScaleIn.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleIn.java
@@ -71,9 +71,9 @@
     }
     idle.sort(Comparator.comparing(m -> m.idleSince));
     for (Machine machine : idle) {
-      double freeWithoutIt = freeByMarket.get(machine.spot) - machine.type.onDemandPrice();
-      if (isIdleTooLong(machine, freeWithoutIt, now)) {
-        freeByMarket.put(machine.spot, freeWithoutIt);
+      double freeWithoutMachine = freeByMarket.get(machine.spot) - machine.type.onDemandPrice();
+      if (isIdleTooLong(machine, freeWithoutMachine, now)) {
+        freeByMarket.put(machine.spot, freeWithoutMachine);
         releaser.drain(machine);
       }
     }
@@ -108,24 +108,25 @@
   /**
    * Whether an idle machine is no longer needed.
    *
-   * @param freeWithoutIt the free capacity of the other machines of its market (spot or on-demand),
-   *     at list prices per hour
+   * @param freeWithoutMachine the free capacity of the other machines of its market (spot or
+   *     on-demand), at list prices per hour
    */
-  private boolean isIdleTooLong(Machine machine, double freeWithoutIt, Instant now) {
+  private boolean isIdleTooLong(Machine machine, double freeWithoutMachine, Instant now) {
     // Without jobs, no headroom is needed.
     boolean noJobs = cluster.jobs.isEmpty();
     double headroom = estimates.arrivals().headroom(machine.spot);
     boolean surplus =
         estimates.isQuicklyReplaced(machine.type)
-            && freeWithoutIt >= SURPLUS_HEADROOM_FACTOR * headroom + machine.type.onDemandPrice();
+            && freeWithoutMachine
+                >= SURPLUS_HEADROOM_FACTOR * headroom + machine.type.onDemandPrice();
     Duration retention = noJobs ? operator.idleReleaseAfter() : idleRetention(machine.type);
     boolean retentionOver = machine.idleSince.plus(retention).isBefore(now);
-    return noJobs ? retentionOver : surplus || (retentionOver && freeWithoutIt >= headroom);
+    return noJobs ? retentionOver : surplus || (retentionOver && freeWithoutMachine >= headroom);
   }
 
   /**
-   * Whether a machine has been draining for longer than policy may withhold capacity from a job. A
-   * service on a draining machine would otherwise never end.
+   * Whether a machine has been draining for longer than {@link Scheduler#MAX_POLICY_DELAY}. Without
+   * this limit, a service on a draining machine would never end.
    */
   private boolean isDrainOverdue(Machine machine, Instant now) {
     if (!machine.draining) {
--- a/src/main/java/io/pineladder/autoscaling/ScaleOut.java
+++ b/src/main/java/io/pineladder/autoscaling/ScaleOut.java
@@ -11,7 +11,7 @@
  * that is expected to arrive while a machine boots.
  */
 final class ScaleOut {
-  /** No machine is rented for a smaller share of one. */
+  /** Missing capacity below this share of a machine is not rented. */
   private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
 
   private final ClusterState cluster;
@@ -83,7 +83,7 @@
   }
 
   private void addMissingHeadroom(CapacityDemand demand, boolean spot) {
-    // No job needs the headroom yet, so no more expensive kind is rented instead.
+    // No job needs the headroom yet, so on-demand machines never replace spot headroom.
     double available =
         demand.freeValue(spot) + Math.max(demand.pendingValue(spot), demand.bootingValue(spot));
     double missingHeadroom = estimates.arrivals().headroom(spot) - available;
--- a/src/main/java/io/pineladder/workers/CommandSender.java
+++ b/src/main/java/io/pineladder/workers/CommandSender.java
@@ -115,8 +115,8 @@
   /**
    * Probes a machine whose heartbeat is overdue. The reply proves as much as a heartbeat does,
    * since it carries this term's fencing token. The worker may be alive although no heartbeat
-   * arrives: a controller that cannot reach this one may renew its lease, or it may be trying the
-   * controllers in turn.
+   * arrives: a controller that cannot reach this one may renew its lease, or the worker may be
+   * trying the controllers in turn.
    */
   void probe(Machine machine) {
     probeQueue.add(machine);
--- a/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
+++ b/src/main/java/io/pineladder/workers/HeartbeatProcessor.java
@@ -24,7 +24,7 @@
 
   /** How a status arrived. */
   enum Source {
-    /** Sent only after the worker received, or gave up, the response to its previous heartbeat. */
+    /** Sent after the worker received the previous response, or gave up waiting for it. */
     HEARTBEAT,
     /** The response to the worker's previous heartbeat may still be in flight. */
     COMMAND_REPLY
--- a/src/main/java/io/pineladder/workers/WorkerManager.java
+++ b/src/main/java/io/pineladder/workers/WorkerManager.java
@@ -119,7 +119,7 @@
     return commands;
   }
 
-  /** Whether the machine holds tasks of jobs whose final state is being stored. */
+  /** Whether the machine holds tasks of jobs whose final state is being or was stored. */
   public boolean holdsTasksOfEndedJobs(String name) {
     Machine machine = cluster.machine(name);
     return machine != null
--- a/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
+++ b/src/main/java/io/pineladder/zones/LeaseKeepAliveWriter.java
@@ -14,7 +14,7 @@
 
 /**
  * Informs the leader how many worker leases this controller renews on its behalf. The counts are
- * written to a record in the state service, which works even if the two controllers cannot reach
+ * written to a record in the key-value store, which works even if the two controllers cannot reach
  * each other.
  */
 public final class LeaseKeepAliveWriter {
--- a/src/test/java/io/pineladder/workers/AutoscalerTest.java
+++ b/src/test/java/io/pineladder/workers/AutoscalerTest.java
@@ -137,10 +137,10 @@
     assertEquals(Set.of(true), requestedMarkets(Duration.ofSeconds(60)));
     leader.accept(LeaderHarness.spec("req-000002", JobKind.ARRAY, PriorityClass.NORMAL, 8, "i"));
     assertEquals(Set.of(true, false), requestedMarkets(Duration.ofSeconds(60)));
-    LeaderHarness other = new LeaderHarness();
-    other.autoscaler.start();
-    other.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
-    assertEquals(Set.of(true, false), requestedMarkets(other, Duration.ofMinutes(11)));
+    LeaderHarness otherLeader = new LeaderHarness();
+    otherLeader.autoscaler.start();
+    otherLeader.accept(LeaderHarness.spec("req-000001", JobKind.ARRAY, PriorityClass.LOW, 8, "i"));
+    assertEquals(Set.of(true, false), requestedMarkets(otherLeader, Duration.ofMinutes(11)));
   }
 
   /** Guards against jobs that should run on idle capacity keeping on-demand machines rented. */
--- a/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
+++ b/src/test/java/io/pineladder/workers/CommandDeliveryTest.java
@@ -38,7 +38,8 @@
     Attempt attempt = LeaderHarness.firstAttempt(job);
     String first = LeaderHarness.bodyText(leader.heartbeat("m-1", 2));
     assertTrue(first.contains("start"), first);
-    assertEquals(Attempt.State.PLACEMENT_STORED, attempt.state(), "absence proves nothing yet");
+    assertEquals(
+        Attempt.State.PLACEMENT_STORED, attempt.state(), "an unlisted start may still arrive");
     leader.heartbeat("m-1", 3, LeaderHarness.taskStatus(attempt, TaskState.RUNNING));
     leader.scheduler.kill(attempt, Duration.ZERO);
     String after =
@@ -149,7 +150,7 @@
     assertTrue(job.finalStateStored);
   }
 
-  /** Such a machine gets its commands in responses to forwarded heartbeats. */
+  /** A machine whose heartbeats are forwarded gets its commands in the responses to these. */
   @Test
   void machineReachedThroughPeerIsSchedulableWhenCommandsFail() {
     leader.heartbeatResponse(1, 1, LeaderHarness.TERM);
--- a/src/test/java/io/pineladder/workers/FailingJobsTest.java
+++ b/src/test/java/io/pineladder/workers/FailingJobsTest.java
@@ -76,7 +76,7 @@
   void failingJobsBackOffWithoutQuarantiningMachines() {
     runOneSecond();
     Job array = acceptFailing("req-000001", JobKind.ARRAY, 8);
-    Job other = acceptFailing("req-000002", JobKind.ARRAY, 8);
+    Job cancelledArray = acceptFailing("req-000002", JobKind.ARRAY, 8);
     acceptFailing("req-000003", JobKind.GANG, 2);
     for (int i = 0; i < 120; i++) {
       runOneSecond();
@@ -90,10 +90,10 @@
     // One start of every task, then a few probes after each maximum back-off of 10 s.
     assertTrue(failed.size() < 120, "started " + failed.size());
     assertTrue(failed.size() > 40, "still probed: " + failed.size());
-    leader.scheduler.cancel(other);
+    leader.scheduler.cancel(cancelledArray);
     runOneSecond();
-    assertTrue(other.attempts.isEmpty());
-    assertTrue(other.finalStateStored);
+    assertTrue(cancelledArray.attempts.isEmpty());
+    assertTrue(cancelledArray.finalStateStored);
   }
 
   @Test
@@ -113,7 +113,7 @@
     }
     assertTrue(
         low.pendingTasks.cardinality() <= 2, "all but the probes' capacity: " + low.pendingTasks);
-    low.attempts.values().forEach(all -> all.forEach(a -> assertTrue(a.isWanted())));
+    low.attempts.values().forEach(attempts -> attempts.forEach(a -> assertTrue(a.isWanted())));
   }
 
   @Test
--- a/src/test/java/io/pineladder/workers/FailureDetectionTest.java
+++ b/src/test/java/io/pineladder/workers/FailureDetectionTest.java
@@ -18,15 +18,15 @@
    * Adds ten machines and lets the first six, in zone a, become silent.
    *
    * @param otherZone the zone of the other four machines
-   * @param watched how long the other machines go on sending heartbeats
+   * @param duration how long the other machines go on sending heartbeats
    */
-  private void silenceSixOfTenMachines(String otherZone, Duration watched) {
+  private void silenceSixOfTenMachines(String otherZone, Duration duration) {
     leader.autoscaler.start();
     for (int i = 0; i < 10; i++) {
       leader.heartbeat(i < 6 ? "a" : otherZone, "m-" + i, 1);
       leader.runFor(Duration.ofMillis(300));
     }
-    for (int second = 0; second < watched.toSeconds(); second++) {
+    for (int second = 0; second < duration.toSeconds(); second++) {
       leader.runFor(Duration.ofSeconds(1));
       for (int i = 6; i < 10; i++) {
         leader.heartbeat(otherZone, "m-" + i, 2 + second);
@@ -112,12 +112,12 @@
     assertTrue(leader.resignations.isEmpty());
     leader.runFor(Duration.ofSeconds(20));
     assertEquals(Machine.State.RELEASING, leader.cluster.machine("m-0").state());
-    LeaderHarness other = new LeaderHarness();
-    other.autoscaler.start();
-    other.heartbeat("m-1", 1);
-    other.heartbeat("m-2", 1);
-    other.runFor(Duration.ofSeconds(14));
-    assertTrue(other.resignations.contains("no worker heartbeats received"));
+    LeaderHarness otherLeader = new LeaderHarness();
+    otherLeader.autoscaler.start();
+    otherLeader.heartbeat("m-1", 1);
+    otherLeader.heartbeat("m-2", 1);
+    otherLeader.runFor(Duration.ofSeconds(14));
+    assertTrue(otherLeader.resignations.contains("no worker heartbeats received"));
   }
 
   /** Guards against a leader that keeps its term while its workers reach only other controllers. */
@@ -128,8 +128,8 @@
       for (int i = 0; i < 5; i++) {
         leader.heartbeat("m-" + i, 1 + second);
         // Forwarding is expected right after a failover, and for a minority of machines.
-        boolean most = second < 10 || second >= 25;
-        leader.cluster.machine("m-" + i).reachedThroughPeer = i < (most ? 4 : 2);
+        boolean forwardsMost = second < 10 || second >= 25;
+        leader.cluster.machine("m-" + i).reachedThroughPeer = i < (forwardsMost ? 4 : 2);
       }
       leader.runFor(Duration.ofMillis(700));
       assertEquals(second < 25, leader.resignations.isEmpty(), "second " + second);
--- a/src/test/java/io/pineladder/workers/GangRestartTest.java
+++ b/src/test/java/io/pineladder/workers/GangRestartTest.java
@@ -33,14 +33,14 @@
     assertFalse(
         first.isWanted(),
         "the only machine still lists the lost attempt, so the whole gang restarts");
-    LeaderHarness other = new LeaderHarness();
-    other.heartbeat("m-2", 1);
-    gang = other.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
+    LeaderHarness otherLeader = new LeaderHarness();
+    otherLeader.heartbeat("m-2", 1);
+    gang = otherLeader.accept(LeaderHarness.spec("req-1", JobKind.GANG, PriorityClass.LOW, 2, "i"));
     first = gang.attempts.get(0).iterator().next();
     second = gang.attempts.get(1).iterator().next();
-    other.cluster.machine("m-2").draining = true;
-    other.heartbeat("m-1", 1);
-    other.heartbeat(
+    otherLeader.cluster.machine("m-2").draining = true;
+    otherLeader.heartbeat("m-1", 1);
+    otherLeader.heartbeat(
         "m-2",
         2,
         LeaderHarness.taskStatus(first, TaskState.WAITING_FOR_GANG),
--- a/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
+++ b/src/test/java/io/pineladder/workers/HeartbeatReconciliationTest.java
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Guards against storing a completion reported late, while a newer attempt of the same task may
-   * still run: the next leader would not count it.
+   * Guards against storing a completion that is received late, while a newer attempt of the same
+   * task may still run: the next leader would not count it.
    */
   @Test
   void storesCompletionOnceNoOtherAttemptOfTaskExists() {
@@ -83,7 +83,7 @@
     assertTrue(job.isActive());
   }
 
-  /** Until a worker holds this term's token, commands of an earlier leader may still reach it. */
+  /** Without this term's fencing token, a worker still accepts commands of an earlier leader. */
   @Test
   void doesNotReconcileHeartbeatWithOlderToken() {
     Job job = leader.accept(LeaderHarness.spec("req-1", JobKind.ARRAY, PriorityClass.LOW, 1, "i"));
