--- a/src/main/java/io/pineladder/HeartbeatResponder.java
+++ b/src/main/java/io/pineladder/HeartbeatResponder.java
@@ -23,7 +23,7 @@
   private final EventLoop eventLoop;
 
   /** Machines with placements stored by earlier leaders that are confirmed in this term. */
-  private final Set<Machine> reportedMachines = new HashSet<>();
+  private final Set<Machine> confirmedMachines = new HashSet<>();
 
   HeartbeatResponder(
       TermLifecycle lifecycle,
@@ -64,20 +64,20 @@
     failover.recordPhase(FailoverTimings.Phase.FIRST_REPORT);
     Machine machine = cluster.machine(heartbeat.machine());
     if (failover.expectsMoreHeartbeats() && machine != null && machine.knownFromPlacements) {
-      countReportedMachine(machine);
+      countConfirmedMachine(machine);
     }
     return WorkerWire.heartbeatResponse(lifecycle.term(), orders);
   }
 
-  /** While the term is loading, a response only extends the lease and carries the token. */
+  /** While the term is loading, a response only extends the lease and carries the fencing token. */
   private boolean mayExtendLeaseWhileLoading() {
     return lifecycle.isLoading()
         && leadership.isLeaseValid()
         && eventLoop.now().isBefore(lifecycle.startedAt().plus(LOADING_KEEP_ALIVE_DURATION));
   }
 
-  private void countReportedMachine(Machine machine) {
-    if (machine.state() == Machine.State.CONFIRMED && reportedMachines.add(machine)) {
+  private void countConfirmedMachine(Machine machine) {
+    if (machine.state() == Machine.State.CONFIRMED && confirmedMachines.add(machine)) {
       failover.onMachineHeartbeat();
     }
   }
--- a/src/main/java/io/pineladder/JobStatusReader.java
+++ b/src/main/java/io/pineladder/JobStatusReader.java
@@ -33,7 +33,7 @@
       answerAfterPendingCommit(job, onDone);
       return;
     }
-    // The job may be stored already, and another node may have reported it to a user.
+    // The job may be stored already, and another node may have returned it to a user.
     if (pendingSubmissions.await(id, onDone)) {
       return;
     }
@@ -65,8 +65,8 @@
   /**
    * Reads the status of a job in memory. While its final state is being stored, another node may
    * already read that state from the store and return it to a user, so a non-final status from here
-   * could be stale. The response therefore waits for the commit, also if the job's final state
-   * would follow from that of a prerequisite.
+   * could be stale. The response therefore waits for the commit. The same applies while the
+   * cancellation of a prerequisite is being stored, which also cancels this job.
    */
   void answerAfterPendingCommit(Job job, Consumer<JobView> onDone) {
     Job prerequisite = job.cancellingPrerequisite;
--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -460,7 +460,7 @@
     subscriptions.wake();
   }
 
-  /** Adds a job; one with prerequisites counts as an arrival only once it is ready to start. */
+  /** Adds a job; a job with prerequisites counts as an arrival only once it is ready to start. */
   private void addJob(Job job) {
     scheduler.add(job);
     if (job.spec.prerequisites().isEmpty()) {
@@ -487,7 +487,8 @@
 
     @Override
     public void onLimitsLowered() {
-      // Safe, since operators lower limits only after all upgrades (docs/upgrades.md).
+      // Limits are lowered only after all controllers were upgraded, so all can read divided pages
+      // (docs/upgrades.md).
       divideOversizedPages();
     }
 
@@ -659,7 +660,7 @@
 
     @Override
     public void onUnexpectedMachine(Machine machine) {
-      log.debug("First heartbeat of a machine: machine={}", machine);
+      log.debug("Heartbeat of a machine that was not requested or listed: machine={}", machine);
     }
 
     @Override
--- a/src/main/java/io/pineladder/RecordLossDetector.java
+++ b/src/main/java/io/pineladder/RecordLossDetector.java
@@ -21,7 +21,7 @@
   private final RecordLossReporter recordLoss;
   private final EventLoop eventLoop;
 
-  /** Within this time every worker has sent a heartbeat, with a margin for one that is lost. */
+  /** The time until a heartbeat of every worker has arrived, even if its first one was lost. */
   private final Duration maxHeartbeatDelay;
 
   /** The store had no records of jobs or machines when this term began. */
--- a/src/main/java/io/pineladder/TaskStartHold.java
+++ b/src/main/java/io/pineladder/TaskStartHold.java
@@ -21,7 +21,7 @@
    */
   private static final Duration MAX_REBUILD_AGE = Duration.ofMinutes(5);
 
-  /** How long after such a rebuild tasks without a record are not ended. */
+  /** How long after such a rebuild tasks without a record are left running. */
   private static final Duration UNRECORDED_TASK_RETENTION = Duration.ofSeconds(60);
 
   private final TermLifecycle lifecycle;
--- a/src/main/java/io/pineladder/failover/FailoverTimings.java
+++ b/src/main/java/io/pineladder/failover/FailoverTimings.java
@@ -96,7 +96,7 @@
     private final Instant electedAt = eventLoop.now();
     private final Map<Phase, Duration> phases = new EnumMap<>(Phase.class);
     private int expectedMachines = -1;
-    private int reportedMachines;
+    private int machinesWithHeartbeat;
     private boolean closed;
 
     private OngoingFailover(long term) {
@@ -134,12 +134,12 @@
 
     /** Counts one more of the expected machines that has sent a heartbeat. */
     public void onMachineHeartbeat() {
-      reportedMachines++;
+      machinesWithHeartbeat++;
       checkFleetHeard();
     }
 
     private void checkFleetHeard() {
-      if (expectsMoreHeartbeats() && reportedMachines * 10 >= expectedMachines * 9) {
+      if (expectsMoreHeartbeats() && machinesWithHeartbeat * 10 >= expectedMachines * 9) {
         recordPhase(Phase.FLEET_HEARD);
       }
     }
--- a/src/main/java/io/pineladder/failover/TermLoader.java
+++ b/src/main/java/io/pineladder/failover/TermLoader.java
@@ -183,7 +183,7 @@
   /**
    * Reads the undelivered notifications and the delivery progress of each subscription, after the
    * term has started. Also called without subscriptions, since the committer needs the revisions of
-   * records that earlier ones left behind.
+   * records that earlier subscriptions left behind.
    *
    * @param isActive whether the term has not ended; otherwise reading stops
    * @param onDone called once the backlog is restored; not called if a record cannot be parsed
--- a/src/main/java/io/pineladder/leadership/Election.java
+++ b/src/main/java/io/pineladder/leadership/Election.java
@@ -24,8 +24,8 @@
  * the base of its generation is the term number, which is also the fencing token for workers.
  *
  * <p>Not thread-safe: used on the event loop's thread only. The lease expiry is computed on the
- * local clock from the time at which the lease request was sent, minus the maximum clock drift, so
- * the lease expires locally before it expires in the store.
+ * local clock from the time at which the lease request was sent, minus the maximum clock drift and
+ * a small margin, so the lease expires locally before it expires in the store.
  */
 public final class Election {
   private static final Logger log = LoggerFactory.getLogger(Election.class);
@@ -192,7 +192,7 @@
   /**
    * How long a controller that cannot send commands may extend workers' leases. Tasks of a job that
    * is cancelled meanwhile end only when the worker's lease expires, which must still happen within
-   * the cancellation bound.
+   * the cancellation bound, with a margin of four seconds.
    */
   public static Duration maxWorkerLeaseExtension(Settings.WorkerTimes workerTimes) {
     Duration extension =
@@ -455,6 +455,7 @@
     if (expectedRound != round || !holdsTerm()) {
       return;
     }
+    // Called for its transition to IN_DOUBT if the lease has expired.
     isLeaseValid();
     Instant sentAt = eventLoop.now();
     storeClient.sendImmediately(
--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -35,7 +35,7 @@
     REACHABLE,
     /** A direct command was unanswered although heartbeats arrive. */
     DOUBTFUL,
-    /** The agent epoch ended although heartbeats were answered in time, so nothing arrives. */
+    /** The agent epoch ended although heartbeats were answered in time, so no answer arrives. */
     UNREACHABLE
   }
 
@@ -215,7 +215,7 @@
     };
   }
 
-  /** Whether work may be placed on the machine without violating a rule or an imminent loss. */
+  /** Whether work placed on the machine now violates no rule and is not about to be lost. */
   public boolean isSafeToSchedule() {
     return state == State.CONFIRMED
         && isReachable()
@@ -233,8 +233,8 @@
    * Whether the machine is of that type. Compares names only, since prices of a type change over
    * time and {@link #type} has those of an earlier time.
    */
-  public boolean hasType(MachineType other) {
-    return type.name().equals(other.name());
+  public boolean hasType(MachineType machineType) {
+    return type.name().equals(machineType.name());
   }
 
   /** The capacity that is not held by attempts, whether reserved or not. */
--- a/src/main/java/io/pineladder/model/MachineType.java
+++ b/src/main/java/io/pineladder/model/MachineType.java
@@ -21,7 +21,10 @@
     Duration bootTime,
     List<String> zones) {
 
-  /** The time to fetch an image of that size without concurrent fetches. */
+  /**
+   * The time to fetch an image of that size without concurrent fetches. A minimum rate avoids a
+   * division by zero for types without a fetch rate.
+   */
   public Duration fetchTime(double imageGb) {
     return Duration.ofMillis((long) (imageGb / Math.max(1e-3, fetchGbPerSecond) * 1000));
   }
--- a/src/main/java/io/pineladder/model/Settings.java
+++ b/src/main/java/io/pineladder/model/Settings.java
@@ -40,7 +40,7 @@
    * A service-level objective of a job class.
    *
    * @param kind what is bounded: the wait for the start, or the time until the end
-   * @param jobClass the job class; may be null
+   * @param jobClass the job class; null if the settings name none, and then no job is affected
    * @param latestAfter the bound; null if it is the job's own deadline times {@code deadlineFactor}
    * @param share the fraction of jobs that must meet the objective
    */
@@ -59,12 +59,12 @@
   public record StoreLimits(
       double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionOps) {
     /** The lower value of each limit. */
-    public StoreLimits strictest(StoreLimits others) {
+    public StoreLimits strictest(StoreLimits other) {
       return new StoreLimits(
-          Math.min(requestsPerSecond, others.requestsPerSecond),
-          Math.min(writesPerSecond, others.writesPerSecond),
-          Math.min(valueBytes, others.valueBytes),
-          Math.min(transactionOps, others.transactionOps));
+          Math.min(requestsPerSecond, other.requestsPerSecond),
+          Math.min(writesPerSecond, other.writesPerSecond),
+          Math.min(valueBytes, other.valueBytes),
+          Math.min(transactionOps, other.transactionOps));
     }
   }
 
--- a/src/main/java/io/pineladder/queue/ClusterEvent.java
+++ b/src/main/java/io/pineladder/queue/ClusterEvent.java
@@ -36,13 +36,15 @@
 
   /** Returns the event for capacity freed by an attempt that ended on the machine. */
   public static ClusterEvent capacityFreed(
-      Machine machine, Resources freeCapacity, long lastCycle) {
-    return new ClusterEvent(Kind.CAPACITY_FREED, machine, freeCapacity, lastCycle, null, null);
+      Machine machine, Resources freeCapacity, long lastCycleNumber) {
+    return new ClusterEvent(
+        Kind.CAPACITY_FREED, machine, freeCapacity, lastCycleNumber, null, null);
   }
 
   /** Returns the event for a machine that has become schedulable or gained capacity. */
-  public static ClusterEvent machineReady(Machine machine, Resources freeCapacity, long lastCycle) {
-    return new ClusterEvent(Kind.MACHINE_READY, machine, freeCapacity, lastCycle, null, null);
+  public static ClusterEvent machineReady(
+      Machine machine, Resources freeCapacity, long lastCycleNumber) {
+    return new ClusterEvent(Kind.MACHINE_READY, machine, freeCapacity, lastCycleNumber, null, null);
   }
 
   /** Returns the event for a decrease of the team's resource usage. */
--- a/src/main/java/io/pineladder/queue/SchedulingCheck.java
+++ b/src/main/java/io/pineladder/queue/SchedulingCheck.java
@@ -17,7 +17,7 @@
   TOGETHER,
   /** Tasks of the gang's previous attempt may still be on a machine. */
   PREDECESSOR,
-  /** The job fails on every machine, and its maximum number of probe tasks is already placed. */
+  /** The job's failures are attributed to it, and its maximum number of probe tasks is placed. */
   FAILING,
   /** The start rate limit for the tasks of large arrays is used up. */
   PACE,
--- a/src/main/java/io/pineladder/queue/SchedulingQueue.java
+++ b/src/main/java/io/pineladder/queue/SchedulingQueue.java
@@ -210,13 +210,13 @@
       delay = settings.maxBackoff();
     }
     Instant end = entry.lastCycleAt.plus(delay);
-    long window = settings.backoffWindow().toNanos();
-    if (window == 0) {
+    long windowNanos = settings.backoffWindow().toNanos();
+    if (windowNanos == 0) {
       return end;
     }
     Duration sinceOrigin = Duration.between(Instant.EPOCH, end);
-    long pastWindow = Math.floorMod(sinceOrigin.toNanos(), window);
-    return pastWindow == 0 ? end : end.plusNanos(window - pastWindow);
+    long nanosPastWindow = Math.floorMod(sinceOrigin.toNanos(), windowNanos);
+    return nanosPastWindow == 0 ? end : end.plusNanos(windowNanos - nanosPastWindow);
   }
 
   /**
@@ -345,12 +345,13 @@
 
   /** When the next back-off expires; null if no entry is in back-off. */
   public Instant nextBackoffExpiry() {
-    Instant first = rejectedInBackoff.isEmpty() ? null : rejectedInBackoff.peek().backoffExpiry;
-    Instant second = failedInBackoff.isEmpty() ? null : failedInBackoff.peek().backoffExpiry;
-    if (first == null || (second != null && second.isBefore(first))) {
-      return second;
+    Instant rejectedExpiry =
+        rejectedInBackoff.isEmpty() ? null : rejectedInBackoff.peek().backoffExpiry;
+    Instant failedExpiry = failedInBackoff.isEmpty() ? null : failedInBackoff.peek().backoffExpiry;
+    if (rejectedExpiry == null || (failedExpiry != null && failedExpiry.isBefore(rejectedExpiry))) {
+      return failedExpiry;
     }
-    return first;
+    return rejectedExpiry;
   }
 
   /** Whether any entry is active. */
--- a/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
+++ b/src/main/java/io/pineladder/scheduling/AttemptLifecycle.java
@@ -255,9 +255,9 @@
     if (job.avoidedMachines.size() > maxAvoided) {
       job.avoidedMachines.remove(job.avoidedMachines.iterator().next());
     }
-    Duration ran =
+    Duration runTime =
         attempt.runningSince == null ? Duration.ZERO : Duration.between(attempt.runningSince, now);
-    faultAttribution.recordFailure(job, attempt.machine, ran, now);
+    faultAttribution.recordFailure(job, attempt.machine, runTime, now);
   }
 
   /** Handles an attempt that ended without completing its task. */
@@ -290,7 +290,7 @@
     if (job.pendingTasks.isEmpty()) {
       return;
     }
-    // The last task of a failing gang to end may have been stopped because another task failed.
+    // In a failing gang, the task that ends last may only have been stopped after another failed.
     if (backOff || job.failing) {
       backOffAfterError(job, attempt);
     } else {
--- a/src/main/java/io/pineladder/scheduling/FaultAttribution.java
+++ b/src/main/java/io/pineladder/scheduling/FaultAttribution.java
@@ -50,7 +50,7 @@
     /** Called when the machine is quarantined, in which state it gets no new work, or released. */
     void onQuarantineChanged(Machine machine, boolean quarantined);
 
-    /** Called when the machine is found faulty and has to be drained and returned. */
+    /** Called when the machine is found faulty and has to be drained and released. */
     void onMachineFaulty(Machine machine);
   }
 
@@ -111,12 +111,12 @@
   /**
    * Records that a task of the job failed on the machine.
    *
-   * @param ran how long it had run; zero if it had not started running
+   * @param runTime how long it had run; zero if it had not started running
    */
-  void recordFailure(Job job, Machine machine, Duration ran, Instant now) {
+  void recordFailure(Job job, Machine machine, Duration runTime, Instant now) {
     FailureHistory history = historyByJob.computeIfAbsent(job, j -> new FailureHistory());
-    if (ran.compareTo(history.longestFailedRun) > 0) {
-      history.longestFailedRun = ran;
+    if (runTime.compareTo(history.longestFailedRun) > 0) {
+      history.longestFailedRun = runTime;
     }
     if (!faultyMachines.contains(machine)
         && history.failedMachines.size() < MAX_FAILED_MACHINES_PER_JOB
@@ -212,14 +212,14 @@
               && (history.restored || history.failedMachines.size() >= FAULT_THRESHOLD);
       if (failing != history.failing) {
         history.failing = failing;
-        logJob(job, history);
+        logFailingChange(job, history);
         listener.onJobFailingChanged(job, failing);
       }
       List.copyOf(history.failedMachines).forEach(this::evaluateMachine);
     }
   }
 
-  private static void logJob(Job job, FailureHistory history) {
+  private static void logFailingChange(Job job, FailureHistory history) {
     if (history.failing) {
       log.info("Job found failing: job={} failedMachines={}", job, history.failedMachines);
     } else {
--- a/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
+++ b/src/main/java/io/pineladder/scheduling/PreemptionPolicy.java
@@ -63,7 +63,8 @@
 
   /**
    * Preempts attempts for those of the job's pending tasks that lack capacity, in one scan of all
-   * machines. Scans take a bounded share of the time and go to the first jobs by priority.
+   * machines. Scans are skipped while they exceed their share of the time. Jobs of high priority
+   * are scheduled first and so get the scans.
    *
    * @param maxFetchSeconds only machines on which the image of the job is cached within this time
    *     are considered
--- a/src/main/java/io/pineladder/scheduling/Scheduler.java
+++ b/src/main/java/io/pineladder/scheduling/Scheduler.java
@@ -32,7 +32,8 @@
   public interface Callbacks {
     /**
      * Whether tasks may be started. False while this node is not allowed to act as leader, and
-     * while earlier attempts may be on machines that no record and no heartbeat has named yet.
+     * while attempts of earlier leaders may be running that are known from neither a record nor a
+     * heartbeat.
      */
     boolean mayStartTasks();
 
--- a/src/main/java/io/pineladder/scheduling/VictimSelector.java
+++ b/src/main/java/io/pineladder/scheduling/VictimSelector.java
@@ -145,7 +145,10 @@
   private final class FleetScan {
     private final Job job;
     private final Instant now;
+
+    /** Whether the job is within its team's guaranteed quota, also with the tasks to be placed. */
     private final boolean guaranteed;
+
     private final boolean urgent;
 
     /**
@@ -224,8 +227,10 @@
   private record Victim(Attempt attempt, double costSeconds) {}
 
   /**
-   * Whether the victim has a lower priority class, or exceeds the guaranteed quota of its team
-   * while the job is within that of another team.
+   * Whether attempts of the victim may be preempted for the job. A job within its team's guaranteed
+   * quota may preempt any job of a lower priority class, and jobs of other teams that are outside
+   * their guaranteed quota. Any other job may only preempt jobs of a lower priority class that are
+   * outside their guaranteed quota.
    */
   private boolean mayPreempt(Job job, Job victim, boolean guaranteed) {
     boolean victimGuaranteed = cluster.isGuaranteed(victim);
@@ -238,11 +243,11 @@
   /** The seconds of work lost by preempting the attempt. */
   private static double lostWorkSeconds(Attempt attempt, Instant now) {
     Instant workStartedAt = attempt.runningSince == null ? attempt.createdAt : attempt.runningSince;
-    Duration ran = Duration.between(workStartedAt, now);
+    Duration runTime = Duration.between(workStartedAt, now);
     if (attempt.job.spec.isCheckpointed()) {
       Duration checkpointDuration = attempt.job.spec.checkpointDuration();
-      return Math.min(ran.toMillis(), checkpointDuration.toMillis()) / 1000.0;
+      return Math.min(runTime.toMillis(), checkpointDuration.toMillis()) / 1000.0;
     }
-    return ran.toMillis() / 1000.0;
+    return runTime.toMillis() / 1000.0;
   }
 }
