--- a/src/main/java/io/pineladder/admin/Metrics.java
+++ b/src/main/java/io/pineladder/admin/Metrics.java
@@ -116,11 +116,11 @@
       meter.measure().forEach(measurement -> meters.put(name.toString(), measurement.getValue()));
     }
     out.set("sockets", sockets());
-    ObjectNode all = out.putObject("latency_s");
+    ObjectNode latencyOut = out.putObject("latency_s");
     latencies.forEach(
         (operation, histogram) -> {
           writePercentiles(
-              all.putObject(operation.name().toLowerCase(Locale.ROOT)), histogram, 1e6);
+              latencyOut.putObject(operation.name().toLowerCase(Locale.ROOT)), histogram, 1e6);
         });
     return out;
   }
--- a/src/main/java/io/pineladder/api/LeaseExtensionPolicy.java
+++ b/src/main/java/io/pineladder/api/LeaseExtensionPolicy.java
@@ -69,7 +69,7 @@
           ? newestToken
           : 0;
     }
-    // This process started in a partitioned zone or during an outage of the state service.
+    // This process started in a partitioned zone or during an outage of the key-value store.
     boolean noLeaderKnown = knownLeader == null && !storeHealthy && heartbeat.token() > 0;
     return noLeaderKnown && mayExtendWhileIsolated(heartbeat, startedAt) ? heartbeat.token() : 0;
   }
@@ -99,8 +99,8 @@
    * Whether this controller, which reaches neither the leader nor the store, extends a worker's
    * lease: for workers of its own zone, since both are most likely partitioned together, or of any
    * zone while most controllers report an outage of the store. It may do so up to {@link
-   * #MAX_ISOLATED_LEASE_EXTENSION}, since no user is told that a job is cancelled while a task of
-   * it may still run.
+   * #MAX_ISOLATED_LEASE_EXTENSION}, since a job is not reported as cancelled to users while one of
+   * its tasks may still run.
    *
    * <p>This controller may also be the only one that is partitioned, while the worker could reach a
    * leader. So once the regular extension is used up, each worker is redirected to the other
@@ -130,6 +130,7 @@
     if (now.isBefore(since.plus(Election.maxWorkerLeaseExtension(workerTimes)))) {
       return true;
     }
+    // Time to try each peer, a heartbeat that is late by a quarter of its interval, and a margin.
     Duration searchDuration =
         UNRESPONSIVE_CONTROLLER_DELAY
             .multipliedBy(node.settings().peers().size())
--- a/src/main/java/io/pineladder/api/PeerForwarder.java
+++ b/src/main/java/io/pineladder/api/PeerForwarder.java
@@ -38,7 +38,7 @@
 
   /**
    * Forwards a request of a user or an operator to the leader, and to other peers as well if the
-   * state service is unreachable.
+   * key-value store is unreachable.
    *
    * @param onUndecided runs if no controller decides the request
    */
@@ -54,7 +54,7 @@
       addresses.add(knownLeader.address());
     }
     if (!node.storeClient().isHealthy()) {
-      // Without the state service the known leader may be outdated; a peer may know a newer one.
+      // Without the key-value store the known leader may be outdated; a peer may know a newer one.
       for (String peer : node.membership().candidateAddresses()) {
         if (!addresses.contains(peer)) {
           addresses.add(peer);
--- a/src/main/java/io/pineladder/api/PeerRequestHandler.java
+++ b/src/main/java/io/pineladder/api/PeerRequestHandler.java
@@ -58,11 +58,11 @@
                     PeerWire.write(
                         new PeerWire.ForwardedResponse(
                             false, unavailable("no leader"), leaderName))));
-    boolean submission = ApiPaths.isSubmission(request.path());
+    boolean isSubmission = ApiPaths.isSubmission(request.path());
     // Another controller may accept a submission that is unavailable here, so it counts as
     // undecided.
     Consumer<HttpResponse> onServed =
-        submission
+        isSubmission
             ? response -> {
               if (response.status() == 503) {
                 onUndecided.run();
@@ -77,7 +77,7 @@
       return;
     }
     Runnable withoutLeader =
-        submission ? () -> submitOnBehalfOfPeer(request.body(), onServed) : onUndecided;
+        isSubmission ? () -> submitOnBehalfOfPeer(request.body(), onServed) : onUndecided;
     if (request.remainingHops() <= 0 || !forwarder.canReachLeader(knownLeader)) {
       withoutLeader.run();
       return;
--- a/src/main/java/io/pineladder/api/ReadinessCheck.java
+++ b/src/main/java/io/pineladder/api/ReadinessCheck.java
@@ -10,7 +10,7 @@
 final class ReadinessCheck {
   private static final Logger log = LoggerFactory.getLogger(ReadinessCheck.class);
 
-  /** Time for which a response of the state service or a peer counts as contact. */
+  /** Time for which a response of the key-value store or a peer counts as contact. */
   private static final Duration CONTACT_TIMEOUT = Duration.ofSeconds(6);
 
   private final ControllerNode node;
@@ -21,9 +21,9 @@
   }
 
   /**
-   * A controller is ready while it leads, reaches the state service, or reaches a peer. An outage
-   * of the state service does not end readiness: it affects all controllers alike, and the load
-   * balancer would take them back with a delay.
+   * A controller is ready while it leads, reaches the key-value store, or reaches a peer. An outage
+   * of the store alone does not end readiness: it affects all controllers alike, and the load
+   * balancer would add them back only after a delay.
    */
   boolean isReady() {
     boolean readyNow =
--- a/src/main/java/io/pineladder/cli/Main.java
+++ b/src/main/java/io/pineladder/cli/Main.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Model.PositionalParamSpec;
 import picocli.CommandLine.ParseResult;
 
-/** The command line of pineladder: runs a controller, and the commands around it. */
+/** Entry point of the command line: runs a controller, or a command for administration. */
 public final class Main {
   static final int EXIT_OK = 0;
   static final int EXIT_FAILURE = 1;
--- a/src/main/java/io/pineladder/delivery/DeliveryContext.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryContext.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Resources for delivering notifications that a controller holds whether it leads or not. */
+/** Resources of a controller for delivering notifications; they outlive its terms as leader. */
 public final class DeliveryContext {
   private static final Logger log = LoggerFactory.getLogger(DeliveryContext.class);
 
@@ -42,7 +42,7 @@
       Collection<String> clusterAddresses,
       double coreShare,
       int sockets) {
-    // The rest is for connections being closed or kept alive for the next notification.
+    // A quarter of the sockets is left for connections that are closing or idle between requests.
     this.maxInFlight = Math.max(1, Math.min(MAX_IN_FLIGHT, sockets * 3 / 4));
     this.backgroundExecutor = backgroundExecutor;
     this.secretCipher = secretCipher;
@@ -102,7 +102,7 @@
           value == null ? null : destinationPolicy(DeliveryWire.parseNetworks(value));
     } catch (MalformedMessageException | IllegalArgumentException e) {
       destinationPolicy = null;
-      log.error("Allowed networks unreadable, deliveries suspended: error={}", e.getMessage());
+      log.error("Allowed networks unreadable, no destination allowed: error={}", e.getMessage());
     }
   }
 }
--- a/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
@@ -14,9 +14,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Delivers notifications to all subscribers during one term, in turn. The number of requests in
- * flight and their rate are bounded, so that delivery does not slow down scheduling. Subscribers
- * whose last attempt failed share a part of the capacity, so that they do not delay the others.
+ * Delivers notifications to all subscribers during one term, in round-robin order. The number of
+ * requests in flight and their rate are bounded, so that delivery does not slow down scheduling.
+ * Subscribers whose last attempt failed share a part of the capacity, so that they do not delay the
+ * others.
  */
 public final class DeliveryDispatcher {
   /** Bound on the requests to failing receivers, as a fraction of the requests in flight. */
@@ -145,7 +146,7 @@
     private SubscriberDelivery delivery;
     private boolean queued;
 
-    /** Whether its current turn counts towards the bound on failing receivers. */
+    /** Whether the current turn counts towards the bound on requests to failing receivers. */
     private boolean countedAsFailing;
 
     void send() {
--- a/src/main/java/io/pineladder/delivery/NotificationOutbox.java
+++ b/src/main/java/io/pineladder/delivery/NotificationOutbox.java
@@ -37,9 +37,9 @@
  * counts on from the stored positions.
  *
  * <p>A notification is first stored in its job's page. When many are pending, the oldest move to
- * backlog pages: job pages full of notifications have no room for jobs, and a new leader would have
- * to read all of them before it can lead. It needs only the newest notification, to continue the
- * numbering, and reads the backlog once it leads.
+ * backlog pages: job pages full of notifications have no space for jobs, and a new leader would
+ * have to read all of them before it can lead. It needs only the newest notification, to continue
+ * the numbering, and reads the backlog once it leads.
  */
 public final class NotificationOutbox implements NotificationLog {
   private static final Logger log = LoggerFactory.getLogger(NotificationOutbox.class);
@@ -47,7 +47,10 @@
   /** Retention limit: older notifications are lost to subscribers that have not confirmed them. */
   public static final int MAX_RETAINED = 100_000;
 
-  /** Beyond the retention limit, the limit divided by this is discarded at once. */
+  /**
+   * When the retention limit is exceeded, the limit divided by this value is discarded in addition,
+   * so that not every further notification causes a discard.
+   */
   private static final int DISCARD_DIVISOR = 64;
 
   /**
@@ -67,13 +70,14 @@
   private static final int MAX_PROGRESS_BYTES = 180;
 
   /**
-   * Bound on the notifications in job pages, as a fraction of the size of one stored value. Beyond
-   * it the page for new jobs would fill up, and jobs that end together would lie in several pages.
+   * Bound on the total size of the notifications in job pages, as a fraction of the size limit of a
+   * stored value. With more, the page for new jobs would fill up, and jobs that end together would
+   * be spread over several pages.
    */
   private static final double MAX_JOB_PAGE_FRACTION = 0.5;
 
-  /** The newest notifications, which always stay in their job pages. */
-  private static final int MIN_IN_JOB_PAGES = 8;
+  /** Number of the newest notifications, which always stay in their job pages. */
+  private static final int MIN_NOTIFICATIONS_IN_JOB_PAGES = 8;
 
   private static final class Entry {
     final Notification notification;
@@ -81,7 +85,7 @@
     /** Size in its job's page. */
     final int storedBytes;
 
-    /** Removes it from its job's page; null once called or when it is not in a job's page. */
+    /** Removes the notification from its job's page; null if it is not, or no longer, there. */
     private Runnable removeFromPage;
 
     Entry(Notification notification, int storedBytes, Runnable removeFromPage) {
@@ -100,7 +104,7 @@
     /** Progress as the store holds it. */
     private DeliveryProgress storedProgress;
 
-    /** The number up to which {@link ProgressPage#unstoredAdvance} includes it. */
+    /** The {@link #lastNumber} when it was last added to {@link ProgressPage#unstoredAdvance}. */
     private long countedNumber;
 
     private ProgressPage page;
@@ -132,7 +136,7 @@
     /** The page is to be written again after the pending write. */
     private boolean rewriteRequested;
 
-    /** By how many notifications its subscribers, in total, have advanced since the last write. */
+    /** Sum of the notifications that its subscribers have advanced by since the last write. */
     private long unstoredAdvance;
 
     ProgressPage(String key) {
@@ -155,7 +159,7 @@
   private final Consumer<Mutation> commit;
   private final Runnable wakeDelivery;
 
-  /** The log, without gaps; the first {@code head} entries are dropped and removed in batches. */
+  /** The log, without gaps. The first {@code head} entries are dropped but not removed yet. */
   private final List<Entry> entries = new ArrayList<>();
 
   private int head;
@@ -235,7 +239,8 @@
   public void onBacklogLoaded(
       Map<String, List<Notification>> backlog,
       Map<String, Map<String, DeliveryProgress>> progress) {
-    // A notification is in both places when its job's page was not written since the move.
+    // A notification is in a job page and in the backlog if the job page has not been written since
+    // the notification was moved.
     Map<Long, Entry> inJobPages = new HashMap<>();
     entries.forEach(entry -> inJobPages.put(entry.notification.number(), entry));
     backlog.forEach(
@@ -290,7 +295,9 @@
       start--;
     }
     if (start > head) {
-      log.error("Gap in notification log: firstKept={}", numberAt(start));
+      log.error(
+          "Gap in notification log, earlier notifications are lost: firstRetained={}",
+          numberAt(start));
       head = start;
     }
     for (Subscription subscription : subscriptions.values()) {
@@ -367,12 +374,12 @@
 
   /** The filters of a subscription, without those that apply to no retained notification. */
   public List<Subscription.Filter> neededFilters(Subscription subscription) {
-    List<Subscription.Filter> all = subscription.filters();
+    List<Subscription.Filter> filters = subscription.filters();
     int start = 0;
-    while (start + 1 < all.size() && all.get(start + 1).afterNumber() < firstNumber()) {
+    while (start + 1 < filters.size() && filters.get(start + 1).afterNumber() < firstNumber()) {
       start++;
     }
-    return all.subList(start, all.size());
+    return filters.subList(start, filters.size());
   }
 
   /** The record of a subscription was deleted. */
@@ -456,7 +463,7 @@
     List<Notification> chunk = new ArrayList<>();
     int remainingBytes = maxValueBytes - PAGE_OVERHEAD_BYTES;
     // The newest stay: a new leader reads them from the job pages to continue the numbering.
-    int end = entries.size() - MIN_IN_JOB_PAGES;
+    int end = entries.size() - MIN_NOTIFICATIONS_IN_JOB_PAGES;
     for (int i = head + (int) Math.max(0, lastBacklogNumber + 1 - firstNumber()); i < end; i++) {
       remainingBytes -= entries.get(i).storedBytes;
       if (remainingBytes < 0) {
@@ -472,8 +479,8 @@
     backlogWritePending = true;
     commit.accept(
         Mutation.of(
-            // At the priority of final states: if a burst of those delayed the move, each of their
-            // transactions would have to change more job pages.
+            // Same priority as final states: otherwise a burst of final states would delay the
+            // move, and each of their transactions would change more job pages.
             Mutation.Priority.FINAL_STATE,
             List.of(
                 new Mutation.Write(
@@ -501,7 +508,7 @@
     }
   }
 
-  /** Deletes backlog pages whose notifications all have left the log. */
+  /** Deletes the backlog pages that contain only notifications that have left the log. */
   private void deleteUnneededBacklogPages() {
     while (!backlogPages.isEmpty() && backlogPages.firstEntry().getValue() < firstNumber()) {
       long page = backlogPages.pollFirstEntry().getKey();
--- a/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
+++ b/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
@@ -50,10 +50,10 @@
     /** Whether this controller leads and its lease is valid. */
     boolean mayAct();
 
-    /** A notification is pending: {@link #send} is to be called in turn. */
+    /** Requests a turn; {@link SubscriberDelivery#send} is called when it begins. */
     void requestTurn();
 
-    /** The request has ended, or none was made. */
+    /** Ends a turn: its request has ended, or none was sent. */
     void endTurn();
 
     void onSent();
@@ -178,7 +178,7 @@
         || outbox.nextFor(subscription) != null;
   }
 
-  /** Sends the next notification, in the turn that was requested. */
+  /** Sends the next notification. Called by the dispatcher after {@link Callbacks#requestTurn}. */
   void send() {
     if (state != State.READY || !callbacks.mayAct()) {
       if (state == State.READY) {
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -121,8 +121,8 @@
     if (expected != null) {
       outbox.expectSubscription(expected);
     }
-    // At the priority of final states, so that both are stored in order: a final state that was
-    // queued earlier without a notification is stored before the subscription.
+    // Same priority as final states, so that they are stored in order: a final state that was
+    // queued earlier, without a notification, is stored before the subscription.
     commit.accept(
         new Mutation(
             Mutation.Priority.FINAL_STATE,
@@ -255,8 +255,8 @@
 
   private HttpResponse listSubscriptions() {
     ObjectNode out = Json.object();
-    ArrayNode all = out.putArray("subscriptions");
-    outbox.subscriptions().values().forEach(subscription -> all.add(toJson(subscription)));
+    ArrayNode list = out.putArray("subscriptions");
+    outbox.subscriptions().values().forEach(subscription -> list.add(toJson(subscription)));
     return json(200, out);
   }
 
--- a/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationJournal.java
@@ -22,8 +22,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * A store that appends each notification to a file as a JSON line with a checksum. The line is both
- * the effect and, by the event's sequence, the position; it is forced to disk before it counts.
+ * Appends each notification to a file as a JSON line with a checksum. The line records both the
+ * effect and, through the event's sequence, the receiver's position. A notification counts as
+ * stored once its line is forced to disk.
  */
 public final class NotificationJournal implements NotificationStore {
   private final Path file;
@@ -89,6 +90,7 @@
         try {
           replay(parse(line.toByteArray()), location);
         } catch (MalformedMessageException e) {
+          // Only the last line can be torn; any other malformed line is damaged.
           if (in.read() < 0) {
             return validLength;
           }
--- a/src/main/java/io/pineladder/delivery/receiver/NotificationStore.java
+++ b/src/main/java/io/pineladder/delivery/receiver/NotificationStore.java
@@ -14,9 +14,9 @@
   long lastSequence(String source);
 
   /**
-   * Makes the event's effect and its position durable atomically, also in the event of a crash.
+   * Makes an event's effect and its position durable; after a crash, both are present or neither.
    *
-   * @throws IOException when it may not be durable; the store applies nothing more after that
+   * @throws IOException if the event may not be durable; the store rejects all later events then
    */
   void apply(Event event) throws IOException;
 }
--- a/src/main/java/io/pineladder/net/ConnectionLimiter.java
+++ b/src/main/java/io/pineladder/net/ConnectionLimiter.java
@@ -13,10 +13,10 @@
 
 /**
  * Limits the open sockets of the process. At the file descriptor limit of the operating system no
- * connection of any kind could be opened, including health probes and requests to the state
- * service. Each traffic class therefore has a number of reserved sockets and a maximum; the
- * remaining sockets are available first come, first served. Invariant: the open sockets plus the
- * unused reserved sockets never exceed the limit.
+ * connection of any kind could be opened, including health probes and requests to the key-value
+ * store. Each traffic class therefore has a number of reserved sockets and a maximum; the remaining
+ * sockets are available first come, first served. Invariant: the open sockets plus the unused
+ * reserved sockets never exceed the limit.
  *
  * <p>A class without capacity closes its longest idle socket if that socket is stale, which means
  * that the peer has probably disappeared without closing the connection. If none is stale, an
@@ -26,8 +26,10 @@
 public final class ConnectionLimiter {
   private static final Logger log = LoggerFactory.getLogger(ConnectionLimiter.class);
 
-  /** File descriptors used by listeners, selectors and standard streams. */
-  private static final int RUNTIME_SOCKETS = 16;
+  /**
+   * File descriptors used by listeners, selectors and standard streams; deducted from the limit.
+   */
+  private static final int RUNTIME_FILE_DESCRIPTORS = 16;
 
   /** What a socket is used for. The administration API exposes these names. */
   public enum TrafficClass {
@@ -39,7 +41,7 @@
     REPORTS(0.2, 0.75, null),
     /** Connections to and from other controllers, and requests of administrators. */
     PEERS(0.06, 0.15, Duration.ofSeconds(30)),
-    /** Connections to the state service and the cloud API. */
+    /** Connections to the key-value store and the cloud API. */
     SERVICES(0.04, 0.12, Duration.ofSeconds(20)),
     /** Commands to workers. */
     ORDERS(0.08, 0.15, Duration.ofSeconds(20)),
@@ -101,7 +103,7 @@
    */
   public ConnectionLimiter(int maxSockets, Duration heartbeatInterval, EventLoop eventLoop) {
     this.eventLoop = eventLoop;
-    this.maxSockets = maxSockets - RUNTIME_SOCKETS;
+    this.maxSockets = maxSockets - RUNTIME_FILE_DESCRIPTORS;
     Duration heartbeatTimeout = heartbeatInterval.multipliedBy(2).plusSeconds(2);
     for (TrafficClass trafficClass : TrafficClass.values()) {
       int reserved =
--- a/src/main/java/io/pineladder/wire/GossipWire.java
+++ b/src/main/java/io/pineladder/wire/GossipWire.java
@@ -30,7 +30,7 @@
   public record PeerContact(Duration age, String nonce, long sequence) {}
 
   /**
-   * A controller's view of the records in the state service.
+   * A controller's view of the records in the key-value store.
    *
    * @param generationBase the generation that the controller considers current
    * @param highestRevision the highest known revision of that generation
@@ -58,7 +58,7 @@
    *
    * @param nonce identifies the sending process
    * @param sequence sequence number within the process
-   * @param storeHealthy whether the state service responds to the sender
+   * @param storeHealthy whether the key-value store responds to the sender
    * @param term the term in which the sender leads with a valid lease; 0 if it does not lead
    * @param contacts the latest heartbeat from each of the sender's peers, by name
    * @param recordStatus the sender's view of the records
--- a/src/main/java/io/pineladder/wire/RecordWire.java
+++ b/src/main/java/io/pineladder/wire/RecordWire.java
@@ -25,7 +25,7 @@
 public final class RecordWire {
   private static final long MAX_NUMBER = Long.MAX_VALUE;
 
-  /** The page that takes precedence over this copy of a record for as long as the page exists. */
+  /** Names the page that a record was copied from; the page takes precedence while it exists. */
   private static final String COPIED_FROM = "copied_from";
 
   private RecordWire() {}
@@ -100,7 +100,7 @@
         value.path("at_fault").asBoolean(false));
   }
 
-  /** The copy of a job's record that is written while its page is divided. */
+  /** The copy of a job's record that is written while its page is split. */
   public static JsonNode copiedRecord(JsonNode record, String page) {
     return ((ObjectNode) record).deepCopy().put(COPIED_FROM, page);
   }
--- a/src/main/java/io/pineladder/wire/SettingsReader.java
+++ b/src/main/java/io/pineladder/wire/SettingsReader.java
@@ -212,7 +212,7 @@
   }
 
   /**
-   * Reads the limits of the state service.
+   * Reads the limits of the key-value store.
    *
    * @param defaults limits for absent fields; null if all fields are required
    */
--- a/src/main/java/io/pineladder/wire/StoreWire.java
+++ b/src/main/java/io/pineladder/wire/StoreWire.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages of the state service, the consensus-backed key-value store. */
+/** Messages of the consensus-backed key-value store. */
 public final class StoreWire {
   /** Number of keys in a full page of a list. */
   public static final int PAGE_SIZE = 1000;
--- a/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
+++ b/src/test/java/io/pineladder/api/HeartbeatHandlerTest.java
@@ -31,7 +31,7 @@
 
   private Instant now = Instant.EPOCH.plusSeconds(100);
 
-  /** The leader stored in the state service; null if the service does not respond. */
+  /** The leader in the key-value store; null if the store does not respond. */
   private RecordWire.LeaderRecord leader;
 
   private final List<byte[]> forwarded = new ArrayList<>();
--- a/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
+++ b/src/test/java/io/pineladder/api/RequestRouterHttpTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A single controller over HTTP on loopback, without reachable peers or state service. */
+/** A single controller over HTTP on loopback, without reachable peers or key-value store. */
 class RequestRouterHttpTest {
   private static final HttpClient CLIENT = HttpClient.newHttpClient();
   private static XnioEventLoop eventLoop;
--- a/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
+++ b/src/test/java/io/pineladder/delivery/DeliveryPartsTest.java
@@ -111,8 +111,8 @@
   /** Guards against a wide network that exposes addresses which only a controller can reach. */
   @Test
   void deniesLocalAndClusterAddressesUnlessListedExplicitly() throws UnknownHostException {
-    List<String> all = List.of("0.0.0.0/0", "::/0");
-    DestinationPolicy wide = new DestinationPolicy(all, Set.of("10.0.0.1"));
+    List<String> allAddresses = List.of("0.0.0.0/0", "::/0");
+    DestinationPolicy wide = new DestinationPolicy(allAddresses, Set.of("10.0.0.1"));
     assertTrue(allows(wide, "10.0.0.2"));
     for (String denied :
         List.of(
--- a/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
+++ b/src/test/java/io/pineladder/delivery/NotificationOutboxTest.java
@@ -34,16 +34,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Compares the outbox with a plain list of all notifications, across terms that end at any time.
- */
+/** Compares the outbox with a plain list of all notifications, across terms that end at random. */
 class NotificationOutboxTest {
   private static final int MAX_RETAINED = 200;
 
   private final RandomGenerator random;
   private final EventLoop eventLoop;
 
-  /** Contents of the key-value store: notifications in job pages, subscriptions and progress. */
+  /** The notifications in the job pages of the key-value store, by number. */
   private final TreeMap<Long, Notification> storedNotifications = new TreeMap<>();
 
   private final Map<String, Subscription> storedSubscriptions = new TreeMap<>();
--- a/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
+++ b/src/test/java/io/pineladder/net/ConnectionLimiterTest.java
@@ -284,7 +284,7 @@
       String address = "127.0.0.1:" + unresponsive.getLocalPort();
       int calls = 40;
       List<AsyncHttpClient.Reply> replies = new ArrayList<>();
-      CompletableFuture<Boolean> all = new CompletableFuture<>();
+      CompletableFuture<Boolean> allReplied = new CompletableFuture<>();
       getOnEventThread(
           eventLoop,
           () -> {
@@ -294,13 +294,13 @@
                   reply -> {
                     replies.add(reply);
                     if (replies.size() == calls) {
-                      all.complete(true);
+                      allReplied.complete(true);
                     }
                   });
             }
             return true;
           });
-      all.get(10, TimeUnit.SECONDS);
+      allReplied.get(10, TimeUnit.SECONDS);
       assertTrue(replies.stream().noneMatch(AsyncHttpClient.Reply::isAnswered));
       ConnectionLimiter.Usage usage =
           getOnEventThread(
