--- a/src/test/java/io/pineladder/sim/BehaviourDigest.java
+++ b/src/test/java/io/pineladder/sim/BehaviourDigest.java
@@ -74,38 +74,38 @@
   }
 
   private BehaviourDigest() {
-    add("quiet", ClusterSimulationTest::new, ClusterSimulationTest::aQuietDayIsServedPromptly);
+    add("quiet", ClusterSimulationTest::new, ClusterSimulationTest::servesJobsWithoutFaults);
     add(
         "cut-leader",
         ClusterSimulationTest::new,
-        ClusterSimulationTest::aLeaderWhoseWorkersOnlyReachItsPeersMakesWayOnce);
+        ClusterSimulationTest::resignsOnceWhenWorkersCannotReachLeader);
     add(
         "cut-follower",
         ClusterSimulationTest::new,
-        ClusterSimulationTest::aPeerStoresWhatANodeWithoutLeaderAndStoreCannot);
+        ClusterSimulationTest::storesSubmissionThroughPeerWhenCutFromLeaderAndStore);
     for (long seed : new long[] {1, 2, 3145}) {
       add(
           "faults-" + seed,
           ClusterSimulationTest::new,
-          cluster -> cluster.theRulesHoldUnderFaultsTogether(seed));
+          cluster -> cluster.keepsRulesUnderRandomFaults(seed));
     }
     for (Layout layout : Layout.values()) {
       int number = layout.ordinal();
       add(
           "upgrade-" + number,
           ChainedJobsTest::new,
-          cluster -> cluster.anUpgradeAndChainsKeepTheRules(layout, number % 2));
+          cluster -> cluster.keepsRulesDuringRollingUpgrade(layout, number % 2));
     }
-    add("chain-input", ChainedJobsTest::new, ChainedJobsTest::whatIsSubmittedIsChecked);
+    add("chain-input", ChainedJobsTest::new, ChainedJobsTest::rejectsInvalidDependencies);
     add(
         "chain-cancelled",
         ChainedJobsTest::new,
-        ChainedJobsTest::aCancellationReachesAllThatNeedTheJob);
+        ChainedJobsTest::cancelsDependentsTransitively);
     add(
         "chain-version",
         ChainedJobsTest::new,
-        ChainedJobsTest::theVersionIsRaisedOnceAllControllersSupportIt);
-    add("too-old", ChainedJobsTest::new, ChainedJobsTest::aControllerThatIsTooOldServesNothing);
+        ChainedJobsTest::raisesVersionOnceAllControllersSupportIt);
+    add("too-old", ChainedJobsTest::new, ChainedJobsTest::outdatedControllerRejectsRequests);
     for (StateLossTest.Loss loss : StateLossTest.Loss.values()) {
       int number = loss.ordinal();
       add(
@@ -113,116 +113,116 @@
           StateLossTest::new,
           cluster -> {
             switch (number % 3) {
-              case 0 -> cluster.whatIsLostIsRebuiltByControllersThatLive(loss, 1);
-              case 1 -> cluster.whatIsLostWithTheLeaderIsRebuiltByTheOthers(loss, 1);
-              default -> cluster.whatIsLostWithAllControllersIsRebuiltFromSnapshots(loss, 1);
+              case 0 -> cluster.recoversFromReplicasOfAllControllers(loss, 1);
+              case 1 -> cluster.recoversFromReplicasOfFollowers(loss, 1);
+              default -> cluster.recoversFromSnapshots(loss, 1);
             }
           });
     }
-    add("loss-twice", StateLossTest::new, StateLossTest::aSecondLossFindsWhatTheFirstHasLeft);
-    add("loss-hand-in", StateLossTest::new, StateLossTest::aSnapshotThatIsHandedInBringsJobsBack);
+    add("loss-twice", StateLossTest::new, StateLossTest::recoversFromSecondLossAfterFirst);
+    add("loss-hand-in", StateLossTest::new, StateLossTest::recoversFromImportedSnapshot);
     add(
         "loss-cleared",
         StateLossTest::new,
-        StateLossTest::whatEarlierGenerationsLeaveIsClearedAway);
+        StateLossTest::deletesKeysOfEarlierGenerations);
     add(
         "loss-early",
         StateLossTest::new,
-        cluster -> cluster.aLossInAClustersFirstSecondsIsRebuiltByWhoKnowsMost(3));
+        cluster -> cluster.recoversFromLossInFirstSeconds(3));
     for (long seed : new long[] {0, 4}) {
       add(
           "zone-cut-" + seed,
           ZoneSimulationTest::new,
-          cluster -> cluster.whatRunsInAZoneLivesThroughItsCutWhoeverLeads(seed));
+          cluster -> cluster.keepsTasksOfPartitionedZone(seed));
     }
     add(
         "zones-parted",
         ZoneSimulationTest::new,
-        cluster -> cluster.zonesThatDoNotReachOneAnotherGoOn(1));
+        cluster -> cluster.keepsTasksWhenZonesCannotReachEachOther(1));
     add(
         "zone-cancelled",
         ZoneSimulationTest::new,
-        ZoneSimulationTest::aJobInAZoneThatIsAwayIsCalledCancelledOnceItIsBack);
-    add("zone-lost", ZoneSimulationTest::new, ZoneSimulationTest::aZoneThatIsLostForGoodIsReplaced);
+        ZoneSimulationTest::reportsCancellationOnceZoneIsReachable);
+    add("zone-lost", ZoneSimulationTest::new, ZoneSimulationTest::recoversFromLossOfZone);
     for (int i = 0; i < FaultCombinationsTest.Combination.values().length; i += 2) {
       int first = i;
       add(
           "combination-" + first,
           FaultCombinationsTest::new,
-          cluster -> cluster.theRulesHoldWhereThreeMeet(first, 0));
+          cluster -> cluster.keepsRulesUnderThreeFaultCombinations(first, 0));
     }
     add(
         "repeated-writes",
         FaultCombinationsTest::new,
-        FaultCombinationsTest::aTransactionThatWasExecutedHasNoEffectASecondTime);
+        FaultCombinationsTest::ignoresRepeatedTransactions);
     add(
         "lost-answers",
         FaultCombinationsTest::new,
-        FaultCombinationsTest::anAnswerThatIsLostIsNoRefusalAndNobodyElsesWork);
-    for (RandomFaultsTest.Trouble trouble : RandomFaultsTest.Trouble.values()) {
-      for (RandomFaultsTest.Beside beside : RandomFaultsTest.Beside.values()) {
+        FaultCombinationsTest::toleratesLostStoreAnswers);
+    for (RandomFaultsTest.Fault trouble : RandomFaultsTest.Fault.values()) {
+      for (RandomFaultsTest.SecondFault beside : RandomFaultsTest.SecondFault.values()) {
         if ((trouble.ordinal() + beside.ordinal()) % 2 == 0) {
           add(
               "unlisted-" + trouble.ordinal() + "-" + beside.ordinal(),
               RandomFaultsTest::new,
-              cluster -> cluster.allIsKnownAndServed(trouble, beside, 0));
+              cluster -> cluster.servesAllJobsUnderTwoFaults(trouble, beside, 0));
         }
       }
     }
     add(
         "gang",
         RandomFaultsTest::new,
-        RandomFaultsTest::aGangBeginsThoughSmallTasksOfItsRankTakeEachFreedPiece);
+        RandomFaultsTest::startsGangDespiteStreamOfSmallTasks);
     for (long seed : new long[] {1, 2}) {
       add(
           "delivery-" + seed,
           DeliverySimulationTest::new,
-          cluster -> cluster.eachEndIsToldOnceUnderFaultsTogether(seed));
+          cluster -> cluster.deliversEachEndOnceUnderRandomFaults(seed));
     }
     add(
         "delivery-wanted",
         DeliverySimulationTest::new,
-        DeliverySimulationTest::eachEndIsToldOnceToThoseWhoWantIt);
+        DeliverySimulationTest::deliversEachEndOnceToMatchingSubscribers);
     add(
         "delivery-refused",
         DeliverySimulationTest::new,
-        DeliverySimulationTest::refusalsEndParkOrPauseOnlyTheirOwnSubscription);
+        DeliverySimulationTest::rejectionsAffectOnlyTheirSubscription);
     add(
         "delivery-administered",
         DeliverySimulationTest::new,
-        DeliverySimulationTest::whatIsAdministeredHoldsAtOnceAndForLaterLeaders);
+        DeliverySimulationTest::keepsSubscriptionChangesAcrossFailover);
     add(
         "delivery-backlog",
         DeliverySimulationTest::new,
-        DeliverySimulationTest::whatWaitsForLongLeavesThePagesOfJobs);
+        DeliverySimulationTest::movesOldNotificationsToBacklogPages);
     add(
         "delivery-outage",
         DeliverySimulationTest::new,
-        DeliverySimulationTest::anOutageOfTheStoreRepeatsAndLosesNothing);
+        DeliverySimulationTest::recoversFromStoreOutageWithoutLoss);
     add(
         "delivery-secrets",
         DeliverySimulationTest::new,
-        DeliverySimulationTest::secretsAreReplacedWhileNoticesAreUnderWay);
+        DeliverySimulationTest::rotatesSecretsDuringDelivery);
     add(
         "starved-chance",
         StarvationTest::new,
-        StarvationTest::aJobThatFailedByChanceWhereverThereIsRoomRunsAllTheSame);
+        StarvationTest::retriesJobThatFailedOnAllMachinesWithCapacity);
     add(
         "starved-pressed",
         StarvationTest::new,
-        cluster -> cluster.whereThereIsMoreWorkThanRoomNothingWaitsBesideRoom(Layout.PAIR, 1));
+        cluster -> cluster.starvesNoJobUnderOverload(Layout.PAIR, 1));
     add(
         "recovery-burst",
         RecoverySimulationTest::new,
-        RecoverySimulationTest::aBurstOfSubmissionsCostsFewChangesOfTheStore);
+        RecoverySimulationTest::batchesBurstOfSubmissionsIntoFewStoreChanges);
     add(
         "recovery-pages",
         RecoverySimulationTest::new,
-        RecoverySimulationTest::aNodeWithoutLeaderAnswersForJobsInPages);
+        RecoverySimulationTest::nodeWithoutLeaderAnswersForJobsInPages);
     add(
         "pile-up",
         CascadingFaultsSimulationTest::new,
-        CascadingFaultsSimulationTest::aFleetComesThroughFaultsThatPileUp);
+        CascadingFaultsSimulationTest::recoversFromCascadingFaults);
   }
 
   /** Hashes what controllers send, and also writes it as text if there is a writer. */
--- a/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/CascadingFaultsSimulationTest.java
@@ -57,7 +57,7 @@
    * the leader frozen, 435 tasks were ended by their workers' leases.
    */
   @Test
-  void aFleetComesThroughFaultsThatPileUp() {
+  void recoversFromCascadingFaults() {
     begin(41);
     fleet.zoneCapacity = MACHINES;
     fleet.addRunningMachines(MACHINES);
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void whatIsSubmittedIsChecked() {
+  void rejectsInvalidDependencies() {
     beginUpgraded(Layout.FLEET, 2);
     SafetyRules.TrackedJob known = submit(simpleJobSpec("array", 1));
     world.runFor(Duration.ofSeconds(40));
@@ -167,7 +167,7 @@
    * takeover.
    */
   @Test
-  void aCancellationReachesAllThatNeedTheJob() {
+  void cancelsDependentsTransitively() {
     beginUpgraded(Layout.FLEET, 3);
     SafetyRules.TrackedJob root = submit(simpleJobSpec("array", 2).put("guess_s", 60));
     world.runFor(Duration.ofSeconds(2));
@@ -214,7 +214,7 @@
    * others wait.
    */
   @Test
-  void theVersionIsRaisedOnceAllControllersSupportIt() {
+  void raisesVersionOnceAllControllersSupportIt() {
     upgraded = new boolean[] {true, true, false};
     begin(Layout.FLEET, 5);
     SafetyRules.TrackedJob job = submit(simpleJobSpec("array", 1));
@@ -234,7 +234,7 @@
 
   /** A controller whose software is older than the records serves nothing and never leads. */
   @Test
-  void aControllerThatIsTooOldServesNothing() {
+  void outdatedControllerRejectsRequests() {
     beginUpgraded(Layout.FLEET, 6);
     upgraded[1] = false;
     kill(controllers.get(1), 1_000);
@@ -280,7 +280,7 @@
    */
   @ParameterizedTest
   @MethodSource("days")
-  void anUpgradeAndChainsKeepTheRules(Layout layout, int seed) {
+  void keepsRulesDuringRollingUpgrade(Layout layout, int seed) {
     begin(layout, 40_000 + 10L * seed + layout.ordinal());
     for (int i = 0; i < 30; i++) {
       submit(
--- a/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
@@ -16,7 +16,7 @@
 /** Days of the simulated cluster, each with the rules checked at every start and answer. */
 class ClusterSimulationTest extends SimulatedCluster {
   @Test
-  void aQuietDayIsServedPromptly() {
+  void servesJobsWithoutFaults() {
     begin(1);
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 8; i++) {
@@ -36,7 +36,7 @@
    * store was refused until the cut was over, though a peer could have stored it.
    */
   @Test
-  void aPeerStoresWhatANodeWithoutLeaderAndStoreCannot() {
+  void storesSubmissionThroughPeerWhenCutFromLeaderAndStore() {
     begin(5);
     world.runFor(Duration.ofSeconds(5));
     int leader = leaderIndex();
@@ -68,7 +68,7 @@
 
   /** Leadership goes where it can be exercised, and not back and forth while the cut lasts. */
   @Test
-  void aLeaderWhoseWorkersOnlyReachItsPeersMakesWayOnce() {
+  void resignsOnceWhenWorkersCannotReachLeader() {
     begin(6);
     world.runFor(Duration.ofSeconds(5));
     for (int i = 0; i < 5; i++) {
@@ -109,7 +109,7 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void theRulesHoldUnderFaultsTogether(long seed) {
+  void keepsRulesUnderRandomFaults(long seed) {
     begin(seed);
     theRulesHoldOnADay();
   }
--- a/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
+++ b/src/test/java/io/pineladder/sim/DeliveryMeasurement.java
@@ -108,7 +108,7 @@
             users.submit(
                 () -> {
                   for (int n = next.getAndIncrement(); n < endedJobs; n = next.getAndIncrement()) {
-                    DeliveryProcessTest.end(cluster, n);
+                    DeliveryProcessTest.submitAndCancel(cluster, n);
                   }
                   return null;
                 });
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -59,7 +59,7 @@
   }
 
   /** Submits a job that can't be placed, and cancels it: a final answer. */
-  static String end(LoopbackCluster cluster, int index) throws InterruptedException {
+  static String submitAndCancel(LoopbackCluster cluster, int index) throws InterruptedException {
     String id = submit(cluster, index);
     ObjectNode told =
         cluster.requestUntilSuccess(false, "POST", "/v1/jobs/" + id + "/cancel", null);
@@ -142,7 +142,7 @@
                       for (int n = next.getAndIncrement();
                           n < answers;
                           n = next.getAndIncrement()) {
-                        end(cluster, n);
+                        submitAndCancel(cluster, n);
                         // So that the ends are spread over the kills.
                         Thread.sleep(Integer.getInteger("pineladder.pause", 20));
                       }
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void eachEndIsToldOnceToThoseWhoWantIt() {
+  void deliversEachEndOnceToMatchingSubscribers() {
     begin(1);
     world.runFor(Duration.ofSeconds(5));
     subscribe("all", List.of(), List.of());
@@ -232,7 +232,7 @@
    * takeover.
    */
   @Test
-  void whatWaitsForLongLeavesThePagesOfJobs() {
+  void movesOldNotificationsToBacklogPages() {
     begin(7);
     fleet.zoneCapacity = 0;
     world.runFor(Duration.ofSeconds(5));
@@ -296,7 +296,7 @@
   }
 
   @Test
-  void refusalsEndParkOrPauseOnlyTheirOwnSubscription() {
+  void rejectionsAffectOnlyTheirSubscription() {
     begin(3);
     world.runFor(Duration.ofSeconds(5));
     subscribe("good", List.of(), List.of());
@@ -340,7 +340,7 @@
   }
 
   @Test
-  void whatIsAdministeredHoldsAtOnceAndForLaterLeaders() {
+  void keepsSubscriptionChangesAcrossFailover() {
     begin(4);
     world.runFor(Duration.ofSeconds(5));
     FakeReceiver receiver = subscribe("desk", List.of(), List.of());
@@ -391,7 +391,7 @@
 
   /** The store is out while receivers go on: what they confirm is sent again, and taken once. */
   @Test
-  void anOutageOfTheStoreRepeatsAndLosesNothing() {
+  void recoversFromStoreOutageWithoutLoss() {
     begin(5);
     world.runFor(Duration.ofSeconds(5));
     subscribe("all", List.of(), List.of());
@@ -415,7 +415,7 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void eachEndIsToldOnceUnderFaultsTogether(long seed) {
+  void deliversEachEndOnceUnderRandomFaults(long seed) {
     begin(seed);
     world.runFor(Duration.ofSeconds(4));
     subscribe("all", List.of(), List.of()).faultRate = 0.3;
@@ -447,7 +447,7 @@
 
   /** While one secret replaces the other both sign, so that nothing is refused on the way. */
   @Test
-  void secretsAreReplacedWhileNoticesAreUnderWay() {
+  void rotatesSecretsDuringDelivery() {
     byte[] fresh = SECRET.clone();
     fresh[0] = 1;
     begin(6);
--- a/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
+++ b/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
@@ -436,7 +436,7 @@
    * leading or another, or none: whatever was executed once has no effect a second time.
    */
   @Test
-  void aTransactionThatWasExecutedHasNoEffectASecondTime() {
+  void ignoresRepeatedTransactions() {
     begin(Layout.FLEET, 77);
     store.replaysTransactions = true;
     changesOfAllKinds();
@@ -469,7 +469,7 @@
    * tells what is older.
    */
   @Test
-  void anAnswerThatIsLostIsNoRefusalAndNobodyElsesWork() {
+  void toleratesLostStoreAnswers() {
     begin(Layout.SHORT, 79);
     store.lostAnswerRate = 0.3;
     sendsRequestBursts = true;
@@ -592,7 +592,7 @@
 
   @ParameterizedTest
   @MethodSource("together")
-  void theRulesHoldWhereThreeMeet(int first, int seed) {
+  void keepsRulesUnderThreeFaultCombinations(int first, int seed) {
     Combination[] all = Combination.values();
     Set<Combination> met = new TreeSet<>();
     met.add(all[first]);
--- a/src/test/java/io/pineladder/sim/RandomFaultsTest.java
+++ b/src/test/java/io/pineladder/sim/RandomFaultsTest.java
@@ -22,7 +22,7 @@
 class RandomFaultsTest extends ConfigurableCluster {
   private static final Duration TROUBLE = Duration.ofSeconds(40);
 
-  enum Trouble {
+  enum Fault {
     ONE_WAY,
     ONE_WAY_THIRD,
     LATE_COPIES,
@@ -30,7 +30,7 @@
     AT_ONCE
   }
 
-  enum Beside {
+  enum SecondFault {
     NOTHING,
     TAKEOVER,
     STATE_OUTAGE,
@@ -51,14 +51,14 @@
     }
   }
 
-  private void strike(Trouble trouble) {
+  private void strike(Fault trouble) {
     long millis = TROUBLE.toMillis();
     switch (trouble) {
       case ONE_WAY, ONE_WAY_THIRD -> {
         List<FakeFleet.Worker> up = fleet.runningWorkers();
         int first = world.random.nextInt(up.size());
         for (int i = 0; i < up.size(); i++) {
-          if (trouble == Trouble.ONE_WAY ? i == first : i % 3 == first % 3) {
+          if (trouble == Fault.ONE_WAY ? i == first : i % 3 == first % 3) {
             String there = SimulatedWorld.host(up.get(i).address);
             world.unreachableHosts.add(there);
             world.after(millis, () -> world.unreachableHosts.remove(there));
@@ -87,7 +87,7 @@
     }
   }
 
-  private void strike(Beside beside) {
+  private void strike(SecondFault beside) {
     switch (beside) {
       case NOTHING -> {}
       case TAKEOVER -> kill(controllers.get(leaderIndex()), 6_000);
@@ -124,10 +124,10 @@
 
   /** All cells; more seeds of each by hand with {@code -Dpineladder.unlisted=100}. */
   static Stream<Arguments> cells() {
-    return Stream.of(Trouble.values())
+    return Stream.of(Fault.values())
         .flatMap(
             trouble ->
-                Stream.of(Beside.values())
+                Stream.of(SecondFault.values())
                     .flatMap(
                         beside ->
                             IntStream.range(0, Integer.getInteger("pineladder.unlisted", 1))
@@ -136,8 +136,8 @@
 
   @ParameterizedTest
   @MethodSource("cells")
-  void allIsKnownAndServed(Trouble trouble, Beside beside, int seed) {
-    int cell = trouble.ordinal() * Beside.values().length + beside.ordinal();
+  void servesAllJobsUnderTwoFaults(Fault trouble, SecondFault beside, int seed) {
+    int cell = trouble.ordinal() * SecondFault.values().length + beside.ordinal();
     Layout of = Layout.values()[(cell + seed) % Layout.values().length];
     begin(of, 9_000 + 100L * seed + cell);
     arrivals(12);
@@ -200,7 +200,7 @@
    * Room is held for one that has waited for long.
    */
   @Test
-  void aGangBeginsThoughSmallTasksOfItsRankTakeEachFreedPiece() {
+  void startsGangDespiteStreamOfSmallTasks() {
     begin(Layout.FLEET, 36);
     fleet.zoneCapacity = 2;
     for (int i = 0; i < 8; i++) {
--- a/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
@@ -37,7 +37,7 @@
    * Seen on the larger fleets: each acceptance cost a change of the store, which takes 35 a second.
    */
   @Test
-  void aBurstOfSubmissionsCostsFewChangesOfTheStore() {
+  void batchesBurstOfSubmissionsIntoFewStoreChanges() {
     begin(11);
     world.runFor(Duration.ofSeconds(5));
     String leader = host(leaderIndex());
@@ -105,7 +105,7 @@
    * A node that reaches the store and not the leader finds what the leader accepted into a page.
    */
   @Test
-  void aNodeWithoutLeaderAnswersForJobsInPages() throws Exception {
+  void nodeWithoutLeaderAnswersForJobsInPages() throws Exception {
     begin(13);
     world.runFor(Duration.ofSeconds(5));
     ObjectNode spec = jobSpec("service", 1, "red");
--- a/src/test/java/io/pineladder/sim/StarvationTest.java
+++ b/src/test/java/io/pineladder/sim/StarvationTest.java
@@ -20,7 +20,7 @@
    * two machines with room was taken to be at fault, kept off both, and waited for ever.
    */
   @Test
-  void aJobThatFailedByChanceWhereverThereIsRoomRunsAllTheSame() {
+  void retriesJobThatFailedOnAllMachinesWithCapacity() {
     begin(Layout.FLEET, 71);
     fleet.zoneCapacity = 2;
     for (double cards : new double[] {4, 3}) {
@@ -61,7 +61,7 @@
    */
   @ParameterizedTest
   @MethodSource("pressed")
-  void whereThereIsMoreWorkThanRoomNothingWaitsBesideRoom(Layout of, long seed) {
+  void starvesNoJobUnderOverload(Layout of, long seed) {
     begin(of, 5_000 + seed);
     fleet.zoneCapacity = of == Layout.SHORT ? 4 : 3;
     for (int i = 0; i < 200; i++) {
--- a/src/test/java/io/pineladder/sim/StateLossProcessTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossProcessTest.java
@@ -32,7 +32,7 @@
       List<String> open = new ArrayList<>();
       for (int n = 0; n < JOBS; n++) {
         if (n % 2 == 0) {
-          ended.add(DeliveryProcessTest.end(cluster, n));
+          ended.add(DeliveryProcessTest.submitAndCancel(cluster, n));
         } else {
           open.add(DeliveryProcessTest.submit(cluster, n));
         }
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -134,25 +134,25 @@
 
   @ParameterizedTest
   @MethodSource("days")
-  void whatIsLostIsRebuiltByControllersThatLive(Loss loss, long seed) {
+  void recoversFromReplicasOfAllControllers(Loss loss, long seed) {
     served(loss, Left.ALL, seed);
   }
 
   @ParameterizedTest
   @MethodSource("days")
-  void whatIsLostWithTheLeaderIsRebuiltByTheOthers(Loss loss, long seed) {
+  void recoversFromReplicasOfFollowers(Loss loss, long seed) {
     served(loss, Left.FOLLOWERS, seed);
   }
 
   @ParameterizedTest
   @MethodSource("days")
-  void whatIsLostWithAllControllersIsRebuiltFromSnapshots(Loss loss, long seed) {
+  void recoversFromSnapshots(Loss loss, long seed) {
     served(loss, Left.SNAPSHOTS, seed);
   }
 
   /** Found with real processes: a loss by which controllers lived, and one with them soon after. */
   @Test
-  void aSecondLossFindsWhatTheFirstHasLeft() {
+  void recoversFromSecondLossAfterFirst() {
     for (int i = 0; i < 3; i++) {
       snapshotStores.put(i, new InMemorySnapshotStore());
     }
@@ -170,7 +170,7 @@
 
   /** What earlier generations leave does not add up, however often data is lost. */
   @Test
-  void whatEarlierGenerationsLeaveIsClearedAway() {
+  void deletesKeysOfEarlierGenerations() {
     begin(79);
     allowsDataLoss = true;
     world.runFor(Duration.ofSeconds(4));
@@ -191,7 +191,7 @@
   /** Found with real processes: whoever had read nothing yet wrote that, and jobs were gone. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void aLossInAClustersFirstSecondsIsRebuiltByWhoKnowsMost(long seed) {
+  void recoversFromLossInFirstSeconds(long seed) {
     begin(90 + seed);
     allowsDataLoss = true;
     world.runFor(Duration.ofMillis(300));
@@ -206,7 +206,7 @@
 
   /** Nothing is left but a file that an operator has kept. */
   @Test
-  void aSnapshotThatIsHandedInBringsJobsBack() throws Exception {
+  void recoversFromImportedSnapshot() throws Exception {
     begin(77);
     allowsDataLoss = true;
     world.runFor(Duration.ofSeconds(4));
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -106,7 +106,7 @@
   /** Seen on laval-fleet: it was luck what a cut cost, by the node that led. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void whatRunsInAZoneLivesThroughItsCutWhoeverLeads(long seed) {
+  void keepsTasksOfPartitionedZone(long seed) {
     begin(600 + seed);
     fill();
     lead((int) seed % 3);
@@ -128,7 +128,7 @@
 
   @ParameterizedTest
   @MethodSource("seeds")
-  void zonesThatDoNotReachOneAnotherGoOn(long seed) {
+  void keepsTasksWhenZonesCannotReachEachOther(long seed) {
     begin(700 + seed);
     fill();
     lead((int) seed % 3);
@@ -146,7 +146,7 @@
 
   /** A task that nobody can reach may run for long, so its user is not told that it is gone. */
   @Test
-  void aJobInAZoneThatIsAwayIsCalledCancelledOnceItIsBack() {
+  void reportsCancellationOnceZoneIsReachable() {
     begin(800);
     fill();
     lead(0);
@@ -164,7 +164,7 @@
 
   /** Machines that have died are known by the cloud's list, and what they held runs elsewhere. */
   @Test
-  void aZoneThatIsLostForGoodIsReplaced() {
+  void recoversFromLossOfZone() {
     begin(801);
     fill();
     lead(0);
