--- a/src/scale/java/io/pineladder/sim/HollowWorkers.java
+++ b/src/scale/java/io/pineladder/sim/HollowWorkers.java
@@ -35,17 +35,17 @@
       String parentAddress,
       String ownAddress,
       List<String> controllers,
-      long reportMillis,
+      long heartbeatMillis,
       long leaseMillis)
       throws IOException {
     this.parentAddress = parentAddress;
     this.ownAddress = ownAddress;
     this.realTimeWorld = new RealTimeWorld(ownAddress.hashCode(), 100_000, traffic);
     this.fleet = new FakeFleet(realTimeWorld.world(), recorder, controllers);
-    fleet.reportMillis = reportMillis;
+    fleet.heartbeatMillis = heartbeatMillis;
     fleet.leaseMillis = leaseMillis;
     fleet.failsOneIn = 0;
-    fleet.reportsTaskExits = true;
+    fleet.sendsHeartbeatOnTaskExit = true;
     realTimeWorld
         .eventLoop()
         .execute(
--- a/src/scale/java/io/pineladder/sim/LoadGenerator.java
+++ b/src/scale/java/io/pineladder/sim/LoadGenerator.java
@@ -241,8 +241,8 @@
   }
 
   private static SafetyRules.ReportedState max(
-      SafetyRules.ReportedState one, SafetyRules.ReportedState other) {
-    return one.compareTo(other) > 0 ? one : other;
+      SafetyRules.ReportedState first, SafetyRules.ReportedState second) {
+    return first.compareTo(second) > 0 ? first : second;
   }
 
   private SafetyRules.ReportedState lastReportedState(SafetyRules.TrackedJob job) {
--- a/src/scale/java/io/pineladder/sim/ScaleCluster.java
+++ b/src/scale/java/io/pineladder/sim/ScaleCluster.java
@@ -22,31 +22,31 @@
 import java.util.stream.IntStream;
 
 /**
- * The processes of a scale run: controllers, hollow workers, and this process with the simulated
- * state service and cloud. All listen on loopback addresses; {@link #close} stops all of them.
+ * The processes of a scale run: controllers, hollow workers, and this process with the fake
+ * key-value store and cloud. All listen on loopback addresses; {@link #close} stops all of them.
  */
-final class ScaleCluster implements AutoCloseable, FakeFleet.Launcher {
+final class ScaleCluster implements AutoCloseable, FakeFleet.ExternalWorkers {
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(4);
   private static final long BOOT_INTERVAL_MILLIS = 50;
 
   /**
-   * Each worker has its own address 127.A.B.C; all use the port that is this far below {@code
-   * --port}.
+   * Each worker has an address 127.A.B.C of its own. All use the same port, lower than {@code
+   * --port} by this offset.
    */
   private static final int WORKER_PORT_OFFSET = 1_000;
 
   private final ScaleOptions options;
   private final Path directory;
   private final RealTimeWorld realTimeWorld;
-  private final TrafficCounters storeTraffic = new TrafficCounters();
+  private final TrafficCounters servicesTraffic = new TrafficCounters();
   private final TrafficCounters workerTraffic = new TrafficCounters();
   private final FakeKeyValueStore store;
   private final FakeFleet cloud;
   private final SafetyRules rules;
   private final TaskHistory history;
   private final Map<String, FakeFleet.Worker> workers = new HashMap<>();
-  private final List<String> userAddresses = new ArrayList<>();
-  private final List<String> peerAddresses = new ArrayList<>();
+  private final List<String> apiAddresses = new ArrayList<>();
+  private final List<String> clusterAddresses = new ArrayList<>();
   private final String controlAddress;
   private final Map<String, ArrayNode> pendingBoots = new LinkedHashMap<>();
   private final Map<String, Integer> workersByProcess = new HashMap<>();
@@ -95,12 +95,12 @@
                 type.hourlySpotPrice(),
                 type.bootSeconds(),
                 ScaleSettings.zones(options.zones)));
-    // All machines are up from the start, and no more can be rented.
+    // All machines are up from the start, and no more can be created.
     cloud.zoneCapacity = 0;
-    cloud.launcher = this;
+    cloud.externalWorkers = this;
     for (int i = 0; i < options.controllers; i++) {
-      userAddresses.add(loopbackAddress(10 + 2 * i));
-      peerAddresses.add(loopbackAddress(11 + 2 * i));
+      apiAddresses.add(loopbackAddress(10 + 2 * i));
+      clusterAddresses.add(loopbackAddress(11 + 2 * i));
     }
   }
 
@@ -124,20 +124,20 @@
     return store;
   }
 
-  TrafficCounters storeTraffic() {
-    return storeTraffic;
+  TrafficCounters servicesTraffic() {
+    return servicesTraffic;
   }
 
   TrafficCounters workerTraffic() {
     return workerTraffic;
   }
 
-  List<String> userAddresses() {
-    return userAddresses;
+  List<String> apiAddresses() {
+    return apiAddresses;
   }
 
-  List<String> peerAddresses() {
-    return peerAddresses;
+  List<String> clusterAddresses() {
+    return clusterAddresses;
   }
 
   /** Returns the number of running workers. */
@@ -160,7 +160,7 @@
     return pids;
   }
 
-  /** Starts the simulated state service and cloud; called on the event thread. */
+  /** Starts the fake key-value store and cloud; called on the event thread. */
   void startServices() {
     serve(loopbackAddress(0), store);
     serve(loopbackAddress(1), cloud);
@@ -171,13 +171,13 @@
     realTimeWorld.serve(
         address,
         (method, path, body, answer) -> {
-          storeTraffic.requestReceived(path, body.length);
+          servicesTraffic.requestReceived(path, body.length);
           handler.handle(
               method,
               path,
               body,
               response -> {
-                storeTraffic.responseSent(path, response.body().length);
+                servicesTraffic.responseSent(path, response.body().length);
                 answer.accept(response);
               });
         });
@@ -186,7 +186,7 @@
   void startControllers() throws IOException {
     ScaleSettings settings =
         new ScaleSettings(
-            options, loopbackAddress(0), loopbackAddress(1), userAddresses, peerAddresses);
+            options, loopbackAddress(0), loopbackAddress(1), apiAddresses, clusterAddresses);
     for (int i = 0; i < options.controllers; i++) {
       Files.writeString(settingsFile(i), settings.toml(i));
       controllerProcesses.add(startController(i));
@@ -244,7 +244,7 @@
                   HollowWorkers.class.getName(),
                   controlAddress,
                   workerProcessAddress(i),
-                  String.join(",", userAddresses),
+                  String.join(",", apiAddresses),
                   Long.toString((long) (options.reportSeconds * 1000)),
                   Long.toString((long) (options.leaseSeconds * 1000)))));
     }
--- a/src/scale/java/io/pineladder/sim/ScaleOptions.java
+++ b/src/scale/java/io/pineladder/sim/ScaleOptions.java
@@ -91,12 +91,14 @@
 
   @Option(
       names = "--store-changes",
-      description = "limit of changes per second of the state service (default: ${DEFAULT-VALUE})")
+      description =
+          "limit of changes per second of the key-value store (default: ${DEFAULT-VALUE})")
   double storeChanges = 1000;
 
   @Option(
       names = "--store-requests",
-      description = "limit of requests per second of the state service (default: ${DEFAULT-VALUE})")
+      description =
+          "limit of requests per second of the key-value store (default: ${DEFAULT-VALUE})")
   double storeRequests = 2000;
 
   @Option(
@@ -208,7 +210,7 @@
     return (int) Math.max(0, running - starts * runSeconds);
   }
 
-  Duration reportInterval() {
+  Duration heartbeatInterval() {
     return Duration.ofMillis((long) (reportSeconds * 1000));
   }
 }
--- a/src/scale/java/io/pineladder/sim/ScaleRun.java
+++ b/src/scale/java/io/pineladder/sim/ScaleRun.java
@@ -28,9 +28,9 @@
 import picocli.CommandLine.Mixin;
 
 /**
- * Runs real controllers with hollow workers, a simulated state service and cloud, and generated
- * load, all on loopback. Reports resource usage by role, and checks the safety rules over the whole
- * task history.
+ * Runs real controllers with hollow workers, a fake key-value store and cloud, and generated load,
+ * all on loopback. Reports resource usage by role, and checks the safety rules over the whole task
+ * history.
  */
 @Command(
     name = "scale-run",
@@ -155,13 +155,13 @@
         cluster,
         "workers",
         () -> getOnEventThread(realTimeWorld, cluster::runningWorkers) == options.workers);
-    Thread.sleep(2 * options.reportInterval().toMillis());
+    Thread.sleep(2 * options.heartbeatInterval().toMillis());
     printStatus(options.workers + " workers send heartbeats");
     SettingsChangeGenerator settings =
-        new SettingsChangeGenerator(realTimeWorld, cluster.peerAddresses());
+        new SettingsChangeGenerator(realTimeWorld, cluster.clusterAddresses());
     LoadGenerator load =
         new LoadGenerator(
-            options, realTimeWorld, cluster.rules(), cluster.history(), cluster.userAddresses());
+            options, realTimeWorld, cluster.rules(), cluster.history(), cluster.apiAddresses());
     runOnEventThread(realTimeWorld, () -> applyHistory(cluster));
     runOnEventThread(realTimeWorld, () -> settings.start(options.settingsPerMinute));
     runOnEventThread(realTimeWorld, load::start);
@@ -183,7 +183,7 @@
     runOnEventThread(realTimeWorld, () -> cluster.history().applyCompleteEvents());
   }
 
-  /** Applies complete events to the safety rules, repeatedly. */
+  /** Checks the events that are complete against the safety rules, every 100 ms. */
   private void applyHistory(ScaleCluster cluster) {
     try {
       cluster.history().applyCompleteEvents();
@@ -243,15 +243,16 @@
   }
 
   private boolean isReady(ScaleCluster cluster) {
-    return cluster.userAddresses().stream()
+    return cluster.apiAddresses().stream()
             .allMatch(address -> httpGet(cluster.realTimeWorld(), address, "/ready").hasStatus(200))
         && leaderIndex(cluster) >= 0;
   }
 
   private static int leaderIndex(ScaleCluster cluster) {
-    for (int i = 0; i < cluster.peerAddresses().size(); i++) {
+    for (int i = 0; i < cluster.clusterAddresses().size(); i++) {
       JsonNode status =
-          httpGetJson(cluster.realTimeWorld(), cluster.peerAddresses().get(i), "/admin/v1/status");
+          httpGetJson(
+              cluster.realTimeWorld(), cluster.clusterAddresses().get(i), "/admin/v1/status");
       if (status != null && status.path("leadership").asText().equals("leading")) {
         return i;
       }
@@ -340,12 +341,12 @@
     cluster
         .pids()
         .values()
-        .forEach(all -> all.forEach(pid -> initialStats.put(pid, ProcessStats.read(pid))));
+        .forEach(pids -> pids.forEach(pid -> initialStats.put(pid, ProcessStats.read(pid))));
     runOnEventThread(
         cluster.realTimeWorld(),
         () -> {
           cluster.workerTraffic().clear();
-          cluster.storeTraffic().clear();
+          cluster.servicesTraffic().clear();
           initialStoreRequests = cluster.store().requestCount;
           initialStoreChanges = Map.copyOf(cluster.store().changesByPrefix);
           cluster.history().setMeasuring(true);
@@ -406,17 +407,17 @@
               "settings_in_force_s", ScaleReport.percentilesInSeconds(settings.activationTimes()));
           out.put("settings_pending", settings.pendingChanges());
           addTraffic(out.putObject("workers_a_second"), cluster.workerTraffic(), seconds);
-          addTraffic(out.putObject("services_a_second"), cluster.storeTraffic(), seconds);
+          addTraffic(out.putObject("services_a_second"), cluster.servicesTraffic(), seconds);
         });
-    JsonNode takeovers =
+    JsonNode failovers =
         leader < 0
             ? null
             : httpGetJson(
                 cluster.realTimeWorld(),
-                cluster.peerAddresses().get(leader),
+                cluster.clusterAddresses().get(leader),
                 "/admin/v1/takeovers");
-    if (takeovers != null) {
-      out.set("takeovers", takeovers.get("latest"));
+    if (failovers != null) {
+      out.set("takeovers", failovers.get("latest"));
     }
     out.put("resident_mb_together", peakTotalResidentBytes / (1 << 20));
     report.addSeries("starts", startsPerSecond);
--- a/src/scale/java/io/pineladder/sim/ScaleSettings.java
+++ b/src/scale/java/io/pineladder/sim/ScaleSettings.java
@@ -20,20 +20,20 @@
   private final ScaleOptions options;
   private final String storeAddress;
   private final String cloudAddress;
-  private final List<String> userAddresses;
-  private final List<String> peerAddresses;
+  private final List<String> apiAddresses;
+  private final List<String> clusterAddresses;
 
   ScaleSettings(
       ScaleOptions options,
       String storeAddress,
       String cloudAddress,
-      List<String> userAddresses,
-      List<String> peerAddresses) {
+      List<String> apiAddresses,
+      List<String> clusterAddresses) {
     this.options = options;
     this.storeAddress = storeAddress;
     this.cloudAddress = cloudAddress;
-    this.userAddresses = userAddresses;
-    this.peerAddresses = peerAddresses;
+    this.apiAddresses = apiAddresses;
+    this.clusterAddresses = clusterAddresses;
   }
 
   static List<String> zones(int count) {
@@ -60,20 +60,20 @@
         Json.object()
             .put("member", "rung-" + index)
             .put("area", "z" + index % options.zones)
-            .put("front", userAddresses.get(index))
-            .put("cluster_listen", peerAddresses.get(index));
+            .put("front", apiAddresses.get(index))
+            .put("cluster_listen", clusterAddresses.get(index));
     ArrayNode seeds = root.putArray("seeds");
-    for (int i = 0; i < userAddresses.size(); i++) {
+    for (int i = 0; i < apiAddresses.size(); i++) {
       if (i != index) {
         seeds
             .addObject()
             .put("member", "rung-" + i)
             .put("area", "z" + i % options.zones)
-            .put("address", peerAddresses.get(i));
+            .put("address", clusterAddresses.get(i));
       }
     }
     root.putObject("external").put("cloud", cloudAddress).put("state", storeAddress);
-    ObjectNode deployment = root.putObject("deployment").put("count", userAddresses.size());
+    ObjectNode deployment = root.putObject("deployment").put("count", apiAddresses.size());
     zones(options.zones).forEach(deployment.putArray("zones")::add);
     deployment.put("time_bound_ms", 100.0);
     ArrayNode teams = deployment.putArray("teams");
--- a/src/scale/java/io/pineladder/sim/TaskHistory.java
+++ b/src/scale/java/io/pineladder/sim/TaskHistory.java
@@ -42,10 +42,13 @@
   /** Time of the first submission of each job, on the monotonic clock. */
   private final Map<String, Long> submittedNanos = new HashMap<>();
 
-  /** Gang tasks that wait for the rest of their gang, by {@code job#attempt}: worker by task. */
-  private final Map<String, Map<String, String>> waitingGangTasks = new HashMap<>();
+  /**
+   * The ready tasks of each incomplete gang, with their workers. The outer key is {@code
+   * job#attempt}.
+   */
+  private final Map<String, Map<String, String>> readyGangTasks = new HashMap<>();
 
-  /** Gang tasks whose gang is complete, by the process to be notified. */
+  /** Tasks of gangs that are complete, by the process to be notified. */
   private final Map<String, ArrayNode> releasedGangTasks = new HashMap<>();
 
   private final Map<String, String> processByWorker = new HashMap<>();
@@ -139,9 +142,9 @@
   private void updateGang(Event event) {
     String gang = event.taskId.substring(0, event.taskId.indexOf('/')) + "#" + event.attempt;
     if (event.kind == HollowTaskRecorder.EventKind.LEFT) {
-      Map<String, String> waiting = waitingGangTasks.get(gang);
-      if (waiting != null) {
-        waiting.remove(event.taskId);
+      Map<String, String> ready = readyGangTasks.get(gang);
+      if (ready != null) {
+        ready.remove(event.taskId);
       }
     } else if (event.kind == HollowTaskRecorder.EventKind.STARTED) {
       SafetyRules.TrackedJob job =
@@ -149,22 +152,25 @@
       if (!job.spec.get("shape").asText().equals("group")) {
         return;
       }
-      Map<String, String> waiting = waitingGangTasks.computeIfAbsent(gang, g -> new HashMap<>());
-      waiting.put(event.taskId, event.host);
-      if (waiting.size() == job.taskCount()) {
-        waiting.forEach(
+      Map<String, String> ready = readyGangTasks.computeIfAbsent(gang, g -> new HashMap<>());
+      ready.put(event.taskId, event.host);
+      if (ready.size() == job.taskCount()) {
+        ready.forEach(
             (taskId, host) ->
                 releasedGangTasks
                     .computeIfAbsent(processByWorker.get(host), p -> Json.array())
                     .addArray()
                     .add(host)
                     .add(taskId + "#" + event.attempt));
-        waitingGangTasks.remove(gang);
+        readyGangTasks.remove(gang);
       }
     }
   }
 
-  /** Applies all events that no earlier event can precede any more. */
+  /**
+   * Applies, in order, all events up to the time until which the events of every process are
+   * complete.
+   */
   void applyCompleteEvents() {
     long until = completeUntilNanos.values().stream().mapToLong(Long::longValue).min().orElse(0);
     while (!pendingEvents.isEmpty() && pendingEvents.peek().nanos < until) {
--- a/src/test/java/io/pineladder/LogLinesTest.java
+++ b/src/test/java/io/pineladder/LogLinesTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a log line above debug that the operations page does not describe, and against a
- * description of a line that no longer exists. Compared is the wording up to the first detail.
+ * Guards against log lines above debug that the operations page does not describe, and against
+ * descriptions of lines that no longer exist. Compares the wording up to the first detail.
  */
 class LogLinesTest {
   private static final Path SOURCES = Path.of("src/main/java");
@@ -31,7 +31,7 @@
 
   private static final Pattern LITERAL = Pattern.compile("\"((?:[^\"\\\\]|\\\\.)*)\"");
 
-  /** The first column of a table's row, without the table's head. */
+  /** The first column of a table row; does not match the table header. */
   private static final Pattern ROW = Pattern.compile("(?m)^\\| (`.*?) \\| ");
 
   private static final Pattern CODE = Pattern.compile("`([^`]+)`");
@@ -40,7 +40,7 @@
   private static final Pattern DETAILS = Pattern.compile(":? (?:\\w+=|\\{}$).*|:$");
 
   @Test
-  void eachLineAboveDebugIsDescribedOnTheOperationsPage() throws IOException {
+  void documentsEveryLogLineAboveDebug() throws IOException {
     Set<String> logged = loggedWordings();
     assertTrue(logged.size() > 50, "log calls found: " + logged.size());
     assertEquals(lines(logged), lines(describedWordings()));
--- a/src/test/java/io/pineladder/sim/BadInputTest.java
+++ b/src/test/java/io/pineladder/sim/BadInputTest.java
@@ -78,7 +78,7 @@
     begin(Layout.FLEET, 41);
     SafetyRules.TrackedJob done = submit(simpleJobSpec("array", 1).put("guess_s", 5));
     SafetyRules.TrackedJob cancelled = submit(simpleJobSpec("service", 1));
-    SafetyRules.TrackedJob runs = submit(simpleJobSpec("service", 1));
+    SafetyRules.TrackedJob running = submit(simpleJobSpec("service", 1));
     world.runFor(Duration.ofSeconds(50));
     cancel(cancelled);
     world.runFor(Duration.ofSeconds(20));
@@ -86,13 +86,13 @@
     String holder = String.valueOf(store.value("lead/holder"));
 
     String jobs = "/v1/jobs/";
-    Map<String, Integer> all = Map.of("200 done", REQUEST_COUNT);
+    Map<String, Integer> allDone = Map.of("200 done", REQUEST_COUNT);
     assertEquals(
-        all,
+        allDone,
         sendRepeatedly("POST", jobs + done.id + "/cancel", null),
         "cancelling a completed job has no effect");
     assertEquals(
-        all,
+        allDone,
         sendRepeatedly("POST", "/v1/jobs", Json.bytes(done.spec)),
         "a repeated submission creates no job");
     assertEquals(
@@ -120,15 +120,15 @@
           malformed);
     }
 
-    // Heartbeats of unknown machines, with known and unknown types, and stale ones of a known
+    // Heartbeats of unknown machines, with known and unknown types, and stale heartbeats of a known
     // machine.
     FakeFleet.Worker busy =
         fleet.runningWorkers().stream().filter(w -> !w.tasks.isEmpty()).findFirst().orElseThrow();
     List<byte[]> heartbeats = new ArrayList<>();
     heartbeats.add(heartbeat("m-999998", "g4", 1, 1, 0, null));
     heartbeats.add(heartbeat("m-999999", "no-such", 1, 1, 0, "req-000777/0"));
-    heartbeats.add(heartbeat("m-999997", "g4", 3, 900, 0, runs.id + "/0"));
-    heartbeats.add(heartbeat(busy.name, "g4", 0, 1, 0, runs.id + "/0"));
+    heartbeats.add(heartbeat("m-999997", "g4", 3, 900, 0, running.id + "/0"));
+    heartbeats.add(heartbeat(busy.name, "g4", 0, 1, 0, running.id + "/0"));
     heartbeats.add(heartbeat(busy.name, "g4", 1, 0, 0, null));
     heartbeats.add(heartbeat(busy.name, "g4", 0, Long.MAX_VALUE, 0, null));
     for (byte[] heartbeat : heartbeats) {
@@ -147,14 +147,14 @@
     world.runFor(Duration.ofSeconds(60));
     assertEquals(holder, String.valueOf(store.value("lead/holder")), "the leader keeps its term");
     assertTrue(store.generationPrefix().isEmpty(), "no data loss is assumed");
-    assertEquals(1, fleet.machinesHolding(runs.id).size(), "the running task is kept");
-    assertTrue(!runs.isFinished());
+    assertEquals(1, fleet.machinesHolding(running.id).size(), "the running task is kept");
+    assertTrue(!running.isFinished());
     settle(Duration.ofSeconds(30));
   }
 
   /**
-   * The expected status code by change of a valid job: a field to remove, or fields to set as
-   * {@code field=value,...}.
+   * The expected status code for each change to a valid job. A change is a field to remove, or
+   * fields to set as {@code field=value,...}.
    */
   private static final Map<String, Integer> STATUS_BY_CHANGE = new LinkedHashMap<>();
 
@@ -294,14 +294,15 @@
 
   private static Map<String, List<Integer>> expectedAnswers(
       int nodes, Predicate<Integer> selected, Integer replacement) {
-    Map<String, List<Integer>> all = new LinkedHashMap<>();
+    Map<String, List<Integer>> expected = new LinkedHashMap<>();
     STATUS_BY_CHANGE.forEach(
         (change, status) -> {
           if (selected.test(status)) {
-            all.put(change, Collections.nCopies(nodes, replacement == null ? status : replacement));
+            expected.put(
+                change, Collections.nCopies(nodes, replacement == null ? status : replacement));
           }
         });
-    return all;
+    return expected;
   }
 
   /** Guards against answers that differ between the leader, the followers and a leaderless node. */
@@ -319,8 +320,8 @@
     Predicate<Integer> malformed = status -> status == 400;
     assertEquals(expectedAnswers(2, malformed, null), submitChangedJobs(others, malformed));
     kill(controllers.get(leaderIndex()), 500);
-    // Without a leader each request needs reads of the key-value store, which are rate-limited: a
-    // node answers 503 when it has none left. The node that was just killed refuses connections.
+    // Without a leader each request needs reads of the key-value store. They are rate-limited, and
+    // a node answers 503 over the limit. The node that was just killed refuses connections.
     Predicate<Integer> unsatisfiable = status -> status == 422;
     Map<String, List<Integer>> found = submitChangedJobs(others, unsatisfiable);
     assertEquals(expectedAnswers(2, unsatisfiable, null).keySet(), found.keySet());
--- a/src/test/java/io/pineladder/sim/BehaviourDigest.java
+++ b/src/test/java/io/pineladder/sim/BehaviourDigest.java
@@ -150,13 +150,13 @@
         "lost-answers",
         FaultCombinationsTest::new,
         FaultCombinationsTest::toleratesLostStoreAnswers);
-    for (RandomFaultsTest.Fault trouble : RandomFaultsTest.Fault.values()) {
-      for (RandomFaultsTest.SecondFault beside : RandomFaultsTest.SecondFault.values()) {
-        if ((trouble.ordinal() + beside.ordinal()) % 2 == 0) {
+    for (RandomFaultsTest.Fault fault : RandomFaultsTest.Fault.values()) {
+      for (RandomFaultsTest.SecondFault secondFault : RandomFaultsTest.SecondFault.values()) {
+        if ((fault.ordinal() + secondFault.ordinal()) % 2 == 0) {
           add(
-              "unlisted-" + trouble.ordinal() + "-" + beside.ordinal(),
+              "unlisted-" + fault.ordinal() + "-" + secondFault.ordinal(),
               RandomFaultsTest::new,
-              cluster -> cluster.servesAllJobsUnderTwoFaults(trouble, beside, 0));
+              cluster -> cluster.servesAllJobsUnderTwoFaults(fault, secondFault, 0));
         }
       }
     }
--- a/src/test/java/io/pineladder/sim/ChainedJobsTest.java
+++ b/src/test/java/io/pineladder/sim/ChainedJobsTest.java
@@ -33,14 +33,14 @@
   private boolean[] upgraded = new boolean[5];
 
   @Override
-  Settings.StoreLimits storeLimits(int index, Settings.StoreLimits inForce) {
+  Settings.StoreLimits storeLimits(int index, Settings.StoreLimits current) {
     Settings.StoreLimits next =
         new Settings.StoreLimits(
-            inForce.requestsPerSecond(),
+            current.requestsPerSecond(),
             LOWERED_CHANGES_PER_SECOND,
             LOWERED_VALUE_BYTES,
             LOWERED_TXN_OPS);
-    return upgraded[index] ? inForce.strictest(next) : inForce;
+    return upgraded[index] ? current.strictest(next) : current;
   }
 
   @Override
@@ -69,7 +69,9 @@
     return submit(dependentJob(tasks, List.of(dependencies)));
   }
 
-  /** Submits a pipeline of three stages, each once its dependencies are accepted. */
+  /**
+   * Submits a pipeline of three stages; each stage is submitted once its dependencies are accepted.
+   */
   private void submitPipeline(int fan) {
     SafetyRules.TrackedJob first = submit(dependentJob(2, List.of()));
     List<SafetyRules.TrackedJob> middle = new ArrayList<>();
@@ -88,11 +90,11 @@
         });
   }
 
-  private void runOnceAccepted(List<SafetyRules.TrackedJob> jobs, Runnable then) {
+  private void runOnceAccepted(List<SafetyRules.TrackedJob> jobs, Runnable action) {
     if (jobs.stream().allMatch(job -> job.accepted)) {
-      then.run();
+      action.run();
     } else {
-      schedule(100, () -> runOnceAccepted(jobs, then));
+      schedule(100, () -> runOnceAccepted(jobs, action));
     }
   }
 
@@ -148,19 +150,19 @@
     assertEquals(400, submissionStatus(spec.deepCopy().set("waits_on", Json.array().add("job-1"))));
     assertEquals(
         422, submissionStatus(spec.deepCopy().set("waits_on", Json.array().add("req-999999"))));
-    ObjectNode itself = spec.deepCopy();
-    itself.set("waits_on", Json.array().add(spec.get("ref").asText()));
-    assertEquals(422, submissionStatus(itself));
-    ObjectNode good = spec.deepCopy();
-    good.set("waits_on", Json.array().add(known.id).add(known.id));
-    SafetyRules.TrackedJob job = trackJob(good);
-    assertEquals(201, submissionStatus(good));
+    ObjectNode selfDependent = spec.deepCopy();
+    selfDependent.set("waits_on", Json.array().add(spec.get("ref").asText()));
+    assertEquals(422, submissionStatus(selfDependent));
+    ObjectNode valid = spec.deepCopy();
+    valid.set("waits_on", Json.array().add(known.id).add(known.id));
+    SafetyRules.TrackedJob job = trackJob(valid);
+    assertEquals(201, submissionStatus(valid));
     job.accepted = true;
     // A repeated submission returns the status, whatever dependencies it names.
-    assertEquals(200, submissionStatus(itself));
-    ObjectNode nothing = simpleJobSpec("array", 1).putNull("waits_on");
-    trackJob(nothing).accepted = true;
-    assertEquals(201, submissionStatus(nothing));
+    assertEquals(200, submissionStatus(selfDependent));
+    ObjectNode nullDependencies = simpleJobSpec("array", 1).putNull("waits_on");
+    trackJob(nullDependencies).accepted = true;
+    assertEquals(201, submissionStatus(nullDependencies));
     rules.jobs.values().forEach(this::poll);
     settle(Duration.ofSeconds(60));
   }
@@ -191,7 +193,9 @@
     assertFinalStates();
   }
 
-  /** Guards against cancelled dependents of a job that completed before it was cancelled. */
+  /**
+   * Guards against cancellation of the dependents of a job that completed before its cancellation.
+   */
   @Test
   void runsDependentsOfJobDoneBeforeItsCancellation() {
     beginUpgraded(Layout.FLEET, 4);
@@ -206,7 +210,9 @@
     assertTrue(second.done);
   }
 
-  /** Guards against use of the new version, such as dependencies, before all are upgraded. */
+  /**
+   * Guards against use of new features, such as dependencies, before all controllers support them.
+   */
   @Test
   void raisesVersionOnceAllControllersSupportIt() {
     upgraded = new boolean[] {true, true, false};
@@ -226,7 +232,10 @@
     assertTrue(second.done);
   }
 
-  /** Guards against a controller that serves or leads though the records are of a newer version. */
+  /**
+   * Guards against a controller that serves or leads although it does not support the stored
+   * version.
+   */
   @Test
   void outdatedControllerRejectsRequests() {
     beginUpgraded(Layout.FLEET, 6);
@@ -250,7 +259,7 @@
                     .mapToObj(seed -> Arguments.of(layout, seed)));
   }
 
-  private void arrivals(int steps, boolean chained) {
+  private void submitJobs(int steps, boolean chained) {
     for (int i = 0; i < steps; i++) {
       if (chained && i % 3 == 0) {
         submitPipeline(1 + world.random.nextInt(3));
@@ -284,7 +293,7 @@
         world.runFor(Duration.ofMillis(700));
       }
     }
-    arrivals(8, false);
+    submitJobs(8, false);
     for (Controller each : controllers) {
       upgraded[each.index] = true;
       kill(each, randomBetween(2_000, 7_000));
@@ -296,7 +305,7 @@
                     controllers.get(world.random.nextInt(layout.nodes)),
                     randomBetween(500, 6_000)));
       }
-      arrivals(6, false);
+      submitJobs(6, false);
     }
     world.runFor(Duration.ofMillis(randomBetween(0, 6_000)));
     store.lowerLimits(LOWERED_TXN_OPS, LOWERED_VALUE_BYTES, LOWERED_CHANGES_PER_SECOND);
@@ -306,10 +315,10 @@
       schedule(randomBetween(0, 30_000), () -> storeOutage(randomBetween(2_000, 20_000)));
     }
     store.delayedTransactionRate = world.random.nextInt(3) == 0 ? 0.1 : 0;
-    arrivals(25, true);
+    submitJobs(25, true);
     store.delayedTransactionRate = 0;
     sendsRequestBursts = world.random.nextBoolean();
-    arrivals(10, true);
+    submitJobs(10, true);
     sendsRequestBursts = false;
     world.runFor(Duration.ofSeconds(60));
     rules.faultsEndedAt = world.now();
--- a/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ClusterSimulationTest.java
@@ -40,12 +40,12 @@
     begin(5);
     world.runFor(Duration.ofSeconds(5));
     int leader = leaderIndex();
-    String leading = "10.0.0." + (leader + 1);
-    String alone = "10.0.0." + ((leader + 1) % 3 + 1);
-    String peer = "10.0.0." + ((leader + 2) % 3 + 1);
-    world.cut(alone, "10.2.0.1");
-    world.cut(alone, leading);
-    world.cut(peer, leading);
+    String leaderHost = "10.0.0." + (leader + 1);
+    String isolatedHost = "10.0.0." + ((leader + 1) % 3 + 1);
+    String peerHost = "10.0.0." + ((leader + 2) % 3 + 1);
+    world.cut(isolatedHost, "10.2.0.1");
+    world.cut(isolatedHost, leaderHost);
+    world.cut(peerHost, leaderHost);
     world.runFor(Duration.ofSeconds(8));
     int[] status = new int[1];
     ObjectNode spec = jobSpec("array", 2, "red");
@@ -54,14 +54,18 @@
         .httpClient("user", () -> true)
         .call(
             new AsyncHttpClient.Request(
-                alone + ":8080", "POST", "/v1/jobs", Json.bytes(spec), Duration.ofSeconds(5)),
+                isolatedHost + ":8080",
+                "POST",
+                "/v1/jobs",
+                Json.bytes(spec),
+                Duration.ofSeconds(5)),
             reply -> status[0] = reply.status());
     world.runFor(Duration.ofSeconds(5));
     assertEquals(201, status[0]);
     job.accepted = true;
-    world.heal(alone, "10.2.0.1");
-    world.heal(alone, leading);
-    world.heal(peer, leading);
+    world.heal(isolatedHost, "10.2.0.1");
+    world.heal(isolatedHost, leaderHost);
+    world.heal(peerHost, leaderHost);
     poll(job);
     settle(Duration.ofMinutes(2));
   }
--- a/src/test/java/io/pineladder/sim/ConfigurableCluster.java
+++ b/src/test/java/io/pineladder/sim/ConfigurableCluster.java
@@ -17,11 +17,13 @@
     PAIR(2, List.of("a", "b")),
     /** Like {@link #FLEET}, but in a single zone. */
     ONE_ZONE(3, List.of("a")),
-    /** Machines with GPUs, reports every 3 s, leases of 20 s. */
+    /**
+     * Three controllers in two zones, machines with GPUs, heartbeats every 3 s and leases of 20 s.
+     */
     FLEET(3, List.of("a", "b")),
     /**
-     * Two machine types without GPUs, one of which is missing in zone c; reports every second and
-     * leases of 11 s.
+     * Five controllers in three zones, two machine types without GPUs, of which zone c offers only
+     * one, heartbeats every second and leases of 11 s.
      */
     SHORT(5, List.of("a", "b", "c"));
 
@@ -83,7 +85,10 @@
         defaults.coreShare());
   }
 
-  /** The store limits in the settings of a controller. */
+  /**
+   * The store limits that a controller respects, given the current ones; see {@link
+   * Settings#storeLimits}.
+   */
   Settings.StoreLimits storeLimits(int index, Settings.StoreLimits current) {
     return current;
   }
@@ -107,7 +112,7 @@
               new FakeFleet.MachineType("small", 8, 0, 16, 0.25, 0.5, 0.11, 8, selected.zones),
               new FakeFleet.MachineType("large", 64, 0, 128, 1, 3.86, 0.84, 12, List.of("a", "b")));
       fleet.leaseMillis = 11_000;
-      fleet.reportMillis = 1_000;
+      fleet.heartbeatMillis = 1_000;
     }
     world.runFor(Duration.ofSeconds(5));
   }
--- a/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
+++ b/src/test/java/io/pineladder/sim/DeliveryProcessTest.java
@@ -134,9 +134,9 @@
       }
       ExecutorService users = Executors.newFixedThreadPool(4);
       AtomicInteger next = new AtomicInteger();
-      List<Future<?>> all = new ArrayList<>();
+      List<Future<?>> userTasks = new ArrayList<>();
       for (int i = 0; i < 4; i++) {
-        all.add(
+        userTasks.add(
             users.submit(
                 (Callable<Void>)
                     () -> {
@@ -152,7 +152,7 @@
       }
       int kills = 0;
       Instant deadline = Instant.now().plus(TEST_TIMEOUT);
-      while (!all.stream().allMatch(Future::isDone) || kills < 6) {
+      while (!userTasks.stream().allMatch(Future::isDone) || kills < 6) {
         assertTrue(Instant.now().isBefore(deadline), "users did not finish before the deadline");
         Thread.sleep(300 + random.nextInt(700));
         kills++;
@@ -164,7 +164,7 @@
           receivers.set(killed, startReceiver(cluster, killed, addresses.get(killed)));
         }
       }
-      for (Future<?> each : all) {
+      for (Future<?> each : userTasks) {
         each.get();
       }
       users.shutdown();
--- a/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/DeliverySimulationTest.java
@@ -40,7 +40,7 @@
         }
       };
 
-  /** A receiver and the jobs whose ends it subscribes to. */
+  /** A receiver and the filter of the jobs that it is notified of. */
   private record Subscriber(FakeReceiver receiver, Predicate<ObjectNode> filter) {}
 
   private final Map<String, Subscriber> subscribers = new LinkedHashMap<>();
@@ -71,8 +71,8 @@
 
   /** Repeats a request to the nodes in turn until one answers with the expected status. */
   private ObjectNode adminRequest(String method, String path, ObjectNode body, int expected) {
-    for (int tries = 0; tries < 300; tries++) {
-      AsyncHttpClient.Reply[] got = sendAdminRequest(method, path, body, 1 + tries % 3);
+    for (int attempt = 0; attempt < 300; attempt++) {
+      AsyncHttpClient.Reply[] got = sendAdminRequest(method, path, body, 1 + attempt % 3);
       world.runFor(Duration.ofMillis(200));
       for (int i = 0; i < 60 && got[0] == null; i++) {
         world.runFor(Duration.ofMillis(100));
@@ -177,7 +177,7 @@
     assertEquals(0, getSubscription("all").get("backlog").asInt());
   }
 
-  /** Ends jobs in bulk: submits all, then cancels all. */
+  /** Submits jobs, then cancels all of them. */
   private void submitAndCancelJobs(int count) {
     List<SafetyRules.TrackedJob> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -189,7 +189,7 @@
     all.forEach(job -> assertTrue(job.isFinished(), job.id + " is not over"));
   }
 
-  /** The subscriptions while changes are counted. */
+  /** The state of the subscriptions while store changes are counted. */
   private enum SubscriptionState {
     NONE,
     ACTIVE,
@@ -342,9 +342,9 @@
     begin(4);
     world.runFor(Duration.ofSeconds(5));
     FakeReceiver receiver = subscribe("desk", List.of(), List.of());
-    ObjectNode faulty = Json.object().put("url", "ftp://example.org/").put("colour", "red");
-    assertEquals(2, adminRequest("PUT", "subscriptions/other", faulty, 400).get("faults").size());
-    adminRequest("PUT", "subscriptions/Other", faulty, 400);
+    ObjectNode invalid = Json.object().put("url", "ftp://example.org/").put("colour", "red");
+    assertEquals(2, adminRequest("PUT", "subscriptions/other", invalid, 400).get("faults").size());
+    adminRequest("PUT", "subscriptions/Other", invalid, 400);
     adminRequest("GET", "subscriptions/other", null, 404);
     adminRequest("DELETE", "subscriptions", null, 405);
     ObjectNode networks = Json.object();
@@ -352,8 +352,8 @@
     assertEquals(
         "/networks/1",
         adminRequest("PUT", "networks", networks, 400).at("/faults/0/pointer").asText());
-    String all = adminRequest("GET", "subscriptions", null, 200).toString();
-    assertTrue(!all.contains("whsec"), all);
+    String shown = adminRequest("GET", "subscriptions", null, 200).toString();
+    assertTrue(!shown.contains("whsec"), shown);
     assertTrue(!store.value("conf/subscription/desk").toString().contains("whsec"));
     adminRequest("POST", "subscriptions/desk/pause", null, 200);
     submit(jobSpec("array", 1, "red"));
--- a/src/test/java/io/pineladder/sim/FakeFleet.java
+++ b/src/test/java/io/pineladder/sim/FakeFleet.java
@@ -18,13 +18,15 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** A fake cloud provider and the workers on its machines; task events go to a watcher. */
+/**
+ * A fake cloud provider and the workers on its machines. Task events go to a {@link TaskWatcher}.
+ */
 final class FakeFleet implements AsyncHttpHandler {
   static final String ADDRESS = "10.2.0.2:8443";
   private static final int DEFAULT_ZONE_CAPACITY = 12;
   private static final int PAGE_SIZE = 500;
 
-  /** Workers ignore answers to reports that take longer than this. */
+  /** Workers ignore answers to heartbeats that take longer than this. */
   private static final long RESPONSE_TIMEOUT_MILLIS = 4_000;
 
   private final SimulatedWorld world;
@@ -40,8 +42,8 @@
 
   long leaseMillis = 20_000;
 
-  /** The mean interval between two reports of a worker. */
-  long reportMillis = 3_000;
+  /** The mean interval between two heartbeats of a worker. */
+  long heartbeatMillis = 3_000;
 
   /** A machine type with its prices, image download rate and typical boot time. */
   record MachineType(
@@ -64,16 +66,19 @@
     return Resources.of(found.cpus, found.gpus, found.memoryGb);
   }
 
-  /** The fraction of reports of which a random controller gets a copy, up to three leases late. */
-  double duplicateReportRate;
+  /**
+   * The fraction of heartbeats that are also delivered to a random controller, up to three lease
+   * durations late.
+   */
+  double duplicateHeartbeatRate;
 
-  /** Whether a worker also sends a report as soon as a task has exited. */
-  boolean reportsTaskExits;
+  /** Whether a worker also sends a heartbeat as soon as a task has exited. */
+  boolean sendsHeartbeatOnTaskExit;
 
-  /** Whether duplicated reports are held back until {@link #deliverRetainedReports}. */
-  boolean retainsReportCopies;
+  /** Whether copies of heartbeats are held back until {@link #deliverRetainedHeartbeats}. */
+  boolean retainsHeartbeatCopies;
 
-  private final List<byte[]> retainedReports = new ArrayList<>();
+  private final List<byte[]> retainedHeartbeats = new ArrayList<>();
 
   /** Whether machines boot within two seconds. */
   boolean fastBoots;
@@ -84,8 +89,8 @@
   /** One in this many tasks outside of gangs fails; 0 for none. */
   int failsOneIn = 40;
 
-  /** Runs the workers of rented machines elsewhere, such as in processes of their own. */
-  interface Launcher {
+  /** Runs the workers outside of this process. */
+  interface ExternalWorkers {
     /** The address of the worker with this number. */
     String address(int number);
 
@@ -94,15 +99,15 @@
     void end(Worker worker);
   }
 
-  /** Runs the workers; if null, they run in this process. */
-  Launcher launcher;
+  /** Runs the workers; null to run them in this process. */
+  ExternalWorkers externalWorkers;
 
   /** Whether half of the machines boot late or never. */
   boolean unreliableBoots;
 
-  FakeFleet(SimulatedWorld world, TaskWatcher rules, List<String> controllers) {
+  FakeFleet(SimulatedWorld world, TaskWatcher taskWatcher, List<String> controllers) {
     this.world = world;
-    this.taskWatcher = rules;
+    this.taskWatcher = taskWatcher;
     this.controllers = controllers;
   }
 
@@ -116,7 +121,7 @@
       if (path.equals("/flavors")) {
         answer.accept(ok(flavors()));
       } else if (path.equals("/rentals")) {
-        answer.accept(rent(Json.parseObject(body)));
+        answer.accept(rentMachines(Json.parseObject(body)));
       } else if (path.equals("/rentals/release")) {
         for (JsonNode name : Json.parseObject(body).get("hosts")) {
           Worker worker = machines.remove(name.asText());
@@ -159,7 +164,7 @@
     return out;
   }
 
-  private HttpResponse rent(ObjectNode request) {
+  private HttpResponse rentMachines(ObjectNode request) {
     String id = request.get("charter").asText();
     if (rentalAnswers.containsKey(id)) {
       return ok(rentalAnswers.get(id));
@@ -198,12 +203,12 @@
   }
 
   private String nextAddress() {
-    return launcher == null
+    return externalWorkers == null
         ? "10.1.0." + lastMachineNumber + ":9000"
-        : launcher.address(lastMachineNumber);
+        : externalWorkers.address(lastMachineNumber);
   }
 
-  /** Runs the worker of a machine that another process has rented out. */
+  /** Runs the worker of a machine that the cloud in another process has created. */
   void runWorker(String name, String address, String type, String zone, boolean spot) {
     Worker worker = new Worker(name, address, type, zone, spot);
     machines.put(name, worker);
@@ -255,8 +260,8 @@
     /** Whether the image has been fetched and the task has not exited. */
     boolean onMachine;
 
-    Task(String piece, long attempt) {
-      this.id = piece;
+    Task(String id, long attempt) {
+      this.id = id;
       this.attempt = attempt;
     }
 
@@ -280,13 +285,19 @@
     boolean up;
     boolean ended;
     private long epoch = 1;
-    private long reportSequence;
+
+    /** The sequence number sent in heartbeats; restarts with each agent epoch. */
+    private long heartbeatSequence;
+
     private long fencingToken;
     private int controllerIndex;
     private long leaseRenewedAtMillis;
-    private long reportNumber;
-    private boolean reportInFlight;
-    private boolean exitReportScheduled;
+
+    /** Counts heartbeats in this process; replies to all but the last one are ignored. */
+    private long heartbeatNumber;
+
+    private boolean heartbeatInFlight;
+    private boolean exitHeartbeatScheduled;
 
     Worker(String name, String address, String type, String zone, boolean spot) {
       this.name = name;
@@ -301,14 +312,14 @@
         return;
       }
       up = true;
-      if (launcher != null) {
-        launcher.boot(this);
+      if (externalWorkers != null) {
+        externalWorkers.boot(this);
         return;
       }
       world.serve(address, this);
       leaseRenewedAtMillis = world.now().toEpochMilli();
       controllerIndex = world.random.nextInt(controllers.size());
-      sendReport();
+      sendHeartbeat();
       checkLease();
     }
 
@@ -316,8 +327,8 @@
     void end() {
       ended = true;
       up = false;
-      if (launcher != null) {
-        launcher.end(this);
+      if (externalWorkers != null) {
+        externalWorkers.end(this);
         return;
       }
       world.stop(address);
@@ -342,13 +353,13 @@
         List.copyOf(tasks.values()).forEach(this::notifyLeft);
         tasks.clear();
         epoch++;
-        reportSequence = 0;
+        heartbeatSequence = 0;
         leaseRenewedAtMillis = world.now().toEpochMilli();
       }
       world.after(100, this::checkLease);
     }
 
-    private ObjectNode buildReport() {
+    private ObjectNode buildHeartbeat() {
       ObjectNode out =
           Json.object()
               .put("host", name)
@@ -357,7 +368,7 @@
               .put("yard", zone)
               .put("loaners", spot)
               .put("shift", epoch)
-              .put("tally", ++reportSequence)
+              .put("tally", ++heartbeatSequence)
               .put("baton", fencingToken);
       ArrayNode pieces = out.putArray("pieces");
       for (Task task : tasks.values()) {
@@ -374,18 +385,18 @@
       return out;
     }
 
-    private void sendReport() {
+    private void sendHeartbeat() {
       if (ended) {
         return;
       }
-      long number = ++reportNumber;
-      reportInFlight = true;
+      long number = ++heartbeatNumber;
+      heartbeatInFlight = true;
       long sentEpoch = epoch;
       long sentMillis = world.now().toEpochMilli();
-      byte[] body = Json.bytes(buildReport());
-      if (retainsReportCopies && world.random.nextDouble() < duplicateReportRate) {
-        retainedReports.add(body);
-      } else if (duplicateReportRate > 0 && world.random.nextDouble() < duplicateReportRate) {
+      byte[] body = Json.bytes(buildHeartbeat());
+      if (retainsHeartbeatCopies && world.random.nextDouble() < duplicateHeartbeatRate) {
+        retainedHeartbeats.add(body);
+      } else if (duplicateHeartbeatRate > 0 && world.random.nextDouble() < duplicateHeartbeatRate) {
         String target = controllers.get(world.random.nextInt(controllers.size()));
         world.deliverDuplicate(
             AsyncHttpClient.Request.post(target, "/v1/report", body, Duration.ofSeconds(4)),
@@ -396,8 +407,8 @@
           AsyncHttpClient.Request.post(
               controllers.get(controllerIndex), "/v1/report", body, Duration.ofSeconds(4)),
           reply -> {
-            if (number == reportNumber) {
-              reportInFlight = false;
+            if (number == heartbeatNumber) {
+              heartbeatInFlight = false;
               onReply(reply, sentEpoch, sentMillis);
             }
           });
@@ -415,43 +426,45 @@
             leaseRenewedAtMillis = sentMillis;
             execute(response.get("orders"));
           }
-          scheduleReport(
-              higher ? 500 : reportMillis * 3 / 4 + world.random.nextInt((int) reportMillis / 2));
+          scheduleHeartbeat(
+              higher
+                  ? 500
+                  : heartbeatMillis * 3 / 4 + world.random.nextInt((int) heartbeatMillis / 2));
           return;
         }
         JsonNode leader =
             reply.hasStatus(421) ? Json.parseObject(reply.body()).get("foreman") : null;
         if (leader != null) {
           controllerIndex = Integer.parseInt(leader.asText().substring("rung-".length()));
-          scheduleReport(world.random.nextInt(500));
+          scheduleHeartbeat(world.random.nextInt(500));
           return;
         }
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
       controllerIndex = (controllerIndex + 1) % controllers.size();
-      scheduleReport(1_000);
+      scheduleHeartbeat(1_000);
     }
 
-    /** Sends a report after the delay, unless another one was sent in the meantime. */
-    private void scheduleReport(long millis) {
-      long number = reportNumber;
+    /** Sends a heartbeat after the delay, unless another one was sent in the meantime. */
+    private void scheduleHeartbeat(long millis) {
+      long number = heartbeatNumber;
       world.after(
           millis,
           () -> {
-            if (number == reportNumber) {
-              sendReport();
+            if (number == heartbeatNumber) {
+              sendHeartbeat();
             }
           });
     }
 
-    private void execute(JsonNode orders) {
-      for (JsonNode order : orders) {
-        String taskId = order.get("piece").asText();
-        long attempt = order.get("try").asLong();
+    private void execute(JsonNode commands) {
+      for (JsonNode command : commands) {
+        String taskId = command.get("piece").asText();
+        long attempt = command.get("try").asLong();
         String key = taskId + "#" + attempt;
         Task task = tasks.get(key);
-        switch (order.get("verb").asText()) {
+        switch (command.get("verb").asText()) {
           case "start" -> {
             if (task == null) {
               startFetch(key, new Task(taskId, attempt));
@@ -524,20 +537,21 @@
       task.status = "ended";
       task.exitCause = cause;
       notifyLeft(task);
-      if (reportsTaskExits && !exitReportScheduled) {
-        // Reports the exit at once, but at least 500 ms after the last answered report was sent.
-        exitReportScheduled = true;
-        long lastReportMillis = leaseRenewedAtMillis;
-        long wait = Math.max(0, lastReportMillis + 500 - world.now().toEpochMilli());
-        world.after(wait, this::sendExitReport);
+      if (sendsHeartbeatOnTaskExit && !exitHeartbeatScheduled) {
+        // Sends the heartbeat at once, but at least 500 ms after the last heartbeat that was
+        // answered.
+        exitHeartbeatScheduled = true;
+        long lastHeartbeatMillis = leaseRenewedAtMillis;
+        long delayMillis = Math.max(0, lastHeartbeatMillis + 500 - world.now().toEpochMilli());
+        world.after(delayMillis, this::sendExitHeartbeat);
       }
     }
 
-    private void sendExitReport() {
-      exitReportScheduled = false;
-      if (!ended && !reportInFlight) {
-        reportNumber++;
-        sendReport();
+    private void sendExitHeartbeat() {
+      exitHeartbeatScheduled = false;
+      if (!ended && !heartbeatInFlight) {
+        heartbeatNumber++;
+        sendHeartbeat();
       }
     }
 
@@ -551,14 +565,17 @@
           fencingToken = receivedToken;
           execute(request.get("orders"));
         }
-        answer.accept(new HttpResponse(accepted ? 200 : 409, Json.bytes(buildReport())));
+        answer.accept(new HttpResponse(accepted ? 200 : 409, Json.bytes(buildHeartbeat())));
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
       }
     }
   }
 
-  /** The names of machines with a task of the job that has not exited, even one still fetching. */
+  /**
+   * The names of machines with a task of the job that has not exited, including tasks that still
+   * fetch their image.
+   */
   List<String> machinesHolding(String job) {
     return machines.values().stream()
         .filter(
@@ -569,19 +586,22 @@
         .toList();
   }
 
-  /** Delivers the retained reports to every controller, at random times within two leases. */
-  void deliverRetainedReports() {
-    for (byte[] body : retainedReports) {
+  /**
+   * Delivers the retained heartbeats to every controller, at random times within two lease
+   * durations.
+   */
+  void deliverRetainedHeartbeats() {
+    for (byte[] body : retainedHeartbeats) {
       for (String controller : controllers) {
         world.deliverDuplicate(
             AsyncHttpClient.Request.post(controller, "/v1/report", body, Duration.ofSeconds(4)),
             world.random.nextInt(2) == 0 ? 0 : world.random.nextLong(2 * leaseMillis));
       }
     }
-    retainedReports.clear();
+    retainedHeartbeats.clear();
   }
 
-  /** Removes the machine without notice to any controller. */
+  /** Terminates the machine without notifying any controller. */
   void failMachine(Worker worker) {
     machines.remove(worker.name);
     worker.end();
--- a/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
+++ b/src/test/java/io/pineladder/sim/FakeKeyValueStore.java
@@ -53,7 +53,7 @@
    */
   private boolean limitsLowered;
 
-  /** Transactions rejected because a value exceeds the lowered limit. */
+  /** The number of transactions rejected because a value exceeds the lowered limit. */
   int oversizedTransactions;
 
   private final TreeMap<String, Value> keys = new TreeMap<>();
@@ -70,7 +70,9 @@
   /** The fraction of transactions that are executed at once but get no answer. */
   double lostAnswerRate;
 
-  /** Successful transactions without an answer, by the key prefixes they change. */
+  /**
+   * The number of successful transactions whose answer was lost, by the key prefixes they change.
+   */
   final Map<String, Integer> lostAnswersByPrefix = new TreeMap<>();
 
   /** Called with each key that a transaction has changed. */
@@ -79,10 +81,12 @@
   /** Whether each successful transaction is executed a second time 2 to 12 s later. */
   boolean replaysTransactions;
 
-  /** Transactions executed a second time, by the key prefixes they change. */
+  /** The number of transactions executed a second time, by the key prefixes they change. */
   final Map<String, Integer> replaysByPrefix = new TreeMap<>();
 
-  /** Those of them that succeeded the second time. */
+  /**
+   * The number of transactions whose second execution succeeded, by the key prefixes they change.
+   */
   final Map<String, Integer> effectiveReplaysByPrefix = new TreeMap<>();
 
   /** Limits the rate of requests, if set; requests over a limit are answered with 429. */
@@ -91,7 +95,7 @@
   /** Limits the rate of changes in transactions; set together with the limit on requests. */
   TokenBucket changeLimit;
 
-  /** Requests answered with 429. */
+  /** The number of requests answered with 429. */
   int rateLimitedRequests;
 
   /** Maximum entries in one page of a listing; small, so that every test reads several pages. */
@@ -106,10 +110,10 @@
   /** Answers are delayed at random by less than this; 0 for no delay. */
   int maxAnswerDelayMillis;
 
-  /** Puts and deletes so far, by key prefix. */
+  /** The number of writes and removals so far, by key prefix. */
   final Map<String, Integer> changesByPrefix = new HashMap<>();
 
-  /** Requests so far, including rejected ones. */
+  /** The number of requests so far, including rejected ones. */
   int requestCount;
 
   FakeKeyValueStore(SimulatedWorld world, int txnOps, int valueBytes) {
@@ -153,12 +157,12 @@
   }
 
   /** Whether the placement of this task attempt on this machine is stored. */
-  boolean hasPlacement(String machine, String piece, long attempt) {
+  boolean hasPlacement(String machine, String taskId, long attempt) {
     String pagePrefix = generationPrefix() + "placed/";
     for (Value page : keys.subMap(pagePrefix, pagePrefix + Character.MAX_VALUE).values()) {
       for (JsonNode entry : page.value.path("entries")) {
         if (entry.get(0).asText().equals(machine)
-            && (entry.get(5).asText() + "/" + entry.get(6).asText()).equals(piece)
+            && (entry.get(5).asText() + "/" + entry.get(6).asText()).equals(taskId)
             && entry.get(7).asLong() == attempt) {
           return true;
         }
@@ -173,7 +177,7 @@
     return (int) keys.keySet().stream().filter(k -> !k.startsWith(prefix)).count();
   }
 
-  /** Backups, oldest first. */
+  /** Ordered from the oldest to the newest. */
   private final List<Backup> backups = new ArrayList<>();
 
   private record Backup(Instant takenAt, TreeMap<String, Value> keys, long revision) {}
@@ -202,8 +206,8 @@
   void restoreBackup(Duration age, boolean withLeases) {
     Instant latest = world.now().minus(age);
     Backup found = backups.get(0);
-    for (Backup each : backups) {
-      found = each.takenAt.isAfter(latest) ? found : each;
+    for (Backup backup : backups) {
+      found = backup.takenAt.isAfter(latest) ? found : backup;
     }
     keys.clear();
     keys.putAll(found.keys);
@@ -266,7 +270,7 @@
     return found;
   }
 
-  /** The key without the prefix, or empty if it does not start with it. */
+  /** The key without the prefix, or an empty string if the key does not start with the prefix. */
   private static String withoutPrefix(String key, String prefix) {
     return key.startsWith(prefix) ? key.substring(prefix.length()) : "";
   }
@@ -287,11 +291,11 @@
     world.after(50, this::expireLeases);
   }
 
-  private void endLease(long lease) {
-    leases.remove(lease);
+  private void endLease(long leaseId) {
+    leases.remove(leaseId);
     List<String> attached =
         keys.entrySet().stream()
-            .filter(e -> e.getValue().leaseId == lease)
+            .filter(e -> e.getValue().leaseId == leaseId)
             .map(Map.Entry::getKey)
             .toList();
     if (!attached.isEmpty()) {
@@ -360,6 +364,7 @@
     }
   }
 
+  /** Whether the request exceeds a rate limit; if not, consumes its tokens. */
   private boolean isOverLimit(String path, byte[] body) {
     if (requestLimit == null) {
       return false;
@@ -379,7 +384,7 @@
     return false;
   }
 
-  /** Runs the action 2 to 12 s later, and not during an outage. */
+  /** Runs the action 2 to 12 s later; during an outage it waits until the outage ends. */
   private void runDelayed(Runnable action) {
     world.after(2_000 + world.random.nextInt(10_000), () -> runWhenAvailable(action));
   }
--- a/src/test/java/io/pineladder/sim/FakeReceiver.java
+++ b/src/test/java/io/pineladder/sim/FakeReceiver.java
@@ -36,7 +36,7 @@
   private final Map<String, Long> positions = new HashMap<>();
 
   /**
-   * Scales the fault probabilities. Each of these has a quarter of it: a crash before the event is
+   * Each of four faults occurs with a quarter of this probability: a crash before the event is
    * applied, an answer of 429 or 503, a crash before the answer, and an error while storing.
    */
   double faultRate;
@@ -94,7 +94,7 @@
   @Override
   public void close() {}
 
-  /** Forgets all but the first events, as after a restore from a backup. */
+  /** Keeps only the first {@code keep} events, as after a restore from a backup. */
   void restoreBackup(int keep) {
     while (appliedEvents.size() > keep) {
       appliedEvents.remove(appliedEvents.size() - 1);
--- a/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
+++ b/src/test/java/io/pineladder/sim/FaultCombinationsTest.java
@@ -25,8 +25,8 @@
   /** The combined faults; docs/fault-combinations.md has a row for each. */
   enum Combination {
     /**
-     * The store rejects only the leader, a new leader confirms cancellations, then a long outage of
-     * the store follows.
+     * The store rejects only the leader and a new leader confirms cancellations; then a long outage
+     * of the store begins.
      */
     LEADER_REJECTED_THEN_OUTAGE,
     /** The store answers slowly, rejects the leader, then is unavailable. */
@@ -37,7 +37,10 @@
     STALE_HEARTBEATS,
     /** Messages are delayed for seconds, and machines freeze and resume. */
     DELAYED_MESSAGES,
-    /** Frequent failovers, then all controllers are killed and one restarts within a second. */
+    /**
+     * Frequent failovers; then all controllers are killed, and one of them restarts within a
+     * second.
+     */
     FREQUENT_FAILOVERS,
     /** Transactions get no answer and are executed late, after newer ones. */
     LATE_TRANSACTIONS,
@@ -85,31 +88,31 @@
 
   private static final Duration CANCELLATION_BOUND = Duration.ofSeconds(40);
 
-  /** All faults have ended after this time. */
+  /** All faults end within this time after the first one. */
   private static final Duration FAULTS_END = CANCELLATION_BOUND.multipliedBy(4);
 
   /**
-   * Bound, from the end of the last fault, on the report of a cancellation that had to wait until
-   * no machine holds a task: within it a machine sends heartbeats again or is returned to the
-   * cloud.
+   * Maximum time from the end of all faults until each cancellation is shown to users. It is shown
+   * once no machine can hold a task of the job: within this time, each machine sends heartbeats
+   * again or is released.
    */
-  private static final Duration CANCELLATION_REPORT_BOUND = Duration.ofSeconds(75);
+  private static final Duration CANCELLATION_REPORT_TIMEOUT = Duration.ofSeconds(75);
 
   private void inject(Combination combination) {
     switch (combination) {
       case LEADER_REJECTED_THEN_OUTAGE -> {
-        String old = leaderHost();
-        long before = randomBetween(500, 20_000);
-        rejectLeaderAtStore(before + randomBetween(0, 30_000));
+        String oldLeader = leaderHost();
+        long delayMillis = randomBetween(500, 20_000);
+        rejectLeaderAtStore(delayMillis + randomBetween(0, 30_000));
         // Some workers can reach only the old leader.
         for (String machine : randomMachines(3)) {
           cutTemporarily(
               List.of(machine),
-              controllerHosts().stream().filter(h -> !h.equals(old)).toList(),
+              controllerHosts().stream().filter(h -> !h.equals(oldLeader)).toList(),
               90_000);
         }
         schedule(
-            before,
+            delayMillis,
             () ->
                 storeOutage(
                     randomBetween(
@@ -130,8 +133,8 @@
         }
       }
       case STALE_HEARTBEATS -> {
-        fleet.duplicateReportRate = 0.4;
-        schedule(60_000, () -> fleet.duplicateReportRate = 0);
+        fleet.duplicateHeartbeatRate = 0.4;
+        schedule(60_000, () -> fleet.duplicateHeartbeatRate = 0);
         for (int i = 0; i < 3; i++) {
           schedule(
               randomBetween(3_000, 50_000),
@@ -174,12 +177,12 @@
             randomBetween(25_000, 45_000), () -> rejectLeaderAtStore(randomBetween(1_000, 6_000)));
       }
       case UNREACHABLE_MACHINES -> {
-        List<String> away = randomMachines(2);
+        List<String> machines = randomMachines(2);
         long millis = randomBetween(20_000, 70_000);
         if (world.random.nextBoolean()) {
-          makeUnreachable(away, millis);
+          makeUnreachable(machines, millis);
         } else {
-          cutTemporarily(away, controllerHosts(), millis);
+          cutTemporarily(machines, controllerHosts(), millis);
         }
         schedule(randomBetween(500, 15_000), () -> killLeader(randomBetween(0, 8_000)));
       }
@@ -210,8 +213,8 @@
         schedule(
             12_000,
             () -> {
-              List<String> away = randomMachines(2);
-              away.forEach(
+              List<String> machines = randomMachines(2);
+              machines.forEach(
                   machine -> {
                     if (world.random.nextBoolean()) {
                       world.freeze(machine, randomBetween(5_000, 40_000));
@@ -254,8 +257,8 @@
             });
       }
       case STALE_HEARTBEATS_AT_FAILOVER -> {
-        fleet.duplicateReportRate = 0.4;
-        fleet.retainsReportCopies = true;
+        fleet.duplicateHeartbeatRate = 0.4;
+        fleet.retainsHeartbeatCopies = true;
         for (int i = 0; i < 3; i++) {
           schedule(randomBetween(10_000, 50_000), () -> killLeader(randomBetween(0, 6_000)));
         }
@@ -265,8 +268,8 @@
         schedule(
             60_000,
             () -> {
-              fleet.duplicateReportRate = 0;
-              fleet.retainsReportCopies = false;
+              fleet.duplicateHeartbeatRate = 0;
+              fleet.retainsHeartbeatCopies = false;
             });
       }
       case MANY_SMALL_JOBS -> {
@@ -304,11 +307,11 @@
                     randomMachines(4), controllerHosts(), randomBetween(10_000, 40_000)));
       }
       case CANCELS_AT_STORE_REJECTION -> {
-        long refused = randomBetween(5_000, 40_000);
+        long rejectionMillis = randomBetween(5_000, 40_000);
         schedule(
             5_000,
             () -> {
-              rejectLeaderAtStore(refused);
+              rejectLeaderAtStore(rejectionMillis);
               cancelRandomJobs(0.3);
             });
         for (int i = 0; i < 20; i++) {
@@ -350,8 +353,8 @@
         schedule(70_000, () -> cancelAtEndRate = 0);
       }
       case ALL_CONTROLLERS_DOWN -> {
-        long away = fleet.leaseMillis + randomBetween(1_000, 25_000);
-        controllers.forEach(each -> kill(each, away + randomBetween(0, 3_000)));
+        long downtimeMillis = fleet.leaseMillis + randomBetween(1_000, 25_000);
+        controllers.forEach(each -> kill(each, downtimeMillis + randomBetween(0, 3_000)));
         schedule(randomBetween(0, 3_000), () -> cancelRandomJobs(0.2));
       }
       case TEN_FAILOVERS -> {
@@ -385,8 +388,8 @@
 
   @Override
   void onStoreChange(String key) {
-    if (key.endsWith("lead/holder") && fleet.retainsReportCopies) {
-      fleet.deliverRetainedReports();
+    if (key.endsWith("lead/holder") && fleet.retainsHeartbeatCopies) {
+      fleet.deliverRetainedHeartbeats();
     }
   }
 
@@ -395,18 +398,18 @@
     fleet.zoneCapacity = MACHINES_PER_ZONE;
     int number = 0;
     for (; number < 14; number++) {
-      runStep(number);
+      runWorkloadStep(number);
     }
     for (Combination combination : combinations) {
       inject(combination);
       world.runFor(Duration.ofMillis(randomBetween(0, 4_000)));
     }
     for (; number < 45; number++) {
-      runStep(number);
+      runWorkloadStep(number);
     }
     world.runFor(FAULTS_END.minusSeconds(60));
     rules.faultsEndedAt = world.now();
-    world.runFor(CANCELLATION_REPORT_BOUND);
+    world.runFor(CANCELLATION_REPORT_TIMEOUT);
     for (SafetyRules.TrackedJob job : rules.jobs.values()) {
       assertTrue(
           !job.cancelRequested || job.isFinished(),
@@ -422,15 +425,15 @@
   private void causeTransactionsOfAllKinds() {
     int number = 0;
     for (; number < 20; number++) {
-      runStep(number);
+      runWorkloadStep(number);
     }
     killLeader(400);
     for (; number < 24; number++) {
-      runStep(number);
+      runWorkloadStep(number);
     }
     isolateLeader(25_000);
     for (; number < 45; number++) {
-      runStep(number);
+      runWorkloadStep(number);
     }
   }
 
@@ -518,9 +521,9 @@
     schedule(2_000, () -> storeOutage(90_000));
     world.runFor(Duration.ofSeconds(130));
     assertEquals(0, fleet.tasksEndedByLeaseExpiry);
-    // One machine may be returned because it is idle, but none because it is unreachable.
+    // One machine may be released because it is idle, but none because it is unreachable.
     List<String> gone = machines.stream().filter(m -> !fleet.machines.containsKey(m)).toList();
-    assertTrue(gone.size() <= 1, "machines returned: " + gone);
+    assertTrue(gone.size() <= 1, "machines released: " + gone);
     settle(Duration.ofSeconds(20));
   }
 
@@ -536,7 +539,7 @@
     begin(Layout.SHORT, 30_000 + delayMillis);
     int number = 0;
     for (; number < 10; number++) {
-      runStep(number);
+      runWorkloadStep(number);
     }
     int leader = leaderIndex();
     kill(controllers.get(leader), randomBetween(0, 1_000));
@@ -552,7 +555,7 @@
         delayMillis + 600L,
         () -> controllers.forEach(each -> kill(each, each.index * randomBetween(0, 250))));
     for (; number < 18; number++) {
-      runStep(number);
+      runWorkloadStep(number);
     }
     rules.faultsEndedAt = world.now();
     settle(Duration.ofMinutes(5));
--- a/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
+++ b/src/test/java/io/pineladder/sim/FaultInjectionCluster.java
@@ -57,7 +57,8 @@
     schedule(millis, () -> hosts.forEach(world.unreachableHosts::remove));
   }
 
-  void runStep(int number) {
+  /** Submits a job, cancels and queries random jobs, and runs for two seconds. */
+  void runWorkloadStep(int number) {
     String shape = number % 5 == 0 ? "service" : number % 5 == 3 ? "group" : "array";
     ObjectNode spec = simpleJobSpec(shape, 1 + world.random.nextInt(shape.equals("group") ? 3 : 5));
     boolean together = shape.equals("group") && number % 2 == 0;
--- a/src/test/java/io/pineladder/sim/LoopbackCluster.java
+++ b/src/test/java/io/pineladder/sim/LoopbackCluster.java
@@ -80,7 +80,9 @@
     eventLoop.execute(this::tick);
   }
 
-  /** Advances virtual time to real time. */
+  /**
+   * Advances virtual time, which starts at 1,000 s, to the time since the start of the event loop.
+   */
   private void tick() {
     if (!closed) {
       Duration behind = Duration.between(world.now().minusSeconds(1_000), eventLoop.now());
--- a/src/test/java/io/pineladder/sim/MembershipTest.java
+++ b/src/test/java/io/pineladder/sim/MembershipTest.java
@@ -99,9 +99,9 @@
       return MembershipTest.this;
     }
 
-    private void recordCreation(byte[] own) {
+    private void recordCreation(byte[] body) {
       try {
-        GossipWire.Heartbeat beat = GossipWire.parse(own);
+        GossipWire.Heartbeat beat = GossipWire.parse(body);
         creationTimes.put(beat.nonce() + "#" + beat.sequence(), eventLoop.now());
       } catch (MalformedMessageException e) {
         throw new AssertionError(e);
@@ -117,7 +117,7 @@
       }
     }
 
-    /** Asserts that a change of a peer's state is justified by the history. */
+    /** Asserts that the reference model allows the state of the peer if it has changed. */
     void assertStateJustified(String peer) {
       State state = membership.stateOf(peer);
       if (lastStates.put(peer, state) == state) {
@@ -145,10 +145,10 @@
     boolean allows(State state) {
       return switch (state) {
         case UNKNOWN -> !answeredBefore();
-        case UP -> lastAre(2, Kind.ANSWER) || !answeredBefore();
-        case SUSPECT -> lastAre(3, Kind.TIMEOUT) || isSilent();
-        case APART -> lastAre(3, Kind.TIMEOUT);
-        case DOWN -> lastAre(3, Kind.TIMEOUT) && isSilent() && receivesFromOthers();
+        case UP -> lastProbesAre(2, Kind.ANSWER) || !answeredBefore();
+        case SUSPECT -> lastProbesAre(3, Kind.TIMEOUT) || isSilent();
+        case APART -> lastProbesAre(3, Kind.TIMEOUT);
+        case DOWN -> lastProbesAre(3, Kind.TIMEOUT) && isSilent() && receivesFromOthers();
       };
     }
 
@@ -158,7 +158,7 @@
           .toList();
     }
 
-    private boolean lastAre(int count, Kind kind) {
+    private boolean lastProbesAre(int count, Kind kind) {
       List<Event> direct = directProbes();
       return direct.size() >= count
           && direct.subList(direct.size() - count, direct.size()).stream()
@@ -174,11 +174,11 @@
       Instant newest = Instant.MIN;
       for (Event event : history) {
         if (event.peer.equals(sender) && event.heartbeat != null) {
-          Instant made =
+          Instant createdAt =
               node.test()
                   .creationTimes
                   .get(event.heartbeat.nonce() + "#" + event.heartbeat.sequence());
-          newest = made.isAfter(newest) ? made : newest;
+          newest = createdAt.isAfter(newest) ? createdAt : newest;
         }
       }
       return newest.equals(Instant.MIN) ? Duration.ofDays(1) : Duration.between(newest, now);
@@ -216,12 +216,12 @@
         toml.append("address = \"10.0.0." + (i + 1) + ":8081\"\n");
       }
     }
-    String good = SettingsReaderTest.VALID_SETTINGS;
-    int from = good.indexOf("[[seeds]]");
-    int to = good.indexOf("[external]");
+    String validSettings = SettingsReaderTest.VALID_SETTINGS;
+    int from = validSettings.indexOf("[[seeds]]");
+    int to = validSettings.indexOf("[external]");
     try {
       return SettingsReader.parse(
-          (good.substring(0, from) + toml + good.substring(to))
+          (validSettings.substring(0, from) + toml + validSettings.substring(to))
               .replaceFirst("member = \"rung-0\"", "member = \"rung-" + index + "\""));
     } catch (SettingsReader.BadSettingsException e) {
       throw new AssertionError(e);
@@ -262,13 +262,13 @@
       world.lossRate = world.random.nextDouble() * 0.3;
       int a = world.random.nextInt(NODES);
       int b = (a + 1 + world.random.nextInt(NODES - 1)) % NODES;
-      String one = nodes.get(a).host;
-      String other = nodes.get(b).host;
+      String hostA = nodes.get(a).host;
+      String hostB = nodes.get(b).host;
       switch (world.random.nextInt(5)) {
-        case 0 -> world.freeze(one, 1_000 + world.random.nextInt(20_000));
-        case 1 -> world.cut(one, other);
-        case 2 -> world.cutOneWay(one, other);
-        case 3 -> world.heal(one, other);
+        case 0 -> world.freeze(hostA, 1_000 + world.random.nextInt(20_000));
+        case 1 -> world.cut(hostA, hostB);
+        case 2 -> world.cutOneWay(hostA, hostB);
+        case 3 -> world.heal(hostA, hostB);
         default -> {}
       }
       world.runFor(roundDuration);
--- a/src/test/java/io/pineladder/sim/RandomFaultsTest.java
+++ b/src/test/java/io/pineladder/sim/RandomFaultsTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Pairs of faults in several layouts: machines that send heartbeats but receive nothing, duplicated
- * heartbeats, an isolated controller and processes that restart at once, each with a second fault.
+ * Pairs of faults in several layouts. The first is one of: machines that send heartbeats but
+ * receive nothing, duplicated heartbeats, an isolated leader, or controllers that are killed and
+ * restart within half a second.
  */
 class RandomFaultsTest extends ConfigurableCluster {
   private static final Duration FAULT_DURATION = Duration.ofSeconds(40);
@@ -37,7 +38,7 @@
     SPOT_RECLAIM
   }
 
-  private void arrivals(int steps) {
+  private void submitJobs(int steps) {
     for (int step = 0; step < steps; step++) {
       submit(simpleJobSpec(step % 4 == 0 ? "service" : "array", 1 + world.random.nextInt(4)));
       if (step % 5 == 1) {
@@ -65,8 +66,8 @@
         }
       }
       case DUPLICATED_HEARTBEATS -> {
-        fleet.duplicateReportRate = 0.2;
-        world.after(millis, () -> fleet.duplicateReportRate = 0);
+        fleet.duplicateHeartbeatRate = 0.2;
+        world.after(millis, () -> fleet.duplicateHeartbeatRate = 0);
       }
       case ISOLATED_LEADER -> isolateLeader(millis);
       case RAPID_RESTARTS -> {
@@ -105,9 +106,14 @@
             .values()
             .forEach(
                 w -> (w.zone.equals("b") ? inside : outside).add(SimulatedWorld.host(w.address)));
-        inside.forEach(one -> outside.forEach(other -> world.cut(one, other)));
+        inside.forEach(
+            insideHost -> outside.forEach(outsideHost -> world.cut(insideHost, outsideHost)));
         world.after(
-            25_000, () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other))));
+            25_000,
+            () ->
+                inside.forEach(
+                    insideHost ->
+                        outside.forEach(outsideHost -> world.heal(insideHost, outsideHost))));
       }
       case SPOT_RECLAIM -> {
         for (FakeFleet.Worker worker : fleet.runningWorkers()) {
@@ -139,11 +145,11 @@
     int pair = fault.ordinal() * SecondFault.values().length + secondFault.ordinal();
     Layout layout = Layout.values()[(pair + seed) % Layout.values().length];
     begin(layout, 9_000 + 100L * seed + pair);
-    arrivals(12);
+    submitJobs(12);
     inject(fault);
     world.runFor(Duration.ofMillis(1_000 + world.random.nextInt(6_000)));
     inject(secondFault);
-    arrivals(20);
+    submitJobs(20);
     world.runFor(FAULT_DURATION);
     rules.faultsEndedAt = world.now();
     settle(Duration.ofSeconds(200));
@@ -172,7 +178,7 @@
     }
     assertEquals(16, running, "its tasks run on other machines");
     world.runFor(Duration.ofSeconds(30));
-    assertTrue(!fleet.machines.containsKey(unreachable.name), "the machine was returned");
+    assertTrue(!fleet.machines.containsKey(unreachable.name), "the machine was released");
   }
 
   /** Guards against machines that stay excluded after they receive messages again. */
--- a/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
+++ b/src/test/java/io/pineladder/sim/RecoverySimulationTest.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Costs of bursts, outages and failovers, and the answers to users meanwhile. */
+/** Store load in bursts, outages and failovers, and the answers that users get during them. */
 class RecoverySimulationTest extends SimulatedCluster {
   private String host(int index) {
     return "10.0.0." + (index + 1);
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Guards against waiting for the lease of a dead leader, which is renewed in full when the store
-   * returns from an outage, until worker leases expire.
+   * Guards against worker leases that expire because candidates wait for the lease of a dead
+   * leader, which the store renews in full when an outage ends.
    */
   @Test
   void doesNotWaitForLeaseOfDeadLeaderAfterOutage() {
@@ -128,7 +128,10 @@
     assertEquals("aborted", status(request(alone, "GET", "/v1/jobs/" + job.id, null)));
   }
 
-  /** Guards against a job that is resumed after its end because another node stored a copy. */
+  /**
+   * Guards against a job that is resumed after its end because another node stored a second record
+   * of it.
+   */
   @Test
   void endsJobTogetherWithItsCopy() throws Exception {
     begin(14);
--- a/src/test/java/io/pineladder/sim/RetryTest.java
+++ b/src/test/java/io/pineladder/sim/RetryTest.java
@@ -75,13 +75,13 @@
     Duration wait = budget.acquireDelay();
     assertEquals(
         48.0, wait.toMillis() / 1000.0, 0.1, "further retries are limited to two per second");
-    RetryBudget other = new RetryBudget(eventLoop, 0.1, 2, 5);
+    RetryBudget refilledBudget = new RetryBudget(eventLoop, 0.1, 2, 5);
     for (int i = 0; i < 100; i++) {
-      other.acquireDelay();
+      refilledBudget.acquireDelay();
       for (int success = 0; success < 20; success++) {
-        other.onSuccess();
+        refilledBudget.onSuccess();
       }
     }
-    assertTrue(other.acquireDelay().isZero(), "successful calls refill the budget");
+    assertTrue(refilledBudget.acquireDelay().isZero(), "successful calls refill the budget");
   }
 }
--- a/src/test/java/io/pineladder/sim/SafetyRules.java
+++ b/src/test/java/io/pineladder/sim/SafetyRules.java
@@ -22,11 +22,13 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** The safety rules of the protocol, checked at every start, exit and answer in a simulation. */
+/**
+ * The safety rules of the protocol, checked at every task start, task exit and answer to a user.
+ */
 final class SafetyRules implements TaskWatcher {
   /**
-   * The latest state of a job that any answer has shown, in ascending order. A request sent after
-   * an answer must not be answered with a lower state.
+   * The state of a job as shown to its user, in ascending order. Once an answer has shown a state,
+   * later requests must not be answered with a lower one.
    */
   enum ReportedState {
     UNKNOWN,
@@ -50,7 +52,7 @@
     /** Whether the specification is invalid, so that no node may accept the job. */
     boolean invalid;
 
-    /** The last state that was passed to {@link SimulatedCluster#onStateAdvanced}. */
+    /** The reported state at the last call of {@link SimulatedCluster#onStateAdvanced}. */
     ReportedState lastAdvancedState = ReportedState.UNKNOWN;
 
     /** Whether its user polls it every few seconds. */
@@ -124,7 +126,7 @@
 
   int starts;
 
-  /** When all faults ended, or null while there are any. Liveness is checked from then on. */
+  /** When all faults ended, or null if they have not. Liveness is checked from this time. */
   Instant faultsEndedAt;
 
   /**
@@ -135,12 +137,12 @@
 
   /** Looks up in the store whether the placement of a task attempt is stored. */
   interface PlacementLookup {
-    boolean isStored(String machine, String piece, long attempt);
+    boolean isStored(String machine, String taskId, long attempt);
   }
 
   /**
-   * A start may be executed only while its placement is stored; null skips the check. A violation
-   * means that an attempt was abandoned before it was proven to be gone.
+   * A worker may execute a start command only while the placement of the attempt is stored; null
+   * skips the check. A violation means that the leader dropped an attempt that could still start.
    */
   PlacementLookup placementLookup;
 
@@ -298,8 +300,8 @@
   }
 
   /**
-   * Checks that once all faults have ended, some request about each accepted job is answered at
-   * least every 75 s, unless its user has cancelled it. Its user polls more often than that.
+   * Checks that once all faults have ended, users, who poll every few seconds, get an answer for
+   * each accepted job at least every 75 s. Skips jobs that a user has asked to cancel.
    */
   void checkAcceptedJobs() {
     if (faultsEndedAt == null) {
@@ -318,7 +320,7 @@
 
   /**
    * Checks that at least half of the jobs are served in each team, in each job class, and among the
-   * largest quarter of each class, and that the latter start in time.
+   * largest quarter of each class, and that the jobs of that quarter start in time.
    */
   void checkServedShares() {
     Map<String, List<TrackedJob>> groups = new TreeMap<>();
@@ -383,7 +385,7 @@
     return false;
   }
 
-  /** Checks a job state that an answer shows, and records it. */
+  /** Checks the job state in an answer, and records it. */
   void checkReportedState(TrackedJob job, String status) {
     job.lastAnsweredAt = world.now();
     if (status.equals("done") && job.completedTasks.size() < job.taskCount()) {
@@ -402,8 +404,8 @@
           "went_back",
           job.id + " is reported cancelled without a request to cancel it or a prerequisite");
     }
-    boolean isOver = status.equals("done") || status.equals("aborted");
-    if (!isOver && anyPrerequisite(job, SafetyRules.this::isLongCancelled)) {
+    boolean finished = status.equals("done") || status.equals("aborted");
+    if (!finished && anyPrerequisite(job, SafetyRules.this::isLongCancelled)) {
       throw violation(
           "orphaned", job.id + " is reported " + status + " after a prerequisite was cancelled");
     }
@@ -437,7 +439,7 @@
         throw violation("accepted_unfit", job.id + " is invalid and reported " + state);
       }
       boolean finished = state.equals("done") || state.equals("aborted");
-      // A request sent before the job finished may get an older state as its answer.
+      // The answer to a request that was sent before the job finished may show an earlier state.
       if (finished || before == ReportedState.FINISHED || !job.isFinished()) {
         checkReportedState(job, state);
       } else {
--- a/src/test/java/io/pineladder/sim/SimulatedCluster.java
+++ b/src/test/java/io/pineladder/sim/SimulatedCluster.java
@@ -228,8 +228,6 @@
     world.after(downtimeMillis, () -> start(controller));
   }
 
-  // Users.
-
   ObjectNode jobSpec(String shape, int tasks, String owner) {
     ObjectNode spec =
         Json.object()
@@ -255,7 +253,7 @@
     return spec;
   }
 
-  /** Registers a job with the checks as submitted now. */
+  /** Registers a job for the checks, with the current time as its submission time. */
   SafetyRules.TrackedJob trackJob(ObjectNode spec) {
     SafetyRules.TrackedJob job = new SafetyRules.TrackedJob(spec.get("ref").asText(), spec);
     rules.jobs.put(job.id, job);
@@ -295,8 +293,8 @@
   }
 
   /**
-   * Sends one request about a job to one node; {@code then} receives whether it was answered with
-   * 200 or 201.
+   * Sends one request about a job to one node; {@code onResult} receives whether it was answered
+   * with 200 or 201.
    */
   void send(
       SafetyRules.TrackedJob job,
@@ -304,7 +302,7 @@
       String method,
       String path,
       byte[] body,
-      Consumer<Boolean> then) {
+      Consumer<Boolean> onResult) {
     SafetyRules.ReportedState before = job.reportedState();
     Duration timeout = Duration.ofSeconds(method.equals("GET") ? 2 : 5);
     world
@@ -328,7 +326,7 @@
                 onStateAdvanced(job);
               }
               failedRequests += succeeded ? 0 : 1;
-              then.accept(succeeded);
+              onResult.accept(succeeded);
             });
   }
 
@@ -345,7 +343,7 @@
     };
   }
 
-  /** Runs without message loss for the given time, then checks that all work has finished. */
+  /** Runs without message loss for the given time, then asserts that all jobs have finished. */
   void settle(Duration time) {
     world.lossRate = 0;
     world.runFor(time);
--- a/src/test/java/io/pineladder/sim/SimulatedWorld.java
+++ b/src/test/java/io/pineladder/sim/SimulatedWorld.java
@@ -37,7 +37,7 @@
   private long nextTimerSequence;
   private long nowMillis = 1_000_000;
 
-  /** Until when the processes of hosts are frozen. Their clocks go on meanwhile. */
+  /** Until when the process of each host is frozen. Its clock keeps running. */
   private final Map<String, Long> frozenUntilMillis = new HashMap<>();
 
   /** Hosts that can send but receive neither requests nor answers. */
@@ -52,7 +52,7 @@
   /** The fraction of requests whose answer is lost; half of those are delivered late. */
   double lossRate;
 
-  /** The fraction of requests that are delayed by seconds, either on the way or on the way back. */
+  /** The fraction of requests of which either the request or the answer is delayed by seconds. */
   double delayRate;
 
   private static final int MAX_DELAY_MILLIS = 7_000;
@@ -111,7 +111,10 @@
     }
   }
 
-  /** Cuts two hosts off from each other; requests sent meanwhile are lost or arrive late. */
+  /**
+   * Partitions two hosts from each other; requests sent during the partition are lost or arrive
+   * late.
+   */
   void cut(String host, String peer) {
     cutRoutes.add(host + " " + peer);
     cutRoutes.add(peer + " " + host);
@@ -124,7 +127,7 @@
 
   /**
    * Sets whether requests from one host to another are answered with 503. Answers to earlier
-   * requests, such as open watches, wait until this ends.
+   * requests, such as open watches, are delivered once it is set to false.
    */
   void setRejected(String from, String to, boolean rejected) {
     if (rejected) {
@@ -265,13 +268,13 @@
       boolean lost = random.nextDouble() < lossRate;
       boolean deliveredLate = lost && random.nextBoolean();
       boolean delayed = delayRate > 0 && random.nextDouble() < delayRate;
-      boolean delayedThere = delayed && random.nextBoolean();
-      int answerDelay = delayed && !delayedThere ? random.nextInt(MAX_DELAY_MILLIS) : 0;
+      boolean requestDelayed = delayed && random.nextBoolean();
+      int answerDelay = delayed && !requestDelayed ? random.nextInt(MAX_DELAY_MILLIS) : 0;
       after(timeout, () -> once.accept(AsyncHttpClient.Reply.UNKNOWN));
       after(
           deliveredLate
               ? random.nextInt(40_000)
-              : 1 + random.nextInt(8) + (delayedThere ? random.nextInt(MAX_DELAY_MILLIS) : 0),
+              : 1 + random.nextInt(8) + (requestDelayed ? random.nextInt(MAX_DELAY_MILLIS) : 0),
           () ->
               deliver(
                   request,
--- a/src/test/java/io/pineladder/sim/SimulationChecksTest.java
+++ b/src/test/java/io/pineladder/sim/SimulationChecksTest.java
@@ -44,7 +44,7 @@
     assertViolation("told_too_soon", () -> rules.onStartCommand(task, on));
   }
 
-  /** A task that starts, and one that keeps running, after its job was reported as cancelled. */
+  /** A task starts, and a task keeps running, after its job was reported as cancelled. */
   @Test
   void detectsTasksRunningAfterReportedCancellation() {
     SafetyRules.TrackedJob job = beginWithService(61);
--- a/src/test/java/io/pineladder/sim/SmallJobsTest.java
+++ b/src/test/java/io/pineladder/sim/SmallJobsTest.java
@@ -18,10 +18,12 @@
   private static final double CHANGES_PER_SECOND = 30;
   private static final int JOBS = 2_400;
 
-  /** Store changes per job, its end included; leaves room for 50% more jobs. */
+  /**
+   * Maximum store changes per job, including its end; allows 50% more jobs within the store limits.
+   */
   private static final double MAX_CHANGES_PER_JOB = 5;
 
-  /** Store requests per job, the background requests of five controllers included. */
+  /** Maximum store requests per job, including the background requests of five controllers. */
   private static final double MAX_REQUESTS_PER_JOB = 12;
 
   @Test
--- a/src/test/java/io/pineladder/sim/StarvationCheck.java
+++ b/src/test/java/io/pineladder/sim/StarvationCheck.java
@@ -16,8 +16,8 @@
 
 /**
  * Checks that no job starves: once all faults have ended, no job waits for more than 90 s while
- * machines have room for it and its team is below its quota. The check compares the jobs with the
- * actual state of all machines.
+ * machines have capacity for it and its team is below its quota. The check compares the jobs with
+ * the actual state of all machines.
  */
 final class StarvationCheck {
   static final Duration MAX_WAIT = Duration.ofSeconds(90);
@@ -27,7 +27,7 @@
   private final FakeFleet fleet;
   private final List<Team> teams;
 
-  /** Since when each job has waited although it could run. */
+  /** When each waiting job that could run started to wait. */
   private final Map<String, Instant> waitingSince = new HashMap<>();
 
   /** How many tasks of each job were on a machine or completed at the last check. */
@@ -108,7 +108,8 @@
         job.accepted && !job.cancelRequested && !job.isFinished() && !job.alwaysFails;
     for (String id : job.prerequisites()) {
       SafetyRules.TrackedJob prerequisite = rules.jobs.get(id);
-      // Counts only once the completion was answered: it has been reported and stored by then.
+      // A prerequisite counts once an answer has shown it as done: its completion is stored by
+      // then.
       runnable &= prerequisite.done;
     }
     Map<Integer, Worker> placed = workersByJob.getOrDefault(job.id, Map.of());
@@ -137,7 +138,7 @@
         .getOrDefault(job.id, Map.of())
         .values()
         .forEach(w -> inZone.merge(w.zone, 1, Integer::sum));
-    Map<String, Long> room = new HashMap<>();
+    Map<String, Long> fittingTasksByZone = new HashMap<>();
     freeResources.forEach(
         (worker, available) -> {
           boolean allowed =
@@ -146,13 +147,15 @@
                   && (!spec.hasNonNull("hulls") || names(spec.get("hulls")).contains(worker.type));
           boolean inOtherZone = together && !inZone.isEmpty() && !inZone.containsKey(worker.zone);
           if (allowed && !inOtherZone) {
-            room.merge(worker.zone, perTask.timesFittingIn(available), Long::sum);
+            fittingTasksByZone.merge(worker.zone, perTask.timesFittingIn(available), Long::sum);
           }
         });
-    room.replaceAll((zone, count) -> Math.min(count, maxPerZone - inZone.getOrDefault(zone, 0)));
+    fittingTasksByZone.replaceAll(
+        (zone, count) -> Math.min(count, maxPerZone - inZone.getOrDefault(zone, 0)));
     return together
-        ? room.values().stream().anyMatch(count -> count >= taskCount)
-        : room.values().stream().mapToLong(count -> Math.max(0, count)).sum() >= taskCount;
+        ? fittingTasksByZone.values().stream().anyMatch(count -> count >= taskCount)
+        : fittingTasksByZone.values().stream().mapToLong(count -> Math.max(0, count)).sum()
+            >= taskCount;
   }
 
   private static List<String> names(JsonNode list) {
--- a/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossAtScaleTest.java
@@ -20,7 +20,7 @@
   private static final int JOBS = 250;
   private static final int TASKS_PER_JOB = 20;
 
-  /** Machine by task and attempt. */
+  /** The machine of each task attempt that occupies one. */
   private Map<String, String> placements() {
     Map<String, String> found = new TreeMap<>();
     for (FakeFleet.Worker worker : fleet.machines.values()) {
@@ -49,20 +49,21 @@
         .anyMatch(c -> c.node.replicaManager().generations().state() == state);
   }
 
-  private void loseEverythingAndRecover(int cost) {
+  private void loseEverythingAndRecover(int maxChanges) {
     Map<String, String> before = placements();
     int requests = store.requestCount;
     int changes = store.changesByPrefix.values().stream().mapToInt(n -> n).sum();
-    Instant at = world.now();
+    Instant lostAt = world.now();
     store.loseEverything();
-    Duration detected = runUntil(at, Duration.ofSeconds(2), () -> anyGenerationIs(State.LOST));
-    runUntil(at, Duration.ofSeconds(15), () -> anyGenerationIs(State.REBUILT));
-    int changed = store.changesByPrefix.values().stream().mapToInt(n -> n).sum() - changes;
+    Duration detected = runUntil(lostAt, Duration.ofSeconds(2), () -> anyGenerationIs(State.LOST));
+    runUntil(lostAt, Duration.ofSeconds(15), () -> anyGenerationIs(State.REBUILT));
+    int changesForRebuild =
+        store.changesByPrefix.values().stream().mapToInt(n -> n).sum() - changes;
     SafetyRules.TrackedJob submitted = submit(jobSpec("array", 4, "red").put("together", false));
-    Duration accepted = runUntil(at, Duration.ofSeconds(12), () -> submitted.accepted);
-    Duration first =
+    Duration accepted = runUntil(lostAt, Duration.ofSeconds(12), () -> submitted.accepted);
+    Duration started =
         runUntil(
-            at,
+            lostAt,
             Duration.ofSeconds(15),
             () -> placements().keySet().stream().anyMatch(key -> key.startsWith(submitted.id)));
     int requestsToStart = store.requestCount - requests;
@@ -73,10 +74,11 @@
         "Recovered from data loss: detected={} accepted={} started={} changes={} requests={}",
         detected,
         accepted,
-        first,
-        changed,
+        started,
+        changesForRebuild,
         requestsToStart);
-    assertTrue(changed <= cost, changed + " store changes for the recovery");
+    assertTrue(
+        changesForRebuild <= maxChanges, changesForRebuild + " store changes for the recovery");
     assertTrue(
         requestsToStart <= 600, requestsToStart + " store requests until the first task start");
   }
--- a/src/test/java/io/pineladder/sim/StateLossTest.java
+++ b/src/test/java/io/pineladder/sim/StateLossTest.java
@@ -40,7 +40,7 @@
 
   /** Two runs for each kind of loss; more with {@code -Dpineladder.losses=20}. */
   static Stream<Arguments> lossesAndSeeds() {
-    long days = Long.getLong("pineladder.losses", 2);
+    long count = Long.getLong("pineladder.losses", 2);
     long first = Long.getLong("pineladder.first", 1);
     List<Arguments> all = new ArrayList<>();
     String only = System.getProperty("pineladder.loss", "");
@@ -48,7 +48,7 @@
       if (!only.isEmpty() && !loss.name().equals(only)) {
         continue;
       }
-      for (long seed = first; seed < first + days; seed++) {
+      for (long seed = first; seed < first + count; seed++) {
         all.add(Arguments.of(loss, seed));
       }
     }
@@ -83,7 +83,7 @@
   }
 
   /** The copies of the data that remain. */
-  enum Surviving {
+  enum SurvivingCopies {
     ALL,
     /** The leader is killed at the same time. */
     FOLLOWERS,
@@ -92,8 +92,8 @@
   }
 
   /** Asserts that all jobs end and no rule is violated. */
-  private void assertServedDespite(Loss loss, Surviving left, long seed) {
-    if (left == Surviving.SNAPSHOTS) {
+  private void assertServedDespite(Loss loss, SurvivingCopies surviving, long seed) {
+    if (surviving == SurvivingCopies.SNAPSHOTS) {
       for (int i = 0; i < 3; i++) {
         snapshotStores.put(i, new InMemorySnapshotStore());
       }
@@ -106,9 +106,9 @@
     submitAndCancelJobs(20);
     log.debug("Losing data: time={} loss={}", world.now(), loss);
     lose(loss);
-    if (left == Surviving.SNAPSHOTS) {
+    if (surviving == SurvivingCopies.SNAPSHOTS) {
       controllers.forEach(each -> kill(each, 6_000 + each.index * 300L));
-    } else if (left == Surviving.FOLLOWERS || loss.name().startsWith("DAMAGED")) {
+    } else if (surviving == SurvivingCopies.FOLLOWERS || loss.name().startsWith("DAMAGED")) {
       // Only a new leader reads the damaged records.
       kill(controllers.get(termHolderIndex()), 6_000);
     }
@@ -135,19 +135,19 @@
   @ParameterizedTest
   @MethodSource("lossesAndSeeds")
   void recoversFromReplicasOfAllControllers(Loss loss, long seed) {
-    assertServedDespite(loss, Surviving.ALL, seed);
+    assertServedDespite(loss, SurvivingCopies.ALL, seed);
   }
 
   @ParameterizedTest
   @MethodSource("lossesAndSeeds")
   void recoversFromReplicasOfFollowers(Loss loss, long seed) {
-    assertServedDespite(loss, Surviving.FOLLOWERS, seed);
+    assertServedDespite(loss, SurvivingCopies.FOLLOWERS, seed);
   }
 
   @ParameterizedTest
   @MethodSource("lossesAndSeeds")
   void recoversFromSnapshots(Loss loss, long seed) {
-    assertServedDespite(loss, Surviving.SNAPSHOTS, seed);
+    assertServedDespite(loss, SurvivingCopies.SNAPSHOTS, seed);
   }
 
   /** Guards against a failed recovery from a second loss soon after the first. */
@@ -214,20 +214,20 @@
     submitAndCancelJobs(10);
     List<SafetyRules.TrackedJob> before = List.copyOf(rules.jobs.values());
     world.runFor(Duration.ofSeconds(15));
-    byte[] kept = controllers.get(termHolderIndex()).node.replicaManager().exportSnapshot();
+    byte[] snapshot = controllers.get(termHolderIndex()).node.replicaManager().exportSnapshot();
     store.loseEverything();
     controllers.forEach(each -> kill(each, 6_000 + each.index * 300L));
     // Until the import, users get no definite answers.
     world.runFor(Duration.ofSeconds(45));
     ControllerNode leader = controllers.get(termHolderIndex()).node;
-    byte[] damaged = kept.clone();
+    byte[] damaged = snapshot.clone();
     damaged[damaged.length / 2] ^= 1;
     assertThrows(
         MalformedMessageException.class, () -> leader.replicaManager().importSnapshot(damaged));
     assertThrows(
         MalformedMessageException.class,
-        () -> leader.replicaManager().importSnapshot(Arrays.copyOf(kept, kept.length / 2)));
-    assertTrue(leader.replicaManager().importSnapshot(kept) > 0);
+        () -> leader.replicaManager().importSnapshot(Arrays.copyOf(snapshot, snapshot.length / 2)));
+    assertTrue(leader.replicaManager().importSnapshot(snapshot) > 0);
     submitAndCancelJobs(5);
     settle(Duration.ofSeconds(400));
     assertTrue(before.stream().allMatch(job -> job.accepted));
--- a/src/test/java/io/pineladder/sim/TaskWatcher.java
+++ b/src/test/java/io/pineladder/sim/TaskWatcher.java
@@ -13,7 +13,7 @@
   /** The run time of the task in milliseconds; 0 if it runs until it is stopped. */
   long runMillis(Task task);
 
-  /** A worker has executed a start order for the task. */
+  /** A worker has executed a start command for the task. */
   void onStartCommand(Task task, Worker worker);
 
   /** The image of the task is on its machine, and the task occupies its resources. */
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Two zones, the second with one of three controllers, which is partitioned or lost. */
+/**
+ * Two zones and three controllers. The second zone, with one of the controllers, is partitioned or
+ * lost.
+ */
 class ZoneSimulationTest extends SimulatedCluster {
   private static final String ZONE_B_CONTROLLER = "10.0.0.2";
 
@@ -68,8 +71,11 @@
     if (fromAll) {
       outside.addAll(List.of("10.2.0.1", "10.2.0.2", "user"));
     }
-    inside.forEach(one -> outside.forEach(other -> world.cut(one, other)));
-    return () -> inside.forEach(one -> outside.forEach(other -> world.heal(one, other)));
+    inside.forEach(
+        insideHost -> outside.forEach(outsideHost -> world.cut(insideHost, outsideHost)));
+    return () ->
+        inside.forEach(
+            insideHost -> outside.forEach(outsideHost -> world.heal(insideHost, outsideHost)));
   }
 
   private Map<String, String> placementsIn(String zone) {
@@ -97,7 +103,7 @@
   }
 
   private void moveLeadershipTo(int node) {
-    for (int tries = 0; tries < 20 && leaderIndex() != node; tries++) {
+    for (int attempt = 0; attempt < 20 && leaderIndex() != node; attempt++) {
       kill(controllers.get(leaderIndex()), 4_000);
       world.runFor(Duration.ofSeconds(12));
     }
