--- a/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/pineladder/autoscaling/BootTimeEstimator.java
@@ -74,7 +74,7 @@
       case EXPECTED -> {
         // A machine rented by an earlier leader may have booted before it was first listed here,
         // because the cloud's list lags.
-        if (machine.rentedByThisLeader) {
+        if (machine.requestedInThisTerm) {
           booting.add(machine);
           if (weight(machine, now) == 0 && overdue.add(machine)) {
             add(historyOf(machine.type).arrivedInTime, false);
--- a/src/main/java/io/pineladder/autoscaling/MachineInventory.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineInventory.java
@@ -187,7 +187,7 @@
       boolean confirmed =
           switch (machine.state()) {
             case CONFIRMED, SILENT, GONE -> true;
-            case EXPECTED -> machine.rentedByThisLeader;
+            case EXPECTED -> machine.requestedInThisTerm;
             case HEARD, RELEASING -> false;
           };
       if (!confirmed) {
--- a/src/main/java/io/pineladder/autoscaling/RentalClient.java
+++ b/src/main/java/io/pineladder/autoscaling/RentalClient.java
@@ -191,8 +191,8 @@
       if (cluster.machine(name) == null && !wasReleased.test(name)) {
         MachineType type = cluster.type(pool.type());
         Machine machine = new Machine(name, type, pool.zone(), pool.spot(), eventLoop.now());
-        machine.rentedByThisLeader = true;
-        machine.rentedForDeadlines = rental.forDeadlines;
+        machine.requestedInThisTerm = true;
+        machine.provisionedForDeadlines = rental.forDeadlines;
         cluster.addMachine(machine);
       }
     }
--- a/src/main/java/io/pineladder/model/Machine.java
+++ b/src/main/java/io/pineladder/model/Machine.java
@@ -89,7 +89,7 @@
   public boolean retiring;
 
   /** An on-demand machine requested only because arrays would have missed their deadlines. */
-  public boolean rentedForDeadlines;
+  public boolean provisionedForDeadlines;
 
   /** When the cloud first listed the machine in this term; null if never. */
   public Instant firstListedAt;
@@ -121,7 +121,7 @@
   public Instant idleSince;
 
   /** Requested in this term, so the time of the request is known exactly. */
-  public boolean rentedByThisLeader;
+  public boolean requestedInThisTerm;
 
   /** Referenced by placements that an earlier leader stored. */
   public boolean knownFromPlacements;
--- a/src/main/java/io/pineladder/scheduling/Placer.java
+++ b/src/main/java/io/pineladder/scheduling/Placer.java
@@ -155,7 +155,7 @@
             ? machine.isSafeToSchedule() && satisfiesConstraints(job.spec, machine)
             : machine.isSchedulable()
                 && isAllowed(job, machine)
-                && !(machine.rentedForDeadlines
+                && !(machine.provisionedForDeadlines
                     && wouldBlockDeadlineMachine(cluster, job, machine, eventLoop.wallClock()));
     if (!isEligible) {
       return;
@@ -391,7 +391,7 @@
       cost += machine.spot ? SPOT_RISK_COST_SECONDS : 0;
     } else if (job.spec.spotAllowed() && !machine.spot) {
       cost +=
-          machine.rentedForDeadlines && fillsMachine(job.spec, machine.type)
+          machine.provisionedForDeadlines && fillsMachine(job.spec, machine.type)
               ? -DEADLINE_MACHINE_BONUS_SECONDS
               : ON_DEMAND_COST_SECONDS;
     }
--- a/src/main/java/io/pineladder/scheduling/QueueingHints.java
+++ b/src/main/java/io/pineladder/scheduling/QueueingHints.java
@@ -22,7 +22,7 @@
           Job job = entry.job;
           if (!machine.isSchedulable()
               || !Placer.isAllowed(job, machine)
-              || (machine.rentedForDeadlines
+              || (machine.provisionedForDeadlines
                   && Placer.wouldBlockDeadlineMachine(cluster, job, machine, eventLoop.wallClock()))
               || !job.spec
                   .resourcesPerTask()
--- a/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
+++ b/src/test/java/io/pineladder/autoscaling/BootTimeEstimatorTest.java
@@ -23,7 +23,7 @@
 
   private Machine rentMachine() {
     Machine machine = new Machine("m-" + ++machineCount, TYPE, "a", false, START);
-    machine.rentedByThisLeader = true;
+    machine.requestedInThisTerm = true;
     estimator.observe(machine, START);
     return machine;
   }
