--- a/src/main/java/io/pineladder/LeaderTerm.java
+++ b/src/main/java/io/pineladder/LeaderTerm.java
@@ -153,7 +153,7 @@
         eventLoop,
         committer::submit,
         maxValueBytes(),
-        lifecycle::mayAct);
+        lifecycle::isLeadingWithValidLease);
   }
 
   private Scheduler newScheduler() {
@@ -204,7 +204,7 @@
         context.httpClient(),
         eventLoop,
         elected.term(),
-        lifecycle::mayAct,
+        lifecycle::isLeadingWithValidLease,
         new WorkerEvents());
   }
 
@@ -280,7 +280,7 @@
     autoscaler.start();
     keepAliveReader.start(lifecycle::hasEnded);
     new GenerationGarbageCollector(
-            storeClient, eventLoop, elected.leaderKeyRevision(), lifecycle::mayAct)
+            storeClient, eventLoop, elected.leaderKeyRevision(), lifecycle::isLeadingWithValidLease)
         .start();
     if (subscriptions.isEnabled() || outbox.hasSubscribers()) {
       loader.loadBacklog(lifecycle::isLeading, subscriptions::start);
@@ -502,7 +502,7 @@
   private final class SchedulerEffects implements Scheduler.Callbacks {
     @Override
     public boolean mayStartTasks() {
-      return !taskStartHold.isHeld() && lifecycle.mayAct();
+      return !taskStartHold.isHeld() && lifecycle.isLeadingWithValidLease();
     }
 
     @Override
@@ -687,8 +687,8 @@
   /** Gives the autoscaler access to leadership and workers. */
   private final class AutoscalerEffects implements Autoscaler.Callbacks {
     @Override
-    public boolean mayAct() {
-      return lifecycle.mayAct();
+    public boolean isLeadingWithValidLease() {
+      return lifecycle.isLeadingWithValidLease();
     }
 
     @Override
--- a/src/main/java/io/pineladder/TaskStartHold.java
+++ b/src/main/java/io/pineladder/TaskStartHold.java
@@ -59,7 +59,7 @@
     if (!lifecycle.isLeading()) {
       return;
     }
-    if (lifecycle.mayAct() && isInventoryConfirmed.getAsBoolean()) {
+    if (lifecycle.isLeadingWithValidLease() && isInventoryConfirmed.getAsBoolean()) {
       held = false;
       log.info("Task starts released, machine inventory confirmed: term={}", lifecycle.term());
       onReleased.run();
--- a/src/main/java/io/pineladder/TermLifecycle.java
+++ b/src/main/java/io/pineladder/TermLifecycle.java
@@ -8,7 +8,7 @@
   enum State {
     /** Reads the records that earlier leaders stored; must not act yet. */
     LOADING,
-    /** Has read all records and may act while the lease is valid. */
+    /** Has read all records; side effects also require a valid lease. */
     LEADING,
     /** Has lost or given up leadership; must not act any more. */
     ENDED
@@ -54,11 +54,8 @@
     return state == State.ENDED;
   }
 
-  /**
-   * Whether the term may act. Must be checked before every side effect, since the process may have
-   * been paused.
-   */
-  boolean mayAct() {
+  /** Must be checked before every side effect, since the process may have been paused. */
+  boolean isLeadingWithValidLease() {
     return state == State.LEADING && leadership.isLeaseValid();
   }
 
--- a/src/main/java/io/pineladder/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pineladder/autoscaling/Autoscaler.java
@@ -40,8 +40,8 @@
 
   /** Queries and requests that the autoscaler passes to the leader. */
   public interface Callbacks {
-    /** Whether the leader's lease allows it to act now. */
-    boolean mayAct();
+    /** Must be checked before every side effect, since the process may have been paused. */
+    boolean isLeadingWithValidLease();
 
     /** Whether heartbeats are accepted now; possibly also while the lease is uncertain. */
     boolean acceptsHeartbeats();
@@ -85,7 +85,8 @@
             new MachineUtilization(cluster, eventLoop),
             new ArrivalStatistics(cluster, eventLoop, types, imageFetch));
     this.releaser =
-        new MachineReleaser(cluster, scheduler, records, cloud, bootTimes, callbacks::mayAct);
+        new MachineReleaser(
+            cluster, scheduler, records, cloud, bootTimes, callbacks::isLeadingWithValidLease);
     RentalClient rentals =
         new RentalClient(cluster, eventLoop, term, cloud, zones, refusals, releaser::wasReleased);
     this.scaleOut = new ScaleOut(cluster, scheduler, eventLoop, estimates, types, rentals);
@@ -154,7 +155,7 @@
       failureDetector.onHeartbeatsNotAccepted(now);
     }
     lastTickAt = now;
-    if (callbacks.mayAct()) {
+    if (callbacks.isLeadingWithValidLease()) {
       inventory.listMachines(now);
       cluster.spotRisk.observe(countConfirmedSpotMachines(), now);
       failureDetector.findMachinesToRelease(now).forEach(releaser::release);
--- a/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
+++ b/src/main/java/io/pineladder/autoscaling/MachineReleaser.java
@@ -31,7 +31,7 @@
   private final Records records;
   private final CloudClient cloud;
   private final BootTimeEstimator bootTimes;
-  private final BooleanSupplier mayAct;
+  private final BooleanSupplier isLeadingWithValidLease;
 
   /** The names of released machines, oldest first. */
   private final Set<String> released = new LinkedHashSet<>();
@@ -45,13 +45,13 @@
       Records records,
       CloudClient cloud,
       BootTimeEstimator bootTimes,
-      BooleanSupplier mayAct) {
+      BooleanSupplier isLeadingWithValidLease) {
     this.cluster = cluster;
     this.scheduler = scheduler;
     this.records = records;
     this.cloud = cloud;
     this.bootTimes = bootTimes;
-    this.mayAct = mayAct;
+    this.isLeadingWithValidLease = isLeadingWithValidLease;
   }
 
   /** Whether the cloud has confirmed the machine's release, so its messages are stale. */
@@ -88,7 +88,7 @@
 
   /** Requests the releases that the cloud has not confirmed, one request at a time. */
   void sendReleases() {
-    if (releaseInFlight || pendingReleases.isEmpty() || !mayAct.getAsBoolean()) {
+    if (releaseInFlight || pendingReleases.isEmpty() || !isLeadingWithValidLease.getAsBoolean()) {
       return;
     }
     List<String> names =
--- a/src/main/java/io/pineladder/cli/Training.java
+++ b/src/main/java/io/pineladder/cli/ArchiveTrainingRun.java
@@ -24,12 +24,12 @@
  * on loopback becomes leader and receives a job and heartbeats, with stubs of the key-value store
  * and the cloud, so that the classes it uses are loaded.
  */
-final class Training {
+final class ArchiveTrainingRun {
   private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration RETRY_DELAY = Duration.ofMillis(200);
   private static final long MAX_RUN_SECONDS = 60;
 
-  private Training() {}
+  private ArchiveTrainingRun() {}
 
   static int run() {
     try {
@@ -42,7 +42,7 @@
       eventLoop.serve(
           new XnioEventLoop.Listener(
               serviceAddress,
-              Training::serveStubServices,
+              ArchiveTrainingRun::serveStubServices,
               ConnectionLimiter.TrafficClass.SERVICES,
               path -> ConnectionLimiter.TrafficClass.SERVICES));
       Controller.start(settings, Controller.ServeOptions.NONE);
--- a/src/main/java/io/pineladder/cli/Main.java
+++ b/src/main/java/io/pineladder/cli/Main.java
@@ -43,7 +43,7 @@
         return switch (command.commandSpec().name()) {
           case "check" -> check(command.matchedPositionalValue(0, Path.of("")));
           case "admin" -> AdminCommand.run(command);
-          case "train" -> Training.run();
+          case "train" -> ArchiveTrainingRun.run();
           case "receive" -> ReceiveCommand.run(command);
           case "keygen" -> KeygenCommand.run(command);
           default -> EXIT_USAGE;
--- a/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
+++ b/src/main/java/io/pineladder/delivery/DeliveryDispatcher.java
@@ -31,7 +31,7 @@
   private final DeliveryContext context;
   private final NotificationOutbox outbox;
   private final EventLoop eventLoop;
-  private final BooleanSupplier mayAct;
+  private final BooleanSupplier isLeadingWithValidLease;
   private final StatusStore statusStore;
   private final TokenBucket rateLimiter;
   private final int maxInFlight;
@@ -56,12 +56,12 @@
       DeliveryContext context,
       NotificationOutbox outbox,
       EventLoop eventLoop,
-      BooleanSupplier mayAct,
+      BooleanSupplier isLeadingWithValidLease,
       StatusStore statusStore) {
     this.context = context;
     this.outbox = outbox;
     this.eventLoop = eventLoop;
-    this.mayAct = mayAct;
+    this.isLeadingWithValidLease = isLeadingWithValidLease;
     this.statusStore = statusStore;
     this.maxInFlight = context.maxInFlight();
     this.maxFailingInFlight = Math.max(1, (int) (maxInFlight * FAILING_SHARE));
@@ -155,8 +155,8 @@
     }
 
     @Override
-    public boolean mayAct() {
-      return mayAct.getAsBoolean();
+    public boolean isLeadingWithValidLease() {
+      return isLeadingWithValidLease.getAsBoolean();
     }
 
     @Override
--- a/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
+++ b/src/main/java/io/pineladder/delivery/SubscriberDelivery.java
@@ -47,8 +47,8 @@
 
   /** What the dispatcher does for a delivery. */
   interface Callbacks {
-    /** Whether this controller leads and its lease is valid. */
-    boolean mayAct();
+    /** Must be checked before every send, since the process may have been paused. */
+    boolean isLeadingWithValidLease();
 
     /** Requests a turn; {@link SubscriberDelivery#send} is called when it begins. */
     void requestTurn();
@@ -180,7 +180,7 @@
 
   /** Sends the next notification. Called by the dispatcher after {@link Callbacks#requestTurn}. */
   void send() {
-    if (state != State.READY || !callbacks.mayAct()) {
+    if (state != State.READY || !callbacks.isLeadingWithValidLease()) {
       if (state == State.READY) {
         // The lease is not known to be valid; wake() is called when it is renewed.
         moveTo(State.CURRENT);
--- a/src/main/java/io/pineladder/delivery/SubscriptionManager.java
+++ b/src/main/java/io/pineladder/delivery/SubscriptionManager.java
@@ -68,7 +68,8 @@
    *
    * @param context null where delivery is disabled: notifications are retained but not sent
    * @param maxValueBytes the size limit of a stored value
-   * @param mayAct whether this controller leads and its lease is valid
+   * @param isLeadingWithValidLease checked before every send, since the process may have been
+   *     paused
    */
   public SubscriptionManager(
       DeliveryContext context,
@@ -76,7 +77,7 @@
       EventLoop eventLoop,
       Consumer<Mutation> commit,
       int maxValueBytes,
-      BooleanSupplier mayAct) {
+      BooleanSupplier isLeadingWithValidLease) {
     this.maxValueBytes = maxValueBytes;
     this.context = context;
     this.outbox = outbox;
@@ -85,7 +86,8 @@
     this.dispatcher =
         context == null
             ? null
-            : new DeliveryDispatcher(context, outbox, eventLoop, mayAct, this::storeStatus);
+            : new DeliveryDispatcher(
+                context, outbox, eventLoop, isLeadingWithValidLease, this::storeStatus);
   }
 
   /** Whether delivery is enabled on this controller. */
--- a/src/main/java/io/pineladder/model/Attempt.java
+++ b/src/main/java/io/pineladder/model/Attempt.java
@@ -163,7 +163,7 @@
     return killGracePeriod == null;
   }
 
-  /** Decides to kill the attempt. */
+  /** Records when the kill was decided and its grace period; sends nothing. */
   public void kill(Instant now, Duration gracePeriod) {
     killedAt = now;
     killGracePeriod = gracePeriod;
--- a/src/main/java/io/pineladder/recovery/ReplicaManager.java
+++ b/src/main/java/io/pineladder/recovery/ReplicaManager.java
@@ -293,8 +293,6 @@
     return storeClient.generation().exact() ? null : generations.timeSinceRebuild();
   }
 
-  // ---- generations
-
   /** Handles a data loss, a rebuild and its completion. */
   private final class GenerationHost implements GenerationManager.Host {
     @Override
--- a/src/main/java/io/pineladder/store/Committer.java
+++ b/src/main/java/io/pineladder/store/Committer.java
@@ -428,8 +428,6 @@
         .anyMatch(k -> !k.startsWith(RecordKeys.UNPAGED_JOB) && !k.startsWith(RecordKeys.INBOX));
   }
 
-  // ---- the audit
-
   /**
    * Compares the revisions of a bounded number of records with the last known ones, in a
    * transaction that changes nothing. A failed fencing condition or lost record ends the term.
--- a/src/main/java/io/pineladder/store/JobPageDivider.java
+++ b/src/main/java/io/pineladder/store/JobPageDivider.java
@@ -121,7 +121,10 @@
     return copies;
   }
 
-  /** Makes the copies effective, because the page that they were made from is deleted. */
+  /**
+   * Replaces the record of each job of the deleted page by its copy: removes the mark that named
+   * the deleted page, and assigns the job to the page that contains the copy.
+   */
   private void onPageDeleted(JobPage page, Map<Job, CopyTarget> targets) {
     copiesByDividedPage.remove(page.key);
     pages.removePage(page);
--- a/src/main/java/io/pineladder/store/StoreClient.java
+++ b/src/main/java/io/pineladder/store/StoreClient.java
@@ -411,8 +411,6 @@
     return new ChangesReply(reply, null);
   }
 
-  // ---- conditions
-
   /**
    * Checks conditions by a transaction that changes nothing.
    *
--- a/src/main/java/io/pineladder/workers/CommandSender.java
+++ b/src/main/java/io/pineladder/workers/CommandSender.java
@@ -36,7 +36,7 @@
   private final AsyncHttpClient httpClient;
   private final EventLoop eventLoop;
   private final long term;
-  private final BooleanSupplier mayAct;
+  private final BooleanSupplier isLeadingWithValidLease;
   private final CommandWriter writer;
   private final CommandReplyHandler replies;
 
@@ -49,13 +49,13 @@
       AsyncHttpClient httpClient,
       EventLoop eventLoop,
       long term,
-      BooleanSupplier mayAct,
+      BooleanSupplier isLeadingWithValidLease,
       CommandWriter writer,
       CommandReplyHandler replies) {
     this.httpClient = httpClient;
     this.eventLoop = eventLoop;
     this.term = term;
-    this.mayAct = mayAct;
+    this.isLeadingWithValidLease = isLeadingWithValidLease;
     this.writer = writer;
     this.replies = replies;
   }
@@ -86,7 +86,7 @@
         || machine.reachability() != Machine.Reachability.REACHABLE) {
       return;
     }
-    if (!mayAct.getAsBoolean()) {
+    if (!isLeadingWithValidLease.getAsBoolean()) {
       return;
     }
     Orders commands = new Orders();
@@ -125,7 +125,9 @@
 
   private void sendNextProbes() {
     Iterator<Machine> next = probeQueue.iterator();
-    while (probesInFlight < MAX_CONCURRENT_PROBES && next.hasNext() && mayAct.getAsBoolean()) {
+    while (probesInFlight < MAX_CONCURRENT_PROBES
+        && next.hasNext()
+        && isLeadingWithValidLease.getAsBoolean()) {
       Machine machine = next.next();
       next.remove();
       Instant now = eventLoop.now();
--- a/src/main/java/io/pineladder/workers/WorkerManager.java
+++ b/src/main/java/io/pineladder/workers/WorkerManager.java
@@ -17,7 +17,7 @@
   private final ClusterState cluster;
   private final EventLoop eventLoop;
   private final long term;
-  private final BooleanSupplier mayAct;
+  private final BooleanSupplier isLeadingWithValidLease;
   private final Listener listener;
   private final HeartbeatProcessor heartbeats;
   private final CommandWriter commandWriter;
@@ -54,7 +54,8 @@
    * Creates the manager of one term.
    *
    * @param term the term's fencing token
-   * @param mayAct whether the leader's lease currently allows commands
+   * @param isLeadingWithValidLease checked before commands are sent, since the process may have
+   *     been paused
    */
   public WorkerManager(
       ClusterState cluster,
@@ -62,12 +63,12 @@
       AsyncHttpClient httpClient,
       EventLoop eventLoop,
       long term,
-      BooleanSupplier mayAct,
+      BooleanSupplier isLeadingWithValidLease,
       Listener listener) {
     this.cluster = cluster;
     this.eventLoop = eventLoop;
     this.term = term;
-    this.mayAct = mayAct;
+    this.isLeadingWithValidLease = isLeadingWithValidLease;
     this.listener = listener;
     ReachabilityTracker reachability = new ReachabilityTracker(cluster, scheduler);
     this.heartbeats =
@@ -78,7 +79,7 @@
             httpClient,
             eventLoop,
             term,
-            mayAct,
+            isLeadingWithValidLease,
             commandWriter,
             new CommandReplyHandler(scheduler, term, listener, heartbeats, reachability));
   }
@@ -106,7 +107,7 @@
     }
     Orders commands = new Orders();
     if (machine != null && isNewest) {
-      if (heartbeat.token() == term && mayAct.getAsBoolean()) {
+      if (heartbeat.token() == term && isLeadingWithValidLease.getAsBoolean()) {
         commandWriter.write(machine, commands, CommandWriter.Channel.HEARTBEAT_RESPONSE);
         commandWriter.writeForUnknownTasks(heartbeat, machine, commands);
       }
--- a/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
+++ b/src/test/java/io/pineladder/sim/ZoneSimulationTest.java
@@ -66,16 +66,17 @@
    * the action that ends the partition.
    */
   private Runnable partition(boolean fromAll) {
-    List<String> inside = hosts("b");
-    List<String> outside = new ArrayList<>(hosts("a"));
+    List<String> hostsInZone = hosts("b");
+    List<String> hostsOutsideZone = new ArrayList<>(hosts("a"));
     if (fromAll) {
-      outside.addAll(List.of("10.2.0.1", "10.2.0.2", "user"));
+      hostsOutsideZone.addAll(List.of("10.2.0.1", "10.2.0.2", "user"));
     }
-    inside.forEach(
-        insideHost -> outside.forEach(outsideHost -> world.cut(insideHost, outsideHost)));
+    hostsInZone.forEach(
+        insideHost -> hostsOutsideZone.forEach(outsideHost -> world.cut(insideHost, outsideHost)));
     return () ->
-        inside.forEach(
-            insideHost -> outside.forEach(outsideHost -> world.heal(insideHost, outsideHost)));
+        hostsInZone.forEach(
+            insideHost ->
+                hostsOutsideZone.forEach(outsideHost -> world.heal(insideHost, outsideHost)));
   }
 
   private Map<String, String> placementsIn(String zone) {
--- a/src/test/java/io/pineladder/store/RecordPagesTest.java
+++ b/src/test/java/io/pineladder/store/RecordPagesTest.java
@@ -195,8 +195,6 @@
     assertTrue(store.values.size() < 40, store.values.size() + " pages");
   }
 
-  // ---- completions of a large job
-
   private static Job largeJob() {
     JobSpec spec =
         new JobSpec(
--- a/src/test/java/io/pineladder/workers/LeaderHarness.java
+++ b/src/test/java/io/pineladder/workers/LeaderHarness.java
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public boolean mayAct() {
+    public boolean isLeadingWithValidLease() {
       return leaseCertain;
     }
 
