--- a/src/main/java/io/pineladder/model/Settings.java
+++ b/src/main/java/io/pineladder/model/Settings.java
@@ -58,6 +58,9 @@
   /** The rate and size limits of the key-value store. */
   public record StoreLimits(
       double requestsPerSecond, double writesPerSecond, int valueBytes, int transactionOps) {
+    /** The store allows this many conditions per key that a transaction may change. */
+    public static final int CONDITIONS_PER_OPERATION = 4;
+
     /** The lower value of each limit. */
     public StoreLimits strictest(StoreLimits other) {
       return new StoreLimits(
--- a/src/main/java/io/pineladder/replica/ReplicaFollower.java
+++ b/src/main/java/io/pineladder/replica/ReplicaFollower.java
@@ -1,5 +1,6 @@
 package io.pineladder.replica;
 
+import io.pineladder.model.Settings.StoreLimits;
 import io.pineladder.net.EventLoop;
 import io.pineladder.store.RecordKeys;
 import io.pineladder.store.StoreClient;
@@ -35,9 +36,6 @@
   /** Maximum number of pages in one comparison. */
   private static final int MAX_COMPARED_PAGES = 100;
 
-  /** The store allows this many conditions per key that a transaction may change. */
-  private static final int CONDITIONS_PER_OPERATION = 4;
-
   /** After a longer lag all records are listed again: the missed changes may take more memory. */
   private static final Duration MAX_LAG = Duration.ofSeconds(10);
 
@@ -290,7 +288,7 @@
     int maxPages =
         Math.min(
             MAX_COMPARED_PAGES,
-            CONDITIONS_PER_OPERATION * storeClient.limits().transactionOps() - 1);
+            StoreLimits.CONDITIONS_PER_OPERATION * storeClient.limits().transactionOps() - 1);
     SortedMap<String, Long> pages = replica.permanentPages(lastComparedPage, maxPages);
     lastComparedPage = pages.size() < maxPages ? null : pages.lastKey();
     StoreWire.Transaction compare = storeClient.transaction();
--- a/src/main/java/io/pineladder/store/TransactionAssembler.java
+++ b/src/main/java/io/pineladder/store/TransactionAssembler.java
@@ -1,6 +1,7 @@
 package io.pineladder.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pineladder.model.Settings.StoreLimits;
 import io.pineladder.wire.Json;
 import io.pineladder.wire.StoreWire;
 import java.util.ArrayList;
@@ -18,9 +19,6 @@
   /** Limit of the values' size. The store allows 64 KiB; the rest is for conditions. */
   private static final int MAX_TRANSACTION_BYTES = 48 * 1024;
 
-  /** The store allows this many conditions per key that a transaction may change. */
-  private static final int CONDITIONS_PER_OPERATION = 4;
-
   /** Conditions that every transaction has: the generation and the leader's key. */
   private static final int FENCING_CONDITIONS = 2;
 
@@ -54,7 +52,7 @@
 
   /** The number of conditions that a transaction may have in addition to the fencing ones. */
   static int maxConditions(int maxTransactionOperations) {
-    return CONDITIONS_PER_OPERATION * maxTransactionOperations - FENCING_CONDITIONS;
+    return StoreLimits.CONDITIONS_PER_OPERATION * maxTransactionOperations - FENCING_CONDITIONS;
   }
 
   /** The number of keys that the mutation changes when it is alone in a transaction. */
